--- a/src/main/java/gatelock/bench/Wirehost.java
+++ b/src/main/java/gatelock/bench/Wirehost.java
@@ -2,7 +2,7 @@
 
 import gatelock.decision.ReleaseGate;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Handle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
@@ -26,15 +26,15 @@
     private static final Map<String, Ending> ENDINGS = Map.of("done", Ending.COMPLETED, "err", Ending.ERRORED,
             "busy", Ending.TURNED_AWAY, "etimedout", Ending.TIMED_OUT, "econnrefused", Ending.NOT_CONNECTED,
             "econnreset", Ending.BROKEN_OFF, "ecanceled", Ending.CANCELLED, "skipped", Ending.NOT_SENT);
-    private static final Map<String, Gate.VoteAnswer> ANSWERS = Map.of("done", Gate.VoteAnswer.COUNTED,
-            "skipped", Gate.VoteAnswer.MOOT, "busy", Gate.VoteAnswer.BUSY, "err", Gate.VoteAnswer.ERROR,
-            "etimedout", Gate.VoteAnswer.TIMED_OUT);
-    private static final Gate.Phase[] PHASES = {Gate.Phase.TRIAL, Gate.Phase.REVERTING, Gate.Phase.RELEASED,
-        Gate.Phase.WITHDRAWN};
+    private static final Map<String, DecisionEngine.VoteAnswer> ANSWERS = Map.of("done", DecisionEngine.VoteAnswer.COUNTED,
+            "skipped", DecisionEngine.VoteAnswer.MOOT, "busy", DecisionEngine.VoteAnswer.BUSY, "err", DecisionEngine.VoteAnswer.ERROR,
+            "etimedout", DecisionEngine.VoteAnswer.TIMED_OUT);
+    private static final DecisionEngine.Phase[] PHASES = {DecisionEngine.Phase.TRIAL, DecisionEngine.Phase.REVERTING, DecisionEngine.Phase.RELEASED,
+        DecisionEngine.Phase.WITHDRAWN};
     private static final Listed.Health[] HEALTH = {Listed.Health.GONE, Listed.Health.READY,
         Listed.Health.DRAINING};
-    private static final Gate.ListForm[] FORMS = {Gate.ListForm.FAILED, Gate.ListForm.FULL,
-        Gate.ListForm.CACHED, Gate.ListForm.DELTA};
+    private static final DecisionEngine.ListForm[] FORMS = {DecisionEngine.ListForm.FAILED, DecisionEngine.ListForm.FULL,
+        DecisionEngine.ListForm.CACHED, DecisionEngine.ListForm.DELTA};
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -49,7 +49,7 @@
     private final class Relay implements Outlet {
         private final int number;
         private final Map<String, Handle> held = new HashMap<>();
-        private Gate gate;
+        private DecisionEngine gate;
 
         Relay(int number) {
             this.number = number;
@@ -230,8 +230,8 @@
             case "ELAPSED" -> relay.gate.due(nowUs, f.number("nonce"));
             case "SYNC" -> {
                 f.number("seqNo");
-                Gate.ListForm form = FORMS[f.code("form", FORMS.length)];
-                List<Listed> entries = form == Gate.ListForm.FAILED ? List.of()
+                DecisionEngine.ListForm form = FORMS[f.code("form", FORMS.length)];
+                List<Listed> entries = form == DecisionEngine.ListForm.FAILED ? List.of()
                     : lists.get(f.code("list", lists.size()));
                 relay.gate.listed(nowUs, form, entries);
             }
@@ -240,10 +240,10 @@
                 double cap = f.realOr(0);
                 long agoUs = f.numberOr(0) / 1000;
                 boolean asked = f.numberOr(0) == 1;
-                Gate.Phase phase = PHASES[f.codeOr(0, "phase", PHASES.length)];
-                Gate.VoteAnswer answer = f.oneOf(ANSWERS, "result");
+                DecisionEngine.Phase phase = PHASES[f.codeOr(0, "phase", PHASES.length)];
+                DecisionEngine.VoteAnswer answer = f.oneOf(ANSWERS, "result");
                 relay.gate.news(nowUs, (int) f.numberOr(0), stage, phase, cap, agoUs,
-                    asked || answer != Gate.VoteAnswer.COUNTED ? answer : Gate.VoteAnswer.NOT_ASKED);
+                    asked || answer != DecisionEngine.VoteAnswer.COUNTED ? answer : DecisionEngine.VoteAnswer.NOT_ASKED);
             }
             case "COMPLAINT" -> {
                 String unit = f.text("unit");
@@ -275,7 +275,7 @@
         String id = f.text("msgId");
         int route = (int) f.number("service");
         int tenant = (int) f.numberOr(0);
-        long key = f.numberOr(Gate.NO_KEY);
+        long key = f.numberOr(DecisionEngine.NO_KEY);
         long leftUs = Terms.atLeastOne(f.number("expiresInNs"));
         long costNs = f.numberOr(0);
         boolean costHolds = (f.numberOr(0) & 1) != 0;
--- a/src/main/java/gatelock/boot/Chain.java
+++ b/src/main/java/gatelock/boot/Chain.java
@@ -6,7 +6,7 @@
 import gatelock.kept.OpenReqs;
 import gatelock.membership.Scope;
 import gatelock.plan.Admission;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
 import gatelock.wire.Admit;
 import gatelock.wire.Book;
@@ -33,7 +33,7 @@
     final OpenReqs open;
     final Lines units;
     final Orders orders;
-    final Gate gate;
+    final DecisionEngine gate;
     final TakeIn takeIn;
     private final Admit admit;
     private final Turn turn;
@@ -93,7 +93,7 @@
         }
         orders.bind(desk, discovery);
         gate.start(turn.nowUs());
-        Gate hears = sessions == null ? gate : new Told(gate, sessions);
+        DecisionEngine hears = sessions == null ? gate : new Told(gate, sessions);
         discovery.start(hears, admission, told.known());
         desk.start(hears, told.news());
         if (sessions != null) {
--- a/src/main/java/gatelock/boot/Rehearsal.java
+++ b/src/main/java/gatelock/boot/Rehearsal.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.kept.UnitAnswer;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 import gatelock.relay.Route;
 import gatelock.wire.Front;
@@ -77,8 +77,8 @@
                 0));
             chain.addresses.put(at, units.get(i));
         }
-        chain.gate.listed(turn.nowUs(), Gate.ListForm.FULL, units);
-        chain.gate.news(turn.nowUs(), 1, 0, Gate.Phase.TRIAL, 0.3, 0, Gate.VoteAnswer.NOT_ASKED);
+        chain.gate.listed(turn.nowUs(), DecisionEngine.ListForm.FULL, units);
+        chain.gate.news(turn.nowUs(), 1, 0, DecisionEngine.Phase.TRIAL, 0.3, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
         front.admit(this::handle, false);
         for (int i = 0; i < AT_ONCE; i++) {
             running++;
--- a/src/main/java/gatelock/boot/Told.java
+++ b/src/main/java/gatelock/boot/Told.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.relay.Bounds;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Handle;
 import gatelock.relay.Listed;
 import gatelock.session.Sessions;
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** The decisions, with all that is told of units and builds told to the sessions too. */
-record Told(Gate gate, Sessions sessions) implements Gate {
+record Told(DecisionEngine gate, Sessions sessions) implements DecisionEngine {
 
     @Override
     public void start(long nowUs) {
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -7,13 +7,13 @@
 import java.util.stream.*;
 
 /**
- * THE module: every decision of one relay. It is called through {@link Gate} and {@link Handle} and calls out
+ * THE module: every decision of one relay. It is called through {@link DecisionEngine} and {@link Handle} and calls out
  * on {@link Outlet}; all three stand in gatelock.relay. One thread calls it; its clock is the calls'.
  *
  * <p>Read {@link Rq#place} first, the ordinary path of a req, then {@link #weigh}, that of a vote. The rest
  * is what these two ask: what a build may get (Build), what a unit may (Unit), how outcomes are weighed.
  */
-public final class ReleaseGate implements Gate {
+public final class ReleaseGate implements DecisionEngine {
 
     private static final long SECOND = 1_000_000;
     private static final long BEAT_US = SECOND / 4; // overdue tries are looked for, a verdict is drawn
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -2,7 +2,7 @@
 
 import gatelock.relay.Bounds;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
 import java.util.ArrayList;
@@ -226,7 +226,7 @@
 
     /** The list of units, or a part of it; {@code labels} that units bear, by unit. */
     public void listed(long nowUs,
-        Gate.ListForm form, List<Listed> entries, Map<String, Map<String, String>> labels) {
+        DecisionEngine.ListForm form, List<Listed> entries, Map<String, Map<String, String>> labels) {
         muster.listed(nowUs, form, entries, labels);
     }
 
--- a/src/main/java/gatelock/plan/Muster.java
+++ b/src/main/java/gatelock/plan/Muster.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
 import java.util.BitSet;
@@ -84,14 +84,14 @@
     }
 
     /** The list of units, or a part of it, has come in. */
-    void listed(long nowUs, Gate.ListForm form, List<Listed> entries,
+    void listed(long nowUs, DecisionEngine.ListForm form, List<Listed> entries,
                 Map<String, Map<String, String>> borne) {
-        if (form == Gate.ListForm.FAILED) {
+        if (form == DecisionEngine.ListForm.FAILED) {
             return;
         }
         // What each pool has had until now is noted before it changes.
         stands.values().forEach(s -> s.usual(nowUs, ready[s.selector]));
-        if (form != Gate.ListForm.DELTA) {
+        if (form != DecisionEngine.ListForm.DELTA) {
             Set<String> named = new HashSet<>();
             entries.forEach(l -> named.add(l.unit()));
             for (Iterator<Map.Entry<String, Member>> all = units.entrySet().iterator(); all.hasNext(); ) {
--- a/src/main/java/gatelock/relay/Gate.java
+++ b/src/main/java/gatelock/relay/DecisionEngine.java
@@ -6,7 +6,7 @@
  * One relay's decisions. A relay calls this from one thread with its own clock, which never goes back; each
  * call may answer through the {@link Outlet} it was built with, before it returns.
  */
-public interface Gate {
+public interface DecisionEngine {
 
     /** What a list of units is: what changed, all there is, a remembered whole, or notice that none came. */
     enum ListForm { DELTA, FULL, CACHED, FAILED }
--- a/src/main/java/gatelock/relay/Outlet.java
+++ b/src/main/java/gatelock/relay/Outlet.java
@@ -18,7 +18,7 @@
     /** Casts this relay's one vote. */
     void vote(int build, int stage, Verdict verdict);
 
-    /** Asks for {@link Gate#due} with this token. */
+    /** Asks for {@link DecisionEngine#due} with this token. */
     void timer(long inUs, long token);
 
     /** Subscribes to changes of the list. */
--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/Sessions.java
@@ -1,6 +1,6 @@
 package gatelock.session;
 
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
 import java.util.ArrayDeque;
@@ -35,7 +35,7 @@
     private int nextPlace;
     private boolean relayLeaves;
     private int newest = -1;
-    private Gate.Phase phase = Gate.Phase.RELEASED;
+    private DecisionEngine.Phase phase = DecisionEngine.Phase.RELEASED;
 
     private record Leaving(Session session, Cause cause, long byUs) {
     }
@@ -84,11 +84,11 @@
      * The list of units, or a part of it: sessions at units that drain, are gone or came back as others must
      * leave.
      */
-    public void listed(long nowUs, Gate.ListForm form, List<Listed> entries) {
-        if (form == Gate.ListForm.FAILED) {
+    public void listed(long nowUs, DecisionEngine.ListForm form, List<Listed> entries) {
+        if (form == DecisionEngine.ListForm.FAILED) {
             return;
         }
-        if (form != Gate.ListForm.DELTA) {
+        if (form != DecisionEngine.ListForm.DELTA) {
             Set<String> named = new LinkedHashSet<>();
             entries.forEach(l -> named.add(l.unit()));
             List.copyOf(units.keySet()).stream().filter(u -> !named.contains(u)).forEach(u -> {
@@ -121,10 +121,10 @@
      * News of the newest build: once it goes back, its sessions end at once, as nothing may go there any
      * more.
      */
-    public void news(long nowUs, int build, Gate.Phase now) {
+    public void news(long nowUs, int build, DecisionEngine.Phase now) {
         newest = build;
         phase = now;
-        if (now == Gate.Phase.REVERTING || now == Gate.Phase.WITHDRAWN) {
+        if (now == DecisionEngine.Phase.REVERTING || now == DecisionEngine.Phase.WITHDRAWN) {
             for (Session s : List.copyOf(all.values())) {
                 Listed at = units.get(s.unit());
                 if (at != null && takenBack(at.build())) {
@@ -135,7 +135,7 @@
     }
 
     private boolean takenBack(int build) {
-        return build == newest && (phase == Gate.Phase.REVERTING || phase == Gate.Phase.WITHDRAWN);
+        return build == newest && (phase == DecisionEngine.Phase.REVERTING || phase == DecisionEngine.Phase.WITHDRAWN);
     }
 
     /** The relay leaves: all must go by then. */
--- a/src/main/java/gatelock/wire/Admit.java
+++ b/src/main/java/gatelock/wire/Admit.java
@@ -7,7 +7,7 @@
 import gatelock.plan.Arrivals;
 import gatelock.plan.Waiting;
 import gatelock.relay.Bounds;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 
 /**
  * Second stage: a req in good form asks the plan's limits, where there is a plan, and is handed to the
@@ -23,7 +23,7 @@
     private final Counters counters;
     private final Book book;
     private final RelayBack relayBack;
-    private final Gate gate;
+    private final DecisionEngine gate;
     private final Admission admission;
     private final long longestPauseUs;
     private final Arrivals<OpenReq> early = new Arrivals<>();
@@ -33,7 +33,7 @@
      * @param admission what the plan in force means; null: there never is one
      * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
      */
-    public Admit(Turn turn, OpenReqs open, Counters counters, Book book, RelayBack relayBack, Gate gate,
+    public Admit(Turn turn, OpenReqs open, Counters counters, Book book, RelayBack relayBack, DecisionEngine gate,
                  Admission admission, long longestPauseUs) {
         this.turn = turn;
         this.open = open;
--- a/src/main/java/gatelock/wire/Desk.java
+++ b/src/main/java/gatelock/wire/Desk.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.kept.UnitAnswer;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Verdict;
 
 import org.xnio.XnioExecutor;
@@ -18,8 +18,8 @@
 /** Speaks with the release desk: votes, each with its answer, and news on a connection of its own. */
 public final class Desk {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
-    private static final Map<String, Gate.Phase> PHASES = Map.of("trial", Gate.Phase.TRIAL,
-        "rolling_back", Gate.Phase.REVERTING, "released", Gate.Phase.RELEASED, "withdrawn", Gate.Phase.WITHDRAWN);
+    private static final Map<String, DecisionEngine.Phase> PHASES = Map.of("trial", DecisionEngine.Phase.TRIAL,
+        "rolling_back", DecisionEngine.Phase.REVERTING, "released", DecisionEngine.Phase.RELEASED, "withdrawn", DecisionEngine.Phase.WITHDRAWN);
     private static final String BASE = "/v2/projects/main/";
     /** Signs of life come every second; without any for so long another connection is opened beside. */
     private static final long QUIET_US = 2_500_000;
@@ -31,7 +31,7 @@
     private final Lines lines;
     private final long voteWaitUs;
     private InetSocketAddress address;
-    private Gate gate;
+    private DecisionEngine gate;
     private Stream standing;
     private Stream second;
 
@@ -44,9 +44,9 @@
     }
 
     /** Begins from the news that the configuration holds. */
-    public void start(Gate gate, Json news) throws IOException {
+    public void start(DecisionEngine gate, Json news) throws IOException {
         this.gate = gate;
-        told(news, Gate.VoteAnswer.NOT_ASKED);
+        told(news, DecisionEngine.VoteAnswer.NOT_ASKED);
         standing = new Stream().begin();
     }
 
@@ -75,8 +75,8 @@
         lines.call(address, StandardCharsets.US_ASCII.encode(call), voteWaitUs, new Vote());
     }
 
-    private void told(Json news, Gate.VoteAnswer answer) throws IOException {
-        Gate.Phase phase = PHASES.get(news.text("mode"));
+    private void told(Json news, DecisionEngine.VoteAnswer answer) throws IOException {
+        DecisionEngine.Phase phase = PHASES.get(news.text("mode"));
         if (phase == null) {
             throw new IOException("expected a known mode, found " + news.text("mode"));
         }
@@ -88,9 +88,9 @@
     }
 
     /** Says that no news came with a vote's answer. */
-    private void without(Gate.VoteAnswer answer) {
+    private void without(DecisionEngine.VoteAnswer answer) {
         counters.add("votes " + answer.name().toLowerCase(Locale.ROOT));
-        gate.news(turn.nowUs(), 0, 0, Gate.Phase.TRIAL, 0, 0, answer);
+        gate.news(turn.nowUs(), 0, 0, DecisionEngine.Phase.TRIAL, 0, 0, answer);
     }
 
     /** One vote; one whose answer can't be read may have counted. */
@@ -100,28 +100,28 @@
             try {
                 Json said = Json.read(answer.body());
                 switch (answer.status()) {
-                    case 200 -> told(said, Gate.VoteAnswer.COUNTED);
-                    case 429 -> without(Gate.VoteAnswer.BUSY);
-                    case 409 -> without(Gate.VoteAnswer.MOOT);
-                    case 400, 500 -> without(Gate.VoteAnswer.ERROR);
+                    case 200 -> told(said, DecisionEngine.VoteAnswer.COUNTED);
+                    case 429 -> without(DecisionEngine.VoteAnswer.BUSY);
+                    case 409 -> without(DecisionEngine.VoteAnswer.MOOT);
+                    case 400, 500 -> without(DecisionEngine.VoteAnswer.ERROR);
                     default -> throw new IOException("status " + answer.status());
                 }
                 return true;
             } catch (IOException e) {
                 LOG.log(Level.WARNING, "release desk: " + e.getMessage());
-                without(Gate.VoteAnswer.TIMED_OUT);
+                without(DecisionEngine.VoteAnswer.TIMED_OUT);
                 return false;
             }
         }
 
         @Override
         public void broken(boolean written) {
-            without(written ? Gate.VoteAnswer.TIMED_OUT : Gate.VoteAnswer.ERROR);
+            without(written ? DecisionEngine.VoteAnswer.TIMED_OUT : DecisionEngine.VoteAnswer.ERROR);
         }
 
         @Override
         public void late() {
-            without(Gate.VoteAnswer.TIMED_OUT);
+            without(DecisionEngine.VoteAnswer.TIMED_OUT);
         }
     }
 
@@ -163,7 +163,7 @@
                 Json said = Json.read(line);
                 heard();
                 if ("news".equals(said.textOr("type", ""))) {
-                    told(said.object("object"), Gate.VoteAnswer.NOT_ASKED);
+                    told(said.object("object"), DecisionEngine.VoteAnswer.NOT_ASKED);
                 }
             } catch (IOException e) {
                 spoilt(e.getMessage());
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/Discovery.java
@@ -7,7 +7,7 @@
 import gatelock.membership.Scope;
 import gatelock.plan.Admission;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
 import org.xnio.XnioExecutor;
@@ -60,7 +60,7 @@
     private final boolean onRequest;
     private final RandomGenerator chance;
     private InetSocketAddress address;
-    private Gate gate;
+    private DecisionEngine gate;
     private Admission admission;
     private Line line;
     private XnioExecutor.Key again;
@@ -120,7 +120,7 @@
     }
 
     /** Begins from the list that this relay last held. */
-    public void start(Gate gate, Admission admission, Json known) throws IOException {
+    public void start(DecisionEngine gate, Admission admission, Json known) throws IOException {
         this.gate = gate;
         this.admission = admission;
         List<Entry> entries = entries(known);
@@ -130,7 +130,7 @@
             entries = reading.take(turn.nowUs(), known.wholeOr("index", 0)).entries();
             turn.in(SCOPE_LOOK_US, this::look);
         }
-        listed(Gate.ListForm.CACHED, entries, false);
+        listed(DecisionEngine.ListForm.CACHED, entries, false);
         if (!onRequest) {
             follow();
         }
@@ -212,7 +212,7 @@
             boolean whole = list.yes("snapshot");
             unread = null;
             taken(list.whole("index"), whole || !entries.isEmpty(), () ->
-                listed(whole ? Gate.ListForm.FULL : Gate.ListForm.DELTA, entries, whole));
+                listed(whole ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, entries, whole));
             return true;
         } catch (IOException e) {
             bad(e.getMessage());
@@ -277,14 +277,14 @@
         }
         if (onRequest) {
             following = false;
-            gate.listed(turn.nowUs(), Gate.ListForm.FAILED, List.of());
+            gate.listed(turn.nowUs(), DecisionEngine.ListForm.FAILED, List.of());
         } else {
             again = turn.in(retryUs + chance.nextLong(retryUs), this::ask);
         }
     }
 
     /** Tells whoever chooses among units, pools before the decisions. */
-    private void listed(Gate.ListForm form, List<Entry> entries, boolean whole) {
+    private void listed(DecisionEngine.ListForm form, List<Entry> entries, boolean whole) {
         List<Listed> listed = entries.stream().map(Entry::listed).toList();
         List<InetSocketAddress> left = noted(entries, listed, whole);
         if (admission != null) {
@@ -301,7 +301,7 @@
     /** The same of what this relay uses; nothing where that has not changed. */
     private void listed(Scope.Change change) {
         if (change.whole() || !change.entries().isEmpty()) {
-            listed(change.whole() ? Gate.ListForm.FULL : Gate.ListForm.DELTA, change.entries(), change.whole());
+            listed(change.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, change.entries(), change.whole());
         }
     }
 
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/Orders.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.OpenReq;
 import gatelock.kept.OpenReqs;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Outlet;
 import gatelock.relay.Verdict;
 
@@ -22,7 +22,7 @@
     private Book book;
     private Desk desk;
     private Discovery discovery;
-    private Gate gate;
+    private DecisionEngine gate;
     private boolean stopped;
 
     public Orders(Turn turn, OpenReqs open) {
@@ -31,7 +31,7 @@
     }
 
     /** Names who carries them out, before the first one is given. */
-    public void bind(Gate gate, RouteOut routeOut, RelayBack relayBack, Book book) {
+    public void bind(DecisionEngine gate, RouteOut routeOut, RelayBack relayBack, Book book) {
         this.gate = gate;
         this.routeOut = routeOut;
         this.relayBack = relayBack;
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -7,7 +7,7 @@
 import gatelock.plan.Admission;
 import gatelock.plan.Asked;
 import gatelock.plan.SessionTerms;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Route;
 
 import io.undertow.connector.PooledByteBuffer;
@@ -299,7 +299,7 @@
     /** A key of any form as a number: hex digits as they read, anything else by its bytes. */
     private static long key(String text) {
         if (text == null || text.isEmpty()) {
-            return Gate.NO_KEY;
+            return DecisionEngine.NO_KEY;
         }
         try {
             return Long.parseUnsignedLong(text, 16) & Long.MAX_VALUE;
--- a/src/main/java/gatelock/wire/ws/Coupling.java
+++ b/src/main/java/gatelock/wire/ws/Coupling.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.plan.SessionTerms;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.session.Cause;
 import gatelock.session.Session;
 import gatelock.session.Sessions;
@@ -46,7 +46,7 @@
 
     private final Turn turn;
     private final Counters counters;
-    private final Gate gate;
+    private final DecisionEngine gate;
     private final SessionTerms terms;
     private final Session session;
     private final Side client;
@@ -56,7 +56,7 @@
     private long framesFromUs;
     private int frames;
 
-    Coupling(Turn turn, Counters counters, Gate gate, Sessions sessions, SessionTerms terms, String unitName,
+    Coupling(Turn turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionTerms terms, String unitName,
         int route,
              WebSocketChannel client, WebSocketChannel unit, Runnable whenOver) {
         this.turn = turn;
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -5,7 +5,7 @@
 import gatelock.kept.UnitAnswer;
 import gatelock.plan.SessionTerms;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
 import gatelock.wire.Book;
 import gatelock.wire.TakeIn;
@@ -61,11 +61,11 @@
     private final Turn turn;
     private final Counters counters;
     private final Book book;
-    private final Gate gate;
+    private final DecisionEngine gate;
     private final Sessions sessions;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0);
 
-    public Upgrades(Turn turn, Counters counters, Book book, Gate gate, Sessions sessions) {
+    public Upgrades(Turn turn, Counters counters, Book book, DecisionEngine gate, Sessions sessions) {
         this.turn = turn;
         this.counters = counters;
         this.book = book;
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -7,7 +7,7 @@
 import gatelock.kept.Idle;
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Handle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
@@ -32,7 +32,7 @@
     void theDecisionsForgetWhatLeft() throws Exception {
         Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000, new double[] {0.2, 1}, 0,
             false, true, 2, 1, 10, false);
-        Gate gate = new ReleaseGate(new Charter(7, 1, 0, List.of(new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1)),
+        DecisionEngine gate = new ReleaseGate(new Charter(7, 1, 0, List.of(new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1)),
             List.of(), 1, 3, true, true, 1_000_000, false, 0.5, 3_000_000, 2.5, 1_000_000, 0, 0, rollout), new Noting());
         long nowUs = 1_000_000;
         gate.start(nowUs);
@@ -41,8 +41,8 @@
             for (int i = 0; i < 6; i++) {
                 units.add(new Listed("u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Listed.Health.READY, 0));
             }
-            gate.listed(nowUs, Gate.ListForm.FULL, units);
-            gate.news(nowUs, build, 1, Gate.Phase.RELEASED, 1, 0, Gate.VoteAnswer.NOT_ASKED);
+            gate.listed(nowUs, DecisionEngine.ListForm.FULL, units);
+            gate.news(nowUs, build, 1, DecisionEngine.Phase.RELEASED, 1, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
             for (int i = 0; i < 20; i++) {
                 sentTo.clear();
                 Handle req = gate.take(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -5,7 +5,7 @@
 import gatelock.decision.ReleaseGate;
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Handle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
@@ -60,7 +60,7 @@
         private final List<Verdict> votes = new ArrayList<>();
         private final List<String> cancels = new ArrayList<>();
         private int follows;
-        private Gate gate;
+        private DecisionEngine gate;
         private long nowUs = 1_000_000_000L;
         private long startUs = nowUs;
         private long order;
@@ -84,14 +84,14 @@
             switch (w[0]) {
                 case "charter" -> terms.putAll(named);
                 case "at" -> runTo(startUs + us(w[1]));
-                case "list" -> gate().listed(nowUs, Gate.ListForm.FULL, units(w));
-                case "change" -> gate().listed(nowUs, Gate.ListForm.DELTA, units(w));
-                case "list-failed" -> gate().listed(nowUs, Gate.ListForm.FAILED, List.of());
+                case "list" -> gate().listed(nowUs, DecisionEngine.ListForm.FULL, units(w));
+                case "change" -> gate().listed(nowUs, DecisionEngine.ListForm.DELTA, units(w));
+                case "list-failed" -> gate().listed(nowUs, DecisionEngine.ListForm.FAILED, List.of());
                 case "news" -> gate().news(nowUs, (int) num(named, "build", 2), (int) num(named, "stage", 0),
-                    Gate.Phase.valueOf(named.getOrDefault("phase", "trial").toUpperCase()),
-                    num(named, "cap", 0.2), us(named.getOrDefault("ago", "0s")), Gate.VoteAnswer.NOT_ASKED);
-                case "answer" -> gate().news(nowUs, 0, 0, Gate.Phase.TRIAL, 0, 0,
-                    Gate.VoteAnswer.valueOf(w[1].toUpperCase()));
+                    DecisionEngine.Phase.valueOf(named.getOrDefault("phase", "trial").toUpperCase()),
+                    num(named, "cap", 0.2), us(named.getOrDefault("ago", "0s")), DecisionEngine.VoteAnswer.NOT_ASKED);
+                case "answer" -> gate().news(nowUs, 0, 0, DecisionEngine.Phase.TRIAL, 0, 0,
+                    DecisionEngine.VoteAnswer.valueOf(w[1].toUpperCase()));
                 case "take" -> take(w[1], named);
                 case "leave" -> reqs.get(w[1]).concluded(nowUs);
                 case "end" -> end(w[1], Ending.valueOf(w[2].toUpperCase()), named);
@@ -236,7 +236,7 @@
             nowUs = toUs;
         }
 
-        private Gate gate() {
+        private DecisionEngine gate() {
             if (gate == null) {
                 List<Route> routes = new ArrayList<>();
                 for (String r : terms.getOrDefault("routes", "retriable").split(",")) {
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Addresses;
 import gatelock.kept.Counters;
 import gatelock.plan.Admission;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.standin.LongList;
 import gatelock.wire.Discovery;
 import gatelock.wire.Json;
@@ -43,7 +43,7 @@
     private final Lines platform;
     private final Lines units;
     private final Discovery discovery;
-    private final Gate gate;
+    private final DecisionEngine gate;
     private final Addresses addresses = new Addresses();
     private final double readUs;
 
@@ -66,7 +66,7 @@
             try {
                 gate.start(turn.nowUs());
                 discovery.start(gate, admission, Json.read("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
-                gate.news(turn.nowUs(), 1, 0, Gate.Phase.RELEASED, 1, 60_000_000, Gate.VoteAnswer.NOT_ASKED);
+                gate.news(turn.nowUs(), 1, 0, DecisionEngine.Phase.RELEASED, 1, 60_000_000, DecisionEngine.VoteAnswer.NOT_ASKED);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -4,7 +4,7 @@
 import gatelock.relay.Bounds;
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Handle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
@@ -40,7 +40,7 @@
     private record Out(Handle handle, long sentUs) {
     }
 
-    private final Gate gate;
+    private final DecisionEngine gate;
     private final List<Set<String>> services = new ArrayList<>();
     private final SplittableRandom chance = new SplittableRandom(17);
     private final ArrayDeque<Out> out = new ArrayDeque<>();
@@ -61,12 +61,12 @@
             services.get(services.size() - 1).add(name);
             list.add(new Listed(name, 1, i % 3, 0, i % 10, Listed.Health.READY, 0));
         }
-        gate.listed(nowUs, Gate.ListForm.FULL, list);
-        gate.news(nowUs, 1, 0, Gate.Phase.RELEASED, 1, 60_000_000, Gate.VoteAnswer.NOT_ASKED);
+        gate.listed(nowUs, DecisionEngine.ListForm.FULL, list);
+        gate.news(nowUs, 1, 0, DecisionEngine.Phase.RELEASED, 1, 60_000_000, DecisionEngine.VoteAnswer.NOT_ASKED);
     }
 
     /** Decisions on the terms of examples/relay.json. */
-    static Gate gate(Outlet out, List<Charter.Tenant> tenants) {
+    static DecisionEngine gate(Outlet out, List<Charter.Tenant> tenants) {
         Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000,
             new double[] {0.2, 0.6, 1}, 0, false, false, 2, 1, 10, false);
         return new ReleaseGate(new Charter(17, RELAYS, 0, List.of(
@@ -106,7 +106,7 @@
         Reach within = service::contains;
         Bounds bounds = scoped ? within : Bounds.NONE;
         long before = sent;
-        Handle handle = gate.take(nowUs, "r" + ids++, 0, 0, Gate.NO_KEY, LEFT_US, COST_US, bounds);
+        Handle handle = gate.take(nowUs, "r" + ids++, 0, 0, DecisionEngine.NO_KEY, LEFT_US, COST_US, bounds);
         if (sent > before) {
             out.add(new Out(handle, nowUs));
         }
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -6,7 +6,7 @@
 import gatelock.plan.Samples;
 import gatelock.plan.Stamp;
 import gatelock.plan.Succession;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 import gatelock.standin.LongList;
 import gatelock.standin.OpenLoop;
@@ -302,7 +302,7 @@
     /** What a relay holds of so many units: where each is, and the decisions' view of it. */
     private static Object state(int size) {
         Addresses addresses = new Addresses();
-        Gate gate = ModulePlay.gate(new ModulePlay(1), List.of());
+        DecisionEngine gate = ModulePlay.gate(new ModulePlay(1), List.of());
         List<Listed> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             Listed listed = new Listed(LongList.name(i), 1, i % 2, 0, i % 10, Listed.Health.READY, 0);
@@ -310,7 +310,7 @@
             list.add(listed);
         }
         gate.start(1_000_000);
-        gate.listed(1_000_000, Gate.ListForm.FULL, list);
+        gate.listed(1_000_000, DecisionEngine.ListForm.FULL, list);
         return List.of(addresses, gate);
     }
 
@@ -380,7 +380,7 @@
             units.add(new Listed("u" + i, 1, i % 2, 0, 0, Listed.Health.READY, 0));
         }
         Admission admission = new Admission(1);
-        admission.listed(1, Gate.ListForm.FULL, units, Map.of());
+        admission.listed(1, DecisionEngine.ListForm.FULL, units, Map.of());
         List<Double> us = new ArrayList<>();
         for (int i = 1; i <= times; i++) {
             long fromNs = cpuNs();
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -6,7 +6,7 @@
 import gatelock.relay.Bounds;
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Handle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
@@ -543,7 +543,7 @@
         private final BitSet held = new BitSet();
         private int life;
         private boolean up;
-        private Gate gate;
+        private DecisionEngine gate;
         private Scope scope;
         /** When its link has carried all that it was given so far, and when the last of it is heard. */
         private long linkFreeUs;
@@ -583,13 +583,13 @@
             scope = terms.scoped ? new Scope(terms.scope(number)) : null;
             up = true;
             gate.start(nowUs);
-            takesIn(Gate.ListForm.CACHED, cached ? kept : discovery.list(), discovery.index());
+            takesIn(DecisionEngine.ListForm.CACHED, cached ? kept : discovery.list(), discovery.index());
             meter.in(before);
             kept = null;
             if (scope != null) {
                 lookAgain(life);
             }
-            desk.tell(this, Gate.VoteAnswer.NOT_ASKED);
+            desk.tell(this, DecisionEngine.VoteAnswer.NOT_ASKED);
             if (cached) {
                 tellWhole(this);
             }
@@ -600,20 +600,20 @@
         }
 
         /** Hands a part of the list to the decisions: all of it, or what is in scope. */
-        private void takesIn(Gate.ListForm form, List<HollowDiscovery.Entry> entries, long index) {
+        private void takesIn(DecisionEngine.ListForm form, List<HollowDiscovery.Entry> entries, long index) {
             if (scope == null) {
                 gate.listed(nowUs, form, HollowDiscovery.listed(entries));
                 return;
             }
             Meter.Role before = meter.in(Meter.Role.SCOPE);
-            Scope.Reading reading = scope.read(form != Gate.ListForm.DELTA);
+            Scope.Reading reading = scope.read(form != DecisionEngine.ListForm.DELTA);
             entries.forEach(e -> reading.add(e.told()));
             Scope.Change change = reading.take(nowUs, index);
             meter.in(before);
-            tells(change.whole() ? form : Gate.ListForm.DELTA, change);
+            tells(change.whole() ? form : DecisionEngine.ListForm.DELTA, change);
         }
 
-        private void tells(Gate.ListForm form, Scope.Change change) {
+        private void tells(DecisionEngine.ListForm form, Scope.Change change) {
             List<Entry> those = change.entries();
             if (terms.fault == Fault.HELD_BY_ALL) {
                 those = new ArrayList<>(those);
@@ -646,7 +646,7 @@
                     Meter.Role before = meter.in(Meter.Role.SCOPE);
                     Scope.Change change = scope.due(nowUs);
                     meter.in(Meter.Role.LIST);
-                    tells(Gate.ListForm.DELTA, change);
+                    tells(DecisionEngine.ListForm.DELTA, change);
                     meter.in(before);
                     lookAgain(was);
                 }
@@ -702,7 +702,7 @@
             message.record().heard(number);
             records.told(number, message, nowUs);
             Meter.Role before = meter.in(Meter.Role.LIST);
-            takesIn(message.whole() ? Gate.ListForm.FULL : Gate.ListForm.DELTA, message.entries(),
+            takesIn(message.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, message.entries(),
                 message.index());
             meter.in(before);
         }
@@ -779,7 +779,7 @@
         public void vote(int build, int stage, Verdict verdict) {
             int was = life;
             in(100 * MS, () -> {
-                Gate.VoteAnswer answer = desk.called(number, build, stage, verdict);
+                DecisionEngine.VoteAnswer answer = desk.called(number, build, stage, verdict);
                 in(50 * MS, () -> {
                     if (was == life && up) {
                         desk.tell(this, answer);
@@ -820,14 +820,14 @@
         private long tokensUs;
         private int build = 1;
         private int stage;
-        private Gate.Phase phase = Gate.Phase.RELEASED;
+        private DecisionEngine.Phase phase = DecisionEngine.Phase.RELEASED;
         private long sinceUs;
         private long clockUs;
         /** When each stage was left, and how it ended. */
         final List<Long> stageUs = new ArrayList<>();
         int turnedAway;
 
-        Gate.Phase phase() {
+        DecisionEngine.Phase phase() {
             return phase;
         }
 
@@ -847,7 +847,7 @@
         void offer() {
             build++;
             stage = 0;
-            phase = Gate.Phase.TRIAL;
+            phase = DecisionEngine.Phase.TRIAL;
             begin();
         }
 
@@ -868,42 +868,42 @@
             for (Relay r : relays) {
                 in(50 * MS + chance.nextLong(150 * MS), () -> {
                     if (r.up) {
-                        tell(r, Gate.VoteAnswer.NOT_ASKED);
+                        tell(r, DecisionEngine.VoteAnswer.NOT_ASKED);
                     }
                 });
             }
         }
 
-        private void tell(Relay r, Gate.VoteAnswer answer) {
-            boolean isNews = answer == Gate.VoteAnswer.NOT_ASKED || answer == Gate.VoteAnswer.COUNTED;
+        private void tell(Relay r, DecisionEngine.VoteAnswer answer) {
+            boolean isNews = answer == DecisionEngine.VoteAnswer.NOT_ASKED || answer == DecisionEngine.VoteAnswer.COUNTED;
             if (isNews) {
-                double cap = phase == Gate.Phase.TRIAL ? caps()[stage] : phase == Gate.Phase.RELEASED ? 1 : 0;
-                if (phase == Gate.Phase.TRIAL) {
+                double cap = phase == DecisionEngine.Phase.TRIAL ? caps()[stage] : phase == DecisionEngine.Phase.RELEASED ? 1 : 0;
+                if (phase == DecisionEngine.Phase.TRIAL) {
                     records.caps.add(new Records.Cap(r.number, build, cap, nowUs));
                 } else {
                     records.caps.add(new Records.Cap(r.number, -1, 1, nowUs));
                 }
                 r.gate.news(nowUs, build, stage, phase, cap, nowUs - sinceUs, answer);
             } else {
-                r.gate.news(nowUs, 0, 0, Gate.Phase.TRIAL, 0, 0, answer);
+                r.gate.news(nowUs, 0, 0, DecisionEngine.Phase.TRIAL, 0, 0, answer);
             }
         }
 
-        private Gate.VoteAnswer called(int relay, int ofBuild, int ofStage, Verdict verdict) {
+        private DecisionEngine.VoteAnswer called(int relay, int ofBuild, int ofStage, Verdict verdict) {
             records.calls.add(nowUs);
             tokens = Math.min(2 * terms.callsPerS, tokens + (nowUs - tokensUs) * terms.callsPerS / S);
             tokensUs = nowUs;
             if (tokens < 1) {
                 turnedAway++;
-                return Gate.VoteAnswer.BUSY;
+                return DecisionEngine.VoteAnswer.BUSY;
             }
             tokens--;
             boolean back = verdict == Verdict.BACK;
             if (ofBuild != build || ofStage != stage && !back) {
-                return Gate.VoteAnswer.MOOT;
+                return DecisionEngine.VoteAnswer.MOOT;
             }
             voices.put(relay, new Voice(ofBuild, ofStage, verdict, nowUs + 6 * S));
-            return Gate.VoteAnswer.COUNTED;
+            return DecisionEngine.VoteAnswer.COUNTED;
         }
 
         int standing(Verdict verdict) {
@@ -913,15 +913,15 @@
 
         private void look() {
             in(250 * MS, this::look);
-            if (phase != Gate.Phase.TRIAL && phase != Gate.Phase.RELEASED || build == 1) {
+            if (phase != DecisionEngine.Phase.TRIAL && phase != DecisionEngine.Phase.RELEASED || build == 1) {
                 return;
             }
             if (standing(Verdict.BACK) >= terms.voices(terms.backShare)) {
-                phase = Gate.Phase.REVERTING;
+                phase = DecisionEngine.Phase.REVERTING;
                 sinceUs = nowUs;
                 drain(build);
                 tellAll();
-            } else if (phase == Gate.Phase.TRIAL && clockUs < nowUs - terms.bakeUs
+            } else if (phase == DecisionEngine.Phase.TRIAL && clockUs < nowUs - terms.bakeUs
                     && standing(Verdict.ON) >= terms.voices(terms.onShare)) {
                 stageUs.add(nowUs - sinceUs);
                 stage++;
@@ -929,7 +929,7 @@
                     begin();
                 } else {
                     stage--;
-                    phase = Gate.Phase.RELEASED;
+                    phase = DecisionEngine.Phase.RELEASED;
                     sinceUs = nowUs;
                     drain(build - 1);
                     tellAll();
--- a/src/test/java/gatelock/fleet/FleetTest.java
+++ b/src/test/java/gatelock/fleet/FleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -36,7 +36,7 @@
     void enoughVoicesStandForGoodBuildAndNoneIsTurnedAway(int relays) {
         Fleet fleet = offered(of(relays, 1));
         fleet.run(21 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(Gate.Phase.RELEASED);
+        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
         assertThat(fleet.desk.stageUs).allMatch(us -> us <= 7 * S);
         assertThat(fleet.desk.turnedAway).isZero();
         assertThat(fleet.records.calls.size()).isLessThanOrEqualTo(4 * relays);
@@ -52,7 +52,7 @@
         terms.newWork = work;
         Fleet fleet = offered(terms);
         fleet.run(25 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(Gate.Phase.REVERTING);
+        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
         assertThat(fleet.desk.stageUs.size()).as("stages passed").isLessThan(terms.shares.length);
         assertThat(fleet.broken()).isEmpty();
     }
@@ -67,7 +67,7 @@
         terms.newWork = 1.7;
         Fleet fleet = offered(terms);
         fleet.run(25 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(Gate.Phase.REVERTING);
+        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
         assertThat(fleet.broken()).isEmpty();
     }
 
@@ -80,7 +80,7 @@
             fleet.run(5 * S);
             fleet.pauseSome(0.3, 500 * Fleet.MS, 2 * S);
         }
-        assertThat(fleet.desk.phase()).isEqualTo(Gate.Phase.RELEASED);
+        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
     }
 
     @Test
@@ -94,7 +94,7 @@
             fleet.run(8 * S / 5);
         }
         fleet.run(7 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(Gate.Phase.RELEASED);
+        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
         assertThat(fleet.desk.stageUs).allMatch(us -> us <= 9 * S);
     }
 
--- a/src/test/java/gatelock/fleet/Rates.java
+++ b/src/test/java/gatelock/fleet/Rates.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 
 import java.util.List;
 import java.util.stream.IntStream;
@@ -52,7 +52,7 @@
     }
 
     private static boolean isBack(Fleet f) {
-        return f.desk.phase() == Gate.Phase.REVERTING;
+        return f.desk.phase() == DecisionEngine.Phase.REVERTING;
     }
 
     private static boolean wasReleased(Fleet f) {
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.relay.Ending;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
 import java.util.ArrayList;
@@ -47,7 +47,7 @@
         for (int i = 0; i < east + west; i++) {
             units.add(unit((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Listed.Health.READY));
         }
-        admission.listed(nowUs, Gate.ListForm.FULL, units, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
+        admission.listed(nowUs, DecisionEngine.ListForm.FULL, units, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
     }
 
     private Admission.Pass ask(String path) {
@@ -81,7 +81,7 @@
         assertThat(ask("/read").reaches("e0")).isFalse();
         nowUs += 1_200 * SECOND;
         assertThat(ask("/read").reaches("e0")).isTrue();
-        admission.listed(nowUs, Gate.ListForm.DELTA, List.of(unit("e0", 0, Listed.Health.DRAINING),
+        admission.listed(nowUs, DecisionEngine.ListForm.DELTA, List.of(unit("e0", 0, Listed.Health.DRAINING),
             unit("w0", 1, Listed.Health.GONE)), Map.of());
         assertThat(ask("/read").reaches("w0")).isFalse();
     }
--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/PlanMeasure.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
 import java.util.ArrayList;
@@ -110,7 +110,7 @@
             for (int i = 0; i < 1_000; i++) {
                 units.add(new Listed("u" + i, 1, i % 2, 0, 0, Listed.Health.READY, 0));
             }
-            admission.listed(1, Gate.ListForm.FULL, units, Map.of());
+            admission.listed(1, DecisionEngine.ListForm.FULL, units, Map.of());
             Histogram compile = new Histogram(3);
             Histogram swap = new Histogram(3);
             for (int i = 0; i < 12; i++) {
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
 import java.util.ArrayList;
@@ -89,7 +89,7 @@
     @Test
     void aDrainIsPacedByWhatTheOthersBearAndEndsInTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, Gate.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY),
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY),
             unit("b", 1, Listed.Health.READY),
             unit("c", 1, Listed.Health.READY)));
         List<Peers> at = new ArrayList<>();
@@ -98,7 +98,7 @@
             at.add(peers);
             sessions.opened(2, "a", 0, peers);
         }
-        sessions.listed(SECOND, Gate.ListForm.DELTA, List.of(unit("a", 1, Listed.Health.DRAINING)));
+        sessions.listed(SECOND, DecisionEngine.ListForm.DELTA, List.of(unit("a", 1, Listed.Health.DRAINING)));
         long closedBefore = 0;
         for (long us = SECOND; us < 12 * SECOND; us += 100_000) {
             sessions.due(us);
@@ -120,14 +120,14 @@
     @Test
     void aBuildThatGoesBackTakesItsSessionsAlongAtOnceAndNoOthers() {
         Sessions sessions = new Sessions(10, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, Gate.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY),
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY),
             unit("b", 2, Listed.Health.READY)));
-        sessions.news(1, 2, Gate.Phase.TRIAL);
+        sessions.news(1, 2, DecisionEngine.Phase.TRIAL);
         Peers old = new Peers();
         Peers trial = new Peers();
         sessions.opened(2, "a", 0, old);
         sessions.opened(2, "b", 0, trial);
-        sessions.news(3, 2, Gate.Phase.REVERTING);
+        sessions.news(3, 2, DecisionEngine.Phase.REVERTING);
         assertThat(trial.closes).containsEntry(Session.Side.CLIENT, 1012);
         assertThat(old.closes).isEmpty();
         Peers late = new Peers();
@@ -138,7 +138,7 @@
     @Test
     void aRelayThatLeavesClosesAllByItsTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, Gate.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY)));
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY)));
         List<Peers> at = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             Peers peers = new Peers();
--- a/src/test/java/gatelock/wire/DiscoveryTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryTest.java
@@ -6,7 +6,7 @@
 import gatelock.kept.Counters;
 import gatelock.membership.Scope;
 import gatelock.relay.Bounds;
-import gatelock.relay.Gate;
+import gatelock.relay.DecisionEngine;
 import gatelock.relay.Handle;
 import gatelock.relay.Listed;
 
@@ -58,7 +58,7 @@
     }
 
     /** Notes the lists; nothing else is told in this course. */
-    private final class Noting implements Gate {
+    private final class Noting implements DecisionEngine {
         @Override
         public void listed(long nowUs, ListForm form, List<Listed> units) {
             course.add(form + " " + units.stream().map(u -> u + " at " + (addresses.get(u.unit()) == null ? "none"
