--- a/src/main/java/gatelock/bench/Wirehost.java
+++ b/src/main/java/gatelock/bench/Wirehost.java
@@ -3,7 +3,7 @@
 import gatelock.decision.ReleaseGate;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
 import gatelock.relay.Outlet;
@@ -48,7 +48,7 @@
     /** One hosted relay: its decisions, the reqs it holds, and its voice on the wire. */
     private final class Relay implements Outlet {
         private final int number;
-        private final Map<String, Handle> held = new HashMap<>();
+        private final Map<String, RequestHandle> held = new HashMap<>();
         private DecisionEngine gate;
 
         Relay(int number) {
@@ -105,11 +105,11 @@
             line("EMIT ").append(text).append('\n');
         }
 
-        private Handle handle(String id) {
+        private RequestHandle handle(String id) {
             return held.get(id);
         }
 
-        private void forgetIfSettled(String id, Handle handle) {
+        private void forgetIfSettled(String id, RequestHandle handle) {
             if (handle.settled()) {
                 held.remove(id);
             }
@@ -252,7 +252,7 @@
             }
             case "ABANDONED", "HEAD_RECEIVED" -> {
                 String id = f.text("msgId");
-                Handle handle = relay.handle(id);
+                RequestHandle handle = relay.handle(id);
                 if (handle != null) {
                     handle.concluded(nowUs);
                     relay.forgetIfSettled(id, handle);
@@ -292,7 +292,7 @@
         long tookUs = f.number("durationNs") / 1000;
         boolean over = f.number("over") == 1;
         Load load = f.load();
-        Handle handle = relay.handle(id);
+        RequestHandle handle = relay.handle(id);
         if (handle != null) {
             handle.ended(nowUs, tryNo, ending, tookUs, over, load);
             relay.forgetIfSettled(id, handle);
--- a/src/main/java/gatelock/boot/Told.java
+++ b/src/main/java/gatelock/boot/Told.java
@@ -2,7 +2,7 @@
 
 import gatelock.relay.Bounds;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.session.Sessions;
 
@@ -17,7 +17,7 @@
     }
 
     @Override
-    public Handle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
+    public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
         Bounds bounds) {
         return gate.take(nowUs, id, route, tenant, key, leftUs, costUs, bounds);
     }
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -7,7 +7,7 @@
 import java.util.stream.*;
 
 /**
- * THE module: every decision of one relay. It is called through {@link DecisionEngine} and {@link Handle} and calls out
+ * THE module: every decision of one relay. It is called through {@link DecisionEngine} and {@link RequestHandle} and calls out
  * on {@link Outlet}; all three stand in gatelock.relay. One thread calls it; its clock is the calls'.
  *
  * <p>Read {@link Rq#place} first, the ordinary path of a req, then {@link #weigh}, that of a vote. The rest
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public Handle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
+    public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
                        Bounds bounds) {
         clock(nowUs);
         Rq rq = new Rq(id, route, tenant, key, nowUs + leftUs, costUs, bounds);
@@ -371,7 +371,7 @@
 
     // ---- A req --------------------------------------------------------------------------------------------
 
-    private final class Rq implements Handle {
+    private final class Rq implements RequestHandle {
         private final String id;
         private final Route route;
         private final int routeNo;
--- a/src/main/java/gatelock/kept/OpenReq.java
+++ b/src/main/java/gatelock/kept/OpenReq.java
@@ -1,6 +1,6 @@
 package gatelock.kept;
 
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -14,7 +14,7 @@
     private final long endUs;
     private final Caller caller;
     private final List<Runnable> calledOff = new ArrayList<>(2);
-    private Handle handle;
+    private RequestHandle handle;
     private boolean over;
     private Runnable whenOver;
     private Opening opening;
@@ -51,11 +51,11 @@
         return caller;
     }
 
-    public Handle handle() {
+    public RequestHandle handle() {
         return handle;
     }
 
-    public void taken(Handle handle) {
+    public void taken(RequestHandle handle) {
         this.handle = handle;
     }
 
--- a/src/main/java/gatelock/relay/DecisionEngine.java
+++ b/src/main/java/gatelock/relay/DecisionEngine.java
@@ -27,12 +27,12 @@
      * @param leftUs how long the client still waits
      * @param costUs the announced work as time on a standard core, or 0 where nothing valid was announced
      */
-    default Handle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs) {
+    default RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs) {
         return take(nowUs, id, route, tenant, key, leftUs, costUs, Bounds.NONE);
     }
 
     /** The same of a req for which more was set than the charter's terms. */
-    Handle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
+    RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
         Bounds bounds);
 
     /** Stands for a req without a key. */
--- a/src/main/java/gatelock/relay/Handle.java
+++ b/src/main/java/gatelock/relay/RequestHandle.java
@@ -1,7 +1,7 @@
 package gatelock.relay;
 
 /** A req that was taken: all that happens to it later is a call on this handle. */
-public interface Handle {
+public interface RequestHandle {
 
     /**
      * An upstream try has ended.
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -8,7 +8,7 @@
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
 import gatelock.relay.Rollout;
@@ -45,7 +45,7 @@
             gate.news(nowUs, build, 1, DecisionEngine.Phase.RELEASED, 1, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
             for (int i = 0; i < 20; i++) {
                 sentTo.clear();
-                Handle req = gate.take(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
+                RequestHandle req = gate.take(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
                 nowUs += 20_000;
                 for (int t = 0; t < sentTo.size(); t++) {
                     req.ended(nowUs, t, Ending.COMPLETED, 20_000, true, Load.NONE);
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -6,7 +6,7 @@
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
 import gatelock.relay.Outlet;
@@ -53,7 +53,7 @@
         private final Map<String, Map<String, String>> manners = new LinkedHashMap<>();
         private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.atUs != b.atUs
             ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
-        private final Map<String, Handle> reqs = new HashMap<>();
+        private final Map<String, RequestHandle> reqs = new HashMap<>();
         private final Map<String, String> answers = new LinkedHashMap<>();
         private final List<Sent> sends = new ArrayList<>();
         private final List<long[]> takes = new ArrayList<>();
@@ -193,7 +193,7 @@
                 boolean fails = nth > 0 && sends.stream().filter(x -> x.unit.equals(s.unit)).count() % nth == 0;
                 long took = us(m.getOrDefault("takes", "100ms"));
                 dues.add(new Due(nowUs + took, order++, () -> {
-                    Handle h = reqs.get(s.id);
+                    RequestHandle h = reqs.get(s.id);
                     if (!fails) {
                         answers.putIfAbsent(s.id, "completed");
                     }
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -5,7 +5,7 @@
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
 import gatelock.relay.Outlet;
@@ -37,7 +37,7 @@
     private static final int RELAYS = 100;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private record Out(Handle handle, long sentUs) {
+    private record Out(RequestHandle handle, long sentUs) {
     }
 
     private final DecisionEngine gate;
@@ -106,7 +106,7 @@
         Reach within = service::contains;
         Bounds bounds = scoped ? within : Bounds.NONE;
         long before = sent;
-        Handle handle = gate.take(nowUs, "r" + ids++, 0, 0, DecisionEngine.NO_KEY, LEFT_US, COST_US, bounds);
+        RequestHandle handle = gate.take(nowUs, "r" + ids++, 0, 0, DecisionEngine.NO_KEY, LEFT_US, COST_US, bounds);
         if (sent > before) {
             out.add(new Out(handle, nowUs));
         }
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -7,7 +7,7 @@
 import gatelock.relay.Charter;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
 import gatelock.relay.Outlet;
@@ -523,7 +523,7 @@
     private final class Open {
         private final double workUs = terms.workUs * exp();
         private final long endUs;
-        private Handle handle;
+        private RequestHandle handle;
         private boolean over;
         private int tries;
 
--- a/src/test/java/gatelock/wire/DiscoveryTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryTest.java
@@ -7,7 +7,7 @@
 import gatelock.membership.Scope;
 import gatelock.relay.Bounds;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Handle;
+import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 
 import java.io.IOException;
@@ -71,7 +71,7 @@
         }
 
         @Override
-        public Handle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
+        public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
                            Bounds bounds) {
             throw new AssertionError();
         }
