--- a/src/main/java/gatelock/bench/Wirehost.java
+++ b/src/main/java/gatelock/bench/Wirehost.java
@@ -6,7 +6,7 @@
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
-import gatelock.relay.Outlet;
+import gatelock.relay.DecisionActions;
 import gatelock.relay.Verdict;
 
 import java.io.BufferedReader;
@@ -46,7 +46,7 @@
     private int writingFor = -1;
 
     /** One hosted relay: its decisions, the reqs it holds, and its voice on the wire. */
-    private final class Relay implements Outlet {
+    private final class Relay implements DecisionActions {
         private final int number;
         private final Map<String, RequestHandle> held = new HashMap<>();
         private DecisionEngine gate;
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -8,7 +8,7 @@
 
 /**
  * THE module: every decision of one relay. It is called through {@link DecisionEngine} and {@link RequestHandle} and calls out
- * on {@link Outlet}; all three stand in gatelock.relay. One thread calls it; its clock is the calls'.
+ * on {@link DecisionActions}; all three stand in gatelock.relay. One thread calls it; its clock is the calls'.
  *
  * <p>Read {@link Rq#place} first, the ordinary path of a req, then {@link #weigh}, that of a vote. The rest
  * is what these two ask: what a build may get (Build), what a unit may (Unit), how outcomes are weighed.
@@ -110,7 +110,7 @@
     private static final int DESK = -2;
 
     private final Charter charter;
-    private final Outlet out;
+    private final DecisionActions out;
     private final RandomGenerator chance;
     private final Map<String, Unit> units = new LinkedHashMap<>();
     private final TreeMap<Integer, Build> builds = new TreeMap<>();
@@ -169,7 +169,7 @@
     private Verdict verdict = Verdict.NONE;
 
     /** The decisions of one relay, from what it is told at its start and its way out. */
-    public ReleaseGate(Charter charter, Outlet out) {
+    public ReleaseGate(Charter charter, DecisionActions out) {
         this.charter = charter;
         this.out = out;
         this.chance = new SplittableRandom(charter.seed());
--- a/src/main/java/gatelock/relay/Outlet.java
+++ b/src/main/java/gatelock/relay/DecisionActions.java
@@ -1,7 +1,7 @@
 package gatelock.relay;
 
 /** What the decisions can have done; calls take effect in order, at the time of the call that led to them. */
-public interface Outlet {
+public interface DecisionActions {
 
     /** Sends a req to a unit; tries of a req number from 0 in the order sent. 0: until the client leaves. */
     void send(String id, String unit, long timeoutUs);
--- a/src/main/java/gatelock/relay/DecisionEngine.java
+++ b/src/main/java/gatelock/relay/DecisionEngine.java
@@ -4,7 +4,7 @@
 
 /**
  * One relay's decisions. A relay calls this from one thread with its own clock, which never goes back; each
- * call may answer through the {@link Outlet} it was built with, before it returns.
+ * call may answer through the {@link DecisionActions} it was built with, before it returns.
  */
 public interface DecisionEngine {
 
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/Orders.java
@@ -3,7 +3,7 @@
 import gatelock.kept.OpenReq;
 import gatelock.kept.OpenReqs;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Outlet;
+import gatelock.relay.DecisionActions;
 import gatelock.relay.Verdict;
 
 import java.lang.System.Logger.Level;
@@ -12,7 +12,7 @@
  * What the decisions ask for. All of it is done right after the call that led to it, in order, so that no
  * stage is entered while the decisions are still at work.
  */
-public final class Orders implements Outlet {
+public final class Orders implements DecisionActions {
     private static final System.Logger LOG = System.getLogger("gatelock.decision");
 
     private final Turn turn;
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -9,7 +9,7 @@
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
-import gatelock.relay.Outlet;
+import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
 import gatelock.relay.Verdict;
@@ -46,7 +46,7 @@
     }
 
     /** One relay, its clock, and all it did. */
-    private static final class Stage implements Outlet {
+    private static final class Stage implements DecisionActions {
         private final Map<String, String> terms = new HashMap<>();
         private final Map<String, Integer> buildOf = new HashMap<>();
         private final Map<String, Integer> zoneOf = new HashMap<>();
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -8,7 +8,7 @@
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
-import gatelock.relay.Outlet;
+import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
 import gatelock.standin.LongList;
@@ -66,7 +66,7 @@
     }
 
     /** Decisions on the terms of examples/relay.json. */
-    static DecisionEngine gate(Outlet out, List<Charter.Tenant> tenants) {
+    static DecisionEngine gate(DecisionActions out, List<Charter.Tenant> tenants) {
         Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000,
             new double[] {0.2, 0.6, 1}, 0, false, false, 2, 1, 10, false);
         return new ReleaseGate(new Charter(17, RELAYS, 0, List.of(
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -10,7 +10,7 @@
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
 import gatelock.relay.Load;
-import gatelock.relay.Outlet;
+import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
 import gatelock.relay.Verdict;
@@ -533,7 +533,7 @@
     }
 
     /** One relay as a process: its decisions, and the world around them. */
-    final class Relay implements Outlet {
+    final class Relay implements DecisionActions {
         private final int number;
         private final double weight;
         private final Map<String, Open> open = new HashMap<>();
--- a/src/test/java/gatelock/standin/QuietOutlet.java
+++ b/src/test/java/gatelock/standin/QuietOutlet.java
@@ -1,10 +1,10 @@
 package gatelock.standin;
 
-import gatelock.relay.Outlet;
+import gatelock.relay.DecisionActions;
 import gatelock.relay.Verdict;
 
 /** A way out on which nothing is done; whoever looks at some of its calls says which. */
-public interface QuietOutlet extends Outlet {
+public interface QuietOutlet extends DecisionActions {
     @Override
     default void send(String id, String unit, long timeoutUs) {
     }
