--- a/src/main/java/gatelock/bench/Terms.java
+++ b/src/main/java/gatelock/bench/Terms.java
@@ -1,6 +1,6 @@
 package gatelock.bench;
 
-import gatelock.relay.Charter;
+import gatelock.relay.RelaySettings;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
 
@@ -38,7 +38,7 @@
     }
 
     /** Reads path=value pairs; {@link MalformedLine} where one is not of its kind. */
-    public static Charter read(long seed, Map<String, String> pairs) {
+    public static RelaySettings read(long seed, Map<String, String> pairs) {
         Terms t = new Terms(pairs);
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < t.whole("lanes.count", 0); i++) {
@@ -50,9 +50,9 @@
                     "cell", Route.Group.CELL), Route.Group.CELL),
                 t.us(p + "keyTtlNs"), t.us(p + "targetNs"), t.real(p + "worth", 1)));
         }
-        List<Charter.Tenant> tenants = new ArrayList<>();
+        List<RelaySettings.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < t.whole("orgs.count", 0); i++) {
-            tenants.add(new Charter.Tenant(t.real("orgs." + i + ".quotaPerS", 0)));
+            tenants.add(new RelaySettings.Tenant(t.real("orgs." + i + ".quotaPerS", 0)));
         }
         Rollout rollout = new Rollout(
             t.word("familyInfo.gateMode", Map.of("first_voice", Rollout.Gatekeeping.FIRST_VOICE,
@@ -66,7 +66,7 @@
             t.real("familyInfo.apiRate", 1), t.whole("familyInfo.tallyNs", 0) > 0);
         long idleUs = t.us("limits.connIdleNs");
         long warmNs = t.whole("safety.warmWithinNs", 0);
-        return new Charter(seed, (int) t.whole("replicasOfMe", 1), (int) t.whole("me", -1), routes, tenants,
+        return new RelaySettings(seed, (int) t.whole("replicasOfMe", 1), (int) t.whole("me", -1), routes, tenants,
             t.real("overShareWorth", 1), (int) t.whole("limits.tryLimit", 1), t.yes("limits.mayCancel"),
             t.yes("limits.retryAfter"), t.us("limits.maxRetryAfterNs"),
             "on_request".equals(t.pairs.get("discovery")), t.real("safety.coldFrom", 1),
--- a/src/main/java/gatelock/boot/Configuration.java
+++ b/src/main/java/gatelock/boot/Configuration.java
@@ -2,7 +2,7 @@
 
 import gatelock.bench.Terms;
 import gatelock.plan.Grounds;
-import gatelock.relay.Charter;
+import gatelock.relay.RelaySettings;
 import gatelock.wire.Json;
 
 import java.io.IOException;
@@ -18,7 +18,7 @@
 /** What a relay is told when it starts, read from one JSON file. */
 record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery,
     InetSocketAddress desk,
-                     int sockets, Json known, Json news, Charter charter, long openWithinUs,
+                     int sockets, Json known, Json news, RelaySettings charter, long openWithinUs,
                      List<Long> deadlinesUs, Map<String, String> settings) {
 
     /** Reads it whole; whatever is missing or odd is told in one line. */
@@ -49,7 +49,7 @@
         Map<String, String> settings = new HashMap<>();
         flatten("", all.object("settings").fields(), settings);
         Demands.check(settings);
-        Charter charter = Terms.read(seed(all.text("seed")), settings);
+        RelaySettings charter = Terms.read(seed(all.text("seed")), settings);
         List<Long> deadlinesUs = new ArrayList<>();
         for (int i = 0; i < charter.routes().size(); i++) {
             deadlinesUs.add(Terms.us(settings, "lanes." + i + ".deadlineNs"));
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -109,7 +109,7 @@
     private static final long ASK_LIST = 1;
     private static final int DESK = -2;
 
-    private final Charter charter;
+    private final RelaySettings charter;
     private final DecisionActions out;
     private final RandomGenerator chance;
     private final Map<String, Unit> units = new LinkedHashMap<>();
@@ -169,7 +169,7 @@
     private Verdict verdict = Verdict.NONE;
 
     /** The decisions of one relay, from what it is told at its start and its way out. */
-    public ReleaseGate(Charter charter, DecisionActions out) {
+    public ReleaseGate(RelaySettings charter, DecisionActions out) {
         this.charter = charter;
         this.out = out;
         this.chance = new SplittableRandom(charter.seed());
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -5,7 +5,7 @@
 import gatelock.decision.ReleaseGate;
 import gatelock.kept.Addresses;
 import gatelock.kept.Idle;
-import gatelock.relay.Charter;
+import gatelock.relay.RelaySettings;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
@@ -32,7 +32,7 @@
     void theDecisionsForgetWhatLeft() throws Exception {
         Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000, new double[] {0.2, 1}, 0,
             false, true, 2, 1, 10, false);
-        DecisionEngine gate = new ReleaseGate(new Charter(7, 1, 0, List.of(new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1)),
+        DecisionEngine gate = new ReleaseGate(new RelaySettings(7, 1, 0, List.of(new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1)),
             List.of(), 1, 3, true, true, 1_000_000, false, 0.5, 3_000_000, 2.5, 1_000_000, 0, 0, rollout), new Noting());
         long nowUs = 1_000_000;
         gate.start(nowUs);
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.relay.Charter;
+import gatelock.relay.RelaySettings;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
@@ -252,7 +252,7 @@
                     (int) num(terms, "guarded", 0), terms.containsKey("per-route"), terms.containsKey("one-way"),
                     num(terms, "free", 2),
                     (int) num(terms, "back-votes", 1), num(terms, "votes-per-s", 50), terms.containsKey("counts"));
-                gate = new ReleaseGate(new Charter(7, (int) num(terms, "relays", 1),
+                gate = new ReleaseGate(new RelaySettings(7, (int) num(terms, "relays", 1),
                     (int) num(terms, "number", 0), routes, List.of(), 1,
                     (int) num(terms, "tries", 4), true, true, 1_000_000, terms.containsKey("must-ask"), 0.34,
                     us(terms.getOrDefault("warm", "2s")), 2.5, 1_000_000,
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -2,7 +2,7 @@
 
 import gatelock.decision.ReleaseGate;
 import gatelock.relay.Bounds;
-import gatelock.relay.Charter;
+import gatelock.relay.RelaySettings;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
@@ -66,10 +66,10 @@
     }
 
     /** Decisions on the terms of examples/relay.json. */
-    static DecisionEngine gate(DecisionActions out, List<Charter.Tenant> tenants) {
+    static DecisionEngine gate(DecisionActions out, List<RelaySettings.Tenant> tenants) {
         Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000,
             new double[] {0.2, 0.6, 1}, 0, false, false, 2, 1, 10, false);
-        return new ReleaseGate(new Charter(17, RELAYS, 0, List.of(
+        return new ReleaseGate(new RelaySettings(17, RELAYS, 0, List.of(
             new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1),
             new Route(Route.Repeat.DEDUPED, Route.Group.ALL, 5_000_000, 400_000, 3),
             new Route(Route.Repeat.NON_RETRIABLE, Route.Group.ALL, 0, 500_000, 3)), tenants, 0.5, 3, true, true,
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -4,7 +4,7 @@
 import gatelock.membership.Entry;
 import gatelock.membership.Scope;
 import gatelock.relay.Bounds;
-import gatelock.relay.Charter;
+import gatelock.relay.RelaySettings;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
@@ -574,7 +574,7 @@
         private void start() {
             Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, terms.bakeUs, 6 * S, 2 * S, desk.caps(),
                 0, false, false, terms.free, terms.voices(terms.backShare), terms.callsPerS, false);
-            Charter charter = new Charter(terms.seed * 1000 + number * 31L + life, terms.relays, number,
+            RelaySettings charter = new RelaySettings(terms.seed * 1000 + number * 31L + life, terms.relays, number,
                 routes, List.of(), 1, 5, true, true, 2 * S, false, terms.coldFrom, terms.warmUs,
                 terms.coldMultiple, terms.windowUs, terms.openingPrice, 20 * S, rollout);
             boolean cached = terms.linkBytesPerS > 0 && kept != null;
