--- a/src/main/java/gatelock/boot/Told.java
+++ b/src/main/java/gatelock/boot/Told.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.relay.Bounds;
+import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
@@ -18,7 +18,7 @@
 
     @Override
     public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-        Bounds bounds) {
+        RequestConstraints bounds) {
         return gate.take(nowUs, id, route, tenant, key, leftUs, costUs, bounds);
     }
 
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -209,7 +209,7 @@
 
     @Override
     public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-                       Bounds bounds) {
+                       RequestConstraints bounds) {
         clock(nowUs);
         Rq rq = new Rq(id, route, tenant, key, nowUs + leftUs, costUs, bounds);
         builds.values().forEach(b -> b.room.earn(route, b.capNow()));
@@ -381,13 +381,13 @@
         private final long costUs;
         private final boolean hinted;
         /** What was set for it beyond the charter; asked only for less than would be done without. */
-        private final Bounds bounds;
+        private final RequestConstraints bounds;
         private final long token = nextToken++;
         private final List<Try> tries = new ArrayList<>(2);
         private boolean over;
         private int outNow;
 
-        Rq(String id, int routeNo, int tenant, long key, long endUs, long hintUs, Bounds bounds) {
+        Rq(String id, int routeNo, int tenant, long key, long endUs, long hintUs, RequestConstraints bounds) {
             this.id = id;
             this.bounds = bounds;
             this.routeNo = routeNo;
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Bounds;
+import gatelock.relay.RequestConstraints;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
@@ -91,7 +91,7 @@
     }
 
     /** A req under the plan that took it. */
-    public final class Pass implements Bounds {
+    public final class Pass implements RequestConstraints {
         private final Way way;
         private final String pool;
         private final Retries retries;
--- a/src/main/java/gatelock/relay/DecisionEngine.java
+++ b/src/main/java/gatelock/relay/DecisionEngine.java
@@ -28,12 +28,12 @@
      * @param costUs the announced work as time on a standard core, or 0 where nothing valid was announced
      */
     default RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs) {
-        return take(nowUs, id, route, tenant, key, leftUs, costUs, Bounds.NONE);
+        return take(nowUs, id, route, tenant, key, leftUs, costUs, RequestConstraints.NONE);
     }
 
     /** The same of a req for which more was set than the charter's terms. */
     RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-        Bounds bounds);
+        RequestConstraints bounds);
 
     /** Stands for a req without a key. */
     long NO_KEY = -1;
--- a/src/main/java/gatelock/relay/Bounds.java
+++ b/src/main/java/gatelock/relay/RequestConstraints.java
@@ -5,10 +5,10 @@
  * that it
  * would not have been free to do without.
  */
-public interface Bounds {
+public interface RequestConstraints {
 
     /** Nothing was set. */
-    Bounds NONE = new Bounds() {
+    RequestConstraints NONE = new RequestConstraints() {
         @Override
         public boolean reaches(String unit) {
             return true;
--- a/src/main/java/gatelock/wire/Admit.java
+++ b/src/main/java/gatelock/wire/Admit.java
@@ -6,7 +6,7 @@
 import gatelock.plan.Admission;
 import gatelock.plan.Arrivals;
 import gatelock.plan.Waiting;
-import gatelock.relay.Bounds;
+import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
 
 /**
@@ -55,7 +55,7 @@
         counters.add("taken");
         open.add(req);
         if (way == null) {
-            decide(req, route, tenant, key, costUs, Bounds.NONE);
+            decide(req, route, tenant, key, costUs, RequestConstraints.NONE);
             return;
         }
         Passage passage = new Passage(req, route, tenant, key, costUs);
@@ -80,7 +80,7 @@
         return early.open();
     }
 
-    private void decide(OpenReq req, int route, int tenant, long key, long costUs, Bounds bounds) {
+    private void decide(OpenReq req, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
         if (!early.isOpen()) {
             long waitsUs = early.come(turn.nowUs(), req.endUs(), req,
                 () -> decide(req, route, tenant, key, costUs, bounds));
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -1,7 +1,7 @@
 package gatelock.capacity;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.relay.Bounds;
+import gatelock.relay.RequestConstraints;
 import gatelock.relay.RelaySettings;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
@@ -104,7 +104,7 @@
     private void req(boolean scoped) {
         Set<String> service = services.get(chance.nextInt(services.size()));
         Reach within = service::contains;
-        Bounds bounds = scoped ? within : Bounds.NONE;
+        RequestConstraints bounds = scoped ? within : RequestConstraints.NONE;
         long before = sent;
         RequestHandle handle = gate.take(nowUs, "r" + ids++, 0, 0, DecisionEngine.NO_KEY, LEFT_US, COST_US, bounds);
         if (sent > before) {
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -3,7 +3,7 @@
 import gatelock.decision.ReleaseGate;
 import gatelock.membership.Entry;
 import gatelock.membership.Scope;
-import gatelock.relay.Bounds;
+import gatelock.relay.RequestConstraints;
 import gatelock.relay.RelaySettings;
 import gatelock.relay.Ending;
 import gatelock.relay.DecisionEngine;
@@ -687,7 +687,7 @@
         private void take() {
             String id = Long.toHexString(ids++);
             int route = chance.nextInt(routes.size());
-            Bounds bounds = terms.services > 1 ? services.get(at(chance.nextDouble())) : Bounds.NONE;
+            RequestConstraints bounds = terms.services > 1 ? services.get(at(chance.nextDouble())) : RequestConstraints.NONE;
             Open req = new Open(nowUs + waitsUs[route]);
             open.put(id, req);
             records.taken.add(new Records.Taken(id, number, routes.get(route), nowUs, req.endUs));
--- a/src/test/java/gatelock/standin/Reach.java
+++ b/src/test/java/gatelock/standin/Reach.java
@@ -1,11 +1,11 @@
 package gatelock.standin;
 
-import gatelock.relay.Bounds;
+import gatelock.relay.RequestConstraints;
 import gatelock.relay.Ending;
 
 /** Bounds that name the units a req may reach, as a pool of a plan does, and nothing else. */
 @FunctionalInterface
-public interface Reach extends Bounds {
+public interface Reach extends RequestConstraints {
     @Override
     default int mostTries() {
         return NONE.mostTries();
--- a/src/test/java/gatelock/wire/DiscoveryTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryTest.java
@@ -5,7 +5,7 @@
 import gatelock.kept.Addresses;
 import gatelock.kept.Counters;
 import gatelock.membership.Scope;
-import gatelock.relay.Bounds;
+import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
@@ -72,7 +72,7 @@
 
         @Override
         public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-                           Bounds bounds) {
+                           RequestConstraints bounds) {
             throw new AssertionError();
         }
 
