--- a/src/main/java/gatelock/bench/Wirehost.java
+++ b/src/main/java/gatelock/bench/Wirehost.java
@@ -1,7 +1,7 @@
 package gatelock.bench;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
@@ -23,9 +23,9 @@
 /** Hosts many relays on the simulator's lines: standard input to standard output, a reply for each batch. */
 public final class Wirehost {
 
-    private static final Map<String, Ending> ENDINGS = Map.of("done", Ending.COMPLETED, "err", Ending.ERRORED,
-            "busy", Ending.TURNED_AWAY, "etimedout", Ending.TIMED_OUT, "econnrefused", Ending.NOT_CONNECTED,
-            "econnreset", Ending.BROKEN_OFF, "ecanceled", Ending.CANCELLED, "skipped", Ending.NOT_SENT);
+    private static final Map<String, AttemptResult> ENDINGS = Map.of("done", AttemptResult.COMPLETED, "err", AttemptResult.ERRORED,
+            "busy", AttemptResult.TURNED_AWAY, "etimedout", AttemptResult.TIMED_OUT, "econnrefused", AttemptResult.NOT_CONNECTED,
+            "econnreset", AttemptResult.BROKEN_OFF, "ecanceled", AttemptResult.CANCELLED, "skipped", AttemptResult.NOT_SENT);
     private static final Map<String, DecisionEngine.VoteAnswer> ANSWERS = Map.of("done", DecisionEngine.VoteAnswer.COUNTED,
             "skipped", DecisionEngine.VoteAnswer.MOOT, "busy", DecisionEngine.VoteAnswer.BUSY, "err", DecisionEngine.VoteAnswer.ERROR,
             "etimedout", DecisionEngine.VoteAnswer.TIMED_OUT);
@@ -288,7 +288,7 @@
         String id = f.text("msgId");
         int tryNo = (int) f.number("hop");
         f.text("unit");
-        Ending ending = f.oneOf(ENDINGS, "result");
+        AttemptResult ending = f.oneOf(ENDINGS, "result");
         long tookUs = f.number("durationNs") / 1000;
         boolean over = f.number("over") == 1;
         Load load = f.load();
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -451,8 +451,8 @@
         /** A try has failed: one more, within the budget, or the final answer at once. */
         private void again() {
             boolean may = nowUs < endUs && (neverRan() || route.repeat() != Route.Repeat.NON_RETRIABLE);
-            Ending last = tries.get(tries.size() - 1).ending;
-            double price = last == Ending.NOT_CONNECTED || last == Ending.NOT_SENT ? RECONNECT : 1;
+            AttemptResult last = tries.get(tries.size() - 1).ending;
+            double price = last == AttemptResult.NOT_CONNECTED || last == AttemptResult.NOT_SENT ? RECONNECT : 1;
             if (may && retryTokens >= price && tries.size() < Math.min(charter.tryLimit(), bounds.mostTries())
                     && bounds.goesOn(nowUs, last)) {
                 retryTokens -= price;
@@ -479,7 +479,7 @@
         }
 
         @Override
-        public void ended(long now, int tryNo, Ending ending, long tookUs, boolean isOver, Load load) {
+        public void ended(long now, int tryNo, AttemptResult ending, long tookUs, boolean isOver, Load load) {
             clock(now);
             Try t = tries.get(tryNo);
             t.ending = ending;
@@ -488,7 +488,7 @@
             triesOut.remove(t);
             routeInFlight[routeNo]--;
             t.unit.ended(t, ending, tookUs, load);
-            if (!over && (isOver || ending == Ending.COMPLETED)) {
+            if (!over && (isOver || ending == AttemptResult.COMPLETED)) {
                 finish();
             } else if (!over && (nowUs >= endUs || outNow == 0)) {
                 again();
@@ -530,7 +530,7 @@
             private final long sentUs = nowUs;
             private final Unit unit;
             private final int ahead;
-            private Ending ending;
+            private AttemptResult ending;
             private boolean cancelled;
             private boolean overdue;
 
@@ -650,24 +650,24 @@
             budget -= t.rq.costUs * Math.max(1, build.slowness.mean(nowUs, 0) / usualSlowness(at.kind()));
         }
 
-        private void ended(Rq.Try t, Ending ending, long tookUs, Load load) {
+        private void ended(Rq.Try t, AttemptResult ending, long tookUs, Load load) {
             out.remove(t);
-            if (ending == Ending.COMPLETED || ending == Ending.ERRORED || ending == Ending.TURNED_AWAY) {
+            if (ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED || ending == AttemptResult.TURNED_AWAY) {
                 lines.leave(nowUs, charter.keptUs());
             }
-            if (ending == Ending.NOT_SENT || ending == Ending.CANCELLED && !t.cancelled) {
+            if (ending == AttemptResult.NOT_SENT || ending == AttemptResult.CANCELLED && !t.cancelled) {
                 return;
             }
             // What a route needs on any unit, more than others, says nothing of this one or its build.
             double slow = (double) tookUs / t.rq.costUs / timesOthers(t.rq.routeNo);
             if (!build.onTrial()) {
-                refused.add(nowUs, ending == Ending.NOT_CONNECTED ? 1 : 0);
+                refused.add(nowUs, ending == AttemptResult.NOT_CONNECTED ? 1 : 0);
             }
-            boolean silent = ending == Ending.TIMED_OUT;
-            if (ending != Ending.CANCELLED && ending != Ending.NOT_CONNECTED && !(silent && t.overdue)) {
+            boolean silent = ending == AttemptResult.TIMED_OUT;
+            if (ending != AttemptResult.CANCELLED && ending != AttemptResult.NOT_CONNECTED && !(silent && t.overdue)) {
                 zones.add(nowUs, at.zone(), silent);
             }
-            if (ending == Ending.COMPLETED) {
+            if (ending == AttemptResult.COMPLETED) {
                 lastAnswerUs = nowUs;
                 answers.add(nowUs, 1);
                 ReleaseGate.this.answers.add(nowUs, 1);
@@ -692,13 +692,13 @@
                 failures.add(nowUs, 1);
             }
             // A try without an answer counts as a very slow one, not as an error: load alone can cause it.
-            boolean unheard = ending == Ending.TIMED_OUT || ending == Ending.CANCELLED;
-            boolean noError = unheard || ending == Ending.NOT_CONNECTED && connectionsAreFew();
-            if (ending != Ending.COMPLETED) {
+            boolean unheard = ending == AttemptResult.TIMED_OUT || ending == AttemptResult.CANCELLED;
+            boolean noError = unheard || ending == AttemptResult.NOT_CONNECTED && connectionsAreFew();
+            if (ending != AttemptResult.COMPLETED) {
                 heard.add(nowUs, noError ? 0 : 1);
             }
             // A unit that is silent to all says nothing of one route: its tries would make it look hopeless.
-            boolean spoke = ending == Ending.COMPLETED || unheard && lastAnswerUs > t.sentUs;
+            boolean spoke = ending == AttemptResult.COMPLETED || unheard && lastAnswerUs > t.sentUs;
             if (!build.onTrial() && stoodUs != nowUs && spoke) {
                 routeSlow[t.rq.routeNo].add(nowUs, (double) tookUs / t.rq.costUs);
             }
@@ -706,12 +706,12 @@
                 waiting = load.waiting();
                 waitingAtUs = nowUs;
             }
-            if (ending == Ending.NOT_CONNECTED && connectionsAreFew()
-                    || (unheard || ending == Ending.COMPLETED) && stoodUs == nowUs) {
+            if (ending == AttemptResult.NOT_CONNECTED && connectionsAreFew()
+                    || (unheard || ending == AttemptResult.COMPLETED) && stoodUs == nowUs) {
                 return;
             }
             double others = (charter.relays() - 1) * ahead.drawn(nowUs, build.ahead.mean(nowUs, 0), PRIOR);
-            build.record(this, ending != Ending.COMPLETED && !unheard, tookUs > t.rq.route.objectiveUs(),
+            build.record(this, ending != AttemptResult.COMPLETED && !unheard, tookUs > t.rq.route.objectiveUs(),
                 slow, (t.ahead + out.size()) / 2.0 + others);
         }
 
--- a/src/main/java/gatelock/kept/Counters.java
+++ b/src/main/java/gatelock/kept/Counters.java
@@ -1,6 +1,6 @@
 package gatelock.kept;
 
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 
 import java.util.EnumMap;
 import java.util.Map;
@@ -9,13 +9,13 @@
 /** Counts since the start, for the operators. */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Map<Ending, Long> endings = new EnumMap<>(Ending.class);
+    private final Map<AttemptResult, Long> endings = new EnumMap<>(AttemptResult.class);
 
     public void add(String what) {
         counts.merge(what, 1L, Long::sum);
     }
 
-    public void ended(Ending ending) {
+    public void ended(AttemptResult ending) {
         endings.merge(ending, 1L, Long::sum);
     }
 
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -1,7 +1,7 @@
 package gatelock.plan;
 
 import gatelock.relay.RequestConstraints;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
@@ -157,7 +157,7 @@
         }
 
         @Override
-        public boolean goesOn(long nowUs, Ending last) {
+        public boolean goesOn(long nowUs, AttemptResult last) {
             if (!retries.after().contains(last)) {
                 return false;
             }
--- a/src/main/java/gatelock/plan/Compiler.java
+++ b/src/main/java/gatelock/plan/Compiler.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -113,25 +113,25 @@
     }
 
     /** The endings that a version names. */
-    private static Ending ending(String word) {
+    private static AttemptResult ending(String word) {
         return switch (word) {
-            case "turned-away" -> Ending.TURNED_AWAY;
-            case "not-connected" -> Ending.NOT_CONNECTED;
-            case "errored" -> Ending.ERRORED;
-            case "timed-out" -> Ending.TIMED_OUT;
-            case "broken-off" -> Ending.BROKEN_OFF;
-            case "cancelled" -> Ending.CANCELLED;
+            case "turned-away" -> AttemptResult.TURNED_AWAY;
+            case "not-connected" -> AttemptResult.NOT_CONNECTED;
+            case "errored" -> AttemptResult.ERRORED;
+            case "timed-out" -> AttemptResult.TIMED_OUT;
+            case "broken-off" -> AttemptResult.BROKEN_OFF;
+            case "cancelled" -> AttemptResult.CANCELLED;
             default -> throw new IllegalArgumentException("the schema knows no ending " + word);
         };
     }
 
     static Retries retries(String name, JsonNode node) {
-        Set<Ending> after = EnumSet.of(Ending.NOT_SENT);
+        Set<AttemptResult> after = EnumSet.of(AttemptResult.NOT_SENT);
         if (node.has("after")) {
             node.get("after").forEach(w -> after.add(ending(w.asText())));
         } else {
-            after.add(Ending.TURNED_AWAY);
-            after.add(Ending.NOT_CONNECTED);
+            after.add(AttemptResult.TURNED_AWAY);
+            after.add(AttemptResult.NOT_CONNECTED);
         }
         return new Retries(name, node.get("tries").asInt(), after, (long) (node.path("tryMs").asDouble(0)
             * 1000),
--- a/src/main/java/gatelock/plan/Retries.java
+++ b/src/main/java/gatelock/plan/Retries.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 
 import java.util.Set;
 
@@ -12,10 +12,10 @@
  * @param tryUs how long one try may take; 0: as long as the req
  * @param budget further tries as a share of reqs
  */
-record Retries(String name, int most, Set<Ending> after, long tryUs, double budget) {
+record Retries(String name, int most, Set<AttemptResult> after, long tryUs, double budget) {
 
     /** Where a version names none: what the decisions do is not narrowed. */
-    static final Retries FREE = new Retries("", Integer.MAX_VALUE, Set.of(Ending.values()), 0, 1);
+    static final Retries FREE = new Retries("", Integer.MAX_VALUE, Set.of(AttemptResult.values()), 0, 1);
 
     /** Whether it lets a req run that may have run before. */
     boolean mayRunTwice() {
--- a/src/main/java/gatelock/relay/RequestConstraints.java
+++ b/src/main/java/gatelock/relay/RequestConstraints.java
@@ -25,7 +25,7 @@
         }
 
         @Override
-        public boolean goesOn(long nowUs, Ending last) {
+        public boolean goesOn(long nowUs, AttemptResult last) {
             return true;
         }
     };
@@ -40,5 +40,5 @@
     long tryUs();
 
     /** Whether one more try may follow one that ended so; a yes is counted as that try. */
-    boolean goesOn(long nowUs, Ending last);
+    boolean goesOn(long nowUs, AttemptResult last);
 }
--- a/src/main/java/gatelock/relay/RequestHandle.java
+++ b/src/main/java/gatelock/relay/RequestHandle.java
@@ -9,11 +9,11 @@
      * @param over whether the req has its final answer, by this outcome or earlier
      * @param load what the unit reported with it, or {@link Load#NONE}
      */
-    void ended(long nowUs, int tryNo, Ending ending, long tookUs, boolean over, Load load);
+    void ended(long nowUs, int tryNo, AttemptResult ending, long tookUs, boolean over, Load load);
 
     /**
      * Whether a try that was sent may still go, asked before its first byte: its connection had to come up, and
-     * what holds may have changed meanwhile. If not, it ends as {@link Ending#NOT_SENT}.
+     * what holds may have changed meanwhile. If not, it ends as {@link AttemptResult#NOT_SENT}.
      */
     boolean mayGo(long nowUs, int tryNo);
 
--- a/src/main/java/gatelock/wire/Book.java
+++ b/src/main/java/gatelock/wire/Book.java
@@ -4,7 +4,7 @@
 import gatelock.kept.OpenReq;
 import gatelock.kept.OpenReqs;
 import gatelock.kept.UnitAnswer;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.Load;
 
 /** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
@@ -22,9 +22,9 @@
     }
 
     /** A try has ended; the first that completed is the req's answer. */
-    public void ended(OpenReq req, int tryNo, Ending ending, long tookUs, UnitAnswer answer) {
+    public void ended(OpenReq req, int tryNo, AttemptResult ending, long tookUs, UnitAnswer answer) {
         counters.ended(ending);
-        if (ending == Ending.COMPLETED && !req.over()) {
+        if (ending == AttemptResult.COMPLETED && !req.over()) {
             relayBack.completed(req, answer);
         }
         req.handle().ended(turn.nowUs(), tryNo, ending, tookUs, req.over(), Load.NONE);
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/Discovery.java
@@ -6,7 +6,7 @@
 import gatelock.membership.Entry;
 import gatelock.membership.Scope;
 import gatelock.plan.Admission;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
@@ -312,9 +312,9 @@
     }
 
     /** A try at a unit has ended. */
-    public void ended(String unit, Ending ending) {
-        if (membership != null && ending != Ending.CANCELLED && ending != Ending.NOT_SENT) {
-            boolean heard = ending == Ending.COMPLETED || ending == Ending.ERRORED || ending == Ending.TURNED_AWAY;
+    public void ended(String unit, AttemptResult ending) {
+        if (membership != null && ending != AttemptResult.CANCELLED && ending != AttemptResult.NOT_SENT) {
+            boolean heard = ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED || ending == AttemptResult.TURNED_AWAY;
             membership.scope.ended(turn.nowUs(), unit, heard);
         }
     }
--- a/src/main/java/gatelock/wire/SendOff.java
+++ b/src/main/java/gatelock/wire/SendOff.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.OpenReq;
 import gatelock.kept.UnitAnswer;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -16,7 +16,7 @@
     private final Turn turn;
     private final Lines lines;
     private final Book book;
-    private BiConsumer<String, Ending> hears = (unit, ending) -> { };
+    private BiConsumer<String, AttemptResult> hears = (unit, ending) -> { };
 
     public SendOff(Turn turn, Lines lines, Book book) {
         this.turn = turn;
@@ -25,7 +25,7 @@
     }
 
     /** Tells the unit and the ending of each try from now on. */
-    public void whenEnded(BiConsumer<String, Ending> hears) {
+    public void whenEnded(BiConsumer<String, AttemptResult> hears) {
         this.hears = hears;
     }
 
@@ -33,9 +33,9 @@
     void send(OpenReq req, String unit, InetSocketAddress address, long timeoutUs) {
         Try rev = new Try(req, unit);
         if (req.over() || turn.nowUs() >= req.endUs()) {
-            rev.end(Ending.NOT_SENT, null);
+            rev.end(AttemptResult.NOT_SENT, null);
         } else if (address == null) {
-            rev.end(Ending.NOT_CONNECTED, null);
+            rev.end(AttemptResult.NOT_CONNECTED, null);
         } else {
             rev.begin(address, timeoutUs);
         }
@@ -77,7 +77,7 @@
             if (!ended) {
                 ended = true;
                 line.drop();
-                turn.in(SEEN_US, () -> end(Ending.CANCELLED, null));
+                turn.in(SEEN_US, () -> end(AttemptResult.CANCELLED, null));
             }
         }
 
@@ -89,23 +89,23 @@
 
         @Override
         public void late() {
-            end(Ending.TIMED_OUT, null);
+            end(AttemptResult.TIMED_OUT, null);
         }
 
         @Override
         public boolean answered(UnitAnswer answer) {
             boolean never = (answer.status() == 503 || answer.status() == 504)
                 && "1".equals(answer.header("X-Never-Ran"));
-            end(answer.status() == 200 ? Ending.COMPLETED : never ? Ending.TURNED_AWAY : Ending.ERRORED, answer);
+            end(answer.status() == 200 ? AttemptResult.COMPLETED : never ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED, answer);
             return true;
         }
 
         @Override
         public void broken(boolean written) {
-            end(written ? Ending.BROKEN_OFF : stopped ? Ending.NOT_SENT : Ending.NOT_CONNECTED, null);
+            end(written ? AttemptResult.BROKEN_OFF : stopped ? AttemptResult.NOT_SENT : AttemptResult.NOT_CONNECTED, null);
         }
 
-        private void end(Ending ending, UnitAnswer answer) {
+        private void end(AttemptResult ending, UnitAnswer answer) {
             ended = true;
             hears.accept(unit, ending);
             book.ended(req, number, ending, turn.nowUs() - sentUs, answer);
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -4,7 +4,7 @@
 import gatelock.kept.OpenReq;
 import gatelock.kept.UnitAnswer;
 import gatelock.plan.SessionTerms;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
 import gatelock.wire.Book;
@@ -190,17 +190,17 @@
 
             Try(String name) {
                 this.name = name;
-                this.number = req.addTry(() -> end(Ending.CANCELLED));
+                this.number = req.addTry(() -> end(AttemptResult.CANCELLED));
             }
 
             private void begin(InetSocketAddress address, long timeoutUs) {
                 long leftUs = req.endUs() - sentUs;
                 if (req.over() || leftUs <= 0) {
-                    end(Ending.NOT_SENT);
+                    end(AttemptResult.NOT_SENT);
                     return;
                 }
                 if (address == null) {
-                    end(Ending.NOT_CONNECTED);
+                    end(AttemptResult.NOT_CONNECTED);
                     return;
                 }
                 URI uri;
@@ -208,11 +208,11 @@
                     uri = new URI("ws://" + address.getAddress().getHostAddress() + ":" + address.getPort()
                         + path);
                 } catch (URISyntaxException e) {
-                    end(Ending.NOT_SENT);
+                    end(AttemptResult.NOT_SENT);
                     return;
                 }
                 limit = turn.in(timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs,
-                    () -> end(Ending.TIMED_OUT));
+                    () -> end(AttemptResult.TIMED_OUT));
                 WebSocketClientNegotiation negotiation = new WebSocketClientNegotiation(subprotocols,
                     List.of()) {
                     @Override
@@ -231,8 +231,8 @@
 
                     @Override
                     public void handleFailed(java.io.IOException e, Void nothing) {
-                        turn.soon(() -> end(e instanceof java.net.ConnectException ? Ending.NOT_CONNECTED
-                            : Ending.ERRORED));
+                        turn.soon(() -> end(e instanceof java.net.ConnectException ? AttemptResult.NOT_CONNECTED
+                            : AttemptResult.ERRORED));
                     }
                 }, null);
             }
@@ -240,7 +240,7 @@
             private void opened(WebSocketChannel channel, String agreed) {
                 if (ended || req.over()) {
                     IoUtils.safeClose(channel);
-                    end(Ending.CANCELLED);
+                    end(AttemptResult.CANCELLED);
                     return;
                 }
                 unit = channel;
@@ -249,10 +249,10 @@
                 // What it holds of its limits it holds until the session is over.
                 whenOver = req.takeWhenOver();
                 counters.add("sessions opened");
-                end(Ending.COMPLETED);
+                end(AttemptResult.COMPLETED);
             }
 
-            private void end(Ending ending) {
+            private void end(AttemptResult ending) {
                 if (ended) {
                     return;
                 }
@@ -260,10 +260,10 @@
                 if (limit != null) {
                     limit.remove();
                 }
-                if (opening != null && ending != Ending.COMPLETED) {
+                if (opening != null && ending != AttemptResult.COMPLETED) {
                     opening.cancel();
                 }
-                book.ended(req, number, ending, turn.nowUs() - sentUs, ending == Ending.COMPLETED
+                book.ended(req, number, ending, turn.nowUs() - sentUs, ending == AttemptResult.COMPLETED
                     ? new UnitAnswer(101, List.of(), new byte[0]) : null);
             }
         }
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -4,7 +4,7 @@
 
 import gatelock.decision.ReleaseGate;
 import gatelock.relay.RelaySettings;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
@@ -94,7 +94,7 @@
                     DecisionEngine.VoteAnswer.valueOf(w[1].toUpperCase()));
                 case "take" -> take(w[1], named);
                 case "leave" -> reqs.get(w[1]).concluded(nowUs);
-                case "end" -> end(w[1], Ending.valueOf(w[2].toUpperCase()), named);
+                case "end" -> end(w[1], AttemptResult.valueOf(w[2].toUpperCase()), named);
                 case "unit" -> manners.computeIfAbsent(w[1], u -> new HashMap<>()).putAll(named);
                 case "flow" -> flow(named);
                 case "stand" -> {
@@ -197,15 +197,15 @@
                     if (!fails) {
                         answers.putIfAbsent(s.id, "completed");
                     }
-                    Ending bad = Ending.valueOf(m.getOrDefault("fails-as", "errored").toUpperCase());
-                    h.ended(nowUs, s.tryNo, fails ? bad : Ending.COMPLETED, took, !fails, Load.NONE);
+                    AttemptResult bad = AttemptResult.valueOf(m.getOrDefault("fails-as", "errored").toUpperCase());
+                    h.ended(nowUs, s.tryNo, fails ? bad : AttemptResult.COMPLETED, took, !fails, Load.NONE);
                 }));
             }
         }
 
-        private void end(String id, Ending ending, Map<String, String> named) {
+        private void end(String id, AttemptResult ending, Map<String, String> named) {
             Sent s = lastSend(id);
-            boolean over = ending == Ending.COMPLETED || answers.containsKey(id);
+            boolean over = ending == AttemptResult.COMPLETED || answers.containsKey(id);
             if (over) {
                 answers.putIfAbsent(id, "completed");
             }
@@ -217,7 +217,7 @@
             for (Sent s : List.copyOf(sends)) {
                 if (manners.getOrDefault(s.unit, Map.of()).containsKey("silent") && !answers.containsKey(s.id)
                         && lastSend(s.id) == s) {
-                    reqs.get(s.id).ended(nowUs, s.tryNo, Ending.TIMED_OUT, nowUs - s.atUs, false, Load.NONE);
+                    reqs.get(s.id).ended(nowUs, s.tryNo, AttemptResult.TIMED_OUT, nowUs - s.atUs, false, Load.NONE);
                 }
             }
         }
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -3,7 +3,7 @@
 import gatelock.decision.ReleaseGate;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.RelaySettings;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
@@ -112,7 +112,7 @@
         }
         if (out.size() > IN_FLIGHT) {
             Out first = out.poll();
-            first.handle.ended(nowUs, 0, Ending.COMPLETED, nowUs - first.sentUs, true, Load.NONE);
+            first.handle.ended(nowUs, 0, AttemptResult.COMPLETED, nowUs - first.sentUs, true, Load.NONE);
         }
     }
 
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -5,7 +5,7 @@
 import gatelock.membership.Scope;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.RelaySettings;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Listed;
@@ -451,7 +451,7 @@
         /** Its process ends: what it had not finished is broken off. */
         private void ends() {
             ended = true;
-            waiting.forEach(w -> w.answer(Ending.BROKEN_OFF));
+            waiting.forEach(w -> w.answer(AttemptResult.BROKEN_OFF));
             waiting.clear();
         }
 
@@ -466,9 +466,9 @@
                 return;
             }
             if (ended) {
-                work.answer(Ending.NOT_CONNECTED);
+                work.answer(AttemptResult.NOT_CONNECTED);
             } else if (busy >= terms.slots && waiting.size() >= terms.queue) {
-                work.answer(Ending.TURNED_AWAY);
+                work.answer(AttemptResult.TURNED_AWAY);
             } else {
                 waiting.add(work);
                 next();
@@ -488,7 +488,7 @@
                 in((long) (work.workUs * (isBad ? terms.newWork : 1) / able), () -> {
                     if (was == life) {
                         busy--;
-                        work.answer(ended ? Ending.BROKEN_OFF : fails ? Ending.ERRORED : Ending.COMPLETED);
+                        work.answer(ended ? AttemptResult.BROKEN_OFF : fails ? AttemptResult.ERRORED : AttemptResult.COMPLETED);
                         next();
                     }
                 });
@@ -515,7 +515,7 @@
             this.workUs = workUs;
         }
 
-        private void answer(Ending ending) {
+        private void answer(AttemptResult ending) {
             in(MS, () -> from.ended(this, ending));
         }
     }
@@ -713,22 +713,22 @@
             }
         }
 
-        private void ended(Work work, Ending ending) {
+        private void ended(Work work, AttemptResult ending) {
             Open req = open.get(work.id);
             if (work.life != life || req == null || !out.remove(work)) {
                 return;
             }
-            if (ending == Ending.COMPLETED && !req.over) {
+            if (ending == AttemptResult.COMPLETED && !req.over) {
                 req.over = true;
                 records.answers.add(new Records.Answer(work.id, nowUs, true));
             }
-            if (ending != Ending.TIMED_OUT && ending != Ending.CANCELLED) {
+            if (ending != AttemptResult.TIMED_OUT && ending != AttemptResult.CANCELLED) {
                 idle.computeIfAbsent(work.at.name, u -> new ArrayDeque<>()).add(nowUs);
             }
             Meter.Role before = meter.in(Meter.Role.REQS);
-            if (scope != null && ending != Ending.NOT_SENT) {
-                scope.ended(nowUs, work.at.name, ending == Ending.COMPLETED || ending == Ending.ERRORED
-                    || ending == Ending.TURNED_AWAY);
+            if (scope != null && ending != AttemptResult.NOT_SENT) {
+                scope.ended(nowUs, work.at.name, ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED
+                    || ending == AttemptResult.TURNED_AWAY);
             }
             req.handle.ended(nowUs, work.number, ending, nowUs - work.sentUs, req.over, Load.NONE);
             meter.in(before);
@@ -748,7 +748,7 @@
             boolean stands = standing.pollLast() != null;
             records.opened += stands ? 0 : 1;
             in(stands ? MS : 3 * MS, () -> u.take(work));
-            in(req.endUs - nowUs, () -> ended(work, Ending.TIMED_OUT));
+            in(req.endUs - nowUs, () -> ended(work, AttemptResult.TIMED_OUT));
             meter.in(before);
         }
 
@@ -772,7 +772,7 @@
         @Override
         public void cancel(String id, int tryNo) {
             out.stream().filter(w -> w.id.equals(id) && w.number == tryNo).findFirst()
-                .ifPresent(w -> in(MS, () -> ended(w, Ending.CANCELLED)));
+                .ifPresent(w -> in(MS, () -> ended(w, AttemptResult.CANCELLED)));
         }
 
         @Override
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Listed;
 
@@ -93,21 +93,21 @@
         Admission.Pass pass = ask("/read");
         assertThat(pass.mostTries()).isEqualTo(2);
         assertThat(pass.tryUs()).isEqualTo(100_000);
-        assertThat(pass.goesOn(nowUs, Ending.TIMED_OUT)).isFalse();
+        assertThat(pass.goesOn(nowUs, AttemptResult.TIMED_OUT)).isFalse();
         int gone = 0;
         for (int i = 0; i < 1_000; i++) {
             nowUs += 1_000;
-            gone += ask("/read").goesOn(nowUs, Ending.ERRORED) ? 1 : 0;
+            gone += ask("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
         assertThat(gone).isBetween(90, 115);
         // A budget that is spent stays spent when a version comes that does not change it.
         admission.follow(nowUs, Samples.plan(POOLS.replace("'format': 1", "'format': 1, 'note': 'again'")));
         gone = 0;
         for (int i = 0; i < 10; i++) {
-            gone += ask("/read").goesOn(nowUs, Ending.ERRORED) ? 1 : 0;
+            gone += ask("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
         assertThat(gone).isLessThan(4);
-        assertThat(ask("/west").goesOn(nowUs, Ending.TIMED_OUT)).as("nothing was set there").isTrue();
+        assertThat(ask("/west").goesOn(nowUs, AttemptResult.TIMED_OUT)).as("nothing was set there").isTrue();
     }
 
     @Test
--- a/src/test/java/gatelock/standin/Reach.java
+++ b/src/test/java/gatelock/standin/Reach.java
@@ -1,7 +1,7 @@
 package gatelock.standin;
 
 import gatelock.relay.RequestConstraints;
-import gatelock.relay.Ending;
+import gatelock.relay.AttemptResult;
 
 /** Bounds that name the units a req may reach, as a pool of a plan does, and nothing else. */
 @FunctionalInterface
@@ -17,7 +17,7 @@
     }
 
     @Override
-    default boolean goesOn(long nowUs, Ending last) {
+    default boolean goesOn(long nowUs, AttemptResult last) {
         return NONE.goesOn(nowUs, last);
     }
 }
