--- a/src/main/java/gatelock/bench/Wirehost.java
+++ b/src/main/java/gatelock/bench/Wirehost.java
@@ -4,7 +4,7 @@
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.relay.Load;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Verdict;
@@ -31,8 +31,8 @@
             "etimedout", DecisionEngine.VoteAnswer.TIMED_OUT);
     private static final DecisionEngine.Phase[] PHASES = {DecisionEngine.Phase.TRIAL, DecisionEngine.Phase.REVERTING, DecisionEngine.Phase.RELEASED,
         DecisionEngine.Phase.WITHDRAWN};
-    private static final Listed.Health[] HEALTH = {Listed.Health.GONE, Listed.Health.READY,
-        Listed.Health.DRAINING};
+    private static final Endpoint.Health[] HEALTH = {Endpoint.Health.GONE, Endpoint.Health.READY,
+        Endpoint.Health.DRAINING};
     private static final DecisionEngine.ListForm[] FORMS = {DecisionEngine.ListForm.FAILED, DecisionEngine.ListForm.FULL,
         DecisionEngine.ListForm.CACHED, DecisionEngine.ListForm.DELTA};
 
@@ -40,7 +40,7 @@
     private final OutputStream out;
     private final StringBuilder reply = new StringBuilder(1 << 16);
     private final Map<Integer, Relay> relays = new HashMap<>();
-    private final List<List<Listed>> lists = new ArrayList<>();
+    private final List<List<Endpoint>> lists = new ArrayList<>();
     private long lineNo;
     private long nowUs;
     private int writingFor = -1;
@@ -189,7 +189,7 @@
         if (number < 0 || number >= lists.size() || count < 0) {
             throw new MalformedLine("expected a list number from 0 to 15 and a count");
         }
-        List<Listed> entries = new ArrayList<>(count);
+        List<Endpoint> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             String line = next();
             Fields m = new Fields(line == null ? "" : line);
@@ -201,9 +201,9 @@
             int zone = (int) m.numberOr(0);
             int kind = (int) m.numberOr(0);
             int cell = (int) m.numberOr(0);
-            Listed.Health health = HEALTH[m.code("health", HEALTH.length)];
+            Endpoint.Health health = HEALTH[m.code("health", HEALTH.length)];
             m.realOr(1); // the weight, which steers nothing
-            entries.add(new Listed(unit, build, zone, kind, cell, health, m.numberOr(0) / 1000));
+            entries.add(new Endpoint(unit, build, zone, kind, cell, health, m.numberOr(0) / 1000));
         }
         lists.set(number, entries);
     }
@@ -231,7 +231,7 @@
             case "SYNC" -> {
                 f.number("seqNo");
                 DecisionEngine.ListForm form = FORMS[f.code("form", FORMS.length)];
-                List<Listed> entries = form == DecisionEngine.ListForm.FAILED ? List.of()
+                List<Endpoint> entries = form == DecisionEngine.ListForm.FAILED ? List.of()
                     : lists.get(f.code("list", lists.size()));
                 relay.gate.listed(nowUs, form, entries);
             }
--- a/src/main/java/gatelock/boot/Rehearsal.java
+++ b/src/main/java/gatelock/boot/Rehearsal.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.kept.UnitAnswer;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.relay.Route;
 import gatelock.wire.Front;
 import gatelock.wire.Line;
@@ -71,9 +71,9 @@
     void begin() {
         chain.gate.start(turn.nowUs());
         chain.open();
-        List<Listed> units = new ArrayList<>();
+        List<Endpoint> units = new ArrayList<>();
         for (int i = 0; i < UNITS; i++) {
-            units.add(new Listed("rehearsal-" + i, i % 4 == 0 ? 1 : 0, i % 2, i % 2, 0, Listed.Health.READY,
+            units.add(new Endpoint("rehearsal-" + i, i % 4 == 0 ? 1 : 0, i % 2, i % 2, 0, Endpoint.Health.READY,
                 0));
             chain.addresses.put(at, units.get(i));
         }
--- a/src/main/java/gatelock/boot/Told.java
+++ b/src/main/java/gatelock/boot/Told.java
@@ -3,7 +3,7 @@
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.session.Sessions;
 
 import java.util.List;
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void listed(long nowUs, ListForm form, List<Listed> units) {
+    public void listed(long nowUs, ListForm form, List<Endpoint> units) {
         gate.listed(nowUs, form, units);
         sessions.listed(nowUs, form, units);
     }
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -244,7 +244,7 @@
     }
 
     @Override
-    public void listed(long nowUs, ListForm form, List<Listed> entries) {
+    public void listed(long nowUs, ListForm form, List<Endpoint> entries) {
         clock(nowUs);
         if (form == ListForm.FAILED) {
             if (!askSet) {
@@ -256,9 +256,9 @@
         }
         askWaitUs = ASK_AGAIN_US;
         if (form != ListForm.DELTA) {
-            units.values().forEach(u -> u.health = Listed.Health.GONE);
+            units.values().forEach(u -> u.health = Endpoint.Health.GONE);
         }
-        for (Listed l : entries) {
+        for (Endpoint l : entries) {
             Unit u = units.get(l.unit());
             if (u == null || u.at.startUs() != l.startUs() || u.build.number != l.build()) {
                 // A restarted or re-used id is a new unit: nothing of its past holds.
@@ -275,12 +275,12 @@
         builds.values().forEach(b -> b.ready.clear());
         // Ids, builds and keys come and go: a unit that left is forgotten with its last try, a build with its
         // units once it is before all that is compared, a key once no build is left that it may not go to.
-        units.values().removeIf(u -> u.health == Listed.Health.GONE && u.out.isEmpty());
+        units.values().removeIf(u -> u.health == Endpoint.Health.GONE && u.out.isEmpty());
         Build earlier = earlierThan(newest);
         builds.keySet().removeIf(n -> earlier != null && n < earlier.number
             && units.values().stream().noneMatch(u -> u.build.number == n));
         pinned.values().removeIf(n -> builds.isEmpty() || n <= builds.firstKey());
-        units.values().stream().filter(u -> u.health == Listed.Health.READY)
+        units.values().stream().filter(u -> u.health == Endpoint.Health.READY)
             .forEach(u -> u.build.ready.add(u));
         places = Math.max(1, builds.values().stream().mapToInt(b -> b.ready.size()).max().orElse(0));
     }
@@ -622,7 +622,7 @@
     // ---- A unit -------------------------------------------------------------------------------------------
 
     private final class Unit {
-        private final Listed at;
+        private final Endpoint at;
         private final Build build;
         private final Set<Rq.Try> out = new LinkedHashSet<>();
         private final Fading slowness = new Fading(unitMemoryUs);
@@ -631,13 +631,13 @@
         private final Fading ahead = new Fading(RATE_MEMORY_US);
         private double budget = -chance.nextDouble() * meanCost();
         private long budgetUs = nowUs;
-        private Listed.Health health;
+        private Endpoint.Health health;
         private long lastAnswerUs = Long.MIN_VALUE / 2;
         private double waiting;
         private long waitingAtUs = Long.MIN_VALUE / 2;
         private final Standing lines = new Standing();
 
-        Unit(Listed l, Build build) {
+        Unit(Endpoint l, Build build) {
             this.at = l;
             this.build = build;
         }
@@ -747,7 +747,7 @@
 
         /** Rules 3 and 5: nothing new to what leaves or came back as another, nor to a build not open. */
         private boolean mayGetNew() {
-            return health == Listed.Health.READY && units.get(at.unit()) == this && build.isOpen();
+            return health == Endpoint.Health.READY && units.get(at.unit()) == this && build.isOpen();
         }
 
         /** Whether a connection to it surely stands: it is in use, or was an instant ago. */
--- a/src/main/java/gatelock/kept/Addresses.java
+++ b/src/main/java/gatelock/kept/Addresses.java
@@ -1,6 +1,6 @@
 package gatelock.kept;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
 public final class Addresses {
 
     /** What stands behind a unit's name: its address, and the process and state that were listed there. */
-    public record Place(InetSocketAddress address, Listed listed) {
+    public record Place(InetSocketAddress address, Endpoint listed) {
     }
 
     private final Map<String, Place> places = new HashMap<>();
@@ -27,15 +27,15 @@
     }
 
     /** Notes an entry; returns the addresses to which standing connections serve no more. */
-    public List<InetSocketAddress> put(InetSocketAddress address, Listed listed) {
+    public List<InetSocketAddress> put(InetSocketAddress address, Endpoint listed) {
         Place place = new Place(address, listed);
-        Place before = listed.health() == Listed.Health.GONE ? places.remove(listed.unit())
+        Place before = listed.health() == Endpoint.Health.GONE ? places.remove(listed.unit())
             : places.put(listed.unit(), place);
         if (before == null) {
             // An address may come back under another name: whoever stood there before is another process.
             return List.of(address);
         }
-        boolean same = listed.health() == Listed.Health.READY && before.address.equals(address)
+        boolean same = listed.health() == Endpoint.Health.READY && before.address.equals(address)
             && before.listed.startUs() == listed.startUs() && before.listed.build() == listed.build();
         return same ? List.of() : List.of(before.address, address);
     }
--- a/src/main/java/gatelock/membership/Entry.java
+++ b/src/main/java/gatelock/membership/Entry.java
@@ -1,6 +1,6 @@
 package gatelock.membership;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.Map;
 
@@ -13,21 +13,21 @@
  * @param labels what plans may choose units by; each costs its bytes in the store
  */
 public record Entry(String name, String service, String address, int zone, int kind, int cell, int build,
-                    Listed.Health health, long startUs, Map<String, String> labels) {
+                    Endpoint.Health health, long startUs, Map<String, String> labels) {
 
     /** A unit without labels. */
     public Entry(String name, String service, String address, int zone, int kind, int cell, int build,
-                 Listed.Health health, long startUs) {
+                 Endpoint.Health health, long startUs) {
         this(name, service, address, zone, kind, cell, build, health, startUs, Map.of());
     }
 
     /** As the decisions take it. */
-    public Listed listed() {
-        return new Listed(name, build, zone, kind, cell, health, startUs);
+    public Endpoint listed() {
+        return new Endpoint(name, build, zone, kind, cell, health, startUs);
     }
 
     Entry gone() {
-        return new Entry(name, service, address, zone, kind, cell, build, Listed.Health.GONE, startUs,
+        return new Entry(name, service, address, zone, kind, cell, build, Endpoint.Health.GONE, startUs,
             labels);
     }
 }
--- a/src/main/java/gatelock/membership/Scope.java
+++ b/src/main/java/gatelock/membership/Scope.java
@@ -1,6 +1,6 @@
 package gatelock.membership;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -119,7 +119,7 @@
         }
 
         private boolean ready() {
-            return entry.health() == Listed.Health.READY;
+            return entry.health() == Endpoint.Health.READY;
         }
 
         private boolean usable() {
@@ -237,7 +237,7 @@
     private void all(Store its) {
         List<String> gone = new ArrayList<>();
         its.each(place -> {
-            if (its.health(place) == Listed.Health.GONE) {
+            if (its.health(place) == Endpoint.Health.GONE) {
                 gone.add(its.unit(place));
             }
         });
@@ -266,12 +266,12 @@
             touched(service(store.entry(before).service()));
         }
         Held h = held.get(e.name());
-        if (h != null && (e.health() == Listed.Health.GONE || !e.service().equals(h.service.name))) {
+        if (h != null && (e.health() == Endpoint.Health.GONE || !e.service().equals(h.service.name))) {
             h.service.anew |= h.first;
-            leave(h, e.health() == Listed.Health.GONE ? e : h.entry.gone());
+            leave(h, e.health() == Endpoint.Health.GONE ? e : h.entry.gone());
             h = null;
         }
-        if (e.health() == Listed.Health.GONE) {
+        if (e.health() == Endpoint.Health.GONE) {
             store.remove(e.name());
             return;
         }
@@ -284,7 +284,7 @@
             }
             s.anew |= h.entry.zone() != e.zone() || h.entry.health() != e.health();
             update(h, e);
-        } else if (e.health() == Listed.Health.READY) {
+        } else if (e.health() == Endpoint.Health.READY) {
             s.anew |= mayBeFirst(s, candidate(place, ranking.place(store.hash(place))));
         }
     }
@@ -583,7 +583,7 @@
         List<PriorityQueue<Candidate>> best = List.of(new PriorityQueue<>(Candidate.ORDER.reversed()),
             new PriorityQueue<>(Candidate.ORDER.reversed()));
         for (int at = most > 0 ? store.first(s.name) : -1; at >= 0; at = store.next(at)) {
-            if (store.health(at) != Listed.Health.READY) {
+            if (store.health(at) != Endpoint.Health.READY) {
                 continue;
             }
             int where = own(store.zone(at)) ? 0 : 1;
--- a/src/main/java/gatelock/membership/Store.java
+++ b/src/main/java/gatelock/membership/Store.java
@@ -1,6 +1,6 @@
 package gatelock.membership;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
@@ -34,7 +34,7 @@
     /** The table doubles when it is fuller: a search looks at about three slots then. */
     private static final double FULLEST = 0.8;
     private static final int NONE = -1;
-    private static final Listed.Health[] HEALTH = Listed.Health.values();
+    private static final Endpoint.Health[] HEALTH = Endpoint.Health.values();
 
     private static final int NEXT = 0;
     private static final int BEFORE = 4;
@@ -181,7 +181,7 @@
         }
         ring.first = place;
         ring.units++;
-        ring.ready += e.health() == Listed.Health.READY ? 1 : 0;
+        ring.ready += e.health() == Endpoint.Health.READY ? 1 : 0;
         return place;
     }
 
@@ -208,7 +208,7 @@
         return true;
     }
 
-    Listed.Health health(int place) {
+    Endpoint.Health health(int place) {
         return HEALTH[page(place)[offset(place) + FLAGS] & HEALTH_MASK];
     }
 
@@ -326,7 +326,7 @@
         in.skip((int) in.number());
         Ring ring = services.get((int) in.number());
         ring.units--;
-        ring.ready -= health(place) == Listed.Health.READY ? 1 : 0;
+        ring.ready -= health(place) == Endpoint.Health.READY ? 1 : 0;
         int next = link(place, NEXT);
         int before = link(place, BEFORE);
         if (before == NONE) {
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -3,7 +3,7 @@
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -226,7 +226,7 @@
 
     /** The list of units, or a part of it; {@code labels} that units bear, by unit. */
     public void listed(long nowUs,
-        DecisionEngine.ListForm form, List<Listed> entries, Map<String, Map<String, String>> labels) {
+        DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
         muster.listed(nowUs, form, entries, labels);
     }
 
--- a/src/main/java/gatelock/plan/Muster.java
+++ b/src/main/java/gatelock/plan/Muster.java
@@ -1,7 +1,7 @@
 package gatelock.plan;
 
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.BitSet;
 import java.util.HashMap;
@@ -84,7 +84,7 @@
     }
 
     /** The list of units, or a part of it, has come in. */
-    void listed(long nowUs, DecisionEngine.ListForm form, List<Listed> entries,
+    void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries,
                 Map<String, Map<String, String>> borne) {
         if (form == DecisionEngine.ListForm.FAILED) {
             return;
@@ -102,14 +102,14 @@
                 }
             }
         }
-        for (Listed l : entries) {
+        for (Endpoint l : entries) {
             Member was = units.remove(l.unit());
             if (was != null) {
                 count(was, -1);
             }
-            if (l.health() != Listed.Health.GONE) {
+            if (l.health() != Endpoint.Health.GONE) {
                 Sort sort = sort(new Sort(l.zone(), l.kind(), borne.getOrDefault(l.unit(), Map.of())));
-                Member is = new Member(sort, l.health() == Listed.Health.READY);
+                Member is = new Member(sort, l.health() == Endpoint.Health.READY);
                 units.put(l.unit(), is);
                 count(is, 1);
             }
--- a/src/main/java/gatelock/relay/DecisionEngine.java
+++ b/src/main/java/gatelock/relay/DecisionEngine.java
@@ -53,7 +53,7 @@
     }
 
     /** The list of units, or a part of it, has come in. */
-    void listed(long nowUs, ListForm form, List<Listed> units);
+    void listed(long nowUs, ListForm form, List<Endpoint> units);
 
     /** News of the newest build; {@code answer} tells whether it answers a vote. Only where it is
      * {@code NOT_ASKED} or {@code COUNTED} do the other values hold. */
--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/Sessions.java
@@ -1,7 +1,7 @@
 package gatelock.session;
 
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
     private final RandomGenerator chance;
     private final Map<Integer, Session> all = new LinkedHashMap<>();
     private final Map<String, Set<Session>> byUnit = new HashMap<>();
-    private final Map<String, Listed> units = new HashMap<>();
+    private final Map<String, Endpoint> units = new HashMap<>();
     /** Those that must leave, in turn, each with its cause and the time by which it goes at the latest. */
     private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
     private final Map<Session, Leaving> due = new HashMap<>();
@@ -70,8 +70,8 @@
         Session session = new Session(nextPlace++, unit, route, wires);
         all.put(session.place(), session);
         byUnit.computeIfAbsent(unit, u -> new LinkedHashSet<>()).add(session);
-        Listed at = units.get(unit);
-        if (at == null || at.health() != Listed.Health.READY) {
+        Endpoint at = units.get(unit);
+        if (at == null || at.health() != Endpoint.Health.READY) {
             // It was asked for before the unit was known to leave.
             leaves(session, Cause.DRAIN, nowUs + drainUs);
         } else if (takenBack(at.build())) {
@@ -84,7 +84,7 @@
      * The list of units, or a part of it: sessions at units that drain, are gone or came back as others must
      * leave.
      */
-    public void listed(long nowUs, DecisionEngine.ListForm form, List<Listed> entries) {
+    public void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries) {
         if (form == DecisionEngine.ListForm.FAILED) {
             return;
         }
@@ -96,10 +96,10 @@
                 allLeave(nowUs, u);
             });
         }
-        for (Listed l : entries) {
-            Listed was = l.health() == Listed.Health.GONE ? units.remove(l.unit()) : units.put(l.unit(), l);
+        for (Endpoint l : entries) {
+            Endpoint was = l.health() == Endpoint.Health.GONE ? units.remove(l.unit()) : units.put(l.unit(), l);
             boolean other = was != null && (was.startUs() != l.startUs() || was.build() != l.build());
-            if (l.health() != Listed.Health.READY || other) {
+            if (l.health() != Endpoint.Health.READY || other) {
                 allLeave(nowUs, l.unit());
             }
         }
@@ -126,7 +126,7 @@
         phase = now;
         if (now == DecisionEngine.Phase.REVERTING || now == DecisionEngine.Phase.WITHDRAWN) {
             for (Session s : List.copyOf(all.values())) {
-                Listed at = units.get(s.unit());
+                Endpoint at = units.get(s.unit());
                 if (at != null && takenBack(at.build())) {
                     s.end(nowUs, Cause.TRIAL_BACK, back());
                 }
@@ -146,7 +146,7 @@
 
     /** A message can't go to its unit any more, as that leaves: the session goes before its turn. */
     public void unreachable(long nowUs, Session session) {
-        Listed at = units.get(session.unit());
+        Endpoint at = units.get(session.unit());
         session.end(nowUs, at != null && takenBack(at.build()) ? Cause.TRIAL_BACK : Cause.DRAIN, back());
     }
 
@@ -156,7 +156,7 @@
      * leaves, the rest goes evenly until the time is up, since its clients go to other relays.
      */
     public void due(long nowUs) {
-        long ready = units.values().stream().filter(l -> l.health() == Listed.Health.READY).count();
+        long ready = units.values().stream().filter(l -> l.health() == Endpoint.Health.READY).count();
         double perUs = Math.max(1, ready) * opensPerUnit / 1e6;
         budget = Math.min(Math.max(1, perUs * 100_000), budget + Math.max(0, nowUs - budgetUs) * perUs);
         budgetUs = nowUs;
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/Discovery.java
@@ -8,7 +8,7 @@
 import gatelock.plan.Admission;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import org.xnio.XnioExecutor;
 
@@ -285,7 +285,7 @@
 
     /** Tells whoever chooses among units, pools before the decisions. */
     private void listed(DecisionEngine.ListForm form, List<Entry> entries, boolean whole) {
-        List<Listed> listed = entries.stream().map(Entry::listed).toList();
+        List<Endpoint> listed = entries.stream().map(Entry::listed).toList();
         List<InetSocketAddress> left = noted(entries, listed, whole);
         if (admission != null) {
             Map<String, Map<String, String>> labels = new HashMap<>();
@@ -341,7 +341,7 @@
     }
 
     /** Notes where the units are; returns the addresses to which what stands serves no more. */
-    private List<InetSocketAddress> noted(List<Entry> entries, List<Listed> listed, boolean whole) {
+    private List<InetSocketAddress> noted(List<Entry> entries, List<Endpoint> listed, boolean whole) {
         List<InetSocketAddress> left = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
             left.addAll(addresses.put(Json.resolved(entries.get(i).address()), listed.get(i)));
--- a/src/main/java/gatelock/wire/EntryReader.java
+++ b/src/main/java/gatelock/wire/EntryReader.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.membership.Entry;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.io.IOException;
 import java.util.HashMap;
@@ -13,8 +13,8 @@
     private static final int MOST_LABELS = 32;
     /** How far a unit's start may lie ahead of this relay's clock. */
     private static final long AHEAD_US = 60_000_000;
-    private static final Map<String, Listed.Health> HEALTH = Map.of("in_service", Listed.Health.READY,
-        "terminating", Listed.Health.DRAINING, "terminated", Listed.Health.GONE);
+    private static final Map<String, Endpoint.Health> HEALTH = Map.of("in_service", Endpoint.Health.READY,
+        "terminating", Endpoint.Health.DRAINING, "terminated", Endpoint.Health.GONE);
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -29,7 +29,7 @@
     /** An entry whose address is of the right form, and not looked up yet. */
     Entry read(Json e, long nowUs) throws IOException {
         String unit = e.text("name");
-        Listed.Health health = HEALTH.get(e.text("status"));
+        Endpoint.Health health = HEALTH.get(e.text("status"));
         if (health == null) {
             throw new IOException("expected a known status for " + unit);
         }
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -9,7 +9,7 @@
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.relay.Load;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
@@ -37,9 +37,9 @@
         long nowUs = 1_000_000;
         gate.start(nowUs);
         for (int build = 1; build <= 200; build++) {
-            List<Listed> units = new ArrayList<>();
+            List<Endpoint> units = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                units.add(new Listed("u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Listed.Health.READY, 0));
+                units.add(new Endpoint("u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Endpoint.Health.READY, 0));
             }
             gate.listed(nowUs, DecisionEngine.ListForm.FULL, units);
             gate.news(nowUs, build, 1, DecisionEngine.Phase.RELEASED, 1, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
@@ -63,8 +63,8 @@
         Idle<Object> idle = new Idle<>(50, c -> { });
         for (int i = 0; i < 1000; i++) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", 1 + i);
-            addresses.put(at, new Listed("a" + i, 1, 0, 0, 0, Listed.Health.READY, 0));
-            addresses.put(at, new Listed("a" + i, 1, 0, 0, 0, i % 2 == 0 ? Listed.Health.GONE : Listed.Health.DRAINING, 0));
+            addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, Endpoint.Health.READY, 0));
+            addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING, 0));
             idle.put(i, at, "connection" + i);
         }
         addresses.keepOnly(Set.of("a1"));
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -7,7 +7,7 @@
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.relay.Load;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
@@ -263,17 +263,17 @@
         }
 
         /** Units as id/build, with @start, !draining or !gone, and #kind where wanted. */
-        private List<Listed> units(String[] w) {
-            List<Listed> found = new ArrayList<>();
+        private List<Endpoint> units(String[] w) {
+            List<Endpoint> found = new ArrayList<>();
             for (int i = 1; i < w.length; i++) {
                 String[] p = w[i].split("(?=[/@!#%$])");
                 Map<Character, String> parts = new HashMap<>();
                 Arrays.stream(p).skip(1).forEach(x -> parts.put(x.charAt(0), x.substring(1)));
                 buildOf.put(p[0], Integer.parseInt(parts.get('/')));
                 zoneOf.put(p[0], Integer.parseInt(parts.getOrDefault('$', "0")));
-                found.add(new Listed(p[0], buildOf.get(p[0]), zoneOf.get(p[0]), Integer.parseInt(parts.getOrDefault('#', "0")),
+                found.add(new Endpoint(p[0], buildOf.get(p[0]), zoneOf.get(p[0]), Integer.parseInt(parts.getOrDefault('#', "0")),
                     Integer.parseInt(parts.getOrDefault('%', "0")),
-                    Listed.Health.valueOf(parts.getOrDefault('!', "ready").toUpperCase()),
+                    Endpoint.Health.valueOf(parts.getOrDefault('!', "ready").toUpperCase()),
                     parts.containsKey('@') ? startUs + us(parts.get('@')) : 0));
             }
             return found;
--- a/src/test/java/gatelock/ScopeTest.java
+++ b/src/test/java/gatelock/ScopeTest.java
@@ -6,7 +6,7 @@
 
 import gatelock.membership.Entry;
 import gatelock.membership.Scope;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.standin.ControlService;
 
 import java.io.OutputStream;
@@ -68,7 +68,7 @@
         Scope scope = new Scope(new Scope.Terms(NUMBER, -1, MOST, IN_SCOPE, 0, 0, 0));
         Scope.Reading reading = scope.read(true);
         for (int i = 0; i < UNITS; i++) {
-            reading.add(new Entry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Listed.Health.READY, 0));
+            reading.add(new Entry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Endpoint.Health.READY, 0));
         }
         Set<Integer> firsts = new HashSet<>();
         reading.take(0, 5).entries().forEach(e -> firsts.add(Integer.parseInt(e.name().replaceAll(".*-", ""))));
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -6,7 +6,7 @@
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.relay.Load;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
@@ -52,14 +52,14 @@
     ModulePlay(int units) {
         gate = gate(this, List.of());
         gate.start(nowUs);
-        List<Listed> list = new ArrayList<>();
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < units; i++) {
             if (i % UNITS_OF_A_SERVICE == 0) {
                 services.add(new HashSet<>());
             }
             String name = LongList.name(i);
             services.get(services.size() - 1).add(name);
-            list.add(new Listed(name, 1, i % 3, 0, i % 10, Listed.Health.READY, 0));
+            list.add(new Endpoint(name, 1, i % 3, 0, i % 10, Endpoint.Health.READY, 0));
         }
         gate.listed(nowUs, DecisionEngine.ListForm.FULL, list);
         gate.news(nowUs, 1, 0, DecisionEngine.Phase.RELEASED, 1, 60_000_000, DecisionEngine.VoteAnswer.NOT_ASKED);
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -7,7 +7,7 @@
 import gatelock.plan.Stamp;
 import gatelock.plan.Succession;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.standin.LongList;
 import gatelock.standin.OpenLoop;
 import gatelock.standin.RelayProcess;
@@ -303,9 +303,9 @@
     private static Object state(int size) {
         Addresses addresses = new Addresses();
         DecisionEngine gate = ModulePlay.gate(new ModulePlay(1), List.of());
-        List<Listed> list = new ArrayList<>();
+        List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            Listed listed = new Listed(LongList.name(i), 1, i % 2, 0, i % 10, Listed.Health.READY, 0);
+            Endpoint listed = new Endpoint(LongList.name(i), 1, i % 2, 0, i % 10, Endpoint.Health.READY, 0);
             addresses.put(new InetSocketAddress("127.0.0.1", 20_000 + i % 20_000), listed);
             list.add(listed);
         }
@@ -375,9 +375,9 @@
     private static double[] version(int routes, int times) {
         byte[] text = Samples.version(routes);
         Compiler compiler = new Compiler(Samples.GROUNDS);
-        List<Listed> units = new ArrayList<>();
+        List<Endpoint> units = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
-            units.add(new Listed("u" + i, 1, i % 2, 0, 0, Listed.Health.READY, 0));
+            units.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
         }
         Admission admission = new Admission(1);
         admission.listed(1, DecisionEngine.ListForm.FULL, units, Map.of());
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -8,7 +8,7 @@
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.relay.Load;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
@@ -318,18 +318,18 @@
 
     /** A ready unit by chance. */
     private Unit someUnit() {
-        List<Unit> ready = units.values().stream().filter(u -> u.health == Listed.Health.READY).toList();
+        List<Unit> ready = units.values().stream().filter(u -> u.health == Endpoint.Health.READY).toList();
         return ready.get(chance.nextInt(ready.size()));
     }
 
     /** One unit is drained, ends, and another comes for it: three changes of the list. */
     void replaceOne() {
         Unit u = someUnit();
-        u.health = Listed.Health.DRAINING;
+        u.health = Endpoint.Health.DRAINING;
         tell(List.of(u));
         in(terms.drainUs, () -> {
             u.ends();
-            u.health = Listed.Health.GONE;
+            u.health = Endpoint.Health.GONE;
             tell(List.of(u));
             in(2 * S, () -> launchFor(u.service));
         });
@@ -352,7 +352,7 @@
         lost.forEach(Unit::lost);
         in(terms.lostSeenUs, () -> {
             List<Unit> still = lost.stream().filter(u -> u.lost).toList();
-            still.forEach(u -> u.health = Listed.Health.GONE);
+            still.forEach(u -> u.health = Endpoint.Health.GONE);
             tell(still);
         });
     }
@@ -386,7 +386,7 @@
 
     private void comeBack(List<Unit> those) {
         those.forEach(u -> {
-            u.health = Listed.Health.READY;
+            u.health = Endpoint.Health.READY;
             u.startUs = nowUs;
             u.begins();
         });
@@ -395,8 +395,8 @@
 
     private void drain(int build) {
         List<Unit> those = units.values().stream()
-            .filter(u -> u.build == build && u.health == Listed.Health.READY).toList();
-        those.forEach(u -> u.health = Listed.Health.DRAINING);
+            .filter(u -> u.build == build && u.health == Endpoint.Health.READY).toList();
+        those.forEach(u -> u.health = Endpoint.Health.DRAINING);
         tell(those);
     }
 
@@ -409,7 +409,7 @@
         private long startUs;
         private final double speed = 0.85 + 0.3 * chance.nextDouble();
         private final ArrayDeque<Work> waiting = new ArrayDeque<>();
-        private Listed.Health health = Listed.Health.READY;
+        private Endpoint.Health health = Endpoint.Health.READY;
         private final int zone;
         private long silentUntilUs;
         private int busy;
@@ -631,7 +631,7 @@
             }
             for (Entry e : those) {
                 int n = units.get(e.name()).number;
-                boolean holds = e.health() != Listed.Health.GONE;
+                boolean holds = e.health() != Endpoint.Health.GONE;
                 if (held.get(n) != holds) {
                     held.set(n, holds);
                     discovery.holders(n, holds ? 1 : -1);
@@ -657,7 +657,7 @@
         private void told(HollowDiscovery.Message message, long readyUs) {
             boolean first = number == 0;
             boolean drain = !message.whole() && message.entries().stream()
-                .anyMatch(e -> e.listed().health() == Listed.Health.DRAINING);
+                .anyMatch(e -> e.listed().health() == Endpoint.Health.DRAINING);
             long fromUs = Math.max(readyUs + (terms.fault == Fault.DRAIN_LATE && first && drain ? 9 * S : 0),
                 linkFreeUs);
             linkFreeUs = terms.linkBytesPerS == 0 ? fromUs
--- a/src/test/java/gatelock/fleet/HollowDiscovery.java
+++ b/src/test/java/gatelock/fleet/HollowDiscovery.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.AbstractList;
 import java.util.Arrays;
@@ -13,9 +13,9 @@
 /** The list of units as discovery holds it, its changes by index, and what a relay is sent of them. */
 final class HollowDiscovery {
     /** An entry as it was at one time, shared by all relays, and what the decisions take of it. */
-    record Entry(gatelock.membership.Entry told, Listed listed) {
-        private static final Map<Listed.Health, String> STATUS = Map.of(Listed.Health.READY, "in_service",
-            Listed.Health.DRAINING, "terminating", Listed.Health.GONE, "terminated");
+    record Entry(gatelock.membership.Entry told, Endpoint listed) {
+        private static final Map<Endpoint.Health, String> STATUS = Map.of(Endpoint.Health.READY, "in_service",
+            Endpoint.Health.DRAINING, "terminating", Endpoint.Health.GONE, "terminated");
 
         Entry(gatelock.membership.Entry told) {
             this(told, told.listed());
@@ -61,9 +61,9 @@
     }
 
     private void put(Entry entry) {
-        Entry before = entry.listed.health() == Listed.Health.GONE ? list.remove(entry.listed.unit())
+        Entry before = entry.listed.health() == Endpoint.Health.GONE ? list.remove(entry.listed.unit())
             : list.put(entry.listed.unit(), entry);
-        bytes += (entry.listed.health() == Listed.Health.GONE ? 0 : length(entry))
+        bytes += (entry.listed.health() == Endpoint.Health.GONE ? 0 : length(entry))
             - (before == null ? 0 : length(before));
     }
 
@@ -91,7 +91,7 @@
         entries.forEach(this::put);
         whole = null;
         index++;
-        entries.forEach(e -> (e.listed.health() == Listed.Health.READY ? records.ups : records.downs)
+        entries.forEach(e -> (e.listed.health() == Endpoint.Health.READY ? records.ups : records.downs)
             .add(new Records.Known(e.listed.unit(), nowUs)));
         long length = ANSWER_BYTES + entries.stream().mapToLong(this::length).sum();
         return new Message(index, false, entries, length, records.message(index, nowUs, length));
@@ -120,7 +120,7 @@
         if (!terms.scoped) {
             return;
         }
-        Map<String, Long> ready = list().stream().filter(e -> e.listed.health() == Listed.Health.READY)
+        Map<String, Long> ready = list().stream().filter(e -> e.listed.health() == Endpoint.Health.READY)
             .collect(Collectors.groupingBy(Entry::service, Collectors.counting()));
         for (Entry e : list()) {
             int unit = number.applyAsInt(e.listed.unit());
@@ -133,10 +133,10 @@
     }
 
     /** The entries as the decisions take them, without a copy for each relay. */
-    static List<Listed> listed(List<Entry> entries) {
+    static List<Endpoint> listed(List<Entry> entries) {
         return new AbstractList<>() {
             @Override
-            public Listed get(int i) {
+            public Endpoint get(int i) {
                 return entries.get(i).listed;
             }
 
--- a/src/test/java/gatelock/fleet/Records.java
+++ b/src/test/java/gatelock/fleet/Records.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 import gatelock.relay.Route;
 
 import java.nio.charset.StandardCharsets;
@@ -127,7 +127,7 @@
             return;
         }
         for (HollowDiscovery.Entry e : message.entries()) {
-            boolean ready = e.listed().health() == Listed.Health.READY;
+            boolean ready = e.listed().health() == Endpoint.Health.READY;
             boolean news = ready ? its.remove(e.listed().unit()) : its.add(e.listed().unit());
             if (news) {
                 (ready ? backs : leaves).add(new Told(relay, e.listed().unit(), atUs));
--- a/src/test/java/gatelock/membership/ScopeMeasure.java
+++ b/src/test/java/gatelock/membership/ScopeMeasure.java
@@ -1,7 +1,7 @@
 package gatelock.membership;
 
 import gatelock.capacity.Fit;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
@@ -273,7 +273,7 @@
     private static Entry unit(int n, int services, int zone, int starts) {
         return new Entry("unit-" + (1_000_000 + n), "service-" + n % services, "10." + (n >> 16) + "."
             + (n >> 8 & 255) + "." + (n & 255) + ":8443", zone, n % 4, n % 50, 804 + n % 2,
-            Listed.Health.READY,
+            Endpoint.Health.READY,
             1_780_000_000_000_000L + n * 1000L + starts * SECOND);
     }
 
@@ -397,7 +397,7 @@
                 Entry e = unit(units[i % units.length], services, k + 1);
                 Entry drains = new Entry(e.name(), e.service(), e.address(), e.zone(), e.kind(), e.cell(),
                     e.build(),
-                    Listed.Health.DRAINING, e.startUs());
+                    Endpoint.Health.DRAINING, e.startUs());
                 for (Entry told : new Entry[] {drains, e.gone(), e}) {
                     Scope.Reading reading = scope.read(false);
                     reading.add(told);
--- a/src/test/java/gatelock/membership/ScopePropertiesTest.java
+++ b/src/test/java/gatelock/membership/ScopePropertiesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -51,8 +51,8 @@
 
     private Entry any() {
         int n = random.nextInt(UNITS);
-        Listed.Health health = random.nextInt(4) > 0 ? Listed.Health.READY :
-            Listed.Health.values()[random.nextInt(3)];
+        Endpoint.Health health = random.nextInt(4) > 0 ? Endpoint.Health.READY :
+            Endpoint.Health.values()[random.nextInt(3)];
         String service = "s" + (random.nextInt(20) > 0 ? n % SERVICES : random.nextInt(SERVICES));
         return new Entry("u" + n, service, "10.0.0." + n + ":80", random.nextInt(20) > 0 ? n % 3 :
             random.nextInt(3),
@@ -60,7 +60,7 @@
     }
 
     private void note(Entry e) {
-        if (e.health() == Listed.Health.GONE) {
+        if (e.health() == Endpoint.Health.GONE) {
             list.remove(e.name());
         } else {
             list.put(e.name(), e);
@@ -89,7 +89,7 @@
             Predicate<Entry> lost = random.nextBoolean() ? e -> e.zone() == random.nextInt(3)
                 : e -> e.service().equals("s" + random.nextInt(SERVICES));
             list.values().stream().filter(lost).forEach(e -> entries.add(random.nextBoolean() ? e.gone()
-                : Told.unit(e.name(), e.service(), e.zone(), Listed.Health.DRAINING)));
+                : Told.unit(e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
         }
         entries.forEach(this::note);
         told.take(false, entries);
@@ -132,7 +132,7 @@
     }
 
     private Map<String, Set<String>> readyByService(Collection<Entry> entries) {
-        return entries.stream().filter(e -> e.health() == Listed.Health.READY).collect(Collectors.groupingBy(
+        return entries.stream().filter(e -> e.health() == Endpoint.Health.READY).collect(Collectors.groupingBy(
             Entry::service, TreeMap::new, Collectors.mapping(Entry::name,
             Collectors.toCollection(TreeSet::new))));
     }
--- a/src/test/java/gatelock/membership/ScopeTest.java
+++ b/src/test/java/gatelock/membership/ScopeTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
         return IntStream.range(0, units).mapToObj(i -> Told.ready(name + "-" + i, name, i % zones)).toList();
     }
 
-    private static Entry[] all(List<Entry> entries, Set<String> names, Listed.Health health) {
+    private static Entry[] all(List<Entry> entries, Set<String> names, Endpoint.Health health) {
         return entries.stream().filter(e -> names.contains(e.name())).map(e -> Told.unit(e.name(),
             e.service(),
             e.zone(), health)).toArray(Entry[]::new);
@@ -66,7 +66,7 @@
         told.whole(units);
         for (int i = 0; i < 12; i++) {
             Set<String> lost = told.ready();
-            told.change(all(units, lost, i % 2 == 0 ? Listed.Health.GONE : Listed.Health.DRAINING));
+            told.change(all(units, lost, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING));
             assertThat(told.ready()).hasSize(3).doesNotContainAnyElementsOf(lost);
         }
         assertThat(told.scope.listed()).isEqualTo(40 - 18);
@@ -88,13 +88,13 @@
         List<Entry> units = service("a", 40, 4);
         told.whole(units);
         Set<String> first = told.ready();
-        told.change(all(units, first, Listed.Health.DRAINING));
+        told.change(all(units, first, Endpoint.Health.DRAINING));
         assertThat(told.units).containsKeys(first.toArray(new String[0]));
-        assertThat(told.last.entries()).extracting(Entry::health).containsOnly(Listed.Health.READY,
-            Listed.Health.DRAINING).hasSize(6);
+        assertThat(told.last.entries()).extracting(Entry::health).containsOnly(Endpoint.Health.READY,
+            Endpoint.Health.DRAINING).hasSize(6);
         told.due(10 * SETTLE_US);
         assertThat(told.units).hasSize(6);
-        told.change(all(units, first, Listed.Health.GONE));
+        told.change(all(units, first, Endpoint.Health.GONE));
         assertThat(told.last.entries()).hasSize(3);
         assertThat(told.units).hasSize(3).doesNotContainKeys(first.toArray(new String[0]));
     }
@@ -180,7 +180,7 @@
         assertThat(told.units).hasSize(4);
         told.due(1);
         assertThat(told.ready()).hasSize(3).contains(newcomer);
-        assertThat(told.last.entries()).hasSize(1).allMatch(e -> e.health() == Listed.Health.GONE);
+        assertThat(told.last.entries()).hasSize(1).allMatch(e -> e.health() == Endpoint.Health.GONE);
     }
 
     @Test
@@ -191,7 +191,7 @@
         silent(Set.of(unit), 2);
         assertThat(told.ready()).hasSize(4);
         Entry again = new Entry(unit, "a", "10.0.0.1:80", told.units.get(unit).zone(), 0, 0, 2,
-            Listed.Health.READY, 5 * SECOND);
+            Endpoint.Health.READY, 5 * SECOND);
         told.change(again);
         assertThat(told.last.entries()).containsExactly(again);
         told.due(SETTLE_US);
@@ -205,9 +205,9 @@
         told.whole(units);
         Set<String> first = told.ready();
         for (Entry e : units) {
-            told.change(Told.unit(e.name(), "a", e.zone(), Listed.Health.DRAINING));
+            told.change(Told.unit(e.name(), "a", e.zone(), Endpoint.Health.DRAINING));
             told.change(e.gone());
-            told.change(new Entry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Listed.Health.READY,
+            told.change(new Entry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Endpoint.Health.READY,
                 SECOND));
         }
         told.due(SETTLE_US);
@@ -220,7 +220,7 @@
         told.whole(service("a", 40, 4));
         Scope.Reading reading = told.scope.read(true);
         reading.add(Told.ready("x", "a", 0));
-        assertThatThrownBy(() -> reading.add(Told.unit("x", "a", 0, Listed.Health.GONE)))
+        assertThatThrownBy(() -> reading.add(Told.unit("x", "a", 0, Endpoint.Health.GONE)))
             .isInstanceOf(IllegalArgumentException.class).hasMessage("expected each unit once, found twice "
             + "x");
         assertThat(told.scope.listed()).isEqualTo(40);
@@ -229,9 +229,9 @@
     @Test
     void aUnitTwiceInAChangeCountsAsLastTold() {
         told.whole(service("a", 3, 1));
-        told.change(Told.unit("a-0", "a", 0, Listed.Health.GONE), Told.ready("a-0", "a", 0));
+        told.change(Told.unit("a-0", "a", 0, Endpoint.Health.GONE), Told.ready("a-0", "a", 0));
         assertThat(told.ready()).contains("a-0");
-        told.change(Told.ready("a-0", "a", 0), Told.unit("a-0", "a", 0, Listed.Health.GONE));
+        told.change(Told.ready("a-0", "a", 0), Told.unit("a-0", "a", 0, Endpoint.Health.GONE));
         assertThat(told.units).doesNotContainKey("a-0");
     }
 
@@ -241,7 +241,7 @@
         Set<String> before = told.ready();
         told.scope.read(true).add(Told.ready("x", "a", 0));
         Scope.Reading change = told.scope.read(false);
-        before.forEach(u -> change.add(Told.unit(u, "a", 0, Listed.Health.GONE)));
+        before.forEach(u -> change.add(Told.unit(u, "a", 0, Endpoint.Health.GONE)));
         told.due(SETTLE_US);
         assertThat(told.ready()).isEqualTo(before);
         assertThat(told.scope.listed()).isEqualTo(40);
@@ -265,7 +265,7 @@
         Scope.Reading change = told.scope.read(false);
         change.add(Told.ready("late", "b", 0));
         told.whole(service("a", 20, 4));
-        change.add(Told.unit("a-1", "a", 1, Listed.Health.GONE));
+        change.add(Told.unit("a-1", "a", 1, Endpoint.Health.GONE));
         told.apply(change.take(told.nowUs, 9));
         assertThat(told.ready("b")).containsExactly("late");
         assertThat(told.scope.listed()).isEqualTo(20);
@@ -468,7 +468,7 @@
         for (int i = 0; i < 200_000; i++) {
             reading.add(new Entry("unit-" + (1_000_000 + i), "service-" + i % 7_200, "10." + (i >> 16) + "."
                 + (i >> 8 & 255) + "." + (i & 255) + ":8443", i % 19, i % 4, i % 50, 800 + i % 5,
-                Listed.Health.READY, 1_780_000_000_000_000L + i * 1000L));
+                Endpoint.Health.READY, 1_780_000_000_000_000L + i * 1000L));
         }
         reading.take(0, 1);
         assertThat(scope.listed()).isEqualTo(200_000);
--- a/src/test/java/gatelock/membership/StoreTest.java
+++ b/src/test/java/gatelock/membership/StoreTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -18,7 +18,7 @@
 
 /** The packed store against a plain map, also where hashes of names are equal. */
 final class StoreTest {
-    private static final Listed.Health[] HEALTH = Listed.Health.values();
+    private static final Endpoint.Health[] HEALTH = Endpoint.Health.values();
 
     /** Names that nearly all have the same hash. */
     static final class Colliding extends Ranking {
@@ -36,7 +36,7 @@
     }
 
     private static Entry entry(String name, String service, String address) {
-        return new Entry(name, service, address, 0, 0, 0, 1, Listed.Health.READY, 0);
+        return new Entry(name, service, address, 0, 0, 0, 1, Endpoint.Health.READY, 0);
     }
 
     private static Entry any(RandomGenerator random, int names) {
@@ -95,7 +95,7 @@
             assertThat(its).isEqualTo(units);
             assertThat(store.units(service)).isEqualTo(units.size());
             assertThat(store.ready(service)).isEqualTo((int) units.values().stream()
-                .filter(e -> e.health() == Listed.Health.READY).count());
+                .filter(e -> e.health() == Endpoint.Health.READY).count());
         });
     }
 
@@ -147,7 +147,7 @@
     void entriesThatCannotBeKeptAreRefusedAndChangeNothing() {
         Store store = new Store(new Ranking(1));
         store.put(entry("a", "s", "10.0.0.1:80"));
-        assertThatThrownBy(() -> store.put(new Entry("a", "s", "x", 0, 0, 0, 1, Listed.Health.READY, 0,
+        assertThatThrownBy(() -> store.put(new Entry("a", "s", "x", 0, 0, 0, 1, Endpoint.Health.READY, 0,
             Map.of("l", "v".repeat(70_000))))).isInstanceOf(IllegalArgumentException.class)
             .hasMessageContaining("65536 bytes").hasMessageEndingWith("for a");
         assertThatThrownBy(() -> store.put(entry("half\ud83d", "s", "x")))
--- a/src/test/java/gatelock/membership/Told.java
+++ b/src/test/java/gatelock/membership/Told.java
@@ -1,6 +1,6 @@
 package gatelock.membership;
 
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.List;
 import java.util.Map;
@@ -27,12 +27,12 @@
         return new Scope.Terms(relay, zone, most, perService, 0, leastElsewhere, settleUs);
     }
 
-    static Entry unit(String name, String service, int zone, Listed.Health health) {
+    static Entry unit(String name, String service, int zone, Endpoint.Health health) {
         return new Entry(name, service, "10.0.0.1:80", zone, 0, 0, 1, health, 0);
     }
 
     static Entry ready(String name, String service, int zone) {
-        return unit(name, service, zone, Listed.Health.READY);
+        return unit(name, service, zone, Endpoint.Health.READY);
     }
 
     void whole(Iterable<Entry> entries) {
@@ -66,7 +66,7 @@
             units.clear();
         }
         for (Entry e : change.entries()) {
-            if (e.health() == Listed.Health.GONE) {
+            if (e.health() == Endpoint.Health.GONE) {
                 units.remove(e.name());
             } else {
                 units.put(e.name(), e);
@@ -76,12 +76,12 @@
 
     Set<String> ready(String service) {
         return units.values().stream().filter(e -> e.service().equals(service)
-            && e.health() == Listed.Health.READY).map(Entry::name)
+            && e.health() == Endpoint.Health.READY).map(Entry::name)
             .collect(Collectors.toCollection(TreeSet::new));
     }
 
     Set<String> ready() {
-        return units.values().stream().filter(e -> e.health() == Listed.Health.READY).map(Entry::name)
+        return units.values().stream().filter(e -> e.health() == Endpoint.Health.READY).map(Entry::name)
             .collect(Collectors.toCollection(TreeSet::new));
     }
 }
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -4,7 +4,7 @@
 
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -38,14 +38,14 @@
     private final Admission admission = new Admission(0.5);
     private long nowUs = SECOND;
 
-    private static Listed unit(String name, int zone, Listed.Health health) {
-        return new Listed(name, 1, zone, 0, 0, health, 0);
+    private static Endpoint unit(String name, int zone, Endpoint.Health health) {
+        return new Endpoint(name, 1, zone, 0, 0, health, 0);
     }
 
     private void list(int east, int west) {
-        List<Listed> units = new ArrayList<>();
+        List<Endpoint> units = new ArrayList<>();
         for (int i = 0; i < east + west; i++) {
-            units.add(unit((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Listed.Health.READY));
+            units.add(unit((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Endpoint.Health.READY));
         }
         admission.listed(nowUs, DecisionEngine.ListForm.FULL, units, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
     }
@@ -81,8 +81,8 @@
         assertThat(ask("/read").reaches("e0")).isFalse();
         nowUs += 1_200 * SECOND;
         assertThat(ask("/read").reaches("e0")).isTrue();
-        admission.listed(nowUs, DecisionEngine.ListForm.DELTA, List.of(unit("e0", 0, Listed.Health.DRAINING),
-            unit("w0", 1, Listed.Health.GONE)), Map.of());
+        admission.listed(nowUs, DecisionEngine.ListForm.DELTA, List.of(unit("e0", 0, Endpoint.Health.DRAINING),
+            unit("w0", 1, Endpoint.Health.GONE)), Map.of());
         assertThat(ask("/read").reaches("w0")).isFalse();
     }
 
--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/PlanMeasure.java
@@ -1,7 +1,7 @@
 package gatelock.plan;
 
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -106,9 +106,9 @@
             byte[] bytes = Samples.version(entries);
             Compiler compiler = new Compiler(Samples.GROUNDS);
             Admission admission = new Admission(1);
-            List<Listed> units = new ArrayList<>();
+            List<Endpoint> units = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
-                units.add(new Listed("u" + i, 1, i % 2, 0, 0, Listed.Health.READY, 0));
+                units.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
             }
             admission.listed(1, DecisionEngine.ListForm.FULL, units, Map.of());
             Histogram compile = new Histogram(3);
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -82,23 +82,23 @@
         assertThat(session.due(nowUs + 2 * SECOND)).isTrue();
     }
 
-    private static Listed unit(String name, int build, Listed.Health health) {
-        return new Listed(name, build, 0, 0, 0, health, 0);
+    private static Endpoint unit(String name, int build, Endpoint.Health health) {
+        return new Endpoint(name, build, 0, 0, 0, health, 0);
     }
 
     @Test
     void aDrainIsPacedByWhatTheOthersBearAndEndsInTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY),
-            unit("b", 1, Listed.Health.READY),
-            unit("c", 1, Listed.Health.READY)));
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Endpoint.Health.READY),
+            unit("b", 1, Endpoint.Health.READY),
+            unit("c", 1, Endpoint.Health.READY)));
         List<Peers> at = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
             Peers peers = new Peers();
             at.add(peers);
             sessions.opened(2, "a", 0, peers);
         }
-        sessions.listed(SECOND, DecisionEngine.ListForm.DELTA, List.of(unit("a", 1, Listed.Health.DRAINING)));
+        sessions.listed(SECOND, DecisionEngine.ListForm.DELTA, List.of(unit("a", 1, Endpoint.Health.DRAINING)));
         long closedBefore = 0;
         for (long us = SECOND; us < 12 * SECOND; us += 100_000) {
             sessions.due(us);
@@ -120,8 +120,8 @@
     @Test
     void aBuildThatGoesBackTakesItsSessionsAlongAtOnceAndNoOthers() {
         Sessions sessions = new Sessions(10, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY),
-            unit("b", 2, Listed.Health.READY)));
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Endpoint.Health.READY),
+            unit("b", 2, Endpoint.Health.READY)));
         sessions.news(1, 2, DecisionEngine.Phase.TRIAL);
         Peers old = new Peers();
         Peers trial = new Peers();
@@ -138,7 +138,7 @@
     @Test
     void aRelayThatLeavesClosesAllByItsTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Listed.Health.READY)));
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Endpoint.Health.READY)));
         List<Peers> at = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             Peers peers = new Peers();
--- a/src/test/java/gatelock/wire/DiscoveryTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryTest.java
@@ -8,7 +8,7 @@
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
-import gatelock.relay.Listed;
+import gatelock.relay.Endpoint;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -60,7 +60,7 @@
     /** Notes the lists; nothing else is told in this course. */
     private final class Noting implements DecisionEngine {
         @Override
-        public void listed(long nowUs, ListForm form, List<Listed> units) {
+        public void listed(long nowUs, ListForm form, List<Endpoint> units) {
             course.add(form + " " + units.stream().map(u -> u + " at " + (addresses.get(u.unit()) == null ? "none"
                 : addresses.get(u.unit()).address().getPort())).toList());
         }
