--- a/src/main/java/gatelock/bench/Fields.java
+++ b/src/main/java/gatelock/bench/Fields.java
@@ -1,6 +1,6 @@
 package gatelock.bench;
 
-import gatelock.relay.Load;
+import gatelock.relay.LoadReport;
 
 import java.util.Map;
 
@@ -80,10 +80,10 @@
         return value;
     }
 
-    Load load() {
+    LoadReport load() {
         String part = field();
         if (part.isEmpty() || part.equals("-")) {
-            return Load.NONE;
+            return LoadReport.NONE;
         }
         double waiting = Double.NaN;
         for (String pair : part.split(",")) {
@@ -96,7 +96,7 @@
                 waiting = value;
             }
         }
-        return new Load(waiting);
+        return new LoadReport(waiting);
     }
 
     private long parse(String part, String what) {
--- a/src/main/java/gatelock/bench/Wirehost.java
+++ b/src/main/java/gatelock/bench/Wirehost.java
@@ -5,7 +5,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Endpoint;
-import gatelock.relay.Load;
+import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Verdict;
 
@@ -291,7 +291,7 @@
         AttemptResult ending = f.oneOf(ENDINGS, "result");
         long tookUs = f.number("durationNs") / 1000;
         boolean over = f.number("over") == 1;
-        Load load = f.load();
+        LoadReport load = f.load();
         RequestHandle handle = relay.handle(id);
         if (handle != null) {
             handle.ended(nowUs, tryNo, ending, tookUs, over, load);
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -479,7 +479,7 @@
         }
 
         @Override
-        public void ended(long now, int tryNo, AttemptResult ending, long tookUs, boolean isOver, Load load) {
+        public void ended(long now, int tryNo, AttemptResult ending, long tookUs, boolean isOver, LoadReport load) {
             clock(now);
             Try t = tries.get(tryNo);
             t.ending = ending;
@@ -650,7 +650,7 @@
             budget -= t.rq.costUs * Math.max(1, build.slowness.mean(nowUs, 0) / usualSlowness(at.kind()));
         }
 
-        private void ended(Rq.Try t, AttemptResult ending, long tookUs, Load load) {
+        private void ended(Rq.Try t, AttemptResult ending, long tookUs, LoadReport load) {
             out.remove(t);
             if (ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED || ending == AttemptResult.TURNED_AWAY) {
                 lines.leave(nowUs, charter.keptUs());
--- a/src/main/java/gatelock/relay/Load.java
+++ b/src/main/java/gatelock/relay/LoadReport.java
@@ -1,8 +1,8 @@
 package gatelock.relay;
 
 /** A unit's report of its own load; a value it does not give is NaN. */
-public record Load(double waiting) {
+public record LoadReport(double waiting) {
 
     /** No report came. */
-    public static final Load NONE = new Load(Double.NaN);
+    public static final LoadReport NONE = new LoadReport(Double.NaN);
 }
--- a/src/main/java/gatelock/relay/RequestHandle.java
+++ b/src/main/java/gatelock/relay/RequestHandle.java
@@ -7,9 +7,9 @@
      * An upstream try has ended.
      *
      * @param over whether the req has its final answer, by this outcome or earlier
-     * @param load what the unit reported with it, or {@link Load#NONE}
+     * @param load what the unit reported with it, or {@link LoadReport#NONE}
      */
-    void ended(long nowUs, int tryNo, AttemptResult ending, long tookUs, boolean over, Load load);
+    void ended(long nowUs, int tryNo, AttemptResult ending, long tookUs, boolean over, LoadReport load);
 
     /**
      * Whether a try that was sent may still go, asked before its first byte: its connection had to come up, and
--- a/src/main/java/gatelock/wire/Book.java
+++ b/src/main/java/gatelock/wire/Book.java
@@ -5,7 +5,7 @@
 import gatelock.kept.OpenReqs;
 import gatelock.kept.UnitAnswer;
 import gatelock.relay.AttemptResult;
-import gatelock.relay.Load;
+import gatelock.relay.LoadReport;
 
 /** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
 public final class Book {
@@ -27,7 +27,7 @@
         if (ending == AttemptResult.COMPLETED && !req.over()) {
             relayBack.completed(req, answer);
         }
-        req.handle().ended(turn.nowUs(), tryNo, ending, tookUs, req.over(), Load.NONE);
+        req.handle().ended(turn.nowUs(), tryNo, ending, tookUs, req.over(), LoadReport.NONE);
         settle(req);
     }
 
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -10,7 +10,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Endpoint;
-import gatelock.relay.Load;
+import gatelock.relay.LoadReport;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
 import gatelock.standin.QuietOutlet;
@@ -48,7 +48,7 @@
                 RequestHandle req = gate.take(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
                 nowUs += 20_000;
                 for (int t = 0; t < sentTo.size(); t++) {
-                    req.ended(nowUs, t, AttemptResult.COMPLETED, 20_000, true, Load.NONE);
+                    req.ended(nowUs, t, AttemptResult.COMPLETED, 20_000, true, LoadReport.NONE);
                 }
                 assertThat(req.settled()).isTrue();
                 gate.due(nowUs, 0);
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -8,7 +8,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Endpoint;
-import gatelock.relay.Load;
+import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
@@ -198,7 +198,7 @@
                         answers.putIfAbsent(s.id, "completed");
                     }
                     AttemptResult bad = AttemptResult.valueOf(m.getOrDefault("fails-as", "errored").toUpperCase());
-                    h.ended(nowUs, s.tryNo, fails ? bad : AttemptResult.COMPLETED, took, !fails, Load.NONE);
+                    h.ended(nowUs, s.tryNo, fails ? bad : AttemptResult.COMPLETED, took, !fails, LoadReport.NONE);
                 }));
             }
         }
@@ -209,7 +209,7 @@
             if (over) {
                 answers.putIfAbsent(id, "completed");
             }
-            reqs.get(id).ended(nowUs, s.tryNo, ending, nowUs - s.atUs, over, Load.NONE);
+            reqs.get(id).ended(nowUs, s.tryNo, ending, nowUs - s.atUs, over, LoadReport.NONE);
         }
 
         /** What silent units still hold has waited for nothing. */
@@ -217,7 +217,7 @@
             for (Sent s : List.copyOf(sends)) {
                 if (manners.getOrDefault(s.unit, Map.of()).containsKey("silent") && !answers.containsKey(s.id)
                         && lastSend(s.id) == s) {
-                    reqs.get(s.id).ended(nowUs, s.tryNo, AttemptResult.TIMED_OUT, nowUs - s.atUs, false, Load.NONE);
+                    reqs.get(s.id).ended(nowUs, s.tryNo, AttemptResult.TIMED_OUT, nowUs - s.atUs, false, LoadReport.NONE);
                 }
             }
         }
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -7,7 +7,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Endpoint;
-import gatelock.relay.Load;
+import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
@@ -112,7 +112,7 @@
         }
         if (out.size() > IN_FLIGHT) {
             Out first = out.poll();
-            first.handle.ended(nowUs, 0, AttemptResult.COMPLETED, nowUs - first.sentUs, true, Load.NONE);
+            first.handle.ended(nowUs, 0, AttemptResult.COMPLETED, nowUs - first.sentUs, true, LoadReport.NONE);
         }
     }
 
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -9,7 +9,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Endpoint;
-import gatelock.relay.Load;
+import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Rollout;
 import gatelock.relay.Route;
@@ -730,7 +730,7 @@
                 scope.ended(nowUs, work.at.name, ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED
                     || ending == AttemptResult.TURNED_AWAY);
             }
-            req.handle.ended(nowUs, work.number, ending, nowUs - work.sentUs, req.over, Load.NONE);
+            req.handle.ended(nowUs, work.number, ending, nowUs - work.sentUs, req.over, LoadReport.NONE);
             meter.in(before);
             settle(work.id, req);
         }
