--- a/src/main/java/gatelock/bench/Terms.java
+++ b/src/main/java/gatelock/bench/Terms.java
@@ -1,7 +1,7 @@
 package gatelock.bench;
 
 import gatelock.relay.RelaySettings;
-import gatelock.relay.Rollout;
+import gatelock.relay.RolloutPolicy;
 import gatelock.relay.Route;
 
 import java.util.ArrayList;
@@ -54,10 +54,10 @@
         for (int i = 0; i < t.whole("orgs.count", 0); i++) {
             tenants.add(new RelaySettings.Tenant(t.real("orgs." + i + ".quotaPerS", 0)));
         }
-        Rollout rollout = new Rollout(
-            t.word("familyInfo.gateMode", Map.of("first_voice", Rollout.Gatekeeping.FIRST_VOICE,
-                "by_count", Rollout.Gatekeeping.COUNT, "automatic", Rollout.Gatekeeping.CLOCK),
-                Rollout.Gatekeeping.COUNT),
+        RolloutPolicy rollout = new RolloutPolicy(
+            t.word("familyInfo.gateMode", Map.of("first_voice", RolloutPolicy.Gatekeeping.FIRST_VOICE,
+                "by_count", RolloutPolicy.Gatekeeping.COUNT, "automatic", RolloutPolicy.Gatekeeping.CLOCK),
+                RolloutPolicy.Gatekeeping.COUNT),
             Math.max(t.us("familyInfo.bakeNs"), t.us("familyInfo.autoAfterNs")),
             t.us("familyInfo.voteLifeNs"), t.us("familyInfo.voteWaitNs"),
             t.reals("familyInfo.exposureCaps"), (int) t.whole("familyInfo.guardedStages", 0),
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -897,7 +897,7 @@
             long waitUs = finding == Finding.SUSPECT || late ? LONG_PATIENCE_US : shortUs;
             verdict = nowUs < leastUs + waitUs ? Verdict.HOLD : Verdict.ON;
         }
-        boolean clock = charter.rollout().gatekeeping() == Rollout.Gatekeeping.CLOCK;
+        boolean clock = charter.rollout().gatekeeping() == RolloutPolicy.Gatekeeping.CLOCK;
         if (clock && verdict == Verdict.HOLD && nowUs < leastUs - HOLD_LEAD_US) {
             // A hold stops the clock, so that it would have to run all its time afterwards.
             verdict = Verdict.NONE;
--- a/src/main/java/gatelock/relay/RelaySettings.java
+++ b/src/main/java/gatelock/relay/RelaySettings.java
@@ -11,7 +11,7 @@
                       double overShareValue, int tryLimit, boolean mayCancel, boolean pausesHeard,
                       long longestPauseUs, boolean mustAskForList, double coldFrom, long warmWithinUs,
                       double coldMultiple, long coldWindowUs, double openingPrice, long keptUs,
-                      Rollout rollout) {
+                      RolloutPolicy rollout) {
 
     /** A tenant and the reqs a second, over all relays, within its share. */
     public record Tenant(double quotaPerS) {
--- a/src/main/java/gatelock/relay/Rollout.java
+++ b/src/main/java/gatelock/relay/RolloutPolicy.java
@@ -6,7 +6,7 @@
  * send a build back; the desk takes {@code votesPerS} from all; {@code counts} tells that it sends sampled
  * counts.
  */
-public record Rollout(Gatekeeping gatekeeping, long leastUs, long voteLifeUs, long voteWaitUs, double[] caps,
+public record RolloutPolicy(Gatekeeping gatekeeping, long leastUs, long voteLifeUs, long voteWaitUs, double[] caps,
                       int guardedStages, boolean perRoute, boolean oneWay, double free,
                       int backVotes, double votesPerS, boolean counts) {
 
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -11,7 +11,7 @@
 import gatelock.relay.RequestHandle;
 import gatelock.relay.Endpoint;
 import gatelock.relay.LoadReport;
-import gatelock.relay.Rollout;
+import gatelock.relay.RolloutPolicy;
 import gatelock.relay.Route;
 import gatelock.standin.QuietOutlet;
 
@@ -30,7 +30,7 @@
 
     @Test
     void theDecisionsForgetWhatLeft() throws Exception {
-        Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000, new double[] {0.2, 1}, 0,
+        RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000, new double[] {0.2, 1}, 0,
             false, true, 2, 1, 10, false);
         DecisionEngine gate = new ReleaseGate(new RelaySettings(7, 1, 0, List.of(new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1)),
             List.of(), 1, 3, true, true, 1_000_000, false, 0.5, 3_000_000, 2.5, 1_000_000, 0, 0, rollout), new Noting());
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -10,7 +10,7 @@
 import gatelock.relay.Endpoint;
 import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
-import gatelock.relay.Rollout;
+import gatelock.relay.RolloutPolicy;
 import gatelock.relay.Route;
 import gatelock.relay.Verdict;
 
@@ -247,7 +247,7 @@
                 }
                 double[] caps = Arrays.stream(terms.getOrDefault("caps", "0.2,0.6,1").split(","))
                     .mapToDouble(Double::parseDouble).toArray();
-                Rollout rollout = new Rollout(Rollout.Gatekeeping.valueOf(terms.getOrDefault("gate", "first_voice")
+                RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.valueOf(terms.getOrDefault("gate", "first_voice")
                     .toUpperCase()), us(terms.getOrDefault("least", "1s")), 6_000_000, 1_200_000, caps,
                     (int) num(terms, "guarded", 0), terms.containsKey("per-route"), terms.containsKey("one-way"),
                     num(terms, "free", 2),
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -9,7 +9,7 @@
 import gatelock.relay.Endpoint;
 import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
-import gatelock.relay.Rollout;
+import gatelock.relay.RolloutPolicy;
 import gatelock.relay.Route;
 import gatelock.standin.LongList;
 import gatelock.standin.Reach;
@@ -67,7 +67,7 @@
 
     /** Decisions on the terms of examples/relay.json. */
     static DecisionEngine gate(DecisionActions out, List<RelaySettings.Tenant> tenants) {
-        Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000,
+        RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000,
             new double[] {0.2, 0.6, 1}, 0, false, false, 2, 1, 10, false);
         return new ReleaseGate(new RelaySettings(17, RELAYS, 0, List.of(
             new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1),
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -11,7 +11,7 @@
 import gatelock.relay.Endpoint;
 import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
-import gatelock.relay.Rollout;
+import gatelock.relay.RolloutPolicy;
 import gatelock.relay.Route;
 import gatelock.relay.Verdict;
 import gatelock.standin.Reach;
@@ -572,7 +572,7 @@
         }
 
         private void start() {
-            Rollout rollout = new Rollout(Rollout.Gatekeeping.COUNT, terms.bakeUs, 6 * S, 2 * S, desk.caps(),
+            RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, terms.bakeUs, 6 * S, 2 * S, desk.caps(),
                 0, false, false, terms.free, terms.voices(terms.backShare), terms.callsPerS, false);
             RelaySettings charter = new RelaySettings(terms.seed * 1000 + number * 31L + life, terms.relays, number,
                 routes, List.of(), 1, 5, true, true, 2 * S, false, terms.coldFrom, terms.warmUs,
