--- a/src/main/java/gatelock/bench/Terms.java
+++ b/src/main/java/gatelock/bench/Terms.java
@@ -2,7 +2,7 @@
 
 import gatelock.relay.RelaySettings;
 import gatelock.relay.RolloutPolicy;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -40,14 +40,14 @@
     /** Reads path=value pairs; {@link MalformedLine} where one is not of its kind. */
     public static RelaySettings read(long seed, Map<String, String> pairs) {
         Terms t = new Terms(pairs);
-        List<Route> routes = new ArrayList<>();
+        List<RoutePolicy> routes = new ArrayList<>();
         for (int i = 0; i < t.whole("lanes.count", 0); i++) {
             String p = "lanes." + i + ".";
-            routes.add(new Route(t.word(p + "effect", Map.of("repeatable", Route.Repeat.RETRIABLE,
-                    "by_key", Route.Repeat.DEDUPED, "once", Route.Repeat.NON_RETRIABLE),
-                Route.Repeat.NON_RETRIABLE),
-                t.word(p + "dedupScope", Map.of("all", Route.Group.ALL, "zone", Route.Group.ZONE,
-                    "cell", Route.Group.CELL), Route.Group.CELL),
+            routes.add(new RoutePolicy(t.word(p + "effect", Map.of("repeatable", RoutePolicy.Repeat.RETRIABLE,
+                    "by_key", RoutePolicy.Repeat.DEDUPED, "once", RoutePolicy.Repeat.NON_RETRIABLE),
+                RoutePolicy.Repeat.NON_RETRIABLE),
+                t.word(p + "dedupScope", Map.of("all", RoutePolicy.Group.ALL, "zone", RoutePolicy.Group.ZONE,
+                    "cell", RoutePolicy.Group.CELL), RoutePolicy.Group.CELL),
                 t.us(p + "keyTtlNs"), t.us(p + "targetNs"), t.real(p + "worth", 1)));
         }
         List<RelaySettings.Tenant> tenants = new ArrayList<>();
--- a/src/main/java/gatelock/boot/Rehearsal.java
+++ b/src/main/java/gatelock/boot/Rehearsal.java
@@ -4,7 +4,7 @@
 import gatelock.kept.UnitAnswer;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 import gatelock.wire.Front;
 import gatelock.wire.Line;
 import gatelock.wire.Lines;
@@ -135,9 +135,9 @@
             return;
         }
         int n = asked++;
-        List<Route> routes = told.charter().routes();
+        List<RoutePolicy> routes = told.charter().routes();
         int route = n % routes.size();
-        boolean get = routes.get(route).repeat() == Route.Repeat.RETRIABLE;
+        boolean get = routes.get(route).repeat() == RoutePolicy.Repeat.RETRIABLE;
         String name = told.settings().get("lanes." + route + ".name");
         String body = get ? "" : "0".repeat(200);
         String text = (get ? "GET /" : "POST /") + name + " HTTP/1.1\r\nHost: rehearsal\r\nX-Trace-Id: "
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -177,7 +177,7 @@
         this.tenantRate = Fading.of(charter.tenants().size(), RATE_MEMORY_US);
         this.routeInFlight = new int[charter.routes().size()];
         this.routeSlow = Fading.of(charter.routes().size(), WORK_MEMORY_US);
-        this.topValue = charter.routes().stream().mapToDouble(Route::value).max().orElse(1);
+        this.topValue = charter.routes().stream().mapToDouble(RoutePolicy::value).max().orElse(1);
         this.logLevel = Bootstrap.logLevel(FALSE_BACKS, charter.relays(),
             Math.max(1, charter.rollout().backVotes()));
         this.stretch = Math.max(1, Bootstrap.normalWidth(logLevel) / TAIL_WIDTH);
@@ -373,7 +373,7 @@
 
     private final class Rq implements RequestHandle {
         private final String id;
-        private final Route route;
+        private final RoutePolicy route;
         private final int routeNo;
         private final int tenant;
         private final long key;
@@ -439,8 +439,8 @@
 
         /** Rule 2: whether a further try may go to this unit, after its first n tries. */
         private boolean mayRepeatAt(Unit unit, int n) {
-            return route.repeat() == Route.Repeat.RETRIABLE || tries.stream().limit(n).allMatch(t ->
-                t.neverRan() || route.repeat() == Route.Repeat.DEDUPED
+            return route.repeat() == RoutePolicy.Repeat.RETRIABLE || tries.stream().limit(n).allMatch(t ->
+                t.neverRan() || route.repeat() == RoutePolicy.Repeat.DEDUPED
                 && nowUs - t.sentUs < route.rememberUs() * 8 / 10 && switch (route.group()) {
                     case ALL -> true;
                     case ZONE -> t.unit.at.zone() == unit.at.zone();
@@ -450,7 +450,7 @@
 
         /** A try has failed: one more, within the budget, or the final answer at once. */
         private void again() {
-            boolean may = nowUs < endUs && (neverRan() || route.repeat() != Route.Repeat.NON_RETRIABLE);
+            boolean may = nowUs < endUs && (neverRan() || route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE);
             AttemptResult last = tries.get(tries.size() - 1).ending;
             double price = last == AttemptResult.NOT_CONNECTED || last == AttemptResult.NOT_SENT ? RECONNECT : 1;
             if (may && retryTokens >= price && tries.size() < Math.min(charter.tryLimit(), bounds.mostTries())
@@ -463,8 +463,8 @@
         }
 
         private void turnAway() {
-            boolean harmless = nowUs < endUs && (neverRan() || route.repeat() == Route.Repeat.RETRIABLE
-                || route.repeat() == Route.Repeat.DEDUPED && route.group() == Route.Group.ALL);
+            boolean harmless = nowUs < endUs && (neverRan() || route.repeat() == RoutePolicy.Repeat.RETRIABLE
+                || route.repeat() == RoutePolicy.Repeat.DEDUPED && route.group() == RoutePolicy.Group.ALL);
             finish();
             if (harmless) {
                 out.shed(id, charter.pausesHeard() ? Math.min(charter.longestPauseUs(), SHED_PAUSE_US) : 0);
@@ -575,7 +575,7 @@
         private boolean mayTake(Rq rq) {
             boolean guarded = (number == newest ? stage : 0) < charter.rollout().guardedStages();
             return isOpen() && keyAllows(rq) && (!onTrial() || room.has(rq.routeNo)
-                && (!guarded || rq.route.repeat() == Route.Repeat.RETRIABLE));
+                && (!guarded || rq.route.repeat() == RoutePolicy.Repeat.RETRIABLE));
         }
 
         /** Rule 5: nothing new to a build that went back, or that is on trial without a cap. */
@@ -597,7 +597,7 @@
             for (int i = 0, found = 0; i < ready.size() && found < 2; i++) {
                 Collections.swap(ready, i, i + chance.nextInt(ready.size() - i));
                 Unit u = ready.get(i);
-                boolean tryBad = rq.route.repeat() == Route.Repeat.RETRIABLE && rq.tries.isEmpty()
+                boolean tryBad = rq.route.repeat() == RoutePolicy.Repeat.RETRIABLE && rq.tries.isEmpty()
                     && chance.nextDouble() < TRY_BAD;
                 if (rq.bounds.reaches(u.at.unit()) && u.hasRoom(rq, claim)
                         && rq.mayRepeatAt(u, rq.tries.size()) && rq.tries.stream().noneMatch(t -> t.unit == u)
@@ -731,7 +731,7 @@
             inFlight--;
             failures.add(nowUs, 1);
             zones.add(nowUs, at.zone(), true);
-            if (!t.rq.over && t.rq.route.repeat() != Route.Repeat.NON_RETRIABLE && charter.mayCancel()
+            if (!t.rq.over && t.rq.route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE && charter.mayCancel()
                     && someBad && retryTokens >= 1) {
                 t.cancelled = true;
                 ReleaseGate.this.out.cancel(t.rq.id, t.number);
@@ -838,7 +838,7 @@
     }
 
     /** What may be in flight over all units: measured rate x time, and this relay's share of a floor. */
-    private double mostInFlight(Route route) {
+    private double mostInFlight(RoutePolicy route) {
         double perUs = answers.count(nowUs) / RATE_MEMORY_US;
         double took = IntStream.range(0, routeSlow.length)
             .mapToDouble(r -> usualTook(r) / charter.routes().get(r).objectiveUs()).min().orElse(0);
--- a/src/main/java/gatelock/plan/Checks.java
+++ b/src/main/java/gatelock/plan/Checks.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -213,18 +213,18 @@
             }
         }
         if (classNo != null) {
-            Route terms = grounds.terms().get(classNo);
+            RoutePolicy terms = grounds.terms().get(classNo);
             method(line, terms);
-            if (line.sessions() != null && terms.repeat() != Route.Repeat.RETRIABLE) {
+            if (line.sessions() != null && terms.repeat() != RoutePolicy.Repeat.RETRIABLE) {
                 findings.add(Draft.grave("M-SESSION", at(line, "sessions"),
                     "sessions are opened by GET, and reqs of class "
                     + line.className() + " come by POST",
                     "give the route a retriable class, or take sessions out"));
             }
-            if (poolStands && retriesStand && terms.repeat() == Route.Repeat.NON_RETRIABLE) {
+            if (poolStands && retriesStand && terms.repeat() == RoutePolicy.Repeat.NON_RETRIABLE) {
                 once(line);
             }
-            if (poolStands && terms.repeat() == Route.Repeat.DEDUPED) {
+            if (poolStands && terms.repeat() == RoutePolicy.Repeat.DEDUPED) {
                 groups(line, terms);
             }
         }
@@ -248,8 +248,8 @@
     }
 
     /** A class fixes its method: the route of another leads nowhere. */
-    private void method(Sheet.Line line, Route terms) {
-        String method = terms.repeat() == Route.Repeat.RETRIABLE ? "GET" : "POST";
+    private void method(Sheet.Line line, RoutePolicy terms) {
+        String method = terms.repeat() == RoutePolicy.Repeat.RETRIABLE ? "GET" : "POST";
         Set<String> methods = line.match().methods();
         if (!methods.isEmpty() && !methods.contains(method)) {
             findings.add(Draft.grave("M-METHOD", at(line, "methods"), "reqs of class " + line.className()
@@ -300,8 +300,8 @@
     }
 
     /** A repeat must meet the units that drop it: one zone's or one cell's. */
-    private void groups(Sheet.Line line, Route terms) {
-        if (terms.group() == Route.Group.ALL) {
+    private void groups(Sheet.Line line, RoutePolicy terms) {
+        if (terms.group() == RoutePolicy.Group.ALL) {
             return;
         }
         List<String> chain = chain(line.pool());
@@ -312,18 +312,18 @@
             any |= its.isMissingNode();
             its.forEach(z -> zones.add(z.asText()));
         }
-        boolean zoned = terms.group() == Route.Group.ZONE && !any && zones.size() == 1
-            || grounds.zones().size() <= 1 && terms.group() == Route.Group.ZONE;
-        boolean single = terms.group() == Route.Group.CELL && chain.size() <= 1;
+        boolean zoned = terms.group() == RoutePolicy.Group.ZONE && !any && zones.size() == 1
+            || grounds.zones().size() <= 1 && terms.group() == RoutePolicy.Group.ZONE;
+        boolean single = terms.group() == RoutePolicy.Group.CELL && chain.size() <= 1;
         if (!zoned && !single) {
             findings.add(Draft.grave("M-GROUP", at(line, "pool"), "route " + line.name()
                 + " is of the deduped class "
-                + line.className() + ", whose repeats one " + (terms.group() == Route.Group.ZONE ? "zone"
+                + line.className() + ", whose repeats one " + (terms.group() == RoutePolicy.Group.ZONE ? "zone"
                 : "cell")
                 + " remembers, and its pools " + (any && chain.isEmpty() ? "(none is named: all units)"
                 : chain.toString())
                 + " reach more than one",
-                terms.group() == Route.Group.ZONE ? "give it pools of one zone, its fallbacks too"
+                terms.group() == RoutePolicy.Group.ZONE ? "give it pools of one zone, its fallbacks too"
                     : "give its pool no fallback"));
         }
     }
--- a/src/main/java/gatelock/plan/Grounds.java
+++ b/src/main/java/gatelock/plan/Grounds.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 
 import java.util.List;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * @param deadlinesUs of each class, by place; 0: none is stated
  * @param tenants place by name
  */
-public record Grounds(Map<String, Integer> classes, List<Route> terms, List<Long> deadlinesUs,
+public record Grounds(Map<String, Integer> classes, List<RoutePolicy> terms, List<Long> deadlinesUs,
                       Map<String, Integer> tenants, List<String> zones, List<String> kinds) {
 
     /** A class's name by its place. */
--- a/src/main/java/gatelock/relay/RelaySettings.java
+++ b/src/main/java/gatelock/relay/RelaySettings.java
@@ -7,7 +7,7 @@
  * {@code openingPrice}: of a new connection to a unit, as a share of a req's worth; {@code keptUs}: how long
  * one is kept without a req.
  */
-public record RelaySettings(long seed, int relays, int number, List<Route> routes, List<Tenant> tenants,
+public record RelaySettings(long seed, int relays, int number, List<RoutePolicy> routes, List<Tenant> tenants,
                       double overShareValue, int tryLimit, boolean mayCancel, boolean pausesHeard,
                       long longestPauseUs, boolean mustAskForList, double coldFrom, long warmWithinUs,
                       double coldMultiple, long coldWindowUs, double openingPrice, long keptUs,
--- a/src/main/java/gatelock/relay/Route.java
+++ b/src/main/java/gatelock/relay/RoutePolicy.java
@@ -1,7 +1,7 @@
 package gatelock.relay;
 
 /** What was agreed for the reqs of one route. */
-public record Route(Repeat repeat, Group group, long rememberUs, long objectiveUs, double value) {
+public record RoutePolicy(Repeat repeat, Group group, long rememberUs, long objectiveUs, double value) {
 
     /** Whether a req may run again. */
     public enum Repeat { RETRIABLE, DEDUPED, NON_RETRIABLE }
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -8,7 +8,7 @@
 import gatelock.plan.Asked;
 import gatelock.plan.SessionTerms;
 import gatelock.relay.DecisionEngine;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.io.IoCallback;
@@ -54,7 +54,7 @@
         Headers.EXPECT, EXPIRES);
 
     /** The names that a req may bear, as the deployment numbers them. */
-    public record Names(Map<String, Integer> routes, Map<String, Integer> tenants, List<Route> terms,
+    public record Names(Map<String, Integer> routes, Map<String, Integer> tenants, List<RoutePolicy> terms,
                         List<Long> deadlinesUs) {
     }
 
@@ -181,8 +181,8 @@
             return 404;
         }
         boolean get = exchange.getRequestMethod().equalToString("GET");
-        Route.Repeat repeat = names.terms.get(route).repeat();
-        if (get != (repeat == Route.Repeat.RETRIABLE) || !get && !exchange.getRequestMethod()
+        RoutePolicy.Repeat repeat = names.terms.get(route).repeat();
+        if (get != (repeat == RoutePolicy.Repeat.RETRIABLE) || !get && !exchange.getRequestMethod()
             .equalToString("POST")) {
             return 405;
         }
@@ -203,7 +203,7 @@
         }
         String expires = headers.getFirst(EXPIRES);
         boolean timed = expires == null || expiresMs(expires, names.deadlinesUs.get(route)) > 0;
-        boolean keyed = repeat != Route.Repeat.DEDUPED || once(headers, ONCE) != null;
+        boolean keyed = repeat != RoutePolicy.Repeat.DEDUPED || once(headers, ONCE) != null;
         return once(headers, TRACE) != null && keyed && timed && headers.count(EXPIRES) <= 1 ? 0 : 400;
     }
 
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -12,7 +12,7 @@
 import gatelock.relay.Endpoint;
 import gatelock.relay.LoadReport;
 import gatelock.relay.RolloutPolicy;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 import gatelock.standin.QuietOutlet;
 
 import java.lang.reflect.Field;
@@ -32,7 +32,7 @@
     void theDecisionsForgetWhatLeft() throws Exception {
         RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000, new double[] {0.2, 1}, 0,
             false, true, 2, 1, 10, false);
-        DecisionEngine gate = new ReleaseGate(new RelaySettings(7, 1, 0, List.of(new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1)),
+        DecisionEngine gate = new ReleaseGate(new RelaySettings(7, 1, 0, List.of(new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1)),
             List.of(), 1, 3, true, true, 1_000_000, false, 0.5, 3_000_000, 2.5, 1_000_000, 0, 0, rollout), new Noting());
         long nowUs = 1_000_000;
         gate.start(nowUs);
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -11,7 +11,7 @@
 import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.RolloutPolicy;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 import gatelock.relay.Verdict;
 
 import java.io.IOException;
@@ -238,11 +238,11 @@
 
         private DecisionEngine gate() {
             if (gate == null) {
-                List<Route> routes = new ArrayList<>();
+                List<RoutePolicy> routes = new ArrayList<>();
                 for (String r : terms.getOrDefault("routes", "retriable").split(",")) {
                     String[] p = r.split(":");
-                    Route.Group group = p.length > 1 ? Route.Group.valueOf(p[1].toUpperCase()) : Route.Group.ALL;
-                    routes.add(new Route(Route.Repeat.valueOf(p[0].toUpperCase().replace('-', '_')), group,
+                    RoutePolicy.Group group = p.length > 1 ? RoutePolicy.Group.valueOf(p[1].toUpperCase()) : RoutePolicy.Group.ALL;
+                    routes.add(new RoutePolicy(RoutePolicy.Repeat.valueOf(p[0].toUpperCase().replace('-', '_')), group,
                         us(terms.getOrDefault("remember", "3s")), 1_000_000, routes.size() + 1));
                 }
                 double[] caps = Arrays.stream(terms.getOrDefault("caps", "0.2,0.6,1").split(","))
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -10,7 +10,7 @@
 import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.RolloutPolicy;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 import gatelock.standin.LongList;
 import gatelock.standin.Reach;
 import gatelock.standin.QuietOutlet;
@@ -70,9 +70,9 @@
         RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000,
             new double[] {0.2, 0.6, 1}, 0, false, false, 2, 1, 10, false);
         return new ReleaseGate(new RelaySettings(17, RELAYS, 0, List.of(
-            new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1),
-            new Route(Route.Repeat.DEDUPED, Route.Group.ALL, 5_000_000, 400_000, 3),
-            new Route(Route.Repeat.NON_RETRIABLE, Route.Group.ALL, 0, 500_000, 3)), tenants, 0.5, 3, true, true,
+            new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
+            new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 5_000_000, 400_000, 3),
+            new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3)), tenants, 0.5, 3, true, true,
             2_000_000, false, 0.4, 3_000_000, 2.5, 1_000_000, 0, 22_500_000, rollout), out);
     }
 
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -12,7 +12,7 @@
 import gatelock.relay.LoadReport;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.RolloutPolicy;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 import gatelock.relay.Verdict;
 import gatelock.standin.Reach;
 
@@ -136,10 +136,10 @@
         ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
     private final Map<String, Unit> units = new LinkedHashMap<>();
     private final List<Relay> relays = new ArrayList<>();
-    private final List<Route> routes = List.of(
-        new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 10 * S, 2 * S, 2),
-        new Route(Route.Repeat.DEDUPED, Route.Group.ALL, 12 * S, 3 * S, 5),
-        new Route(Route.Repeat.NON_RETRIABLE, Route.Group.ALL, 10 * S, 4 * S, 5));
+    private final List<RoutePolicy> routes = List.of(
+        new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 10 * S, 2 * S, 2),
+        new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 12 * S, 3 * S, 5),
+        new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 10 * S, 4 * S, 5));
     private final long[] waitsUs = {5 * S, 12 * S, 16 * S};
     private long nowUs;
     private long order;
--- a/src/test/java/gatelock/fleet/Records.java
+++ b/src/test/java/gatelock/fleet/Records.java
@@ -1,7 +1,7 @@
 package gatelock.fleet;
 
 import gatelock.relay.Endpoint;
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -23,7 +23,7 @@
  * asks a relay what it meant.
  */
 final class Records {
-    record Taken(String id, int relay, Route route, long atUs, long endUs) {
+    record Taken(String id, int relay, RoutePolicy route, long atUs, long endUs) {
     }
 
     record Answer(String id, long atUs, boolean completed) {
@@ -230,12 +230,12 @@
     }
 
     private void noEffectTwice(List<String> found) {
-        Map<String, Route> routes = new HashMap<>();
+        Map<String, RoutePolicy> routes = new HashMap<>();
         taken.forEach(t -> routes.put(t.id, t.route));
         Map<String, Integer> times = new HashMap<>();
         ran.forEach(r -> times.merge(r.id, 1, Integer::sum));
         times.forEach((id, n) -> {
-            if (n > 1 && routes.get(id).repeat() == Route.Repeat.NON_RETRIABLE) {
+            if (n > 1 && routes.get(id).repeat() == RoutePolicy.Repeat.NON_RETRIABLE) {
                 found.add("rule 2: " + id + " ran " + n + " times");
             }
         });
--- a/src/test/java/gatelock/fleet/RecordsTest.java
+++ b/src/test/java/gatelock/fleet/RecordsTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 
 import org.junit.jupiter.api.Test;
 
 /** The checker names each rule that is broken, and nothing where none is. */
 final class RecordsTest {
     private static final long S = Fleet.S;
-    private static final Route ONCE = new Route(Route.Repeat.NON_RETRIABLE, Route.Group.ALL, S, S, 1);
+    private static final RoutePolicy ONCE = new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, S, S, 1);
     private final Fleet.Terms terms = new Fleet.Terms();
     private final Records records = new Records();
 
--- a/src/test/java/gatelock/plan/Samples.java
+++ b/src/test/java/gatelock/plan/Samples.java
@@ -1,6 +1,6 @@
 package gatelock.plan;
 
-import gatelock.relay.Route;
+import gatelock.relay.RoutePolicy;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -9,9 +9,9 @@
 /** A small deployment, and versions for it. */
 public final class Samples {
     public static final Grounds GROUNDS = new Grounds(Map.of("read", 0, "post", 1, "claim", 2), List.of(
-        new Route(Route.Repeat.RETRIABLE, Route.Group.ALL, 0, 250_000, 1),
-        new Route(Route.Repeat.DEDUPED, Route.Group.ZONE, 5_000_000, 400_000, 3),
-        new Route(Route.Repeat.NON_RETRIABLE, Route.Group.ALL, 0, 500_000, 3)),
+        new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
+        new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ZONE, 5_000_000, 400_000, 3),
+        new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3)),
         List.of(1_000_000L, 2_000_000L, 3_000_000L), Map.of("acme", 0, "bee", 1), List.of("east", "west"),
         List.of("small", "large"));
 
