--- a/src/main/java/gatelock/decision/Allowance.java
+++ b/src/main/java/gatelock/decision/ExposureBudget.java
@@ -7,11 +7,11 @@
  * earned in it and {@code most}: as no more than that is ever saved up, no window opens after what earned it
  * has aged out.
  */
-final class Allowance {
+final class ExposureBudget {
     private final double most;
     private final double[] room;
 
-    Allowance(int slots, double most) {
+    ExposureBudget(int slots, double most) {
         this.most = most;
         room = new double[slots];
         Arrays.fill(room, most);
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -553,14 +553,14 @@
         private final List<Unit> ready = new ArrayList<>();
         private final Ledger own = new Ledger(EARLIER_SLICES, MOST_HELD, chance);
         private final Ledger counts = new Ledger(EARLIER_SLICES * charter.routes().size(), 0, chance);
-        private final Allowance room; // rule 5, by what the cap has earned
+        private final ExposureBudget room; // rule 5, by what the cap has earned
         private final Fading slowness = new Fading(SPEED_MEMORY_US);
         private final Fading ahead = new Fading(RATE_MEMORY_US);
 
         Build(int number) {
             this.number = number;
             int slots = charter.rollout().perRoute() ? charter.routes().size() : 1;
-            room = new Allowance(slots, charter.rollout().free());
+            room = new ExposureBudget(slots, charter.rollout().free());
         }
 
         private boolean onTrial() {
