--- a/src/main/java/gatelock/decision/ByKind.java
+++ b/src/main/java/gatelock/decision/DecayingMeanByKind.java
@@ -4,12 +4,12 @@
 import java.util.TreeMap;
 
 /** A figure that fades, over all and by kind. */
-final class ByKind {
+final class DecayingMeanByKind {
     private final double memoryUs;
     private final Fading all;
     private final Map<Integer, Fading> kinds = new TreeMap<>();
 
-    ByKind(double memoryUs) {
+    DecayingMeanByKind(double memoryUs) {
         this.memoryUs = memoryUs;
         all = new Fading(memoryUs);
     }
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -124,7 +124,7 @@
     private double takenBefore;
     private long startUs;
     private final Silence zones = new Silence(ZONE_MEMORY_US);
-    private final ByKind slowByKind = new ByKind(SPEED_MEMORY_US);
+    private final DecayingMeanByKind slowByKind = new DecayingMeanByKind(SPEED_MEMORY_US);
     private int places = 1;
     private int inFlight;
     private final int[] routeInFlight;
