--- a/src/main/java/gatelock/decision/Fading.java
+++ b/src/main/java/gatelock/decision/DecayingSum.java
@@ -3,20 +3,20 @@
 import java.util.Arrays;
 
 /** A sum and a count that fade: what was added a memory ago counts 1/e. */
-final class Fading {
+final class DecayingSum {
     private final double memoryUs;
     private double sum;
     private double count;
     private long atUs;
 
-    Fading(double memoryUs) {
+    DecayingSum(double memoryUs) {
         this.memoryUs = memoryUs;
     }
 
     /** So many of one memory. */
-    static Fading[] of(int count, double memoryUs) {
-        Fading[] all = new Fading[count];
-        Arrays.setAll(all, i -> new Fading(memoryUs));
+    static DecayingSum[] of(int count, double memoryUs) {
+        DecayingSum[] all = new DecayingSum[count];
+        Arrays.setAll(all, i -> new DecayingSum(memoryUs));
         return all;
     }
 
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -116,11 +116,11 @@
     private final TreeMap<Integer, Build> builds = new TreeMap<>();
     private final Map<Long, Rq> byToken = new HashMap<>();
     private final Map<Long, Integer> pinned = new HashMap<>();
-    private final Fading[] cost;
-    private final Fading[] tenantRate;
-    private final Fading answers = new Fading(RATE_MEMORY_US);
-    private final Fading done = new Fading(WORK_MEMORY_US);
-    private final Fading taken = new Fading(WORK_MEMORY_US);
+    private final DecayingSum[] cost;
+    private final DecayingSum[] tenantRate;
+    private final DecayingSum answers = new DecayingSum(RATE_MEMORY_US);
+    private final DecayingSum done = new DecayingSum(WORK_MEMORY_US);
+    private final DecayingSum taken = new DecayingSum(WORK_MEMORY_US);
     private double takenBefore;
     private long startUs;
     private final Silence zones = new Silence(ZONE_MEMORY_US);
@@ -128,10 +128,10 @@
     private int places = 1;
     private int inFlight;
     private final int[] routeInFlight;
-    private final Fading[] routeSlow;
+    private final DecayingSum[] routeSlow;
     private boolean someBad = true;
-    private final Fading refused = new Fading(WORK_MEMORY_US);
-    private final Fading heard = new Fading(WORK_MEMORY_US);
+    private final DecayingSum refused = new DecayingSum(WORK_MEMORY_US);
+    private final DecayingSum heard = new DecayingSum(WORK_MEMORY_US);
     private final Set<Rq.Try> triesOut = new LinkedHashSet<>();
     private long nowUs;
     private long stoodUs = Long.MIN_VALUE / 2;
@@ -173,10 +173,10 @@
         this.charter = charter;
         this.out = out;
         this.chance = new SplittableRandom(charter.seed());
-        this.cost = Fading.of(charter.routes().size() + 1, 20.0 * SECOND);
-        this.tenantRate = Fading.of(charter.tenants().size(), RATE_MEMORY_US);
+        this.cost = DecayingSum.of(charter.routes().size() + 1, 20.0 * SECOND);
+        this.tenantRate = DecayingSum.of(charter.tenants().size(), RATE_MEMORY_US);
         this.routeInFlight = new int[charter.routes().size()];
-        this.routeSlow = Fading.of(charter.routes().size(), WORK_MEMORY_US);
+        this.routeSlow = DecayingSum.of(charter.routes().size(), WORK_MEMORY_US);
         this.topValue = charter.routes().stream().mapToDouble(RoutePolicy::value).max().orElse(1);
         this.logLevel = Bootstrap.logLevel(FALSE_BACKS, charter.relays(),
             Math.max(1, charter.rollout().backVotes()));
@@ -554,8 +554,8 @@
         private final Ledger own = new Ledger(EARLIER_SLICES, MOST_HELD, chance);
         private final Ledger counts = new Ledger(EARLIER_SLICES * charter.routes().size(), 0, chance);
         private final ExposureBudget room; // rule 5, by what the cap has earned
-        private final Fading slowness = new Fading(SPEED_MEMORY_US);
-        private final Fading ahead = new Fading(RATE_MEMORY_US);
+        private final DecayingSum slowness = new DecayingSum(SPEED_MEMORY_US);
+        private final DecayingSum ahead = new DecayingSum(RATE_MEMORY_US);
 
         Build(int number) {
             this.number = number;
@@ -625,10 +625,10 @@
         private final Endpoint at;
         private final Build build;
         private final Set<Rq.Try> out = new LinkedHashSet<>();
-        private final Fading slowness = new Fading(unitMemoryUs);
-        private final Fading failures = new Fading(unitMemoryUs);
-        private final Fading answers = new Fading(RATE_MEMORY_US);
-        private final Fading ahead = new Fading(RATE_MEMORY_US);
+        private final DecayingSum slowness = new DecayingSum(unitMemoryUs);
+        private final DecayingSum failures = new DecayingSum(unitMemoryUs);
+        private final DecayingSum answers = new DecayingSum(RATE_MEMORY_US);
+        private final DecayingSum ahead = new DecayingSum(RATE_MEMORY_US);
         private double budget = -chance.nextDouble() * meanCost();
         private long budgetUs = nowUs;
         private Endpoint.Health health;
@@ -854,7 +854,7 @@
     }
 
     /** Of late, as if it had come for long. */
-    private double work(Fading sum) {
+    private double work(DecayingSum sum) {
         return sum.sum(nowUs) / (1 - Math.exp((startUs - nowUs - 1) / WORK_MEMORY_US));
     }
 
--- a/src/main/java/gatelock/decision/Silence.java
+++ b/src/main/java/gatelock/decision/Silence.java
@@ -8,7 +8,7 @@
 /** Of late tries, how many had no answer, by the place where they went. */
 final class Silence {
     private final double memoryUs;
-    private final Map<Integer, Fading> places = new TreeMap<>();
+    private final Map<Integer, DecayingSum> places = new TreeMap<>();
     private Set<Integer> silent = Set.of();
 
     Silence(double memoryUs) {
@@ -16,7 +16,7 @@
     }
 
     void add(long nowUs, int place, boolean silent) {
-        places.computeIfAbsent(place, p -> new Fading(memoryUs)).add(nowUs, silent ? 1 : 0);
+        places.computeIfAbsent(place, p -> new DecayingSum(memoryUs)).add(nowUs, silent ? 1 : 0);
     }
 
     /**
