--- a/src/main/java/gatelock/decision/Finding.java
+++ b/src/main/java/gatelock/decision/Assessment.java
@@ -1,7 +1,7 @@
 package gatelock.decision;
 
 /** What outcomes say of a build; SUSPECT: not a fail, but not to be passed over either. */
-enum Finding {
+enum Assessment {
     NO_VERDICT, PASS, CLOSE, SUSPECT, SLOW, ERRORS;
 
     boolean fails() {
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -870,16 +870,16 @@
         if (trial == null || phase == Phase.REVERTING || phase == Phase.WITHDRAWN) {
             return;
         }
-        Finding finding = find(trial, earlierThan(newest));
+        Assessment finding = find(trial, earlierThan(newest));
         long sinceUs = Math.min(BEAT_US, nowUs - weighedUs);
         long lastedUs = failedUs + (finding.fails() ? sinceUs : -sinceUs);
-        failedUs = finding == Finding.PASS ? 0 : Math.max(0, lastedUs);
+        failedUs = finding == Assessment.PASS ? 0 : Math.max(0, lastedUs);
         weighedUs = nowUs;
-        long confirmUs = finding == Finding.ERRORS || many ? CONFIRM_ERRORS_US : CONFIRM_SLOW_US;
+        long confirmUs = finding == Assessment.ERRORS || many ? CONFIRM_ERRORS_US : CONFIRM_SLOW_US;
         boolean sure = finding.fails() && failedUs >= confirmUs;
         if (phase == Phase.RELEASED) {
             // Released: nothing shows like load any more; errors count, or many voices.
-            boolean bad = sure && (finding == Finding.ERRORS || many) && nowUs - stageFromUs < WATCH_US;
+            boolean bad = sure && (finding == Assessment.ERRORS || many) && nowUs - stageFromUs < WATCH_US;
             cast(bad ? Verdict.BACK : Verdict.NONE);
             return;
         }
@@ -887,14 +887,14 @@
         Verdict verdict;
         if (finding.fails()) {
             verdict = sure ? Verdict.BACK : Verdict.HOLD;
-        } else if (finding == Finding.PASS) {
+        } else if (finding == Assessment.PASS) {
             verdict = nowUs < leastUs ? Verdict.NONE : Verdict.ON;
         } else {
             boolean late = few(trial) && charter.rollout().counts();
             // Where half the outcomes are missing, a little more time brings no verdict either.
             int seen = Slice.seen(trial.own.from(weighedFrom()));
-            long shortUs = finding == Finding.NO_VERDICT && seen < FEWEST / 2 ? 0 : PATIENCE_US;
-            long waitUs = finding == Finding.SUSPECT || late ? LONG_PATIENCE_US : shortUs;
+            long shortUs = finding == Assessment.NO_VERDICT && seen < FEWEST / 2 ? 0 : PATIENCE_US;
+            long waitUs = finding == Assessment.SUSPECT || late ? LONG_PATIENCE_US : shortUs;
             verdict = nowUs < leastUs + waitUs ? Verdict.HOLD : Verdict.ON;
         }
         boolean clock = charter.rollout().gatekeeping() == RolloutPolicy.Gatekeeping.CLOCK;
@@ -974,11 +974,11 @@
      * more of the trial than these, counts decide unless own outcomes fail for sure: late, means for
      * percentiles, and the same for every relay, so that one relay's chance does not add to another's.
      */
-    private Finding find(Build trial, Build earlier) {
+    private Assessment find(Build trial, Build earlier) {
         if (earlier == null) {
-            return many ? oneOfMany(trial.own.from(weighedFrom()), List.of(), List.of()) : Finding.NO_VERDICT;
+            return many ? oneOfMany(trial.own.from(weighedFrom()), List.of(), List.of()) : Assessment.NO_VERDICT;
         }
-        Finding found = compare(trial, trial.own, earlier.own, earlier.own.all(), MARGIN, FLEET_MARGIN,
+        Assessment found = compare(trial, trial.own, earlier.own, earlier.own.all(), MARGIN, FLEET_MARGIN,
             stretch);
         if (found.fails() || !few(trial)) {
             return found;
@@ -989,15 +989,15 @@
     }
 
     /** Intervals of the trial's errors and percentile against the bars, and what else lies behind a fail. */
-    private Finding compare(Build trial, Ledger its, Ledger earlier, List<Slice> theirs, double margin,
+    private Assessment compare(Build trial, Ledger its, Ledger earlier, List<Slice> theirs, double margin,
                             double fleet, double stretch) {
         List<Slice> mine = its.from(weighedFrom());
-        Finding found = compare(mine, theirs, margin, stretch, FEWEST);
-        boolean slow = found == Finding.SLOW;
+        Assessment found = compare(mine, theirs, margin, stretch, FEWEST);
+        boolean slow = found == Assessment.SLOW;
         String said = ground;
         if (!found.fails() && its == trial.own && many) {
-            Finding asOne = oneOfMany(mine, theirs, earlier.from(weighedFrom()));
-            if (asOne != Finding.NO_VERDICT) {
+            Assessment asOne = oneOfMany(mine, theirs, earlier.from(weighedFrom()));
+            if (asOne != Assessment.NO_VERDICT) {
                 return asOne;
             }
             ground = said;
@@ -1014,7 +1014,7 @@
             List<Slice> well = slow ? Slice.withoutWorst(mine, Outcome::slowness, SLOW_PART)
                 : Slice.without(mine, odd);
             boolean rest = alone || compare(well, theirs, MARGIN, stretch, FEWEST / 2) == found;
-            return rest ? found : Finding.SUSPECT;
+            return rest ? found : Assessment.SUSPECT;
         }
         // Guards against a build that slows old and new units alike, which the relative bar hides: all units
         // are set against what the earlier build needed before the trial, without the worse half of them, as
@@ -1027,16 +1027,16 @@
         all.addAll(earlier.from(weighedFrom()));
         List<Object> units = Slice.worst(all, Outcome::slowness);
         List<Slice> best = Slice.without(all, units.subList(0, (int) (units.size() * SLOW_PART)));
-        boolean allSlow = compare(best, earlier.before(), fleet, stretch, FEWEST) == Finding.SLOW;
+        boolean allSlow = compare(best, earlier.before(), fleet, stretch, FEWEST) == Assessment.SLOW;
         ground = allSlow ? ground : said;
-        return allSlow ? Finding.SLOW : found;
+        return allSlow ? Assessment.SLOW : found;
     }
 
-    private Finding compare(List<Slice> mine, List<Slice> theirs, double margin, double stretch, int fewest) {
+    private Assessment compare(List<Slice> mine, List<Slice> theirs, double margin, double stretch, int fewest) {
         int seen = Slice.seen(mine);
         ground = seen + " outcomes";
         if (seen < fewest) {
-            return Finding.NO_VERDICT;
+            return Assessment.NO_VERDICT;
         }
         int[] once = Bootstrap.once(theirs.size());
         // What strikes both builds is not held against one; sick units of the earlier build are no excuse.
@@ -1053,22 +1053,22 @@
         boolean enough = mine.size() >= FEWEST_SLICES;
         ground += String.format(", errors %.3f to %.3f, bar %.3f", errors[0], errors[1], errorBar);
         if (errors[0] > errorBar && enough) {
-            return Finding.ERRORS;
+            return Assessment.ERRORS;
         }
         LikeLoad like = new LikeLoad(theirs, LOAD_STEPS, FEWEST / 2);
         double[][] there = like.against(theirs, 0);
         double[][] here = like.against(mine, Math.max(WARM_UP_US, charter.warmWithinUs()));
         if (here.length < fewest || there.length == 0) {
-            return Finding.NO_VERDICT;
+            return Assessment.NO_VERDICT;
         }
         double bar = margin * Bootstrap.percentile(there, once, PERCENTILE);
         double[] slow = Bootstrap.interval(mine.size(), DRAWS, TAIL, stretch, chance,
             times -> Bootstrap.percentile(here, times, PERCENTILE));
         ground += String.format(", slowness %.2f to %.2f, bar %.2f", slow[0], slow[1], bar);
         if (slow[0] > bar && enough) {
-            return Finding.SLOW;
+            return Assessment.SLOW;
         }
-        return errors[1] < errorBar && slow[1] < bar ? Finding.PASS : Finding.CLOSE;
+        return errors[1] < errorBar && slow[1] < bar ? Assessment.PASS : Assessment.CLOSE;
     }
 
     /**
@@ -1076,11 +1076,11 @@
      * at the level at which as many voices as send it back are not wrong together. Units are counted. Could
      * harm where a trouble strikes mostly units on trial.
      */
-    private Finding oneOfMany(List<Slice> mine, List<Slice> theirs, List<Slice> lately) {
+    private Assessment oneOfMany(List<Slice> mine, List<Slice> theirs, List<Slice> lately) {
         double errorBar = Math.max(ERROR_BAR, MARGIN * Math.max(Slice.errors(theirs), Slice.errors(lately)));
-        Finding errors = past(Slice.seen(mine), Slice.outcomes(mine).filter(Outcome::failed), errorBar,
-            Finding.ERRORS);
-        if (errors == Finding.ERRORS) {
+        Assessment errors = past(Slice.seen(mine), Slice.outcomes(mine).filter(Outcome::failed), errorBar,
+            Assessment.ERRORS);
+        if (errors == Assessment.ERRORS) {
             return errors;
         }
         LikeLoad like = new LikeLoad(theirs, LOAD_STEPS, FEWEST / 2);
@@ -1090,17 +1090,17 @@
         long warmUs = Math.max(WARM_UP_US, charter.warmWithinUs());
         List<Outcome> warm = Slice.outcomes(mine).filter(o -> !o.failed() && o.ageUs() > warmUs
             && !(there.length > 0 && Double.isNaN(like.usual(o)))).toList();
-        Finding slow = past(warm.size(), warm.stream().filter(o -> there.length == 0 ? o.late()
-            : o.slowness() / like.usual(o) > bar), 1 - PERCENTILE, Finding.SLOW);
-        return slow == Finding.NO_VERDICT ? errors : slow;
+        Assessment slow = past(warm.size(), warm.stream().filter(o -> there.length == 0 ? o.late()
+            : o.slowness() / like.usual(o) > bar), 1 - PERCENTILE, Assessment.SLOW);
+        return slow == Assessment.NO_VERDICT ? errors : slow;
     }
 
     /** What it means that so many units are past a bar: as given if it is rarer than one voice may err. */
-    private Finding past(int seen, Stream<Outcome> past, double share, Finding fail) {
+    private Assessment past(int seen, Stream<Outcome> past, double share, Assessment fail) {
         int units = (int) past.map(Outcome::unit).distinct().count();
         double chance = Bootstrap.tail(seen, units, share);
         ground = seen + " outcomes, " + units + " units past the bar of " + String.format("%.3f", share);
-        Finding doubt = chance < DOUBT ? Finding.SUSPECT : Finding.NO_VERDICT;
+        Assessment doubt = chance < DOUBT ? Assessment.SUSPECT : Assessment.NO_VERDICT;
         return units > 1 && chance < Math.exp(logLevel) ? fail : doubt;
     }
 }
