--- a/src/main/java/gatelock/decision/Ledger.java
+++ b/src/main/java/gatelock/decision/OutcomeHistory.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 
 /** The latest slices of one build, and those that were kept at one time. */
-final class Ledger {
+final class OutcomeHistory {
     private final int most;
     private final int mostOutcomes;
     private final RandomGenerator chance;
@@ -15,7 +15,7 @@
     private int seenInLast;
 
     /** Keeps so many slices, and of what is added to one by one a fair sample of so many outcomes. */
-    Ledger(int most, int mostOutcomes, RandomGenerator chance) {
+    OutcomeHistory(int most, int mostOutcomes, RandomGenerator chance) {
         this.most = most;
         this.mostOutcomes = mostOutcomes;
         this.chance = chance;
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -263,7 +263,7 @@
             if (u == null || u.at.startUs() != l.startUs() || u.build.number != l.build()) {
                 // A restarted or re-used id is a new unit: nothing of its past holds.
                 if (!builds.containsKey(l.build())) {
-                    builds.values().stream().flatMap(b -> Stream.of(b.own, b.counts)).forEach(Ledger::keep);
+                    builds.values().stream().flatMap(b -> Stream.of(b.own, b.counts)).forEach(OutcomeHistory::keep);
                     takenBefore = work(taken);
                 }
                 u = new Unit(l, builds.computeIfAbsent(l.build(), Build::new));
@@ -551,8 +551,8 @@
     private final class Build {
         private final int number;
         private final List<Unit> ready = new ArrayList<>();
-        private final Ledger own = new Ledger(EARLIER_SLICES, MOST_HELD, chance);
-        private final Ledger counts = new Ledger(EARLIER_SLICES * charter.routes().size(), 0, chance);
+        private final OutcomeHistory own = new OutcomeHistory(EARLIER_SLICES, MOST_HELD, chance);
+        private final OutcomeHistory counts = new OutcomeHistory(EARLIER_SLICES * charter.routes().size(), 0, chance);
         private final ExposureBudget room; // rule 5, by what the cap has earned
         private final DecayingSum slowness = new DecayingSum(SPEED_MEMORY_US);
         private final DecayingSum ahead = new DecayingSum(RATE_MEMORY_US);
@@ -989,7 +989,7 @@
     }
 
     /** Intervals of the trial's errors and percentile against the bars, and what else lies behind a fail. */
-    private Assessment compare(Build trial, Ledger its, Ledger earlier, List<Slice> theirs, double margin,
+    private Assessment compare(Build trial, OutcomeHistory its, OutcomeHistory earlier, List<Slice> theirs, double margin,
                             double fleet, double stretch) {
         List<Slice> mine = its.from(weighedFrom());
         Assessment found = compare(mine, theirs, margin, stretch, FEWEST);
--- a/src/test/java/gatelock/decision/LedgerTest.java
+++ b/src/test/java/gatelock/decision/OutcomeHistoryTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test;
 
 /** What a ledger holds of very many outcomes. */
-final class LedgerTest {
+final class OutcomeHistoryTest {
 
     @Test
     void ofManyOutcomesAFairSampleIsHeldAndOfFewAll() {
-        Ledger ledger = new Ledger(20, 300, new SplittableRandom(7));
+        OutcomeHistory ledger = new OutcomeHistory(20, 300, new SplittableRandom(7));
         for (int i = 0; i < 10_000; i++) {
             // Only late ones fail: a sample of the first or the last alone would show it.
             ledger.add(1, new Outcome("u", 0, i >= 7_000, false, 1, 0, 0));
