--- a/src/main/java/gatelock/decision/LikeLoad.java
+++ b/src/main/java/gatelock/decision/LatencyByLoad.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /** Mean times of outcomes by machine kind and by load, in steps of one. */
-final class LikeLoad {
+final class LatencyByLoad {
     private static final int ANY_KIND = -1;
     private final int steps;
     private final int fewest;
     private final Map<Integer, double[][]> sums = new HashMap<>();
 
-    LikeLoad(List<Slice> slices, int steps, int fewest) {
+    LatencyByLoad(List<Slice> slices, int steps, int fewest) {
         this.steps = steps;
         this.fewest = fewest;
         for (Slice s : slices) {
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -1055,7 +1055,7 @@
         if (errors[0] > errorBar && enough) {
             return Assessment.ERRORS;
         }
-        LikeLoad like = new LikeLoad(theirs, LOAD_STEPS, FEWEST / 2);
+        LatencyByLoad like = new LatencyByLoad(theirs, LOAD_STEPS, FEWEST / 2);
         double[][] there = like.against(theirs, 0);
         double[][] here = like.against(mine, Math.max(WARM_UP_US, charter.warmWithinUs()));
         if (here.length < fewest || there.length == 0) {
@@ -1083,7 +1083,7 @@
         if (errors == Assessment.ERRORS) {
             return errors;
         }
-        LikeLoad like = new LikeLoad(theirs, LOAD_STEPS, FEWEST / 2);
+        LatencyByLoad like = new LatencyByLoad(theirs, LOAD_STEPS, FEWEST / 2);
         double[][] there = like.against(theirs, 0);
         // A relay that has just started knows no earlier times: a route's objective stands for the bar.
         double bar = MARGIN * Bootstrap.percentile(there, Bootstrap.once(theirs.size()), PERCENTILE);
