--- a/src/main/java/gatelock/decision/Outcome.java
+++ b/src/main/java/gatelock/decision/AttemptOutcome.java
@@ -4,7 +4,7 @@
  * How one try ended: its unit and machine kind, whether it failed, its time per announced work, the load it
  * met and the unit's age.
  */
-record Outcome(Object unit, int kind, boolean failed, boolean late, double slowness, double load,
+record AttemptOutcome(Object unit, int kind, boolean failed, boolean late, double slowness, double load,
                long ageUs) {
 
     double error() {
--- a/src/main/java/gatelock/decision/LatencyByLoad.java
+++ b/src/main/java/gatelock/decision/LatencyByLoad.java
@@ -16,7 +16,7 @@
         this.steps = steps;
         this.fewest = fewest;
         for (Slice s : slices) {
-            for (Outcome o : s.outcomes()) {
+            for (AttemptOutcome o : s.outcomes()) {
                 for (int kind : new int[] {ANY_KIND, o.kind()}) {
                     double[][] table = sums.computeIfAbsent(kind, k -> new double[2][steps]);
                     table[0][step(o)] += o.failed() ? 0 : o.slowness();
@@ -27,7 +27,7 @@
     }
 
     /** The mean under about this outcome's load, of its kind or else of any; NaN where too few are known. */
-    double usual(Outcome o) {
+    double usual(AttemptOutcome o) {
         double own = usual(o.kind(), step(o));
         return Double.isNaN(own) ? usual(ANY_KIND, step(o)) : own;
     }
@@ -40,7 +40,7 @@
     double[][] against(List<Slice> slices, long warmUs) {
         List<double[]> rows = new ArrayList<>();
         for (int i = 0; i < slices.size(); i++) {
-            for (Outcome o : slices.get(i).outcomes()) {
+            for (AttemptOutcome o : slices.get(i).outcomes()) {
                 double usual = usual(o);
                 if (!o.failed() && !Double.isNaN(usual) && o.ageUs() > warmUs) {
                     rows.add(new double[] {o.slowness() / usual, i});
@@ -51,7 +51,7 @@
         return rows.toArray(new double[0][]);
     }
 
-    private int step(Outcome o) {
+    private int step(AttemptOutcome o) {
         return Math.min(steps - 1, (int) o.load());
     }
 
--- a/src/main/java/gatelock/decision/OutcomeHistory.java
+++ b/src/main/java/gatelock/decision/OutcomeHistory.java
@@ -22,13 +22,13 @@
     }
 
     /** Adds to the slice of this number, which is the latest or a new one. */
-    void add(long number, Outcome outcome) {
+    void add(long number, AttemptOutcome outcome) {
         if (slices.isEmpty() || slices.peekLast().number() != number) {
             add(new Slice(number, new ArrayList<>(List.of(outcome))));
             seenInLast = 1;
             return;
         }
-        List<Outcome> held = slices.peekLast().outcomes();
+        List<AttemptOutcome> held = slices.peekLast().outcomes();
         seenInLast++;
         if (held.size() < mostOutcomes) {
             held.add(outcome);
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -342,7 +342,7 @@
             // The desk tells no try without an answer or a connection from an error; own endings do.
             b.counts.add(new Slice(endUs / SLICE_US, IntStream.range(0, count)
                 .filter(i -> i >= failed || chance.nextDouble() < heard.mean(nowUs, 1))
-                .mapToObj(i -> new Outcome(route, DESK - route, i < failed, false, meanUs, 0, age))
+                .mapToObj(i -> new AttemptOutcome(route, DESK - route, i < failed, false, meanUs, 0, age))
                 .toList()));
         }
     }
@@ -615,7 +615,7 @@
 
         private void record(Unit unit, boolean failed, boolean late, double slowness, double load) {
             long ageUs = unit.at.startUs() > 0 ? nowUs - unit.at.startUs() : Long.MAX_VALUE;
-            own.add(nowUs / SLICE_US, new Outcome(unit, unit.at.kind(), failed, late, slowness, load, ageUs));
+            own.add(nowUs / SLICE_US, new AttemptOutcome(unit, unit.at.kind(), failed, late, slowness, load, ageUs));
         }
     }
 
@@ -1006,12 +1006,12 @@
             // Guards against sick, slow or ill-placed units taken for a bad build: without its worst units
             // the build must fail all the same. Errors of its oldest units count alone: builds may turn bad
             // with age. Could harm where a build is bad on one kind of machine only.
-            List<Object> odd = Slice.worst(mine, Outcome::error, SICK_PART);
+            List<Object> odd = Slice.worst(mine, AttemptOutcome::error, SICK_PART);
             long asOldUs = SECOND + trial.ready.stream().filter(odd::contains)
                 .mapToLong(u -> u.at.startUs()).max().orElse(0);
             boolean alone = !slow && trial.ready.stream().filter(u -> !odd.contains(u))
                 .noneMatch(u -> u.at.startUs() <= asOldUs);
-            List<Slice> well = slow ? Slice.withoutWorst(mine, Outcome::slowness, SLOW_PART)
+            List<Slice> well = slow ? Slice.withoutWorst(mine, AttemptOutcome::slowness, SLOW_PART)
                 : Slice.without(mine, odd);
             boolean rest = alone || compare(well, theirs, MARGIN, stretch, FEWEST / 2) == found;
             return rest ? found : Assessment.SUSPECT;
@@ -1025,7 +1025,7 @@
         }
         List<Slice> all = new ArrayList<>(mine);
         all.addAll(earlier.from(weighedFrom()));
-        List<Object> units = Slice.worst(all, Outcome::slowness);
+        List<Object> units = Slice.worst(all, AttemptOutcome::slowness);
         List<Slice> best = Slice.without(all, units.subList(0, (int) (units.size() * SLOW_PART)));
         boolean allSlow = compare(best, earlier.before(), fleet, stretch, FEWEST) == Assessment.SLOW;
         ground = allSlow ? ground : said;
@@ -1040,7 +1040,7 @@
         }
         int[] once = Bootstrap.once(theirs.size());
         // What strikes both builds is not held against one; sick units of the earlier build are no excuse.
-        List<Object> sick = Slice.worst(theirs, Outcome::error);
+        List<Object> sick = Slice.worst(theirs, AttemptOutcome::error);
         boolean known = !theirs.isEmpty() && sick.get(0) instanceof Unit
             && Slice.seen(theirs) >= PRIOR * sick.size();
         sick = sick.subList(0, known ? (int) Math.ceil(sick.size() * SICK_PART) : 0);
@@ -1078,7 +1078,7 @@
      */
     private Assessment oneOfMany(List<Slice> mine, List<Slice> theirs, List<Slice> lately) {
         double errorBar = Math.max(ERROR_BAR, MARGIN * Math.max(Slice.errors(theirs), Slice.errors(lately)));
-        Assessment errors = past(Slice.seen(mine), Slice.outcomes(mine).filter(Outcome::failed), errorBar,
+        Assessment errors = past(Slice.seen(mine), Slice.outcomes(mine).filter(AttemptOutcome::failed), errorBar,
             Assessment.ERRORS);
         if (errors == Assessment.ERRORS) {
             return errors;
@@ -1088,7 +1088,7 @@
         // A relay that has just started knows no earlier times: a route's objective stands for the bar.
         double bar = MARGIN * Bootstrap.percentile(there, Bootstrap.once(theirs.size()), PERCENTILE);
         long warmUs = Math.max(WARM_UP_US, charter.warmWithinUs());
-        List<Outcome> warm = Slice.outcomes(mine).filter(o -> !o.failed() && o.ageUs() > warmUs
+        List<AttemptOutcome> warm = Slice.outcomes(mine).filter(o -> !o.failed() && o.ageUs() > warmUs
             && !(there.length > 0 && Double.isNaN(like.usual(o)))).toList();
         Assessment slow = past(warm.size(), warm.stream().filter(o -> there.length == 0 ? o.late()
             : o.slowness() / like.usual(o) > bar), 1 - PERCENTILE, Assessment.SLOW);
@@ -1096,8 +1096,8 @@
     }
 
     /** What it means that so many units are past a bar: as given if it is rarer than one voice may err. */
-    private Assessment past(int seen, Stream<Outcome> past, double share, Assessment fail) {
-        int units = (int) past.map(Outcome::unit).distinct().count();
+    private Assessment past(int seen, Stream<AttemptOutcome> past, double share, Assessment fail) {
+        int units = (int) past.map(AttemptOutcome::unit).distinct().count();
         double chance = Bootstrap.tail(seen, units, share);
         ground = seen + " outcomes, " + units + " units past the bar of " + String.format("%.3f", share);
         Assessment doubt = chance < DOUBT ? Assessment.SUSPECT : Assessment.NO_VERDICT;
--- a/src/test/java/gatelock/decision/OutcomeHistoryTest.java
+++ b/src/test/java/gatelock/decision/OutcomeHistoryTest.java
@@ -14,10 +14,10 @@
         OutcomeHistory ledger = new OutcomeHistory(20, 300, new SplittableRandom(7));
         for (int i = 0; i < 10_000; i++) {
             // Only late ones fail: a sample of the first or the last alone would show it.
-            ledger.add(1, new Outcome("u", 0, i >= 7_000, false, 1, 0, 0));
+            ledger.add(1, new AttemptOutcome("u", 0, i >= 7_000, false, 1, 0, 0));
         }
         for (int i = 0; i < 300; i++) {
-            ledger.add(2, new Outcome("u", 0, i == 0, false, 1, 0, 0));
+            ledger.add(2, new AttemptOutcome("u", 0, i == 0, false, 1, 0, 0));
         }
         List<Slice> slices = ledger.all();
         assertThat(slices.get(0).outcomes()).hasSize(300);
--- a/src/test/java/gatelock/decision/SliceTest.java
+++ b/src/test/java/gatelock/decision/SliceTest.java
@@ -21,11 +21,11 @@
         SplittableRandom chance = new SplittableRandom(seed);
         List<Slice> slices = new ArrayList<>();
         for (int i = 0; i < SLICES; i++) {
-            List<Outcome> outcomes = new ArrayList<>();
+            List<AttemptOutcome> outcomes = new ArrayList<>();
             for (int j = 0; j < perSlice; j++) {
                 int unit = chance.nextInt(UNITS);
                 double slowness = chance.nextDouble() < slowShare[unit] ? 5 : 1;
-                outcomes.add(new Outcome(unit, 0, false, false, slowness, 0, 0));
+                outcomes.add(new AttemptOutcome(unit, 0, false, false, slowness, 0, 0));
             }
             slices.add(new Slice(1000 + i, outcomes));
         }
@@ -49,7 +49,7 @@
     void whatStrikesAllUnitsByChanceStaysVisibleHoweverFewOutcomesEachHas(@ForAll @IntRange(min = 10, max = 60)
         int perSlice, @ForAll @DoubleRange(min = 0.2, max = 0.6) double share, @ForAll long seed) {
         List<Slice> all = slices(perSlice, seed, shares(0, 0, share));
-        List<Slice> rest = Slice.withoutWorst(all, Outcome::slowness, 0.5);
+        List<Slice> rest = Slice.withoutWorst(all, AttemptOutcome::slowness, 0.5);
         double chance = Math.sqrt(share * (1 - share) / Math.max(1, Slice.seen(rest)));
         assertThat(slow(rest)).isBetween(share - 5 * chance, share + 5 * chance);
     }
@@ -59,13 +59,13 @@
         @ForAll long seed) {
         List<Slice> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
         assertThat(slow(all)).isGreaterThan(0.15);
-        assertThat(slow(Slice.withoutWorst(all, Outcome::slowness, 0.5))).isLessThan(0.08);
+        assertThat(slow(Slice.withoutWorst(all, AttemptOutcome::slowness, 0.5))).isLessThan(0.08);
     }
 
     @Property(tries = 50)
     void nothingIsMadeUp(@ForAll @IntRange(min = 0, max = 3) int perSlice, @ForAll long seed) {
         List<Slice> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
-        List<Slice> rest = Slice.withoutWorst(all, Outcome::slowness, 0.5);
+        List<Slice> rest = Slice.withoutWorst(all, AttemptOutcome::slowness, 0.5);
         assertThat(all.stream().flatMap(s -> s.outcomes().stream()).toList())
             .containsAll(Slice.outcomes(rest).toList());
         assertThat(Slice.seen(rest)).isLessThanOrEqualTo(Slice.seen(all));
