--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -123,7 +123,7 @@
     private final DecayingSum taken = new DecayingSum(WORK_MEMORY_US);
     private double takenBefore;
     private long startUs;
-    private final Silence zones = new Silence(ZONE_MEMORY_US);
+    private final TimeoutTracker zones = new TimeoutTracker(ZONE_MEMORY_US);
     private final DecayingMeanByKind slowByKind = new DecayingMeanByKind(SPEED_MEMORY_US);
     private int places = 1;
     private int inFlight;
--- a/src/main/java/gatelock/decision/Silence.java
+++ b/src/main/java/gatelock/decision/TimeoutTracker.java
@@ -6,12 +6,12 @@
 import java.util.stream.Collectors;
 
 /** Of late tries, how many had no answer, by the place where they went. */
-final class Silence {
+final class TimeoutTracker {
     private final double memoryUs;
     private final Map<Integer, DecayingSum> places = new TreeMap<>();
     private Set<Integer> silent = Set.of();
 
-    Silence(double memoryUs) {
+    TimeoutTracker(double memoryUs) {
         this.memoryUs = memoryUs;
     }
 
