--- a/src/main/java/gatelock/decision/LatencyByLoad.java
+++ b/src/main/java/gatelock/decision/LatencyByLoad.java
@@ -12,10 +12,10 @@
     private final int fewest;
     private final Map<Integer, double[][]> sums = new HashMap<>();
 
-    LatencyByLoad(List<Slice> slices, int steps, int fewest) {
+    LatencyByLoad(List<OutcomeWindow> slices, int steps, int fewest) {
         this.steps = steps;
         this.fewest = fewest;
-        for (Slice s : slices) {
+        for (OutcomeWindow s : slices) {
             for (AttemptOutcome o : s.outcomes()) {
                 for (int kind : new int[] {ANY_KIND, o.kind()}) {
                     double[][] table = sums.computeIfAbsent(kind, k -> new double[2][steps]);
@@ -37,7 +37,7 @@
      * Where the earlier build never had as many in flight there is none: a trial unit that the cap fills
      * fuller proves nothing by that.
      */
-    double[][] against(List<Slice> slices, long warmUs) {
+    double[][] against(List<OutcomeWindow> slices, long warmUs) {
         List<double[]> rows = new ArrayList<>();
         for (int i = 0; i < slices.size(); i++) {
             for (AttemptOutcome o : slices.get(i).outcomes()) {
--- a/src/main/java/gatelock/decision/OutcomeHistory.java
+++ b/src/main/java/gatelock/decision/OutcomeHistory.java
@@ -10,8 +10,8 @@
     private final int most;
     private final int mostOutcomes;
     private final RandomGenerator chance;
-    private final ArrayDeque<Slice> slices = new ArrayDeque<>();
-    private List<Slice> before = List.of();
+    private final ArrayDeque<OutcomeWindow> slices = new ArrayDeque<>();
+    private List<OutcomeWindow> before = List.of();
     private int seenInLast;
 
     /** Keeps so many slices, and of what is added to one by one a fair sample of so many outcomes. */
@@ -24,7 +24,7 @@
     /** Adds to the slice of this number, which is the latest or a new one. */
     void add(long number, AttemptOutcome outcome) {
         if (slices.isEmpty() || slices.peekLast().number() != number) {
-            add(new Slice(number, new ArrayList<>(List.of(outcome))));
+            add(new OutcomeWindow(number, new ArrayList<>(List.of(outcome))));
             seenInLast = 1;
             return;
         }
@@ -41,7 +41,7 @@
     }
 
     /** Adds a slice of its own, unless nothing is in it. */
-    void add(Slice slice) {
+    void add(OutcomeWindow slice) {
         if (!slice.outcomes().isEmpty()) {
             slices.add(slice);
         }
@@ -54,7 +54,7 @@
         return slices.isEmpty();
     }
 
-    List<Slice> all() {
+    List<OutcomeWindow> all() {
         return List.copyOf(slices);
     }
 
@@ -64,7 +64,7 @@
     }
 
     /** The slices with this number and later ones. */
-    List<Slice> from(long number) {
+    List<OutcomeWindow> from(long number) {
         return slices.stream().filter(s -> s.number() >= number).toList();
     }
 
@@ -73,7 +73,7 @@
         before = List.copyOf(slices);
     }
 
-    List<Slice> before() {
+    List<OutcomeWindow> before() {
         return before;
     }
 }
--- a/src/main/java/gatelock/decision/Slice.java
+++ b/src/main/java/gatelock/decision/OutcomeWindow.java
@@ -9,23 +9,23 @@
 import java.util.stream.Stream;
 
 /** The outcomes of one span of time, and what can be asked of some. */
-record Slice(long number, List<AttemptOutcome> outcomes) {
+record OutcomeWindow(long number, List<AttemptOutcome> outcomes) {
 
-    static int seen(List<Slice> slices) {
+    static int seen(List<OutcomeWindow> slices) {
         return slices.stream().mapToInt(s -> s.outcomes.size()).sum();
     }
 
-    static Stream<AttemptOutcome> outcomes(List<Slice> slices) {
+    static Stream<AttemptOutcome> outcomes(List<OutcomeWindow> slices) {
         return slices.stream().flatMap(s -> s.outcomes.stream());
     }
 
     /** The share of outcomes that failed. */
-    static double errors(List<Slice> slices) {
+    static double errors(List<OutcomeWindow> slices) {
         return outcomes(slices).filter(AttemptOutcome::failed).count() / (double) Math.max(1, seen(slices));
     }
 
-    static List<Slice> without(List<Slice> slices, List<Object> units) {
-        return units.isEmpty() ? slices : slices.stream().map(s -> new Slice(s.number,
+    static List<OutcomeWindow> without(List<OutcomeWindow> slices, List<Object> units) {
+        return units.isEmpty() ? slices : slices.stream().map(s -> new OutcomeWindow(s.number,
             s.outcomes.stream().filter(o -> !units.contains(o.unit())).toList())).toList();
     }
 
@@ -34,8 +34,8 @@
      * rest those worst in these. So none is left out for the very outcomes that are looked at: of few a unit,
      * that would leave out any outcome that is bad by chance.
      */
-    static List<Slice> withoutWorst(List<Slice> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
-        List<Slice> kept = new ArrayList<>();
+    static List<OutcomeWindow> withoutWorst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
+        List<OutcomeWindow> kept = new ArrayList<>();
         for (int half = 0; half < 2; half++) {
             int number = half;
             kept.addAll(without(slices.stream().filter(s -> s.number % 2 != number).toList(),
@@ -45,21 +45,21 @@
     }
 
     /** Rows {outcomes, failed}, one a slice. */
-    static long[][] counts(List<Slice> slices) {
+    static long[][] counts(List<OutcomeWindow> slices) {
         return slices.stream().map(s -> new long[] {s.outcomes.size(),
             s.outcomes.stream().filter(AttemptOutcome::failed).count()}).toArray(long[][]::new);
     }
 
     /** A share of the units with outcomes, one at least: those with the highest mean of a figure. */
-    static List<Object> worst(List<Slice> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
+    static List<Object> worst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
         List<Object> all = worst(slices, figure);
         return all.subList(0, Math.min(all.size(), Math.max(1, (int) (all.size() * share))));
     }
 
     /** The units with outcomes, those first whose outcomes have the highest mean of a figure. */
-    static List<Object> worst(List<Slice> slices, ToDoubleFunction<AttemptOutcome> figure) {
+    static List<Object> worst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure) {
         Map<Object, double[]> sums = new LinkedHashMap<>();
-        for (Slice s : slices) {
+        for (OutcomeWindow s : slices) {
             for (AttemptOutcome o : s.outcomes) {
                 double[] sum = sums.computeIfAbsent(o.unit(), u -> new double[2]);
                 sum[0] += figure.applyAsDouble(o);
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -340,7 +340,7 @@
                 .findFirst().orElse(0L);
             // They stand as outcomes of one unit a route, each route a kind of its own.
             // The desk tells no try without an answer or a connection from an error; own endings do.
-            b.counts.add(new Slice(endUs / SLICE_US, IntStream.range(0, count)
+            b.counts.add(new OutcomeWindow(endUs / SLICE_US, IntStream.range(0, count)
                 .filter(i -> i >= failed || chance.nextDouble() < heard.mean(nowUs, 1))
                 .mapToObj(i -> new AttemptOutcome(route, DESK - route, i < failed, false, meanUs, 0, age))
                 .toList()));
@@ -892,7 +892,7 @@
         } else {
             boolean late = few(trial) && charter.rollout().counts();
             // Where half the outcomes are missing, a little more time brings no verdict either.
-            int seen = Slice.seen(trial.own.from(weighedFrom()));
+            int seen = OutcomeWindow.seen(trial.own.from(weighedFrom()));
             long shortUs = finding == Assessment.NO_VERDICT && seen < FEWEST / 2 ? 0 : PATIENCE_US;
             long waitUs = finding == Assessment.SUSPECT || late ? LONG_PATIENCE_US : shortUs;
             verdict = nowUs < leastUs + waitUs ? Verdict.HOLD : Verdict.ON;
@@ -962,7 +962,7 @@
 
     /** Whether the desk's sample holds more of the trial than this relay's own outcomes. */
     private boolean few(Build trial) {
-        return Slice.seen(trial.counts.from(weighedFrom())) >= Slice.seen(trial.own.from(weighedFrom()));
+        return OutcomeWindow.seen(trial.counts.from(weighedFrom())) >= OutcomeWindow.seen(trial.own.from(weighedFrom()));
     }
 
     private long weighedFrom() {
@@ -984,14 +984,14 @@
             return found;
         }
         // Set against the last that the earlier build had, as a trouble of both may have begun only then.
-        List<Slice> last = earlier.counts.from(earlier.counts.last() - TRIAL_SLICES + 1);
+        List<OutcomeWindow> last = earlier.counts.from(earlier.counts.last() - TRIAL_SLICES + 1);
         return compare(trial, trial.counts, earlier.counts, last, COUNTS_MARGIN, MARGIN, 1);
     }
 
     /** Intervals of the trial's errors and percentile against the bars, and what else lies behind a fail. */
-    private Assessment compare(Build trial, OutcomeHistory its, OutcomeHistory earlier, List<Slice> theirs, double margin,
+    private Assessment compare(Build trial, OutcomeHistory its, OutcomeHistory earlier, List<OutcomeWindow> theirs, double margin,
                             double fleet, double stretch) {
-        List<Slice> mine = its.from(weighedFrom());
+        List<OutcomeWindow> mine = its.from(weighedFrom());
         Assessment found = compare(mine, theirs, margin, stretch, FEWEST);
         boolean slow = found == Assessment.SLOW;
         String said = ground;
@@ -1006,13 +1006,13 @@
             // Guards against sick, slow or ill-placed units taken for a bad build: without its worst units
             // the build must fail all the same. Errors of its oldest units count alone: builds may turn bad
             // with age. Could harm where a build is bad on one kind of machine only.
-            List<Object> odd = Slice.worst(mine, AttemptOutcome::error, SICK_PART);
+            List<Object> odd = OutcomeWindow.worst(mine, AttemptOutcome::error, SICK_PART);
             long asOldUs = SECOND + trial.ready.stream().filter(odd::contains)
                 .mapToLong(u -> u.at.startUs()).max().orElse(0);
             boolean alone = !slow && trial.ready.stream().filter(u -> !odd.contains(u))
                 .noneMatch(u -> u.at.startUs() <= asOldUs);
-            List<Slice> well = slow ? Slice.withoutWorst(mine, AttemptOutcome::slowness, SLOW_PART)
-                : Slice.without(mine, odd);
+            List<OutcomeWindow> well = slow ? OutcomeWindow.withoutWorst(mine, AttemptOutcome::slowness, SLOW_PART)
+                : OutcomeWindow.without(mine, odd);
             boolean rest = alone || compare(well, theirs, MARGIN, stretch, FEWEST / 2) == found;
             return rest ? found : Assessment.SUSPECT;
         }
@@ -1023,31 +1023,31 @@
         if (found.fails() || many && work(taken) > MORE_WORK * takenBefore) {
             return found;
         }
-        List<Slice> all = new ArrayList<>(mine);
+        List<OutcomeWindow> all = new ArrayList<>(mine);
         all.addAll(earlier.from(weighedFrom()));
-        List<Object> units = Slice.worst(all, AttemptOutcome::slowness);
-        List<Slice> best = Slice.without(all, units.subList(0, (int) (units.size() * SLOW_PART)));
+        List<Object> units = OutcomeWindow.worst(all, AttemptOutcome::slowness);
+        List<OutcomeWindow> best = OutcomeWindow.without(all, units.subList(0, (int) (units.size() * SLOW_PART)));
         boolean allSlow = compare(best, earlier.before(), fleet, stretch, FEWEST) == Assessment.SLOW;
         ground = allSlow ? ground : said;
         return allSlow ? Assessment.SLOW : found;
     }
 
-    private Assessment compare(List<Slice> mine, List<Slice> theirs, double margin, double stretch, int fewest) {
-        int seen = Slice.seen(mine);
+    private Assessment compare(List<OutcomeWindow> mine, List<OutcomeWindow> theirs, double margin, double stretch, int fewest) {
+        int seen = OutcomeWindow.seen(mine);
         ground = seen + " outcomes";
         if (seen < fewest) {
             return Assessment.NO_VERDICT;
         }
         int[] once = Bootstrap.once(theirs.size());
         // What strikes both builds is not held against one; sick units of the earlier build are no excuse.
-        List<Object> sick = Slice.worst(theirs, AttemptOutcome::error);
+        List<Object> sick = OutcomeWindow.worst(theirs, AttemptOutcome::error);
         boolean known = !theirs.isEmpty() && sick.get(0) instanceof Unit
-            && Slice.seen(theirs) >= PRIOR * sick.size();
+            && OutcomeWindow.seen(theirs) >= PRIOR * sick.size();
         sick = sick.subList(0, known ? (int) Math.ceil(sick.size() * SICK_PART) : 0);
         double least = margin > MARGIN ? margin * ERROR_BAR : ERROR_BAR;
         double errorBar = Math.max(least, Math.max(margin, MARGIN)
-            * Bootstrap.share(Slice.counts(Slice.without(theirs, sick)), once));
-        long[][] counts = Slice.counts(mine);
+            * Bootstrap.share(OutcomeWindow.counts(OutcomeWindow.without(theirs, sick)), once));
+        long[][] counts = OutcomeWindow.counts(mine);
         double[] errors = Bootstrap.interval(mine.size(), DRAWS, TAIL, stretch, chance,
             times -> Bootstrap.share(counts, times));
         boolean enough = mine.size() >= FEWEST_SLICES;
@@ -1076,9 +1076,9 @@
      * at the level at which as many voices as send it back are not wrong together. Units are counted. Could
      * harm where a trouble strikes mostly units on trial.
      */
-    private Assessment oneOfMany(List<Slice> mine, List<Slice> theirs, List<Slice> lately) {
-        double errorBar = Math.max(ERROR_BAR, MARGIN * Math.max(Slice.errors(theirs), Slice.errors(lately)));
-        Assessment errors = past(Slice.seen(mine), Slice.outcomes(mine).filter(AttemptOutcome::failed), errorBar,
+    private Assessment oneOfMany(List<OutcomeWindow> mine, List<OutcomeWindow> theirs, List<OutcomeWindow> lately) {
+        double errorBar = Math.max(ERROR_BAR, MARGIN * Math.max(OutcomeWindow.errors(theirs), OutcomeWindow.errors(lately)));
+        Assessment errors = past(OutcomeWindow.seen(mine), OutcomeWindow.outcomes(mine).filter(AttemptOutcome::failed), errorBar,
             Assessment.ERRORS);
         if (errors == Assessment.ERRORS) {
             return errors;
@@ -1088,7 +1088,7 @@
         // A relay that has just started knows no earlier times: a route's objective stands for the bar.
         double bar = MARGIN * Bootstrap.percentile(there, Bootstrap.once(theirs.size()), PERCENTILE);
         long warmUs = Math.max(WARM_UP_US, charter.warmWithinUs());
-        List<AttemptOutcome> warm = Slice.outcomes(mine).filter(o -> !o.failed() && o.ageUs() > warmUs
+        List<AttemptOutcome> warm = OutcomeWindow.outcomes(mine).filter(o -> !o.failed() && o.ageUs() > warmUs
             && !(there.length > 0 && Double.isNaN(like.usual(o)))).toList();
         Assessment slow = past(warm.size(), warm.stream().filter(o -> there.length == 0 ? o.late()
             : o.slowness() / like.usual(o) > bar), 1 - PERCENTILE, Assessment.SLOW);
--- a/src/test/java/gatelock/decision/OutcomeHistoryTest.java
+++ b/src/test/java/gatelock/decision/OutcomeHistoryTest.java
@@ -19,10 +19,10 @@
         for (int i = 0; i < 300; i++) {
             ledger.add(2, new AttemptOutcome("u", 0, i == 0, false, 1, 0, 0));
         }
-        List<Slice> slices = ledger.all();
+        List<OutcomeWindow> slices = ledger.all();
         assertThat(slices.get(0).outcomes()).hasSize(300);
-        assertThat(Slice.counts(slices)[0][1]).isBetween(70L, 110L);
+        assertThat(OutcomeWindow.counts(slices)[0][1]).isBetween(70L, 110L);
         assertThat(slices.get(1).outcomes()).hasSize(300);
-        assertThat(Slice.counts(slices)[1][1]).isEqualTo(1);
+        assertThat(OutcomeWindow.counts(slices)[1][1]).isEqualTo(1);
     }
 }
--- a/src/test/java/gatelock/decision/SliceTest.java
+++ b/src/test/java/gatelock/decision/OutcomeWindowTest.java
@@ -12,14 +12,14 @@
 import java.util.SplittableRandom;
 
 /** Which units are left out when a build is judged without its worst ones. */
-final class SliceTest {
+final class OutcomeWindowTest {
     private static final int SLICES = 8;
     private static final int UNITS = 60;
 
     /** So many outcomes a slice, on units by chance; each is slow by its unit's share. */
-    private static List<Slice> slices(int perSlice, long seed, double[] slowShare) {
+    private static List<OutcomeWindow> slices(int perSlice, long seed, double[] slowShare) {
         SplittableRandom chance = new SplittableRandom(seed);
-        List<Slice> slices = new ArrayList<>();
+        List<OutcomeWindow> slices = new ArrayList<>();
         for (int i = 0; i < SLICES; i++) {
             List<AttemptOutcome> outcomes = new ArrayList<>();
             for (int j = 0; j < perSlice; j++) {
@@ -27,7 +27,7 @@
                 double slowness = chance.nextDouble() < slowShare[unit] ? 5 : 1;
                 outcomes.add(new AttemptOutcome(unit, 0, false, false, slowness, 0, 0));
             }
-            slices.add(new Slice(1000 + i, outcomes));
+            slices.add(new OutcomeWindow(1000 + i, outcomes));
         }
         return slices;
     }
@@ -40,34 +40,34 @@
         return shares;
     }
 
-    private static double slow(List<Slice> slices) {
-        return Slice.outcomes(slices).filter(o -> o.slowness() > 1).count()
-            / (double) Math.max(1, Slice.seen(slices));
+    private static double slow(List<OutcomeWindow> slices) {
+        return OutcomeWindow.outcomes(slices).filter(o -> o.slowness() > 1).count()
+            / (double) Math.max(1, OutcomeWindow.seen(slices));
     }
 
     @Property(tries = 200)
     void whatStrikesAllUnitsByChanceStaysVisibleHoweverFewOutcomesEachHas(@ForAll @IntRange(min = 10, max = 60)
         int perSlice, @ForAll @DoubleRange(min = 0.2, max = 0.6) double share, @ForAll long seed) {
-        List<Slice> all = slices(perSlice, seed, shares(0, 0, share));
-        List<Slice> rest = Slice.withoutWorst(all, AttemptOutcome::slowness, 0.5);
-        double chance = Math.sqrt(share * (1 - share) / Math.max(1, Slice.seen(rest)));
+        List<OutcomeWindow> all = slices(perSlice, seed, shares(0, 0, share));
+        List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
+        double chance = Math.sqrt(share * (1 - share) / Math.max(1, OutcomeWindow.seen(rest)));
         assertThat(slow(rest)).isBetween(share - 5 * chance, share + 5 * chance);
     }
 
     @Property(tries = 200)
     void unitsThatAreSickThroughoutAreLeftOut(@ForAll @IntRange(min = 60, max = 120) int perSlice,
         @ForAll long seed) {
-        List<Slice> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
+        List<OutcomeWindow> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
         assertThat(slow(all)).isGreaterThan(0.15);
-        assertThat(slow(Slice.withoutWorst(all, AttemptOutcome::slowness, 0.5))).isLessThan(0.08);
+        assertThat(slow(OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5))).isLessThan(0.08);
     }
 
     @Property(tries = 50)
     void nothingIsMadeUp(@ForAll @IntRange(min = 0, max = 3) int perSlice, @ForAll long seed) {
-        List<Slice> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
-        List<Slice> rest = Slice.withoutWorst(all, AttemptOutcome::slowness, 0.5);
+        List<OutcomeWindow> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
+        List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
         assertThat(all.stream().flatMap(s -> s.outcomes().stream()).toList())
-            .containsAll(Slice.outcomes(rest).toList());
-        assertThat(Slice.seen(rest)).isLessThanOrEqualTo(Slice.seen(all));
+            .containsAll(OutcomeWindow.outcomes(rest).toList());
+        assertThat(OutcomeWindow.seen(rest)).isLessThanOrEqualTo(OutcomeWindow.seen(all));
     }
 }
