--- a/src/main/java/gatelock/decision/Standing.java
+++ b/src/main/java/gatelock/decision/IdleConnectionEstimate.java
@@ -1,7 +1,7 @@
 package gatelock.decision;
 
 /** Connections to one unit that stand without a req, each kept for so long. */
-final class Standing {
+final class IdleConnectionEstimate {
     private int idle;
     private long leftUs = Long.MIN_VALUE / 2;
 
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -635,7 +635,7 @@
         private long lastAnswerUs = Long.MIN_VALUE / 2;
         private double waiting;
         private long waitingAtUs = Long.MIN_VALUE / 2;
-        private final Standing lines = new Standing();
+        private final IdleConnectionEstimate lines = new IdleConnectionEstimate();
 
         Unit(Endpoint l, Build build) {
             this.at = l;
