--- a/src/test/java/gatelock/capacity/Questions.java
+++ b/src/test/java/gatelock/capacity/Questions.java
@@ -1,6 +1,6 @@
 package gatelock.capacity;
 
-import gatelock.decision.Voices;
+import gatelock.decision.ExactIntervalTable;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -131,7 +131,7 @@
     }
 
     private double level(int relays) {
-        return Voices.level(of("falseBacks"), relays, voices(relays));
+        return ExactIntervalTable.level(of("falseBacks"), relays, voices(relays));
     }
 
     /** Outcomes a relay needs to find a bad build, by how many relays share its trial. */
@@ -166,7 +166,7 @@
     }
 
     private Object needs(int units, double errors, int relays, double likely) {
-        int seen = Voices.outcomesNeeded(units, errors, of("errorBar"), level(relays), likely, MOST_OUTCOMES);
+        int seen = ExactIntervalTable.outcomesNeeded(units, errors, of("errorBar"), level(relays), likely, MOST_OUTCOMES);
         return seen < 0 ? "none do" : (Object) (double) seen;
     }
 
@@ -182,7 +182,7 @@
         double all = of("peakPerS*firstCap*weighedS");
         for (int relays : capacity.target().spreads()) {
             List<Object> row = new ArrayList<>(List.of((double) relays, all / of("services") / relays));
-            int needed = Voices.outcomesNeeded(MOST_OUTCOMES, 0.3, of("errorBar"), level(relays), share(relays),
+            int needed = ExactIntervalTable.outcomesNeeded(MOST_OUTCOMES, 0.3, of("errorBar"), level(relays), share(relays),
                 MOST_OUTCOMES);
             for (String end : new String[] {"Low", "High"}) {
                 Zipf zipf = zipf("Services", end);
@@ -231,7 +231,7 @@
         for (int relays = 1; relays <= most;
                 relays = relays == most ? most + 1 : Math.min(most, Math.max(relays + 1, relays * 21 / 20))) {
             int seen = (int) Math.min(MOST_OUTCOMES, outcomes / relays);
-            if (Voices.found(seen, MOST_OUTCOMES, errors, of("errorBar"), level(relays)) >= share(relays)) {
+            if (ExactIntervalTable.found(seen, MOST_OUTCOMES, errors, of("errorBar"), level(relays)) >= share(relays)) {
                 widest = relays;
             }
         }
--- a/src/test/java/gatelock/decision/Voices.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTable.java
@@ -4,9 +4,9 @@
  * What one relay's exact interval can find, as {@code ReleaseGate.past} asks it: so many outcomes, of which so many
  * units were past a bar. The arithmetic is that of {@link Bootstrap}.
  */
-public final class Voices {
+public final class ExactIntervalTable {
 
-    private Voices() {
+    private ExactIntervalTable() {
     }
 
     /** How often one relay of some may be wrong, so that as many voices as asked for are together wrong so rarely. */
