--- a/src/main/java/gatelock/boot/Chain.java
+++ b/src/main/java/gatelock/boot/Chain.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.kept.Addresses;
+import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
 import gatelock.kept.OpenReqs;
 import gatelock.membership.Scope;
@@ -29,7 +29,7 @@
 final class Chain {
     private static final long SESSIONS_LOOK_US = 50_000;
 
-    final Addresses addresses = new Addresses();
+    final EndpointAddresses addresses = new EndpointAddresses();
     final OpenReqs open;
     final Lines units;
     final Orders orders;
--- a/src/main/java/gatelock/kept/Addresses.java
+++ b/src/main/java/gatelock/kept/EndpointAddresses.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** Where each unit is to be reached, as discovery last told. */
-public final class Addresses {
+public final class EndpointAddresses {
 
     /** What stands behind a unit's name: its address, and the process and state that were listed there. */
     public record Place(InetSocketAddress address, Endpoint listed) {
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/Discovery.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.Addresses;
+import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
 import gatelock.kept.UnitAnswer;
 import gatelock.membership.Entry;
@@ -53,7 +53,7 @@
     private final Turn turn;
     private final Counters counters;
     private final Lines lines;
-    private final Addresses addresses;
+    private final EndpointAddresses addresses;
     private final Lines units;
     private final EntryReader reader;
     private final Membership membership;
@@ -104,7 +104,7 @@
      * @param membership null: all units that are listed are used
      */
     public Discovery(Turn turn, Counters counters, Lines lines, InetSocketAddress address,
-        Addresses addresses,
+        EndpointAddresses addresses,
                      Lines units, List<String> zones, List<String> kinds, boolean onRequest,
                      RandomGenerator chance, Membership membership) {
         this.turn = turn;
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.kept.Addresses;
+import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Idle;
 import gatelock.relay.RelaySettings;
 import gatelock.relay.AttemptResult;
@@ -59,7 +59,7 @@
 
     @Test
     void addressesAndIdleConnectionsAreForgotten() throws Exception {
-        Addresses addresses = new Addresses();
+        EndpointAddresses addresses = new EndpointAddresses();
         Idle<Object> idle = new Idle<>(50, c -> { });
         for (int i = 0; i < 1000; i++) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", 1 + i);
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -1,6 +1,6 @@
 package gatelock.capacity;
 
-import gatelock.kept.Addresses;
+import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
@@ -44,7 +44,7 @@
     private final Lines units;
     private final Discovery discovery;
     private final DecisionEngine gate;
-    private final Addresses addresses = new Addresses();
+    private final EndpointAddresses addresses = new EndpointAddresses();
     private final double readUs;
 
     /** Follows the list; when this returns, all of it has been taken in. */
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -1,6 +1,6 @@
 package gatelock.capacity;
 
-import gatelock.kept.Addresses;
+import gatelock.kept.EndpointAddresses;
 import gatelock.plan.Admission;
 import gatelock.plan.Compiler;
 import gatelock.plan.Samples;
@@ -301,7 +301,7 @@
 
     /** What a relay holds of so many units: where each is, and the decisions' view of it. */
     private static Object state(int size) {
-        Addresses addresses = new Addresses();
+        EndpointAddresses addresses = new EndpointAddresses();
         DecisionEngine gate = ModulePlay.gate(new ModulePlay(1), List.of());
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
--- a/src/test/java/gatelock/wire/DiscoveryTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.kept.Addresses;
+import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
 import gatelock.membership.Scope;
 import gatelock.relay.RequestConstraints;
@@ -41,7 +41,7 @@
     private final BlockingQueue<String> course = new LinkedBlockingQueue<>();
     private final XnioWorker worker;
     private final Turn turn;
-    private final Addresses addresses = new Addresses();
+    private final EndpointAddresses addresses = new EndpointAddresses();
     private final Counters counters = new Counters();
     private final ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     private Socket socket;
