--- a/src/main/java/gatelock/kept/OpenReq.java
+++ b/src/main/java/gatelock/kept/OpenReq.java
@@ -12,7 +12,7 @@
     private final byte[] head;
     private final byte[] body;
     private final long endUs;
-    private final Caller caller;
+    private final ResponseSink caller;
     private final List<Runnable> calledOff = new ArrayList<>(2);
     private RequestHandle handle;
     private boolean over;
@@ -23,7 +23,7 @@
      * @param head first line and headers as a unit gets them, all but those that change with each try
      * @param endUs until when the caller waits
      */
-    public OpenReq(String id, byte[] head, byte[] body, long endUs, Caller caller) {
+    public OpenReq(String id, byte[] head, byte[] body, long endUs, ResponseSink caller) {
         this.id = id;
         this.head = head;
         this.body = body;
@@ -47,7 +47,7 @@
         return endUs;
     }
 
-    public Caller caller() {
+    public ResponseSink caller() {
         return caller;
     }
 
--- a/src/main/java/gatelock/kept/Caller.java
+++ b/src/main/java/gatelock/kept/ResponseSink.java
@@ -1,7 +1,7 @@
 package gatelock.kept;
 
 /** Whoever waits for a req's answer, in whatever protocol it came; gets exactly one. */
-public interface Caller {
+public interface ResponseSink {
 
     /** Passes on what a unit answered. */
     void completed(UnitAnswer answer);
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.Caller;
+import gatelock.kept.ResponseSink;
 import gatelock.kept.Counters;
 import gatelock.kept.OpenReq;
 import gatelock.kept.UnitAnswer;
@@ -323,7 +323,7 @@
     }
 
     /** A client on an HTTP connection, waiting for its answer. */
-    private final class HttpCaller implements Caller {
+    private final class HttpCaller implements ResponseSink {
         private final HttpServerExchange exchange;
         private OpenReq req;
         private Consumer<HttpServerExchange> takesOver;
