--- a/src/main/java/gatelock/kept/Clients.java
+++ b/src/main/java/gatelock/kept/ClientConnections.java
@@ -23,7 +23,7 @@
  *
  * @param <C> a connection; equal only to itself
  */
-public final class Clients<C> {
+public final class ClientConnections<C> {
     /**
      * Guards against clients that say nothing, or never come to the end of a head or body, and those that
      * don't
@@ -79,7 +79,7 @@
         /** Whether anything has come that was not read yet; if so it is to be read next. */
         boolean unread(C connection);
 
-        /** Ends it; {@link Clients#gone} follows, now or later. */
+        /** Ends it; {@link ClientConnections#gone} follows, now or later. */
         void end(C connection, State state, Why why);
     }
 
@@ -104,7 +104,7 @@
      * @param withEase connections held at a time; beyond that idle ones make room
      * @param most beyond that all that wait for a first req do
      */
-    public Clients(Counters counters, Sockets<C> sockets, int withEase, int most) {
+    public ClientConnections(Counters counters, Sockets<C> sockets, int withEase, int most) {
         this.counters = counters;
         this.sockets = sockets;
         this.withEase = withEase;
--- a/src/main/java/gatelock/wire/Front.java
+++ b/src/main/java/gatelock/wire/Front.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.Clients;
+import gatelock.kept.ClientConnections;
 import gatelock.kept.Counters;
 
 import io.undertow.UndertowOptions;
@@ -47,7 +47,7 @@
 
     private final Turn turn;
     private final int most;
-    private final Clients<StreamConnection> clients;
+    private final ClientConnections<StreamConnection> clients;
     private final Map<StreamConnection, Inflow> inflows = new HashMap<>();
     private AcceptingChannel<StreamConnection> listener;
     private HttpHandler takeIn;
@@ -63,14 +63,14 @@
     public Front(Turn turn, Counters counters, int withEase, int most) {
         this.turn = turn;
         this.most = most;
-        this.clients = new Clients<>(counters, new Clients.Sockets<>() {
+        this.clients = new ClientConnections<>(counters, new ClientConnections.Sockets<>() {
             @Override
             public boolean unread(StreamConnection connection) {
                 return inflows.get(connection).unread();
             }
 
             @Override
-            public void end(StreamConnection connection, Clients.State state, Clients.Why why) {
+            public void end(StreamConnection connection, ClientConnections.State state, ClientConnections.Why why) {
                 LOG.log(Level.DEBUG, () -> "client " + connection.getPeerAddress() + " closed, " + state
                     + ", " + why);
                 IoUtils.safeClose(connection);
@@ -185,7 +185,7 @@
 
     /** The client has left, or broke off its own req. */
     void left(HttpServerExchange exchange) {
-        clients.end(turn.nowUs(), connection(exchange), Clients.Why.LEFT);
+        clients.end(turn.nowUs(), connection(exchange), ClientConnections.Why.LEFT);
     }
 
     /**
@@ -197,13 +197,13 @@
         exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, "0");
         last(exchange);
         StreamConnection connection = connection(exchange);
-        turn.in(READABLE_US, () -> clients.end(turn.nowUs(), connection, Clients.Why.REFUSED));
+        turn.in(READABLE_US, () -> clients.end(turn.nowUs(), connection, ClientConnections.Why.REFUSED));
         try {
             StreamSinkChannel out = exchange.getResponseChannel();
             out.shutdownWrites();
             out.flush();
         } catch (IOException e) {
-            clients.end(turn.nowUs(), connection, Clients.Why.REFUSED);
+            clients.end(turn.nowUs(), connection, ClientConnections.Why.REFUSED);
         }
     }
 
--- a/src/test/java/gatelock/kept/ClientsTest.java
+++ b/src/test/java/gatelock/kept/ClientConnectionsTest.java
@@ -14,7 +14,7 @@
 /**
  * Random arrivals, partial reads, stalls, timers and answers against clients that know what they were owed.
  */
-final class ClientsTest {
+final class ClientConnectionsTest {
     private static final int STEPS = 1_500;
 
     /** One client's side of a connection, and what the kernel holds for the relay. */
@@ -27,19 +27,19 @@
         /** From its first byte on a connection that stood, or from accept. */
         private long sinceUs;
         private long wholeUs;
-        private Clients.Why why;
+        private ClientConnections.Why why;
     }
 
-    private final class World implements Clients.Sockets<Client> {
+    private final class World implements ClientConnections.Sockets<Client> {
         private final RandomGenerator random;
         private final List<Client> clients = new ArrayList<>();
-        private final Clients<Client> kept;
+        private final ClientConnections<Client> kept;
         private long nowUs = 1;
         private int served;
 
         World(long seed, int withEase, int most) {
             random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-            kept = new Clients<>(new Counters(), this, withEase, most);
+            kept = new ClientConnections<>(new Counters(), this, withEase, most);
         }
 
         @Override
@@ -48,9 +48,9 @@
         }
 
         @Override
-        public void end(Client c, Clients.State state, Clients.Why why) {
-            boolean inTime = c.written == 3 && c.wholeUs - c.sinceUs <= Clients.WHOLE_WITHIN_US;
-            assertThat(c.open && (inTime || c.answering) && why != Clients.Why.ANSWER_UNREAD)
+        public void end(Client c, ClientConnections.State state, ClientConnections.Why why) {
+            boolean inTime = c.written == 3 && c.wholeUs - c.sinceUs <= ClientConnections.WHOLE_WITHIN_US;
+            assertThat(c.open && (inTime || c.answering) && why != ClientConnections.Why.ANSWER_UNREAD)
                 .as("%s in %s, written %d, read %d", why, state, c.written, c.read).isFalse();
             c.open = false;
             c.why = why;
@@ -60,7 +60,7 @@
         private void write(double share) {
             for (Client c : clients) {
                 if (c.open && c.written < 3 && !c.answering && random.nextDouble() < share) {
-                    if (c.written == 0 && kept.state(c) != Clients.State.SILENT) {
+                    if (c.written == 0 && kept.state(c) != ClientConnections.State.SILENT) {
                         c.sinceUs = nowUs;
                     }
                     c.written = random.nextBoolean() ? 3 : c.written + 1;
@@ -94,7 +94,7 @@
                     c.answering = false;
                     served++;
                     kept.answered(nowUs, c, false);
-                } else if (kept.state(c) == Clients.State.OWED && random.nextInt(4) == 0) {
+                } else if (kept.state(c) == ClientConnections.State.OWED && random.nextInt(4) == 0) {
                     c.answering = true;
                     c.written = 0;
                     c.read = 0;
@@ -126,7 +126,7 @@
             c.written = c.read = 0;
         }
         List<Client> left = List.copyOf(world.clients);
-        left.stream().filter(c -> world.kept.state(c) == Clients.State.OWED)
+        left.stream().filter(c -> world.kept.state(c) == ClientConnections.State.OWED)
             .forEach(c -> world.kept.answering(world.nowUs, c));
         for (int i = 0; i < 60; i++) {
             world.nowUs += 50_000;
@@ -145,6 +145,6 @@
             world.kept.endOverdue(world.nowUs);
             world.kept.bytes(world.nowUs, dripping);
         }
-        assertThat(dripping.why).isEqualTo(Clients.Why.UNFINISHED);
+        assertThat(dripping.why).isEqualTo(ClientConnections.Why.UNFINISHED);
     }
 }
