--- a/src/main/java/gatelock/kept/Idle.java
+++ b/src/main/java/gatelock/kept/IdleConnections.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /** Connections that stand without a call, by address; the one that was used last is taken first. */
-public final class Idle<C> {
+public final class IdleConnections<C> {
     private final Map<InetSocketAddress, ArrayDeque<C>> byAddress = new HashMap<>();
     private final Map<C, Since> since = new LinkedHashMap<>();
     private final Consumer<C> close;
@@ -22,7 +22,7 @@
      * @param most how many are kept at all; beyond that the longest idle goes
      * @param close ends one of them
      */
-    public Idle(int most, Consumer<C> close) {
+    public IdleConnections(int most, Consumer<C> close) {
         this.most = most;
         this.close = close;
     }
--- a/src/main/java/gatelock/wire/Lines.java
+++ b/src/main/java/gatelock/wire/Lines.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.Counters;
-import gatelock.kept.Idle;
+import gatelock.kept.IdleConnections;
 
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -17,7 +17,7 @@
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private final Turn turn;
     private final Counters counters;
-    private final Idle<Line> idle;
+    private final IdleConnections<Line> idle;
     private final Map<InetSocketAddress, Set<Line>> comingUp = new HashMap<>();
     private final long openWithinUs;
     private final long idleUs;
@@ -51,7 +51,7 @@
         this.idleUs = idleUs;
         this.restUs = restUs;
         this.most = most;
-        this.idle = new Idle<>(most, Line::drop);
+        this.idle = new IdleConnections<>(most, Line::drop);
         turn.soon(this::sweep);
     }
 
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -4,7 +4,7 @@
 
 import gatelock.decision.ReleaseGate;
 import gatelock.kept.EndpointAddresses;
-import gatelock.kept.Idle;
+import gatelock.kept.IdleConnections;
 import gatelock.relay.RelaySettings;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
@@ -60,7 +60,7 @@
     @Test
     void addressesAndIdleConnectionsAreForgotten() throws Exception {
         EndpointAddresses addresses = new EndpointAddresses();
-        Idle<Object> idle = new Idle<>(50, c -> { });
+        IdleConnections<Object> idle = new IdleConnections<>(50, c -> { });
         for (int i = 0; i < 1000; i++) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", 1 + i);
             addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, Endpoint.Health.READY, 0));
