--- a/src/main/java/gatelock/boot/LogOut.java
+++ b/src/main/java/gatelock/boot/LogOut.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.kept.Named;
+import gatelock.kept.LogField;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.LoggerContext;
@@ -87,7 +87,7 @@
         String text = String.valueOf(line.getMessage());
         if (values != null && values.length > 0) {
             for (Object value : values) {
-                if (value instanceof Named named) {
+                if (value instanceof LogField named) {
                     out = out.addKeyValue(named.name(), String.valueOf(named.value()));
                 }
             }
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/Steward.java
@@ -1,7 +1,7 @@
 package gatelock.control;
 
 import gatelock.kept.Counters;
-import gatelock.kept.Named;
+import gatelock.kept.LogField;
 import gatelock.plan.Admission;
 import gatelock.plan.Compiler;
 import gatelock.plan.Finding;
@@ -85,8 +85,8 @@
                 String answer = meeting.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
                 if (succession.met().get(meeting) == 1) {
                     LOG.log(Level.WARNING, "version {0} is not applied, {1}: {2} stays in force",
-                        Named.of("version", stamp),
-                        Named.of("reason", answer), Named.of("held", succession.held()));
+                        LogField.of("version", stamp),
+                        LogField.of("reason", answer), LogField.of("held", succession.held()));
                 }
                 then.accept(new Told(false, answer, List.of(), false));
             }
@@ -117,8 +117,8 @@
                 if (failed != null) {
                     counters.add("versions not kept");
                     LOG.log(Level.WARNING, "version {0} is in force and not kept on disk: {1}",
-                        Named.of("version",
-                        plan.stamp()), Named.of("reason", failed));
+                        LogField.of("version",
+                        plan.stamp()), LogField.of("reason", failed));
                 }
             });
         }
@@ -130,18 +130,18 @@
         admission.follow(fromUs, plan);
         longestSwapUs = Math.max(longestSwapUs, turn.nowUs() - fromUs);
         counters.add("versions applied");
-        LOG.log(Level.INFO, "version {0} in force, {1} routes, from {2}, by {3}: {4}", Named.of("version",
+        LOG.log(Level.INFO, "version {0} in force, {1} routes, from {2}, by {3}: {4}", LogField.of("version",
             plan.stamp()),
-            Named.of("routes", plan.routes()), Named.of("source", why), Named.of("by", plan.by()),
-            Named.of("note", plan.note()));
+            LogField.of("routes", plan.routes()), LogField.of("source", why), LogField.of("by", plan.by()),
+            LogField.of("note", plan.note()));
     }
 
     private Told refuse(Stamp stamp, List<Finding> findings, boolean always) {
         succession.bad(stamp, findings, always);
         counters.add("versions refused");
-        LOG.log(Level.WARNING, "version {0} is turned down, {1} stays in force: {2}", Named.of("version",
+        LOG.log(Level.WARNING, "version {0} is turned down, {1} stays in force: {2}", LogField.of("version",
             stamp),
-            Named.of("held", succession.inForce()), Named.of("reason",
+            LogField.of("held", succession.inForce()), LogField.of("reason",
             findings.stream().filter(Finding::grave)
             .limit(LOGGED).map(Finding::toString).collect(Collectors.joining(" | "))));
         return new Told(false, "refused", findings, true);
@@ -152,9 +152,9 @@
         Compiler.Compiled compiled = compiler.compile(kept.stamp().epoch(), kept.stamp().number(),
             kept.text());
         if (!compiled.good()) {
-            LOG.log(Level.WARNING, "version {0} from disk is not sound any more: {1}", Named.of("version",
+            LOG.log(Level.WARNING, "version {0} from disk is not sound any more: {1}", LogField.of("version",
                 kept.stamp()),
-                Named.of("reason", compiled.findings()));
+                LogField.of("reason", compiled.findings()));
             return false;
         }
         if (succession.good(turn.nowUs(), compiled.plan(), "disk", kept.text())) {
@@ -186,7 +186,7 @@
     /** The control service leads again. */
     public void release() {
         succession.release();
-        LOG.log(Level.INFO, "the control service leads again; {0} is in force", Named.of("version",
+        LOG.log(Level.INFO, "the control service leads again; {0} is in force", LogField.of("version",
             succession.inForce()));
     }
 }
--- a/src/main/java/gatelock/control/Subscription.java
+++ b/src/main/java/gatelock/control/Subscription.java
@@ -1,7 +1,7 @@
 package gatelock.control;
 
 import gatelock.kept.Counters;
-import gatelock.kept.Named;
+import gatelock.kept.LogField;
 import gatelock.kept.UnitAnswer;
 import gatelock.plan.Backoff;
 import gatelock.plan.Finding;
@@ -232,9 +232,9 @@
     private void failed(String why) {
         counters.add("control failed");
         if (backoff.failures() == 0 || backoff.failures() == 4) {
-            LOG.log(Level.WARNING, "control service {0}: {1}; {2} stays in force", Named.of("service",
+            LOG.log(Level.WARNING, "control service {0}: {1}; {2} stays in force", LogField.of("service",
                 service()),
-                Named.of("reason", why), Named.of("version", steward.succession().inForce()));
+                LogField.of("reason", why), LogField.of("version", steward.succession().inForce()));
         }
         at = (at + 1) % services.size();
         askIn(backoff.failed());
--- a/src/main/java/gatelock/kept/Named.java
+++ b/src/main/java/gatelock/kept/LogField.java
@@ -5,10 +5,10 @@
  * parameters of a
  * System.Logger call; a plain log shows the value.
  */
-public record Named(String name, Object value) {
+public record LogField(String name, Object value) {
 
-    public static Named of(String name, Object value) {
-        return new Named(name, value);
+    public static LogField of(String name, Object value) {
+        return new LogField(name, value);
     }
 
     @Override
