--- a/src/main/java/gatelock/kept/OpenReq.java
+++ b/src/main/java/gatelock/kept/InFlightRequest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** A req that was taken and is not settled yet. What goes on to a unit stays the bytes that came. */
-public final class OpenReq {
+public final class InFlightRequest {
     private final String id;
     private final byte[] head;
     private final byte[] body;
@@ -23,7 +23,7 @@
      * @param head first line and headers as a unit gets them, all but those that change with each try
      * @param endUs until when the caller waits
      */
-    public OpenReq(String id, byte[] head, byte[] body, long endUs, ResponseSink caller) {
+    public InFlightRequest(String id, byte[] head, byte[] body, long endUs, ResponseSink caller) {
         this.id = id;
         this.head = head;
         this.body = body;
--- a/src/main/java/gatelock/kept/OpenReqs.java
+++ b/src/main/java/gatelock/kept/OpenReqs.java
@@ -5,14 +5,14 @@
 
 /** All reqs not settled yet, by id; a req whose caller has its answer stays until its last try has ended. */
 public final class OpenReqs {
-    private final Map<String, OpenReq> byId = new HashMap<>();
+    private final Map<String, InFlightRequest> byId = new HashMap<>();
     private final Counters counters;
 
     public OpenReqs(Counters counters) {
         this.counters = counters;
     }
 
-    public OpenReq get(String id) {
+    public InFlightRequest get(String id) {
         return byId.get(id);
     }
 
@@ -20,17 +20,17 @@
         return byId.size();
     }
 
-    public void add(OpenReq req) {
+    public void add(InFlightRequest req) {
         byId.put(req.id(), req);
     }
 
     /** Notes that a req has its final answer or its caller left. */
-    public void close(OpenReq req) {
+    public void close(InFlightRequest req) {
         counters.holds(!req.over(), "a second final answer");
         req.close();
     }
 
-    public void forget(OpenReq req) {
+    public void forget(InFlightRequest req) {
         byId.remove(req.id());
     }
 }
--- a/src/main/java/gatelock/wire/Admit.java
+++ b/src/main/java/gatelock/wire/Admit.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.Counters;
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 import gatelock.kept.OpenReqs;
 import gatelock.plan.Admission;
 import gatelock.plan.Arrivals;
@@ -26,7 +26,7 @@
     private final DecisionEngine gate;
     private final Admission admission;
     private final long longestPauseUs;
-    private final Arrivals<OpenReq> early = new Arrivals<>();
+    private final Arrivals<InFlightRequest> early = new Arrivals<>();
     private boolean looking;
 
     /**
@@ -51,7 +51,7 @@
     }
 
     /** @param way where the plan leads it, or null: no plan, or none of its routes is for it */
-    void admit(OpenReq req, Admission.Way way, int route, int tenant, long key, long costUs) {
+    void admit(InFlightRequest req, Admission.Way way, int route, int tenant, long key, long costUs) {
         counters.add("taken");
         open.add(req);
         if (way == null) {
@@ -80,7 +80,7 @@
         return early.open();
     }
 
-    private void decide(OpenReq req, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
+    private void decide(InFlightRequest req, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
         if (!early.isOpen()) {
             long waitsUs = early.come(turn.nowUs(), req.endUs(), req,
                 () -> decide(req, route, tenant, key, costUs, bounds));
@@ -101,14 +101,14 @@
 
     /** A req on its way past its limits. */
     private final class Passage implements Waiting {
-        private final OpenReq req;
+        private final InFlightRequest req;
         private final int route;
         private final int tenant;
         private final long key;
         private final long costUs;
         private Admission.Pass pass;
 
-        Passage(OpenReq req, int route, int tenant, long key, long costUs) {
+        Passage(InFlightRequest req, int route, int tenant, long key, long costUs) {
             this.req = req;
             this.route = route;
             this.tenant = tenant;
@@ -150,7 +150,7 @@
         }
     }
 
-    void left(OpenReq req) {
+    void left(InFlightRequest req) {
         early.leave(req);
         book.left(req);
     }
--- a/src/main/java/gatelock/wire/Book.java
+++ b/src/main/java/gatelock/wire/Book.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.Counters;
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 import gatelock.kept.OpenReqs;
 import gatelock.kept.UnitAnswer;
 import gatelock.relay.AttemptResult;
@@ -22,7 +22,7 @@
     }
 
     /** A try has ended; the first that completed is the req's answer. */
-    public void ended(OpenReq req, int tryNo, AttemptResult ending, long tookUs, UnitAnswer answer) {
+    public void ended(InFlightRequest req, int tryNo, AttemptResult ending, long tookUs, UnitAnswer answer) {
         counters.ended(ending);
         if (ending == AttemptResult.COMPLETED && !req.over()) {
             relayBack.completed(req, answer);
@@ -32,7 +32,7 @@
     }
 
     /** The caller has left. */
-    void left(OpenReq req) {
+    void left(InFlightRequest req) {
         if (!req.over()) {
             counters.add("callers left");
             open.close(req);
@@ -46,7 +46,7 @@
     /**
      * Forgets a req once it is answered and its last try has ended; an answer may still be on its way out.
      */
-    void settle(OpenReq req) {
+    void settle(InFlightRequest req) {
         if (req.over() && (!req.taken() || req.handle().settled())) {
             open.forget(req);
         }
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/Orders.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 import gatelock.kept.OpenReqs;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.DecisionActions;
@@ -51,13 +51,13 @@
 
     @Override
     public void send(String id, String unit, long timeoutUs) {
-        OpenReq req = open.get(id);
+        InFlightRequest req = open.get(id);
         turn.soon(() -> routeOut.send(req, unit, timeoutUs));
     }
 
     @Override
     public void shed(String id, long pauseUs) {
-        OpenReq req = open.get(id);
+        InFlightRequest req = open.get(id);
         turn.soon(() -> {
             relayBack.shed(req, pauseUs);
             book.settle(req);
@@ -66,7 +66,7 @@
 
     @Override
     public void error(String id) {
-        OpenReq req = open.get(id);
+        InFlightRequest req = open.get(id);
         turn.soon(() -> {
             relayBack.errored(req);
             book.settle(req);
@@ -75,7 +75,7 @@
 
     @Override
     public void cancel(String id, int tryNo) {
-        OpenReq req = open.get(id);
+        InFlightRequest req = open.get(id);
         turn.soon(() -> req.callOff(tryNo).run());
     }
 
--- a/src/main/java/gatelock/wire/RelayBack.java
+++ b/src/main/java/gatelock/wire/RelayBack.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.Counters;
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 import gatelock.kept.OpenReqs;
 import gatelock.kept.UnitAnswer;
 
@@ -17,13 +17,13 @@
         this.counters = counters;
     }
 
-    void completed(OpenReq req, UnitAnswer answer) {
+    void completed(InFlightRequest req, UnitAnswer answer) {
         counters.add("completed");
         open.close(req);
         req.caller().completed(answer);
     }
 
-    void shed(OpenReq req, long pauseUs) {
+    void shed(InFlightRequest req, long pauseUs) {
         if (!req.over()) {
             counters.add("shed");
             open.close(req);
@@ -31,7 +31,7 @@
         }
     }
 
-    void errored(OpenReq req) {
+    void errored(InFlightRequest req) {
         if (!req.over()) {
             counters.add("errored");
             open.close(req);
--- a/src/main/java/gatelock/wire/RouteOut.java
+++ b/src/main/java/gatelock/wire/RouteOut.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.EndpointAddresses;
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 
 import java.net.InetSocketAddress;
 
@@ -15,7 +15,7 @@
         this.sendOff = sendOff;
     }
 
-    void send(OpenReq req, String unit, long timeoutUs) {
+    void send(InFlightRequest req, String unit, long timeoutUs) {
         EndpointAddresses.Place place = addresses.get(unit);
         InetSocketAddress address = place == null ? null : place.address();
         if (req.opening() != null) {
--- a/src/main/java/gatelock/wire/SendOff.java
+++ b/src/main/java/gatelock/wire/SendOff.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 import gatelock.kept.UnitAnswer;
 import gatelock.relay.AttemptResult;
 
@@ -30,7 +30,7 @@
     }
 
     /** Numbers and sends a try; without an address it can't come to be connected. */
-    void send(OpenReq req, String unit, InetSocketAddress address, long timeoutUs) {
+    void send(InFlightRequest req, String unit, InetSocketAddress address, long timeoutUs) {
         Try rev = new Try(req, unit);
         if (req.over() || turn.nowUs() >= req.endUs()) {
             rev.end(AttemptResult.NOT_SENT, null);
@@ -43,7 +43,7 @@
 
     /** One try. */
     private final class Try implements Line.User {
-        private final OpenReq req;
+        private final InFlightRequest req;
         private final String unit;
         private final int number;
         private final long sentUs = turn.nowUs();
@@ -51,7 +51,7 @@
         private boolean ended;
         private boolean stopped;
 
-        Try(OpenReq req, String unit) {
+        Try(InFlightRequest req, String unit) {
             this.req = req;
             this.unit = unit;
             this.number = req.addTry(this::callOff);
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.ResponseSink;
 import gatelock.kept.Counters;
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 import gatelock.kept.UnitAnswer;
 import gatelock.plan.Admission;
 import gatelock.plan.Asked;
@@ -88,7 +88,7 @@
          * Makes a req one that opens a session; what is given takes the client's side over once a unit has
          * opened.
          */
-        Consumer<HttpServerExchange> opens(HttpServerExchange exchange, OpenReq req, SessionTerms terms,
+        Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionTerms terms,
             int route);
     }
 
@@ -259,7 +259,7 @@
         long endUs = Math.min(turn.nowUs() + waitsUs, front.answeredByUs());
         Integer tenant = names.tenants.get(headers.getFirst(CUSTOMER));
         HttpCaller caller = new HttpCaller(exchange);
-        OpenReq req = new OpenReq(id, head(exchange, body.length), body, endUs, caller);
+        InFlightRequest req = new InFlightRequest(id, head(exchange, body.length), body, endUs, caller);
         caller.req = req;
         if (opensSession(exchange, way)) {
             caller.takesOver = upgrade.opens(exchange, req, way.sessions(), route);
@@ -325,7 +325,7 @@
     /** A client on an HTTP connection, waiting for its answer. */
     private final class HttpCaller implements ResponseSink {
         private final HttpServerExchange exchange;
-        private OpenReq req;
+        private InFlightRequest req;
         private Consumer<HttpServerExchange> takesOver;
 
         HttpCaller(HttpServerExchange exchange) {
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -1,7 +1,7 @@
 package gatelock.wire.ws;
 
 import gatelock.kept.Counters;
-import gatelock.kept.OpenReq;
+import gatelock.kept.InFlightRequest;
 import gatelock.kept.UnitAnswer;
 import gatelock.plan.SessionTerms;
 import gatelock.relay.AttemptResult;
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public Consumer<HttpServerExchange> opens(HttpServerExchange exchange, OpenReq req, SessionTerms terms,
+    public Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionTerms terms,
         int route) {
         Opening opening = new Opening(exchange, req, terms, route);
         req.opensBy(opening);
@@ -124,8 +124,8 @@
     }
 
     /** One req that opens a session, through all of its tries. */
-    private final class Opening implements OpenReq.Opening {
-        private final OpenReq req;
+    private final class Opening implements InFlightRequest.Opening {
+        private final InFlightRequest req;
         private final SessionTerms terms;
         private final int route;
         private final String path;
@@ -136,7 +136,7 @@
         private String subprotocol;
         private Runnable whenOver;
 
-        Opening(HttpServerExchange exchange, OpenReq req, SessionTerms terms, int route) {
+        Opening(HttpServerExchange exchange, InFlightRequest req, SessionTerms terms, int route) {
             this.req = req;
             this.terms = terms;
             this.route = route;
