--- a/src/main/java/gatelock/boot/Chain.java
+++ b/src/main/java/gatelock/boot/Chain.java
@@ -3,7 +3,7 @@
 import gatelock.decision.ReleaseGate;
 import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
-import gatelock.kept.OpenReqs;
+import gatelock.kept.InFlightRequests;
 import gatelock.membership.Scope;
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
@@ -30,7 +30,7 @@
     private static final long SESSIONS_LOOK_US = 50_000;
 
     final EndpointAddresses addresses = new EndpointAddresses();
-    final OpenReqs open;
+    final InFlightRequests open;
     final Lines units;
     final Orders orders;
     final DecisionEngine gate;
@@ -59,7 +59,7 @@
         this.sessions = sessions;
         this.turn = turn;
         this.counters = counters;
-        open = new OpenReqs(counters);
+        open = new InFlightRequests(counters);
         // An idle connection is closed well before the unit would, so that no req crosses its end.
         units = new Lines(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
             * 2 / 5);
--- a/src/main/java/gatelock/kept/OpenReqs.java
+++ b/src/main/java/gatelock/kept/InFlightRequests.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /** All reqs not settled yet, by id; a req whose caller has its answer stays until its last try has ended. */
-public final class OpenReqs {
+public final class InFlightRequests {
     private final Map<String, InFlightRequest> byId = new HashMap<>();
     private final Counters counters;
 
-    public OpenReqs(Counters counters) {
+    public InFlightRequests(Counters counters) {
         this.counters = counters;
     }
 
--- a/src/main/java/gatelock/wire/Admit.java
+++ b/src/main/java/gatelock/wire/Admit.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
-import gatelock.kept.OpenReqs;
+import gatelock.kept.InFlightRequests;
 import gatelock.plan.Admission;
 import gatelock.plan.Arrivals;
 import gatelock.plan.Waiting;
@@ -19,7 +19,7 @@
     private static final long LOOK_US = 10_000;
 
     private final Turn turn;
-    private final OpenReqs open;
+    private final InFlightRequests open;
     private final Counters counters;
     private final Book book;
     private final RelayBack relayBack;
@@ -33,7 +33,7 @@
      * @param admission what the plan in force means; null: there never is one
      * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
      */
-    public Admit(Turn turn, OpenReqs open, Counters counters, Book book, RelayBack relayBack, DecisionEngine gate,
+    public Admit(Turn turn, InFlightRequests open, Counters counters, Book book, RelayBack relayBack, DecisionEngine gate,
                  Admission admission, long longestPauseUs) {
         this.turn = turn;
         this.open = open;
--- a/src/main/java/gatelock/wire/Book.java
+++ b/src/main/java/gatelock/wire/Book.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
-import gatelock.kept.OpenReqs;
+import gatelock.kept.InFlightRequests;
 import gatelock.kept.UnitAnswer;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.LoadReport;
@@ -10,11 +10,11 @@
 /** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
 public final class Book {
     private final Turn turn;
-    private final OpenReqs open;
+    private final InFlightRequests open;
     private final Counters counters;
     private final RelayBack relayBack;
 
-    public Book(Turn turn, OpenReqs open, Counters counters, RelayBack relayBack) {
+    public Book(Turn turn, InFlightRequests open, Counters counters, RelayBack relayBack) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/Orders.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.InFlightRequest;
-import gatelock.kept.OpenReqs;
+import gatelock.kept.InFlightRequests;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Verdict;
@@ -16,7 +16,7 @@
     private static final System.Logger LOG = System.getLogger("gatelock.decision");
 
     private final Turn turn;
-    private final OpenReqs open;
+    private final InFlightRequests open;
     private RouteOut routeOut;
     private RelayBack relayBack;
     private Book book;
@@ -25,7 +25,7 @@
     private DecisionEngine gate;
     private boolean stopped;
 
-    public Orders(Turn turn, OpenReqs open) {
+    public Orders(Turn turn, InFlightRequests open) {
         this.turn = turn;
         this.open = open;
     }
--- a/src/main/java/gatelock/wire/RelayBack.java
+++ b/src/main/java/gatelock/wire/RelayBack.java
@@ -2,16 +2,16 @@
 
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
-import gatelock.kept.OpenReqs;
+import gatelock.kept.InFlightRequests;
 import gatelock.kept.UnitAnswer;
 
 /** Fifth stage: the one final answer goes back to the caller. */
 public final class RelayBack {
     private final Turn turn;
-    private final OpenReqs open;
+    private final InFlightRequests open;
     private final Counters counters;
 
-    public RelayBack(Turn turn, OpenReqs open, Counters counters) {
+    public RelayBack(Turn turn, InFlightRequests open, Counters counters) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
