--- a/src/main/java/gatelock/boot/Rehearsal.java
+++ b/src/main/java/gatelock/boot/Rehearsal.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.kept.Counters;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
 import gatelock.relay.RoutePolicy;
@@ -150,7 +150,7 @@
         own.call(at, StandardCharsets.US_ASCII.encode(text), ONE_US,
             new Line.User() {
                 @Override
-                public boolean answered(UnitAnswer answer) {
+                public boolean answered(UpstreamResponse answer) {
                     turn.soon(Rehearsal.this::ask);
                     return true;
                 }
--- a/src/main/java/gatelock/control/Subscription.java
+++ b/src/main/java/gatelock/control/Subscription.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.kept.LogField;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.plan.Backoff;
 import gatelock.plan.Finding;
 import gatelock.plan.Stamp;
@@ -173,7 +173,7 @@
     }
 
     /** The service answered; whether it may be believed so far. */
-    private boolean heard(UnitAnswer answer) {
+    private boolean heard(UpstreamResponse answer) {
         heardUs = turn.nowUs();
         if (answer.status() == 204) {
             told = null;
@@ -201,7 +201,7 @@
         return true;
     }
 
-    private static Stamp stamp(UnitAnswer answer) {
+    private static Stamp stamp(UpstreamResponse answer) {
         try {
             String id = answer.header("X-Plan-Epoch-Id");
             long born = Long.parseLong(answer.header("X-Plan-Epoch-Born"));
@@ -254,7 +254,7 @@
         }
 
         @Override
-        public boolean answered(UnitAnswer answer) {
+        public boolean answered(UpstreamResponse answer) {
             return current() && heard(answer);
         }
 
--- a/src/main/java/gatelock/kept/ResponseSink.java
+++ b/src/main/java/gatelock/kept/ResponseSink.java
@@ -4,7 +4,7 @@
 public interface ResponseSink {
 
     /** Passes on what a unit answered. */
-    void completed(UnitAnswer answer);
+    void completed(UpstreamResponse answer);
 
     /** Not done, trying again is harmless, best after {@code pauseUs} (0: no advice). */
     void shed(long pauseUs);
--- a/src/main/java/gatelock/kept/UnitAnswer.java
+++ b/src/main/java/gatelock/kept/UpstreamResponse.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** An answer as it came, held whole; header names and values alternate. */
-public record UnitAnswer(int status, List<String> headers, byte[] body) {
+public record UpstreamResponse(int status, List<String> headers, byte[] body) {
 
     /** The first value of a header, or null. */
     public String header(String name) {
--- a/src/main/java/gatelock/wire/AnswerReader.java
+++ b/src/main/java/gatelock/wire/AnswerReader.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -60,8 +60,8 @@
         return lasting;
     }
 
-    UnitAnswer answer() {
-        return new UnitAnswer(status, headers, body.toByteArray());
+    UpstreamResponse answer() {
+        return new UpstreamResponse(status, headers, body.toByteArray());
     }
 
     /** Takes in what came, up to the end of the answer. */
--- a/src/main/java/gatelock/wire/Book.java
+++ b/src/main/java/gatelock/wire/Book.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
 import gatelock.kept.InFlightRequests;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.LoadReport;
 
@@ -22,7 +22,7 @@
     }
 
     /** A try has ended; the first that completed is the req's answer. */
-    public void ended(InFlightRequest req, int tryNo, AttemptResult ending, long tookUs, UnitAnswer answer) {
+    public void ended(InFlightRequest req, int tryNo, AttemptResult ending, long tookUs, UpstreamResponse answer) {
         counters.ended(ending);
         if (ending == AttemptResult.COMPLETED && !req.over()) {
             relayBack.completed(req, answer);
--- a/src/main/java/gatelock/wire/Desk.java
+++ b/src/main/java/gatelock/wire/Desk.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.Counters;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Verdict;
 
@@ -96,7 +96,7 @@
     /** One vote; one whose answer can't be read may have counted. */
     private final class Vote implements Line.User {
         @Override
-        public boolean answered(UnitAnswer answer) {
+        public boolean answered(UpstreamResponse answer) {
             try {
                 Json said = Json.read(answer.body());
                 switch (answer.status()) {
@@ -235,7 +235,7 @@
         }
 
         @Override
-        public boolean answered(UnitAnswer answer) {
+        public boolean answered(UpstreamResponse answer) {
             broken(true);
             return false;
         }
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/Discovery.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.membership.Entry;
 import gatelock.membership.Scope;
 import gatelock.plan.Admission;
@@ -202,7 +202,7 @@
     }
 
     /** Takes in an answer; one that is bad anywhere changes nothing. */
-    private boolean told(UnitAnswer answer) {
+    private boolean told(UpstreamResponse answer) {
         try {
             if (answer.status() != 200) {
                 throw new IOException("status " + answer.status());
@@ -358,7 +358,7 @@
         private String unreadable;
 
         @Override
-        public boolean answered(UnitAnswer answer) {
+        public boolean answered(UpstreamResponse answer) {
             return told(answer);
         }
 
@@ -448,7 +448,7 @@
         }
 
         @Override
-        public boolean answered(UnitAnswer answer) {
+        public boolean answered(UpstreamResponse answer) {
             try {
                 ListReader.Frame frame = list.end();
                 unread = null;
--- a/src/main/java/gatelock/wire/Line.java
+++ b/src/main/java/gatelock/wire/Line.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
@@ -34,7 +34,7 @@
         }
 
         /** Whether it reads as what was asked for; if not, the connection serves no more. */
-        boolean answered(UnitAnswer answer);
+        boolean answered(UpstreamResponse answer);
 
         /** No whole, readable answer came; {@code written}: the last byte of the call was written before. */
         void broken(boolean written);
--- a/src/main/java/gatelock/wire/RelayBack.java
+++ b/src/main/java/gatelock/wire/RelayBack.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
 import gatelock.kept.InFlightRequests;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 
 /** Fifth stage: the one final answer goes back to the caller. */
 public final class RelayBack {
@@ -17,7 +17,7 @@
         this.counters = counters;
     }
 
-    void completed(InFlightRequest req, UnitAnswer answer) {
+    void completed(InFlightRequest req, UpstreamResponse answer) {
         counters.add("completed");
         open.close(req);
         req.caller().completed(answer);
--- a/src/main/java/gatelock/wire/SendOff.java
+++ b/src/main/java/gatelock/wire/SendOff.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.kept.InFlightRequest;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.relay.AttemptResult;
 
 import java.net.InetSocketAddress;
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public boolean answered(UnitAnswer answer) {
+        public boolean answered(UpstreamResponse answer) {
             boolean never = (answer.status() == 503 || answer.status() == 504)
                 && "1".equals(answer.header("X-Never-Ran"));
             end(answer.status() == 200 ? AttemptResult.COMPLETED : never ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED, answer);
@@ -105,7 +105,7 @@
             end(written ? AttemptResult.BROKEN_OFF : stopped ? AttemptResult.NOT_SENT : AttemptResult.NOT_CONNECTED, null);
         }
 
-        private void end(AttemptResult ending, UnitAnswer answer) {
+        private void end(AttemptResult ending, UpstreamResponse answer) {
             ended = true;
             hears.accept(unit, ending);
             book.ended(req, number, ending, turn.nowUs() - sentUs, answer);
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -3,7 +3,7 @@
 import gatelock.kept.ResponseSink;
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.plan.Admission;
 import gatelock.plan.Asked;
 import gatelock.plan.SessionTerms;
@@ -370,7 +370,7 @@
         }
 
         @Override
-        public void completed(UnitAnswer answer) {
+        public void completed(UpstreamResponse answer) {
             if (takesOver != null) {
                 front.upgraded(exchange);
                 takesOver.accept(exchange);
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 import gatelock.plan.SessionTerms;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
@@ -264,7 +264,7 @@
                     opening.cancel();
                 }
                 book.ended(req, number, ending, turn.nowUs() - sentUs, ending == AttemptResult.COMPLETED
-                    ? new UnitAnswer(101, List.of(), new byte[0]) : null);
+                    ? new UpstreamResponse(101, List.of(), new byte[0]) : null);
             }
         }
     }
--- a/src/test/java/gatelock/wire/LineTest.java
+++ b/src/test/java/gatelock/wire/LineTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.kept.Counters;
-import gatelock.kept.UnitAnswer;
+import gatelock.kept.UpstreamResponse;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -42,7 +42,7 @@
 
     private final class Hears implements Line.User {
         @Override
-        public boolean answered(UnitAnswer answer) {
+        public boolean answered(UpstreamResponse answer) {
             heard.add("answered " + new String(answer.body(), StandardCharsets.US_ASCII));
             return true;
         }
