--- a/src/main/java/gatelock/membership/Entry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -12,11 +12,11 @@
  * @param startUs its latest start, 0 for long past
  * @param labels what plans may choose units by; each costs its bytes in the store
  */
-public record Entry(String name, String service, String address, int zone, int kind, int cell, int build,
+public record EndpointEntry(String name, String service, String address, int zone, int kind, int cell, int build,
                     Endpoint.Health health, long startUs, Map<String, String> labels) {
 
     /** A unit without labels. */
-    public Entry(String name, String service, String address, int zone, int kind, int cell, int build,
+    public EndpointEntry(String name, String service, String address, int zone, int kind, int cell, int build,
                  Endpoint.Health health, long startUs) {
         this(name, service, address, zone, kind, cell, build, health, startUs, Map.of());
     }
@@ -26,8 +26,8 @@
         return new Endpoint(name, build, zone, kind, cell, health, startUs);
     }
 
-    Entry gone() {
-        return new Entry(name, service, address, zone, kind, cell, build, Endpoint.Health.GONE, startUs,
+    EndpointEntry gone() {
+        return new EndpointEntry(name, service, address, zone, kind, cell, build, Endpoint.Health.GONE, startUs,
             labels);
     }
 }
--- a/src/main/java/gatelock/membership/Scope.java
+++ b/src/main/java/gatelock/membership/Scope.java
@@ -65,7 +65,7 @@
     }
 
     /** What to tell the decisions: all there is, or units that came into scope, changed in it or left it. */
-    public record Change(boolean whole, List<Entry> entries) {
+    public record Change(boolean whole, List<EndpointEntry> entries) {
     }
 
     private final Terms terms;
@@ -88,7 +88,7 @@
     /** Services of which first units had to give way, by when they are asked for again. */
     private final Set<Service> returning = new LinkedHashSet<>();
     private int admitted;
-    private Map<String, Entry> told = new LinkedHashMap<>();
+    private Map<String, EndpointEntry> told = new LinkedHashMap<>();
     private long changedUs;
     private long index = -1;
 
@@ -102,7 +102,7 @@
     private static final class Held implements Comparable<Held> {
         private final Service service;
         private final long rank;
-        private Entry entry;
+        private EndpointEntry entry;
         private boolean own;
         /** Among the first of the ranking, as aimed at. */
         private boolean first;
@@ -112,7 +112,7 @@
         private long leavesUs = NEVER;
         private int yields = STAYS;
 
-        Held(Service service, Entry entry, long rank) {
+        Held(Service service, EndpointEntry entry, long rank) {
             this.service = service;
             this.entry = entry;
             this.rank = rank;
@@ -206,7 +206,7 @@
          * unit that stands twice in a whole list and for an entry that is too large; the Reading is of no use
          * then.
          */
-        public void add(Entry e) {
+        public void add(EndpointEntry e) {
             if (whole && staged.find(e.name()) >= 0) {
                 throw new IllegalArgumentException("expected each unit once, found twice " + e.name());
             }
@@ -245,7 +245,7 @@
         store = its;
         for (Held h : List.copyOf(held.values())) {
             int place = store.find(h.entry.name());
-            Entry now = place < 0 ? null : store.entry(place);
+            EndpointEntry now = place < 0 ? null : store.entry(place);
             if (now == null || !now.service().equals(h.service.name)) {
                 drop(h);
             } else {
@@ -260,7 +260,7 @@
     }
 
     /** One entry of a change. */
-    private void apply(Entry e) {
+    private void apply(EndpointEntry e) {
         int before = store.find(e.name());
         if (before >= 0) {
             touched(service(store.entry(before).service()));
@@ -294,7 +294,7 @@
         dirty.add(s);
     }
 
-    private void update(Held h, Entry now) {
+    private void update(Held h, EndpointEntry now) {
         if (h.entry.startUs() != now.startUs() || h.entry.build() != now.build()) {
             // Another process under the name: nothing is known of it.
             h.silent = 0;
@@ -351,7 +351,7 @@
         return change(false, told.isEmpty() ? List.of() : List.copyOf(told.values()));
     }
 
-    private Change change(boolean whole, List<Entry> entries) {
+    private Change change(boolean whole, List<EndpointEntry> entries) {
         told = new LinkedHashMap<>();
         return new Change(whole, entries);
     }
@@ -707,7 +707,7 @@
                 dirty.add(gives.service);
             }
         }
-        Entry e = store.entry(c.place);
+        EndpointEntry e = store.entry(c.place);
         Held h = new Held(s, e, c.rank);
         h.own = c.own;
         h.first = first;
@@ -721,7 +721,7 @@
     }
 
     /** Takes a unit out of scope and tells so. */
-    private void leave(Held h, Entry last) {
+    private void leave(Held h, EndpointEntry last) {
         drop(h);
         told.put(last.name(), last);
         if (h.service.units.stream().noneMatch(Held::usable)) {
--- a/src/main/java/gatelock/membership/Store.java
+++ b/src/main/java/gatelock/membership/Store.java
@@ -155,7 +155,7 @@
     }
 
     /** Keeps what an entry tells, in place of what was kept under its name. Throws where it is too large. */
-    int put(Entry e) {
+    int put(EndpointEntry e) {
         byte[] name = utf8(e.name());
         long hash = ranking.hash(name, 0, name.length);
         int service = number(e.service());
@@ -231,7 +231,7 @@
     }
 
     /** What was told of a unit. */
-    Entry entry(int place) {
+    EndpointEntry entry(int place) {
         Reader in = new Reader(place);
         int flags = in.page[in.from - 1];
         int zone = (int) unzigzag(in.number());
@@ -249,7 +249,7 @@
                 labels.put(in.text(), in.text());
             }
         }
-        return new Entry(name, service, address, zone, kind, cell, build, HEALTH[flags & HEALTH_MASK],
+        return new EndpointEntry(name, service, address, zone, kind, cell, build, HEALTH[flags & HEALTH_MASK],
             startUs,
             labels);
     }
@@ -381,7 +381,7 @@
         return place;
     }
 
-    private void pack(Entry e, byte[] name, int service) {
+    private void pack(EndpointEntry e, byte[] name, int service) {
         at = AFTER_FLAGS;
         int packed = packed(e.address());
         scratch[FLAGS] = (byte) (e.health().ordinal() | (packed != NONE ? PACKED_ADDRESS : 0)
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/Discovery.java
@@ -3,7 +3,7 @@
 import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
 import gatelock.kept.UpstreamResponse;
-import gatelock.membership.Entry;
+import gatelock.membership.EndpointEntry;
 import gatelock.membership.Scope;
 import gatelock.plan.Admission;
 import gatelock.relay.AttemptResult;
@@ -123,7 +123,7 @@
     public void start(DecisionEngine gate, Admission admission, Json known) throws IOException {
         this.gate = gate;
         this.admission = admission;
-        List<Entry> entries = entries(known);
+        List<EndpointEntry> entries = entries(known);
         if (membership != null) {
             Scope.Reading reading = membership.scope.read(true);
             entries.forEach(reading::add);
@@ -208,7 +208,7 @@
                 throw new IOException("status " + answer.status());
             }
             Json list = Json.read(answer.body());
-            List<Entry> entries = entries(list);
+            List<EndpointEntry> entries = entries(list);
             boolean whole = list.yes("snapshot");
             unread = null;
             taken(list.whole("index"), whole || !entries.isEmpty(), () ->
@@ -284,8 +284,8 @@
     }
 
     /** Tells whoever chooses among units, pools before the decisions. */
-    private void listed(DecisionEngine.ListForm form, List<Entry> entries, boolean whole) {
-        List<Endpoint> listed = entries.stream().map(Entry::listed).toList();
+    private void listed(DecisionEngine.ListForm form, List<EndpointEntry> entries, boolean whole) {
+        List<Endpoint> listed = entries.stream().map(EndpointEntry::listed).toList();
         List<InetSocketAddress> left = noted(entries, listed, whole);
         if (admission != null) {
             Map<String, Map<String, String>> labels = new HashMap<>();
@@ -327,11 +327,11 @@
             : Math.max(changedUs, scope.changedUs()), tooLong);
     }
 
-    private List<Entry> entries(Json list) throws IOException {
-        List<Entry> entries = new ArrayList<>();
+    private List<EndpointEntry> entries(Json list) throws IOException {
+        List<EndpointEntry> entries = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Json e : list.objects("endpoints")) {
-            Entry entry = reader.read(e, turn.nowUs());
+            EndpointEntry entry = reader.read(e, turn.nowUs());
             if (!names.add(entry.name())) {
                 throw new IOException("expected each unit once, found twice " + entry.name());
             }
@@ -341,13 +341,13 @@
     }
 
     /** Notes where the units are; returns the addresses to which what stands serves no more. */
-    private List<InetSocketAddress> noted(List<Entry> entries, List<Endpoint> listed, boolean whole) {
+    private List<InetSocketAddress> noted(List<EndpointEntry> entries, List<Endpoint> listed, boolean whole) {
         List<InetSocketAddress> left = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
             left.addAll(addresses.put(Json.resolved(entries.get(i).address()), listed.get(i)));
         }
         if (whole) {
-            left.addAll(addresses.keepOnly(entries.stream().map(Entry::name).collect(Collectors.toSet())));
+            left.addAll(addresses.keepOnly(entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
         }
         return left;
     }
@@ -438,7 +438,7 @@
 
         @Override
         public void entry(Json entry) throws IOException {
-            Entry read = reader.read(entry, turn.nowUs());
+            EndpointEntry read = reader.read(entry, turn.nowUs());
             none = false;
             try {
                 reading.add(read);
--- a/src/main/java/gatelock/wire/EntryReader.java
+++ b/src/main/java/gatelock/wire/EntryReader.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.membership.Entry;
+import gatelock.membership.EndpointEntry;
 import gatelock.relay.Endpoint;
 
 import java.io.IOException;
@@ -27,7 +27,7 @@
     }
 
     /** An entry whose address is of the right form, and not looked up yet. */
-    Entry read(Json e, long nowUs) throws IOException {
+    EndpointEntry read(Json e, long nowUs) throws IOException {
         String unit = e.text("name");
         Endpoint.Health health = HEALTH.get(e.text("status"));
         if (health == null) {
@@ -38,7 +38,7 @@
             throw new IOException("expected a start that has been for " + unit);
         }
         Map<String, String> labels = labels(e);
-        return new Entry(unit, service.of(unit, e, labels), e.addressText("address"), number(zones, e, "zone"),
+        return new EndpointEntry(unit, service.of(unit, e, labels), e.addressText("address"), number(zones, e, "zone"),
             number(kinds, e, "type"), (int) e.wholeOr("group", 0), e.count("image_id"), health, startUs, labels);
     }
 
--- a/src/test/java/gatelock/ScopeTest.java
+++ b/src/test/java/gatelock/ScopeTest.java
@@ -4,7 +4,7 @@
 import static gatelock.StandIns.read;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.membership.Entry;
+import gatelock.membership.EndpointEntry;
 import gatelock.membership.Scope;
 import gatelock.relay.Endpoint;
 import gatelock.standin.ControlService;
@@ -68,7 +68,7 @@
         Scope scope = new Scope(new Scope.Terms(NUMBER, -1, MOST, IN_SCOPE, 0, 0, 0));
         Scope.Reading reading = scope.read(true);
         for (int i = 0; i < UNITS; i++) {
-            reading.add(new Entry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Endpoint.Health.READY, 0));
+            reading.add(new EndpointEntry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Endpoint.Health.READY, 0));
         }
         Set<Integer> firsts = new HashSet<>();
         reading.take(0, 5).entries().forEach(e -> firsts.add(Integer.parseInt(e.name().replaceAll(".*-", ""))));
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -1,7 +1,7 @@
 package gatelock.fleet;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.membership.Entry;
+import gatelock.membership.EndpointEntry;
 import gatelock.membership.Scope;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.RelaySettings;
@@ -429,7 +429,7 @@
         }
 
         HollowDiscovery.Entry entry() {
-            return new HollowDiscovery.Entry(new Entry(name, services.get(service).name,
+            return new HollowDiscovery.Entry(new EndpointEntry(name, services.get(service).name,
                 HollowDiscovery.address(number), zone, 0, 0, build, health, startUs));
         }
 
@@ -614,7 +614,7 @@
         }
 
         private void tells(DecisionEngine.ListForm form, Scope.Change change) {
-            List<Entry> those = change.entries();
+            List<EndpointEntry> those = change.entries();
             if (terms.fault == Fault.HELD_BY_ALL) {
                 those = new ArrayList<>(those);
                 those.removeIf(e -> units.get(e.name()).number == 0);
@@ -623,13 +623,13 @@
             if (!change.whole() && those.isEmpty()) {
                 return;
             }
-            gate.listed(nowUs, form, those.stream().map(Entry::listed).toList());
+            gate.listed(nowUs, form, those.stream().map(EndpointEntry::listed).toList());
             Meter.Role before = meter.in(Meter.Role.WORLD);
             if (change.whole()) {
                 held.stream().forEach(n -> discovery.holders(n, -1));
                 held.clear();
             }
-            for (Entry e : those) {
+            for (EndpointEntry e : those) {
                 int n = units.get(e.name()).number;
                 boolean holds = e.health() != Endpoint.Health.GONE;
                 if (held.get(n) != holds) {
--- a/src/test/java/gatelock/fleet/HollowDiscovery.java
+++ b/src/test/java/gatelock/fleet/HollowDiscovery.java
@@ -13,11 +13,11 @@
 /** The list of units as discovery holds it, its changes by index, and what a relay is sent of them. */
 final class HollowDiscovery {
     /** An entry as it was at one time, shared by all relays, and what the decisions take of it. */
-    record Entry(gatelock.membership.Entry told, Endpoint listed) {
+    record Entry(gatelock.membership.EndpointEntry told, Endpoint listed) {
         private static final Map<Endpoint.Health, String> STATUS = Map.of(Endpoint.Health.READY, "in_service",
             Endpoint.Health.DRAINING, "terminating", Endpoint.Health.GONE, "terminated");
 
-        Entry(gatelock.membership.Entry told) {
+        Entry(gatelock.membership.EndpointEntry told) {
             this(told, told.listed());
         }
 
--- a/src/test/java/gatelock/membership/ScopeMeasure.java
+++ b/src/test/java/gatelock/membership/ScopeMeasure.java
@@ -270,19 +270,19 @@
 
     // The module itself
 
-    private static Entry unit(int n, int services, int zone, int starts) {
-        return new Entry("unit-" + (1_000_000 + n), "service-" + n % services, "10." + (n >> 16) + "."
+    private static EndpointEntry unit(int n, int services, int zone, int starts) {
+        return new EndpointEntry("unit-" + (1_000_000 + n), "service-" + n % services, "10." + (n >> 16) + "."
             + (n >> 8 & 255) + "." + (n & 255) + ":8443", zone, n % 4, n % 50, 804 + n % 2,
             Endpoint.Health.READY,
             1_780_000_000_000_000L + n * 1000L + starts * SECOND);
     }
 
-    private static Entry unit(int n, int services, int starts) {
+    private static EndpointEntry unit(int n, int services, int starts) {
         return unit(n, services, n % 19, starts);
     }
 
     /** A service's units as one relay's scope has them. */
-    private static Scope.Change change(int relay, int zone, List<Entry> list, int perService, int elsewhere) {
+    private static Scope.Change change(int relay, int zone, List<EndpointEntry> list, int perService, int elsewhere) {
         Scope scope = new Scope(new Scope.Terms(relay, zone, 1_000, perService, 0, elsewhere, SECOND));
         Scope.Reading reading = scope.read(true);
         list.forEach(reading::add);
@@ -299,7 +299,7 @@
         for (int n : new int[] {28, 190, 1_000}) {
             for (String how : new String[] {"none told", "even", "drawn"}) {
                 SplittableRandom random = new SplittableRandom(n);
-                List<Entry> list = new ArrayList<>();
+                List<EndpointEntry> list = new ArrayList<>();
                 for (int i = 0; i < n; i++) {
                     list.add(unit(i, 1, how.equals("drawn") ? random.nextInt(zones) : i % zones, 0));
                 }
@@ -308,7 +308,7 @@
                 int held = 0;
                 for (int r = 0; r < zones * perZone; r++) {
                     int zone = how.startsWith("none") ? -1 : r % zones;
-                    for (Entry e : change(r, zone, list, 5, 1).entries()) {
+                    for (EndpointEntry e : change(r, zone, list, 5, 1).entries()) {
                         holders[Integer.parseInt(e.name().substring(5)) - 1_000_000]++;
                         own += e.zone() == r % zones ? 1 : 0;
                         held++;
@@ -394,11 +394,11 @@
         for (int k = 0; k < REPEATS; k++) {
             long from = cpuNs();
             for (int i = 0; i < CHANGES; i++) {
-                Entry e = unit(units[i % units.length], services, k + 1);
-                Entry drains = new Entry(e.name(), e.service(), e.address(), e.zone(), e.kind(), e.cell(),
+                EndpointEntry e = unit(units[i % units.length], services, k + 1);
+                EndpointEntry drains = new EndpointEntry(e.name(), e.service(), e.address(), e.zone(), e.kind(), e.cell(),
                     e.build(),
                     Endpoint.Health.DRAINING, e.startUs());
-                for (Entry told : new Entry[] {drains, e.gone(), e}) {
+                for (EndpointEntry told : new EndpointEntry[] {drains, e.gone(), e}) {
                     Scope.Reading reading = scope.read(false);
                     reading.add(told);
                     reading.take(nowUs, 1);
@@ -511,8 +511,8 @@
         int plays = 0;
         long nowUs = 1_000_000_000L;
         for (; plays < 200; plays++) {
-            Entry e = unit(its[plays % its.length], 1, plays + 100);
-            for (Entry told : new Entry[] {e.gone(), e}) {
+            EndpointEntry e = unit(its[plays % its.length], 1, plays + 100);
+            for (EndpointEntry told : new EndpointEntry[] {e.gone(), e}) {
                 Scope.Reading reading = scope.read(false);
                 reading.add(told);
                 reading.take(nowUs, 1);
--- a/src/test/java/gatelock/membership/ScopePropertiesTest.java
+++ b/src/test/java/gatelock/membership/ScopePropertiesTest.java
@@ -26,7 +26,7 @@
     private static final int UNITS = 40;
     private static final int SERVICES = 5;
 
-    private final Map<String, Entry> list = new TreeMap<>();
+    private final Map<String, EndpointEntry> list = new TreeMap<>();
     private final Set<String> silent = new HashSet<>();
     private RandomGenerator random;
     private Scope.Terms terms;
@@ -49,17 +49,17 @@
             new Ranking(terms.relay()));
     }
 
-    private Entry any() {
+    private EndpointEntry any() {
         int n = random.nextInt(UNITS);
         Endpoint.Health health = random.nextInt(4) > 0 ? Endpoint.Health.READY :
             Endpoint.Health.values()[random.nextInt(3)];
         String service = "s" + (random.nextInt(20) > 0 ? n % SERVICES : random.nextInt(SERVICES));
-        return new Entry("u" + n, service, "10.0.0." + n + ":80", random.nextInt(20) > 0 ? n % 3 :
+        return new EndpointEntry("u" + n, service, "10.0.0." + n + ":80", random.nextInt(20) > 0 ? n % 3 :
             random.nextInt(3),
             n % 2, 0, 1 + random.nextInt(2), health, random.nextInt(3) * 1000L);
     }
 
-    private void note(Entry e) {
+    private void note(EndpointEntry e) {
         if (e.health() == Endpoint.Health.GONE) {
             list.remove(e.name());
         } else {
@@ -68,9 +68,9 @@
     }
 
     private void wholeList() {
-        Map<String, Entry> entries = new TreeMap<>();
+        Map<String, EndpointEntry> entries = new TreeMap<>();
         for (int n = random.nextInt(2 * UNITS); n > 0; n--) {
-            Entry e = any();
+            EndpointEntry e = any();
             entries.put(e.name(), e);
         }
         list.clear();
@@ -80,13 +80,13 @@
     }
 
     private void change() {
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int n = 1 + random.nextInt(6); n > 0; n--) {
             entries.add(any());
         }
         if (random.nextInt(10) == 0) {
             // A zone or a service's units, all at once.
-            Predicate<Entry> lost = random.nextBoolean() ? e -> e.zone() == random.nextInt(3)
+            Predicate<EndpointEntry> lost = random.nextBoolean() ? e -> e.zone() == random.nextInt(3)
                 : e -> e.service().equals("s" + random.nextInt(SERVICES));
             list.values().stream().filter(lost).forEach(e -> entries.add(random.nextBoolean() ? e.gone()
                 : Told.unit(e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
@@ -101,7 +101,7 @@
         Scope.Reading reading = told.scope.read(random.nextBoolean());
         Set<String> names = new HashSet<>();
         for (int n = random.nextInt(UNITS); n > 0; n--) {
-            Entry e = any();
+            EndpointEntry e = any();
             if (names.add(e.name())) {
                 reading.add(e);
             }
@@ -131,15 +131,15 @@
         }
     }
 
-    private Map<String, Set<String>> readyByService(Collection<Entry> entries) {
+    private Map<String, Set<String>> readyByService(Collection<EndpointEntry> entries) {
         return entries.stream().filter(e -> e.health() == Endpoint.Health.READY).collect(Collectors.groupingBy(
-            Entry::service, TreeMap::new, Collectors.mapping(Entry::name,
+            EndpointEntry::service, TreeMap::new, Collectors.mapping(EndpointEntry::name,
             Collectors.toCollection(TreeSet::new))));
     }
 
     private void check() {
         assertThat(told.scope.listed()).isEqualTo(list.size());
-        assertThat(told.scope.services()).isEqualTo((int) list.values().stream().map(Entry::service)
+        assertThat(told.scope.services()).isEqualTo((int) list.values().stream().map(EndpointEntry::service)
             .distinct().count());
         assertThat(told.scope.inScope()).isEqualTo(told.units.size()).isLessThanOrEqualTo(terms.most());
         // What was told is what is listed: drains, restarts and ends in scope at once.
@@ -240,7 +240,7 @@
         terms = Told.terms(terms.relay(), -1, terms.most(), terms.perService(), 0, 0);
         told = new Told(fresh(false));
         for (int i = 0; i < UNITS; i++) {
-            Entry e = Told.ready("u" + i, "s", i % 3);
+            EndpointEntry e = Told.ready("u" + i, "s", i % 3);
             list.put(e.name(), e);
         }
         told.whole(list.values());
@@ -248,7 +248,7 @@
             Set<String> before = told.ready();
             String unit = "u" + random.nextInt(UNITS);
             boolean goes = list.containsKey(unit);
-            Entry e = Told.ready(unit, "s", 0);
+            EndpointEntry e = Told.ready(unit, "s", 0);
             note(goes ? e.gone() : e);
             told.change(goes ? e.gone() : e);
             told.due(LOOK_US);
--- a/src/test/java/gatelock/membership/ScopeTest.java
+++ b/src/test/java/gatelock/membership/ScopeTest.java
@@ -23,14 +23,14 @@
 
     private final Told told = new Told(new Scope(Told.terms(7, 0, 100, 3, 1, SETTLE_US)));
 
-    private static List<Entry> service(String name, int units, int zones) {
+    private static List<EndpointEntry> service(String name, int units, int zones) {
         return IntStream.range(0, units).mapToObj(i -> Told.ready(name + "-" + i, name, i % zones)).toList();
     }
 
-    private static Entry[] all(List<Entry> entries, Set<String> names, Endpoint.Health health) {
+    private static EndpointEntry[] all(List<EndpointEntry> entries, Set<String> names, Endpoint.Health health) {
         return entries.stream().filter(e -> names.contains(e.name())).map(e -> Told.unit(e.name(),
             e.service(),
-            e.zone(), health)).toArray(Entry[]::new);
+            e.zone(), health)).toArray(EndpointEntry[]::new);
     }
 
     private void silent(Set<String> units, int tries) {
@@ -62,7 +62,7 @@
 
     @Test
     void aRackLostAtOnceIsReplacedInTheSameChange() {
-        List<Entry> units = service("a", 40, 4);
+        List<EndpointEntry> units = service("a", 40, 4);
         told.whole(units);
         for (int i = 0; i < 12; i++) {
             Set<String> lost = told.ready();
@@ -74,23 +74,23 @@
 
     @Test
     void aZoneLostLeavesUnitsElsewhere() {
-        List<Entry> units = service("a", 40, 4);
+        List<EndpointEntry> units = service("a", 40, 4);
         told.whole(units);
-        told.change(units.stream().filter(e -> e.zone() == 0).map(Entry::gone).toArray(Entry[]::new));
+        told.change(units.stream().filter(e -> e.zone() == 0).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
         assertThat(told.ready()).hasSize(3);
-        told.change(units.stream().filter(e -> e.zone() != 1).map(Entry::gone).toArray(Entry[]::new));
+        told.change(units.stream().filter(e -> e.zone() != 1).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
         assertThat(told.ready()).hasSize(3);
         assertThat(zone(told.ready(), 1)).isEqualTo(3);
     }
 
     @Test
     void drainingUnitsStayToldUntilTheyAreGone() {
-        List<Entry> units = service("a", 40, 4);
+        List<EndpointEntry> units = service("a", 40, 4);
         told.whole(units);
         Set<String> first = told.ready();
         told.change(all(units, first, Endpoint.Health.DRAINING));
         assertThat(told.units).containsKeys(first.toArray(new String[0]));
-        assertThat(told.last.entries()).extracting(Entry::health).containsOnly(Endpoint.Health.READY,
+        assertThat(told.last.entries()).extracting(EndpointEntry::health).containsOnly(Endpoint.Health.READY,
             Endpoint.Health.DRAINING).hasSize(6);
         told.due(10 * SETTLE_US);
         assertThat(told.units).hasSize(6);
@@ -154,7 +154,7 @@
 
     @Test
     void aZoneThatFallsSilentLeadsElsewhere() {
-        List<Entry> units = service("a", 400, 4);
+        List<EndpointEntry> units = service("a", 400, 4);
         told.whole(units);
         for (int i = 0; i < 3; i++) {
             silent(told.ready().stream().filter(u -> told.units.get(u).zone() == 0).collect(
@@ -190,7 +190,7 @@
         String unit = first.iterator().next();
         silent(Set.of(unit), 2);
         assertThat(told.ready()).hasSize(4);
-        Entry again = new Entry(unit, "a", "10.0.0.1:80", told.units.get(unit).zone(), 0, 0, 2,
+        EndpointEntry again = new EndpointEntry(unit, "a", "10.0.0.1:80", told.units.get(unit).zone(), 0, 0, 2,
             Endpoint.Health.READY, 5 * SECOND);
         told.change(again);
         assertThat(told.last.entries()).containsExactly(again);
@@ -201,13 +201,13 @@
 
     @Test
     void aReleaseThatRestartsUnitsUnderTheirNamesMovesNoUnitOfTheScope() {
-        List<Entry> units = service("a", 40, 4);
+        List<EndpointEntry> units = service("a", 40, 4);
         told.whole(units);
         Set<String> first = told.ready();
-        for (Entry e : units) {
+        for (EndpointEntry e : units) {
             told.change(Told.unit(e.name(), "a", e.zone(), Endpoint.Health.DRAINING));
             told.change(e.gone());
-            told.change(new Entry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Endpoint.Health.READY,
+            told.change(new EndpointEntry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Endpoint.Health.READY,
                 SECOND));
         }
         told.due(SETTLE_US);
@@ -277,7 +277,7 @@
         Set<String> first = told.ready();
         told.whole(service("a", 40, 4));
         assertThat(told.last.whole()).isTrue();
-        assertThat(told.last.entries()).extracting(Entry::name).containsExactlyInAnyOrderElementsOf(first);
+        assertThat(told.last.entries()).extracting(EndpointEntry::name).containsExactlyInAnyOrderElementsOf(first);
         told.whole(service("a", 2, 4));
         assertThat(told.ready()).containsExactly("a-0", "a-1");
     }
@@ -294,14 +294,14 @@
     @Test
     void theBoundIsSharedOutFairlyAndCountedWhereItDoesNotSuffice() {
         Told bound = new Told(new Scope(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
-        List<Entry> units = new ArrayList<>();
+        List<EndpointEntry> units = new ArrayList<>();
         IntStream.range(0, 8).forEach(s -> units.addAll(service("s" + s, s == 0 ? 1 : 20, 4)));
         bound.whole(units);
         assertThat(bound.scope.aim()).isEqualTo(2);
         assertThat(bound.ready("s0")).hasSize(1);
         IntStream.range(1, 8).forEach(s -> assertThat(bound.ready("s" + s)).hasSize(2));
         assertThat(bound.scope.crowdedOut()).isZero();
-        IntStream.range(8, 30).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(Entry[]::new)));
+        IntStream.range(8, 30).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(EndpointEntry[]::new)));
         assertThat(bound.scope.aim()).isZero();
         assertThat(bound.scope.inScope()).isEqualTo(20);
         assertThat(bound.scope.crowdedOut()).isEqualTo(10);
@@ -309,8 +309,8 @@
         Set<String> in = new TreeSet<>();
         bound.units.values().forEach(e -> in.add(e.service()));
         assertThat(in).hasSize(20);
-        in.stream().limit(4).forEach(s -> bound.change(service(s, 20, 4).stream().map(Entry::gone)
-            .toArray(Entry[]::new)));
+        in.stream().limit(4).forEach(s -> bound.change(service(s, 20, 4).stream().map(EndpointEntry::gone)
+            .toArray(EndpointEntry[]::new)));
         assertThat(bound.scope.crowdedOut()).isEqualTo(6);
         assertThat(bound.scope.inScope()).isEqualTo(20);
     }
@@ -318,10 +318,10 @@
     @Test
     void eachServiceHasMoreAgainOnlyWhenThereWasRoomForTheSettleTime() {
         Told bound = new Told(new Scope(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
-        IntStream.range(0, 8).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(Entry[]::new)));
+        IntStream.range(0, 8).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(EndpointEntry[]::new)));
         assertThat(bound.scope.aim()).isEqualTo(2);
-        Entry[] gone = service("s0", 20, 4).stream().map(Entry::gone).toArray(Entry[]::new);
-        Entry[] last = service("s1", 20, 4).stream().map(Entry::gone).toArray(Entry[]::new);
+        EndpointEntry[] gone = service("s0", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
+        EndpointEntry[] last = service("s1", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
         bound.change(gone);
         bound.change(last);
         assertThat(bound.scope.aim()).isEqualTo(2);
@@ -329,14 +329,14 @@
         assertThat(bound.scope.aim()).isEqualTo(2);
         bound.due(1);
         assertThat(bound.scope.aim()).isEqualTo(3);
-        bound.change(service("s0", 20, 4).toArray(Entry[]::new));
+        bound.change(service("s0", 20, 4).toArray(EndpointEntry[]::new));
         assertThat(bound.scope.aim()).isEqualTo(2);
     }
 
     /** A relay that aims at a quarter of a service, 5 units at least, before one of 81 and one of 12. */
     private static Told ofLargeAndSmall(int most) {
         Told relay = new Told(new Scope(new Scope.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
-        List<Entry> units = new ArrayList<>(service("large", 81, 3));
+        List<EndpointEntry> units = new ArrayList<>(service("large", 81, 3));
         units.addAll(service("small", 12, 3));
         relay.whole(units);
         return relay;
@@ -349,7 +349,7 @@
         assertThat(relay.ready("large")).hasSize(21);
         assertThat(relay.ready("small")).hasSize(5);
         // It follows the service's size, and gives up what it has too much after the settle time.
-        relay.change(service("large", 81, 3).stream().skip(40).map(Entry::gone).toArray(Entry[]::new));
+        relay.change(service("large", 81, 3).stream().skip(40).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
         relay.due(SETTLE_US);
         assertThat(relay.ready("large")).hasSize(10);
     }
@@ -367,7 +367,7 @@
     @Test
     void aServiceThatIsAllSilentComesBackToAUnitThatGaveWayToAnotherService() {
         Told relay = new Told(new Scope(Told.terms(7, 0, 3, 1, 0, SETTLE_US)));
-        List<Entry> units = new ArrayList<>(service("a", 2, 1));
+        List<EndpointEntry> units = new ArrayList<>(service("a", 2, 1));
         units.addAll(service("b", 2, 1));
         relay.whole(units);
         Set<String> silent = new TreeSet<>(relay.ready("a"));
@@ -436,7 +436,7 @@
     void aColdUnitsPartsAddUpToTheMeanUnitsWorkTimesTheUnevennessOfItsHolders() {
         int relays = 600;
         int units = 28;
-        List<Entry> list = service("a", units, 1);
+        List<EndpointEntry> list = service("a", units, 1);
         Map<String, Double> parts = new TreeMap<>();
         Map<String, Integer> holders = new TreeMap<>();
         int held = 0;
@@ -466,7 +466,7 @@
         Scope scope = new Scope(Told.terms(7, 0, 100, 3, 1, SETTLE_US));
         Scope.Reading reading = scope.read(true);
         for (int i = 0; i < 200_000; i++) {
-            reading.add(new Entry("unit-" + (1_000_000 + i), "service-" + i % 7_200, "10." + (i >> 16) + "."
+            reading.add(new EndpointEntry("unit-" + (1_000_000 + i), "service-" + i % 7_200, "10." + (i >> 16) + "."
                 + (i >> 8 & 255) + "." + (i & 255) + ":8443", i % 19, i % 4, i % 50, 800 + i % 5,
                 Endpoint.Health.READY, 1_780_000_000_000_000L + i * 1000L));
         }
--- a/src/test/java/gatelock/membership/StoreTest.java
+++ b/src/test/java/gatelock/membership/StoreTest.java
@@ -35,11 +35,11 @@
         }
     }
 
-    private static Entry entry(String name, String service, String address) {
-        return new Entry(name, service, address, 0, 0, 0, 1, Endpoint.Health.READY, 0);
+    private static EndpointEntry entry(String name, String service, String address) {
+        return new EndpointEntry(name, service, address, 0, 0, 0, 1, Endpoint.Health.READY, 0);
     }
 
-    private static Entry any(RandomGenerator random, int names) {
+    private static EndpointEntry any(RandomGenerator random, int names) {
         String[] addresses = {"10.0.0." + random.nextInt(256) + ":" + random.nextInt(65_536), "unit:80",
             "1.2.3:4", "01.2.3.4:5", "1.2.3.4:05", "1.2.3.4:70000", "1.2.3.400:5", "1.2.3.4:", "",
             "0.0.0.0:0",
@@ -49,7 +49,7 @@
             -3_000};
         Map<String, String> labels = random.nextInt(3) > 0 ? Map.of() : random.ints(random.nextInt(4), 0, 9)
             .boxed().distinct().collect(Collectors.toMap(i -> "label" + i, i -> "v\u00e4lue".repeat(i)));
-        return new Entry("n" + "ame".repeat(random.nextInt(2)) + random.nextInt(names), "s"
+        return new EndpointEntry("n" + "ame".repeat(random.nextInt(2)) + random.nextInt(names), "s"
             + random.nextInt(4),
             addresses[random.nextInt(addresses.length)], random.nextInt(20) - 1, random.nextInt(300),
             random.nextInt(), random.nextInt(1000) - 1, HEALTH[random.nextInt(HEALTH.length)],
@@ -61,9 +61,9 @@
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         int names = 1 + random.nextInt(120);
         Store store = new Store(colliding ? new Colliding(7, 1 + random.nextInt(3)) : new Ranking(7));
-        Map<String, Entry> model = new TreeMap<>();
+        Map<String, EndpointEntry> model = new TreeMap<>();
         for (int i = 0; i < 600; i++) {
-            Entry e = any(random, names);
+            EndpointEntry e = any(random, names);
             if (random.nextInt(3) == 0) {
                 assertThat(store.remove(e.name())).isEqualTo(model.remove(e.name()) != null);
                 store.forget(e.service());
@@ -80,15 +80,15 @@
             assertThat(store.zone(place)).isEqualTo(e.zone());
             assertThat(store.health(place)).isEqualTo(e.health());
         });
-        Map<String, Entry> each = new HashMap<>();
+        Map<String, EndpointEntry> each = new HashMap<>();
         store.each(place -> each.put(store.unit(place), store.entry(place)));
         assertThat(each).isEqualTo(model);
-        Map<String, Map<String, Entry>> byService = new TreeMap<>();
+        Map<String, Map<String, EndpointEntry>> byService = new TreeMap<>();
         model.values().forEach(e -> byService.computeIfAbsent(e.service(),
             s -> new TreeMap<>()).put(e.name(), e));
         assertThat(store.services()).containsExactlyInAnyOrderElementsOf(byService.keySet());
         byService.forEach((service, units) -> {
-            Map<String, Entry> its = new TreeMap<>();
+            Map<String, EndpointEntry> its = new TreeMap<>();
             for (int at = store.first(service); at >= 0; at = store.next(at)) {
                 its.put(store.unit(at), store.entry(at));
             }
@@ -147,7 +147,7 @@
     void entriesThatCannotBeKeptAreRefusedAndChangeNothing() {
         Store store = new Store(new Ranking(1));
         store.put(entry("a", "s", "10.0.0.1:80"));
-        assertThatThrownBy(() -> store.put(new Entry("a", "s", "x", 0, 0, 0, 1, Endpoint.Health.READY, 0,
+        assertThatThrownBy(() -> store.put(new EndpointEntry("a", "s", "x", 0, 0, 0, 1, Endpoint.Health.READY, 0,
             Map.of("l", "v".repeat(70_000))))).isInstanceOf(IllegalArgumentException.class)
             .hasMessageContaining("65536 bytes").hasMessageEndingWith("for a");
         assertThatThrownBy(() -> store.put(entry("half\ud83d", "s", "x")))
--- a/src/test/java/gatelock/membership/Told.java
+++ b/src/test/java/gatelock/membership/Told.java
@@ -12,7 +12,7 @@
 /** A scope with what the decisions know by its changes, and a clock. */
 final class Told {
     final Scope scope;
-    final Map<String, Entry> units = new TreeMap<>();
+    final Map<String, EndpointEntry> units = new TreeMap<>();
     long nowUs = 1_000_000;
     /** Entries told so far. */
     int told;
@@ -27,23 +27,23 @@
         return new Scope.Terms(relay, zone, most, perService, 0, leastElsewhere, settleUs);
     }
 
-    static Entry unit(String name, String service, int zone, Endpoint.Health health) {
-        return new Entry(name, service, "10.0.0.1:80", zone, 0, 0, 1, health, 0);
+    static EndpointEntry unit(String name, String service, int zone, Endpoint.Health health) {
+        return new EndpointEntry(name, service, "10.0.0.1:80", zone, 0, 0, 1, health, 0);
     }
 
-    static Entry ready(String name, String service, int zone) {
+    static EndpointEntry ready(String name, String service, int zone) {
         return unit(name, service, zone, Endpoint.Health.READY);
     }
 
-    void whole(Iterable<Entry> entries) {
+    void whole(Iterable<EndpointEntry> entries) {
         take(true, entries);
     }
 
-    void change(Entry... entries) {
+    void change(EndpointEntry... entries) {
         take(false, List.of(entries));
     }
 
-    void take(boolean whole, Iterable<Entry> entries) {
+    void take(boolean whole, Iterable<EndpointEntry> entries) {
         Scope.Reading reading = scope.read(whole);
         entries.forEach(reading::add);
         apply(reading.take(nowUs, 7));
@@ -65,7 +65,7 @@
         if (change.whole()) {
             units.clear();
         }
-        for (Entry e : change.entries()) {
+        for (EndpointEntry e : change.entries()) {
             if (e.health() == Endpoint.Health.GONE) {
                 units.remove(e.name());
             } else {
@@ -76,12 +76,12 @@
 
     Set<String> ready(String service) {
         return units.values().stream().filter(e -> e.service().equals(service)
-            && e.health() == Endpoint.Health.READY).map(Entry::name)
+            && e.health() == Endpoint.Health.READY).map(EndpointEntry::name)
             .collect(Collectors.toCollection(TreeSet::new));
     }
 
     Set<String> ready() {
-        return units.values().stream().filter(e -> e.health() == Endpoint.Health.READY).map(Entry::name)
+        return units.values().stream().filter(e -> e.health() == Endpoint.Health.READY).map(EndpointEntry::name)
             .collect(Collectors.toCollection(TreeSet::new));
     }
 }
