--- a/src/main/java/gatelock/membership/Ranking.java
+++ b/src/main/java/gatelock/membership/RendezvousRanking.java
@@ -11,13 +11,13 @@
  * others, and no relay's order depends on how many relays there are. Options and figures:
  * docs/design/membership.md.
  */
-class Ranking {
+class RendezvousRanking {
     private static final Hasher64 HASHER = Hashing.xxh3_64();
 
     private final long relay;
 
     /** @param relay the relay's own number */
-    Ranking(long relay) {
+    RendezvousRanking(long relay) {
         this.relay = relay;
     }
 
--- a/src/main/java/gatelock/membership/Scope.java
+++ b/src/main/java/gatelock/membership/Scope.java
@@ -69,7 +69,7 @@
     }
 
     private final Terms terms;
-    private final Ranking ranking;
+    private final RendezvousRanking ranking;
     private Store store;
     private final Map<String, Service> services = new LinkedHashMap<>();
     private final Map<String, Held> held = new LinkedHashMap<>();
@@ -174,11 +174,11 @@
     }
 
     public Scope(Terms terms) {
-        this(terms, new Ranking(terms.relay()));
+        this(terms, new RendezvousRanking(terms.relay()));
     }
 
     /** For tests: with names that can be made to collide. */
-    Scope(Terms terms, Ranking ranking) {
+    Scope(Terms terms, RendezvousRanking ranking) {
         this.terms = terms;
         this.ranking = ranking;
         store = new Store(ranking);
--- a/src/main/java/gatelock/membership/Store.java
+++ b/src/main/java/gatelock/membership/Store.java
@@ -45,7 +45,7 @@
     private static final int LABELLED = 8;
     private static final int WHOLE_MS = 16;
 
-    private final Ranking ranking;
+    private final RendezvousRanking ranking;
     private byte[][] pages = new byte[1][];
     /** Where the next new record begins, as a place. */
     private int end;
@@ -75,7 +75,7 @@
         }
     }
 
-    Store(Ranking ranking) {
+    Store(RendezvousRanking ranking) {
         this.ranking = ranking;
     }
 
--- a/src/test/java/gatelock/membership/ScopeMeasure.java
+++ b/src/test/java/gatelock/membership/ScopeMeasure.java
@@ -58,7 +58,7 @@
 
     /** What the module does; checked against it in {@link #zones}. */
     private static int[] ranked(long relay, long[] units, int most) {
-        Ranking ranking = new Ranking(relay);
+        RendezvousRanking ranking = new RendezvousRanking(relay);
         return least(units.length, most, i -> 0, i -> ranking.place(units[i]));
     }
 
@@ -116,7 +116,7 @@
     }
 
     private static long[] units(int units, int from) {
-        Ranking any = new Ranking(0);
+        RendezvousRanking any = new RendezvousRanking(0);
         return IntStream.range(from, from + units).mapToLong(i -> any.hash("unit-" + i)).sorted().toArray();
     }
 
@@ -196,7 +196,7 @@
                 weights[i] = i % 4 < 2 ? 1 : i % 4 == 2 ? 2 : 4;
             }
             Option weighted = (relay, its, m) -> {
-                Ranking ranking = new Ranking(relay);
+                RendezvousRanking ranking = new RendezvousRanking(relay);
                 return least(its.length, m, i -> -Math.log(((ranking.place(its[i]) >>> 11) + 0.5) * 0x1.0p-53)
                     / weights[i], i -> 0);
             };
--- a/src/test/java/gatelock/membership/ScopePropertiesTest.java
+++ b/src/test/java/gatelock/membership/ScopePropertiesTest.java
@@ -46,7 +46,7 @@
 
     private Scope fresh(boolean colliding) {
         return new Scope(terms, colliding ? new StoreTest.Colliding(terms.relay(), 3) :
-            new Ranking(terms.relay()));
+            new RendezvousRanking(terms.relay()));
     }
 
     private EndpointEntry any() {
