--- a/src/main/java/gatelock/boot/Chain.java
+++ b/src/main/java/gatelock/boot/Chain.java
@@ -4,7 +4,7 @@
 import gatelock.kept.EndpointAddresses;
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequests;
-import gatelock.membership.Scope;
+import gatelock.membership.EndpointSubset;
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
@@ -86,7 +86,7 @@
         discovery = new Discovery(turn, counters, platform, told.discovery(), addresses, units,
             told.plain("zones"), told.plain("flavors"), told.charter().mustAskForList(),
             new SplittableRandom(told.charter().seed() + 1), membership == null ? null
-            : new Discovery.Membership(new Scope(membership.terms()), membership.service(),
+            : new Discovery.Membership(new EndpointSubset(membership.terms()), membership.service(),
             membership.mostListBytes()));
         if (membership != null) {
             sendOff.whenEnded(discovery::ended);
--- a/src/main/java/gatelock/boot/Operator.java
+++ b/src/main/java/gatelock/boot/Operator.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.membership.Scope;
+import gatelock.membership.EndpointSubset;
 import gatelock.plan.Draft;
 import gatelock.plan.Finding;
 import gatelock.plan.Form;
@@ -45,7 +45,7 @@
     }
 
     /** Which units are used of those that are listed, and how long an answer with a list may be. */
-    record Membership(Scope.Terms terms, ServiceName service, long mostListBytes, String text) {
+    record Membership(EndpointSubset.Terms terms, ServiceName service, long mostListBytes, String text) {
 
         /** Whether the file says the same. */
         boolean same(Membership other) {
@@ -122,7 +122,7 @@
             wrong(findings, "O-SCOPE-ZONE", "zone", zone + " is no zone of this deployment", "name one of " + zones
                 + ", or leave it out where this relay stands in none");
         }
-        int holders = node.path("leastHolders").asInt(Scope.LEAST_HOLDERS);
+        int holders = node.path("leastHolders").asInt(EndpointSubset.LEAST_HOLDERS);
         double part = Math.min(1, holders / (double) told.charter().relays());
         // The seed is this relay's own as well, where nobody numbers the relays.
         long numbered = node.path("number").asLong(told.charter().number());
@@ -131,7 +131,7 @@
         ServiceName name = service.has("label") ? ServiceName.byLabel(service.get("label").asText())
             : service.has("separator") ? ServiceName.before(service.get("separator").asText())
             : ServiceName.ONE;
-        return new Membership(new Scope.Terms(number, zone == null ? -1 : zones.indexOf(zone), most, perService,
+        return new Membership(new EndpointSubset.Terms(number, zone == null ? -1 : zones.indexOf(zone), most, perService,
             part, elsewhere, (long) (node.path("settleS").asDouble(SETTLE_S) * 1e6)), name,
             node.path("mostListBytes").asLong(MOST_LIST_BYTES), node.toString());
     }
--- a/src/main/java/gatelock/membership/Scope.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -19,7 +19,7 @@
  * when they have answered again and a settle time is over. Called from one thread with a clock that never
  * goes back.
  */
-public final class Scope {
+public final class EndpointSubset {
     /** So many tries in a row without an answer, and a unit is silent: one alone may be the load's. */
     private static final int SILENT_TRIES = 2;
     /**
@@ -173,12 +173,12 @@
         return rank != otherRank ? Long.compare(rank, otherRank) : name.compareTo(otherName);
     }
 
-    public Scope(Terms terms) {
+    public EndpointSubset(Terms terms) {
         this(terms, new RendezvousRanking(terms.relay()));
     }
 
     /** For tests: with names that can be made to collide. */
-    Scope(Terms terms, RendezvousRanking ranking) {
+    EndpointSubset(Terms terms, RendezvousRanking ranking) {
         this.terms = terms;
         this.ranking = ranking;
         store = new Store(ranking);
@@ -226,7 +226,7 @@
             } else {
                 its.each(place -> apply(its.entry(place)));
             }
-            Scope.this.index = index;
+            EndpointSubset.this.index = index;
             changedUs = nowUs;
             settle(nowUs);
             return whole ? change(true, held.values().stream().map(h -> h.entry).toList()) : change();
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/Discovery.java
@@ -4,7 +4,7 @@
 import gatelock.kept.Counters;
 import gatelock.kept.UpstreamResponse;
 import gatelock.membership.EndpointEntry;
-import gatelock.membership.Scope;
+import gatelock.membership.EndpointSubset;
 import gatelock.plan.Admission;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
@@ -81,7 +81,7 @@
      *
      * @param mostListBytes that an answer with a list may have
      */
-    public record Membership(Scope scope, ServiceName service, long mostListBytes) {
+    public record Membership(EndpointSubset scope, ServiceName service, long mostListBytes) {
     }
 
     /**
@@ -125,7 +125,7 @@
         this.admission = admission;
         List<EndpointEntry> entries = entries(known);
         if (membership != null) {
-            Scope.Reading reading = membership.scope.read(true);
+            EndpointSubset.Reading reading = membership.scope.read(true);
             entries.forEach(reading::add);
             entries = reading.take(turn.nowUs(), known.wholeOr("index", 0)).entries();
             turn.in(SCOPE_LOOK_US, this::look);
@@ -299,7 +299,7 @@
     }
 
     /** The same of what this relay uses; nothing where that has not changed. */
-    private void listed(Scope.Change change) {
+    private void listed(EndpointSubset.Change change) {
         if (change.whole() || !change.entries().isEmpty()) {
             listed(change.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, change.entries(), change.whole());
         }
@@ -320,7 +320,7 @@
     }
 
     public State state() {
-        Scope scope = membership == null ? null : membership.scope;
+        EndpointSubset scope = membership == null ? null : membership.scope;
         int used = addresses.size();
         return new State(scope != null, scope == null ? used : scope.listed(), scope == null ? used : scope.inScope(),
             scope == null ? 1 : scope.services(), index, scope == null ? changedUs
@@ -400,7 +400,7 @@
         private final boolean wholeAsked;
         private ListReader list;
         private long cameBytes;
-        private Scope.Reading reading;
+        private EndpointSubset.Reading reading;
         private boolean none = true;
 
         AskedByScope(boolean wholeAsked) {
--- a/src/test/java/gatelock/ScopeTest.java
+++ b/src/test/java/gatelock/ScopeTest.java
@@ -5,7 +5,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.membership.EndpointEntry;
-import gatelock.membership.Scope;
+import gatelock.membership.EndpointSubset;
 import gatelock.relay.Endpoint;
 import gatelock.standin.ControlService;
 
@@ -65,8 +65,8 @@
 
     /** The units that come first for this relay, as its own decisions say. */
     private static Set<Integer> firsts() {
-        Scope scope = new Scope(new Scope.Terms(NUMBER, -1, MOST, IN_SCOPE, 0, 0, 0));
-        Scope.Reading reading = scope.read(true);
+        EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(NUMBER, -1, MOST, IN_SCOPE, 0, 0, 0));
+        EndpointSubset.Reading reading = scope.read(true);
         for (int i = 0; i < UNITS; i++) {
             reading.add(new EndpointEntry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Endpoint.Health.READY, 0));
         }
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowable;
 
-import gatelock.membership.Scope;
+import gatelock.membership.EndpointSubset;
 import gatelock.wire.ServiceName;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -155,14 +155,14 @@
     @Test
     void aScopeThatIsSoundIsReadAndWhatIsLeftOutHasItsDefault() throws IOException {
         Operator.Membership read = Operator.read(Path.of(file("operator.json", membership(""))), deployment()).membership();
-        assertThat(read.terms()).isEqualTo(new Scope.Terms(deployment().charter().seed(), -1, 40, 4, 1, 1,
+        assertThat(read.terms()).isEqualTo(new EndpointSubset.Terms(deployment().charter().seed(), -1, 40, 4, 1, 1,
             10_000_000));
         assertThat(read.mostListBytes()).isEqualTo(64 << 20);
         assertThat(read.service()).isSameAs(ServiceName.ONE);
         Operator.Membership all = Operator.read(Path.of(file("operator.json", "{\"membership\": {\"most\": 1024, "
             + "\"perService\": 1, \"zone\": \"east\", \"number\": 17, \"leastHolders\": 0, \"settleS\": 0.5, \"mostListBytes\": 2097152, "
             + "\"service\": {\"separator\": \"-\"}}}")), deployment()).membership();
-        assertThat(all.terms()).isEqualTo(new Scope.Terms(17, 0, 1024, 1, 0, 0, 500_000));
+        assertThat(all.terms()).isEqualTo(new EndpointSubset.Terms(17, 0, 1024, 1, 0, 0, 500_000));
         assertThat(all.mostListBytes()).isEqualTo(2 << 20);
         assertThat(all.service().of("cold-brew-17", null, Map.of())).isEqualTo("cold-brew");
         assertThat(all.service().of("alone", null, Map.of())).isEmpty();
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -2,7 +2,7 @@
 
 import gatelock.decision.ReleaseGate;
 import gatelock.membership.EndpointEntry;
-import gatelock.membership.Scope;
+import gatelock.membership.EndpointSubset;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.RelaySettings;
 import gatelock.relay.AttemptResult;
@@ -88,7 +88,7 @@
         int perService = 5;
         int leastElsewhere = 2;
         /** Relays that a scope wants to hold each unit on the mean. */
-        int leastHolders = Scope.LEAST_HOLDERS;
+        int leastHolders = EndpointSubset.LEAST_HOLDERS;
         long settleUs = 10 * S;
         Fault fault = Fault.NONE;
 
@@ -97,8 +97,8 @@
         }
 
         /** Room for all units: what bounds a scope here is what it aims at. */
-        Scope.Terms scope(int relay) {
-            return new Scope.Terms(relay, relay % zones, units, perService,
+        EndpointSubset.Terms scope(int relay) {
+            return new EndpointSubset.Terms(relay, relay % zones, units, perService,
                 Math.min(1, leastHolders / (double) relays), leastElsewhere, settleUs);
         }
 
@@ -544,7 +544,7 @@
         private int life;
         private boolean up;
         private DecisionEngine gate;
-        private Scope scope;
+        private EndpointSubset scope;
         /** When its link has carried all that it was given so far, and when the last of it is heard. */
         private long linkFreeUs;
         private long heardLastUs;
@@ -580,7 +580,7 @@
             boolean cached = terms.linkBytesPerS > 0 && kept != null;
             Meter.Role before = meter.in(Meter.Role.LIST);
             gate = new ReleaseGate(charter, this);
-            scope = terms.scoped ? new Scope(terms.scope(number)) : null;
+            scope = terms.scoped ? new EndpointSubset(terms.scope(number)) : null;
             up = true;
             gate.start(nowUs);
             takesIn(DecisionEngine.ListForm.CACHED, cached ? kept : discovery.list(), discovery.index());
@@ -606,14 +606,14 @@
                 return;
             }
             Meter.Role before = meter.in(Meter.Role.SCOPE);
-            Scope.Reading reading = scope.read(form != DecisionEngine.ListForm.DELTA);
+            EndpointSubset.Reading reading = scope.read(form != DecisionEngine.ListForm.DELTA);
             entries.forEach(e -> reading.add(e.told()));
-            Scope.Change change = reading.take(nowUs, index);
+            EndpointSubset.Change change = reading.take(nowUs, index);
             meter.in(before);
             tells(change.whole() ? form : DecisionEngine.ListForm.DELTA, change);
         }
 
-        private void tells(DecisionEngine.ListForm form, Scope.Change change) {
+        private void tells(DecisionEngine.ListForm form, EndpointSubset.Change change) {
             List<EndpointEntry> those = change.entries();
             if (terms.fault == Fault.HELD_BY_ALL) {
                 those = new ArrayList<>(those);
@@ -644,7 +644,7 @@
             in(250 * MS, () -> {
                 if (was == life && up) {
                     Meter.Role before = meter.in(Meter.Role.SCOPE);
-                    Scope.Change change = scope.due(nowUs);
+                    EndpointSubset.Change change = scope.due(nowUs);
                     meter.in(Meter.Role.LIST);
                     tells(DecisionEngine.ListForm.DELTA, change);
                     meter.in(before);
--- a/src/test/java/gatelock/fleet/Scale.java
+++ b/src/test/java/gatelock/fleet/Scale.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-import gatelock.membership.Scope;
+import gatelock.membership.EndpointSubset;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -43,7 +43,7 @@
         String mode = args.length > 2 ? args[2] : "all";
         int asked = args.length > 3 ? Integer.parseInt(args[3]) : 0;
         String commit = args.length > 4 ? args[4] : "unknown";
-        int holders = args.length > 5 ? Integer.parseInt(args[5]) : Scope.LEAST_HOLDERS;
+        int holders = args.length > 5 ? Integer.parseInt(args[5]) : EndpointSubset.LEAST_HOLDERS;
         List<Play> plays = which.equals("every") ? List.of(Play.values())
             : List.of(Play.valueOf(which.toUpperCase(Locale.ROOT)));
         List<String> modes = mode.equals("both") ? List.of("all", "scope") : List.of(mode);
--- a/src/test/java/gatelock/membership/ScopeTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Each failure that a scope has to bear, provoked. */
-final class ScopeTest {
+final class EndpointSubsetTest {
     private static final long SECOND = 1_000_000;
     private static final long LOOK_US = 250_000;
     private static final long SETTLE_US = 5 * SECOND;
 
-    private final Told told = new Told(new Scope(Told.terms(7, 0, 100, 3, 1, SETTLE_US)));
+    private final Told told = new Told(new EndpointSubset(Told.terms(7, 0, 100, 3, 1, SETTLE_US)));
 
     private static List<EndpointEntry> service(String name, int units, int zones) {
         return IntStream.range(0, units).mapToObj(i -> Told.ready(name + "-" + i, name, i % zones)).toList();
@@ -218,7 +218,7 @@
     @Test
     void aUnitTwiceInAWholeListIsNamedAndNothingChanges() {
         told.whole(service("a", 40, 4));
-        Scope.Reading reading = told.scope.read(true);
+        EndpointSubset.Reading reading = told.scope.read(true);
         reading.add(Told.ready("x", "a", 0));
         assertThatThrownBy(() -> reading.add(Told.unit("x", "a", 0, Endpoint.Health.GONE)))
             .isInstanceOf(IllegalArgumentException.class).hasMessage("expected each unit once, found twice "
@@ -240,7 +240,7 @@
         told.whole(service("a", 40, 4));
         Set<String> before = told.ready();
         told.scope.read(true).add(Told.ready("x", "a", 0));
-        Scope.Reading change = told.scope.read(false);
+        EndpointSubset.Reading change = told.scope.read(false);
         before.forEach(u -> change.add(Told.unit(u, "a", 0, Endpoint.Health.GONE)));
         told.due(SETTLE_US);
         assertThat(told.ready()).isEqualTo(before);
@@ -251,7 +251,7 @@
     @Test
     void anIndexThatGoesBackLosesNothing() {
         told.whole(service("a", 40, 4));
-        Scope.Reading reading = told.scope.read(false);
+        EndpointSubset.Reading reading = told.scope.read(false);
         reading.add(Told.ready("late", "b", 0));
         told.apply(reading.take(told.nowUs, 2));
         assertThat(told.ready("b")).containsExactly("late");
@@ -262,7 +262,7 @@
     @Test
     void aWholeListInTheMiddleOfAChangeLosesNothing() {
         told.whole(service("a", 40, 4));
-        Scope.Reading change = told.scope.read(false);
+        EndpointSubset.Reading change = told.scope.read(false);
         change.add(Told.ready("late", "b", 0));
         told.whole(service("a", 20, 4));
         change.add(Told.unit("a-1", "a", 1, Endpoint.Health.GONE));
@@ -293,7 +293,7 @@
 
     @Test
     void theBoundIsSharedOutFairlyAndCountedWhereItDoesNotSuffice() {
-        Told bound = new Told(new Scope(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
+        Told bound = new Told(new EndpointSubset(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
         List<EndpointEntry> units = new ArrayList<>();
         IntStream.range(0, 8).forEach(s -> units.addAll(service("s" + s, s == 0 ? 1 : 20, 4)));
         bound.whole(units);
@@ -317,7 +317,7 @@
 
     @Test
     void eachServiceHasMoreAgainOnlyWhenThereWasRoomForTheSettleTime() {
-        Told bound = new Told(new Scope(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
+        Told bound = new Told(new EndpointSubset(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
         IntStream.range(0, 8).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(EndpointEntry[]::new)));
         assertThat(bound.scope.aim()).isEqualTo(2);
         EndpointEntry[] gone = service("s0", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
@@ -335,7 +335,7 @@
 
     /** A relay that aims at a quarter of a service, 5 units at least, before one of 81 and one of 12. */
     private static Told ofLargeAndSmall(int most) {
-        Told relay = new Told(new Scope(new Scope.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
+        Told relay = new Told(new EndpointSubset(new EndpointSubset.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
         List<EndpointEntry> units = new ArrayList<>(service("large", 81, 3));
         units.addAll(service("small", 12, 3));
         relay.whole(units);
@@ -366,7 +366,7 @@
     /** All of a are silent and looked at; then b needs the place of one, which answers again out of scope. */
     @Test
     void aServiceThatIsAllSilentComesBackToAUnitThatGaveWayToAnotherService() {
-        Told relay = new Told(new Scope(Told.terms(7, 0, 3, 1, 0, SETTLE_US)));
+        Told relay = new Told(new EndpointSubset(Told.terms(7, 0, 3, 1, 0, SETTLE_US)));
         List<EndpointEntry> units = new ArrayList<>(service("a", 2, 1));
         units.addAll(service("b", 2, 1));
         relay.whole(units);
@@ -395,7 +395,7 @@
     /** As the units of a are all silent, one is let go when its time is over; it answers again out of scope. */
     @Test
     void aServiceThatIsAllSilentComesBackToAUnitThatItLetGo() {
-        Told relay = new Told(new Scope(Told.terms(7, 0, 8, 1, 0, SETTLE_US)));
+        Told relay = new Told(new EndpointSubset(Told.terms(7, 0, 8, 1, 0, SETTLE_US)));
         relay.whole(service("a", 2, 1));
         Set<String> silent = new TreeSet<>(Set.of("a-0", "a-1"));
         for (int look = 0; look < 8; look++) {
@@ -417,7 +417,7 @@
     @Test
     void termsWithoutSenseAreRefused() {
         for (double part : new double[] {-0.1, 1.1, Double.NaN}) {
-            assertThatThrownBy(() -> new Scope.Terms(1, 0, 1, 1, part, 0, 0))
+            assertThatThrownBy(() -> new EndpointSubset.Terms(1, 0, 1, 1, part, 0, 0))
                 .isInstanceOf(IllegalArgumentException.class).hasMessageContaining("part");
         }
         assertThatThrownBy(() -> Told.terms(1, 0, 0, 1, 0, 0)).isInstanceOf(IllegalArgumentException.class);
@@ -441,7 +441,7 @@
         Map<String, Integer> holders = new TreeMap<>();
         int held = 0;
         for (int r = 0; r < relays; r++) {
-            Told relay = new Told(new Scope(Told.terms(r, -1, 100, r % 2 == 0 ? 5 : 8, 0, SETTLE_US)));
+            Told relay = new Told(new EndpointSubset(Told.terms(r, -1, 100, r % 2 == 0 ? 5 : 8, 0, SETTLE_US)));
             relay.whole(list);
             for (String unit : relay.ready()) {
                 parts.merge(unit, 1.0 / relay.ready().size(), Double::sum);
@@ -463,8 +463,8 @@
 
     @Test
     void whatIsOutOfScopeCostsTensOfBytes() {
-        Scope scope = new Scope(Told.terms(7, 0, 100, 3, 1, SETTLE_US));
-        Scope.Reading reading = scope.read(true);
+        EndpointSubset scope = new EndpointSubset(Told.terms(7, 0, 100, 3, 1, SETTLE_US));
+        EndpointSubset.Reading reading = scope.read(true);
         for (int i = 0; i < 200_000; i++) {
             reading.add(new EndpointEntry("unit-" + (1_000_000 + i), "service-" + i % 7_200, "10." + (i >> 16) + "."
                 + (i >> 8 & 255) + "." + (i & 255) + ":8443", i % 19, i % 4, i % 50, 800 + i % 5,
--- a/src/test/java/gatelock/membership/ScopeMeasure.java
+++ b/src/test/java/gatelock/membership/ScopeMeasure.java
@@ -282,9 +282,9 @@
     }
 
     /** A service's units as one relay's scope has them. */
-    private static Scope.Change change(int relay, int zone, List<EndpointEntry> list, int perService, int elsewhere) {
-        Scope scope = new Scope(new Scope.Terms(relay, zone, 1_000, perService, 0, elsewhere, SECOND));
-        Scope.Reading reading = scope.read(true);
+    private static EndpointSubset.Change change(int relay, int zone, List<EndpointEntry> list, int perService, int elsewhere) {
+        EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(relay, zone, 1_000, perService, 0, elsewhere, SECOND));
+        EndpointSubset.Reading reading = scope.read(true);
         list.forEach(reading::add);
         return reading.take(0, 1);
     }
@@ -379,8 +379,8 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    private static Scope.Reading read(Scope scope, int units, int services, int starts) {
-        Scope.Reading reading = scope.read(true);
+    private static EndpointSubset.Reading read(EndpointSubset scope, int units, int services, int starts) {
+        EndpointSubset.Reading reading = scope.read(true);
         for (int i = 0; i < units; i++) {
             reading.add(unit(i, services, starts));
         }
@@ -388,7 +388,7 @@
     }
 
     /** CPU of a change, mean of three that a restart of one unit makes, us; median of some repeats. */
-    private static double perChangeUs(Scope scope, int[] units, int services) {
+    private static double perChangeUs(EndpointSubset scope, int[] units, int services) {
         double[] us = new double[REPEATS];
         long nowUs = 1;
         for (int k = 0; k < REPEATS; k++) {
@@ -399,7 +399,7 @@
                     e.build(),
                     Endpoint.Health.DRAINING, e.startUs());
                 for (EndpointEntry told : new EndpointEntry[] {drains, e.gone(), e}) {
-                    Scope.Reading reading = scope.read(false);
+                    EndpointSubset.Reading reading = scope.read(false);
                     reading.add(told);
                     reading.take(nowUs, 1);
                     nowUs += 1000;
@@ -412,10 +412,10 @@
         return us[REPEATS / 2];
     }
 
-    private static int[] some(Scope scope, int units, int services, boolean inScope) {
+    private static int[] some(EndpointSubset scope, int units, int services, boolean inScope) {
         java.util.Set<String> in = new java.util.HashSet<>();
         scope.read(true);
-        Scope.Reading whole = read(scope, units, services, 0);
+        EndpointSubset.Reading whole = read(scope, units, services, 0);
         whole.take(0, 1).entries().forEach(e -> in.add(e.name()));
         return new SplittableRandom(5).ints(units * 4L, 0, units).filter(i -> in.contains("unit-"
             + (1_000_000 + i))
@@ -434,7 +434,7 @@
             + "comes, KB | whole list, CPU ms | change out of scope, CPU us | in scope, CPU us |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int warm = 0; warm < 3; warm++) {
-            Scope scope = new Scope(new Scope.Terms(7, 0, 256, 5, 0, 1, SECOND));
+            EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(7, 0, 256, 5, 0, 1, SECOND));
             perChangeUs(scope, some(scope, 10_000, 10_000 / UNITS_A_SERVICE, false), 10_000
                 / UNITS_A_SERVICE);
         }
@@ -442,12 +442,12 @@
             int n = sizes[s];
             int services = n / UNITS_A_SERVICE;
             long before = used();
-            Scope scope = new Scope(new Scope.Terms(7, 0, 256, 5, 0, 1, SECOND));
-            Scope.Reading first = read(scope, n, services, 0);
+            EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(7, 0, 256, 5, 0, 1, SECOND));
+            EndpointSubset.Reading first = read(scope, n, services, 0);
             first.take(0, 1);
             first = null;
             long held = used() - before;
-            Scope.Reading second = read(scope, n, services, 1);
+            EndpointSubset.Reading second = read(scope, n, services, 1);
             long peak = used() - before;
             second.take(0, 2);
             second = null;
@@ -474,7 +474,7 @@
         for (int n : sizes) {
             for (int services : new int[] {n / UNITS_A_SERVICE, 1}) {
                 long before = used();
-                Scope scope = new Scope(new Scope.Terms(7, 0, 40_000, 5, 0, 1, SECOND));
+                EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(7, 0, 40_000, 5, 0, 1, SECOND));
                 read(scope, n, services, 0).take(0, 1);
                 long held = used() - before;
                 long from = cpuNs();
@@ -505,7 +505,7 @@
     }
 
     /** With one service a change in scope looks through all of it: fewer are played. */
-    private static double inFew(Scope scope, int n) {
+    private static double inFew(EndpointSubset scope, int n) {
         int[] its = some(scope, n, 1, true);
         long from = cpuNs();
         int plays = 0;
@@ -513,7 +513,7 @@
         for (; plays < 200; plays++) {
             EndpointEntry e = unit(its[plays % its.length], 1, plays + 100);
             for (EndpointEntry told : new EndpointEntry[] {e.gone(), e}) {
-                Scope.Reading reading = scope.read(false);
+                EndpointSubset.Reading reading = scope.read(false);
                 reading.add(told);
                 reading.take(nowUs, 1);
                 nowUs += 1000;
@@ -539,7 +539,7 @@
     private static void fit() {
         int n = 200_000;
         int services = 7_200;
-        Scope scope = new Scope(new Scope.Terms(7, 0, 4_096, 5, 0, 1, SECOND));
+        EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(7, 0, 4_096, 5, 0, 1, SECOND));
         for (int k = 0; k < 10; k++) {
             read(scope, n, services, k).take(k, k);
         }
--- a/src/test/java/gatelock/membership/ScopePropertiesTest.java
+++ b/src/test/java/gatelock/membership/ScopePropertiesTest.java
@@ -29,7 +29,7 @@
     private final Map<String, EndpointEntry> list = new TreeMap<>();
     private final Set<String> silent = new HashSet<>();
     private RandomGenerator random;
-    private Scope.Terms terms;
+    private EndpointSubset.Terms terms;
     private Told told;
 
     private void begin(long seed, boolean roomy, boolean colliding) {
@@ -37,15 +37,15 @@
         int perService = 1 + random.nextInt(4);
         int most = roomy ? UNITS * 2 : 1 + random.nextInt(2 * SERVICES);
         double part = Math.max(0, random.nextInt(5) - 1) / 3.0;
-        terms = new Scope.Terms(random.nextInt(5_700), random.nextInt(4) - 1, most, perService, part,
+        terms = new EndpointSubset.Terms(random.nextInt(5_700), random.nextInt(4) - 1, most, perService, part,
             random.nextInt(3), random.nextInt(3_000_000));
         told = new Told(fresh(colliding));
         list.clear();
         silent.clear();
     }
 
-    private Scope fresh(boolean colliding) {
-        return new Scope(terms, colliding ? new StoreTest.Colliding(terms.relay(), 3) :
+    private EndpointSubset fresh(boolean colliding) {
+        return new EndpointSubset(terms, colliding ? new StoreTest.Colliding(terms.relay(), 3) :
             new RendezvousRanking(terms.relay()));
     }
 
@@ -98,7 +98,7 @@
 
     private void dropped() {
         int before = told.scope.listed();
-        Scope.Reading reading = told.scope.read(random.nextBoolean());
+        EndpointSubset.Reading reading = told.scope.read(random.nextBoolean());
         Set<String> names = new HashSet<>();
         for (int n = random.nextInt(UNITS); n > 0; n--) {
             EndpointEntry e = any();
--- a/src/test/java/gatelock/membership/Told.java
+++ b/src/test/java/gatelock/membership/Told.java
@@ -11,20 +11,20 @@
 
 /** A scope with what the decisions know by its changes, and a clock. */
 final class Told {
-    final Scope scope;
+    final EndpointSubset scope;
     final Map<String, EndpointEntry> units = new TreeMap<>();
     long nowUs = 1_000_000;
     /** Entries told so far. */
     int told;
-    Scope.Change last;
+    EndpointSubset.Change last;
 
-    Told(Scope scope) {
+    Told(EndpointSubset scope) {
         this.scope = scope;
     }
 
-    static Scope.Terms terms(long relay, int zone, int most, int perService, int leastElsewhere,
+    static EndpointSubset.Terms terms(long relay, int zone, int most, int perService, int leastElsewhere,
         long settleUs) {
-        return new Scope.Terms(relay, zone, most, perService, 0, leastElsewhere, settleUs);
+        return new EndpointSubset.Terms(relay, zone, most, perService, 0, leastElsewhere, settleUs);
     }
 
     static EndpointEntry unit(String name, String service, int zone, Endpoint.Health health) {
@@ -44,7 +44,7 @@
     }
 
     void take(boolean whole, Iterable<EndpointEntry> entries) {
-        Scope.Reading reading = scope.read(whole);
+        EndpointSubset.Reading reading = scope.read(whole);
         entries.forEach(reading::add);
         apply(reading.take(nowUs, 7));
     }
@@ -59,7 +59,7 @@
     }
 
     /** As the decisions do. */
-    void apply(Scope.Change change) {
+    void apply(EndpointSubset.Change change) {
         last = change;
         told += change.entries().size();
         if (change.whole()) {
