--- a/src/main/java/gatelock/membership/Store.java
+++ b/src/main/java/gatelock/membership/EndpointStore.java
@@ -21,7 +21,7 @@
  * name is always compared, so that equal hashes are told apart) and by service (a ring of links). A unit is
  * meant by the place of its record, which holds until it is put anew or removed.
  */
-final class Store {
+final class EndpointStore {
     private static final VarHandle INT = MethodHandles.byteArrayViewVarHandle(int[].class,
         ByteOrder.BIG_ENDIAN);
     private static final int PAGE_BITS = 16;
@@ -75,7 +75,7 @@
         }
     }
 
-    Store(RendezvousRanking ranking) {
+    EndpointStore(RendezvousRanking ranking) {
         this.ranking = ranking;
     }
 
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -70,7 +70,7 @@
 
     private final Terms terms;
     private final RendezvousRanking ranking;
-    private Store store;
+    private EndpointStore store;
     private final Map<String, Service> services = new LinkedHashMap<>();
     private final Map<String, Held> held = new LinkedHashMap<>();
     /** Services whose part in the scope has to be looked at. */
@@ -181,7 +181,7 @@
     EndpointSubset(Terms terms, RendezvousRanking ranking) {
         this.terms = terms;
         this.ranking = ranking;
-        store = new Store(ranking);
+        store = new EndpointStore(ranking);
         needs = new int[terms.most() + 1];
     }
 
@@ -195,7 +195,7 @@
     /** A list or a change on its way in. To drop it instead of taking it changes nothing. */
     public final class Reading {
         private final boolean whole;
-        private Store staged = new Store(ranking);
+        private EndpointStore staged = new EndpointStore(ranking);
 
         private Reading(boolean whole) {
             this.whole = whole;
@@ -219,7 +219,7 @@
          * @param index as the list tells it
          */
         public Change take(long nowUs, long index) {
-            Store its = staged;
+            EndpointStore its = staged;
             staged = null;
             if (whole) {
                 all(its);
@@ -234,7 +234,7 @@
     }
 
     /** A whole list takes the place of the one before. */
-    private void all(Store its) {
+    private void all(EndpointStore its) {
         List<String> gone = new ArrayList<>();
         its.each(place -> {
             if (its.health(place) == Endpoint.Health.GONE) {
--- a/src/test/java/gatelock/membership/StoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The packed store against a plain map, also where hashes of names are equal. */
-final class StoreTest {
+final class EndpointStoreTest {
     private static final Endpoint.Health[] HEALTH = Endpoint.Health.values();
 
     /** Names that nearly all have the same hash. */
@@ -60,7 +60,7 @@
     void keepsWhatAMapKeeps(@ForAll long seed, @ForAll boolean colliding) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         int names = 1 + random.nextInt(120);
-        Store store = new Store(colliding ? new Colliding(7, 1 + random.nextInt(3)) : new RendezvousRanking(7));
+        EndpointStore store = new EndpointStore(colliding ? new Colliding(7, 1 + random.nextInt(3)) : new RendezvousRanking(7));
         Map<String, EndpointEntry> model = new TreeMap<>();
         for (int i = 0; i < 600; i++) {
             EndpointEntry e = any(random, names);
@@ -101,7 +101,7 @@
 
     @Test
     void namesWithOneHashAreToldApart() {
-        Store store = new Store(new Colliding(1, 1));
+        EndpointStore store = new EndpointStore(new Colliding(1, 1));
         for (int i = 0; i < 1000; i++) {
             store.put(entry("unit-" + i, "s", "10.0.0.1:" + i));
         }
@@ -120,7 +120,7 @@
 
     @Test
     void bytesOfUnitsThatLeftAreUsedAgain() {
-        Store store = new Store(new RendezvousRanking(1));
+        EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         for (int i = 0; i < 5_000; i++) {
             store.put(entry("unit-" + (10_000 + i), "s" + i % 100, "10.0.0.1:80"));
         }
@@ -135,7 +135,7 @@
 
     @Test
     void servicesThatLeftAreForgotten() {
-        Store store = new Store(new RendezvousRanking(1));
+        EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         for (int i = 0; i < 1_000; i++) {
             store.put(entry("u", "service-" + i, "10.0.0.1:80"));
             store.forget("service-" + (i - 1));
@@ -145,7 +145,7 @@
 
     @Test
     void entriesThatCannotBeKeptAreRefusedAndChangeNothing() {
-        Store store = new Store(new RendezvousRanking(1));
+        EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         store.put(entry("a", "s", "10.0.0.1:80"));
         assertThatThrownBy(() -> store.put(new EndpointEntry("a", "s", "x", 0, 0, 0, 1, Endpoint.Health.READY, 0,
             Map.of("l", "v".repeat(70_000))))).isInstanceOf(IllegalArgumentException.class)
--- a/src/test/java/gatelock/membership/ScopePropertiesTest.java
+++ b/src/test/java/gatelock/membership/ScopePropertiesTest.java
@@ -45,7 +45,7 @@
     }
 
     private EndpointSubset fresh(boolean colliding) {
-        return new EndpointSubset(terms, colliding ? new StoreTest.Colliding(terms.relay(), 3) :
+        return new EndpointSubset(terms, colliding ? new EndpointStoreTest.Colliding(terms.relay(), 3) :
             new RendezvousRanking(terms.relay()));
     }
 
