--- a/src/test/java/gatelock/membership/EndpointSubsetTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -21,14 +21,14 @@
     private static final long LOOK_US = 250_000;
     private static final long SETTLE_US = 5 * SECOND;
 
-    private final Told told = new Told(new EndpointSubset(Told.terms(7, 0, 100, 3, 1, SETTLE_US)));
+    private final SubsetHarness told = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US)));
 
     private static List<EndpointEntry> service(String name, int units, int zones) {
-        return IntStream.range(0, units).mapToObj(i -> Told.ready(name + "-" + i, name, i % zones)).toList();
+        return IntStream.range(0, units).mapToObj(i -> SubsetHarness.ready(name + "-" + i, name, i % zones)).toList();
     }
 
     private static EndpointEntry[] all(List<EndpointEntry> entries, Set<String> names, Endpoint.Health health) {
-        return entries.stream().filter(e -> names.contains(e.name())).map(e -> Told.unit(e.name(),
+        return entries.stream().filter(e -> names.contains(e.name())).map(e -> SubsetHarness.unit(e.name(),
             e.service(),
             e.zone(), health)).toArray(EndpointEntry[]::new);
     }
@@ -53,8 +53,8 @@
 
     @Test
     void goesElsewhereWhereTheOwnZoneHasFewerAndStaysWhereNoneIsElsewhere() {
-        told.whole(List.of(Told.ready("here", "a", 0), Told.ready("b1", "a", 1), Told.ready("b2", "a", 2),
-            Told.ready("b3", "a", 1)));
+        told.whole(List.of(SubsetHarness.ready("here", "a", 0), SubsetHarness.ready("b1", "a", 1), SubsetHarness.ready("b2", "a", 2),
+            SubsetHarness.ready("b3", "a", 1)));
         assertThat(told.ready()).hasSize(3).contains("here");
         told.whole(service("a", 40, 1));
         assertThat(told.ready()).hasSize(3);
@@ -172,7 +172,7 @@
         // Names until one stands before one of the first.
         String newcomer = null;
         for (int i = 0; newcomer == null; i++) {
-            told.change(Told.ready("new-" + i, "a", 0));
+            told.change(SubsetHarness.ready("new-" + i, "a", 0));
             newcomer = told.units.containsKey("new-" + i) ? "new-" + i : null;
         }
         assertThat(told.ready()).hasSize(4).containsAll(first);
@@ -205,7 +205,7 @@
         told.whole(units);
         Set<String> first = told.ready();
         for (EndpointEntry e : units) {
-            told.change(Told.unit(e.name(), "a", e.zone(), Endpoint.Health.DRAINING));
+            told.change(SubsetHarness.unit(e.name(), "a", e.zone(), Endpoint.Health.DRAINING));
             told.change(e.gone());
             told.change(new EndpointEntry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Endpoint.Health.READY,
                 SECOND));
@@ -219,8 +219,8 @@
     void aUnitTwiceInAWholeListIsNamedAndNothingChanges() {
         told.whole(service("a", 40, 4));
         EndpointSubset.Reading reading = told.scope.read(true);
-        reading.add(Told.ready("x", "a", 0));
-        assertThatThrownBy(() -> reading.add(Told.unit("x", "a", 0, Endpoint.Health.GONE)))
+        reading.add(SubsetHarness.ready("x", "a", 0));
+        assertThatThrownBy(() -> reading.add(SubsetHarness.unit("x", "a", 0, Endpoint.Health.GONE)))
             .isInstanceOf(IllegalArgumentException.class).hasMessage("expected each unit once, found twice "
             + "x");
         assertThat(told.scope.listed()).isEqualTo(40);
@@ -229,9 +229,9 @@
     @Test
     void aUnitTwiceInAChangeCountsAsLastTold() {
         told.whole(service("a", 3, 1));
-        told.change(Told.unit("a-0", "a", 0, Endpoint.Health.GONE), Told.ready("a-0", "a", 0));
+        told.change(SubsetHarness.unit("a-0", "a", 0, Endpoint.Health.GONE), SubsetHarness.ready("a-0", "a", 0));
         assertThat(told.ready()).contains("a-0");
-        told.change(Told.ready("a-0", "a", 0), Told.unit("a-0", "a", 0, Endpoint.Health.GONE));
+        told.change(SubsetHarness.ready("a-0", "a", 0), SubsetHarness.unit("a-0", "a", 0, Endpoint.Health.GONE));
         assertThat(told.units).doesNotContainKey("a-0");
     }
 
@@ -239,9 +239,9 @@
     void aReadingDroppedHalfWayChangesNothing() {
         told.whole(service("a", 40, 4));
         Set<String> before = told.ready();
-        told.scope.read(true).add(Told.ready("x", "a", 0));
+        told.scope.read(true).add(SubsetHarness.ready("x", "a", 0));
         EndpointSubset.Reading change = told.scope.read(false);
-        before.forEach(u -> change.add(Told.unit(u, "a", 0, Endpoint.Health.GONE)));
+        before.forEach(u -> change.add(SubsetHarness.unit(u, "a", 0, Endpoint.Health.GONE)));
         told.due(SETTLE_US);
         assertThat(told.ready()).isEqualTo(before);
         assertThat(told.scope.listed()).isEqualTo(40);
@@ -252,7 +252,7 @@
     void anIndexThatGoesBackLosesNothing() {
         told.whole(service("a", 40, 4));
         EndpointSubset.Reading reading = told.scope.read(false);
-        reading.add(Told.ready("late", "b", 0));
+        reading.add(SubsetHarness.ready("late", "b", 0));
         told.apply(reading.take(told.nowUs, 2));
         assertThat(told.ready("b")).containsExactly("late");
         assertThat(told.ready("a")).hasSize(3);
@@ -263,9 +263,9 @@
     void aWholeListInTheMiddleOfAChangeLosesNothing() {
         told.whole(service("a", 40, 4));
         EndpointSubset.Reading change = told.scope.read(false);
-        change.add(Told.ready("late", "b", 0));
+        change.add(SubsetHarness.ready("late", "b", 0));
         told.whole(service("a", 20, 4));
-        change.add(Told.unit("a-1", "a", 1, Endpoint.Health.GONE));
+        change.add(SubsetHarness.unit("a-1", "a", 1, Endpoint.Health.GONE));
         told.apply(change.take(told.nowUs, 9));
         assertThat(told.ready("b")).containsExactly("late");
         assertThat(told.scope.listed()).isEqualTo(20);
@@ -285,7 +285,7 @@
     @Test
     void aUnitThatMovesToAnotherServiceIsUsedThere() {
         told.whole(service("a", 2, 1));
-        told.change(Told.ready("a-0", "b", 0));
+        told.change(SubsetHarness.ready("a-0", "b", 0));
         assertThat(told.ready("a")).containsExactly("a-1");
         assertThat(told.ready("b")).containsExactly("a-0");
         assertThat(told.scope.services()).isEqualTo(2);
@@ -293,7 +293,7 @@
 
     @Test
     void theBoundIsSharedOutFairlyAndCountedWhereItDoesNotSuffice() {
-        Told bound = new Told(new EndpointSubset(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
+        SubsetHarness bound = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 20, 5, 1, SETTLE_US)));
         List<EndpointEntry> units = new ArrayList<>();
         IntStream.range(0, 8).forEach(s -> units.addAll(service("s" + s, s == 0 ? 1 : 20, 4)));
         bound.whole(units);
@@ -317,7 +317,7 @@
 
     @Test
     void eachServiceHasMoreAgainOnlyWhenThereWasRoomForTheSettleTime() {
-        Told bound = new Told(new EndpointSubset(Told.terms(7, 0, 20, 5, 1, SETTLE_US)));
+        SubsetHarness bound = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 20, 5, 1, SETTLE_US)));
         IntStream.range(0, 8).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(EndpointEntry[]::new)));
         assertThat(bound.scope.aim()).isEqualTo(2);
         EndpointEntry[] gone = service("s0", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
@@ -334,8 +334,8 @@
     }
 
     /** A relay that aims at a quarter of a service, 5 units at least, before one of 81 and one of 12. */
-    private static Told ofLargeAndSmall(int most) {
-        Told relay = new Told(new EndpointSubset(new EndpointSubset.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
+    private static SubsetHarness ofLargeAndSmall(int most) {
+        SubsetHarness relay = new SubsetHarness(new EndpointSubset(new EndpointSubset.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
         List<EndpointEntry> units = new ArrayList<>(service("large", 81, 3));
         units.addAll(service("small", 12, 3));
         relay.whole(units);
@@ -345,7 +345,7 @@
     /** Of a fleet of few relays each uses a larger part, so that no unit stands idle; of many its least. */
     @Test
     void aLargeServiceHasItsPartInScopeAndASmallOneItsLeast() {
-        Told relay = ofLargeAndSmall(100);
+        SubsetHarness relay = ofLargeAndSmall(100);
         assertThat(relay.ready("large")).hasSize(21);
         assertThat(relay.ready("small")).hasSize(5);
         // It follows the service's size, and gives up what it has too much after the settle time.
@@ -356,7 +356,7 @@
 
     @Test
     void whereTheBoundLeavesTooLittleLargeServicesHaveNoMoreThanTheRest() {
-        Told relay = ofLargeAndSmall(20);
+        SubsetHarness relay = ofLargeAndSmall(20);
         assertThat(relay.scope.inScope()).isLessThanOrEqualTo(20);
         assertThat(relay.ready("small")).hasSize(5);
         assertThat(relay.ready("large")).hasSizeBetween(5, 15);
@@ -366,7 +366,7 @@
     /** All of a are silent and looked at; then b needs the place of one, which answers again out of scope. */
     @Test
     void aServiceThatIsAllSilentComesBackToAUnitThatGaveWayToAnotherService() {
-        Told relay = new Told(new EndpointSubset(Told.terms(7, 0, 3, 1, 0, SETTLE_US)));
+        SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 3, 1, 0, SETTLE_US)));
         List<EndpointEntry> units = new ArrayList<>(service("a", 2, 1));
         units.addAll(service("b", 2, 1));
         relay.whole(units);
@@ -395,7 +395,7 @@
     /** As the units of a are all silent, one is let go when its time is over; it answers again out of scope. */
     @Test
     void aServiceThatIsAllSilentComesBackToAUnitThatItLetGo() {
-        Told relay = new Told(new EndpointSubset(Told.terms(7, 0, 8, 1, 0, SETTLE_US)));
+        SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 8, 1, 0, SETTLE_US)));
         relay.whole(service("a", 2, 1));
         Set<String> silent = new TreeSet<>(Set.of("a-0", "a-1"));
         for (int look = 0; look < 8; look++) {
@@ -420,10 +420,10 @@
             assertThatThrownBy(() -> new EndpointSubset.Terms(1, 0, 1, 1, part, 0, 0))
                 .isInstanceOf(IllegalArgumentException.class).hasMessageContaining("part");
         }
-        assertThatThrownBy(() -> Told.terms(1, 0, 0, 1, 0, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Told.terms(1, 0, 1, 0, 0, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Told.terms(1, 0, 1, 1, -1, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Told.terms(1, 0, 1, 1, 0, -1)).isInstanceOf(IllegalArgumentException.class)
+        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 0, 1, 0, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 0, 0, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 1, -1, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 1, 0, -1)).isInstanceOf(IllegalArgumentException.class)
             .hasMessageContaining("-1");
     }
 
@@ -441,7 +441,7 @@
         Map<String, Integer> holders = new TreeMap<>();
         int held = 0;
         for (int r = 0; r < relays; r++) {
-            Told relay = new Told(new EndpointSubset(Told.terms(r, -1, 100, r % 2 == 0 ? 5 : 8, 0, SETTLE_US)));
+            SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(r, -1, 100, r % 2 == 0 ? 5 : 8, 0, SETTLE_US)));
             relay.whole(list);
             for (String unit : relay.ready()) {
                 parts.merge(unit, 1.0 / relay.ready().size(), Double::sum);
@@ -463,7 +463,7 @@
 
     @Test
     void whatIsOutOfScopeCostsTensOfBytes() {
-        EndpointSubset scope = new EndpointSubset(Told.terms(7, 0, 100, 3, 1, SETTLE_US));
+        EndpointSubset scope = new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US));
         EndpointSubset.Reading reading = scope.read(true);
         for (int i = 0; i < 200_000; i++) {
             reading.add(new EndpointEntry("unit-" + (1_000_000 + i), "service-" + i % 7_200, "10." + (i >> 16) + "."
--- a/src/test/java/gatelock/membership/ScopePropertiesTest.java
+++ b/src/test/java/gatelock/membership/ScopePropertiesTest.java
@@ -30,7 +30,7 @@
     private final Set<String> silent = new HashSet<>();
     private RandomGenerator random;
     private EndpointSubset.Terms terms;
-    private Told told;
+    private SubsetHarness told;
 
     private void begin(long seed, boolean roomy, boolean colliding) {
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
@@ -39,7 +39,7 @@
         double part = Math.max(0, random.nextInt(5) - 1) / 3.0;
         terms = new EndpointSubset.Terms(random.nextInt(5_700), random.nextInt(4) - 1, most, perService, part,
             random.nextInt(3), random.nextInt(3_000_000));
-        told = new Told(fresh(colliding));
+        told = new SubsetHarness(fresh(colliding));
         list.clear();
         silent.clear();
     }
@@ -89,7 +89,7 @@
             Predicate<EndpointEntry> lost = random.nextBoolean() ? e -> e.zone() == random.nextInt(3)
                 : e -> e.service().equals("s" + random.nextInt(SERVICES));
             list.values().stream().filter(lost).forEach(e -> entries.add(random.nextBoolean() ? e.gone()
-                : Told.unit(e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
+                : SubsetHarness.unit(e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
         }
         entries.forEach(this::note);
         told.take(false, entries);
@@ -188,7 +188,7 @@
             step();
         }
         heal();
-        Told other = new Told(fresh(colliding));
+        SubsetHarness other = new SubsetHarness(fresh(colliding));
         other.whole(list.values());
         assertThat(told.ready()).isEqualTo(other.ready());
         int before = told.told;
@@ -237,10 +237,10 @@
     @Property(tries = 200)
     void aUnitThatComesOrGoesMovesOneOfARelaysUnitsAtMost(@ForAll long seed) {
         begin(seed, true, false);
-        terms = Told.terms(terms.relay(), -1, terms.most(), terms.perService(), 0, 0);
-        told = new Told(fresh(false));
+        terms = SubsetHarness.terms(terms.relay(), -1, terms.most(), terms.perService(), 0, 0);
+        told = new SubsetHarness(fresh(false));
         for (int i = 0; i < UNITS; i++) {
-            EndpointEntry e = Told.ready("u" + i, "s", i % 3);
+            EndpointEntry e = SubsetHarness.ready("u" + i, "s", i % 3);
             list.put(e.name(), e);
         }
         told.whole(list.values());
@@ -248,7 +248,7 @@
             Set<String> before = told.ready();
             String unit = "u" + random.nextInt(UNITS);
             boolean goes = list.containsKey(unit);
-            EndpointEntry e = Told.ready(unit, "s", 0);
+            EndpointEntry e = SubsetHarness.ready(unit, "s", 0);
             note(goes ? e.gone() : e);
             told.change(goes ? e.gone() : e);
             told.due(LOOK_US);
--- a/src/test/java/gatelock/membership/Told.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 
 /** A scope with what the decisions know by its changes, and a clock. */
-final class Told {
+final class SubsetHarness {
     final EndpointSubset scope;
     final Map<String, EndpointEntry> units = new TreeMap<>();
     long nowUs = 1_000_000;
@@ -18,7 +18,7 @@
     int told;
     EndpointSubset.Change last;
 
-    Told(EndpointSubset scope) {
+    SubsetHarness(EndpointSubset scope) {
         this.scope = scope;
     }
 
