--- a/Makefile
+++ b/Makefile
@@ -57,13 +57,13 @@
 measure-membership:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
 	java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx1g \
-		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.membership.ScopeMeasure \
+		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.membership.SubsetBenchmark \
 		options
 	java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xmx1g \
-		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.membership.ScopeMeasure \
+		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.membership.SubsetBenchmark \
 		work docs/capacity/membership.json "$$(date -u +%Y-%m-%dT%H:%M:%SZ)-$$(git rev-parse --short HEAD)"
 	java -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -Xms96m -Xmx96m -Xmn64m \
-		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.membership.ScopeMeasure fit
+		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.membership.SubsetBenchmark fit
 
 # One relay with the platform's flags before a list of 200,000 units, with and without a scope; the tables of
 # docs/measurements/membership-relay.md. ROWS="2 write COMMIT" plays one row, or notes the rows it played;
--- a/src/test/java/gatelock/membership/ScopeMeasure.java
+++ b/src/test/java/gatelock/membership/SubsetBenchmark.java
@@ -22,14 +22,14 @@
  * {@code make measure-membership}, which prints the tables of docs/measurements/membership.md.
  * {@code work FILE RUN} writes the slopes to that file, with that name of the run.
  */
-public final class ScopeMeasure {
+public final class SubsetBenchmark {
     private static final int RELAYS = 5_700;
     private static final int UNITS_A_SERVICE = 28;
     private static final int CHANGES = 2_000;
     private static final int REPEATS = 5;
     private static final long SECOND = 1_000_000;
 
-    private ScopeMeasure() {
+    private SubsetBenchmark() {
     }
 
     public static void main(String[] args) throws IOException {
@@ -161,10 +161,10 @@
                 }
                 long[] units = units(n, 0);
                 StringBuilder row = new StringBuilder("| " + n + " | " + Math.min(n, most));
-                for (Object[] column : new Object[][] {{(Option) ScopeMeasure::ranked, false},
-                    {(Option) ScopeMeasure::rounds, false}, {(Option) ScopeMeasure::ring, false},
-                    {(Option) ScopeMeasure::rounds, true}, {(Option) ScopeMeasure::ring, true},
-                    {(Option) ScopeMeasure::all, false}}) {
+                for (Object[] column : new Object[][] {{(Option) SubsetBenchmark::ranked, false},
+                    {(Option) SubsetBenchmark::rounds, false}, {(Option) SubsetBenchmark::ring, false},
+                    {(Option) SubsetBenchmark::rounds, true}, {(Option) SubsetBenchmark::ring, true},
+                    {(Option) SubsetBenchmark::all, false}}) {
                     double[] s = spread((Option) column[0], (boolean) column[1], units, most, ones(n),
                         ones(RELAYS));
                     row.append(String.format(" | %.2f, %.2f", s[0], s[1]));
@@ -214,11 +214,11 @@
                 even = Math.max(even, load[i] / weights[i] / mean);
             }
             System.out.printf("| %d | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |%n", n, most,
-                spread(ScopeMeasure::ranked, false, units, most, weights, ones(RELAYS))[1], even,
-                spread(ScopeMeasure::rounds, false, units, most, weights, ones(RELAYS))[1],
-                spread(ScopeMeasure::ring, false, units, most, weights, ones(RELAYS))[1],
-                spread(ScopeMeasure::ranked, false, units, most, ones(n), unequal)[1],
-                spread(ScopeMeasure::ring, false, units, most, ones(n), unequal)[1]);
+                spread(SubsetBenchmark::ranked, false, units, most, weights, ones(RELAYS))[1], even,
+                spread(SubsetBenchmark::rounds, false, units, most, weights, ones(RELAYS))[1],
+                spread(SubsetBenchmark::ring, false, units, most, weights, ones(RELAYS))[1],
+                spread(SubsetBenchmark::ranked, false, units, most, ones(n), unequal)[1],
+                spread(SubsetBenchmark::ring, false, units, most, ones(n), unequal)[1]);
         }
         System.out.println();
     }
@@ -246,8 +246,8 @@
         for (int n : new int[] {28, 100, 1_000}) {
             for (String what : new String[] {"a unit goes", "a unit comes", "relays' numbers move by one"}) {
                 double[] sums = new double[4];
-                Option[] options = {ScopeMeasure::ranked, ScopeMeasure::rounds, ScopeMeasure::ring,
-                    ScopeMeasure::all};
+                Option[] options = {SubsetBenchmark::ranked, SubsetBenchmark::rounds, SubsetBenchmark::ring,
+                    SubsetBenchmark::all};
                 for (int k = 0; k < 10; k++) {
                     long[] full = units(n, 1_000 * k);
                     int out = k * n / 10;
