--- a/src/test/java/gatelock/membership/ScopePropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.Property;
 
 /** What must hold of a scope whatever the course of lists, changes, silences and time. */
-final class ScopePropertiesTest {
+final class EndpointSubsetPropertiesTest {
     private static final long LOOK_US = 250_000;
     private static final int UNITS = 40;
     private static final int SERVICES = 5;
