--- a/src/main/java/gatelock/plan/Arrivals.java
+++ b/src/main/java/gatelock/plan/StartupQueue.java
@@ -12,7 +12,7 @@
  *
  * @param <T> whatever waits; equal only to itself
  */
-public final class Arrivals<T> {
+public final class StartupQueue<T> {
     private final Map<T, Runnable> waiting = new LinkedHashMap<>();
     private boolean open;
 
--- a/src/main/java/gatelock/wire/Admit.java
+++ b/src/main/java/gatelock/wire/Admit.java
@@ -4,7 +4,7 @@
 import gatelock.kept.InFlightRequest;
 import gatelock.kept.InFlightRequests;
 import gatelock.plan.Admission;
-import gatelock.plan.Arrivals;
+import gatelock.plan.StartupQueue;
 import gatelock.plan.Waiting;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
@@ -26,7 +26,7 @@
     private final DecisionEngine gate;
     private final Admission admission;
     private final long longestPauseUs;
-    private final Arrivals<InFlightRequest> early = new Arrivals<>();
+    private final StartupQueue<InFlightRequest> early = new StartupQueue<>();
     private boolean looking;
 
     /**
--- a/src/test/java/gatelock/plan/ArrivalsTest.java
+++ b/src/test/java/gatelock/plan/StartupQueueTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What comes before the list is known. */
-final class ArrivalsTest {
-    private final Arrivals<String> arrivals = new Arrivals<>();
+final class StartupQueueTest {
+    private final StartupQueue<String> arrivals = new StartupQueue<>();
     private final List<String> gone = new ArrayList<>();
 
     private long come(String what, long endUs) {
