--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.bench.Wirehost;
-import gatelock.plan.Asked;
+import gatelock.plan.RequestAttributes;
 import gatelock.plan.Compiler;
 import gatelock.plan.Diff;
 import gatelock.plan.Explain;
@@ -246,7 +246,7 @@
             Map<String, String> lower = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
             lower.putAll(headers);
             Map<String, Object> said = Explain.of(sound(file, grounds), grounds,
-                new Asked(method.toUpperCase(Locale.ROOT), host, path, lower::get));
+                new RequestAttributes(method.toUpperCase(Locale.ROOT), host, path, lower::get));
             StringBuilder text = new StringBuilder();
             said.forEach((k, v) -> text.append(text.length() == 0 ? "" : "\n").append(k).append(": ")
                 .append(v));
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -176,7 +176,7 @@
     }
 
     /** Where a req leads; null: no entry is for it. */
-    public Way way(Asked asked) {
+    public Way way(RequestAttributes asked) {
         Entry entry = plan == null ? null : plan.entry(asked);
         return entry == null ? null : new Way(plan, entry);
     }
@@ -186,7 +186,7 @@
      * another's, or
      * no entry is for it and the plan refuses such.
      */
-    public int refusal(Asked asked, Way way) {
+    public int refusal(RequestAttributes asked, Way way) {
         unmatched += way == null ? 1 : 0;
         return Match.odd(asked.path()) ? 400 : way == null && plan.refusesUnmatched() ? 404 : 0;
     }
--- a/src/main/java/gatelock/plan/Diff.java
+++ b/src/main/java/gatelock/plan/Diff.java
@@ -68,10 +68,10 @@
         return there == null ? "" : "; in the other version they meet " + there.name();
     }
 
-    private static Asked example(Match m) {
+    private static RequestAttributes example(Match m) {
         String host = m.host().equals("*") ? null : m.host().startsWith("*.") ? "x" + m.host().substring(1)
             : m.host();
-        return new Asked(m.methods().isEmpty() ? "GET" : m.methods().iterator().next(), host,
+        return new RequestAttributes(m.methods().isEmpty() ? "GET" : m.methods().iterator().next(), host,
             "/" + String.join("/", m.segments()), n -> "*".equals(m.headers().get(n)) ? "x" : m.headers()
             .get(n));
     }
@@ -101,7 +101,7 @@
                 continue;
             }
             for (Entry other : after.along(is.match().segments(), MOST_ALONG)) {
-                Asked both = example(is.match(), other.match());
+                RequestAttributes both = example(is.match(), other.match());
                 Entry meets = both == null ? null : after.entry(both);
                 Entry met = both == null ? null : before.entry(both);
                 if (meets != null && met != null && !meets.name().equals(met.name()) && same(meets)
@@ -125,7 +125,7 @@
     /**
      * A req for which both are, or null where there is none; the second one's path leads to the first one's.
      */
-    private static Asked example(Match one, Match other) {
+    private static RequestAttributes example(Match one, Match other) {
         TreeSet<String> methods = new TreeSet<>(one.methods().isEmpty() ? other.methods() : one.methods());
         if (!one.methods().isEmpty() && !other.methods().isEmpty()) {
             methods.retainAll(other.methods());
@@ -136,7 +136,7 @@
             .equals("*")
             ? other : one;
         Match both = new Match(narrow.host(), one.segments(), methods, headers);
-        Asked asked = example(both);
+        RequestAttributes asked = example(both);
         return one.fitsBeside(asked) && other.fitsBeside(asked) ? asked : null;
     }
 
--- a/src/main/java/gatelock/plan/Match.java
+++ b/src/main/java/gatelock/plan/Match.java
@@ -53,7 +53,7 @@
     }
 
     /** Whether all but the path fits, which the table has looked up. */
-    boolean fitsBeside(Asked asked) {
+    boolean fitsBeside(RequestAttributes asked) {
         return hostFits(asked.host()) && (methods.isEmpty() || methods.contains(asked.method()))
             && headersFit(asked);
     }
@@ -70,7 +70,7 @@
             : name.equals(host);
     }
 
-    private boolean headersFit(Asked asked) {
+    private boolean headersFit(RequestAttributes asked) {
         for (Map.Entry<String, String> e : headers.entrySet()) {
             String value = asked.headers().apply(e.getKey());
             if (value == null || !e.getValue().equals("*") && !e.getValue().equals(value)) {
--- a/src/main/java/gatelock/plan/Plan.java
+++ b/src/main/java/gatelock/plan/Plan.java
@@ -95,7 +95,7 @@
     }
 
     /** The entry that a req meets, or null. */
-    Entry entry(Asked asked) {
+    Entry entry(RequestAttributes asked) {
         return table.first(asked);
     }
 
--- a/src/main/java/gatelock/plan/Table.java
+++ b/src/main/java/gatelock/plan/Table.java
@@ -100,7 +100,7 @@
     }
 
     /** What the first entry that fits leads to, or null. */
-    T first(Asked asked) {
+    T first(RequestAttributes asked) {
         Entry<T> found = search(Match.segments(asked.path()), asked.host(), (place,
             match) -> match.fitsBeside(asked));
         return found == null ? null : found.leadsTo;
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -5,7 +5,7 @@
 import gatelock.kept.InFlightRequest;
 import gatelock.kept.UpstreamResponse;
 import gatelock.plan.Admission;
-import gatelock.plan.Asked;
+import gatelock.plan.RequestAttributes;
 import gatelock.plan.SessionTerms;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RoutePolicy;
@@ -105,7 +105,7 @@
         int wrong = 0;
         Admission.Way way = null;
         if (admission != null && admission.plan() != null) {
-            Asked asked = new Asked(exchange.getRequestMethod().toString(), host(exchange), path,
+            RequestAttributes asked = new RequestAttributes(exchange.getRequestMethod().toString(), host(exchange), path,
                 exchange.getRequestHeaders()::getFirst);
             way = admission.way(asked);
             wrong = admission.refusal(asked, way);
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -51,7 +51,7 @@
     }
 
     private Admission.Pass ask(String path) {
-        Asked asked = new Asked("GET", null, path, n -> null);
+        RequestAttributes asked = new RequestAttributes("GET", null, path, n -> null);
         return admission.ask(nowUs, admission.way(asked), 0, nowUs + SECOND, NOBODY);
     }
 
--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/PlanMeasure.java
@@ -48,16 +48,16 @@
             long before = used();
             Table<Integer> table = new Table<>(matches, places);
             long bytes = used() - before;
-            List<Asked> asked = new ArrayList<>();
+            List<RequestAttributes> asked = new ArrayList<>();
             for (int i = 0; i < 4_096; i++) {
-                asked.add(new Asked("GET", "one.lk", path(random, entries) + "/more", n -> null));
+                asked.add(new RequestAttributes("GET", "one.lk", path(random, entries) + "/more", n -> null));
             }
             say(entries, "trie", bytes, asked, a -> table.first(a));
             say(entries, "plain list", 0, asked, a -> plain(matches, a));
         }
     }
 
-    private static Integer plain(List<Match> matches, Asked asked) {
+    private static Integer plain(List<Match> matches, RequestAttributes asked) {
         List<String> path = Match.segments(asked.path());
         for (int i = 0; i < matches.size(); i++) {
             Match m = matches.get(i);
@@ -71,10 +71,10 @@
     }
 
     private interface Lookup {
-        Integer of(Asked asked);
+        Integer of(RequestAttributes asked);
     }
 
-    private static void say(int entries, String way, long bytes, List<Asked> asked, Lookup lookup) {
+    private static void say(int entries, String way, long bytes, List<RequestAttributes> asked, Lookup lookup) {
         Histogram ns = new Histogram(3);
         long untilNs = System.nanoTime() + 3_000_000_000L;
         for (int round = 0; System.nanoTime() < untilNs; round++) {
--- a/src/test/java/gatelock/plan/TableTest.java
+++ b/src/test/java/gatelock/plan/TableTest.java
@@ -24,7 +24,7 @@
         "other"};
 
     /** What a table means, word by word, with no regard to time. */
-    private static Integer plain(List<Match> matches, Asked asked) {
+    private static Integer plain(List<Match> matches, RequestAttributes asked) {
         for (int i = 0; i < matches.size(); i++) {
             Match m = matches.get(i);
             List<String> path = Match.segments(asked.path());
@@ -54,10 +54,10 @@
         return new Match(HOSTS[random.nextInt(HOSTS.length)], Match.segments(path(random)), methods, headers);
     }
 
-    private static Asked asked(RandomGenerator random) {
+    private static RequestAttributes asked(RandomGenerator random) {
         Map<String, String> headers = random.nextBoolean() ? Map.of() : Map.of("x-a", random.nextBoolean()
             ? "1" : "2");
-        return new Asked(random.nextBoolean() ? "GET" : "POST", random.nextInt(9) == 0 ? null
+        return new RequestAttributes(random.nextBoolean() ? "GET" : "POST", random.nextInt(9) == 0 ? null
             : ASKED_HOSTS[random.nextInt(ASKED_HOSTS.length)], path(random), headers::get);
     }
 
@@ -72,7 +72,7 @@
         }
         Table<Integer> table = new Table<>(matches, places);
         for (int i = 0; i < 200; i++) {
-            Asked asked = asked(random);
+            RequestAttributes asked = asked(random);
             assertThat(table.first(asked)).as("%s in %s", asked, matches).isEqualTo(plain(matches, asked));
         }
     }
@@ -84,7 +84,7 @@
             Match some = match(random);
             Match other = match(random);
             for (int j = 0; j < 40 && some.covers(other); j++) {
-                Asked asked = asked(random);
+                RequestAttributes asked = asked(random);
                 if (plain(List.of(other), asked) != null) {
                     assertThat(plain(List.of(some), asked)).as("%s covers %s, %s", some, other, asked)
                         .isNotNull();
