--- a/src/main/java/gatelock/plan/Compiler.java
+++ b/src/main/java/gatelock/plan/Compiler.java
@@ -49,7 +49,7 @@
         Plan plan = null;
         if (draft != null && findings.stream().noneMatch(Finding::grave)) {
             Sheet sheet = new Sheet(draft);
-            Checks.check(sheet, grounds, findings);
+            ConfigValidator.check(sheet, grounds, findings);
             if (findings.stream().noneMatch(Finding::grave)) {
                 plan = plan(new Stamp(epoch, number, Stamp.hash(text)), sheet);
             }
--- a/src/main/java/gatelock/plan/Checks.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 
 /** What a version means, beyond its form: what leads nowhere, never acts, or would let a rule be broken. */
-final class Checks {
+final class ConfigValidator {
     /** So many earlier lines are looked at for one that shadows; beyond that it is not checked, and said. */
     private static final int LOOKED_AT = 2_000;
 
@@ -24,7 +24,7 @@
     private final List<Finding> findings;
     private final Set<String> used = new HashSet<>();
 
-    private Checks(Sheet sheet, Grounds grounds, List<Finding> findings) {
+    private ConfigValidator(Sheet sheet, Grounds grounds, List<Finding> findings) {
         this.sheet = sheet;
         this.grounds = grounds;
         this.findings = findings;
@@ -32,7 +32,7 @@
 
     /** Adds all findings of meaning to a draft that has the right form. */
     static void check(Sheet sheet, Grounds grounds, List<Finding> findings) {
-        Checks checks = new Checks(sheet, grounds, findings);
+        ConfigValidator checks = new ConfigValidator(sheet, grounds, findings);
         checks.defaults();
         checks.pools();
         checks.limits();
