--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -2,7 +2,7 @@
 
 import gatelock.bench.Wirehost;
 import gatelock.plan.RequestAttributes;
-import gatelock.plan.Compiler;
+import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Diff;
 import gatelock.plan.Explain;
 import gatelock.plan.Finding;
@@ -118,16 +118,16 @@
             }
         }
 
-        final Compiler.Compiled compiled(Path file, Grounds grounds) throws Unusable {
+        final ConfigCompiler.Compiled compiled(Path file, Grounds grounds) throws Unusable {
             try {
-                return new Compiler(grounds).compile(Stamp.Epoch.NONE, 0, Files.readAllBytes(file));
+                return new ConfigCompiler(grounds).compile(Stamp.Epoch.NONE, 0, Files.readAllBytes(file));
             } catch (IOException e) {
                 throw new Unusable(file + " can't be read: " + e);
             }
         }
 
         final Plan sound(Path file, Grounds grounds) throws Unusable {
-            Compiler.Compiled compiled = compiled(file, grounds);
+            ConfigCompiler.Compiled compiled = compiled(file, grounds);
             if (!compiled.good()) {
                 throw new Unusable(lines(file, compiled.findings()));
             }
@@ -193,7 +193,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Compiler.Compiled compiled = compiled(file, grounds());
+            ConfigCompiler.Compiled compiled = compiled(file, grounds());
             Map<String, Object> said = new LinkedHashMap<>();
             said.put("good", compiled.good());
             said.put("findings", compiled.findings().stream().map(Finding::fields).toList());
--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -7,7 +7,7 @@
 import gatelock.kept.Counters;
 import gatelock.plan.Admission;
 import gatelock.plan.Backoff;
-import gatelock.plan.Compiler;
+import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Succession;
 import gatelock.wire.Discovery;
 import gatelock.wire.Lines;
@@ -65,7 +65,7 @@
         }
         keep = control.directory() == null ? null : new Keep(control.directory(), mostBytes);
         steward = new Steward(turn, counters, new Succession(control.history()), admission,
-            new Compiler(told.grounds()), keep);
+            new ConfigCompiler(told.grounds()), keep);
         Lines lines = new Lines(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
         subscription = new Subscription(turn, counters, lines, steward, new Backoff(FIRST_WAIT_US,
             control.mostWaitUs(),
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/Steward.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.kept.LogField;
 import gatelock.plan.Admission;
-import gatelock.plan.Compiler;
+import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Finding;
 import gatelock.plan.Plan;
 import gatelock.plan.Stamp;
@@ -28,7 +28,7 @@
     private final Counters counters;
     private final Succession succession;
     private final Admission admission;
-    private final Compiler compiler;
+    private final ConfigCompiler compiler;
     private final Keep keep;
     private long longestSwapUs;
     private long latestCompileUs;
@@ -44,7 +44,7 @@
 
     /** @param keep null: nothing is kept on disk */
     public Steward(Turn turn, Counters counters, Succession succession, Admission admission,
-        Compiler compiler,
+        ConfigCompiler compiler,
                    Keep keep) {
         this.turn = turn;
         this.counters = counters;
@@ -95,7 +95,7 @@
 
     private void compile(Stamp stamp, byte[] text, Consumer<Told> then) {
         long fromUs = turn.nowUs();
-        turn.aside(() -> compiler.compile(stamp.epoch(), stamp.number(), text), Compiler.FAILED, compiled -> {
+        turn.aside(() -> compiler.compile(stamp.epoch(), stamp.number(), text), ConfigCompiler.FAILED, compiled -> {
             latestCompileUs = turn.nowUs() - fromUs;
             then.accept(compiled.good() ? beside(compiled.plan(), text, compiled.findings(),
                 "control service")
@@ -149,7 +149,7 @@
 
     /** A version from disk, before the first one from a control service; tells whether it is in force now. */
     public boolean recovered(Keep.Kept kept) {
-        Compiler.Compiled compiled = compiler.compile(kept.stamp().epoch(), kept.stamp().number(),
+        ConfigCompiler.Compiled compiled = compiler.compile(kept.stamp().epoch(), kept.stamp().number(),
             kept.text());
         if (!compiled.good()) {
             LOG.log(Level.WARNING, "version {0} from disk is not sound any more: {1}", LogField.of("version",
@@ -171,7 +171,7 @@
             then.accept("no version " + number + " is remembered; see history");
             return;
         }
-        turn.aside(() -> compiler.compile(past.stamp().epoch(), number, past.text()), Compiler.FAILED,
+        turn.aside(() -> compiler.compile(past.stamp().epoch(), number, past.text()), ConfigCompiler.FAILED,
             compiled -> {
             if (!compiled.good()) {
                 then.accept("version " + number + " is not sound any more: " + compiled.findings());
--- a/src/main/java/gatelock/plan/Compiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -18,13 +18,13 @@
 /**
  * Makes a {@link Plan} of a text, or says all that is wrong with it. May run on any thread; keeps nothing.
  */
-public final class Compiler {
+public final class ConfigCompiler {
     /** Of more findings the first are told, and how many there are. */
     private static final int MOST_FINDINGS = 200;
 
     private final Grounds grounds;
 
-    public Compiler(Grounds grounds) {
+    public ConfigCompiler(Grounds grounds) {
         this.grounds = grounds;
     }
 
--- a/src/main/java/gatelock/plan/ConfigValidator.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -289,7 +289,7 @@
 
     private void retrying(Sheet.Line line, String retries, String pointer, String way) {
         JsonNode node = section("retries").path(retries);
-        if (!node.isMissingNode() && Compiler.retries(retries, node).mayRunTwice()) {
+        if (!node.isMissingNode() && ConfigCompiler.retries(retries, node).mayRunTwice()) {
             findings.add(Draft.grave("M-ONCE", pointer, "route " + line.name()
                 + " is of the non-retriable class "
                 + line.className() + " and reaches the policy " + retries + " " + way
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.EndpointAddresses;
 import gatelock.plan.Admission;
-import gatelock.plan.Compiler;
+import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Samples;
 import gatelock.plan.Stamp;
 import gatelock.plan.Succession;
@@ -374,7 +374,7 @@
     /** Bytes of text, bytes of heap, and processor time in microseconds of one version, the median of some. */
     private static double[] version(int routes, int times) {
         byte[] text = Samples.version(routes);
-        Compiler compiler = new Compiler(Samples.GROUNDS);
+        ConfigCompiler compiler = new ConfigCompiler(Samples.GROUNDS);
         List<Endpoint> units = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             units.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
@@ -384,7 +384,7 @@
         List<Double> us = new ArrayList<>();
         for (int i = 1; i <= times; i++) {
             long fromNs = cpuNs();
-            Compiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, i, text);
+            ConfigCompiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, i, text);
             admission.beside(i + 1, compiled.plan());
             admission.follow(i + 1, compiled.plan());
             us.add((cpuNs() - fromNs) / 1e3);
@@ -393,7 +393,7 @@
         Admission held = new Admission(1);
         Succession succession = new Succession(10);
         byte[] own = text.clone();
-        Compiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, 1, own);
+        ConfigCompiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, 1, own);
         held.follow(1, compiled.plan());
         succession.good(1, compiled.plan(), "measured", own);
         long bytes = ClassHistogram.here().since(before).total();
--- a/src/test/java/gatelock/plan/CompilerTest.java
+++ b/src/test/java/gatelock/plan/ConfigCompilerTest.java
@@ -17,7 +17,7 @@
  * line:column
  * pointer code}, one for each finding in order; the version follows, its lines counted from 1 again.
  */
-final class CompilerTest {
+final class ConfigCompilerTest {
 
     @TestFactory
     Stream<DynamicTest> eachVersionBringsJustItsFindings() throws IOException {
@@ -28,7 +28,7 @@
                 List<String> expected = lines.stream().takeWhile(l -> l.startsWith("# "))
                     .map(l -> l.substring(2)).toList();
                 String text = String.join("\n", lines.subList(expected.size(), lines.size()));
-                Compiler.Compiled compiled = Samples.compiled(text);
+                ConfigCompiler.Compiled compiled = Samples.compiled(text);
                 assertThat(compiled.findings()).as("%s", compiled.findings())
                     .extracting(x -> x.line() + ":" + x.column() + " " + x.pointer() + " " + x.code())
                     .containsExactlyInAnyOrderElementsOf(expected);
--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/PlanMeasure.java
@@ -104,7 +104,7 @@
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int entries : new int[] {10, 1_000, 100_000}) {
             byte[] bytes = Samples.version(entries);
-            Compiler compiler = new Compiler(Samples.GROUNDS);
+            ConfigCompiler compiler = new ConfigCompiler(Samples.GROUNDS);
             Admission admission = new Admission(1);
             List<Endpoint> units = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
@@ -115,7 +115,7 @@
             Histogram swap = new Histogram(3);
             for (int i = 0; i < 12; i++) {
                 long fromNs = System.nanoTime();
-                Compiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, i + 1, bytes);
+                ConfigCompiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, i + 1, bytes);
                 long readyNs = System.nanoTime();
                 admission.beside(i + 2, compiled.plan());
                 admission.follow(i + 2, compiled.plan());
--- a/src/test/java/gatelock/plan/Samples.java
+++ b/src/test/java/gatelock/plan/Samples.java
@@ -40,13 +40,13 @@
     }
 
     /** Compiles a version written with single quotes. */
-    static Compiler.Compiled compiled(String text) {
-        return new Compiler(GROUNDS).compile(Stamp.Epoch.NONE, 1, text.replace('\'', '"')
+    static ConfigCompiler.Compiled compiled(String text) {
+        return new ConfigCompiler(GROUNDS).compile(Stamp.Epoch.NONE, 1, text.replace('\'', '"')
             .getBytes(StandardCharsets.UTF_8));
     }
 
     static Plan plan(String text) {
-        Compiler.Compiled compiled = compiled(text);
+        ConfigCompiler.Compiled compiled = compiled(text);
         if (!compiled.good()) {
             throw new AssertionError(compiled.findings());
         }
