--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -8,7 +8,7 @@
 import gatelock.plan.Finding;
 import gatelock.plan.Form;
 import gatelock.plan.Grounds;
-import gatelock.plan.Plan;
+import gatelock.plan.CompiledConfig;
 import gatelock.plan.Stamp;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -126,7 +126,7 @@
             }
         }
 
-        final Plan sound(Path file, Grounds grounds) throws Unusable {
+        final CompiledConfig sound(Path file, Grounds grounds) throws Unusable {
             ConfigCompiler.Compiled compiled = compiled(file, grounds);
             if (!compiled.good()) {
                 throw new Unusable(lines(file, compiled.findings()));
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/Steward.java
@@ -5,7 +5,7 @@
 import gatelock.plan.Admission;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Finding;
-import gatelock.plan.Plan;
+import gatelock.plan.CompiledConfig;
 import gatelock.plan.Stamp;
 import gatelock.plan.Succession;
 import gatelock.wire.Turn;
@@ -103,7 +103,7 @@
         });
     }
 
-    private Told beside(Plan plan, byte[] text, List<Finding> findings, String why) {
+    private Told beside(CompiledConfig plan, byte[] text, List<Finding> findings, String why) {
         List<Finding> danger = admission.beside(turn.nowUs(), plan);
         if (danger.stream().anyMatch(Finding::grave)) {
             return refuse(plan.stamp(), danger, false);
@@ -125,7 +125,7 @@
         return new Told(true, "applied", findings, true);
     }
 
-    private void swap(Plan plan, String why) {
+    private void swap(CompiledConfig plan, String why) {
         long fromUs = turn.nowUs();
         admission.follow(fromUs, plan);
         longestSwapUs = Math.max(longestSwapUs, turn.nowUs() - fromUs);
--- a/src/main/java/gatelock/control/Window.java
+++ b/src/main/java/gatelock/control/Window.java
@@ -1,7 +1,7 @@
 package gatelock.control;
 
 import gatelock.kept.Counters;
-import gatelock.plan.Plan;
+import gatelock.plan.CompiledConfig;
 import gatelock.plan.Stamp;
 import gatelock.plan.Succession;
 import gatelock.wire.Discovery;
@@ -102,7 +102,7 @@
     private Map<String, Object> status() {
         long nowUs = turn.nowUs();
         Map<String, Object> status = new LinkedHashMap<>();
-        Plan plan = steward.admission().plan();
+        CompiledConfig plan = steward.admission().plan();
         Succession succession = steward.succession();
         status.put("inForce", succession.inForce() == null ? null : succession.inForce().toString());
         status.put("held", succession.held() == null ? null : succession.held().toString());
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -34,7 +34,7 @@
     /** By route; bounded by the routes of the plan in force and those left a minute ago. */
     private final Map<String, Rate> traffic = new HashMap<>();
     private final double mostDropped;
-    private Plan plan;
+    private CompiledConfig plan;
     private long unmatched;
 
     /** @param mostDropped of all ready units that routes reach, the share that one version may stop using */
@@ -68,10 +68,10 @@
 
     /** Where a req leads. */
     public static final class Way {
-        private final Plan plan;
+        private final CompiledConfig plan;
         private final Entry entry;
 
-        private Way(Plan plan, Entry entry) {
+        private Way(CompiledConfig plan, Entry entry) {
             this.plan = plan;
             this.entry = entry;
         }
@@ -171,7 +171,7 @@
     }
 
     /** The plan in force, or null before there was one. */
-    public Plan plan() {
+    public CompiledConfig plan() {
         return plan;
     }
 
@@ -237,7 +237,7 @@
      * hold
      * whatever was lost; harms an operator who means it, who says so under removes, or does it in two steps.
      */
-    public List<Finding> beside(long nowUs, Plan next) {
+    public List<Finding> beside(long nowUs, CompiledConfig next) {
         List<Finding> findings = new ArrayList<>();
         if (plan == null) {
             return findings;
@@ -260,7 +260,7 @@
     }
 
     /** From now on this plan is in force. */
-    public void follow(long nowUs, Plan next) {
+    public void follow(long nowUs, CompiledConfig next) {
         plan = next;
         muster.follow(nowUs, next);
         limits.follow(nowUs, next.limits());
--- a/src/main/java/gatelock/plan/Plan.java
+++ b/src/main/java/gatelock/plan/CompiledConfig.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /** A version made ready for use. It never changes; a req ends under the one that took it. */
-public final class Plan {
+public final class CompiledConfig {
     private final Stamp stamp;
     private final String by;
     private final String note;
@@ -31,7 +31,7 @@
     private final boolean reachesAll;
     private final Set<String> policies = new HashSet<>();
 
-    Plan(Stamp stamp, String by, String note, boolean refusesUnmatched, List<Entry> routes,
+    CompiledConfig(Stamp stamp, String by, String note, boolean refusesUnmatched, List<Entry> routes,
          Map<String, Pool> pools, Map<String, Retries> poolRetries, Retries defaultRetries, Map<String, Limit> limits,
          Collection<String> removes) {
         this.stamp = stamp;
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -16,7 +16,7 @@
 import java.util.TreeMap;
 
 /**
- * Makes a {@link Plan} of a text, or says all that is wrong with it. May run on any thread; keeps nothing.
+ * Makes a {@link CompiledConfig} of a text, or says all that is wrong with it. May run on any thread; keeps nothing.
  */
 public final class ConfigCompiler {
     /** Of more findings the first are told, and how many there are. */
@@ -29,7 +29,7 @@
     }
 
     /** @param plan null where a finding is grave */
-    public record Compiled(Plan plan, List<Finding> findings) {
+    public record Compiled(CompiledConfig plan, List<Finding> findings) {
         public boolean good() {
             return plan != null;
         }
@@ -46,7 +46,7 @@
         if (draft != null) {
             Form.PLAN.check(draft, findings);
         }
-        Plan plan = null;
+        CompiledConfig plan = null;
         if (draft != null && findings.stream().noneMatch(Finding::grave)) {
             Sheet sheet = new Sheet(draft);
             ConfigValidator.check(sheet, grounds, findings);
@@ -69,7 +69,7 @@
         return first;
     }
 
-    private Plan plan(Stamp stamp, Sheet sheet) {
+    private CompiledConfig plan(Stamp stamp, Sheet sheet) {
         JsonNode root = sheet.root();
         Map<String, Limit> limits = new LinkedHashMap<>();
         root.path("limits").properties().forEach(e -> limits.put(e.getKey(),
@@ -98,7 +98,7 @@
         String byDefault = sheet.byDefault("retries");
         Set<String> removes = new HashSet<>();
         root.path("removes").forEach(n -> removes.add(n.asText()));
-        return new Plan(stamp, root.path("by").asText(""), root.path("note").asText(""),
+        return new CompiledConfig(stamp, root.path("by").asText(""), root.path("note").asText(""),
             root.path("unmatched").asText("").equals("refuse"), entries, pools, poolRetries,
             byDefault == null ? Retries.FREE : retries.get(byDefault), limits, removes);
     }
--- a/src/main/java/gatelock/plan/Diff.java
+++ b/src/main/java/gatelock/plan/Diff.java
@@ -15,19 +15,19 @@
     private static final int MOST = 1_000;
     private static final int MOST_ALONG = 50;
 
-    private final Plan before;
-    private final Plan after;
+    private final CompiledConfig before;
+    private final CompiledConfig after;
     private final Grounds grounds;
     private final List<String> lines = new ArrayList<>();
 
-    private Diff(Plan before, Plan after, Grounds grounds) {
+    private Diff(CompiledConfig before, CompiledConfig after, Grounds grounds) {
         this.before = before;
         this.after = after;
         this.grounds = grounds;
     }
 
     /** A line for each thing that changes for some reqs; none where the two mean the same. */
-    public static List<String> of(Plan before, Plan after, Grounds grounds) {
+    public static List<String> of(CompiledConfig before, CompiledConfig after, Grounds grounds) {
         Diff diff = new Diff(before, after, grounds);
         diff.unmatched();
         diff.routes();
@@ -63,7 +63,7 @@
     }
 
     /** Where the reqs that an entry is for go in the other version, as far as one req tells. */
-    private static String landsNow(Entry e, Plan other) {
+    private static String landsNow(Entry e, CompiledConfig other) {
         Entry there = other.entry(example(e.match()));
         return there == null ? "" : "; in the other version they meet " + there.name();
     }
--- a/src/main/java/gatelock/plan/Muster.java
+++ b/src/main/java/gatelock/plan/Muster.java
@@ -28,7 +28,7 @@
     private final Map<Sort, Sort> sorts = new HashMap<>();
     private Map<String, Stand> stands = Map.of();
     private int[] ready = new int[0];
-    private Plan plan;
+    private CompiledConfig plan;
 
     /** Units alike in all that a pool can choose by. */
     private static final class Sort {
@@ -143,7 +143,7 @@
     }
 
     /** Another plan is in force; a pool that stays as it was keeps what it lately had. */
-    void follow(long nowUs, Plan next) {
+    void follow(long nowUs, CompiledConfig next) {
         Map<String, Stand> before = stands;
         int[] readyBefore = ready;
         plan = next;
@@ -207,7 +207,7 @@
     }
 
     /** Ready units that a plan's routes can reach, and of these, how many another's can not. */
-    int[] reachedAndNot(Plan by, Plan other) {
+    int[] reachedAndNot(CompiledConfig by, CompiledConfig other) {
         int reached = 0;
         int not = 0;
         for (Sort sort : sorts.values()) {
--- a/src/main/java/gatelock/plan/Succession.java
+++ b/src/main/java/gatelock/plan/Succession.java
@@ -103,7 +103,7 @@
      * then it is
      * not.
      */
-    public boolean good(long nowUs, Plan plan, String why, byte[] text) {
+    public boolean good(long nowUs, CompiledConfig plan, String why, byte[] text) {
         Stamp stamp = plan.stamp();
         if (held != null && (stamp.epoch().compareTo(held.epoch()) < 0
                 || stamp.epoch().equals(held.epoch()) && stamp.number() <= held.number()) || pinned) {
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -129,7 +129,7 @@
     void aVersionThatIsADangerBesideTheOneInForceIsTurnedDown() {
         list(6, 4);
         admission.follow(nowUs, Samples.plan(POOLS));
-        Plan without = Samples.plan(POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', "
+        CompiledConfig without = Samples.plan(POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', "
             + "'pool': 'west'}", ""));
         assertThat(admission.beside(nowUs, without)).extracting(Finding::code).doesNotContain("B-TRAFFIC");
         ask("/west");
--- a/src/test/java/gatelock/plan/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/plan/ConfigCompilerTest.java
@@ -43,7 +43,7 @@
 
     @Test
     void whatIsNotSaidIsInheritedAndThenByDefault() {
-        Plan plan = Samples.plan("""
+        CompiledConfig plan = Samples.plan("""
             {'format': 1, 'defaults': {'pool': 'all', 'retries': 'none'},
              'pools': {'all': {}, 'east': {'zones': ['east'], 'fallback': 'all', 'leastShare': 0.5, 'retries': 'two'}},
              'retries': {'none': {'tries': 1}, 'two': {'tries': 2}, 'three': {'tries': 3, 'after': ['errored']}},
--- a/src/test/java/gatelock/plan/Samples.java
+++ b/src/test/java/gatelock/plan/Samples.java
@@ -45,7 +45,7 @@
             .getBytes(StandardCharsets.UTF_8));
     }
 
-    static Plan plan(String text) {
+    static CompiledConfig plan(String text) {
         ConfigCompiler.Compiled compiled = compiled(text);
         if (!compiled.good()) {
             throw new AssertionError(compiled.findings());
--- a/src/test/java/gatelock/plan/SuccessionTest.java
+++ b/src/test/java/gatelock/plan/SuccessionTest.java
@@ -19,8 +19,8 @@
     private static final Stamp.Epoch OLD = new Stamp.Epoch(1, "z");
     private static final Stamp.Epoch NEW = new Stamp.Epoch(2, "a");
 
-    private static Plan plan(Stamp stamp) {
-        return new Plan(stamp, "me", "why", false, List.of(), Map.of(), Map.of(), Retries.FREE, Map.of(),
+    private static CompiledConfig plan(Stamp stamp) {
+        return new CompiledConfig(stamp, "me", "why", false, List.of(), Map.of(), Map.of(), Retries.FREE, Map.of(),
             List.of());
     }
 
