--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -3,7 +3,7 @@
 import gatelock.bench.Wirehost;
 import gatelock.plan.RequestAttributes;
 import gatelock.plan.ConfigCompiler;
-import gatelock.plan.Diff;
+import gatelock.plan.ConfigDiff;
 import gatelock.plan.Explain;
 import gatelock.plan.Finding;
 import gatelock.plan.Form;
@@ -216,7 +216,7 @@
         @Override
         public Integer call() throws Exception {
             Grounds grounds = grounds();
-            List<String> lines = Diff.of(sound(before, grounds), sound(after, grounds), grounds);
+            List<String> lines = ConfigDiff.of(sound(before, grounds), sound(after, grounds), grounds);
             say(Map.of("differences", lines), lines.isEmpty() ? "no req is treated otherwise"
                 : String.join("\n", lines));
             return lines.isEmpty() ? GOOD : FINDINGS;
--- a/src/main/java/gatelock/plan/Diff.java
+++ b/src/main/java/gatelock/plan/ConfigDiff.java
@@ -11,7 +11,7 @@
  * nothing
  * to say, however the text was moved about.
  */
-public final class Diff {
+public final class ConfigDiff {
     private static final int MOST = 1_000;
     private static final int MOST_ALONG = 50;
 
@@ -20,7 +20,7 @@
     private final Grounds grounds;
     private final List<String> lines = new ArrayList<>();
 
-    private Diff(CompiledConfig before, CompiledConfig after, Grounds grounds) {
+    private ConfigDiff(CompiledConfig before, CompiledConfig after, Grounds grounds) {
         this.before = before;
         this.after = after;
         this.grounds = grounds;
@@ -28,7 +28,7 @@
 
     /** A line for each thing that changes for some reqs; none where the two mean the same. */
     public static List<String> of(CompiledConfig before, CompiledConfig after, Grounds grounds) {
-        Diff diff = new Diff(before, after, grounds);
+        ConfigDiff diff = new ConfigDiff(before, after, grounds);
         diff.unmatched();
         diff.routes();
         diff.order();
--- a/src/test/java/gatelock/plan/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/plan/ConfigCompilerTest.java
@@ -80,13 +80,13 @@
               {'name': 'x', 'limits': ['a'], 'path': '/x', 'class': 'read', 'host': '*'}],
              'limits': {'a': {'per': 'all', 'ratePerS': 5.0, 'burst': 5}}, 'note': 'moved', 'format': 1}
             """;
-        assertThat(Diff.of(Samples.plan(text), Samples.plan(moved), Samples.GROUNDS)).isEmpty();
-        assertThat(Diff.of(Samples.plan(text), Samples.plan(text.replace("5}", "6}").replace("'/y'", "'/z'")),
+        assertThat(ConfigDiff.of(Samples.plan(text), Samples.plan(moved), Samples.GROUNDS)).isEmpty();
+        assertThat(ConfigDiff.of(Samples.plan(text), Samples.plan(text.replace("5}", "6}").replace("'/y'", "'/z'")),
             Samples.GROUNDS)).hasSize(2).anyMatch(l -> l.contains("limits") && l.contains("6 reqs a second"))
             .anyMatch(l -> l.startsWith("route y: is for"));
         String one = "{'name': 'one', 'path': '/p', 'headers': {'x-a': '1'}, 'class': 'read'}";
         String two = "{'name': 'two', 'path': '/p/q', 'class': 'read'}";
-        assertThat(Diff.of(Samples.plan("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
+        assertThat(ConfigDiff.of(Samples.plan("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
             Samples.plan("{'format': 1, 'routes': [" + two + ", " + one + "]}"), Samples.GROUNDS))
             .singleElement().asString().contains("meet route two, met one");
     }
