--- a/src/main/java/gatelock/boot/Operator.java
+++ b/src/main/java/gatelock/boot/Operator.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.membership.EndpointSubset;
-import gatelock.plan.Draft;
+import gatelock.plan.ConfigDocument;
 import gatelock.plan.Finding;
 import gatelock.plan.Form;
 import gatelock.wire.ServiceName;
@@ -66,7 +66,7 @@
             throw new IOException("operator's file " + file + " can't be read: " + e, e);
         }
         List<Finding> findings = new ArrayList<>();
-        Draft draft = Draft.read(text, findings);
+        ConfigDocument draft = ConfigDocument.read(text, findings);
         if (draft != null) {
             Form.OPERATOR.check(draft, findings);
         }
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -42,7 +42,7 @@
     /** Reads, checks and compiles a text that claims to be that version. */
     public Compiled compile(Stamp.Epoch epoch, long number, byte[] text) {
         List<Finding> findings = new ArrayList<>();
-        Draft draft = Draft.read(text, findings);
+        ConfigDocument draft = ConfigDocument.read(text, findings);
         if (draft != null) {
             Form.PLAN.check(draft, findings);
         }
--- a/src/main/java/gatelock/plan/Draft.java
+++ b/src/main/java/gatelock/plan/ConfigDocument.java
@@ -22,7 +22,7 @@
  * keep all
  * places took more memory than all else of a large version.
  */
-public final class Draft {
+public final class ConfigDocument {
     private static final int DEEPEST = 64;
     private static final JsonFactory JSON = JsonFactory.builder()
         .streamReadConstraints(StreamReadConstraints.builder()
@@ -32,18 +32,18 @@
     private final byte[] text;
     private final JsonNode root;
 
-    private Draft(byte[] text, JsonNode root) {
+    private ConfigDocument(byte[] text, JsonNode root) {
         this.text = text;
         this.root = root;
     }
 
     /** Reads a text; adds a finding and gives null where it is no JSON, or says something twice. */
-    public static Draft read(byte[] text, List<Finding> findings) {
+    public static ConfigDocument read(byte[] text, List<Finding> findings) {
         try (JsonParser parser = JSON.createParser(new String(text, StandardCharsets.UTF_8))) {
             parser.nextToken();
             JsonNode root = parser.currentToken() == null ? null : value(parser);
             if (root instanceof ObjectNode && parser.nextToken() == null) {
-                return new Draft(text, root);
+                return new ConfigDocument(text, root);
             }
             JsonLocation at = parser.currentTokenLocation();
             findings.add(new Finding("G-FORM", true, "", at.getLineNr(), at.getColumnNr(),
--- a/src/main/java/gatelock/plan/ConfigValidator.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -56,7 +56,7 @@
             used.add(section + "/" + name);
             return true;
         }
-        findings.add(Draft.grave(code, pointer, "there is no " + name + " under " + section,
+        findings.add(ConfigDocument.grave(code, pointer, "there is no " + name + " under " + section,
             "add it there, or name one of " + some(section)));
         return false;
     }
@@ -83,7 +83,7 @@
 
     private void pools() {
         section("pools").properties().forEach(e -> {
-            String pointer = "/pools/" + Draft.escaped(e.getKey());
+            String pointer = "/pools/" + ConfigDocument.escaped(e.getKey());
             JsonNode pool = e.getValue();
             selector(pool, "zones", grounds.zones(), pointer);
             selector(pool, "kinds", grounds.kinds(), pointer);
@@ -94,12 +94,12 @@
                 named("pools", pool.get("fallback").asText(), pointer + "/fallback", "M-FALLBACK");
                 List<String> loop = loop(e.getKey());
                 if (!loop.isEmpty()) {
-                    findings.add(Draft.grave("M-FALLBACK-LOOP", pointer + "/fallback",
+                    findings.add(ConfigDocument.grave("M-FALLBACK-LOOP", pointer + "/fallback",
                         "its fallbacks lead back to it: "
                         + String.join(" > ", loop), "let one of them have no fallback, or another"));
                 }
             } else if (pool.has("leastShare")) {
-                findings.add(Draft.warning("M-LEAST", pointer + "/leastShare",
+                findings.add(ConfigDocument.warning("M-LEAST", pointer + "/leastShare",
                     "a least share without a fallback does "
                     + "nothing", "name a fallback, or take it out"));
             }
@@ -116,13 +116,13 @@
             if (known.contains(name)) {
                 fits++;
             } else {
-                findings.add(Draft.warning("M-UNKNOWN", pointer + "/" + field + "/" + i,
+                findings.add(ConfigDocument.warning("M-UNKNOWN", pointer + "/" + field + "/" + i,
                     "the deployment has no " + name
                     + " among its " + field, "name one of " + String.join(", ", known)));
             }
         }
         if (fits == 0) {
-            findings.add(Draft.grave("M-POOL-EMPTY", pointer + "/" + field,
+            findings.add(ConfigDocument.grave("M-POOL-EMPTY", pointer + "/" + field,
                 "no unit can ever be in this pool",
                 "name one of " + String.join(", ", known)));
         }
@@ -155,22 +155,22 @@
 
     private void limits() {
         section("limits").properties().forEach(e -> {
-            String pointer = "/limits/" + Draft.escaped(e.getKey());
+            String pointer = "/limits/" + ConfigDocument.escaped(e.getKey());
             JsonNode limit = e.getValue();
             for (String field : List.of("ratePerS", "inFlight")) {
                 if (limit.has(field) && limit.get(field).asDouble() <= 0) {
-                    findings.add(Draft.grave("M-ZERO", pointer + "/" + field,
+                    findings.add(ConfigDocument.grave("M-ZERO", pointer + "/" + field,
                         "a limit of zero sheds every req",
                         "give it more than 0, or take the routes out that lead there"));
                 }
             }
             if (limit.has("burst") && limit.get("burst").asDouble() < 1) {
-                findings.add(Draft.grave("M-ZERO", pointer + "/burst",
+                findings.add(ConfigDocument.grave("M-ZERO", pointer + "/burst",
                     "with a burst under 1 no req ever passes",
                     "give it 1 or more"));
             }
             if (limit.has("burst") && !limit.has("ratePerS")) {
-                findings.add(Draft.warning("M-BURST", pointer + "/burst",
+                findings.add(ConfigDocument.warning("M-BURST", pointer + "/burst",
                     "a burst without a rate does nothing",
                     "give it ratePerS, or take it out"));
             }
@@ -182,12 +182,12 @@
         for (Sheet.Line line : sheet.lines()) {
             String at = line.pointer();
             if (!names.add(line.name())) {
-                findings.add(Draft.grave("M-NAME-TWICE", at + "/name", "an earlier route is called "
+                findings.add(ConfigDocument.grave("M-NAME-TWICE", at + "/name", "an earlier route is called "
                     + line.name(),
                     "give each route a name of its own"));
             }
             if (line.inherits() != null && line.parent() == null) {
-                findings.add(Draft.grave("M-PARENT", at + "/inherits", "no route before this one is called "
+                findings.add(ConfigDocument.grave("M-PARENT", at + "/inherits", "no route before this one is called "
                     + line.inherits(), "name one that stands before it"));
             }
             if (!line.isAbstract()) {
@@ -200,7 +200,7 @@
     private void leads(Sheet.Line line, String at) {
         Integer classNo = line.className() == null ? null : grounds.classes().get(line.className());
         if (classNo == null) {
-            findings.add(Draft.grave("M-CLASS", at(line, "class"), line.className() == null
+            findings.add(ConfigDocument.grave("M-CLASS", at(line, "class"), line.className() == null
                 ? "it leads nowhere: it has no class" : "the deployment has no class " + line.className(),
                 "name one of " + String.join(", ", grounds.classes().keySet())));
         }
@@ -216,7 +216,7 @@
             RoutePolicy terms = grounds.terms().get(classNo);
             method(line, terms);
             if (line.sessions() != null && terms.repeat() != RoutePolicy.Repeat.RETRIABLE) {
-                findings.add(Draft.grave("M-SESSION", at(line, "sessions"),
+                findings.add(ConfigDocument.grave("M-SESSION", at(line, "sessions"),
                     "sessions are opened by GET, and reqs of class "
                     + line.className() + " come by POST",
                     "give the route a retriable class, or take sessions out"));
@@ -239,7 +239,7 @@
     private void waits(Sheet.Line line, String limit, long deadlineUs) {
         double waitMs = section("limits").path(limit).path("queue").path("waitMs").asDouble(0);
         if (deadlineUs > 0 && waitMs * 1000 >= deadlineUs) {
-            findings.add(Draft.grave("M-WAIT", "/limits/" + Draft.escaped(limit) + "/queue/waitMs",
+            findings.add(ConfigDocument.grave("M-WAIT", "/limits/" + ConfigDocument.escaped(limit) + "/queue/waitMs",
                 "reqs of route "
                 + line.name() + " would wait for " + (long) waitMs + " ms, and their time is up after "
                 + deadlineUs / 1000,
@@ -252,7 +252,7 @@
         String method = terms.repeat() == RoutePolicy.Repeat.RETRIABLE ? "GET" : "POST";
         Set<String> methods = line.match().methods();
         if (!methods.isEmpty() && !methods.contains(method)) {
-            findings.add(Draft.grave("M-METHOD", at(line, "methods"), "reqs of class " + line.className()
+            findings.add(ConfigDocument.grave("M-METHOD", at(line, "methods"), "reqs of class " + line.className()
                 + " come by "
                 + method + " only, so no req of this route is ever taken", "name " + method
                 + ", or another class"));
@@ -278,7 +278,7 @@
             String its = section("pools").path(pool).path("retries").asText(null);
             byDefault |= its == null;
             if (its != null) {
-                retrying(line, its, "/pools/" + Draft.escaped(pool) + "/retries", pool.equals(line.pool())
+                retrying(line, its, "/pools/" + ConfigDocument.escaped(pool) + "/retries", pool.equals(line.pool())
                     ? "by its pool " + pool : "by the fallback pool " + pool);
             }
         }
@@ -290,7 +290,7 @@
     private void retrying(Sheet.Line line, String retries, String pointer, String way) {
         JsonNode node = section("retries").path(retries);
         if (!node.isMissingNode() && ConfigCompiler.retries(retries, node).mayRunTwice()) {
-            findings.add(Draft.grave("M-ONCE", pointer, "route " + line.name()
+            findings.add(ConfigDocument.grave("M-ONCE", pointer, "route " + line.name()
                 + " is of the non-retriable class "
                 + line.className() + " and reaches the policy " + retries + " " + way
                 + ", which tries again what may have run",
@@ -316,7 +316,7 @@
             || grounds.zones().size() <= 1 && terms.group() == RoutePolicy.Group.ZONE;
         boolean single = terms.group() == RoutePolicy.Group.CELL && chain.size() <= 1;
         if (!zoned && !single) {
-            findings.add(Draft.grave("M-GROUP", at(line, "pool"), "route " + line.name()
+            findings.add(ConfigDocument.grave("M-GROUP", at(line, "pool"), "route " + line.name()
                 + " is of the deduped class "
                 + line.className() + ", whose repeats one " + (terms.group() == RoutePolicy.Group.ZONE ? "zone"
                 : "cell")
@@ -339,11 +339,11 @@
             int by = table.firstAlong(match.segments(), (p, m) -> p < place && looked[0]++ < LOOKED_AT
                 && m.covers(match));
             if (by >= 0 && by < place) {
-                findings.add(Draft.grave("M-SHADOWED", real.get(i).pointer(), "no req ever meets route "
+                findings.add(ConfigDocument.grave("M-SHADOWED", real.get(i).pointer(), "no req ever meets route "
                     + real.get(i).name() + ": all of its go to route " + real.get(by).name() + " before it",
                     "put it before that one, or take it out"));
             } else if (looked[0] >= LOOKED_AT) {
-                findings.add(Draft.warning("M-UNCHECKED", real.get(i).pointer(),
+                findings.add(ConfigDocument.warning("M-UNCHECKED", real.get(i).pointer(),
                     "whether an earlier route shadows "
                     + real.get(i).name() + " was not checked: too many share its path", "part them by path"));
             }
@@ -355,7 +355,7 @@
         for (int i = 0; i < removes.size(); i++) {
             Sheet.Line line = sheet.line(removes.get(i).asText());
             if (line != null && !line.isAbstract()) {
-                findings.add(Draft.grave("M-REMOVES", "/removes/" + i, "route " + line.name()
+                findings.add(ConfigDocument.grave("M-REMOVES", "/removes/" + i, "route " + line.name()
                     + " is said to be gone and is there", "take it out of removes, or out of routes"));
             }
         }
@@ -368,7 +368,7 @@
             for (Iterator<String> names = section(section).fieldNames(); names.hasNext(); ) {
                 String name = names.next();
                 if (!used.contains(section + "/" + name)) {
-                    findings.add(Draft.warning("M-UNUSED", "/" + section + "/" + Draft.escaped(name),
+                    findings.add(ConfigDocument.warning("M-UNUSED", "/" + section + "/" + ConfigDocument.escaped(name),
                         "no route uses this "
                         + sections.get(section), "take it out, or name it where it was meant"));
                 }
--- a/src/main/java/gatelock/plan/Form.java
+++ b/src/main/java/gatelock/plan/Form.java
@@ -33,16 +33,16 @@
     }
 
     /** Adds a finding for each place where a text does not have this form. */
-    public void check(Draft draft, List<Finding> findings) {
+    public void check(ConfigDocument draft, List<Finding> findings) {
         for (Error error : schema().validate(draft.root())) {
             String pointer = error.getInstanceLocation().toString();
             String keyword = error.getKeyword();
             if (error.getProperty() != null) {
                 pointer = keyword.equals("additionalProperties") ? pointer + "/"
-                    + Draft.escaped(error.getProperty())
+                    + ConfigDocument.escaped(error.getProperty())
                     : pointer;
             }
-            findings.add(Draft.grave("S-" + keyword.toUpperCase(Locale.ROOT), pointer, error.getMessage(),
+            findings.add(ConfigDocument.grave("S-" + keyword.toUpperCase(Locale.ROOT), pointer, error.getMessage(),
                 mend(keyword, error)));
         }
     }
--- a/src/main/java/gatelock/plan/Sheet.java
+++ b/src/main/java/gatelock/plan/Sheet.java
@@ -13,11 +13,11 @@
 
 /** A draft of the right form with its routes' lines read, and what each inherits or gets by default. */
 final class Sheet {
-    private final Draft draft;
+    private final ConfigDocument draft;
     private final List<Line> lines = new ArrayList<>();
     private final Map<String, Line> byName = new HashMap<>();
 
-    Sheet(Draft draft) {
+    Sheet(ConfigDocument draft) {
         this.draft = draft;
         JsonNode routes = draft.root().path("routes");
         for (int i = 0; i < routes.size(); i++) {
--- a/src/main/java/gatelock/plan/package-info.java
+++ b/src/main/java/gatelock/plan/package-info.java
@@ -1,6 +1,6 @@
 /**
  * Versioned configuration, all of it that decides anything: what a version says and whether it is sound
- * ({@link gatelock.plan.Draft}, {@link gatelock.plan.ConfigValidator}, {@link gatelock.plan.ConfigCompiler}), what is in
+ * ({@link gatelock.plan.ConfigDocument}, {@link gatelock.plan.ConfigValidator}, {@link gatelock.plan.ConfigCompiler}), what is in
  * force
  * ({@link gatelock.plan.CompiledConfig}), which versions follow one another ({@link gatelock.plan.Succession}), and
  * what it
