--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -69,9 +69,9 @@
     /** Where a req leads. */
     public static final class Way {
         private final CompiledConfig plan;
-        private final Entry entry;
+        private final RouteEntry entry;
 
-        private Way(CompiledConfig plan, Entry entry) {
+        private Way(CompiledConfig plan, RouteEntry entry) {
             this.plan = plan;
             this.entry = entry;
         }
@@ -177,7 +177,7 @@
 
     /** Where a req leads; null: no entry is for it. */
     public Way way(RequestAttributes asked) {
-        Entry entry = plan == null ? null : plan.entry(asked);
+        RouteEntry entry = plan == null ? null : plan.entry(asked);
         return entry == null ? null : new Way(plan, entry);
     }
 
--- a/src/main/java/gatelock/plan/CompiledConfig.java
+++ b/src/main/java/gatelock/plan/CompiledConfig.java
@@ -15,14 +15,14 @@
     private final String by;
     private final String note;
     private final boolean refusesUnmatched;
-    private final Map<String, Entry> entries = new LinkedHashMap<>();
+    private final Map<String, RouteEntry> entries = new LinkedHashMap<>();
     private final Map<String, Pool> pools;
     private final Map<String, Retries> poolRetries;
     private final Retries defaultRetries;
     private final Map<String, Limit> limits;
     private final Collection<String> removes;
-    private final List<Entry> byPlace;
-    private final Table<Entry> table;
+    private final List<RouteEntry> byPlace;
+    private final Table<RouteEntry> table;
     private final Map<String, List<String>> chains = new HashMap<>();
     /** Ways to choose units that differ; many pools may share one. */
     private final List<Pool> selectors = new ArrayList<>();
@@ -31,7 +31,7 @@
     private final boolean reachesAll;
     private final Set<String> policies = new HashSet<>();
 
-    CompiledConfig(Stamp stamp, String by, String note, boolean refusesUnmatched, List<Entry> routes,
+    CompiledConfig(Stamp stamp, String by, String note, boolean refusesUnmatched, List<RouteEntry> routes,
          Map<String, Pool> pools, Map<String, Retries> poolRetries, Retries defaultRetries, Map<String, Limit> limits,
          Collection<String> removes) {
         this.stamp = stamp;
@@ -45,7 +45,7 @@
         this.removes = removes;
         this.byPlace = List.copyOf(routes);
         List<Match> matches = new ArrayList<>(routes.size());
-        for (Entry e : routes) {
+        for (RouteEntry e : routes) {
             entries.put(e.name(), e);
             matches.add(e.match());
         }
@@ -60,7 +60,7 @@
         });
         Set<String> reachingPools = new HashSet<>();
         boolean all = !refusesUnmatched;
-        for (Entry e : routes) {
+        for (RouteEntry e : routes) {
             all |= e.pool() == null;
             policies.add(retries(e, null).name());
             for (String pool : chain(e.pool())) {
@@ -95,13 +95,13 @@
     }
 
     /** The entry that a req meets, or null. */
-    Entry entry(RequestAttributes asked) {
+    RouteEntry entry(RequestAttributes asked) {
         return table.first(asked);
     }
 
     /** Entries whose path is the start of this one, some of them where there are very many. */
-    List<Entry> along(List<String> path, int most) {
-        List<Entry> found = new ArrayList<>();
+    List<RouteEntry> along(List<String> path, int most) {
+        List<RouteEntry> found = new ArrayList<>();
         table.firstAlong(path, (place, match) -> {
             found.add(byPlace.get(place));
             return found.size() >= most;
@@ -109,7 +109,7 @@
         return found;
     }
 
-    Map<String, Entry> entries() {
+    Map<String, RouteEntry> entries() {
         return entries;
     }
 
@@ -129,7 +129,7 @@
      * What further tries a req of an entry may have while that pool serves it: the entry's, its pool's, the
      * default.
      */
-    Retries retries(Entry entry, String pool) {
+    Retries retries(RouteEntry entry, String pool) {
         return entry.retries() != null ? entry.retries() : poolRetries.getOrDefault(pool, defaultRetries);
     }
 
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -85,11 +85,11 @@
                 poolRetries.put(e.getKey(), retries.get(e.getValue().get("retries").asText()));
             }
         });
-        List<Entry> entries = new ArrayList<>();
+        List<RouteEntry> entries = new ArrayList<>();
         for (Sheet.Line line : sheet.lines()) {
             if (!line.isAbstract()) {
                 List<Limit> its = line.limits().stream().map(limits::get).toList();
-                entries.add(new Entry(line.name(), entries.size(), line.match(), grounds.classes()
+                entries.add(new RouteEntry(line.name(), entries.size(), line.match(), grounds.classes()
                     .get(line.className()),
                     line.pool(), its, line.retries() == null ? null : retries.get(line.retries()),
                     line.sessions()));
--- a/src/main/java/gatelock/plan/ConfigDiff.java
+++ b/src/main/java/gatelock/plan/ConfigDiff.java
@@ -48,8 +48,8 @@
         TreeSet<String> names = new TreeSet<>(before.entries().keySet());
         names.addAll(after.entries().keySet());
         for (String name : names) {
-            Entry was = before.entries().get(name);
-            Entry is = after.entries().get(name);
+            RouteEntry was = before.entries().get(name);
+            RouteEntry is = after.entries().get(name);
             if (was == null) {
                 lines.add("route " + name + " is new: " + words(is.match()) + " to class "
                     + grounds.className(is.classNo()) + ", pool "
@@ -63,8 +63,8 @@
     }
 
     /** Where the reqs that an entry is for go in the other version, as far as one req tells. */
-    private static String landsNow(Entry e, CompiledConfig other) {
-        Entry there = other.entry(example(e.match()));
+    private static String landsNow(RouteEntry e, CompiledConfig other) {
+        RouteEntry there = other.entry(example(e.match()));
         return there == null ? "" : "; in the other version they meet " + there.name();
     }
 
@@ -76,7 +76,7 @@
             .get(n));
     }
 
-    private void changed(String name, Entry was, Entry is) {
+    private void changed(String name, RouteEntry was, RouteEntry is) {
         say(name, "is for", words(was.match()), words(is.match()));
         say(name, "class", grounds.className(was.classNo()), grounds.className(is.classNo()));
         say(name, "pool", pool(was), pool(is));
@@ -95,15 +95,15 @@
     /** Entries that stay but change places, told by one req for which both of a pair are. */
     private void order() {
         TreeSet<String> said = new TreeSet<>();
-        for (Entry is : after.entries().values()) {
-            Entry was = before.entries().get(is.name());
+        for (RouteEntry is : after.entries().values()) {
+            RouteEntry was = before.entries().get(is.name());
             if (was == null || !was.match().equals(is.match())) {
                 continue;
             }
-            for (Entry other : after.along(is.match().segments(), MOST_ALONG)) {
+            for (RouteEntry other : after.along(is.match().segments(), MOST_ALONG)) {
                 RequestAttributes both = example(is.match(), other.match());
-                Entry meets = both == null ? null : after.entry(both);
-                Entry met = both == null ? null : before.entry(both);
+                RouteEntry meets = both == null ? null : after.entry(both);
+                RouteEntry met = both == null ? null : before.entry(both);
                 if (meets != null && met != null && !meets.name().equals(met.name()) && same(meets)
                     && same(met)) {
                     said.add("reqs for both " + is.name() + " and " + other.name() + " meet route "
@@ -116,9 +116,9 @@
     }
 
     /** Whether an entry is for the same reqs in both versions. */
-    private boolean same(Entry e) {
-        Entry was = before.entries().get(e.name());
-        Entry is = after.entries().get(e.name());
+    private boolean same(RouteEntry e) {
+        RouteEntry was = before.entries().get(e.name());
+        RouteEntry is = after.entries().get(e.name());
         return was != null && is != null && was.match().equals(is.match());
     }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    private static String pool(Entry e) {
+    private static String pool(RouteEntry e) {
         return e.pool() == null ? "all units" : e.pool();
     }
 
--- a/src/main/java/gatelock/plan/Explain.java
+++ b/src/main/java/gatelock/plan/Explain.java
@@ -17,7 +17,7 @@
             said.put("answer", "400: a unit may read this path as another one");
             return said;
         }
-        Entry entry = plan.entry(asked);
+        RouteEntry entry = plan.entry(asked);
         if (entry == null) {
             said.put("answer", plan.refusesUnmatched() ? "404: no route is for it"
                 : "no route is for it: it goes by the "
--- a/src/test/java/gatelock/plan/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/plan/ConfigCompilerTest.java
@@ -55,10 +55,10 @@
               {'name': 'plain', 'path': '/plain', 'class': 'claim'}]}
             """);
         assertThat(plan.routes()).isEqualTo(4);
-        Entry own = plan.entries().get("own");
-        Entry heir = plan.entries().get("heir");
-        Entry pooled = plan.entries().get("pooled");
-        Entry plain = plan.entries().get("plain");
+        RouteEntry own = plan.entries().get("own");
+        RouteEntry heir = plan.entries().get("heir");
+        RouteEntry pooled = plan.entries().get("pooled");
+        RouteEntry plain = plan.entries().get("plain");
         assertThat(plan.retries(own, "east").name()).isEqualTo("three");
         assertThat(own.limits()).isEmpty();
         assertThat(plan.retries(heir, "all").name()).isEqualTo("three");
