--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -4,7 +4,7 @@
 import gatelock.plan.RequestAttributes;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.ConfigDiff;
-import gatelock.plan.Explain;
+import gatelock.plan.RouteExplainer;
 import gatelock.plan.Finding;
 import gatelock.plan.Form;
 import gatelock.plan.Grounds;
@@ -245,7 +245,7 @@
             Grounds grounds = grounds();
             Map<String, String> lower = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
             lower.putAll(headers);
-            Map<String, Object> said = Explain.of(sound(file, grounds), grounds,
+            Map<String, Object> said = RouteExplainer.of(sound(file, grounds), grounds,
                 new RequestAttributes(method.toUpperCase(Locale.ROOT), host, path, lower::get));
             StringBuilder text = new StringBuilder();
             said.forEach((k, v) -> text.append(text.length() == 0 ? "" : "\n").append(k).append(": ")
--- a/src/main/java/gatelock/plan/ConfigDiff.java
+++ b/src/main/java/gatelock/plan/ConfigDiff.java
@@ -80,10 +80,10 @@
         say(name, "is for", words(was.match()), words(is.match()));
         say(name, "class", grounds.className(was.classNo()), grounds.className(is.classNo()));
         say(name, "pool", pool(was), pool(is));
-        say(name, "limits", was.limits().stream().map(Explain::words).toList(),
-            is.limits().stream().map(Explain::words).toList());
-        say(name, "tries", Explain.words(before.retries(was, was.pool())),
-            Explain.words(after.retries(is, is.pool())));
+        say(name, "limits", was.limits().stream().map(RouteExplainer::words).toList(),
+            is.limits().stream().map(RouteExplainer::words).toList());
+        say(name, "tries", RouteExplainer.words(before.retries(was, was.pool())),
+            RouteExplainer.words(after.retries(is, is.pool())));
     }
 
     private void say(String route, String what, Object was, Object is) {
--- a/src/main/java/gatelock/plan/Explain.java
+++ b/src/main/java/gatelock/plan/RouteExplainer.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /** What a plan does with a req, said before one comes. */
-public final class Explain {
-    private Explain() {
+public final class RouteExplainer {
+    private RouteExplainer() {
     }
 
     /** Each point by its name: entry, class, pools in order, limits, further tries. */
