--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -5,7 +5,7 @@
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.ConfigDiff;
 import gatelock.plan.RouteExplainer;
-import gatelock.plan.Finding;
+import gatelock.plan.Diagnostic;
 import gatelock.plan.Form;
 import gatelock.plan.Grounds;
 import gatelock.plan.CompiledConfig;
@@ -134,7 +134,7 @@
             return compiled.plan();
         }
 
-        static String lines(Path file, List<Finding> findings) {
+        static String lines(Path file, List<Diagnostic> findings) {
             StringBuilder lines = new StringBuilder();
             findings.forEach(f -> lines.append(lines.length() == 0 ? "" : "\n").append(file).append(':')
                 .append(f));
@@ -196,7 +196,7 @@
             ConfigCompiler.Compiled compiled = compiled(file, grounds());
             Map<String, Object> said = new LinkedHashMap<>();
             said.put("good", compiled.good());
-            said.put("findings", compiled.findings().stream().map(Finding::fields).toList());
+            said.put("findings", compiled.findings().stream().map(Diagnostic::fields).toList());
             String lines = lines(file, compiled.findings());
             say(said, (lines.isEmpty() ? "" : lines + "\n") + (compiled.good() ? file + ": good, "
                 + compiled.plan().routes() + " routes" : file + ": would be turned down"));
--- a/src/main/java/gatelock/boot/Operator.java
+++ b/src/main/java/gatelock/boot/Operator.java
@@ -2,7 +2,7 @@
 
 import gatelock.membership.EndpointSubset;
 import gatelock.plan.ConfigDocument;
-import gatelock.plan.Finding;
+import gatelock.plan.Diagnostic;
 import gatelock.plan.Form;
 import gatelock.wire.ServiceName;
 
@@ -65,25 +65,25 @@
         } catch (IOException e) {
             throw new IOException("operator's file " + file + " can't be read: " + e, e);
         }
-        List<Finding> findings = new ArrayList<>();
+        List<Diagnostic> findings = new ArrayList<>();
         ConfigDocument draft = ConfigDocument.read(text, findings);
         if (draft != null) {
             Form.OPERATOR.check(draft, findings);
         }
         Operator read = findings.isEmpty() ? of(draft.root(), told, findings) : null;
         if (!findings.isEmpty()) {
-            List<Finding> placed = draft == null ? findings : draft.placed(findings);
+            List<Diagnostic> placed = draft == null ? findings : draft.placed(findings);
             throw new IOException(placed.stream().map(f -> file + ":" + f).collect(Collectors.joining("\n")));
         }
         return read;
     }
 
-    private static Operator of(JsonNode root, Configuration told, List<Finding> findings) {
+    private static Operator of(JsonNode root, Configuration told, List<Diagnostic> findings) {
         InetSocketAddress listener = root.has("listener") ? address(root.get("listener").asText(),
             "/listener", findings)
             : null;
         if (listener != null && !listener.getAddress().isLoopbackAddress()) {
-            findings.add(new Finding("O-LISTENER", true, "/listener", 0, 0,
+            findings.add(new Diagnostic("O-LISTENER", true, "/listener", 0, 0,
                 "whoever reaches the operator's listener can go "
                 + "back to earlier versions, so it must be on loopback", "name an address in 127.0.0.0/8"));
         }
@@ -99,7 +99,7 @@
             (long) (node.path("drainS").asDouble(20) * 1e6));
     }
 
-    private static Membership membership(JsonNode node, Configuration told, List<Finding> findings) {
+    private static Membership membership(JsonNode node, Configuration told, List<Diagnostic> findings) {
         int most = node.get("most").asInt();
         int perService = node.get("perService").asInt();
         int elsewhere = node.path("leastElsewhere").asInt(Math.min(1, perService - 1));
@@ -136,11 +136,11 @@
             node.path("mostListBytes").asLong(MOST_LIST_BYTES), node.toString());
     }
 
-    private static void wrong(List<Finding> findings, String code, String field, String wrong, String mend) {
-        findings.add(new Finding(code, true, "/membership" + (field.isEmpty() ? "" : "/" + field), 0, 0, wrong, mend));
+    private static void wrong(List<Diagnostic> findings, String code, String field, String wrong, String mend) {
+        findings.add(new Diagnostic(code, true, "/membership" + (field.isEmpty() ? "" : "/" + field), 0, 0, wrong, mend));
     }
 
-    private static Control control(JsonNode node, List<Finding> findings) {
+    private static Control control(JsonNode node, List<Diagnostic> findings) {
         List<InetSocketAddress> services = new ArrayList<>();
         for (int i = 0; i < node.get("services").size(); i++) {
             services.add(address(node.get("services").get(i).asText(), "/control/services/" + i, findings));
@@ -152,13 +152,13 @@
             node.path("mostDropped").asDouble(0.5), node.path("history").asInt(10));
     }
 
-    private static InetSocketAddress address(String text, String pointer, List<Finding> findings) {
+    private static InetSocketAddress address(String text, String pointer, List<Diagnostic> findings) {
         int colon = text.lastIndexOf(':');
         int port = Integer.parseInt(text.substring(colon + 1));
         InetSocketAddress address = port > 0 && port < 65_536
             ? new InetSocketAddress(text.substring(0, colon), port) : null;
         if (address == null || address.isUnresolved()) {
-            findings.add(new Finding("O-ADDRESS", true, pointer, 0, 0, text
+            findings.add(new Diagnostic("O-ADDRESS", true, pointer, 0, 0, text
                 + " is no address that can be reached",
                 "use a numeric address and a port from 1 to 65535"));
             return new InetSocketAddress("127.0.0.1", 1);
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/Steward.java
@@ -4,7 +4,7 @@
 import gatelock.kept.LogField;
 import gatelock.plan.Admission;
 import gatelock.plan.ConfigCompiler;
-import gatelock.plan.Finding;
+import gatelock.plan.Diagnostic;
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.Stamp;
 import gatelock.plan.Succession;
@@ -39,7 +39,7 @@
      * @param answer one word for the control service
      * @param isNew whether the service could not know this before
      */
-    public record Told(boolean accepted, String answer, List<Finding> findings, boolean isNew) {
+    public record Told(boolean accepted, String answer, List<Diagnostic> findings, boolean isNew) {
     }
 
     /** @param keep null: nothing is kept on disk */
@@ -103,9 +103,9 @@
         });
     }
 
-    private Told beside(CompiledConfig plan, byte[] text, List<Finding> findings, String why) {
-        List<Finding> danger = admission.beside(turn.nowUs(), plan);
-        if (danger.stream().anyMatch(Finding::grave)) {
+    private Told beside(CompiledConfig plan, byte[] text, List<Diagnostic> findings, String why) {
+        List<Diagnostic> danger = admission.beside(turn.nowUs(), plan);
+        if (danger.stream().anyMatch(Diagnostic::grave)) {
             return refuse(plan.stamp(), danger, false);
         }
         if (!succession.good(turn.nowUs(), plan, why, text)) {
@@ -136,14 +136,14 @@
             LogField.of("note", plan.note()));
     }
 
-    private Told refuse(Stamp stamp, List<Finding> findings, boolean always) {
+    private Told refuse(Stamp stamp, List<Diagnostic> findings, boolean always) {
         succession.bad(stamp, findings, always);
         counters.add("versions refused");
         LOG.log(Level.WARNING, "version {0} is turned down, {1} stays in force: {2}", LogField.of("version",
             stamp),
             LogField.of("held", succession.inForce()), LogField.of("reason",
-            findings.stream().filter(Finding::grave)
-            .limit(LOGGED).map(Finding::toString).collect(Collectors.joining(" | "))));
+            findings.stream().filter(Diagnostic::grave)
+            .limit(LOGGED).map(Diagnostic::toString).collect(Collectors.joining(" | "))));
         return new Told(false, "refused", findings, true);
     }
 
--- a/src/main/java/gatelock/control/Subscription.java
+++ b/src/main/java/gatelock/control/Subscription.java
@@ -4,7 +4,7 @@
 import gatelock.kept.LogField;
 import gatelock.kept.UpstreamResponse;
 import gatelock.plan.Backoff;
-import gatelock.plan.Finding;
+import gatelock.plan.Diagnostic;
 import gatelock.plan.Stamp;
 import gatelock.plan.Succession;
 import gatelock.wire.Line;
@@ -157,7 +157,7 @@
             says.put("accepted", told.accepted());
             says.put("answer", told.answer());
             if (!told.findings().isEmpty()) {
-                says.put("findings", told.findings().stream().map(Finding::fields).toList());
+                says.put("findings", told.findings().stream().map(Diagnostic::fields).toList());
             }
         }
         says.put("hold_ms", holdMs);
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -237,8 +237,8 @@
      * hold
      * whatever was lost; harms an operator who means it, who says so under removes, or does it in two steps.
      */
-    public List<Finding> beside(long nowUs, CompiledConfig next) {
-        List<Finding> findings = new ArrayList<>();
+    public List<Diagnostic> beside(long nowUs, CompiledConfig next) {
+        List<Diagnostic> findings = new ArrayList<>();
         if (plan == null) {
             return findings;
         }
@@ -246,13 +246,13 @@
             if (plan.entries().containsKey(e.getKey()) && !next.entries().containsKey(e.getKey())
                     && !next.removes().contains(e.getKey()) && e.getValue().read(nowUs,
                     TRAFFIC_US) >= SOME_TRAFFIC) {
-                findings.add(new Finding("B-TRAFFIC", true, "/routes", 0, 0, "route " + e.getKey()
+                findings.add(new Diagnostic("B-TRAFFIC", true, "/routes", 0, 0, "route " + e.getKey()
                     + " is gone, and had reqs in the last minute", "name it under removes, or put it back"));
             }
         }
         int[] units = muster.reachedAndNot(plan, next);
         if (units[1] > mostDropped * units[0]) {
-            findings.add(new Finding("B-UNITS", true, "/pools", 0, 0, units[1] + " of " + units[0]
+            findings.add(new Diagnostic("B-UNITS", true, "/pools", 0, 0, units[1] + " of " + units[0]
                 + " units that routes reach would get no reqs any more", "do it in steps of less than "
                 + Math.round(mostDropped * 100) + "%, or mend the pools"));
         }
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -29,41 +29,41 @@
     }
 
     /** @param plan null where a finding is grave */
-    public record Compiled(CompiledConfig plan, List<Finding> findings) {
+    public record Compiled(CompiledConfig plan, List<Diagnostic> findings) {
         public boolean good() {
             return plan != null;
         }
     }
 
     /** Stands for a version on which the program itself failed. */
-    public static final Compiled FAILED = new Compiled(null, List.of(new Finding("G-INTERNAL", true, "", 0, 0,
+    public static final Compiled FAILED = new Compiled(null, List.of(new Diagnostic("G-INTERNAL", true, "", 0, 0,
         "the checker failed on it", "report it with the text and the log")));
 
     /** Reads, checks and compiles a text that claims to be that version. */
     public Compiled compile(Stamp.Epoch epoch, long number, byte[] text) {
-        List<Finding> findings = new ArrayList<>();
+        List<Diagnostic> findings = new ArrayList<>();
         ConfigDocument draft = ConfigDocument.read(text, findings);
         if (draft != null) {
             Form.PLAN.check(draft, findings);
         }
         CompiledConfig plan = null;
-        if (draft != null && findings.stream().noneMatch(Finding::grave)) {
+        if (draft != null && findings.stream().noneMatch(Diagnostic::grave)) {
             Sheet sheet = new Sheet(draft);
             ConfigValidator.check(sheet, grounds, findings);
-            if (findings.stream().noneMatch(Finding::grave)) {
+            if (findings.stream().noneMatch(Diagnostic::grave)) {
                 plan = plan(new Stamp(epoch, number, Stamp.hash(text)), sheet);
             }
         }
-        List<Finding> told = fewer(findings);
+        List<Diagnostic> told = fewer(findings);
         return new Compiled(plan, draft == null ? told : draft.placed(told));
     }
 
-    private static List<Finding> fewer(List<Finding> findings) {
+    private static List<Diagnostic> fewer(List<Diagnostic> findings) {
         if (findings.size() <= MOST_FINDINGS) {
             return List.copyOf(findings);
         }
-        List<Finding> first = new ArrayList<>(findings.subList(0, MOST_FINDINGS));
-        first.add(new Finding("G-MORE", false, "", 0, 0, findings.size() - MOST_FINDINGS
+        List<Diagnostic> first = new ArrayList<>(findings.subList(0, MOST_FINDINGS));
+        first.add(new Diagnostic("G-MORE", false, "", 0, 0, findings.size() - MOST_FINDINGS
             + " more findings are not told",
             "mend these first"));
         return first;
--- a/src/main/java/gatelock/plan/ConfigDocument.java
+++ b/src/main/java/gatelock/plan/ConfigDocument.java
@@ -38,7 +38,7 @@
     }
 
     /** Reads a text; adds a finding and gives null where it is no JSON, or says something twice. */
-    public static ConfigDocument read(byte[] text, List<Finding> findings) {
+    public static ConfigDocument read(byte[] text, List<Diagnostic> findings) {
         try (JsonParser parser = JSON.createParser(new String(text, StandardCharsets.UTF_8))) {
             parser.nextToken();
             JsonNode root = parser.currentToken() == null ? null : value(parser);
@@ -46,16 +46,16 @@
                 return new ConfigDocument(text, root);
             }
             JsonLocation at = parser.currentTokenLocation();
-            findings.add(new Finding("G-FORM", true, "", at.getLineNr(), at.getColumnNr(),
+            findings.add(new Diagnostic("G-FORM", true, "", at.getLineNr(), at.getColumnNr(),
                 "it is not one JSON object", "send one object and nothing behind it"));
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
-            findings.add(new Finding("G-JSON", true, "", at == null ? 0 : at.getLineNr(),
+            findings.add(new Diagnostic("G-JSON", true, "", at == null ? 0 : at.getLineNr(),
                 at == null ? 0 : at.getColumnNr(), "it can't be read: " + e.getOriginalMessage().lines()
                 .findFirst()
                 .orElse("").replaceAll(" \\(for .*", ""), "mend the text there"));
         } catch (IOException e) {
-            findings.add(new Finding("G-JSON", true, "", 0, 0, "it can't be read: " + e.getMessage(),
+            findings.add(new Diagnostic("G-JSON", true, "", 0, 0, "it can't be read: " + e.getMessage(),
                 "mend the text"));
         }
         return null;
@@ -110,21 +110,21 @@
         return root;
     }
 
-    static Finding grave(String code, String pointer, String wrong, String mend) {
-        return new Finding(code, true, pointer, 0, 0, wrong, mend);
+    static Diagnostic grave(String code, String pointer, String wrong, String mend) {
+        return new Diagnostic(code, true, pointer, 0, 0, wrong, mend);
     }
 
-    static Finding warning(String code, String pointer, String wrong, String mend) {
-        return new Finding(code, false, pointer, 0, 0, wrong, mend);
+    static Diagnostic warning(String code, String pointer, String wrong, String mend) {
+        return new Diagnostic(code, false, pointer, 0, 0, wrong, mend);
     }
 
     /**
      * The same findings with the line and column of each, or of the nearest place above it that stands in the
      * text.
      */
-    public List<Finding> placed(List<Finding> findings) {
+    public List<Diagnostic> placed(List<Diagnostic> findings) {
         Map<String, int[]> wanted = new HashMap<>();
-        for (Finding f : findings) {
+        for (Diagnostic f : findings) {
             for (String p = f.pointer(); !p.isEmpty(); p = p.substring(0, p.lastIndexOf('/'))) {
                 wanted.put(p, null);
             }
@@ -142,7 +142,7 @@
                 near = near.substring(0, near.lastIndexOf('/'));
             }
             int[] at = wanted.get(near);
-            return new Finding(f.code(), f.grave(), f.pointer(), at[0], at[1], f.wrong(), f.mend());
+            return new Diagnostic(f.code(), f.grave(), f.pointer(), at[0], at[1], f.wrong(), f.mend());
         }).toList();
     }
 
--- a/src/main/java/gatelock/plan/ConfigValidator.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -21,17 +21,17 @@
 
     private final Sheet sheet;
     private final Grounds grounds;
-    private final List<Finding> findings;
+    private final List<Diagnostic> findings;
     private final Set<String> used = new HashSet<>();
 
-    private ConfigValidator(Sheet sheet, Grounds grounds, List<Finding> findings) {
+    private ConfigValidator(Sheet sheet, Grounds grounds, List<Diagnostic> findings) {
         this.sheet = sheet;
         this.grounds = grounds;
         this.findings = findings;
     }
 
     /** Adds all findings of meaning to a draft that has the right form. */
-    static void check(Sheet sheet, Grounds grounds, List<Finding> findings) {
+    static void check(Sheet sheet, Grounds grounds, List<Diagnostic> findings) {
         ConfigValidator checks = new ConfigValidator(sheet, grounds, findings);
         checks.defaults();
         checks.pools();
--- a/src/main/java/gatelock/plan/Finding.java
+++ b/src/main/java/gatelock/plan/Diagnostic.java
@@ -14,7 +14,7 @@
  * @param wrong what is wrong
  * @param mend what would mend it
  */
-public record Finding(String code, boolean grave, String pointer, int line, int column, String wrong,
+public record Diagnostic(String code, boolean grave, String pointer, int line, int column, String wrong,
     String mend) {
 
     /** By name, as it goes to a control service or into a JSON answer. */
--- a/src/main/java/gatelock/plan/Form.java
+++ b/src/main/java/gatelock/plan/Form.java
@@ -33,7 +33,7 @@
     }
 
     /** Adds a finding for each place where a text does not have this form. */
-    public void check(ConfigDocument draft, List<Finding> findings) {
+    public void check(ConfigDocument draft, List<Diagnostic> findings) {
         for (Error error : schema().validate(draft.root())) {
             String pointer = error.getInstanceLocation().toString();
             String keyword = error.getKeyword();
--- a/src/main/java/gatelock/plan/Succession.java
+++ b/src/main/java/gatelock/plan/Succession.java
@@ -48,11 +48,11 @@
     public record Past(Stamp stamp, long sinceUs, String why, String by, String note, byte[] text) {
     }
 
-    private final Map<String, List<Finding>> refused = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, List<Diagnostic>> refused = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, List<Finding>> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, List<Diagnostic>> eldest) {
             return size() > MOST_REFUSED;
         }
     };
@@ -127,7 +127,7 @@
      * It was turned down. What is a danger only beside the version in force may be offered again: it is not
      * kept.
      */
-    public void bad(Stamp stamp, List<Finding> findings, boolean always) {
+    public void bad(Stamp stamp, List<Diagnostic> findings, boolean always) {
         refusals++;
         if (always) {
             refused.put(stamp.hash(), findings);
@@ -135,7 +135,7 @@
     }
 
     /** Why a text was turned down before. */
-    public List<Finding> refused(String hash) {
+    public List<Diagnostic> refused(String hash) {
         return refused.getOrDefault(hash, List.of());
     }
 
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -131,19 +131,19 @@
         admission.follow(nowUs, Samples.plan(POOLS));
         CompiledConfig without = Samples.plan(POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', "
             + "'pool': 'west'}", ""));
-        assertThat(admission.beside(nowUs, without)).extracting(Finding::code).doesNotContain("B-TRAFFIC");
+        assertThat(admission.beside(nowUs, without)).extracting(Diagnostic::code).doesNotContain("B-TRAFFIC");
         ask("/west");
-        assertThat(admission.beside(nowUs, without)).extracting(Finding::code).contains("B-TRAFFIC");
+        assertThat(admission.beside(nowUs, without)).extracting(Diagnostic::code).contains("B-TRAFFIC");
         nowUs += 61 * SECOND;
         ask("/read");
         nowUs += 20 * SECOND;
-        assertThat(admission.beside(nowUs, without)).extracting(Finding::code).doesNotContain("B-TRAFFIC");
+        assertThat(admission.beside(nowUs, without)).extracting(Diagnostic::code).doesNotContain("B-TRAFFIC");
         ask("/west");
         String said = "{'format': 1, 'unmatched': 'refuse', 'removes': ['w'], 'pools': {'p': {'zones': "
             + "['%s']}},"
             + " 'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'p'}]}";
         assertThat(admission.beside(nowUs, Samples.plan(String.format(said, "east")))).isEmpty();
         assertThat(admission.beside(nowUs, Samples.plan(String.format(said, "west"))))
-            .extracting(Finding::code).containsExactly("B-UNITS");
+            .extracting(Diagnostic::code).containsExactly("B-UNITS");
     }
 }
--- a/src/test/java/gatelock/plan/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/plan/ConfigCompilerTest.java
@@ -36,7 +36,7 @@
                     assertThat(x.wrong()).isNotBlank();
                     assertThat(x.mend()).isNotBlank();
                 });
-                assertThat(compiled.good()).isEqualTo(compiled.findings().stream().noneMatch(Finding::grave));
+                assertThat(compiled.good()).isEqualTo(compiled.findings().stream().noneMatch(Diagnostic::grave));
             }));
         }
     }
