--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -6,7 +6,7 @@
 import gatelock.plan.ConfigDiff;
 import gatelock.plan.RouteExplainer;
 import gatelock.plan.Diagnostic;
-import gatelock.plan.Form;
+import gatelock.plan.SchemaValidator;
 import gatelock.plan.Grounds;
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.Stamp;
@@ -263,7 +263,7 @@
         @Override
         public Integer call() throws Unusable {
             try {
-                out().println(Form.valueOf(which.toUpperCase(Locale.ROOT)).text());
+                out().println(SchemaValidator.valueOf(which.toUpperCase(Locale.ROOT)).text());
                 out().flush();
                 return GOOD;
             } catch (IllegalArgumentException e) {
--- a/src/main/java/gatelock/boot/Operator.java
+++ b/src/main/java/gatelock/boot/Operator.java
@@ -3,7 +3,7 @@
 import gatelock.membership.EndpointSubset;
 import gatelock.plan.ConfigDocument;
 import gatelock.plan.Diagnostic;
-import gatelock.plan.Form;
+import gatelock.plan.SchemaValidator;
 import gatelock.wire.ServiceName;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -68,7 +68,7 @@
         List<Diagnostic> findings = new ArrayList<>();
         ConfigDocument draft = ConfigDocument.read(text, findings);
         if (draft != null) {
-            Form.OPERATOR.check(draft, findings);
+            SchemaValidator.OPERATOR.check(draft, findings);
         }
         Operator read = findings.isEmpty() ? of(draft.root(), told, findings) : null;
         if (!findings.isEmpty()) {
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -44,7 +44,7 @@
         List<Diagnostic> findings = new ArrayList<>();
         ConfigDocument draft = ConfigDocument.read(text, findings);
         if (draft != null) {
-            Form.PLAN.check(draft, findings);
+            SchemaValidator.PLAN.check(draft, findings);
         }
         CompiledConfig plan = null;
         if (draft != null && findings.stream().noneMatch(Diagnostic::grave)) {
--- a/src/main/java/gatelock/plan/Form.java
+++ b/src/main/java/gatelock/plan/SchemaValidator.java
@@ -13,19 +13,19 @@
 import java.util.Locale;
 
 /** A published JSON Schema, and the check of a text against it. */
-public enum Form {
+public enum SchemaValidator {
     PLAN("/gatelock/plan.schema.json"), OPERATOR("/gatelock/operator.schema.json");
 
     private final String resource;
     private Schema schema;
 
-    Form(String resource) {
+    SchemaValidator(String resource) {
         this.resource = resource;
     }
 
     /** The schema's own text. */
     public String text() {
-        try (InputStream in = Form.class.getResourceAsStream(resource)) {
+        try (InputStream in = SchemaValidator.class.getResourceAsStream(resource)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
             throw new IllegalStateException("the program holds no " + resource, e);
