--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -7,7 +7,7 @@
 import gatelock.plan.RouteExplainer;
 import gatelock.plan.Diagnostic;
 import gatelock.plan.SchemaValidator;
-import gatelock.plan.Grounds;
+import gatelock.plan.DeploymentContext;
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.Stamp;
 
@@ -106,7 +106,7 @@
                 + "$PROXY_CONFIG)")
         private Path deployment;
 
-        final Grounds grounds() throws Unusable {
+        final DeploymentContext grounds() throws Unusable {
             if (deployment == null) {
                 throw new Unusable("no deployment: name a relay's configuration with --deployment or "
                     + "PROXY_CONFIG");
@@ -118,7 +118,7 @@
             }
         }
 
-        final ConfigCompiler.Compiled compiled(Path file, Grounds grounds) throws Unusable {
+        final ConfigCompiler.Compiled compiled(Path file, DeploymentContext grounds) throws Unusable {
             try {
                 return new ConfigCompiler(grounds).compile(Stamp.Epoch.NONE, 0, Files.readAllBytes(file));
             } catch (IOException e) {
@@ -126,7 +126,7 @@
             }
         }
 
-        final CompiledConfig sound(Path file, Grounds grounds) throws Unusable {
+        final CompiledConfig sound(Path file, DeploymentContext grounds) throws Unusable {
             ConfigCompiler.Compiled compiled = compiled(file, grounds);
             if (!compiled.good()) {
                 throw new Unusable(lines(file, compiled.findings()));
@@ -215,7 +215,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Grounds grounds = grounds();
+            DeploymentContext grounds = grounds();
             List<String> lines = ConfigDiff.of(sound(before, grounds), sound(after, grounds), grounds);
             say(Map.of("differences", lines), lines.isEmpty() ? "no req is treated otherwise"
                 : String.join("\n", lines));
@@ -242,7 +242,7 @@
 
         @Override
         public Integer call() throws Exception {
-            Grounds grounds = grounds();
+            DeploymentContext grounds = grounds();
             Map<String, String> lower = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
             lower.putAll(headers);
             Map<String, Object> said = RouteExplainer.of(sound(file, grounds), grounds,
--- a/src/main/java/gatelock/boot/Configuration.java
+++ b/src/main/java/gatelock/boot/Configuration.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.bench.Terms;
-import gatelock.plan.Grounds;
+import gatelock.plan.DeploymentContext;
 import gatelock.relay.RelaySettings;
 import gatelock.wire.Json;
 
@@ -64,8 +64,8 @@
     }
 
     /** What a version is checked against. */
-    Grounds grounds() {
-        return new Grounds(numbered("lanes"), charter.routes(), deadlinesUs, numbered("orgs"), plain("zones"),
+    DeploymentContext grounds() {
+        return new DeploymentContext(numbered("lanes"), charter.routes(), deadlinesUs, numbered("orgs"), plain("zones"),
             plain("flavors"));
     }
 
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -22,9 +22,9 @@
     /** Of more findings the first are told, and how many there are. */
     private static final int MOST_FINDINGS = 200;
 
-    private final Grounds grounds;
+    private final DeploymentContext grounds;
 
-    public ConfigCompiler(Grounds grounds) {
+    public ConfigCompiler(DeploymentContext grounds) {
         this.grounds = grounds;
     }
 
--- a/src/main/java/gatelock/plan/ConfigDiff.java
+++ b/src/main/java/gatelock/plan/ConfigDiff.java
@@ -17,17 +17,17 @@
 
     private final CompiledConfig before;
     private final CompiledConfig after;
-    private final Grounds grounds;
+    private final DeploymentContext grounds;
     private final List<String> lines = new ArrayList<>();
 
-    private ConfigDiff(CompiledConfig before, CompiledConfig after, Grounds grounds) {
+    private ConfigDiff(CompiledConfig before, CompiledConfig after, DeploymentContext grounds) {
         this.before = before;
         this.after = after;
         this.grounds = grounds;
     }
 
     /** A line for each thing that changes for some reqs; none where the two mean the same. */
-    public static List<String> of(CompiledConfig before, CompiledConfig after, Grounds grounds) {
+    public static List<String> of(CompiledConfig before, CompiledConfig after, DeploymentContext grounds) {
         ConfigDiff diff = new ConfigDiff(before, after, grounds);
         diff.unmatched();
         diff.routes();
--- a/src/main/java/gatelock/plan/ConfigValidator.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -20,18 +20,18 @@
     private static final int LOOKED_AT = 2_000;
 
     private final Sheet sheet;
-    private final Grounds grounds;
+    private final DeploymentContext grounds;
     private final List<Diagnostic> findings;
     private final Set<String> used = new HashSet<>();
 
-    private ConfigValidator(Sheet sheet, Grounds grounds, List<Diagnostic> findings) {
+    private ConfigValidator(Sheet sheet, DeploymentContext grounds, List<Diagnostic> findings) {
         this.sheet = sheet;
         this.grounds = grounds;
         this.findings = findings;
     }
 
     /** Adds all findings of meaning to a draft that has the right form. */
-    static void check(Sheet sheet, Grounds grounds, List<Diagnostic> findings) {
+    static void check(Sheet sheet, DeploymentContext grounds, List<Diagnostic> findings) {
         ConfigValidator checks = new ConfigValidator(sheet, grounds, findings);
         checks.defaults();
         checks.pools();
--- a/src/main/java/gatelock/plan/Grounds.java
+++ b/src/main/java/gatelock/plan/DeploymentContext.java
@@ -13,7 +13,7 @@
  * @param deadlinesUs of each class, by place; 0: none is stated
  * @param tenants place by name
  */
-public record Grounds(Map<String, Integer> classes, List<RoutePolicy> terms, List<Long> deadlinesUs,
+public record DeploymentContext(Map<String, Integer> classes, List<RoutePolicy> terms, List<Long> deadlinesUs,
                       Map<String, Integer> tenants, List<String> zones, List<String> kinds) {
 
     /** A class's name by its place. */
--- a/src/test/java/gatelock/plan/Samples.java
+++ b/src/test/java/gatelock/plan/Samples.java
@@ -8,7 +8,7 @@
 
 /** A small deployment, and versions for it. */
 public final class Samples {
-    public static final Grounds GROUNDS = new Grounds(Map.of("read", 0, "post", 1, "claim", 2), List.of(
+    public static final DeploymentContext GROUNDS = new DeploymentContext(Map.of("read", 0, "post", 1, "claim", 2), List.of(
         new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
         new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ZONE, 5_000_000, 400_000, 3),
         new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3)),
