--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -204,12 +204,12 @@
     }
 
     /** A limit's terms are those in force, also for a req matched by the version before. */
-    private List<Limit> current(Way way) {
+    private List<LimitPolicy> current(Way way) {
         if (way.plan == plan) {
             return way.entry.limits();
         }
         return way.entry.limits().stream().map(l -> {
-            Limit now = plan.limits().get(l.name());
+            LimitPolicy now = plan.limits().get(l.name());
             return now != null && now.per() == l.per() ? now : l;
         }).toList();
     }
--- a/src/main/java/gatelock/plan/CompiledConfig.java
+++ b/src/main/java/gatelock/plan/CompiledConfig.java
@@ -19,7 +19,7 @@
     private final Map<String, Pool> pools;
     private final Map<String, Retries> poolRetries;
     private final Retries defaultRetries;
-    private final Map<String, Limit> limits;
+    private final Map<String, LimitPolicy> limits;
     private final Collection<String> removes;
     private final List<RouteEntry> byPlace;
     private final Table<RouteEntry> table;
@@ -32,7 +32,7 @@
     private final Set<String> policies = new HashSet<>();
 
     CompiledConfig(Stamp stamp, String by, String note, boolean refusesUnmatched, List<RouteEntry> routes,
-         Map<String, Pool> pools, Map<String, Retries> poolRetries, Retries defaultRetries, Map<String, Limit> limits,
+         Map<String, Pool> pools, Map<String, Retries> poolRetries, Retries defaultRetries, Map<String, LimitPolicy> limits,
          Collection<String> removes) {
         this.stamp = stamp;
         this.by = by;
@@ -117,7 +117,7 @@
         return pools;
     }
 
-    Map<String, Limit> limits() {
+    Map<String, LimitPolicy> limits() {
         return limits;
     }
 
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -71,7 +71,7 @@
 
     private CompiledConfig plan(Stamp stamp, Sheet sheet) {
         JsonNode root = sheet.root();
-        Map<String, Limit> limits = new LinkedHashMap<>();
+        Map<String, LimitPolicy> limits = new LinkedHashMap<>();
         root.path("limits").properties().forEach(e -> limits.put(e.getKey(),
             limit(e.getKey(), e.getValue())));
         Map<String, Retries> retries = new LinkedHashMap<>();
@@ -88,7 +88,7 @@
         List<RouteEntry> entries = new ArrayList<>();
         for (Sheet.Line line : sheet.lines()) {
             if (!line.isAbstract()) {
-                List<Limit> its = line.limits().stream().map(limits::get).toList();
+                List<LimitPolicy> its = line.limits().stream().map(limits::get).toList();
                 entries.add(new RouteEntry(line.name(), entries.size(), line.match(), grounds.classes()
                     .get(line.className()),
                     line.pool(), its, line.retries() == null ? null : retries.get(line.retries()),
@@ -103,10 +103,10 @@
             byDefault == null ? Retries.FREE : retries.get(byDefault), limits, removes);
     }
 
-    private static Limit limit(String name, JsonNode node) {
+    private static LimitPolicy limit(String name, JsonNode node) {
         double perS = node.path("ratePerS").asDouble(Double.POSITIVE_INFINITY);
         JsonNode queue = node.path("queue");
-        return new Limit(name, Limit.Per.valueOf(node.path("per").asText("all").toUpperCase(Locale.ROOT)
+        return new LimitPolicy(name, LimitPolicy.Per.valueOf(node.path("per").asText("all").toUpperCase(Locale.ROOT)
             .replace('-', '_')), perS / 1e6, node.path("burst").asDouble(Math.max(1, perS)),
             node.path("inFlight").asInt(Integer.MAX_VALUE), queue.path("length").asInt(0),
             (long) (queue.path("waitMs").asDouble(0) * 1000));
--- a/src/main/java/gatelock/plan/Limit.java
+++ b/src/main/java/gatelock/plan/LimitPolicy.java
@@ -9,7 +9,7 @@
  * @param queueLength reqs that may wait; 0: none
  * @param waitUs how long one may wait
  */
-record Limit(String name, Per per, double perUs, double burst, int inFlight, int queueLength, long waitUs) {
+record LimitPolicy(String name, Per per, double perUs, double burst, int inFlight, int queueLength, long waitUs) {
 
     /** What has a count of its own. */
     enum Per {
--- a/src/main/java/gatelock/plan/Limits.java
+++ b/src/main/java/gatelock/plan/Limits.java
@@ -30,7 +30,7 @@
     /** One count: of one limit, for what it has counts of its own for. */
     private final class Count {
         private final Key key;
-        private Limit limit;
+        private LimitPolicy limit;
         private double tokens;
         private long atUs;
         private int inFlight;
@@ -40,7 +40,7 @@
         /** Counts in whose queue somebody waits who asks this one too, and how many do. */
         private final Map<Count, Integer> askedBy = new LinkedHashMap<>();
 
-        Count(Key key, Limit limit, long nowUs, double tokens) {
+        Count(Key key, LimitPolicy limit, long nowUs, double tokens) {
             this.key = key;
             this.limit = limit;
             this.atUs = nowUs;
@@ -63,7 +63,7 @@
         }
 
         /** Another version's terms hold from now on. */
-        private void become(long nowUs, Limit next) {
+        private void become(long nowUs, LimitPolicy next) {
             if (!next.equals(limit)) {
                 earn(nowUs);
                 boolean wasFree = limit.perUs() == Double.POSITIVE_INFINITY;
@@ -130,7 +130,7 @@
     /** Those in which somebody waits. */
     private final Set<Count> busy = new LinkedHashSet<>();
     /** Limits that had a count for something else before: of these no count begins with a burst. */
-    private final Map<String, Limit.Per> pers = new HashMap<>();
+    private final Map<String, LimitPolicy.Per> pers = new HashMap<>();
     private final Set<String> changed = new HashSet<>();
 
     /** What came of asking. */
@@ -141,12 +141,12 @@
     }
 
     /** A req asks all its limits at once: of all or of none it takes its part. */
-    Told ask(long nowUs, List<Limit> limits, String route, int tenant, long endUs, Waiting waiting) {
+    Told ask(long nowUs, List<LimitPolicy> limits, String route, int tenant, long endUs, Waiting waiting) {
         if (limits.isEmpty()) {
             return new Told(Answer.PASSES, null, 0);
         }
         List<Count> asked = new ArrayList<>(limits.size());
-        for (Limit limit : limits) {
+        for (LimitPolicy limit : limits) {
             asked.add(count(nowUs, limit, route, tenant));
         }
         Ticket ticket = new Ticket(tenant, asked, endUs, waiting);
@@ -186,7 +186,7 @@
         }
     }
 
-    private Count count(long nowUs, Limit limit, String route, int tenant) {
+    private Count count(long nowUs, LimitPolicy limit, String route, int tenant) {
         Key key = new Key(limit.name(), limit.per().byRoute() ? route : "", limit.per().byTenant() ? tenant
             : -1);
         Count count = counts.get(key);
@@ -305,17 +305,17 @@
     }
 
     /** Limits of that name have other terms from now on, or none: those that wait are looked at again. */
-    void follow(long nowUs, Map<String, Limit> limits) {
+    void follow(long nowUs, Map<String, LimitPolicy> limits) {
         changed.retainAll(limits.keySet());
         pers.keySet().retainAll(limits.keySet());
         limits.forEach((name, limit) -> {
-            Limit.Per before = pers.put(name, limit.per());
+            LimitPolicy.Per before = pers.put(name, limit.per());
             if (before != null && before != limit.per()) {
                 changed.add(name);
             }
         });
         for (Count c : List.copyOf(counts.values())) {
-            Limit next = limits.get(c.key.limit());
+            LimitPolicy next = limits.get(c.key.limit());
             if (next != null && next.per() == c.limit.per()) {
                 c.become(nowUs, next);
             }
--- a/src/main/java/gatelock/plan/RouteExplainer.java
+++ b/src/main/java/gatelock/plan/RouteExplainer.java
@@ -40,7 +40,7 @@
         return said;
     }
 
-    static String words(Limit l) {
+    static String words(LimitPolicy l) {
         StringBuilder words = new StringBuilder(l.name()).append(": per ").append(l.per().name().toLowerCase(
             java.util.Locale.ROOT).replace('_', ' '));
         if (l.perUs() < Double.POSITIVE_INFINITY) {
--- a/src/test/java/gatelock/plan/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/plan/ConfigCompilerTest.java
@@ -64,7 +64,7 @@
         assertThat(plan.retries(heir, "all").name()).isEqualTo("three");
         assertThat(plan.retries(pooled, "east").name()).isEqualTo("two");
         assertThat(plan.retries(pooled, "all").name()).isEqualTo("none");
-        assertThat(pooled.limits()).extracting(Limit::name).containsExactly("few");
+        assertThat(pooled.limits()).extracting(LimitPolicy::name).containsExactly("few");
         assertThat(plain.pool()).isEqualTo("all");
         assertThat(plan.chain("east")).containsExactly("east", "all");
     }
--- a/src/test/java/gatelock/plan/LimitsTest.java
+++ b/src/test/java/gatelock/plan/LimitsTest.java
@@ -17,13 +17,13 @@
 final class LimitsTest {
     private static final long SECOND = 1_000_000;
 
-    private static Limit limit(String name, Limit.Per per, double perS, double burst, int inFlight,
+    private static LimitPolicy limit(String name, LimitPolicy.Per per, double perS, double burst, int inFlight,
         int length, long waitUs) {
-        return new Limit(name, per, perS / 1e6, burst, inFlight, length, waitUs);
+        return new LimitPolicy(name, per, perS / 1e6, burst, inFlight, length, waitUs);
     }
 
-    private static Limit rate(double perS, double burst) {
-        return limit("l", Limit.Per.ALL, perS, burst, Integer.MAX_VALUE, 0, 0);
+    private static LimitPolicy rate(double perS, double burst) {
+        return limit("l", LimitPolicy.Per.ALL, perS, burst, Integer.MAX_VALUE, 0, 0);
     }
 
     /** One req and all that it is told. */
@@ -35,7 +35,7 @@
         private int shed;
         private long toldUs;
 
-        Req(Limits limits, long nowUs, int tenant, Limit... its) {
+        Req(Limits limits, long nowUs, int tenant, LimitPolicy... its) {
             this.tenant = tenant;
             this.askedUs = nowUs;
             told = limits.ask(nowUs, List.of(its), "r", tenant, nowUs + 60 * SECOND, this);
@@ -67,7 +67,7 @@
         }
     }
 
-    private static int passes(Limits limits, long nowUs, int reqs, Limit limit) {
+    private static int passes(Limits limits, long nowUs, int reqs, LimitPolicy limit) {
         int passed = 0;
         for (int i = 0; i < reqs; i++) {
             passed += new Req(limits, nowUs, 0, limit).passed;
@@ -80,14 +80,14 @@
         Limits limits = new Limits();
         limits.follow(1, Map.of("l", rate(10, 20)));
         assertThat(passes(limits, 1, 30, rate(10, 20))).isEqualTo(20);
-        Limit more = rate(100, 200);
+        LimitPolicy more = rate(100, 200);
         limits.follow(2, Map.of("l", more));
         assertThat(passes(limits, 2, 30, more)).isZero();
         assertThat(passes(limits, 2 + SECOND / 10, 30, more)).isEqualTo(10);
-        Limit byTenant = limit("l", Limit.Per.TENANT, 100, 200, Integer.MAX_VALUE, 0, 0);
+        LimitPolicy byTenant = limit("l", LimitPolicy.Per.TENANT, 100, 200, Integer.MAX_VALUE, 0, 0);
         limits.follow(SECOND, Map.of("l", byTenant));
         assertThat(passes(limits, SECOND, 30, byTenant)).as("counted for something else now").isEqualTo(1);
-        Limit free = limit("l", Limit.Per.TENANT, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1_000,
+        LimitPolicy free = limit("l", LimitPolicy.Per.TENANT, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1_000,
             0, 0);
         limits.follow(SECOND, Map.of("l", free));
         assertThat(passes(limits, SECOND, 30, free)).isEqualTo(30);
@@ -98,13 +98,13 @@
     @Test
     void whatIsInFlightStaysCountedWhenTheLimitChanges() {
         Limits limits = new Limits();
-        Limit five = limit("l", Limit.Per.ALL, Double.POSITIVE_INFINITY, 1, 5, 0, 0);
+        LimitPolicy five = limit("l", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 5, 0, 0);
         limits.follow(1, Map.of("l", five));
         List<Req> out = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             out.add(new Req(limits, 1, 0, five));
         }
-        Limit three = limit("l", Limit.Per.ALL, Double.POSITIVE_INFINITY, 1, 3, 1, SECOND);
+        LimitPolicy three = limit("l", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 3, 1, SECOND);
         limits.follow(2, Map.of("l", three));
         Req waits = new Req(limits, 2, 0, three);
         assertThat(waits.waits()).isTrue();
@@ -118,14 +118,14 @@
     @Test
     void aQueueThatGetsShorterWhileFullShedsTheLastOfTheLongest() {
         Limits limits = new Limits();
-        Limit four = limit("l", Limit.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 4, SECOND);
+        LimitPolicy four = limit("l", LimitPolicy.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 4, SECOND);
         limits.follow(1, Map.of("l", four));
         new Req(limits, 1, 0, four);
         Req a1 = new Req(limits, 1, 1, four);
         Req a2 = new Req(limits, 1, 1, four);
         Req a3 = new Req(limits, 1, 1, four);
         Req b1 = new Req(limits, 1, 2, four);
-        Limit two = limit("l", Limit.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 2, SECOND);
+        LimitPolicy two = limit("l", LimitPolicy.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 2, SECOND);
         limits.follow(2, Map.of("l", two));
         assertThat(List.of(a1.shed, a2.shed, a3.shed, b1.shed)).containsExactly(0, 1, 1, 0);
         assertThat(limits.waiting()).isEqualTo(2);
@@ -134,7 +134,7 @@
     @Test
     void aTenantThatAsksMuchTakesNoPlaceFromOneThatAsksLittle() {
         Limits limits = new Limits();
-        Limit limit = limit("l", Limit.Per.ALL, 10, 1, Integer.MAX_VALUE, 10, 10 * SECOND);
+        LimitPolicy limit = limit("l", LimitPolicy.Per.ALL, 10, 1, Integer.MAX_VALUE, 10, 10 * SECOND);
         limits.follow(1, Map.of("l", limit));
         List<Req> much = new ArrayList<>();
         List<Req> little = new ArrayList<>();
@@ -152,8 +152,8 @@
     @Test
     void oneThatWaitsForTwoLimitsPassesWhenTheOtherOneIsFree() {
         Limits limits = new Limits();
-        Limit a = limit("a", Limit.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 5, 5 * SECOND);
-        Limit b = limit("b", Limit.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 0, 0);
+        LimitPolicy a = limit("a", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 5, 5 * SECOND);
+        LimitPolicy b = limit("b", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 0, 0);
         Req onA = new Req(limits, 1, 0, a);
         Req onB = new Req(limits, 1, 0, b);
         Req both = new Req(limits, 1, 0, a, b);
@@ -168,7 +168,7 @@
     void boundsHoldAndEachReqIsToldOnce(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         Limits limits = new Limits();
-        Limit[] its = new Limit[3];
+        LimitPolicy[] its = new LimitPolicy[3];
         List<Req> all = new ArrayList<>();
         List<Req> out = new ArrayList<>();
         long nowUs = 1;
@@ -176,10 +176,10 @@
         double passed = 0;
         for (int i = 0; i < 400; i++) {
             if (i % 100 == 0) {
-                Limit.Per[] pers = Limit.Per.values();
-                Map<String, Limit> next = new HashMap<>();
+                LimitPolicy.Per[] pers = LimitPolicy.Per.values();
+                Map<String, LimitPolicy> next = new HashMap<>();
                 for (int j = 0; j < its.length; j++) {
-                    its[j] = limit("l" + j, j == 0 ? Limit.Per.ALL : pers[random.nextInt(4)], 1
+                    its[j] = limit("l" + j, j == 0 ? LimitPolicy.Per.ALL : pers[random.nextInt(4)], 1
                         + random.nextInt(50),
                         1 + random.nextInt(5), 1 + random.nextInt(6), random.nextInt(4), 1
                         + random.nextInt(500_000));
