--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -28,7 +28,7 @@
     private static final double FREE_TRIES = 3;
     private static final double BUDGET_US = 10e6;
 
-    private final Limits limits = new Limits();
+    private final RequestLimiter limits = new RequestLimiter();
     private final Muster muster = new Muster();
     private final Map<String, Budget> budgets = new HashMap<>();
     /** By route; bounded by the routes of the plan in force and those left a minute ago. */
@@ -96,7 +96,7 @@
         private final String pool;
         private final Retries retries;
         private final Budget budget;
-        private Limits.Ticket ticket;
+        private RequestLimiter.Ticket ticket;
         private long pauseUs;
 
         private Pass(long nowUs, Way way) {
@@ -197,9 +197,9 @@
         // It may have been matched before another version came in force; it goes on by the one it was matched
         // by.
         Pass pass = new Pass(nowUs, way);
-        Limits.Told told = limits.ask(nowUs, current(way), way.entry.name(), tenant, endUs, waiting);
+        RequestLimiter.Told told = limits.ask(nowUs, current(way), way.entry.name(), tenant, endUs, waiting);
         pass.ticket = told.ticket();
-        pass.pauseUs = told.answer() == Limits.Answer.SHED ? told.pauseUs() : 0;
+        pass.pauseUs = told.answer() == RequestLimiter.Answer.SHED ? told.pauseUs() : 0;
         return pass;
     }
 
--- a/src/main/java/gatelock/plan/Limits.java
+++ b/src/main/java/gatelock/plan/RequestLimiter.java
@@ -18,7 +18,7 @@
  * out
  * no fresh burst and forgets nothing that is in flight.
  */
-final class Limits {
+final class RequestLimiter {
     /** A count that stood untouched so long, with nothing in flight and nobody waiting, is forgotten. */
     private static final long FORGET_US = 600_000_000;
     /** So many counts at the most; beyond that the longest untouched go, or what they are for is shed. */
--- a/src/test/java/gatelock/plan/LimitsTest.java
+++ b/src/test/java/gatelock/plan/RequestLimiterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Limits under random reqs, ends and versions, against what they may never let happen. */
-final class LimitsTest {
+final class RequestLimiterTest {
     private static final long SECOND = 1_000_000;
 
     private static LimitPolicy limit(String name, LimitPolicy.Per per, double perS, double burst, int inFlight,
@@ -30,17 +30,17 @@
     private static final class Req implements Waiting {
         private final int tenant;
         private final long askedUs;
-        private Limits.Told told;
+        private RequestLimiter.Told told;
         private int passed;
         private int shed;
         private long toldUs;
 
-        Req(Limits limits, long nowUs, int tenant, LimitPolicy... its) {
+        Req(RequestLimiter limits, long nowUs, int tenant, LimitPolicy... its) {
             this.tenant = tenant;
             this.askedUs = nowUs;
             told = limits.ask(nowUs, List.of(its), "r", tenant, nowUs + 60 * SECOND, this);
-            passed = told.answer() == Limits.Answer.PASSES ? 1 : 0;
-            shed = told.answer() == Limits.Answer.SHED ? 1 : 0;
+            passed = told.answer() == RequestLimiter.Answer.PASSES ? 1 : 0;
+            shed = told.answer() == RequestLimiter.Answer.SHED ? 1 : 0;
         }
 
         @Override
@@ -67,7 +67,7 @@
         }
     }
 
-    private static int passes(Limits limits, long nowUs, int reqs, LimitPolicy limit) {
+    private static int passes(RequestLimiter limits, long nowUs, int reqs, LimitPolicy limit) {
         int passed = 0;
         for (int i = 0; i < reqs; i++) {
             passed += new Req(limits, nowUs, 0, limit).passed;
@@ -77,7 +77,7 @@
 
     @Test
     void aChangedRateHandsOutNoFreshBurst() {
-        Limits limits = new Limits();
+        RequestLimiter limits = new RequestLimiter();
         limits.follow(1, Map.of("l", rate(10, 20)));
         assertThat(passes(limits, 1, 30, rate(10, 20))).isEqualTo(20);
         LimitPolicy more = rate(100, 200);
@@ -97,7 +97,7 @@
 
     @Test
     void whatIsInFlightStaysCountedWhenTheLimitChanges() {
-        Limits limits = new Limits();
+        RequestLimiter limits = new RequestLimiter();
         LimitPolicy five = limit("l", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 5, 0, 0);
         limits.follow(1, Map.of("l", five));
         List<Req> out = new ArrayList<>();
@@ -117,7 +117,7 @@
 
     @Test
     void aQueueThatGetsShorterWhileFullShedsTheLastOfTheLongest() {
-        Limits limits = new Limits();
+        RequestLimiter limits = new RequestLimiter();
         LimitPolicy four = limit("l", LimitPolicy.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 4, SECOND);
         limits.follow(1, Map.of("l", four));
         new Req(limits, 1, 0, four);
@@ -133,7 +133,7 @@
 
     @Test
     void aTenantThatAsksMuchTakesNoPlaceFromOneThatAsksLittle() {
-        Limits limits = new Limits();
+        RequestLimiter limits = new RequestLimiter();
         LimitPolicy limit = limit("l", LimitPolicy.Per.ALL, 10, 1, Integer.MAX_VALUE, 10, 10 * SECOND);
         limits.follow(1, Map.of("l", limit));
         List<Req> much = new ArrayList<>();
@@ -151,7 +151,7 @@
 
     @Test
     void oneThatWaitsForTwoLimitsPassesWhenTheOtherOneIsFree() {
-        Limits limits = new Limits();
+        RequestLimiter limits = new RequestLimiter();
         LimitPolicy a = limit("a", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 5, 5 * SECOND);
         LimitPolicy b = limit("b", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 0, 0);
         Req onA = new Req(limits, 1, 0, a);
@@ -167,7 +167,7 @@
     @Property(tries = 300, seed = "17")
     void boundsHoldAndEachReqIsToldOnce(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        Limits limits = new Limits();
+        RequestLimiter limits = new RequestLimiter();
         LimitPolicy[] its = new LimitPolicy[3];
         List<Req> all = new ArrayList<>();
         List<Req> out = new ArrayList<>();
