--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -188,7 +188,7 @@
      */
     public int refusal(RequestAttributes asked, Way way) {
         unmatched += way == null ? 1 : 0;
-        return Match.odd(asked.path()) ? 400 : way == null && plan.refusesUnmatched() ? 404 : 0;
+        return RouteMatch.odd(asked.path()) ? 400 : way == null && plan.refusesUnmatched() ? 404 : 0;
     }
 
     /** A req that is whole asks to be taken: it passes, waits or is shed at once. */
--- a/src/main/java/gatelock/plan/CompiledConfig.java
+++ b/src/main/java/gatelock/plan/CompiledConfig.java
@@ -44,7 +44,7 @@
         this.limits = limits;
         this.removes = removes;
         this.byPlace = List.copyOf(routes);
-        List<Match> matches = new ArrayList<>(routes.size());
+        List<RouteMatch> matches = new ArrayList<>(routes.size());
         for (RouteEntry e : routes) {
             entries.put(e.name(), e);
             matches.add(e.match());
--- a/src/main/java/gatelock/plan/ConfigDiff.java
+++ b/src/main/java/gatelock/plan/ConfigDiff.java
@@ -68,7 +68,7 @@
         return there == null ? "" : "; in the other version they meet " + there.name();
     }
 
-    private static RequestAttributes example(Match m) {
+    private static RequestAttributes example(RouteMatch m) {
         String host = m.host().equals("*") ? null : m.host().startsWith("*.") ? "x" + m.host().substring(1)
             : m.host();
         return new RequestAttributes(m.methods().isEmpty() ? "GET" : m.methods().iterator().next(), host,
@@ -125,17 +125,17 @@
     /**
      * A req for which both are, or null where there is none; the second one's path leads to the first one's.
      */
-    private static RequestAttributes example(Match one, Match other) {
+    private static RequestAttributes example(RouteMatch one, RouteMatch other) {
         TreeSet<String> methods = new TreeSet<>(one.methods().isEmpty() ? other.methods() : one.methods());
         if (!one.methods().isEmpty() && !other.methods().isEmpty()) {
             methods.retainAll(other.methods());
         }
         Map<String, String> headers = new java.util.TreeMap<>(other.headers());
         headers.putAll(one.headers());
-        Match narrow = one.host().equals("*") || other.host().length() > one.host().length() && !other.host()
+        RouteMatch narrow = one.host().equals("*") || other.host().length() > one.host().length() && !other.host()
             .equals("*")
             ? other : one;
-        Match both = new Match(narrow.host(), one.segments(), methods, headers);
+        RouteMatch both = new RouteMatch(narrow.host(), one.segments(), methods, headers);
         RequestAttributes asked = example(both);
         return one.fitsBeside(asked) && other.fitsBeside(asked) ? asked : null;
     }
@@ -156,7 +156,7 @@
         return e.pool() == null ? "all units" : e.pool();
     }
 
-    private static String words(Match m) {
+    private static String words(RouteMatch m) {
         return (m.methods().isEmpty() ? "any method" : String.join("|", new TreeSet<>(m.methods()))) + " "
             + m.host() + " /"
             + String.join("/", m.segments()) + (m.headers().isEmpty() ? "" : " " + m.headers());
--- a/src/main/java/gatelock/plan/ConfigValidator.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -330,11 +330,11 @@
 
     private void shadows() {
         List<Sheet.Line> real = sheet.lines().stream().filter(l -> !l.isAbstract()).toList();
-        List<Match> matches = real.stream().map(Sheet.Line::match).toList();
+        List<RouteMatch> matches = real.stream().map(Sheet.Line::match).toList();
         Table<Integer> table = new Table<>(matches, real.stream().map(Sheet.Line::place).toList());
         for (int i = 0; i < real.size(); i++) {
             int place = i;
-            Match match = matches.get(i);
+            RouteMatch match = matches.get(i);
             int[] looked = new int[1];
             int by = table.firstAlong(match.segments(), (p, m) -> p < place && looked[0]++ < LOOKED_AT
                 && m.covers(match));
--- a/src/main/java/gatelock/plan/RouteExplainer.java
+++ b/src/main/java/gatelock/plan/RouteExplainer.java
@@ -13,7 +13,7 @@
     /** Each point by its name: entry, class, pools in order, limits, further tries. */
     public static Map<String, Object> of(CompiledConfig plan, DeploymentContext grounds, RequestAttributes asked) {
         Map<String, Object> said = new LinkedHashMap<>();
-        if (Match.odd(asked.path())) {
+        if (RouteMatch.odd(asked.path())) {
             said.put("answer", "400: a unit may read this path as another one");
             return said;
         }
--- a/src/main/java/gatelock/plan/Match.java
+++ b/src/main/java/gatelock/plan/RouteMatch.java
@@ -13,7 +13,7 @@
  * @param methods empty: any
  * @param headers by name in lower case: the value, or {@code *} for any value
  */
-public record Match(String host, List<String> segments, Set<String> methods, Map<String, String> headers) {
+public record RouteMatch(String host, List<String> segments, Set<String> methods, Map<String, String> headers) {
 
     /** The segments of a path; a slash at its end means nothing. */
     static List<String> segments(String path) {
@@ -81,7 +81,7 @@
     }
 
     /** Whether this is for all reqs that the other is for. */
-    boolean covers(Match other) {
+    boolean covers(RouteMatch other) {
         boolean wholeHost = host.equals("*") || host.equals(other.host)
             || host.startsWith("*.") && other.host.endsWith(host.substring(1))
                 && other.host.length() > host.length() - 1;
--- a/src/main/java/gatelock/plan/Sheet.java
+++ b/src/main/java/gatelock/plan/Sheet.java
@@ -131,13 +131,13 @@
                 subprotocols);
         }
 
-        Match match() {
+        RouteMatch match() {
             Set<String> methods = new HashSet<>();
             said("methods").forEach(m -> methods.add(m.asText()));
             Map<String, String> headers = new TreeMap<>();
             said("headers").properties().forEach(e -> headers.put(e.getKey().toLowerCase(Locale.ROOT),
                 e.getValue().asText()));
-            return new Match(said("host").asText("*"), Match.segments(said("path").asText("/")), methods,
+            return new RouteMatch(said("host").asText("*"), RouteMatch.segments(said("path").asText("/")), methods,
                 headers);
         }
     }
--- a/src/main/java/gatelock/plan/Table.java
+++ b/src/main/java/gatelock/plan/Table.java
@@ -19,7 +19,7 @@
     private final Node<T> root = new Node<>();
     private final int size;
 
-    private record Entry<T>(int place, Match match, T leadsTo) {
+    private record Entry<T>(int place, RouteMatch match, T leadsTo) {
     }
 
     private static final class Node<T> {
@@ -35,7 +35,7 @@
     }
 
     /** The matches in their order, and what each leads to. */
-    Table(List<Match> matches, List<T> leadTo) {
+    Table(List<RouteMatch> matches, List<T> leadTo) {
         size = matches.size();
         for (int i = 0; i < size; i++) {
             Node<T> node = nodeFor(matches.get(i).segments(), i);
@@ -101,18 +101,18 @@
 
     /** What the first entry that fits leads to, or null. */
     T first(RequestAttributes asked) {
-        Entry<T> found = search(Match.segments(asked.path()), asked.host(), (place,
+        Entry<T> found = search(RouteMatch.segments(asked.path()), asked.host(), (place,
             match) -> match.fitsBeside(asked));
         return found == null ? null : found.leadsTo;
     }
 
     /** The place of the first entry whose path is the start of this one and that is chosen, or -1. */
-    int firstAlong(List<String> path, BiPredicate<Integer, Match> chosen) {
+    int firstAlong(List<String> path, BiPredicate<Integer, RouteMatch> chosen) {
         Entry<T> found = search(path, null, chosen);
         return found == null ? -1 : found.place;
     }
 
-    private Entry<T> search(List<String> path, String host, BiPredicate<Integer, Match> chosen) {
+    private Entry<T> search(List<String> path, String host, BiPredicate<Integer, RouteMatch> chosen) {
         Entry<T> best = null;
         Node<T> node = root;
         int at = 0;
@@ -127,7 +127,7 @@
     }
 
     /** The first of the entries of one node that is chosen, if it stands before the best so far. */
-    private static <T> Entry<T> at(Node<T> node, String host, BiPredicate<Integer, Match> chosen,
+    private static <T> Entry<T> at(Node<T> node, String host, BiPredicate<Integer, RouteMatch> chosen,
                                    Entry<T> best) {
         Entry<T> found = best;
         if (host == null) {
@@ -148,7 +148,7 @@
         return found;
     }
 
-    private static <T> Entry<T> before(List<Entry<T>> some, BiPredicate<Integer, Match> chosen,
+    private static <T> Entry<T> before(List<Entry<T>> some, BiPredicate<Integer, RouteMatch> chosen,
                                        Entry<T> best) {
         for (int i = 0; some != null && i < some.size(); i++) {
             Entry<T> entry = some.get(i);
--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/PlanMeasure.java
@@ -38,10 +38,10 @@
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int entries : new int[] {10, 1_000, 100_000}) {
             SplittableRandom random = new SplittableRandom(17);
-            List<Match> matches = new ArrayList<>();
+            List<RouteMatch> matches = new ArrayList<>();
             List<Integer> places = new ArrayList<>();
             for (int i = 0; i < entries; i++) {
-                matches.add(new Match(i % 7 == 0 ? "one.lk" : "*", Match.segments(path(random, entries)),
+                matches.add(new RouteMatch(i % 7 == 0 ? "one.lk" : "*", RouteMatch.segments(path(random, entries)),
                     i % 5 == 0 ? Set.of("GET") : Set.of(), i % 11 == 0 ? Map.of("x-a", "1") : Map.of()));
                 places.add(i);
             }
@@ -57,10 +57,10 @@
         }
     }
 
-    private static Integer plain(List<Match> matches, RequestAttributes asked) {
-        List<String> path = Match.segments(asked.path());
+    private static Integer plain(List<RouteMatch> matches, RequestAttributes asked) {
+        List<String> path = RouteMatch.segments(asked.path());
         for (int i = 0; i < matches.size(); i++) {
-            Match m = matches.get(i);
+            RouteMatch m = matches.get(i);
             if (path.size() >= m.segments().size() && path.subList(0, m.segments().size())
                 .equals(m.segments())
                     && m.fitsBeside(asked)) {
--- a/src/test/java/gatelock/plan/TableTest.java
+++ b/src/test/java/gatelock/plan/TableTest.java
@@ -24,10 +24,10 @@
         "other"};
 
     /** What a table means, word by word, with no regard to time. */
-    private static Integer plain(List<Match> matches, RequestAttributes asked) {
+    private static Integer plain(List<RouteMatch> matches, RequestAttributes asked) {
         for (int i = 0; i < matches.size(); i++) {
-            Match m = matches.get(i);
-            List<String> path = Match.segments(asked.path());
+            RouteMatch m = matches.get(i);
+            List<String> path = RouteMatch.segments(asked.path());
             boolean start = path.size() >= m.segments().size()
                 && path.subList(0, m.segments().size()).equals(m.segments());
             if (start && m.fitsBeside(asked)) {
@@ -45,13 +45,13 @@
         return path.isEmpty() || random.nextInt(5) == 0 ? path + "/" : path.toString();
     }
 
-    private static Match match(RandomGenerator random) {
+    private static RouteMatch match(RandomGenerator random) {
         Set<String> methods = new HashSet<>(random.nextInt(3) == 0 ? List.of("GET") : List.of());
         Map<String, String> headers = new HashMap<>();
         if (random.nextInt(3) == 0) {
             headers.put("x-a", random.nextBoolean() ? "*" : "1");
         }
-        return new Match(HOSTS[random.nextInt(HOSTS.length)], Match.segments(path(random)), methods, headers);
+        return new RouteMatch(HOSTS[random.nextInt(HOSTS.length)], RouteMatch.segments(path(random)), methods, headers);
     }
 
     private static RequestAttributes asked(RandomGenerator random) {
@@ -64,7 +64,7 @@
     @Property(tries = 500, seed = "17")
     void itFindsWhatAPlainSearchFinds(@ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int size) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        List<Match> matches = new ArrayList<>();
+        List<RouteMatch> matches = new ArrayList<>();
         List<Integer> places = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             matches.add(match(random));
@@ -81,8 +81,8 @@
     void whatCoversAnotherTakesAllThatItTakes(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         for (int i = 0; i < 50; i++) {
-            Match some = match(random);
-            Match other = match(random);
+            RouteMatch some = match(random);
+            RouteMatch other = match(random);
             for (int j = 0; j < 40 && some.covers(other); j++) {
                 RequestAttributes asked = asked(random);
                 if (plain(List.of(other), asked) != null) {
@@ -98,11 +98,11 @@
         for (String odd : new String[] {"a", "/a/../b", "/a/./b", "/..", "/a/%2e%2e/b", "/a/.%2E/b",
             "/a%2Fb", "/a%5cb", "//a",
             "/a//b", "/a\\b", "/a/..;x/b", "/a%00"}) {
-            assertThat(Match.odd(odd)).as(odd).isTrue();
+            assertThat(RouteMatch.odd(odd)).as(odd).isTrue();
         }
         for (String usual : new String[] {"/", "/a", "/a/", "/a.b/..c", "/a%20b", "/a;v=1",
             "/.well-known/x"}) {
-            assertThat(Match.odd(usual)).as(usual).isFalse();
+            assertThat(RouteMatch.odd(usual)).as(usual).isFalse();
         }
     }
 }
