--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -29,7 +29,7 @@
     private static final double BUDGET_US = 10e6;
 
     private final RequestLimiter limits = new RequestLimiter();
-    private final Muster muster = new Muster();
+    private final PoolMembership muster = new PoolMembership();
     private final Map<String, Budget> budgets = new HashMap<>();
     /** By route; bounded by the routes of the plan in force and those left a minute ago. */
     private final Map<String, Rate> traffic = new HashMap<>();
--- a/src/main/java/gatelock/plan/Muster.java
+++ b/src/main/java/gatelock/plan/PoolMembership.java
@@ -18,7 +18,7 @@
  * choose, whatever the
  * number of units, routes and pools.
  */
-final class Muster {
+final class PoolMembership {
     /** How long it takes until a pool that lost units for good is measured by those it has. */
     private static final double MEMORY_US = 300e6;
     /** Back from a fallback only with so many times the least share: no swinging at the bound. */
