--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -94,7 +94,7 @@
     public final class Pass implements RequestConstraints {
         private final Way way;
         private final String pool;
-        private final Retries retries;
+        private final RetryPolicy retries;
         private final Budget budget;
         private RequestLimiter.Ticket ticket;
         private long pauseUs;
--- a/src/main/java/gatelock/plan/CompiledConfig.java
+++ b/src/main/java/gatelock/plan/CompiledConfig.java
@@ -17,8 +17,8 @@
     private final boolean refusesUnmatched;
     private final Map<String, RouteEntry> entries = new LinkedHashMap<>();
     private final Map<String, Pool> pools;
-    private final Map<String, Retries> poolRetries;
-    private final Retries defaultRetries;
+    private final Map<String, RetryPolicy> poolRetries;
+    private final RetryPolicy defaultRetries;
     private final Map<String, LimitPolicy> limits;
     private final Collection<String> removes;
     private final List<RouteEntry> byPlace;
@@ -32,7 +32,7 @@
     private final Set<String> policies = new HashSet<>();
 
     CompiledConfig(Stamp stamp, String by, String note, boolean refusesUnmatched, List<RouteEntry> routes,
-         Map<String, Pool> pools, Map<String, Retries> poolRetries, Retries defaultRetries, Map<String, LimitPolicy> limits,
+         Map<String, Pool> pools, Map<String, RetryPolicy> poolRetries, RetryPolicy defaultRetries, Map<String, LimitPolicy> limits,
          Collection<String> removes) {
         this.stamp = stamp;
         this.by = by;
@@ -129,7 +129,7 @@
      * What further tries a req of an entry may have while that pool serves it: the entry's, its pool's, the
      * default.
      */
-    Retries retries(RouteEntry entry, String pool) {
+    RetryPolicy retries(RouteEntry entry, String pool) {
         return entry.retries() != null ? entry.retries() : poolRetries.getOrDefault(pool, defaultRetries);
     }
 
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -74,11 +74,11 @@
         Map<String, LimitPolicy> limits = new LinkedHashMap<>();
         root.path("limits").properties().forEach(e -> limits.put(e.getKey(),
             limit(e.getKey(), e.getValue())));
-        Map<String, Retries> retries = new LinkedHashMap<>();
+        Map<String, RetryPolicy> retries = new LinkedHashMap<>();
         root.path("retries").properties().forEach(e -> retries.put(e.getKey(),
             retries(e.getKey(), e.getValue())));
         Map<String, Pool> pools = new LinkedHashMap<>();
-        Map<String, Retries> poolRetries = new HashMap<>();
+        Map<String, RetryPolicy> poolRetries = new HashMap<>();
         root.path("pools").properties().forEach(e -> {
             pools.put(e.getKey(), pool(e.getKey(), e.getValue()));
             if (e.getValue().has("retries")) {
@@ -100,7 +100,7 @@
         root.path("removes").forEach(n -> removes.add(n.asText()));
         return new CompiledConfig(stamp, root.path("by").asText(""), root.path("note").asText(""),
             root.path("unmatched").asText("").equals("refuse"), entries, pools, poolRetries,
-            byDefault == null ? Retries.FREE : retries.get(byDefault), limits, removes);
+            byDefault == null ? RetryPolicy.FREE : retries.get(byDefault), limits, removes);
     }
 
     private static LimitPolicy limit(String name, JsonNode node) {
@@ -125,7 +125,7 @@
         };
     }
 
-    static Retries retries(String name, JsonNode node) {
+    static RetryPolicy retries(String name, JsonNode node) {
         Set<AttemptResult> after = EnumSet.of(AttemptResult.NOT_SENT);
         if (node.has("after")) {
             node.get("after").forEach(w -> after.add(ending(w.asText())));
@@ -133,7 +133,7 @@
             after.add(AttemptResult.TURNED_AWAY);
             after.add(AttemptResult.NOT_CONNECTED);
         }
-        return new Retries(name, node.get("tries").asInt(), after, (long) (node.path("tryMs").asDouble(0)
+        return new RetryPolicy(name, node.get("tries").asInt(), after, (long) (node.path("tryMs").asDouble(0)
             * 1000),
             node.path("budget").asDouble(1));
     }
--- a/src/main/java/gatelock/plan/Retries.java
+++ b/src/main/java/gatelock/plan/RetryPolicy.java
@@ -12,10 +12,10 @@
  * @param tryUs how long one try may take; 0: as long as the req
  * @param budget further tries as a share of reqs
  */
-record Retries(String name, int most, Set<AttemptResult> after, long tryUs, double budget) {
+record RetryPolicy(String name, int most, Set<AttemptResult> after, long tryUs, double budget) {
 
     /** Where a version names none: what the decisions do is not narrowed. */
-    static final Retries FREE = new Retries("", Integer.MAX_VALUE, Set.of(AttemptResult.values()), 0, 1);
+    static final RetryPolicy FREE = new RetryPolicy("", Integer.MAX_VALUE, Set.of(AttemptResult.values()), 0, 1);
 
     /** Whether it lets a req run that may have run before. */
     boolean mayRunTwice() {
--- a/src/main/java/gatelock/plan/RouteEntry.java
+++ b/src/main/java/gatelock/plan/RouteEntry.java
@@ -12,6 +12,6 @@
  * @param retries that the entry itself leads to; null where its pool's or the default's hold
  */
 record RouteEntry(String name, int place, RouteMatch match, int classNo, String pool, List<LimitPolicy> limits,
-    Retries retries,
+    RetryPolicy retries,
              SessionTerms sessions) {
 }
--- a/src/main/java/gatelock/plan/RouteExplainer.java
+++ b/src/main/java/gatelock/plan/RouteExplainer.java
@@ -57,8 +57,8 @@
         return words.toString();
     }
 
-    static String words(Retries r) {
-        if (r == Retries.FREE) {
+    static String words(RetryPolicy r) {
+        if (r == RetryPolicy.FREE) {
             return "as the module decides";
         }
         return r.name() + ": " + r.most() + " tries" + (r.most() == 1 ? "" : " after " + r.after().stream()
--- a/src/test/java/gatelock/plan/SuccessionTest.java
+++ b/src/test/java/gatelock/plan/SuccessionTest.java
@@ -20,7 +20,7 @@
     private static final Stamp.Epoch NEW = new Stamp.Epoch(2, "a");
 
     private static CompiledConfig plan(Stamp stamp) {
-        return new CompiledConfig(stamp, "me", "why", false, List.of(), Map.of(), Map.of(), Retries.FREE, Map.of(),
+        return new CompiledConfig(stamp, "me", "why", false, List.of(), Map.of(), Map.of(), RetryPolicy.FREE, Map.of(),
             List.of());
     }
 
