--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -85,7 +85,7 @@
         }
 
         /** What is agreed for WebSocket sessions there, or null: none are. */
-        public SessionTerms sessions() {
+        public SessionPolicy sessions() {
             return entry.sessions();
         }
     }
--- a/src/main/java/gatelock/plan/RouteEntry.java
+++ b/src/main/java/gatelock/plan/RouteEntry.java
@@ -13,5 +13,5 @@
  */
 record RouteEntry(String name, int place, RouteMatch match, int classNo, String pool, List<LimitPolicy> limits,
     RetryPolicy retries,
-             SessionTerms sessions) {
+             SessionPolicy sessions) {
 }
--- a/src/main/java/gatelock/plan/Sheet.java
+++ b/src/main/java/gatelock/plan/Sheet.java
@@ -118,14 +118,14 @@
         }
 
         /** What it or a parent says of sessions, or null. */
-        SessionTerms sessions() {
+        SessionPolicy sessions() {
             JsonNode node = said("sessions");
             if (node.isMissingNode()) {
                 return null;
             }
             Set<String> subprotocols = new HashSet<>();
             node.path("subprotocols").forEach(n -> subprotocols.add(n.asText()));
-            return new SessionTerms(node.path("messageBytes").asInt(65_536),
+            return new SessionPolicy(node.path("messageBytes").asInt(65_536),
                 (long) (node.path("idleS").asDouble(300) * 1e6),
                 (long) (node.path("pingS").asDouble(20) * 1e6), node.path("framesPerS").asInt(200),
                 subprotocols);
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -6,7 +6,7 @@
 import gatelock.kept.UpstreamResponse;
 import gatelock.plan.Admission;
 import gatelock.plan.RequestAttributes;
-import gatelock.plan.SessionTerms;
+import gatelock.plan.SessionPolicy;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RoutePolicy;
 
@@ -88,7 +88,7 @@
          * Makes a req one that opens a session; what is given takes the client's side over once a unit has
          * opened.
          */
-        Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionTerms terms,
+        Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionPolicy terms,
             int route);
     }
 
--- a/src/main/java/gatelock/wire/ws/Coupling.java
+++ b/src/main/java/gatelock/wire/ws/Coupling.java
@@ -1,7 +1,7 @@
 package gatelock.wire.ws;
 
 import gatelock.kept.Counters;
-import gatelock.plan.SessionTerms;
+import gatelock.plan.SessionPolicy;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Cause;
 import gatelock.session.Session;
@@ -47,7 +47,7 @@
     private final Turn turn;
     private final Counters counters;
     private final DecisionEngine gate;
-    private final SessionTerms terms;
+    private final SessionPolicy terms;
     private final Session session;
     private final Side client;
     private final Side unit;
@@ -56,7 +56,7 @@
     private long framesFromUs;
     private int frames;
 
-    Coupling(Turn turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionTerms terms, String unitName,
+    Coupling(Turn turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String unitName,
         int route,
              WebSocketChannel client, WebSocketChannel unit, Runnable whenOver) {
         this.turn = turn;
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.kept.InFlightRequest;
 import gatelock.kept.UpstreamResponse;
-import gatelock.plan.SessionTerms;
+import gatelock.plan.SessionPolicy;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionTerms terms,
+    public Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionPolicy terms,
         int route) {
         Opening opening = new Opening(exchange, req, terms, route);
         req.opensBy(opening);
@@ -126,7 +126,7 @@
     /** One req that opens a session, through all of its tries. */
     private final class Opening implements InFlightRequest.Opening {
         private final InFlightRequest req;
-        private final SessionTerms terms;
+        private final SessionPolicy terms;
         private final int route;
         private final String path;
         private final List<String> subprotocols;
@@ -136,7 +136,7 @@
         private String subprotocol;
         private Runnable whenOver;
 
-        Opening(HttpServerExchange exchange, InFlightRequest req, SessionTerms terms, int route) {
+        Opening(HttpServerExchange exchange, InFlightRequest req, SessionPolicy terms, int route) {
             this.req = req;
             this.terms = terms;
             this.route = route;
