--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -48,7 +48,7 @@
         }
         CompiledConfig plan = null;
         if (draft != null && findings.stream().noneMatch(Diagnostic::grave)) {
-            Sheet sheet = new Sheet(draft);
+            ResolvedConfig sheet = new ResolvedConfig(draft);
             ConfigValidator.check(sheet, grounds, findings);
             if (findings.stream().noneMatch(Diagnostic::grave)) {
                 plan = plan(new Stamp(epoch, number, Stamp.hash(text)), sheet);
@@ -69,7 +69,7 @@
         return first;
     }
 
-    private CompiledConfig plan(Stamp stamp, Sheet sheet) {
+    private CompiledConfig plan(Stamp stamp, ResolvedConfig sheet) {
         JsonNode root = sheet.root();
         Map<String, LimitPolicy> limits = new LinkedHashMap<>();
         root.path("limits").properties().forEach(e -> limits.put(e.getKey(),
@@ -86,7 +86,7 @@
             }
         });
         List<RouteEntry> entries = new ArrayList<>();
-        for (Sheet.Line line : sheet.lines()) {
+        for (ResolvedConfig.Line line : sheet.lines()) {
             if (!line.isAbstract()) {
                 List<LimitPolicy> its = line.limits().stream().map(limits::get).toList();
                 entries.add(new RouteEntry(line.name(), entries.size(), line.match(), grounds.classes()
--- a/src/main/java/gatelock/plan/ConfigValidator.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -19,19 +19,19 @@
     /** So many earlier lines are looked at for one that shadows; beyond that it is not checked, and said. */
     private static final int LOOKED_AT = 2_000;
 
-    private final Sheet sheet;
+    private final ResolvedConfig sheet;
     private final DeploymentContext grounds;
     private final List<Diagnostic> findings;
     private final Set<String> used = new HashSet<>();
 
-    private ConfigValidator(Sheet sheet, DeploymentContext grounds, List<Diagnostic> findings) {
+    private ConfigValidator(ResolvedConfig sheet, DeploymentContext grounds, List<Diagnostic> findings) {
         this.sheet = sheet;
         this.grounds = grounds;
         this.findings = findings;
     }
 
     /** Adds all findings of meaning to a draft that has the right form. */
-    static void check(Sheet sheet, DeploymentContext grounds, List<Diagnostic> findings) {
+    static void check(ResolvedConfig sheet, DeploymentContext grounds, List<Diagnostic> findings) {
         ConfigValidator checks = new ConfigValidator(sheet, grounds, findings);
         checks.defaults();
         checks.pools();
@@ -179,7 +179,7 @@
 
     private void lines() {
         Set<String> names = new HashSet<>();
-        for (Sheet.Line line : sheet.lines()) {
+        for (ResolvedConfig.Line line : sheet.lines()) {
             String at = line.pointer();
             if (!names.add(line.name())) {
                 findings.add(ConfigDocument.grave("M-NAME-TWICE", at + "/name", "an earlier route is called "
@@ -197,7 +197,7 @@
     }
 
     /** Where reqs of a route go, and whether they may. */
-    private void leads(Sheet.Line line, String at) {
+    private void leads(ResolvedConfig.Line line, String at) {
         Integer classNo = line.className() == null ? null : grounds.classes().get(line.className());
         if (classNo == null) {
             findings.add(ConfigDocument.grave("M-CLASS", at(line, "class"), line.className() == null
@@ -231,12 +231,12 @@
     }
 
     /** Where a route says a field, or a parent does, or the place that a default stands for. */
-    private static String at(Sheet.Line line, String field) {
-        Sheet.Line sayer = line.sayer(field);
+    private static String at(ResolvedConfig.Line line, String field) {
+        ResolvedConfig.Line sayer = line.sayer(field);
         return sayer == null ? line.pointer() : sayer.pointer() + "/" + field;
     }
 
-    private void waits(Sheet.Line line, String limit, long deadlineUs) {
+    private void waits(ResolvedConfig.Line line, String limit, long deadlineUs) {
         double waitMs = section("limits").path(limit).path("queue").path("waitMs").asDouble(0);
         if (deadlineUs > 0 && waitMs * 1000 >= deadlineUs) {
             findings.add(ConfigDocument.grave("M-WAIT", "/limits/" + ConfigDocument.escaped(limit) + "/queue/waitMs",
@@ -248,7 +248,7 @@
     }
 
     /** A class fixes its method: the route of another leads nowhere. */
-    private void method(Sheet.Line line, RoutePolicy terms) {
+    private void method(ResolvedConfig.Line line, RoutePolicy terms) {
         String method = terms.repeat() == RoutePolicy.Repeat.RETRIABLE ? "GET" : "POST";
         Set<String> methods = line.match().methods();
         if (!methods.isEmpty() && !methods.contains(method)) {
@@ -265,9 +265,9 @@
      * have run is sent again. The module would not do so; a version that asks for it is a mistake of its
      * author's.
      */
-    private void once(Sheet.Line line) {
+    private void once(ResolvedConfig.Line line) {
         if (line.retries() != null) {
-            Sheet.Line sayer = line.sayer("retries");
+            ResolvedConfig.Line sayer = line.sayer("retries");
             retrying(line, line.retries(), sayer.pointer() + "/retries", sayer == line ? "directly"
                 : "by inheritance from route " + sayer.name());
             return;
@@ -287,7 +287,7 @@
         }
     }
 
-    private void retrying(Sheet.Line line, String retries, String pointer, String way) {
+    private void retrying(ResolvedConfig.Line line, String retries, String pointer, String way) {
         JsonNode node = section("retries").path(retries);
         if (!node.isMissingNode() && ConfigCompiler.retries(retries, node).mayRunTwice()) {
             findings.add(ConfigDocument.grave("M-ONCE", pointer, "route " + line.name()
@@ -300,7 +300,7 @@
     }
 
     /** A repeat must meet the units that drop it: one zone's or one cell's. */
-    private void groups(Sheet.Line line, RoutePolicy terms) {
+    private void groups(ResolvedConfig.Line line, RoutePolicy terms) {
         if (terms.group() == RoutePolicy.Group.ALL) {
             return;
         }
@@ -329,9 +329,9 @@
     }
 
     private void shadows() {
-        List<Sheet.Line> real = sheet.lines().stream().filter(l -> !l.isAbstract()).toList();
-        List<RouteMatch> matches = real.stream().map(Sheet.Line::match).toList();
-        Table<Integer> table = new Table<>(matches, real.stream().map(Sheet.Line::place).toList());
+        List<ResolvedConfig.Line> real = sheet.lines().stream().filter(l -> !l.isAbstract()).toList();
+        List<RouteMatch> matches = real.stream().map(ResolvedConfig.Line::match).toList();
+        Table<Integer> table = new Table<>(matches, real.stream().map(ResolvedConfig.Line::place).toList());
         for (int i = 0; i < real.size(); i++) {
             int place = i;
             RouteMatch match = matches.get(i);
@@ -353,7 +353,7 @@
     private void removes() {
         JsonNode removes = section("removes");
         for (int i = 0; i < removes.size(); i++) {
-            Sheet.Line line = sheet.line(removes.get(i).asText());
+            ResolvedConfig.Line line = sheet.line(removes.get(i).asText());
             if (line != null && !line.isAbstract()) {
                 findings.add(ConfigDocument.grave("M-REMOVES", "/removes/" + i, "route " + line.name()
                     + " is said to be gone and is there", "take it out of removes, or out of routes"));
--- a/src/main/java/gatelock/plan/Sheet.java
+++ b/src/main/java/gatelock/plan/ResolvedConfig.java
@@ -12,12 +12,12 @@
 import java.util.TreeMap;
 
 /** A draft of the right form with its routes' lines read, and what each inherits or gets by default. */
-final class Sheet {
+final class ResolvedConfig {
     private final ConfigDocument draft;
     private final List<Line> lines = new ArrayList<>();
     private final Map<String, Line> byName = new HashMap<>();
 
-    Sheet(ConfigDocument draft) {
+    ResolvedConfig(ConfigDocument draft) {
         this.draft = draft;
         JsonNode routes = draft.root().path("routes");
         for (int i = 0; i < routes.size(); i++) {
