--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -9,7 +9,7 @@
 import gatelock.plan.SchemaValidator;
 import gatelock.plan.DeploymentContext;
 import gatelock.plan.CompiledConfig;
-import gatelock.plan.Stamp;
+import gatelock.plan.ConfigVersion;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -120,7 +120,7 @@
 
         final ConfigCompiler.Compiled compiled(Path file, DeploymentContext grounds) throws Unusable {
             try {
-                return new ConfigCompiler(grounds).compile(Stamp.Epoch.NONE, 0, Files.readAllBytes(file));
+                return new ConfigCompiler(grounds).compile(ConfigVersion.Epoch.NONE, 0, Files.readAllBytes(file));
             } catch (IOException e) {
                 throw new Unusable(file + " can't be read: " + e);
             }
--- a/src/main/java/gatelock/control/Keep.java
+++ b/src/main/java/gatelock/control/Keep.java
@@ -1,6 +1,6 @@
 package gatelock.control;
 
-import gatelock.plan.Stamp;
+import gatelock.plan.ConfigVersion;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -37,7 +37,7 @@
     }
 
     /** One version as it was kept. */
-    public record Kept(Stamp stamp, byte[] text) {
+    public record Kept(ConfigVersion stamp, byte[] text) {
     }
 
     private Path latest() {
@@ -49,7 +49,7 @@
     }
 
     /** Keeps a version; gives null, or why it could not. */
-    public String keep(Stamp stamp, byte[] text) {
+    public String keep(ConfigVersion stamp, byte[] text) {
         try {
             Files.createDirectories(directory);
             Path beside = directory.resolve("last-good.plan.new");
@@ -119,8 +119,8 @@
         if (text.length != Integer.parseInt(head[4])) {
             throw new IOException("it is cut or torn: " + text.length + " bytes of " + head[4]);
         }
-        Stamp stamp = new Stamp(new Stamp.Epoch(Long.parseLong(head[1]), head[2]), Long.parseLong(head[3]),
-            Stamp.hash(text));
+        ConfigVersion stamp = new ConfigVersion(new ConfigVersion.Epoch(Long.parseLong(head[1]), head[2]), Long.parseLong(head[3]),
+            ConfigVersion.hash(text));
         if (!stamp.hash().equals(head[5])) {
             throw new IOException("its text is not the one that was kept: the hash is another");
         }
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/Steward.java
@@ -6,7 +6,7 @@
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Diagnostic;
 import gatelock.plan.CompiledConfig;
-import gatelock.plan.Stamp;
+import gatelock.plan.ConfigVersion;
 import gatelock.plan.Succession;
 import gatelock.wire.Turn;
 
@@ -71,7 +71,7 @@
     }
 
     /** A version has come from a control service; {@code then} hears on the I/O thread what came of it. */
-    public void offered(Stamp stamp, byte[] text, Consumer<Told> then) {
+    public void offered(ConfigVersion stamp, byte[] text, Consumer<Told> then) {
         Succession.Meeting meeting = succession.offered(stamp);
         switch (meeting) {
             case COMPILE -> compile(stamp, text, then);
@@ -93,7 +93,7 @@
         }
     }
 
-    private void compile(Stamp stamp, byte[] text, Consumer<Told> then) {
+    private void compile(ConfigVersion stamp, byte[] text, Consumer<Told> then) {
         long fromUs = turn.nowUs();
         turn.aside(() -> compiler.compile(stamp.epoch(), stamp.number(), text), ConfigCompiler.FAILED, compiled -> {
             latestCompileUs = turn.nowUs() - fromUs;
@@ -136,7 +136,7 @@
             LogField.of("note", plan.note()));
     }
 
-    private Told refuse(Stamp stamp, List<Diagnostic> findings, boolean always) {
+    private Told refuse(ConfigVersion stamp, List<Diagnostic> findings, boolean always) {
         succession.bad(stamp, findings, always);
         counters.add("versions refused");
         LOG.log(Level.WARNING, "version {0} is turned down, {1} stays in force: {2}", LogField.of("version",
--- a/src/main/java/gatelock/control/Subscription.java
+++ b/src/main/java/gatelock/control/Subscription.java
@@ -5,7 +5,7 @@
 import gatelock.kept.UpstreamResponse;
 import gatelock.plan.Backoff;
 import gatelock.plan.Diagnostic;
-import gatelock.plan.Stamp;
+import gatelock.plan.ConfigVersion;
 import gatelock.plan.Succession;
 import gatelock.wire.Line;
 import gatelock.wire.Lines;
@@ -146,7 +146,7 @@
     private Map<String, Object> says() {
         Map<String, Object> says = new LinkedHashMap<>();
         says.put("relay", relay);
-        Stamp held = steward.succession().held();
+        ConfigVersion held = steward.succession().held();
         if (held != null) {
             says.put("epoch", held.epoch().toString());
             says.put("version", held.number());
@@ -185,7 +185,7 @@
             askIn(held ? 0 : backoff.failed());
             return true;
         }
-        Stamp stamp = stamp(answer);
+        ConfigVersion stamp = stamp(answer);
         if (answer.status() != 200 || stamp == null) {
             failed("answer " + answer.status() + (answer.status() == 200
                 ? " without epoch, version and nonce" : ""));
@@ -201,7 +201,7 @@
         return true;
     }
 
-    private static Stamp stamp(UpstreamResponse answer) {
+    private static ConfigVersion stamp(UpstreamResponse answer) {
         try {
             String id = answer.header("X-Plan-Epoch-Id");
             long born = Long.parseLong(answer.header("X-Plan-Epoch-Born"));
@@ -210,7 +210,7 @@
             boolean odd = id == null || !id.matches("[A-Za-z0-9._-]{1,64}") || nonce == null
                 || nonce.length() > MOST_WORDS
                 || number < 1 || born < 0;
-            return odd ? null : new Stamp(new Stamp.Epoch(born, id), number, Stamp.hash(answer.body()));
+            return odd ? null : new ConfigVersion(new ConfigVersion.Epoch(born, id), number, ConfigVersion.hash(answer.body()));
         } catch (NumberFormatException e) {
             return null;
         }
--- a/src/main/java/gatelock/control/Window.java
+++ b/src/main/java/gatelock/control/Window.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.plan.CompiledConfig;
-import gatelock.plan.Stamp;
+import gatelock.plan.ConfigVersion;
 import gatelock.plan.Succession;
 import gatelock.wire.Discovery;
 import gatelock.wire.Turn;
--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -125,7 +125,7 @@
             return way.entry.name();
         }
 
-        public Stamp stamp() {
+        public ConfigVersion stamp() {
             return way.plan.stamp();
         }
 
--- a/src/main/java/gatelock/plan/CompiledConfig.java
+++ b/src/main/java/gatelock/plan/CompiledConfig.java
@@ -11,7 +11,7 @@
 
 /** A version made ready for use. It never changes; a req ends under the one that took it. */
 public final class CompiledConfig {
-    private final Stamp stamp;
+    private final ConfigVersion stamp;
     private final String by;
     private final String note;
     private final boolean refusesUnmatched;
@@ -31,7 +31,7 @@
     private final boolean reachesAll;
     private final Set<String> policies = new HashSet<>();
 
-    CompiledConfig(Stamp stamp, String by, String note, boolean refusesUnmatched, List<RouteEntry> routes,
+    CompiledConfig(ConfigVersion stamp, String by, String note, boolean refusesUnmatched, List<RouteEntry> routes,
          Map<String, Pool> pools, Map<String, RetryPolicy> poolRetries, RetryPolicy defaultRetries, Map<String, LimitPolicy> limits,
          Collection<String> removes) {
         this.stamp = stamp;
@@ -74,7 +74,7 @@
             .forEach(i -> reaching.add(selectors.get(i)));
     }
 
-    public Stamp stamp() {
+    public ConfigVersion stamp() {
         return stamp;
     }
 
--- a/src/main/java/gatelock/plan/ConfigCompiler.java
+++ b/src/main/java/gatelock/plan/ConfigCompiler.java
@@ -40,7 +40,7 @@
         "the checker failed on it", "report it with the text and the log")));
 
     /** Reads, checks and compiles a text that claims to be that version. */
-    public Compiled compile(Stamp.Epoch epoch, long number, byte[] text) {
+    public Compiled compile(ConfigVersion.Epoch epoch, long number, byte[] text) {
         List<Diagnostic> findings = new ArrayList<>();
         ConfigDocument draft = ConfigDocument.read(text, findings);
         if (draft != null) {
@@ -51,7 +51,7 @@
             ResolvedConfig sheet = new ResolvedConfig(draft);
             ConfigValidator.check(sheet, grounds, findings);
             if (findings.stream().noneMatch(Diagnostic::grave)) {
-                plan = plan(new Stamp(epoch, number, Stamp.hash(text)), sheet);
+                plan = plan(new ConfigVersion(epoch, number, ConfigVersion.hash(text)), sheet);
             }
         }
         List<Diagnostic> told = fewer(findings);
@@ -69,7 +69,7 @@
         return first;
     }
 
-    private CompiledConfig plan(Stamp stamp, ResolvedConfig sheet) {
+    private CompiledConfig plan(ConfigVersion stamp, ResolvedConfig sheet) {
         JsonNode root = sheet.root();
         Map<String, LimitPolicy> limits = new LinkedHashMap<>();
         root.path("limits").properties().forEach(e -> limits.put(e.getKey(),
--- a/src/main/java/gatelock/plan/Stamp.java
+++ b/src/main/java/gatelock/plan/ConfigVersion.java
@@ -12,7 +12,7 @@
  * @param number goes up within an epoch, from 1
  * @param hash of the text, as hex digits (SHA-256)
  */
-public record Stamp(Epoch epoch, long number, String hash) {
+public record ConfigVersion(Epoch epoch, long number, String hash) {
 
     /**
      * One life of a control service, between two times at which it was built anew and began to count from 1.
--- a/src/main/java/gatelock/plan/Succession.java
+++ b/src/main/java/gatelock/plan/Succession.java
@@ -45,7 +45,7 @@
     }
 
     /** One version that was in force: since when, from where, whose it is and why it was made. */
-    public record Past(Stamp stamp, long sinceUs, String why, String by, String note, byte[] text) {
+    public record Past(ConfigVersion stamp, long sinceUs, String why, String by, String note, byte[] text) {
     }
 
     private final Map<String, List<Diagnostic>> refused = new LinkedHashMap<>(16, 0.75f, true) {
@@ -60,8 +60,8 @@
     private final int mostPast;
     private long pastBytes;
     /** The latest that was good, whether in force or not: what the control service is told as held. */
-    private Stamp held;
-    private Stamp inForce;
+    private ConfigVersion held;
+    private ConfigVersion inForce;
     private boolean pinned;
     private long refusals;
     private final Map<Meeting, Long> met = new java.util.EnumMap<>(Meeting.class);
@@ -72,13 +72,13 @@
     }
 
     /** A version has come: what to do with it. */
-    public Meeting offered(Stamp stamp) {
+    public Meeting offered(ConfigVersion stamp) {
         Meeting meeting = meet(stamp);
         met.merge(meeting, 1L, Long::sum);
         return meeting;
     }
 
-    private Meeting meet(Stamp stamp) {
+    private Meeting meet(ConfigVersion stamp) {
         if (held != null) {
             int epoch = stamp.epoch().compareTo(held.epoch());
             if (epoch < 0) {
@@ -104,7 +104,7 @@
      * not.
      */
     public boolean good(long nowUs, CompiledConfig plan, String why, byte[] text) {
-        Stamp stamp = plan.stamp();
+        ConfigVersion stamp = plan.stamp();
         if (held != null && (stamp.epoch().compareTo(held.epoch()) < 0
                 || stamp.epoch().equals(held.epoch()) && stamp.number() <= held.number()) || pinned) {
             return false;
@@ -127,7 +127,7 @@
      * It was turned down. What is a danger only beside the version in force may be offered again: it is not
      * kept.
      */
-    public void bad(Stamp stamp, List<Diagnostic> findings, boolean always) {
+    public void bad(ConfigVersion stamp, List<Diagnostic> findings, boolean always) {
         refusals++;
         if (always) {
             refused.put(stamp.hash(), findings);
@@ -140,11 +140,11 @@
     }
 
     /** The latest good version that this relay has had, or null. */
-    public Stamp held() {
+    public ConfigVersion held() {
         return held;
     }
 
-    public Stamp inForce() {
+    public ConfigVersion inForce() {
         return inForce;
     }
 
@@ -191,7 +191,7 @@
         held = inForce != null && held != null && !inForce.equals(held) ? before(held) : held;
     }
 
-    private static Stamp before(Stamp stamp) {
-        return new Stamp(stamp.epoch(), stamp.number() - 1, "");
+    private static ConfigVersion before(ConfigVersion stamp) {
+        return new ConfigVersion(stamp.epoch(), stamp.number() - 1, "");
     }
 }
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -4,7 +4,7 @@
 import gatelock.plan.Admission;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Samples;
-import gatelock.plan.Stamp;
+import gatelock.plan.ConfigVersion;
 import gatelock.plan.Succession;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
@@ -384,7 +384,7 @@
         List<Double> us = new ArrayList<>();
         for (int i = 1; i <= times; i++) {
             long fromNs = cpuNs();
-            ConfigCompiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, i, text);
+            ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, i, text);
             admission.beside(i + 1, compiled.plan());
             admission.follow(i + 1, compiled.plan());
             us.add((cpuNs() - fromNs) / 1e3);
@@ -393,7 +393,7 @@
         Admission held = new Admission(1);
         Succession succession = new Succession(10);
         byte[] own = text.clone();
-        ConfigCompiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, 1, own);
+        ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, 1, own);
         held.follow(1, compiled.plan());
         succession.good(1, compiled.plan(), "measured", own);
         long bytes = ClassHistogram.here().since(before).total();
--- a/src/test/java/gatelock/control/KeepTest.java
+++ b/src/test/java/gatelock/control/KeepTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.plan.Stamp;
+import gatelock.plan.ConfigVersion;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -26,8 +26,8 @@
         return ("{\"note\": \"" + "x".repeat(number * 10) + "\"}\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static Stamp stamp(int number) {
-        return new Stamp(new Stamp.Epoch(17, "a.b-c"), number, Stamp.hash(text(number)));
+    private static ConfigVersion stamp(int number) {
+        return new ConfigVersion(new ConfigVersion.Epoch(17, "a.b-c"), number, ConfigVersion.hash(text(number)));
     }
 
     @Test
@@ -63,7 +63,7 @@
             Files.write(latest, spoilt);
             for (Keep.Kept kept : keep.read()) {
                 assertThat(kept.text()).as("spoilt %d", i).isIn(text(1), text(2));
-                assertThat(Stamp.hash(kept.text())).isEqualTo(kept.stamp().hash());
+                assertThat(ConfigVersion.hash(kept.text())).isEqualTo(kept.stamp().hash());
             }
             assertThat(keep.read()).anyMatch(k -> k.stamp().equals(stamp(1)));
         }
--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/PlanMeasure.java
@@ -115,7 +115,7 @@
             Histogram swap = new Histogram(3);
             for (int i = 0; i < 12; i++) {
                 long fromNs = System.nanoTime();
-                ConfigCompiler.Compiled compiled = compiler.compile(Stamp.Epoch.NONE, i + 1, bytes);
+                ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, i + 1, bytes);
                 long readyNs = System.nanoTime();
                 admission.beside(i + 2, compiled.plan());
                 admission.follow(i + 2, compiled.plan());
--- a/src/test/java/gatelock/plan/Samples.java
+++ b/src/test/java/gatelock/plan/Samples.java
@@ -41,7 +41,7 @@
 
     /** Compiles a version written with single quotes. */
     static ConfigCompiler.Compiled compiled(String text) {
-        return new ConfigCompiler(GROUNDS).compile(Stamp.Epoch.NONE, 1, text.replace('\'', '"')
+        return new ConfigCompiler(GROUNDS).compile(ConfigVersion.Epoch.NONE, 1, text.replace('\'', '"')
             .getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/test/java/gatelock/plan/SuccessionTest.java
+++ b/src/test/java/gatelock/plan/SuccessionTest.java
@@ -16,19 +16,19 @@
 /** Which versions follow one another, whatever comes in whatever order. */
 final class SuccessionTest {
     private static final byte[] TEXT = "text".getBytes(StandardCharsets.UTF_8);
-    private static final Stamp.Epoch OLD = new Stamp.Epoch(1, "z");
-    private static final Stamp.Epoch NEW = new Stamp.Epoch(2, "a");
+    private static final ConfigVersion.Epoch OLD = new ConfigVersion.Epoch(1, "z");
+    private static final ConfigVersion.Epoch NEW = new ConfigVersion.Epoch(2, "a");
 
-    private static CompiledConfig plan(Stamp stamp) {
+    private static CompiledConfig plan(ConfigVersion stamp) {
         return new CompiledConfig(stamp, "me", "why", false, List.of(), Map.of(), Map.of(), RetryPolicy.FREE, Map.of(),
             List.of());
     }
 
-    private static Stamp stamp(Stamp.Epoch epoch, long number) {
-        return new Stamp(epoch, number, Stamp.hash(epoch + "/" + number));
+    private static ConfigVersion stamp(ConfigVersion.Epoch epoch, long number) {
+        return new ConfigVersion(epoch, number, ConfigVersion.hash(epoch + "/" + number));
     }
 
-    private static boolean good(Succession s, Stamp stamp) {
+    private static boolean good(Succession s, ConfigVersion stamp) {
         return s.good(1, plan(stamp), "test", TEXT);
     }
 
@@ -38,7 +38,7 @@
         assertThat(s.offered(stamp(OLD, 5))).isEqualTo(Succession.Meeting.COMPILE);
         good(s, stamp(OLD, 5));
         assertThat(s.offered(stamp(OLD, 5))).isEqualTo(Succession.Meeting.HELD);
-        assertThat(s.offered(new Stamp(OLD, 5, "other"))).isEqualTo(Succession.Meeting.FORK);
+        assertThat(s.offered(new ConfigVersion(OLD, 5, "other"))).isEqualTo(Succession.Meeting.FORK);
         assertThat(s.offered(stamp(OLD, 4))).isEqualTo(Succession.Meeting.OLDER);
         assertThat(s.offered(stamp(OLD, 9))).as("a gap").isEqualTo(Succession.Meeting.COMPILE);
         assertThat(s.offered(stamp(NEW, 1))).as("built anew").isEqualTo(Succession.Meeting.COMPILE);
@@ -46,7 +46,7 @@
         assertThat(s.offered(stamp(OLD, 99))).as("an old copy").isEqualTo(Succession.Meeting.OLD_EPOCH);
         s.bad(stamp(NEW, 2), List.of(), true);
         assertThat(s.offered(stamp(NEW, 2))).isEqualTo(Succession.Meeting.REFUSED_BEFORE);
-        assertThat(s.offered(new Stamp(NEW, 3, stamp(NEW, 2).hash())))
+        assertThat(s.offered(new ConfigVersion(NEW, 3, stamp(NEW, 2).hash())))
             .as("the same text under another number")
             .isEqualTo(Succession.Meeting.REFUSED_BEFORE);
     }
@@ -74,17 +74,17 @@
     void whatIsToldAsHeldNeverGoesDownAndIsInForce(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         Succession s = new Succession(1 + random.nextInt(4));
-        List<Stamp> compiling = new ArrayList<>();
-        Stamp held = null;
+        List<ConfigVersion> compiling = new ArrayList<>();
+        ConfigVersion held = null;
         for (int i = 0; i < 300; i++) {
-            Stamp some = new Stamp(new Stamp.Epoch(random.nextInt(3), "" + (char) ('a' + random.nextInt(2))),
+            ConfigVersion some = new ConfigVersion(new ConfigVersion.Epoch(random.nextInt(3), "" + (char) ('a' + random.nextInt(2))),
                 1 + random.nextInt(12), "" + random.nextInt(30));
             if (s.offered(some) == Succession.Meeting.COMPILE) {
                 compiling.add(some);
             }
             while (!compiling.isEmpty() && random.nextInt(3) != 0) {
                 // Compiled in any order, as if several were under way.
-                Stamp done = compiling.remove(random.nextInt(compiling.size()));
+                ConfigVersion done = compiling.remove(random.nextInt(compiling.size()));
                 if (random.nextInt(3) == 0) {
                     s.bad(done, List.of(), random.nextBoolean());
                 } else if (good(s, done)) {
