--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -8,7 +8,7 @@
 import gatelock.plan.Admission;
 import gatelock.plan.Backoff;
 import gatelock.plan.ConfigCompiler;
-import gatelock.plan.Succession;
+import gatelock.plan.VersionTracker;
 import gatelock.wire.Discovery;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
@@ -64,7 +64,7 @@
                 + ": more could fill this relay's memory");
         }
         keep = control.directory() == null ? null : new Keep(control.directory(), mostBytes);
-        steward = new Steward(turn, counters, new Succession(control.history()), admission,
+        steward = new Steward(turn, counters, new VersionTracker(control.history()), admission,
             new ConfigCompiler(told.grounds()), keep);
         Lines lines = new Lines(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
         subscription = new Subscription(turn, counters, lines, steward, new Backoff(FIRST_WAIT_US,
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/Steward.java
@@ -7,7 +7,7 @@
 import gatelock.plan.Diagnostic;
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.ConfigVersion;
-import gatelock.plan.Succession;
+import gatelock.plan.VersionTracker;
 import gatelock.wire.Turn;
 
 import java.lang.System.Logger.Level;
@@ -16,7 +16,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Brings a version from its text into force, from whatever source it came: asked of {@link Succession} what
+ * Brings a version from its text into force, from whatever source it came: asked of {@link VersionTracker} what
  * to do with
  * it, compiled off the I/O thread, set beside the one in force, then swapped in one step and kept.
  */
@@ -26,7 +26,7 @@
 
     private final Turn turn;
     private final Counters counters;
-    private final Succession succession;
+    private final VersionTracker succession;
     private final Admission admission;
     private final ConfigCompiler compiler;
     private final Keep keep;
@@ -43,7 +43,7 @@
     }
 
     /** @param keep null: nothing is kept on disk */
-    public Steward(Turn turn, Counters counters, Succession succession, Admission admission,
+    public Steward(Turn turn, Counters counters, VersionTracker succession, Admission admission,
         ConfigCompiler compiler,
                    Keep keep) {
         this.turn = turn;
@@ -54,7 +54,7 @@
         this.keep = keep;
     }
 
-    public Succession succession() {
+    public VersionTracker succession() {
         return succession;
     }
 
@@ -72,7 +72,7 @@
 
     /** A version has come from a control service; {@code then} hears on the I/O thread what came of it. */
     public void offered(ConfigVersion stamp, byte[] text, Consumer<Told> then) {
-        Succession.Meeting meeting = succession.offered(stamp);
+        VersionTracker.Meeting meeting = succession.offered(stamp);
         switch (meeting) {
             case COMPILE -> compile(stamp, text, then);
             case HELD -> then.accept(new Told(true, "held", List.of(), false));
@@ -166,7 +166,7 @@
 
     /** The operator goes back to a number that was in force; {@code then} hears why not, or null. */
     public void goBack(long number, String why, Consumer<String> then) {
-        Succession.Past past = succession.past(number);
+        VersionTracker.Past past = succession.past(number);
         if (past == null) {
             then.accept("no version " + number + " is remembered; see history");
             return;
--- a/src/main/java/gatelock/control/Subscription.java
+++ b/src/main/java/gatelock/control/Subscription.java
@@ -6,7 +6,7 @@
 import gatelock.plan.Backoff;
 import gatelock.plan.Diagnostic;
 import gatelock.plan.ConfigVersion;
-import gatelock.plan.Succession;
+import gatelock.plan.VersionTracker;
 import gatelock.wire.Line;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
--- a/src/main/java/gatelock/control/Window.java
+++ b/src/main/java/gatelock/control/Window.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.ConfigVersion;
-import gatelock.plan.Succession;
+import gatelock.plan.VersionTracker;
 import gatelock.wire.Discovery;
 import gatelock.wire.Turn;
 
@@ -103,10 +103,10 @@
         long nowUs = turn.nowUs();
         Map<String, Object> status = new LinkedHashMap<>();
         CompiledConfig plan = steward.admission().plan();
-        Succession succession = steward.succession();
+        VersionTracker succession = steward.succession();
         status.put("inForce", succession.inForce() == null ? null : succession.inForce().toString());
         status.put("held", succession.held() == null ? null : succession.held().toString());
-        List<Succession.Past> past = succession.history();
+        List<VersionTracker.Past> past = succession.history();
         status.put("inForceForS", past.isEmpty() ? null : (nowUs
             - past.get(past.size() - 1).sinceUs()) / 1_000_000);
         status.put("pinned", succession.pinned());
@@ -144,7 +144,7 @@
 
     private List<Map<String, Object>> history() {
         List<Map<String, Object>> history = new ArrayList<>();
-        for (Succession.Past p : steward.succession().history()) {
+        for (VersionTracker.Past p : steward.succession().history()) {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("version", p.stamp().toString());
             one.put("number", p.stamp().number());
@@ -159,7 +159,7 @@
     }
 
     private void version(HttpServerExchange exchange) throws IOException {
-        Succession.Past past = steward.succession().past(number(exchange));
+        VersionTracker.Past past = steward.succession().past(number(exchange));
         if (past == null) {
             answer(exchange, 404, Map.of("error", "no such version is remembered; see /history"));
         } else {
--- a/src/main/java/gatelock/plan/Succession.java
+++ b/src/main/java/gatelock/plan/VersionTracker.java
@@ -20,7 +20,7 @@
  * one
  * held stays.
  */
-public final class Succession {
+public final class VersionTracker {
     /** Refused texts are remembered, so that the same one again is neither compiled nor logged. */
     private static final int MOST_REFUSED = 64;
     /** Of all texts kept to go back to; two are kept whatever their size. */
@@ -67,7 +67,7 @@
     private final Map<Meeting, Long> met = new java.util.EnumMap<>(Meeting.class);
 
     /** @param mostPast versions that were in force, kept to go back to */
-    public Succession(int mostPast) {
+    public VersionTracker(int mostPast) {
         this.mostPast = Math.max(1, mostPast);
     }
 
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -5,7 +5,7 @@
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Samples;
 import gatelock.plan.ConfigVersion;
-import gatelock.plan.Succession;
+import gatelock.plan.VersionTracker;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
 import gatelock.standin.LongList;
@@ -391,7 +391,7 @@
         }
         ClassHistogram before = ClassHistogram.here();
         Admission held = new Admission(1);
-        Succession succession = new Succession(10);
+        VersionTracker succession = new VersionTracker(10);
         byte[] own = text.clone();
         ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, 1, own);
         held.follow(1, compiled.plan());
--- a/src/test/java/gatelock/plan/SuccessionTest.java
+++ b/src/test/java/gatelock/plan/VersionTrackerTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which versions follow one another, whatever comes in whatever order. */
-final class SuccessionTest {
+final class VersionTrackerTest {
     private static final byte[] TEXT = "text".getBytes(StandardCharsets.UTF_8);
     private static final ConfigVersion.Epoch OLD = new ConfigVersion.Epoch(1, "z");
     private static final ConfigVersion.Epoch NEW = new ConfigVersion.Epoch(2, "a");
@@ -28,32 +28,32 @@
         return new ConfigVersion(epoch, number, ConfigVersion.hash(epoch + "/" + number));
     }
 
-    private static boolean good(Succession s, ConfigVersion stamp) {
+    private static boolean good(VersionTracker s, ConfigVersion stamp) {
         return s.good(1, plan(stamp), "test", TEXT);
     }
 
     @Test
     void eachOrderIsMetInItsOwnWay() {
-        Succession s = new Succession(3);
-        assertThat(s.offered(stamp(OLD, 5))).isEqualTo(Succession.Meeting.COMPILE);
+        VersionTracker s = new VersionTracker(3);
+        assertThat(s.offered(stamp(OLD, 5))).isEqualTo(VersionTracker.Meeting.COMPILE);
         good(s, stamp(OLD, 5));
-        assertThat(s.offered(stamp(OLD, 5))).isEqualTo(Succession.Meeting.HELD);
-        assertThat(s.offered(new ConfigVersion(OLD, 5, "other"))).isEqualTo(Succession.Meeting.FORK);
-        assertThat(s.offered(stamp(OLD, 4))).isEqualTo(Succession.Meeting.OLDER);
-        assertThat(s.offered(stamp(OLD, 9))).as("a gap").isEqualTo(Succession.Meeting.COMPILE);
-        assertThat(s.offered(stamp(NEW, 1))).as("built anew").isEqualTo(Succession.Meeting.COMPILE);
+        assertThat(s.offered(stamp(OLD, 5))).isEqualTo(VersionTracker.Meeting.HELD);
+        assertThat(s.offered(new ConfigVersion(OLD, 5, "other"))).isEqualTo(VersionTracker.Meeting.FORK);
+        assertThat(s.offered(stamp(OLD, 4))).isEqualTo(VersionTracker.Meeting.OLDER);
+        assertThat(s.offered(stamp(OLD, 9))).as("a gap").isEqualTo(VersionTracker.Meeting.COMPILE);
+        assertThat(s.offered(stamp(NEW, 1))).as("built anew").isEqualTo(VersionTracker.Meeting.COMPILE);
         good(s, stamp(NEW, 1));
-        assertThat(s.offered(stamp(OLD, 99))).as("an old copy").isEqualTo(Succession.Meeting.OLD_EPOCH);
+        assertThat(s.offered(stamp(OLD, 99))).as("an old copy").isEqualTo(VersionTracker.Meeting.OLD_EPOCH);
         s.bad(stamp(NEW, 2), List.of(), true);
-        assertThat(s.offered(stamp(NEW, 2))).isEqualTo(Succession.Meeting.REFUSED_BEFORE);
+        assertThat(s.offered(stamp(NEW, 2))).isEqualTo(VersionTracker.Meeting.REFUSED_BEFORE);
         assertThat(s.offered(new ConfigVersion(NEW, 3, stamp(NEW, 2).hash())))
             .as("the same text under another number")
-            .isEqualTo(Succession.Meeting.REFUSED_BEFORE);
+            .isEqualTo(VersionTracker.Meeting.REFUSED_BEFORE);
     }
 
     @Test
     void theOperatorGoesBackAndTheServiceLeadsAgainOnceReleased() {
-        Succession s = new Succession(3);
+        VersionTracker s = new VersionTracker(3);
         for (int i = 1; i <= 5; i++) {
             good(s, stamp(OLD, i));
         }
@@ -61,11 +61,11 @@
         assertThat(s.past(1)).isNull();
         s.pin(2, s.past(3), "operator");
         assertThat(s.inForce()).isEqualTo(stamp(OLD, 3));
-        assertThat(s.offered(stamp(OLD, 6))).isEqualTo(Succession.Meeting.PINNED);
+        assertThat(s.offered(stamp(OLD, 6))).isEqualTo(VersionTracker.Meeting.PINNED);
         assertThat(good(s, stamp(OLD, 6))).as("compiled meanwhile").isFalse();
         s.release();
         assertThat(s.offered(stamp(OLD, 5))).as("the one that was gone back from")
-            .isEqualTo(Succession.Meeting.COMPILE);
+            .isEqualTo(VersionTracker.Meeting.COMPILE);
         assertThat(good(s, stamp(OLD, 5))).isTrue();
         assertThat(s.inForce()).isEqualTo(stamp(OLD, 5));
     }
@@ -73,13 +73,13 @@
     @Property(tries = 500, seed = "17")
     void whatIsToldAsHeldNeverGoesDownAndIsInForce(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        Succession s = new Succession(1 + random.nextInt(4));
+        VersionTracker s = new VersionTracker(1 + random.nextInt(4));
         List<ConfigVersion> compiling = new ArrayList<>();
         ConfigVersion held = null;
         for (int i = 0; i < 300; i++) {
             ConfigVersion some = new ConfigVersion(new ConfigVersion.Epoch(random.nextInt(3), "" + (char) ('a' + random.nextInt(2))),
                 1 + random.nextInt(12), "" + random.nextInt(30));
-            if (s.offered(some) == Succession.Meeting.COMPILE) {
+            if (s.offered(some) == VersionTracker.Meeting.COMPILE) {
                 compiling.add(some);
             }
             while (!compiling.isEmpty() && random.nextInt(3) != 0) {
