--- a/src/main/java/gatelock/plan/CompiledConfig.java
+++ b/src/main/java/gatelock/plan/CompiledConfig.java
@@ -22,7 +22,7 @@
     private final Map<String, LimitPolicy> limits;
     private final Collection<String> removes;
     private final List<RouteEntry> byPlace;
-    private final Table<RouteEntry> table;
+    private final RouteTable<RouteEntry> table;
     private final Map<String, List<String>> chains = new HashMap<>();
     /** Ways to choose units that differ; many pools may share one. */
     private final List<Pool> selectors = new ArrayList<>();
@@ -49,7 +49,7 @@
             entries.put(e.name(), e);
             matches.add(e.match());
         }
-        table = new Table<>(matches, routes);
+        table = new RouteTable<>(matches, routes);
         Map<Pool, Integer> alike = new HashMap<>();
         pools.values().forEach(p -> {
             chains.put(p.name(), chainFrom(p.name()));
--- a/src/main/java/gatelock/plan/ConfigValidator.java
+++ b/src/main/java/gatelock/plan/ConfigValidator.java
@@ -331,7 +331,7 @@
     private void shadows() {
         List<ResolvedConfig.Line> real = sheet.lines().stream().filter(l -> !l.isAbstract()).toList();
         List<RouteMatch> matches = real.stream().map(ResolvedConfig.Line::match).toList();
-        Table<Integer> table = new Table<>(matches, real.stream().map(ResolvedConfig.Line::place).toList());
+        RouteTable<Integer> table = new RouteTable<>(matches, real.stream().map(ResolvedConfig.Line::place).toList());
         for (int i = 0; i < real.size(); i++) {
             int place = i;
             RouteMatch match = matches.get(i);
--- a/src/main/java/gatelock/plan/Table.java
+++ b/src/main/java/gatelock/plan/RouteTable.java
@@ -15,7 +15,7 @@
  *
  * @param <T> what an entry leads to
  */
-final class Table<T> {
+final class RouteTable<T> {
     private final Node<T> root = new Node<>();
     private final int size;
 
@@ -35,7 +35,7 @@
     }
 
     /** The matches in their order, and what each leads to. */
-    Table(List<RouteMatch> matches, List<T> leadTo) {
+    RouteTable(List<RouteMatch> matches, List<T> leadTo) {
         size = matches.size();
         for (int i = 0; i < size; i++) {
             Node<T> node = nodeFor(matches.get(i).segments(), i);
--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/PlanMeasure.java
@@ -46,7 +46,7 @@
                 places.add(i);
             }
             long before = used();
-            Table<Integer> table = new Table<>(matches, places);
+            RouteTable<Integer> table = new RouteTable<>(matches, places);
             long bytes = used() - before;
             List<RequestAttributes> asked = new ArrayList<>();
             for (int i = 0; i < 4_096; i++) {
--- a/src/test/java/gatelock/plan/TableTest.java
+++ b/src/test/java/gatelock/plan/RouteTableTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The compiled table against a plain list that is searched from its start. */
-final class TableTest {
+final class RouteTableTest {
     private static final String[] SEGMENTS = {"a", "b", "c", "aa", "x%20y", ""};
     private static final String[] HOSTS = {"*", "one.lk", "*.lk", "*.one.lk", "two.one.lk"};
     private static final String[] ASKED_HOSTS = {"one.lk", "two.one.lk", "lk", "One.LK", "three.two.one.lk",
@@ -70,7 +70,7 @@
             matches.add(match(random));
             places.add(i);
         }
-        Table<Integer> table = new Table<>(matches, places);
+        RouteTable<Integer> table = new RouteTable<>(matches, places);
         for (int i = 0; i < 200; i++) {
             RequestAttributes asked = asked(random);
             assertThat(table.first(asked)).as("%s in %s", asked, matches).isEqualTo(plain(matches, asked));
