--- a/src/main/java/gatelock/plan/Admission.java
+++ b/src/main/java/gatelock/plan/Admission.java
@@ -192,7 +192,7 @@
     }
 
     /** A req that is whole asks to be taken: it passes, waits or is shed at once. */
-    public Pass ask(long nowUs, Way way, int tenant, long endUs, Waiting waiting) {
+    public Pass ask(long nowUs, Way way, int tenant, long endUs, QueuedRequest waiting) {
         traffic.computeIfAbsent(way.entry.name(), n -> new Rate()).add(nowUs, TRAFFIC_US);
         // It may have been matched before another version came in force; it goes on by the one it was matched
         // by.
--- a/src/main/java/gatelock/plan/Waiting.java
+++ b/src/main/java/gatelock/plan/QueuedRequest.java
@@ -1,7 +1,7 @@
 package gatelock.plan;
 
 /** Whoever brought a req, while its limits let it wait. */
-public interface Waiting {
+public interface QueuedRequest {
     /** It may go on now. */
     void passes(long nowUs);
 
--- a/src/main/java/gatelock/plan/RequestLimiter.java
+++ b/src/main/java/gatelock/plan/RequestLimiter.java
@@ -95,13 +95,13 @@
     final class Ticket {
         private final int tenant;
         private final List<Count> counts;
-        private final Waiting waiting;
+        private final QueuedRequest waiting;
         private final long endUs;
         private Count waitsFor;
         private long waitsUntilUs;
         private boolean holds;
 
-        private Ticket(int tenant, List<Count> counts, long endUs, Waiting waiting) {
+        private Ticket(int tenant, List<Count> counts, long endUs, QueuedRequest waiting) {
             this.tenant = tenant;
             this.counts = counts;
             this.endUs = endUs;
@@ -141,7 +141,7 @@
     }
 
     /** A req asks all its limits at once: of all or of none it takes its part. */
-    Told ask(long nowUs, List<LimitPolicy> limits, String route, int tenant, long endUs, Waiting waiting) {
+    Told ask(long nowUs, List<LimitPolicy> limits, String route, int tenant, long endUs, QueuedRequest waiting) {
         if (limits.isEmpty()) {
             return new Told(Answer.PASSES, null, 0);
         }
--- a/src/main/java/gatelock/wire/Admit.java
+++ b/src/main/java/gatelock/wire/Admit.java
@@ -5,7 +5,7 @@
 import gatelock.kept.InFlightRequests;
 import gatelock.plan.Admission;
 import gatelock.plan.StartupQueue;
-import gatelock.plan.Waiting;
+import gatelock.plan.QueuedRequest;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
 
@@ -100,7 +100,7 @@
     }
 
     /** A req on its way past its limits. */
-    private final class Passage implements Waiting {
+    private final class Passage implements QueuedRequest {
         private final InFlightRequest req;
         private final int route;
         private final int tenant;
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -15,7 +15,7 @@
 /** What plans mean for reqs: pools, fallbacks, budgets, and what one version is beside another. */
 final class AdmissionTest {
     private static final long SECOND = 1_000_000;
-    private static final Waiting NOBODY = new Waiting() {
+    private static final QueuedRequest NOBODY = new QueuedRequest() {
         @Override
         public void passes(long nowUs) {
             throw new AssertionError("nobody waits");
--- a/src/test/java/gatelock/plan/RequestLimiterTest.java
+++ b/src/test/java/gatelock/plan/RequestLimiterTest.java
@@ -27,7 +27,7 @@
     }
 
     /** One req and all that it is told. */
-    private static final class Req implements Waiting {
+    private static final class Req implements QueuedRequest {
         private final int tenant;
         private final long askedUs;
         private RequestLimiter.Told told;
