--- a/src/test/java/gatelock/plan/PlanMeasure.java
+++ b/src/test/java/gatelock/plan/ConfigBenchmark.java
@@ -16,11 +16,11 @@
  * test: run by
  * {@code make measure-plan}; its table is kept in docs/measurements/versioned-configuration.md.
  */
-public final class PlanMeasure {
+public final class ConfigBenchmark {
     private static final int BATCH = 100;
     private static int sink;
 
-    private PlanMeasure() {
+    private ConfigBenchmark() {
     }
 
     public static void main(String[] args) {
