--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -3,7 +3,7 @@
 import gatelock.kept.EndpointAddresses;
 import gatelock.plan.Admission;
 import gatelock.plan.ConfigCompiler;
-import gatelock.plan.Samples;
+import gatelock.plan.SampleConfigs;
 import gatelock.plan.ConfigVersion;
 import gatelock.plan.VersionTracker;
 import gatelock.relay.DecisionEngine;
@@ -373,8 +373,8 @@
 
     /** Bytes of text, bytes of heap, and processor time in microseconds of one version, the median of some. */
     private static double[] version(int routes, int times) {
-        byte[] text = Samples.version(routes);
-        ConfigCompiler compiler = new ConfigCompiler(Samples.GROUNDS);
+        byte[] text = SampleConfigs.version(routes);
+        ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.GROUNDS);
         List<Endpoint> units = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
             units.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
--- a/src/test/java/gatelock/plan/AdmissionTest.java
+++ b/src/test/java/gatelock/plan/AdmissionTest.java
@@ -58,7 +58,7 @@
     @Test
     void aPoolReachesItsUnitsAndItsFallbackServesWhenTooFewAreLeft() {
         list(10, 5);
-        admission.follow(nowUs, Samples.plan(POOLS));
+        admission.follow(nowUs, SampleConfigs.plan(POOLS));
         Admission.Pass pass = ask("/read/x");
         assertThat(pass.reaches("e0")).isTrue();
         assertThat(pass.reaches("w0")).isFalse();
@@ -89,7 +89,7 @@
     @Test
     void furtherTriesAreNarrowedByTheirPolicyAndBudget() {
         list(2, 2);
-        admission.follow(nowUs, Samples.plan(POOLS));
+        admission.follow(nowUs, SampleConfigs.plan(POOLS));
         Admission.Pass pass = ask("/read");
         assertThat(pass.mostTries()).isEqualTo(2);
         assertThat(pass.tryUs()).isEqualTo(100_000);
@@ -101,7 +101,7 @@
         }
         assertThat(gone).isBetween(90, 115);
         // A budget that is spent stays spent when a version comes that does not change it.
-        admission.follow(nowUs, Samples.plan(POOLS.replace("'format': 1", "'format': 1, 'note': 'again'")));
+        admission.follow(nowUs, SampleConfigs.plan(POOLS.replace("'format': 1", "'format': 1, 'note': 'again'")));
         gone = 0;
         for (int i = 0; i < 10; i++) {
             gone += ask("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
@@ -113,9 +113,9 @@
     @Test
     void aReqGoesOnUnderTheVersionThatTookIt() {
         list(2, 2);
-        admission.follow(nowUs, Samples.plan(POOLS));
+        admission.follow(nowUs, SampleConfigs.plan(POOLS));
         Admission.Pass pass = ask("/read");
-        admission.follow(nowUs, Samples.plan("""
+        admission.follow(nowUs, SampleConfigs.plan("""
             {'format': 1, 'pools': {'east': {'zones': ['west']}}, 'removes': ['w'],
              'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'east'}]}
             """));
@@ -128,8 +128,8 @@
     @Test
     void aVersionThatIsADangerBesideTheOneInForceIsTurnedDown() {
         list(6, 4);
-        admission.follow(nowUs, Samples.plan(POOLS));
-        CompiledConfig without = Samples.plan(POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', "
+        admission.follow(nowUs, SampleConfigs.plan(POOLS));
+        CompiledConfig without = SampleConfigs.plan(POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', "
             + "'pool': 'west'}", ""));
         assertThat(admission.beside(nowUs, without)).extracting(Diagnostic::code).doesNotContain("B-TRAFFIC");
         ask("/west");
@@ -142,8 +142,8 @@
         String said = "{'format': 1, 'unmatched': 'refuse', 'removes': ['w'], 'pools': {'p': {'zones': "
             + "['%s']}},"
             + " 'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'p'}]}";
-        assertThat(admission.beside(nowUs, Samples.plan(String.format(said, "east")))).isEmpty();
-        assertThat(admission.beside(nowUs, Samples.plan(String.format(said, "west"))))
+        assertThat(admission.beside(nowUs, SampleConfigs.plan(String.format(said, "east")))).isEmpty();
+        assertThat(admission.beside(nowUs, SampleConfigs.plan(String.format(said, "west"))))
             .extracting(Diagnostic::code).containsExactly("B-UNITS");
     }
 }
--- a/src/test/java/gatelock/plan/ConfigBenchmark.java
+++ b/src/test/java/gatelock/plan/ConfigBenchmark.java
@@ -103,8 +103,8 @@
             + "thread to swap, p50 | most |");
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int entries : new int[] {10, 1_000, 100_000}) {
-            byte[] bytes = Samples.version(entries);
-            ConfigCompiler compiler = new ConfigCompiler(Samples.GROUNDS);
+            byte[] bytes = SampleConfigs.version(entries);
+            ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.GROUNDS);
             Admission admission = new Admission(1);
             List<Endpoint> units = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
--- a/src/test/java/gatelock/plan/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/plan/ConfigCompilerTest.java
@@ -28,7 +28,7 @@
                 List<String> expected = lines.stream().takeWhile(l -> l.startsWith("# "))
                     .map(l -> l.substring(2)).toList();
                 String text = String.join("\n", lines.subList(expected.size(), lines.size()));
-                ConfigCompiler.Compiled compiled = Samples.compiled(text);
+                ConfigCompiler.Compiled compiled = SampleConfigs.compiled(text);
                 assertThat(compiled.findings()).as("%s", compiled.findings())
                     .extracting(x -> x.line() + ":" + x.column() + " " + x.pointer() + " " + x.code())
                     .containsExactlyInAnyOrderElementsOf(expected);
@@ -43,7 +43,7 @@
 
     @Test
     void whatIsNotSaidIsInheritedAndThenByDefault() {
-        CompiledConfig plan = Samples.plan("""
+        CompiledConfig plan = SampleConfigs.plan("""
             {'format': 1, 'defaults': {'pool': 'all', 'retries': 'none'},
              'pools': {'all': {}, 'east': {'zones': ['east'], 'fallback': 'all', 'leastShare': 0.5, 'retries': 'two'}},
              'retries': {'none': {'tries': 1}, 'two': {'tries': 2}, 'three': {'tries': 3, 'after': ['errored']}},
@@ -80,14 +80,14 @@
               {'name': 'x', 'limits': ['a'], 'path': '/x', 'class': 'read', 'host': '*'}],
              'limits': {'a': {'per': 'all', 'ratePerS': 5.0, 'burst': 5}}, 'note': 'moved', 'format': 1}
             """;
-        assertThat(ConfigDiff.of(Samples.plan(text), Samples.plan(moved), Samples.GROUNDS)).isEmpty();
-        assertThat(ConfigDiff.of(Samples.plan(text), Samples.plan(text.replace("5}", "6}").replace("'/y'", "'/z'")),
-            Samples.GROUNDS)).hasSize(2).anyMatch(l -> l.contains("limits") && l.contains("6 reqs a second"))
+        assertThat(ConfigDiff.of(SampleConfigs.plan(text), SampleConfigs.plan(moved), SampleConfigs.GROUNDS)).isEmpty();
+        assertThat(ConfigDiff.of(SampleConfigs.plan(text), SampleConfigs.plan(text.replace("5}", "6}").replace("'/y'", "'/z'")),
+            SampleConfigs.GROUNDS)).hasSize(2).anyMatch(l -> l.contains("limits") && l.contains("6 reqs a second"))
             .anyMatch(l -> l.startsWith("route y: is for"));
         String one = "{'name': 'one', 'path': '/p', 'headers': {'x-a': '1'}, 'class': 'read'}";
         String two = "{'name': 'two', 'path': '/p/q', 'class': 'read'}";
-        assertThat(ConfigDiff.of(Samples.plan("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
-            Samples.plan("{'format': 1, 'routes': [" + two + ", " + one + "]}"), Samples.GROUNDS))
+        assertThat(ConfigDiff.of(SampleConfigs.plan("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
+            SampleConfigs.plan("{'format': 1, 'routes': [" + two + ", " + one + "]}"), SampleConfigs.GROUNDS))
             .singleElement().asString().contains("meet route two, met one");
     }
 }
--- a/src/test/java/gatelock/plan/Samples.java
+++ b/src/test/java/gatelock/plan/SampleConfigs.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 
 /** A small deployment, and versions for it. */
-public final class Samples {
+public final class SampleConfigs {
     public static final DeploymentContext GROUNDS = new DeploymentContext(Map.of("read", 0, "post", 1, "claim", 2), List.of(
         new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
         new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ZONE, 5_000_000, 400_000, 3),
@@ -15,7 +15,7 @@
         List.of(1_000_000L, 2_000_000L, 3_000_000L), Map.of("acme", 0, "bee", 1), List.of("east", "west"),
         List.of("small", "large"));
 
-    private Samples() {
+    private SampleConfigs() {
     }
 
     /** A version of so many routes, each with a pool and a limit for each tenant. */
