--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.control.Keep;
+import gatelock.control.LastKnownGoodStore;
 import gatelock.control.Steward;
 import gatelock.control.Subscription;
 import gatelock.control.Window;
@@ -47,7 +47,7 @@
     private final InetSocketAddress listener;
     private final Turn turn;
     private final Steward steward;
-    private final Keep keep;
+    private final LastKnownGoodStore keep;
     private final Subscription subscription;
     private final Window window;
 
@@ -63,7 +63,7 @@
                 + control.mostBytes()
                 + ": more could fill this relay's memory");
         }
-        keep = control.directory() == null ? null : new Keep(control.directory(), mostBytes);
+        keep = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), mostBytes);
         steward = new Steward(turn, counters, new VersionTracker(control.history()), admission,
             new ConfigCompiler(told.grounds()), keep);
         Lines lines = new Lines(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
@@ -85,15 +85,15 @@
         if (keep == null) {
             follow(ready);
         } else {
-            turn.<List<Keep.Kept>>aside(keep::read, List.of(), found -> {
+            turn.<List<LastKnownGoodStore.Kept>>aside(keep::read, List.of(), found -> {
                 recover(found);
                 follow(ready);
             });
         }
     }
 
-    private void recover(List<Keep.Kept> found) {
-        for (Keep.Kept kept : found) {
+    private void recover(List<LastKnownGoodStore.Kept> found) {
+        for (LastKnownGoodStore.Kept kept : found) {
             if (steward.recovered(kept)) {
                 return;
             }
--- a/src/main/java/gatelock/control/Keep.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -23,7 +23,7 @@
  * forced to
  * disk and moved into place. Never used on the I/O thread.
  */
-public final class Keep {
+public final class LastKnownGoodStore {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
     private static final String MARK = "gatelock-plan-1";
 
@@ -31,7 +31,7 @@
     private final long mostBytes;
 
     /** @param mostBytes a larger file is none of ours */
-    public Keep(Path directory, long mostBytes) {
+    public LastKnownGoodStore(Path directory, long mostBytes) {
         this.directory = directory;
         this.mostBytes = mostBytes;
     }
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/Steward.java
@@ -29,7 +29,7 @@
     private final VersionTracker succession;
     private final Admission admission;
     private final ConfigCompiler compiler;
-    private final Keep keep;
+    private final LastKnownGoodStore keep;
     private long longestSwapUs;
     private long latestCompileUs;
 
@@ -45,7 +45,7 @@
     /** @param keep null: nothing is kept on disk */
     public Steward(Turn turn, Counters counters, VersionTracker succession, Admission admission,
         ConfigCompiler compiler,
-                   Keep keep) {
+                   LastKnownGoodStore keep) {
         this.turn = turn;
         this.counters = counters;
         this.succession = succession;
@@ -148,7 +148,7 @@
     }
 
     /** A version from disk, before the first one from a control service; tells whether it is in force now. */
-    public boolean recovered(Keep.Kept kept) {
+    public boolean recovered(LastKnownGoodStore.Kept kept) {
         ConfigCompiler.Compiled compiled = compiler.compile(kept.stamp().epoch(), kept.stamp().number(),
             kept.text());
         if (!compiled.good()) {
--- a/src/test/java/gatelock/control/KeepTest.java
+++ b/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Versions on disk: whatever happens to a file, what is read is what was kept, or nothing. */
-final class KeepTest {
+final class LastKnownGoodStoreTest {
     private static final int MOST = 1 << 16;
 
     @TempDir
@@ -32,18 +32,18 @@
 
     @Test
     void theLatestAndTheOneBeforeAreKept() {
-        Keep keep = new Keep(directory.resolve("not/there/yet"), MOST);
+        LastKnownGoodStore keep = new LastKnownGoodStore(directory.resolve("not/there/yet"), MOST);
         assertThat(keep.read()).isEmpty();
         for (int i = 1; i <= 3; i++) {
             assertThat(keep.keep(stamp(i), text(i))).isNull();
         }
-        assertThat(keep.read()).extracting(Keep.Kept::stamp).containsExactly(stamp(3), stamp(2));
+        assertThat(keep.read()).extracting(LastKnownGoodStore.Kept::stamp).containsExactly(stamp(3), stamp(2));
         assertThat(keep.read().get(0).text()).isEqualTo(text(3));
     }
 
     @Test
     void whatIsTornCutOrChangedIsPassedOverAndTheOneBeforeServes() throws IOException {
-        Keep keep = new Keep(directory, MOST);
+        LastKnownGoodStore keep = new LastKnownGoodStore(directory, MOST);
         keep.keep(stamp(1), text(1));
         keep.keep(stamp(2), text(2));
         Path latest = directory.resolve("last-good.plan");
@@ -61,20 +61,20 @@
                 Arrays.fill(spoilt, random.nextInt(spoilt.length), spoilt.length, (byte) 0);
             }
             Files.write(latest, spoilt);
-            for (Keep.Kept kept : keep.read()) {
+            for (LastKnownGoodStore.Kept kept : keep.read()) {
                 assertThat(kept.text()).as("spoilt %d", i).isIn(text(1), text(2));
                 assertThat(ConfigVersion.hash(kept.text())).isEqualTo(kept.stamp().hash());
             }
             assertThat(keep.read()).anyMatch(k -> k.stamp().equals(stamp(1)));
         }
         Files.write(latest, new byte[MOST * 2]);
-        assertThat(keep.read()).extracting(Keep.Kept::stamp).containsExactly(stamp(1));
+        assertThat(keep.read()).extracting(LastKnownGoodStore.Kept::stamp).containsExactly(stamp(1));
     }
 
     @Test
     void aDirectoryThatTakesNothingIsToldAndHarmsNothing() throws IOException {
         Path file = Files.createFile(directory.resolve("a file"));
-        assertThat(new Keep(file, MOST).keep(stamp(1), text(1))).isNotNull();
-        assertThat(new Keep(file, MOST).read()).isEmpty();
+        assertThat(new LastKnownGoodStore(file, MOST).keep(stamp(1), text(1))).isNotNull();
+        assertThat(new LastKnownGoodStore(file, MOST).read()).isEmpty();
     }
 }
