--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.control.LastKnownGoodStore;
-import gatelock.control.Steward;
+import gatelock.control.ConfigUpdater;
 import gatelock.control.Subscription;
 import gatelock.control.Window;
 import gatelock.kept.Counters;
@@ -46,7 +46,7 @@
     private final Operator.Control control;
     private final InetSocketAddress listener;
     private final Turn turn;
-    private final Steward steward;
+    private final ConfigUpdater steward;
     private final LastKnownGoodStore keep;
     private final Subscription subscription;
     private final Window window;
@@ -64,7 +64,7 @@
                 + ": more could fill this relay's memory");
         }
         keep = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), mostBytes);
-        steward = new Steward(turn, counters, new VersionTracker(control.history()), admission,
+        steward = new ConfigUpdater(turn, counters, new VersionTracker(control.history()), admission,
             new ConfigCompiler(told.grounds()), keep);
         Lines lines = new Lines(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
         subscription = new Subscription(turn, counters, lines, steward, new Backoff(FIRST_WAIT_US,
--- a/src/main/java/gatelock/control/Steward.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -20,7 +20,7 @@
  * to do with
  * it, compiled off the I/O thread, set beside the one in force, then swapped in one step and kept.
  */
-public final class Steward {
+public final class ConfigUpdater {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
     private static final int LOGGED = 5;
 
@@ -43,7 +43,7 @@
     }
 
     /** @param keep null: nothing is kept on disk */
-    public Steward(Turn turn, Counters counters, VersionTracker succession, Admission admission,
+    public ConfigUpdater(Turn turn, Counters counters, VersionTracker succession, Admission admission,
         ConfigCompiler compiler,
                    LastKnownGoodStore keep) {
         this.turn = turn;
--- a/src/main/java/gatelock/control/Subscription.java
+++ b/src/main/java/gatelock/control/Subscription.java
@@ -41,7 +41,7 @@
     private final Turn turn;
     private final Counters counters;
     private final Lines lines;
-    private final Steward steward;
+    private final ConfigUpdater steward;
     private final Backoff backoff;
     private final String relay;
     private final long holdMs;
@@ -54,14 +54,14 @@
     private boolean stopped;
     /** What the next call tells of the version that came last. */
     private String nonce = "";
-    private Steward.Told told;
+    private ConfigUpdater.Told told;
 
     /**
      * @param lines to control services, with room for a whole version in an answer
      * @param services in the order in which they are tried
      * @param holdMs how long a call may wait for a later version
      */
-    public Subscription(Turn turn, Counters counters, Lines lines, Steward steward, Backoff backoff,
+    public Subscription(Turn turn, Counters counters, Lines lines, ConfigUpdater steward, Backoff backoff,
         String relay,
                         List<InetSocketAddress> services, long holdMs) {
         this.turn = turn;
@@ -219,7 +219,7 @@
     /**
      * What came of a version is told at once where it is new, and after a while where it tells nothing new.
      */
-    private void settled(Steward.Told told) {
+    private void settled(ConfigUpdater.Told told) {
         this.told = told;
         if (told.isNew()) {
             backoff.succeeded();
--- a/src/main/java/gatelock/control/Window.java
+++ b/src/main/java/gatelock/control/Window.java
@@ -45,12 +45,12 @@
 
     private final Turn turn;
     private final Counters counters;
-    private final Steward steward;
+    private final ConfigUpdater steward;
     private final Supplier<Subscription> subscription;
     private Supplier<Discovery.State> list;
     private AcceptingChannel<StreamConnection> listener;
 
-    public Window(Turn turn, Counters counters, Steward steward, Supplier<Subscription> subscription) {
+    public Window(Turn turn, Counters counters, ConfigUpdater steward, Supplier<Subscription> subscription) {
         this.turn = turn;
         this.counters = counters;
         this.steward = steward;
