--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -2,7 +2,7 @@
 
 import gatelock.control.LastKnownGoodStore;
 import gatelock.control.ConfigUpdater;
-import gatelock.control.Subscription;
+import gatelock.control.ConfigSubscription;
 import gatelock.control.Window;
 import gatelock.kept.Counters;
 import gatelock.plan.Admission;
@@ -48,7 +48,7 @@
     private final Turn turn;
     private final ConfigUpdater steward;
     private final LastKnownGoodStore keep;
-    private final Subscription subscription;
+    private final ConfigSubscription subscription;
     private final Window window;
 
     Steering(Operator operator, Configuration told, Turn turn, Counters counters) {
@@ -67,7 +67,7 @@
         steward = new ConfigUpdater(turn, counters, new VersionTracker(control.history()), admission,
             new ConfigCompiler(told.grounds()), keep);
         Lines lines = new Lines(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
-        subscription = new Subscription(turn, counters, lines, steward, new Backoff(FIRST_WAIT_US,
+        subscription = new ConfigSubscription(turn, counters, lines, steward, new Backoff(FIRST_WAIT_US,
             control.mostWaitUs(),
             new SplittableRandom(told.charter().seed() + 2)), told.name(), control.services(),
             control.holdMs());
--- a/src/main/java/gatelock/control/Subscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -33,7 +33,7 @@
  * framing is
  * ours: docs/design/versioned-configuration.md.
  */
-public final class Subscription {
+public final class ConfigSubscription {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
     private static final long GRACE_US = 5_000_000;
     private static final int MOST_WORDS = 200;
@@ -61,7 +61,7 @@
      * @param services in the order in which they are tried
      * @param holdMs how long a call may wait for a later version
      */
-    public Subscription(Turn turn, Counters counters, Lines lines, ConfigUpdater steward, Backoff backoff,
+    public ConfigSubscription(Turn turn, Counters counters, Lines lines, ConfigUpdater steward, Backoff backoff,
         String relay,
                         List<InetSocketAddress> services, long holdMs) {
         this.turn = turn;
--- a/src/main/java/gatelock/control/Window.java
+++ b/src/main/java/gatelock/control/Window.java
@@ -46,11 +46,11 @@
     private final Turn turn;
     private final Counters counters;
     private final ConfigUpdater steward;
-    private final Supplier<Subscription> subscription;
+    private final Supplier<ConfigSubscription> subscription;
     private Supplier<Discovery.State> list;
     private AcceptingChannel<StreamConnection> listener;
 
-    public Window(Turn turn, Counters counters, ConfigUpdater steward, Supplier<Subscription> subscription) {
+    public Window(Turn turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
         this.turn = turn;
         this.counters = counters;
         this.steward = steward;
@@ -115,7 +115,7 @@
         status.put("met", succession.met());
         status.put("longestSwapUs", steward.longestSwapUs());
         status.put("latestCompileUs", steward.latestCompileUs());
-        Subscription stream = subscription.get();
+        ConfigSubscription stream = subscription.get();
         if (stream != null) {
             status.put("service", stream.service().toString());
             status.put("silentForS", (nowUs - stream.heardUs()) / 1_000_000);
