--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -3,7 +3,7 @@
 import gatelock.control.LastKnownGoodStore;
 import gatelock.control.ConfigUpdater;
 import gatelock.control.ConfigSubscription;
-import gatelock.control.Window;
+import gatelock.control.AdminServer;
 import gatelock.kept.Counters;
 import gatelock.plan.Admission;
 import gatelock.plan.Backoff;
@@ -49,7 +49,7 @@
     private final ConfigUpdater steward;
     private final LastKnownGoodStore keep;
     private final ConfigSubscription subscription;
-    private final Window window;
+    private final AdminServer window;
 
     Steering(Operator operator, Configuration told, Turn turn, Counters counters) {
         this.turn = turn;
@@ -71,7 +71,7 @@
             control.mostWaitUs(),
             new SplittableRandom(told.charter().seed() + 2)), told.name(), control.services(),
             control.holdMs());
-        window = new Window(turn, counters, steward, () -> subscription);
+        window = new AdminServer(turn, counters, steward, () -> subscription);
     }
 
     /**
--- a/src/main/java/gatelock/control/Window.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -39,7 +39,7 @@
  * the control
  * service lead again. Few connections at a time; nothing of it is on the way of reqs.
  */
-public final class Window {
+public final class AdminServer {
     private static final int MOST = 8;
     private static final int IDLE_MS = 10_000;
 
@@ -50,7 +50,7 @@
     private Supplier<Discovery.State> list;
     private AcceptingChannel<StreamConnection> listener;
 
-    public Window(Turn turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
+    public AdminServer(Turn turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
         this.turn = turn;
         this.counters = counters;
         this.steward = steward;
