--- a/src/main/java/gatelock/boot/Rehearsal.java
+++ b/src/main/java/gatelock/boot/Rehearsal.java
@@ -44,7 +44,7 @@
     private final HttpHandler clients;
     private final Consumer<Rehearsal> then;
     private final Counters counters = new Counters();
-    private final Chain chain;
+    private final RequestPipeline chain;
     private final Lines own;
     private final String mark;
     private int asked;
@@ -63,7 +63,7 @@
         this.turn = turn;
         this.front = front;
         this.then = then;
-        this.chain = new Chain(told, turn, counters, front, null, null, null);
+        this.chain = new RequestPipeline(told, turn, counters, front, null, null, null);
         this.own = new Lines(turn, new Counters(), 1_000_000, 1_000_000, 0, AT_ONCE);
         this.mark = "rehearsal-" + Long.toHexString(told.charter().seed()) + "-";
     }
--- a/src/main/java/gatelock/boot/Chain.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -26,7 +26,7 @@
 import java.util.SplittableRandom;
 
 /** The stages of a req put together around one set of decisions. */
-final class Chain {
+final class RequestPipeline {
     private static final long SESSIONS_LOOK_US = 50_000;
 
     final EndpointAddresses addresses = new EndpointAddresses();
@@ -51,7 +51,7 @@
      * @param sessions null: none are opened
      * @param membership what units are used of those that are listed; null: all
      */
-    Chain(Configuration told, Turn turn, Counters counters, Front front, Admission admission,
+    RequestPipeline(Configuration told, Turn turn, Counters counters, Front front, Admission admission,
         Sessions sessions, Operator.Membership membership) {
         this.told = told;
         this.membership = membership;
--- a/src/main/java/gatelock/boot/Service.java
+++ b/src/main/java/gatelock/boot/Service.java
@@ -53,7 +53,7 @@
     private final Operator operator;
     private Configuration told;
     private Front front;
-    private Chain chain;
+    private RequestPipeline chain;
     private Steering steering;
     private Sessions sessions;
     private long lookedUs = Long.MIN_VALUE / 2;
@@ -211,7 +211,7 @@
             : told.sockets() / 10;
         sessions = asked == null ? null : new Sessions(mostSessions, asked.opensPerUnit(), asked.drainUs(),
             new SplittableRandom(told.charter().seed() + 3));
-        chain = new Chain(told, turn, counters, front, steering == null ? null : steering.admission,
+        chain = new RequestPipeline(told, turn, counters, front, steering == null ? null : steering.admission,
             sessions, operator == null ? null : operator.membership());
         chain.start();
         if (steering != null) {
