--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -112,7 +112,7 @@
                     + "PROXY_CONFIG");
             }
             try {
-                return Configuration.read(deployment).grounds();
+                return RelayConfig.read(deployment).grounds();
             } catch (IOException e) {
                 throw new Unusable(e.getMessage());
             }
--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -50,7 +50,7 @@
         }
         Path path = Path.of(file);
         try {
-            Configuration told = Configuration.read(path);
+            RelayConfig told = RelayConfig.read(path);
             Operator operator = operatorsFile == null ? null : Operator.read(operatorsFile, told);
             Service.start(path, told, operatorsFile, operator, how, hangup);
             return true;
--- a/src/main/java/gatelock/boot/Operator.java
+++ b/src/main/java/gatelock/boot/Operator.java
@@ -58,7 +58,7 @@
      *
      * @param told the deployment that it is for
      */
-    static Operator read(Path file, Configuration told) throws IOException {
+    static Operator read(Path file, RelayConfig told) throws IOException {
         byte[] text;
         try {
             text = Files.readAllBytes(file);
@@ -78,7 +78,7 @@
         return read;
     }
 
-    private static Operator of(JsonNode root, Configuration told, List<Diagnostic> findings) {
+    private static Operator of(JsonNode root, RelayConfig told, List<Diagnostic> findings) {
         InetSocketAddress listener = root.has("listener") ? address(root.get("listener").asText(),
             "/listener", findings)
             : null;
@@ -99,7 +99,7 @@
             (long) (node.path("drainS").asDouble(20) * 1e6));
     }
 
-    private static Membership membership(JsonNode node, Configuration told, List<Diagnostic> findings) {
+    private static Membership membership(JsonNode node, RelayConfig told, List<Diagnostic> findings) {
         int most = node.get("most").asInt();
         int perService = node.get("perService").asInt();
         int elsewhere = node.path("leastElsewhere").asInt(Math.min(1, perService - 1));
--- a/src/main/java/gatelock/boot/Rehearsal.java
+++ b/src/main/java/gatelock/boot/Rehearsal.java
@@ -37,7 +37,7 @@
     private static final int UNITS = 20;
     private static final byte[] ANSWER = new byte[200];
 
-    private final Configuration told;
+    private final RelayConfig told;
     private final InetSocketAddress at;
     private final Turn turn;
     private final Front front;
@@ -55,7 +55,7 @@
      * @param at where this relay listens
      * @param clients takes the reqs that are not the rehearsal's own
      */
-    Rehearsal(Configuration told, InetSocketAddress at, Turn turn, Front front, HttpHandler clients,
+    Rehearsal(RelayConfig told, InetSocketAddress at, Turn turn, Front front, HttpHandler clients,
               Consumer<Rehearsal> then) {
         this.clients = clients;
         this.told = told;
--- a/src/main/java/gatelock/boot/Configuration.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -16,13 +16,13 @@
 import java.util.Map;
 
 /** What a relay is told when it starts, read from one JSON file. */
-record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery,
+record RelayConfig(String name, InetSocketAddress listen, InetSocketAddress discovery,
     InetSocketAddress desk,
                      int sockets, Json known, Json news, RelaySettings charter, long openWithinUs,
                      List<Long> deadlinesUs, Map<String, String> settings) {
 
     /** Reads it whole; whatever is missing or odd is told in one line. */
-    static Configuration read(Path file) throws IOException {
+    static RelayConfig read(Path file) throws IOException {
         try {
             return readAll(file);
         } catch (IOException | RuntimeException e) {
@@ -32,18 +32,18 @@
     }
 
     /** This one with the addresses of another, the only things that change while a relay runs. */
-    Configuration movedTo(Configuration to) {
-        return new Configuration(name, listen, to.discovery, to.desk, sockets, known, news, charter,
+    RelayConfig movedTo(RelayConfig to) {
+        return new RelayConfig(name, listen, to.discovery, to.desk, sockets, known, news, charter,
             openWithinUs, deadlinesUs, settings);
     }
 
     /** Whether another one says the same but for addresses, what is listed and told, and the seed. */
-    boolean sameTerms(Configuration other) {
+    boolean sameTerms(RelayConfig other) {
         return name.equals(other.name) && listen.equals(other.listen) && sockets == other.sockets
             && settings.equals(other.settings);
     }
 
-    private static Configuration readAll(Path file) throws IOException {
+    private static RelayConfig readAll(Path file) throws IOException {
         Json all = Json.read(Files.readAllBytes(file));
         Json deployer = all.object("deployer");
         Map<String, String> settings = new HashMap<>();
@@ -57,7 +57,7 @@
         // Where no time for a connection to come up is set, that of the longest req bounds it.
         long openUs = Terms.us(settings, "limits.dialTimeoutNs");
         long longestUs = deadlinesUs.stream().mapToLong(Long::longValue).max().orElseThrow();
-        return new Configuration(all.text("name"), all.address("listen"), all.address("discovery"),
+        return new RelayConfig(all.text("name"), all.address("listen"), all.address("discovery"),
             deployer.address("address"), all.object("limits").count("sockets"), all.object("known"),
             deployer.object("news"), charter, openUs > 0 ? openUs : longestUs,
             deadlinesUs, settings);
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -37,7 +37,7 @@
     final TakeIn takeIn;
     private final Admit admit;
     private final Turn turn;
-    private final Configuration told;
+    private final RelayConfig told;
     private final Counters counters;
     private final Admission admission;
     private final Sessions sessions;
@@ -51,7 +51,7 @@
      * @param sessions null: none are opened
      * @param membership what units are used of those that are listed; null: all
      */
-    RequestPipeline(Configuration told, Turn turn, Counters counters, Front front, Admission admission,
+    RequestPipeline(RelayConfig told, Turn turn, Counters counters, Front front, Admission admission,
         Sessions sessions, Operator.Membership membership) {
         this.told = told;
         this.membership = membership;
@@ -128,7 +128,7 @@
     }
 
     /** Follows discovery and the desk at other addresses from now on. */
-    void move(Configuration to) {
+    void move(RelayConfig to) {
         discovery.move(to.discovery());
         desk.move(to.desk());
     }
--- a/src/main/java/gatelock/boot/Service.java
+++ b/src/main/java/gatelock/boot/Service.java
@@ -51,7 +51,7 @@
     private final Counters counters = new Counters();
     private final Path operatorsFile;
     private final Operator operator;
-    private Configuration told;
+    private RelayConfig told;
     private Front front;
     private RequestPipeline chain;
     private Steering steering;
@@ -61,7 +61,7 @@
     /** With a rehearsal, without, or nothing but one on a free port. */
     enum Start { REHEARSED, COLD, REHEARSAL_ONLY }
 
-    private Service(Path file, Configuration told, Path operatorsFile, Operator operator, Start how,
+    private Service(Path file, RelayConfig told, Path operatorsFile, Operator operator, Start how,
         Turn turn) {
         this.file = file;
         this.operatorsFile = operatorsFile;
@@ -72,7 +72,7 @@
     }
 
     /** @param operator what the operator's own file says, or null: all that it could name is off */
-    static void start(Path file, Configuration told, Path operatorsFile, Operator operator, Start how,
+    static void start(Path file, RelayConfig told, Path operatorsFile, Operator operator, Start how,
                       Hangup hangup) throws IOException {
         if (operator != null && (operator.jsonLog() || operator.logLevel() != null)) {
             LogOut.through(operator.jsonLog(), operator.logLevel());
@@ -122,7 +122,7 @@
 
     private void readAnew() {
         try {
-            Configuration now = Configuration.read(file);
+            RelayConfig now = RelayConfig.read(file);
             Operator operatorNow = operator == null ? null : Operator.read(operatorsFile, now);
             turn.soon(() -> move("SIGHUP", now, operatorNow));
         } catch (IOException e) {
@@ -142,7 +142,7 @@
         lookedUs = turn.nowUs();
         turn.aside(() -> {
             try {
-                return Configuration.read(file);
+                return RelayConfig.read(file);
             } catch (IOException e) {
                 LOG.log(Level.DEBUG, "discovery fails, and so does the configuration: " + e.getMessage());
                 return null;
@@ -155,7 +155,7 @@
         });
     }
 
-    private void move(String why, Configuration now, Operator operatorNow) {
+    private void move(String why, RelayConfig now, Operator operatorNow) {
         LOG.log(Level.INFO, why + ", discovery at " + now.discovery() + ", release desk at " + now.desk()
             + (told.sameTerms(now) ? "" : "; name, listen, limits and settings stay until a restart"));
         told = told.movedTo(now);
--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -51,7 +51,7 @@
     private final ConfigSubscription subscription;
     private final AdminServer window;
 
-    Steering(Operator operator, Configuration told, Turn turn, Counters counters) {
+    Steering(Operator operator, RelayConfig told, Turn turn, Counters counters) {
         this.turn = turn;
         this.control = operator.control();
         this.listener = operator.listener();
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -114,8 +114,8 @@
         assertThat(Operator.read(Path.of("deploy/scope.json"), deployment()).membership().terms().most()).isEqualTo(1024);
     }
 
-    private static Configuration deployment() throws IOException {
-        return Configuration.read(Path.of("examples/relay.json"));
+    private static RelayConfig deployment() throws IOException {
+        return RelayConfig.read(Path.of("examples/relay.json"));
     }
 
     private String refusal(String text) throws IOException {
--- a/src/test/java/gatelock/boot/DemandsTest.java
+++ b/src/test/java/gatelock/boot/DemandsTest.java
@@ -14,11 +14,11 @@
     @TempDir
     private Path directory;
 
-    private Configuration read(String from, String to) throws IOException {
+    private RelayConfig read(String from, String to) throws IOException {
         String sound = Files.readString(Path.of("examples/relay.json"));
         String text = sound.replaceFirst(from, to);
         assertThat(from.isEmpty() || !text.equals(sound)).as(from).isTrue();
-        return Configuration.read(Files.writeString(directory.resolve("relay.json"), text));
+        return RelayConfig.read(Files.writeString(directory.resolve("relay.json"), text));
     }
 
     private void refused(String from, String to, String place, String... parts) {
