--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -48,7 +48,7 @@
         Json deployer = all.object("deployer");
         Map<String, String> settings = new HashMap<>();
         flatten("", all.object("settings").fields(), settings);
-        Demands.check(settings);
+        SettingsValidator.check(settings);
         RelaySettings charter = Terms.read(seed(all.text("seed")), settings);
         List<Long> deadlinesUs = new ArrayList<>();
         for (int i = 0; i < charter.routes().size(); i++) {
--- a/src/main/java/gatelock/boot/Demands.java
+++ b/src/main/java/gatelock/boot/SettingsValidator.java
@@ -10,20 +10,20 @@
  * deployment's settings that lack something or are spoilt: a default in its place would go unnoticed until it does
  * harm. Could harm where a deployment may leave something out: then it is not demanded here.
  */
-final class Demands {
+final class SettingsValidator {
     /** No time is longer; sums of them still fit. */
     private static final double MOST_NS = 1e15;
     private static final double MOST = 1e12;
 
     private final Map<String, String> settings;
 
-    private Demands(Map<String, String> settings) {
+    private SettingsValidator(Map<String, String> settings) {
         this.settings = settings;
     }
 
     /** Says the first thing that is wrong: its place, what is there, and what mends it. */
     static void check(Map<String, String> settings) throws IOException {
-        Demands all = new Demands(settings);
+        SettingsValidator all = new SettingsValidator(settings);
         int routes = all.count("lanes", "write an object for each class of reqs");
         if (routes == 0) {
             throw wrong("lanes", null, "a list with a class in it", "write an object for each class of reqs");
--- a/src/test/java/gatelock/boot/DemandsTest.java
+++ b/src/test/java/gatelock/boot/SettingsValidatorTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Settings of other deployments at the start: what is missing or odd is told, what may be left out is left out. */
-final class DemandsTest {
+final class SettingsValidatorTest {
     @TempDir
     private Path directory;
 
