--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -42,7 +42,7 @@
 
     /** Starts a relay; tells whether it runs, or why not. */
     static boolean serve(Service.Start how, Path operatorsFile) {
-        Hangup hangup = Hangup.taken();
+        SighupHandler hangup = SighupHandler.taken();
         String file = System.getenv("PROXY_CONFIG");
         if (file == null) {
             System.err.println("gatelock: PROXY_CONFIG names no configuration");
--- a/src/main/java/gatelock/boot/Service.java
+++ b/src/main/java/gatelock/boot/Service.java
@@ -73,7 +73,7 @@
 
     /** @param operator what the operator's own file says, or null: all that it could name is off */
     static void start(Path file, RelayConfig told, Path operatorsFile, Operator operator, Start how,
-                      Hangup hangup) throws IOException {
+                      SighupHandler hangup) throws IOException {
         if (operator != null && (operator.jsonLog() || operator.logLevel() != null)) {
             LogOut.through(operator.jsonLog(), operator.logLevel());
         }
--- a/src/main/java/gatelock/boot/Hangup.java
+++ b/src/main/java/gatelock/boot/SighupHandler.java
@@ -7,20 +7,20 @@
  * there is anything to read anew for is kept until there is. Nothing in the standard library takes signals, and the
  * JDK's own Signal can't be named without a warning of the compiler's that nothing turns off: hence by reflection.
  */
-final class Hangup {
+final class SighupHandler {
     private Runnable what;
     private boolean came;
 
-    private Hangup() {
+    private SighupHandler() {
     }
 
     /** From now on SIGHUP does not end the program. */
-    static Hangup taken() {
-        Hangup hangup = new Hangup();
+    static SighupHandler taken() {
+        SighupHandler hangup = new SighupHandler();
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object does = Proxy.newProxyInstance(Hangup.class.getClassLoader(), new Class<?>[] {handler},
+            Object does = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handler},
                 (proxy, method, args) -> {
                     hangup.came();
                     return null;
