--- a/src/main/java/gatelock/boot/LogOut.java
+++ b/src/main/java/gatelock/boot/LogbackHandler.java
@@ -24,10 +24,10 @@
  * seam; what
  * comes out of it at java.util.logging goes on from there, and named values of a line become its fields.
  */
-final class LogOut extends Handler {
+final class LogbackHandler extends Handler {
     private final LoggerContext context;
 
-    private LogOut(LoggerContext context) {
+    private LogbackHandler(LoggerContext context) {
         this.context = context;
     }
 
@@ -49,7 +49,7 @@
         for (Handler before : all.getHandlers()) {
             all.removeHandler(before);
         }
-        all.addHandler(new LogOut(context));
+        all.addHandler(new LogbackHandler(context));
         OURS.setLevel(least.toInt() <= Level.DEBUG_INT ? java.util.logging.Level.FINE
             : java.util.logging.Level.INFO);
     }
--- a/src/main/java/gatelock/boot/Service.java
+++ b/src/main/java/gatelock/boot/Service.java
@@ -75,7 +75,7 @@
     static void start(Path file, RelayConfig told, Path operatorsFile, Operator operator, Start how,
                       SighupHandler hangup) throws IOException {
         if (operator != null && (operator.jsonLog() || operator.logLevel() != null)) {
-            LogOut.through(operator.jsonLog(), operator.logLevel());
+            LogbackHandler.through(operator.jsonLog(), operator.logLevel());
         }
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.builder()
             .set(Options.WORKER_IO_THREADS, 1)
