--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -51,7 +51,7 @@
         Path path = Path.of(file);
         try {
             RelayConfig told = RelayConfig.read(path);
-            Operator operator = operatorsFile == null ? null : Operator.read(operatorsFile, told);
+            OperatorConfig operator = operatorsFile == null ? null : OperatorConfig.read(operatorsFile, told);
             Service.start(path, told, operatorsFile, operator, how, hangup);
             return true;
         } catch (IOException e) {
--- a/src/main/java/gatelock/boot/Operator.java
+++ b/src/main/java/gatelock/boot/OperatorConfig.java
@@ -20,7 +20,7 @@
  * The operator's own file: all that a relay does beyond what the platform tells it. Without one all of it is
  * off.
  */
-record Operator(Control control, Sessions sessions, Membership membership, InetSocketAddress listener,
+record OperatorConfig(Control control, Sessions sessions, Membership membership, InetSocketAddress listener,
     boolean jsonLog, String logLevel) {
 
     /**
@@ -58,7 +58,7 @@
      *
      * @param told the deployment that it is for
      */
-    static Operator read(Path file, RelayConfig told) throws IOException {
+    static OperatorConfig read(Path file, RelayConfig told) throws IOException {
         byte[] text;
         try {
             text = Files.readAllBytes(file);
@@ -70,7 +70,7 @@
         if (draft != null) {
             SchemaValidator.OPERATOR.check(draft, findings);
         }
-        Operator read = findings.isEmpty() ? of(draft.root(), told, findings) : null;
+        OperatorConfig read = findings.isEmpty() ? of(draft.root(), told, findings) : null;
         if (!findings.isEmpty()) {
             List<Diagnostic> placed = draft == null ? findings : draft.placed(findings);
             throw new IOException(placed.stream().map(f -> file + ":" + f).collect(Collectors.joining("\n")));
@@ -78,7 +78,7 @@
         return read;
     }
 
-    private static Operator of(JsonNode root, RelayConfig told, List<Diagnostic> findings) {
+    private static OperatorConfig of(JsonNode root, RelayConfig told, List<Diagnostic> findings) {
         InetSocketAddress listener = root.has("listener") ? address(root.get("listener").asText(),
             "/listener", findings)
             : null;
@@ -88,7 +88,7 @@
                 + "back to earlier versions, so it must be on loopback", "name an address in 127.0.0.0/8"));
         }
         JsonNode log = root.path("log");
-        return new Operator(root.has("control") ? control(root.get("control"), findings) : null,
+        return new OperatorConfig(root.has("control") ? control(root.get("control"), findings) : null,
             root.has("sessions") ? sessions(root.get("sessions")) : null,
             root.has("membership") ? membership(root.get("membership"), told, findings) : null, listener,
             log.path("form").asText("plain").equals("json"), log.path("level").asText(null));
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -41,7 +41,7 @@
     private final Counters counters;
     private final Admission admission;
     private final Sessions sessions;
-    private final Operator.Membership membership;
+    private final OperatorConfig.Membership membership;
     private final SendOff sendOff;
     private Desk desk;
     private Discovery discovery;
@@ -52,7 +52,7 @@
      * @param membership what units are used of those that are listed; null: all
      */
     RequestPipeline(RelayConfig told, Turn turn, Counters counters, Front front, Admission admission,
-        Sessions sessions, Operator.Membership membership) {
+        Sessions sessions, OperatorConfig.Membership membership) {
         this.told = told;
         this.membership = membership;
         this.admission = admission;
--- a/src/main/java/gatelock/boot/Service.java
+++ b/src/main/java/gatelock/boot/Service.java
@@ -50,7 +50,7 @@
     private final Turn turn;
     private final Counters counters = new Counters();
     private final Path operatorsFile;
-    private final Operator operator;
+    private final OperatorConfig operator;
     private RelayConfig told;
     private Front front;
     private RequestPipeline chain;
@@ -61,7 +61,7 @@
     /** With a rehearsal, without, or nothing but one on a free port. */
     enum Start { REHEARSED, COLD, REHEARSAL_ONLY }
 
-    private Service(Path file, RelayConfig told, Path operatorsFile, Operator operator, Start how,
+    private Service(Path file, RelayConfig told, Path operatorsFile, OperatorConfig operator, Start how,
         Turn turn) {
         this.file = file;
         this.operatorsFile = operatorsFile;
@@ -72,7 +72,7 @@
     }
 
     /** @param operator what the operator's own file says, or null: all that it could name is off */
-    static void start(Path file, RelayConfig told, Path operatorsFile, Operator operator, Start how,
+    static void start(Path file, RelayConfig told, Path operatorsFile, OperatorConfig operator, Start how,
                       SighupHandler hangup) throws IOException {
         if (operator != null && (operator.jsonLog() || operator.logLevel() != null)) {
             LogbackHandler.through(operator.jsonLog(), operator.logLevel());
@@ -123,7 +123,7 @@
     private void readAnew() {
         try {
             RelayConfig now = RelayConfig.read(file);
-            Operator operatorNow = operator == null ? null : Operator.read(operatorsFile, now);
+            OperatorConfig operatorNow = operator == null ? null : OperatorConfig.read(operatorsFile, now);
             turn.soon(() -> move("SIGHUP", now, operatorNow));
         } catch (IOException e) {
             LOG.log(Level.WARNING, "SIGHUP, what was in force stays: " + e.getMessage());
@@ -155,7 +155,7 @@
         });
     }
 
-    private void move(String why, RelayConfig now, Operator operatorNow) {
+    private void move(String why, RelayConfig now, OperatorConfig operatorNow) {
         LOG.log(Level.INFO, why + ", discovery at " + now.discovery() + ", release desk at " + now.desk()
             + (told.sameTerms(now) ? "" : "; name, listen, limits and settings stay until a restart"));
         told = told.movedTo(now);
@@ -206,7 +206,7 @@
     private void prepare() throws IOException {
         steering = operator == null || operator.control() == null ? null
             : new Steering(operator, told, turn, counters);
-        Operator.Sessions asked = operator == null || steering == null ? null : operator.sessions();
+        OperatorConfig.Sessions asked = operator == null || steering == null ? null : operator.sessions();
         int mostSessions = asked == null ? 0 : asked.most() > 0 ? Math.min(asked.most(), told.sockets() / 5)
             : told.sockets() / 10;
         sessions = asked == null ? null : new Sessions(mostSessions, asked.opensPerUnit(), asked.drainUs(),
--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/Steering.java
@@ -43,7 +43,7 @@
     private static final long IDLE_US = 30_000_000;
 
     final Admission admission;
-    private final Operator.Control control;
+    private final OperatorConfig.Control control;
     private final InetSocketAddress listener;
     private final Turn turn;
     private final ConfigUpdater steward;
@@ -51,7 +51,7 @@
     private final ConfigSubscription subscription;
     private final AdminServer window;
 
-    Steering(Operator operator, RelayConfig told, Turn turn, Counters counters) {
+    Steering(OperatorConfig operator, RelayConfig told, Turn turn, Counters counters) {
         this.turn = turn;
         this.control = operator.control();
         this.listener = operator.listener();
@@ -124,7 +124,7 @@
     }
 
     /** Follows the control services that the operator's file names now. */
-    void move(Operator to) {
+    void move(OperatorConfig to) {
         if (to.control() != null) {
             subscription.move(to.control().services());
         }
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -108,10 +108,10 @@
                 {"{\"lisener\": \"127.0.0.1:80\"}", "S-ADDITIONALPROPERTIES"}, {"{", "G-JSON"}}) {
             assertThat(refusal(odd[0])).as(odd[0]).contains(odd[1]);
         }
-        Operator read = Operator.read(Path.of("deploy/operator.json"), deployment());
+        OperatorConfig read = OperatorConfig.read(Path.of("deploy/operator.json"), deployment());
         assertThat(read.control()).isNotNull();
         assertThat(read.membership()).as("off where none is named").isNull();
-        assertThat(Operator.read(Path.of("deploy/scope.json"), deployment()).membership().terms().most()).isEqualTo(1024);
+        assertThat(OperatorConfig.read(Path.of("deploy/scope.json"), deployment()).membership().terms().most()).isEqualTo(1024);
     }
 
     private static RelayConfig deployment() throws IOException {
@@ -120,7 +120,7 @@
 
     private String refusal(String text) throws IOException {
         Path file = Path.of(file("operator.json", text));
-        Throwable wrong = catchThrowable(() -> Operator.read(file, deployment()));
+        Throwable wrong = catchThrowable(() -> OperatorConfig.read(file, deployment()));
         assertThat(wrong).as(text).isInstanceOf(IOException.class).hasMessageContaining(file + ":");
         return wrong.getMessage();
     }
@@ -154,12 +154,12 @@
 
     @Test
     void aScopeThatIsSoundIsReadAndWhatIsLeftOutHasItsDefault() throws IOException {
-        Operator.Membership read = Operator.read(Path.of(file("operator.json", membership(""))), deployment()).membership();
+        OperatorConfig.Membership read = OperatorConfig.read(Path.of(file("operator.json", membership(""))), deployment()).membership();
         assertThat(read.terms()).isEqualTo(new EndpointSubset.Terms(deployment().charter().seed(), -1, 40, 4, 1, 1,
             10_000_000));
         assertThat(read.mostListBytes()).isEqualTo(64 << 20);
         assertThat(read.service()).isSameAs(ServiceName.ONE);
-        Operator.Membership all = Operator.read(Path.of(file("operator.json", "{\"membership\": {\"most\": 1024, "
+        OperatorConfig.Membership all = OperatorConfig.read(Path.of(file("operator.json", "{\"membership\": {\"most\": 1024, "
             + "\"perService\": 1, \"zone\": \"east\", \"number\": 17, \"leastHolders\": 0, \"settleS\": 0.5, \"mostListBytes\": 2097152, "
             + "\"service\": {\"separator\": \"-\"}}}")), deployment()).membership();
         assertThat(all.terms()).isEqualTo(new EndpointSubset.Terms(17, 0, 1024, 1, 0, 0, 500_000));
