--- a/src/main/java/gatelock/boot/Service.java
+++ b/src/main/java/gatelock/boot/Service.java
@@ -185,7 +185,7 @@
                     InetSocketAddress at = front.listen(told.listen());
                     // The list and the news are asked for at once, and known when the rehearsal ends.
                     prepare();
-                    new Rehearsal(told, at, turn, front, chain.takeIn, rehearsal -> {
+                    new StartupWarmUp(told, at, turn, front, chain.takeIn, rehearsal -> {
                         front.admit(rehearsal.before(chain.takeIn), false);
                         chain.whenListed(LIST_SILENT_US, () -> serve(rehearsal::before));
                     }).begin();
@@ -193,7 +193,7 @@
                 case REHEARSAL_ONLY -> {
                     InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
                     InetSocketAddress at = front.listen(free);
-                    new Rehearsal(told, at, turn, front, stranger -> stranger.setStatusCode(503),
+                    new StartupWarmUp(told, at, turn, front, stranger -> stranger.setStatusCode(503),
                         rehearsal -> new Thread(() -> System.exit(0)).start()).begin();
                 }
             }
--- a/src/main/java/gatelock/boot/Rehearsal.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -28,7 +28,7 @@
  * are thrown away, takes reqs from this very process and sends them to it as to units. Guards against a cold
  * virtual machine that meets a whole relay's load in its first second, falls behind and stays there.
  */
-final class Rehearsal {
+final class StartupWarmUp {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
     private static final long LONGEST_US = 350_000;
     private static final long ONE_US = 500_000;
@@ -42,7 +42,7 @@
     private final Turn turn;
     private final Front front;
     private final HttpHandler clients;
-    private final Consumer<Rehearsal> then;
+    private final Consumer<StartupWarmUp> then;
     private final Counters counters = new Counters();
     private final RequestPipeline chain;
     private final Lines own;
@@ -55,8 +55,8 @@
      * @param at where this relay listens
      * @param clients takes the reqs that are not the rehearsal's own
      */
-    Rehearsal(RelayConfig told, InetSocketAddress at, Turn turn, Front front, HttpHandler clients,
-              Consumer<Rehearsal> then) {
+    StartupWarmUp(RelayConfig told, InetSocketAddress at, Turn turn, Front front, HttpHandler clients,
+              Consumer<StartupWarmUp> then) {
         this.clients = clients;
         this.told = told;
         this.at = at;
@@ -151,13 +151,13 @@
             new Line.User() {
                 @Override
                 public boolean answered(UpstreamResponse answer) {
-                    turn.soon(Rehearsal.this::ask);
+                    turn.soon(StartupWarmUp.this::ask);
                     return true;
                 }
 
                 @Override
                 public void broken(boolean written) {
-                    turn.in(1_000, Rehearsal.this::ask);
+                    turn.in(1_000, StartupWarmUp.this::ask);
                 }
 
                 @Override
