--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -160,7 +160,7 @@
             if (word != null && !word.equals("cold")) {
                 throw new Unusable("serve knows no " + word);
             }
-            return Main.serve(cold || word != null ? Service.Start.COLD : Service.Start.REHEARSED, operator)
+            return Main.serve(cold || word != null ? RelayService.Start.COLD : RelayService.Start.REHEARSED, operator)
                 ? -1 : UNUSABLE;
         }
     }
@@ -171,7 +171,7 @@
     static final class Rehearse extends Saying {
         @Override
         public Integer call() {
-            return Main.serve(Service.Start.REHEARSAL_ONLY, null) ? -1 : UNUSABLE;
+            return Main.serve(RelayService.Start.REHEARSAL_ONLY, null) ? -1 : UNUSABLE;
         }
     }
 
--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -31,9 +31,9 @@
         // Else the libraries would start the logging library at every start, whether it is asked for or not.
         System.setProperty("org.jboss.logging.provider", "jdk");
         switch (String.join(" ", args)) {
-            case "serve" -> end(serve(Service.Start.REHEARSED, null) ? -1 : Commands.UNUSABLE);
-            case "serve cold" -> end(serve(Service.Start.COLD, null) ? -1 : Commands.UNUSABLE);
-            case "rehearse" -> end(serve(Service.Start.REHEARSAL_ONLY, null) ? -1 : Commands.UNUSABLE);
+            case "serve" -> end(serve(RelayService.Start.REHEARSED, null) ? -1 : Commands.UNUSABLE);
+            case "serve cold" -> end(serve(RelayService.Start.COLD, null) ? -1 : Commands.UNUSABLE);
+            case "rehearse" -> end(serve(RelayService.Start.REHEARSAL_ONLY, null) ? -1 : Commands.UNUSABLE);
             case "wirehost" -> Wirehost.main(args);
             default -> end(Commands.run(new PrintWriter(System.out, true), new PrintWriter(System.err, true),
                 args));
@@ -41,7 +41,7 @@
     }
 
     /** Starts a relay; tells whether it runs, or why not. */
-    static boolean serve(Service.Start how, Path operatorsFile) {
+    static boolean serve(RelayService.Start how, Path operatorsFile) {
         SighupHandler hangup = SighupHandler.taken();
         String file = System.getenv("PROXY_CONFIG");
         if (file == null) {
@@ -52,7 +52,7 @@
         try {
             RelayConfig told = RelayConfig.read(path);
             OperatorConfig operator = operatorsFile == null ? null : OperatorConfig.read(operatorsFile, told);
-            Service.start(path, told, operatorsFile, operator, how, hangup);
+            RelayService.start(path, told, operatorsFile, operator, how, hangup);
             return true;
         } catch (IOException e) {
             System.err.println("gatelock: " + e.getMessage());
--- a/src/main/java/gatelock/boot/Service.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -23,7 +23,7 @@
 import java.util.function.UnaryOperator;
 
 /** One running relay: puts the parts together on one I/O thread, starts them, and takes leave on SIGTERM. */
-final class Service {
+final class RelayService {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
     /**
      * After SIGTERM the platform leaves a relay alive for its longest deadline, or this where that is longer,
@@ -61,7 +61,7 @@
     /** With a rehearsal, without, or nothing but one on a free port. */
     enum Start { REHEARSED, COLD, REHEARSAL_ONLY }
 
-    private Service(Path file, RelayConfig told, Path operatorsFile, OperatorConfig operator, Start how,
+    private RelayService(Path file, RelayConfig told, Path operatorsFile, OperatorConfig operator, Start how,
         Turn turn) {
         this.file = file;
         this.operatorsFile = operatorsFile;
@@ -81,7 +81,7 @@
             .set(Options.WORKER_IO_THREADS, 1)
             .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
             .set(Options.STACK_SIZE, STACK_BYTES).set(Options.WORKER_NAME, "gatelock").getMap());
-        Service service = new Service(file, told, operatorsFile, operator, how,
+        RelayService service = new RelayService(file, told, operatorsFile, operator, how,
             new Turn(worker.getIoThread()));
         // Before it can be told to leave, as whoever leaves must have begun.
         service.turn.soon(service::run);
