--- a/src/main/java/gatelock/boot/Steering.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -25,7 +25,7 @@
  * Versioned configuration put together as the operator's file asks for it: stream, versions on disk,
  * listener.
  */
-final class Steering {
+final class ControlPlane {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
     /** A relay that has no version yet waits so long for its first one before it says that it is ready. */
     private static final long FIRST_WITHIN_US = 2_000_000;
@@ -51,7 +51,7 @@
     private final ConfigSubscription subscription;
     private final AdminServer window;
 
-    Steering(OperatorConfig operator, RelayConfig told, Turn turn, Counters counters) {
+    ControlPlane(OperatorConfig operator, RelayConfig told, Turn turn, Counters counters) {
         this.turn = turn;
         this.control = operator.control();
         this.listener = operator.listener();
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -54,7 +54,7 @@
     private RelayConfig told;
     private Front front;
     private RequestPipeline chain;
-    private Steering steering;
+    private ControlPlane steering;
     private Sessions sessions;
     private long lookedUs = Long.MIN_VALUE / 2;
 
@@ -205,7 +205,7 @@
     /** Puts the real chain together and begins to follow discovery and the desk. */
     private void prepare() throws IOException {
         steering = operator == null || operator.control() == null ? null
-            : new Steering(operator, told, turn, counters);
+            : new ControlPlane(operator, told, turn, counters);
         OperatorConfig.Sessions asked = operator == null || steering == null ? null : operator.sessions();
         int mostSessions = asked == null ? 0 : asked.most() > 0 ? Math.min(asked.most(), told.sockets() / 5)
             : told.sockets() / 10;
