--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -93,7 +93,7 @@
         }
         orders.bind(desk, discovery);
         gate.start(turn.nowUs());
-        DecisionEngine hears = sessions == null ? gate : new Told(gate, sessions);
+        DecisionEngine hears = sessions == null ? gate : new SessionAwareEngine(gate, sessions);
         discovery.start(hears, admission, told.known());
         desk.start(hears, told.news());
         if (sessions != null) {
--- a/src/main/java/gatelock/boot/Told.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** The decisions, with all that is told of units and builds told to the sessions too. */
-record Told(DecisionEngine gate, Sessions sessions) implements DecisionEngine {
+record SessionAwareEngine(DecisionEngine gate, Sessions sessions) implements DecisionEngine {
 
     @Override
     public void start(long nowUs) {
