--- a/src/main/java/gatelock/bench/Wirehost.java
+++ b/src/main/java/gatelock/bench/SimulatorHost.java
@@ -21,7 +21,7 @@
 import java.util.Map;
 
 /** Hosts many relays on the simulator's lines: standard input to standard output, a reply for each batch. */
-public final class Wirehost {
+public final class SimulatorHost {
 
     private static final Map<String, AttemptResult> ENDINGS = Map.of("done", AttemptResult.COMPLETED, "err", AttemptResult.ERRORED,
             "busy", AttemptResult.TURNED_AWAY, "etimedout", AttemptResult.TIMED_OUT, "econnrefused", AttemptResult.NOT_CONNECTED,
@@ -116,7 +116,7 @@
         }
     }
 
-    private Wirehost(InputStream in, OutputStream out) {
+    private SimulatorHost(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
         for (int i = 0; i < 16; i++) {
@@ -126,7 +126,7 @@
 
     /** Runs until the input ends; malformed input ends the process with a message and status 2. */
     public static void main(String[] args) throws IOException {
-        Wirehost host = new Wirehost(System.in, System.out);
+        SimulatorHost host = new SimulatorHost(System.in, System.out);
         try {
             host.run();
         } catch (MalformedLine e) {
--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.bench.Wirehost;
+import gatelock.bench.SimulatorHost;
 import gatelock.plan.RequestAttributes;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.ConfigDiff;
@@ -180,7 +180,7 @@
     static final class Wire extends Saying {
         @Override
         public Integer call() throws IOException {
-            Wirehost.main(new String[0]);
+            SimulatorHost.main(new String[0]);
             return GOOD;
         }
     }
--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.bench.Wirehost;
+import gatelock.bench.SimulatorHost;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -34,7 +34,7 @@
             case "serve" -> end(serve(RelayService.Start.REHEARSED, null) ? -1 : Commands.UNUSABLE);
             case "serve cold" -> end(serve(RelayService.Start.COLD, null) ? -1 : Commands.UNUSABLE);
             case "rehearse" -> end(serve(RelayService.Start.REHEARSAL_ONLY, null) ? -1 : Commands.UNUSABLE);
-            case "wirehost" -> Wirehost.main(args);
+            case "wirehost" -> SimulatorHost.main(args);
             default -> end(Commands.run(new PrintWriter(System.out, true), new PrintWriter(System.err, true),
                 args));
         }
