--- a/src/main/java/gatelock/bench/Fields.java
+++ b/src/main/java/gatelock/bench/FieldReader.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /** The fields of one line, read in order. */
-final class Fields {
+final class FieldReader {
     private final String line;
     private final String name;
     private int at;
 
-    Fields(String line) {
+    FieldReader(String line) {
         this.line = line;
         this.name = field();
     }
--- a/src/main/java/gatelock/bench/SimulatorHost.java
+++ b/src/main/java/gatelock/bench/SimulatorHost.java
@@ -141,7 +141,7 @@
 
     private void run() throws IOException {
         for (String line = next(); line != null; line = next()) {
-            Fields mark = new Fields(line);
+            FieldReader mark = new FieldReader(line);
             if (!mark.name().equals("MARK")) {
                 throw new MalformedLine("expected MARK, found " + mark.name());
             }
@@ -166,7 +166,7 @@
             if (line == null) {
                 throw new MalformedLine("expected EOB, found the end of the input");
             }
-            Fields f = new Fields(line);
+            FieldReader f = new FieldReader(line);
             switch (f.name()) {
                 case "EOB" -> {
                     return;
@@ -183,7 +183,7 @@
         }
     }
 
-    private void manifest(Fields f) throws IOException {
+    private void manifest(FieldReader f) throws IOException {
         int number = (int) f.number("list");
         int count = (int) f.number("elements");
         if (number < 0 || number >= lists.size() || count < 0) {
@@ -192,7 +192,7 @@
         List<Endpoint> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             String line = next();
-            Fields m = new Fields(line == null ? "" : line);
+            FieldReader m = new FieldReader(line == null ? "" : line);
             if (!m.name().equals("M")) {
                 throw new MalformedLine("expected M, found " + m.name());
             }
@@ -208,7 +208,7 @@
         lists.set(number, entries);
     }
 
-    private void event(Relay relay, Fields f) {
+    private void event(Relay relay, FieldReader f) {
         if (f.name().equals("POWER_ON")) {
             long seed = f.number("entropy");
             relay.held.clear();
@@ -271,7 +271,7 @@
         }
     }
 
-    private void inbound(Relay relay, Fields f) {
+    private void inbound(Relay relay, FieldReader f) {
         String id = f.text("msgId");
         int route = (int) f.number("service");
         int tenant = (int) f.numberOr(0);
@@ -284,7 +284,7 @@
         relay.forgetIfSettled(id, relay.held.get(id));
     }
 
-    private void reportBack(Relay relay, Fields f) {
+    private void reportBack(Relay relay, FieldReader f) {
         String id = f.text("msgId");
         int tryNo = (int) f.number("hop");
         f.text("unit");
