--- a/src/main/java/gatelock/bench/Terms.java
+++ b/src/main/java/gatelock/bench/SettingsDecoder.java
@@ -13,12 +13,12 @@
  * Decodes what an instance is told at its start, whatever carried it; times become microseconds, rounded to
  * the safe side.
  */
-public final class Terms {
+public final class SettingsDecoder {
     /** How long a connection is kept where nothing says when a unit closes it. */
     private static final long FOR_GOOD_US = Long.MAX_VALUE / 4;
     private final Map<String, String> pairs;
 
-    private Terms(Map<String, String> pairs) {
+    private SettingsDecoder(Map<String, String> pairs) {
         this.pairs = pairs;
     }
 
@@ -39,7 +39,7 @@
 
     /** Reads path=value pairs; {@link MalformedLine} where one is not of its kind. */
     public static RelaySettings read(long seed, Map<String, String> pairs) {
-        Terms t = new Terms(pairs);
+        SettingsDecoder t = new SettingsDecoder(pairs);
         List<RoutePolicy> routes = new ArrayList<>();
         for (int i = 0; i < t.whole("lanes.count", 0); i++) {
             String p = "lanes." + i + ".";
@@ -76,7 +76,7 @@
 
     /** One time, in microseconds; 0 where it is absent. */
     public static long us(Map<String, String> pairs, String path) {
-        return new Terms(pairs).us(path);
+        return new SettingsDecoder(pairs).us(path);
     }
 
     private long us(String path) {
--- a/src/main/java/gatelock/bench/SimulatorHost.java
+++ b/src/main/java/gatelock/bench/SimulatorHost.java
@@ -212,7 +212,7 @@
         if (f.name().equals("POWER_ON")) {
             long seed = f.number("entropy");
             relay.held.clear();
-            relay.gate = new ReleaseGate(Terms.read(seed, Terms.pairs(f.rest())), relay);
+            relay.gate = new ReleaseGate(SettingsDecoder.read(seed, SettingsDecoder.pairs(f.rest())), relay);
             relay.gate.start(nowUs);
             return;
         }
@@ -276,11 +276,11 @@
         int route = (int) f.number("service");
         int tenant = (int) f.numberOr(0);
         long key = f.numberOr(DecisionEngine.NO_KEY);
-        long leftUs = Terms.atLeastOne(f.number("expiresInNs"));
+        long leftUs = SettingsDecoder.atLeastOne(f.number("expiresInNs"));
         long costNs = f.numberOr(0);
         boolean costHolds = (f.numberOr(0) & 1) != 0;
         relay.held.put(id, relay.gate.take(nowUs, id, route, tenant, key, leftUs,
-            costHolds ? Terms.atLeastOne(costNs) : 0));
+            costHolds ? SettingsDecoder.atLeastOne(costNs) : 0));
         relay.forgetIfSettled(id, relay.held.get(id));
     }
 
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.bench.Terms;
+import gatelock.bench.SettingsDecoder;
 import gatelock.plan.DeploymentContext;
 import gatelock.relay.RelaySettings;
 import gatelock.wire.Json;
@@ -49,13 +49,13 @@
         Map<String, String> settings = new HashMap<>();
         flatten("", all.object("settings").fields(), settings);
         SettingsValidator.check(settings);
-        RelaySettings charter = Terms.read(seed(all.text("seed")), settings);
+        RelaySettings charter = SettingsDecoder.read(seed(all.text("seed")), settings);
         List<Long> deadlinesUs = new ArrayList<>();
         for (int i = 0; i < charter.routes().size(); i++) {
-            deadlinesUs.add(Terms.us(settings, "lanes." + i + ".deadlineNs"));
+            deadlinesUs.add(SettingsDecoder.us(settings, "lanes." + i + ".deadlineNs"));
         }
         // Where no time for a connection to come up is set, that of the longest req bounds it.
-        long openUs = Terms.us(settings, "limits.dialTimeoutNs");
+        long openUs = SettingsDecoder.us(settings, "limits.dialTimeoutNs");
         long longestUs = deadlinesUs.stream().mapToLong(Long::longValue).max().orElseThrow();
         return new RelayConfig(all.text("name"), all.address("listen"), all.address("discovery"),
             deployer.address("address"), all.object("limits").count("sockets"), all.object("known"),
