--- a/src/main/java/gatelock/bench/FieldReader.java
+++ b/src/main/java/gatelock/bench/FieldReader.java
@@ -32,7 +32,7 @@
     String text(String what) {
         String part = field();
         if (part.isEmpty() || part.equals("-")) {
-            throw new MalformedLine("expected " + what + " in " + name);
+            throw new MalformedLineException("expected " + what + " in " + name);
         }
         return part;
     }
@@ -65,7 +65,7 @@
 
     private int below(int codes, long value, String what) {
         if (value < 0 || value >= codes) {
-            throw new MalformedLine("expected " + what + " below " + codes + " in " + name + ", found "
+            throw new MalformedLineException("expected " + what + " below " + codes + " in " + name + ", found "
                 + value);
         }
         return (int) value;
@@ -75,7 +75,7 @@
         String part = text(what);
         T value = words.get(part);
         if (value == null) {
-            throw new MalformedLine("expected " + what + " in " + name + ", found " + part);
+            throw new MalformedLineException("expected " + what + " in " + name + ", found " + part);
         }
         return value;
     }
@@ -89,7 +89,7 @@
         for (String pair : part.split(",")) {
             int colon = pair.indexOf(':');
             if (colon < 0) {
-                throw new MalformedLine("expected name:value in " + name + ", found " + pair);
+                throw new MalformedLineException("expected name:value in " + name + ", found " + pair);
             }
             double value = real(pair.substring(colon + 1));
             if (pair.substring(0, colon).equals("waiting")) {
@@ -103,7 +103,7 @@
         try {
             return Long.parseLong(part);
         } catch (NumberFormatException e) {
-            throw new MalformedLine("expected " + what + " in " + name + ", found " + part);
+            throw new MalformedLineException("expected " + what + " in " + name + ", found " + part);
         }
     }
 
@@ -111,7 +111,7 @@
         try {
             return Double.parseDouble(part);
         } catch (NumberFormatException e) {
-            throw new MalformedLine("expected a number in " + name + ", found " + part);
+            throw new MalformedLineException("expected a number in " + name + ", found " + part);
         }
     }
 }
--- a/src/main/java/gatelock/bench/MalformedLine.java
+++ b/src/main/java/gatelock/bench/MalformedLineException.java
@@ -1,10 +1,10 @@
 package gatelock.bench;
 
 /** Input that does not read as the wire; the message says what was expected. */
-public final class MalformedLine extends RuntimeException {
+public final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedLine(String message) {
+    MalformedLineException(String message) {
         super(message);
     }
 }
--- a/src/main/java/gatelock/bench/SettingsDecoder.java
+++ b/src/main/java/gatelock/bench/SettingsDecoder.java
@@ -37,7 +37,7 @@
         return ns > 0 ? Math.max(1, ns / 1000) : 0;
     }
 
-    /** Reads path=value pairs; {@link MalformedLine} where one is not of its kind. */
+    /** Reads path=value pairs; {@link MalformedLineException} where one is not of its kind. */
     public static RelaySettings read(long seed, Map<String, String> pairs) {
         SettingsDecoder t = new SettingsDecoder(pairs);
         List<RoutePolicy> routes = new ArrayList<>();
@@ -95,7 +95,7 @@
         }
         T found = words.get(value);
         if (found == null) {
-            throw new MalformedLine("expected a known value for " + path + ", found " + value);
+            throw new MalformedLineException("expected a known value for " + path + ", found " + value);
         }
         return found;
     }
@@ -126,7 +126,7 @@
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new MalformedLine("expected a number for " + path + ", found " + value);
+            throw new MalformedLineException("expected a number for " + path + ", found " + value);
         }
     }
 }
--- a/src/main/java/gatelock/bench/SimulatorHost.java
+++ b/src/main/java/gatelock/bench/SimulatorHost.java
@@ -129,7 +129,7 @@
         SimulatorHost host = new SimulatorHost(System.in, System.out);
         try {
             host.run();
-        } catch (MalformedLine e) {
+        } catch (MalformedLineException e) {
             System.err.println("gatelock: line " + host.lineNo + ": " + e.getMessage());
             System.exit(2);
         } catch (IndexOutOfBoundsException e) {
@@ -143,7 +143,7 @@
         for (String line = next(); line != null; line = next()) {
             FieldReader mark = new FieldReader(line);
             if (!mark.name().equals("MARK")) {
-                throw new MalformedLine("expected MARK, found " + mark.name());
+                throw new MalformedLineException("expected MARK, found " + mark.name());
             }
             nowUs = mark.number("clock") / 1000;
             writingFor = -1;
@@ -164,7 +164,7 @@
         Relay relay = null;
         for (String line = next(); ; line = next()) {
             if (line == null) {
-                throw new MalformedLine("expected EOB, found the end of the input");
+                throw new MalformedLineException("expected EOB, found the end of the input");
             }
             FieldReader f = new FieldReader(line);
             switch (f.name()) {
@@ -175,7 +175,7 @@
                 case "MANIFEST" -> manifest(f);
                 default -> {
                     if (relay == null) {
-                        throw new MalformedLine("expected CONTEXT before " + f.name());
+                        throw new MalformedLineException("expected CONTEXT before " + f.name());
                     }
                     event(relay, f);
                 }
@@ -187,14 +187,14 @@
         int number = (int) f.number("list");
         int count = (int) f.number("elements");
         if (number < 0 || number >= lists.size() || count < 0) {
-            throw new MalformedLine("expected a list number from 0 to 15 and a count");
+            throw new MalformedLineException("expected a list number from 0 to 15 and a count");
         }
         List<Endpoint> entries = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             String line = next();
             FieldReader m = new FieldReader(line == null ? "" : line);
             if (!m.name().equals("M")) {
-                throw new MalformedLine("expected M, found " + m.name());
+                throw new MalformedLineException("expected M, found " + m.name());
             }
             int build = (int) m.number("ver");
             String unit = m.text("unit");
@@ -222,7 +222,7 @@
             return;
         }
         if (relay.gate == null) {
-            throw new MalformedLine(f.name() + " for an instance that has not started");
+            throw new MalformedLineException(f.name() + " for an instance that has not started");
         }
         switch (f.name()) {
             case "INBOUND" -> inbound(relay, f);
@@ -267,7 +267,7 @@
                 relay.gate.counted(nowUs, build, (int) f.number("service"), count, failed, meanUs, agoUs);
             }
             case "MAIL", "CHECKED" -> { }
-            default -> throw new MalformedLine("expected an event, found " + f.name());
+            default -> throw new MalformedLineException("expected an event, found " + f.name());
         }
     }
 
