--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -8,7 +8,7 @@
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
-import gatelock.wire.Admit;
+import gatelock.wire.RequestAdmitter;
 import gatelock.wire.Book;
 import gatelock.wire.Desk;
 import gatelock.wire.Discovery;
@@ -35,7 +35,7 @@
     final Orders orders;
     final DecisionEngine gate;
     final TakeIn takeIn;
-    private final Admit admit;
+    private final RequestAdmitter admit;
     private final Turn turn;
     private final RelayConfig told;
     private final Counters counters;
@@ -70,7 +70,7 @@
         orders = new Orders(turn, open);
         gate = new ReleaseGate(told.charter(), orders);
         orders.bind(gate, routeOut, relayBack, book);
-        admit = new Admit(turn, open, counters, book, relayBack, gate, admission,
+        admit = new RequestAdmitter(turn, open, counters, book, relayBack, gate, admission,
             told.charter().pausesHeard() ? told.charter().longestPauseUs() : 0);
         takeIn = new TakeIn(counters, new TakeIn.Names(told.numbered("lanes"), told.numbered("orgs"),
             told.charter().routes(), told.deadlinesUs()), turn, admit, front, admission);
--- a/src/main/java/gatelock/wire/Admit.java
+++ b/src/main/java/gatelock/wire/RequestAdmitter.java
@@ -14,7 +14,7 @@
  * decisions. It is
  * owed an answer from then on.
  */
-public final class Admit {
+public final class RequestAdmitter {
     /** While somebody waits, limits are looked at so often at the least. */
     private static final long LOOK_US = 10_000;
 
@@ -33,7 +33,7 @@
      * @param admission what the plan in force means; null: there never is one
      * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
      */
-    public Admit(Turn turn, InFlightRequests open, Counters counters, Book book, RelayBack relayBack, DecisionEngine gate,
+    public RequestAdmitter(Turn turn, InFlightRequests open, Counters counters, Book book, RelayBack relayBack, DecisionEngine gate,
                  Admission admission, long longestPauseUs) {
         this.turn = turn;
         this.open = open;
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -61,13 +61,13 @@
     private final Turn turn;
     private final Counters counters;
     private final Names names;
-    private final Admit admit;
+    private final RequestAdmitter admit;
     private final Admission admission;
     private Upgrade upgrade;
     private final Front front;
 
     /** @param admission what the plan in force means; null: there never is one */
-    public TakeIn(Counters counters, Names names, Turn turn, Admit admit, Front front, Admission admission) {
+    public TakeIn(Counters counters, Names names, Turn turn, RequestAdmitter admit, Front front, Admission admission) {
         this.admission = admission;
         this.turn = turn;
         this.counters = counters;
