--- a/src/main/java/gatelock/wire/Line.java
+++ b/src/main/java/gatelock/wire/Line.java
@@ -71,7 +71,7 @@
     private XnioExecutor.Key openLimit;
     private XnioExecutor.Key callLimit;
     private ByteBuffer call;
-    private AnswerReader reader;
+    private ResponseReader reader;
     private Parts parts;
     private Patience patience;
     private long beganUs;
@@ -123,7 +123,7 @@
         this.patience = patience;
         beganUs = turn.nowUs();
         cameUs = 0;
-        reader = new AnswerReader(parts, home.mostBody());
+        reader = new ResponseReader(parts, home.mostBody());
         written = false;
     }
 
--- a/src/main/java/gatelock/wire/Lines.java
+++ b/src/main/java/gatelock/wire/Lines.java
@@ -38,7 +38,7 @@
      * @param most how many there may be; beyond that one without a call goes for each that is opened
      */
     public Lines(Turn turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most) {
-        this(turn, counters, openWithinUs, idleUs, restUs, most, AnswerReader.MOST_BODY);
+        this(turn, counters, openWithinUs, idleUs, restUs, most, ResponseReader.MOST_BODY);
     }
 
     /** The same with answers of a size of their own, as the protocol's bound is only for reqs. */
--- a/src/main/java/gatelock/wire/AnswerReader.java
+++ b/src/main/java/gatelock/wire/ResponseReader.java
@@ -20,7 +20,7 @@
  * answers
  * with their connection, or has heads beyond {@link #MOST_HEAD}.
  */
-final class AnswerReader {
+final class ResponseReader {
     /** All that may stand before a body, 1xx answers included; and any line later on. */
     private static final int MOST_HEAD = 16 * 1024;
     /** The most that any body may hold, in the protocol. */
@@ -46,7 +46,7 @@
      * @param parts takes the body piece by piece as it comes; null: the body is held whole
      * @param mostBody that a body held whole may have
      */
-    AnswerReader(Parts parts, int mostBody) {
+    ResponseReader(Parts parts, int mostBody) {
         this.parts = parts;
         this.mostBody = mostBody;
     }
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -146,7 +146,7 @@
             try {
                 int n = channel.read(bytes);
                 for (; n > 0; n = channel.read(bytes)) {
-                    if (bytes.position() > AnswerReader.MOST_BODY) {
+                    if (bytes.position() > ResponseReader.MOST_BODY) {
                         channel.suspendReads();
                         refuse(exchange, 413);
                         return;
@@ -195,7 +195,7 @@
             return 411;
         }
         String said = headers.getFirst(Headers.CONTENT_LENGTH);
-        if (length > AnswerReader.MOST_BODY || said != null && said.length() > MOST_DIGITS) {
+        if (length > ResponseReader.MOST_BODY || said != null && said.length() > MOST_DIGITS) {
             return 413;
         }
         if (headers.contains(Headers.EXPECT)) {
