--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -9,7 +9,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
 import gatelock.wire.RequestAdmitter;
-import gatelock.wire.Book;
+import gatelock.wire.OutcomeRecorder;
 import gatelock.wire.Desk;
 import gatelock.wire.Discovery;
 import gatelock.wire.Front;
@@ -64,7 +64,7 @@
         units = new Lines(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
             * 2 / 5);
         RelayBack relayBack = new RelayBack(turn, open, counters);
-        Book book = new Book(turn, open, counters, relayBack);
+        OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
         sendOff = new SendOff(turn, units, book);
         RouteOut routeOut = new RouteOut(addresses, sendOff);
         orders = new Orders(turn, open);
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/Orders.java
@@ -19,7 +19,7 @@
     private final InFlightRequests open;
     private RouteOut routeOut;
     private RelayBack relayBack;
-    private Book book;
+    private OutcomeRecorder book;
     private Desk desk;
     private Discovery discovery;
     private DecisionEngine gate;
@@ -31,7 +31,7 @@
     }
 
     /** Names who carries them out, before the first one is given. */
-    public void bind(DecisionEngine gate, RouteOut routeOut, RelayBack relayBack, Book book) {
+    public void bind(DecisionEngine gate, RouteOut routeOut, RelayBack relayBack, OutcomeRecorder book) {
         this.gate = gate;
         this.routeOut = routeOut;
         this.relayBack = relayBack;
--- a/src/main/java/gatelock/wire/Book.java
+++ b/src/main/java/gatelock/wire/OutcomeRecorder.java
@@ -8,13 +8,13 @@
 import gatelock.relay.LoadReport;
 
 /** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
-public final class Book {
+public final class OutcomeRecorder {
     private final Turn turn;
     private final InFlightRequests open;
     private final Counters counters;
     private final RelayBack relayBack;
 
-    public Book(Turn turn, InFlightRequests open, Counters counters, RelayBack relayBack) {
+    public OutcomeRecorder(Turn turn, InFlightRequests open, Counters counters, RelayBack relayBack) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/RequestAdmitter.java
+++ b/src/main/java/gatelock/wire/RequestAdmitter.java
@@ -21,7 +21,7 @@
     private final Turn turn;
     private final InFlightRequests open;
     private final Counters counters;
-    private final Book book;
+    private final OutcomeRecorder book;
     private final RelayBack relayBack;
     private final DecisionEngine gate;
     private final Admission admission;
@@ -33,7 +33,7 @@
      * @param admission what the plan in force means; null: there never is one
      * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
      */
-    public RequestAdmitter(Turn turn, InFlightRequests open, Counters counters, Book book, RelayBack relayBack, DecisionEngine gate,
+    public RequestAdmitter(Turn turn, InFlightRequests open, Counters counters, OutcomeRecorder book, RelayBack relayBack, DecisionEngine gate,
                  Admission admission, long longestPauseUs) {
         this.turn = turn;
         this.open = open;
--- a/src/main/java/gatelock/wire/SendOff.java
+++ b/src/main/java/gatelock/wire/SendOff.java
@@ -15,10 +15,10 @@
 
     private final Turn turn;
     private final Lines lines;
-    private final Book book;
+    private final OutcomeRecorder book;
     private BiConsumer<String, AttemptResult> hears = (unit, ending) -> { };
 
-    public SendOff(Turn turn, Lines lines, Book book) {
+    public SendOff(Turn turn, Lines lines, OutcomeRecorder book) {
         this.turn = turn;
         this.lines = lines;
         this.book = book;
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -7,7 +7,7 @@
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
-import gatelock.wire.Book;
+import gatelock.wire.OutcomeRecorder;
 import gatelock.wire.TakeIn;
 import gatelock.wire.Turn;
 
@@ -60,12 +60,12 @@
 
     private final Turn turn;
     private final Counters counters;
-    private final Book book;
+    private final OutcomeRecorder book;
     private final DecisionEngine gate;
     private final Sessions sessions;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0);
 
-    public Upgrades(Turn turn, Counters counters, Book book, DecisionEngine gate, Sessions sessions) {
+    public Upgrades(Turn turn, Counters counters, OutcomeRecorder book, DecisionEngine gate, Sessions sessions) {
         this.turn = turn;
         this.counters = counters;
         this.book = book;
