--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -10,7 +10,7 @@
 import gatelock.session.Sessions;
 import gatelock.wire.RequestAdmitter;
 import gatelock.wire.OutcomeRecorder;
-import gatelock.wire.Desk;
+import gatelock.wire.ReleaseControllerClient;
 import gatelock.wire.Discovery;
 import gatelock.wire.Front;
 import gatelock.wire.Lines;
@@ -43,7 +43,7 @@
     private final Sessions sessions;
     private final OperatorConfig.Membership membership;
     private final SendOff sendOff;
-    private Desk desk;
+    private ReleaseControllerClient desk;
     private Discovery discovery;
 
     /**
@@ -82,7 +82,7 @@
     /** Begins from what the configuration holds, and follows discovery and the desk from there. */
     void start() throws IOException {
         Lines platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, Discovery.MOST_LIST);
-        desk = new Desk(turn, counters, platform, told.desk(), told.charter().rollout().voteWaitUs());
+        desk = new ReleaseControllerClient(turn, counters, platform, told.desk(), told.charter().rollout().voteWaitUs());
         discovery = new Discovery(turn, counters, platform, told.discovery(), addresses, units,
             told.plain("zones"), told.plain("flavors"), told.charter().mustAskForList(),
             new SplittableRandom(told.charter().seed() + 1), membership == null ? null
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/Orders.java
@@ -20,7 +20,7 @@
     private RouteOut routeOut;
     private RelayBack relayBack;
     private OutcomeRecorder book;
-    private Desk desk;
+    private ReleaseControllerClient desk;
     private Discovery discovery;
     private DecisionEngine gate;
     private boolean stopped;
@@ -39,7 +39,7 @@
     }
 
     /** Names the platform; without one, votes and wishes for the list go nowhere. */
-    public void bind(Desk desk, Discovery discovery) {
+    public void bind(ReleaseControllerClient desk, Discovery discovery) {
         this.desk = desk;
         this.discovery = discovery;
     }
--- a/src/main/java/gatelock/wire/Desk.java
+++ b/src/main/java/gatelock/wire/ReleaseControllerClient.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 
 /** Speaks with the release desk: votes, each with its answer, and news on a connection of its own. */
-public final class Desk {
+public final class ReleaseControllerClient {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private static final Map<String, DecisionEngine.Phase> PHASES = Map.of("trial", DecisionEngine.Phase.TRIAL,
         "rolling_back", DecisionEngine.Phase.REVERTING, "released", DecisionEngine.Phase.RELEASED, "withdrawn", DecisionEngine.Phase.WITHDRAWN);
@@ -35,7 +35,7 @@
     private Stream standing;
     private Stream second;
 
-    public Desk(Turn turn, Counters counters, Lines lines, InetSocketAddress address, long voteWaitUs) {
+    public ReleaseControllerClient(Turn turn, Counters counters, Lines lines, InetSocketAddress address, long voteWaitUs) {
         this.turn = turn;
         this.counters = counters;
         this.lines = lines;
