--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -9,7 +9,7 @@
 import gatelock.plan.Backoff;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.VersionTracker;
-import gatelock.wire.Discovery;
+import gatelock.wire.DiscoveryClient;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
 
@@ -119,7 +119,7 @@
     }
 
     /** Shows the list of units to operators. */
-    void shows(Supplier<Discovery.State> list) {
+    void shows(Supplier<DiscoveryClient.State> list) {
         window.shows(list);
     }
 
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -2,7 +2,7 @@
 
 import gatelock.kept.Counters;
 import gatelock.session.Sessions;
-import gatelock.wire.Discovery;
+import gatelock.wire.DiscoveryClient;
 import gatelock.wire.Front;
 import gatelock.wire.Turn;
 
@@ -245,7 +245,7 @@
 
     /** How the list stands, where a scope is taken from it. */
     private String listed() {
-        Discovery.State list = chain.listState();
+        DiscoveryClient.State list = chain.listState();
         return list.scoped() ? "; " + list + ", last change " + (turn.nowUs() - list.changedUs()) / 1_000_000
             + " s ago" : "";
     }
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -11,7 +11,7 @@
 import gatelock.wire.RequestAdmitter;
 import gatelock.wire.OutcomeRecorder;
 import gatelock.wire.ReleaseControllerClient;
-import gatelock.wire.Discovery;
+import gatelock.wire.DiscoveryClient;
 import gatelock.wire.Front;
 import gatelock.wire.Lines;
 import gatelock.wire.Orders;
@@ -44,7 +44,7 @@
     private final OperatorConfig.Membership membership;
     private final SendOff sendOff;
     private ReleaseControllerClient desk;
-    private Discovery discovery;
+    private DiscoveryClient discovery;
 
     /**
      * @param admission what the plan in force means; null: there never is one
@@ -81,12 +81,12 @@
 
     /** Begins from what the configuration holds, and follows discovery and the desk from there. */
     void start() throws IOException {
-        Lines platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, Discovery.MOST_LIST);
+        Lines platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
         desk = new ReleaseControllerClient(turn, counters, platform, told.desk(), told.charter().rollout().voteWaitUs());
-        discovery = new Discovery(turn, counters, platform, told.discovery(), addresses, units,
+        discovery = new DiscoveryClient(turn, counters, platform, told.discovery(), addresses, units,
             told.plain("zones"), told.plain("flavors"), told.charter().mustAskForList(),
             new SplittableRandom(told.charter().seed() + 1), membership == null ? null
-            : new Discovery.Membership(new EndpointSubset(membership.terms()), membership.service(),
+            : new DiscoveryClient.Membership(new EndpointSubset(membership.terms()), membership.service(),
             membership.mostListBytes()));
         if (membership != null) {
             sendOff.whenEnded(discovery::ended);
@@ -112,7 +112,7 @@
     }
 
     /** How the list of units stands. */
-    Discovery.State listState() {
+    DiscoveryClient.State listState() {
         return discovery.state();
     }
 
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -4,7 +4,7 @@
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.ConfigVersion;
 import gatelock.plan.VersionTracker;
-import gatelock.wire.Discovery;
+import gatelock.wire.DiscoveryClient;
 import gatelock.wire.Turn;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -47,7 +47,7 @@
     private final Counters counters;
     private final ConfigUpdater steward;
     private final Supplier<ConfigSubscription> subscription;
-    private Supplier<Discovery.State> list;
+    private Supplier<DiscoveryClient.State> list;
     private AcceptingChannel<StreamConnection> listener;
 
     public AdminServer(Turn turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
@@ -58,7 +58,7 @@
     }
 
     /** Shows the list of units too. */
-    public void shows(Supplier<Discovery.State> list) {
+    public void shows(Supplier<DiscoveryClient.State> list) {
         this.list = list;
     }
 
@@ -129,7 +129,7 @@
         return status;
     }
 
-    private static Map<String, Object> listed(long nowUs, Discovery.State list) {
+    private static Map<String, Object> listed(long nowUs, DiscoveryClient.State list) {
         Map<String, Object> said = new LinkedHashMap<>();
         said.put("units", list.listed());
         said.put("byScope", list.scoped());
--- a/src/main/java/gatelock/wire/Discovery.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -27,7 +27,7 @@
 import java.util.stream.Collectors;
 
 /** Speaks with discovery: the whole list, then a watch that is renewed as soon as it has answered. */
-public final class Discovery {
+public final class DiscoveryClient {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     /** A watch waits so long at most; short, so that a connection gone silent is found out. */
     private static final long HOLD_MS = 2_000;
@@ -103,7 +103,7 @@
      * @param onRequest whether the list is followed only when asked for, and a failure is told
      * @param membership null: all units that are listed are used
      */
-    public Discovery(Turn turn, Counters counters, Lines lines, InetSocketAddress address,
+    public DiscoveryClient(Turn turn, Counters counters, Lines lines, InetSocketAddress address,
         EndpointAddresses addresses,
                      Lines units, List<String> zones, List<String> kinds, boolean onRequest,
                      RandomGenerator chance, Membership membership) {
@@ -366,7 +366,7 @@
         public void broken(boolean written) {
             String why = unreadable != null ? unreadable : brokenOff();
             if (tooLong != null) {
-                Discovery.this.tooLong(tooLong);
+                DiscoveryClient.this.tooLong(tooLong);
             } else if (why != null) {
                 bad(why);
             } else {
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/Orders.java
@@ -21,7 +21,7 @@
     private RelayBack relayBack;
     private OutcomeRecorder book;
     private ReleaseControllerClient desk;
-    private Discovery discovery;
+    private DiscoveryClient discovery;
     private DecisionEngine gate;
     private boolean stopped;
 
@@ -39,7 +39,7 @@
     }
 
     /** Names the platform; without one, votes and wishes for the list go nowhere. */
-    public void bind(ReleaseControllerClient desk, Discovery discovery) {
+    public void bind(ReleaseControllerClient desk, DiscoveryClient discovery) {
         this.desk = desk;
         this.discovery = discovery;
     }
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -5,7 +5,7 @@
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
 import gatelock.standin.LongList;
-import gatelock.wire.Discovery;
+import gatelock.wire.DiscoveryClient;
 import gatelock.wire.Json;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
@@ -42,7 +42,7 @@
     private final Turn turn;
     private final Lines platform;
     private final Lines units;
-    private final Discovery discovery;
+    private final DiscoveryClient discovery;
     private final DecisionEngine gate;
     private final EndpointAddresses addresses = new EndpointAddresses();
     private final double readUs;
@@ -58,7 +58,7 @@
         platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, NO_BOUND);
         units = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8);
         String[] at = list.address("r").split(":");
-        discovery = new Discovery(turn, counters, platform, new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+        discovery = new DiscoveryClient(turn, counters, platform, new InetSocketAddress(at[0], Integer.parseInt(at[1])),
             addresses, units, List.of("east", "west"), List.of("small"), false, new SplittableRandom(17), null);
         gate = ModulePlay.gate(new Quiet(), List.of());
         long fromNs = cpuNs();
--- a/src/test/java/gatelock/wire/DiscoveryTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryClientTest.java
@@ -33,7 +33,7 @@
 import org.xnio.XnioWorker;
 
 /** A course of lists over a socket, and all that the decisions hear of it. */
-final class DiscoveryTest {
+final class DiscoveryClientTest {
     private static final String KNOWN = "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entry("a", 1, "in_service", 0, 1)
         + "]}";
 
@@ -46,7 +46,7 @@
     private final ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
     private Socket socket;
 
-    DiscoveryTest() throws Exception {
+    DiscoveryClientTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         turn = new Turn(worker.getIoThread());
     }
@@ -106,13 +106,13 @@
         return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries) + "]}";
     }
 
-    private void start(Discovery.Membership membership) {
+    private void start(DiscoveryClient.Membership membership) {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
         turn.soon(() -> {
-            Lines platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, Discovery.MOST_LIST);
+            Lines platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
             Lines units = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8);
             try {
-                new Discovery(turn, counters, platform, at, addresses, units, List.of("east", "west"), List.of("s", "m"),
+                new DiscoveryClient(turn, counters, platform, at, addresses, units, List.of("east", "west"), List.of("s", "m"),
                     false, new SplittableRandom(1), membership).start(new Noting(), null,
                     Json.read(KNOWN.getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
@@ -216,11 +216,11 @@
 
     @Test
     void aScopeThatHoldsAllTellsTheSameAndAsksTheSame() throws Exception {
-        start(new Discovery.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceName.ONE, 1 << 20));
+        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceName.ONE, 1 << 20));
         play();
         List<String> calls = taken("GET");
-        List<String> told = course.stream().filter(c -> !c.startsWith("GET")).map(DiscoveryTest::inOrder).toList();
-        DiscoveryTest without = new DiscoveryTest();
+        List<String> told = course.stream().filter(c -> !c.startsWith("GET")).map(DiscoveryClientTest::inOrder).toList();
+        DiscoveryClientTest without = new DiscoveryClientTest();
         try {
             without.start(null);
             without.play();
@@ -228,7 +228,7 @@
             without.stop();
         }
         assertThat(calls).isEqualTo(without.taken("GET"));
-        assertThat(told).isEqualTo(without.course.stream().filter(c -> !c.startsWith("GET")).map(DiscoveryTest::inOrder)
+        assertThat(told).isEqualTo(without.course.stream().filter(c -> !c.startsWith("GET")).map(DiscoveryClientTest::inOrder)
             .toList());
     }
 
@@ -242,7 +242,7 @@
 
     @Test
     void aListThatTricklesInIsReadAndOneThatStopsIsAskedForAgain() throws Exception {
-        start(new Discovery.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceName.ONE, 1 << 20));
+        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceName.ONE, 1 << 20));
         asked();
         String body = list(5, true, entry("a", 11, "in_service", 7, 1), entry("b", 12, "in_service", 0, 1));
         socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n")
