--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -55,7 +55,7 @@
     private final Lines lines;
     private final EndpointAddresses addresses;
     private final Lines units;
-    private final EntryReader reader;
+    private final EndpointEntryReader reader;
     private final Membership membership;
     private final boolean onRequest;
     private final RandomGenerator chance;
@@ -113,7 +113,7 @@
         this.address = address;
         this.addresses = addresses;
         this.units = units;
-        this.reader = new EntryReader(zones, kinds, membership == null ? ServiceName.ONE : membership.service);
+        this.reader = new EndpointEntryReader(zones, kinds, membership == null ? ServiceName.ONE : membership.service);
         this.membership = membership;
         this.onRequest = onRequest;
         this.chance = chance;
--- a/src/main/java/gatelock/wire/EntryReader.java
+++ b/src/main/java/gatelock/wire/EndpointEntryReader.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** What an entry of a list means; the one place where its form is checked. */
-final class EntryReader {
+final class EndpointEntryReader {
     private static final int MOST_LABELS = 32;
     /** How far a unit's start may lie ahead of this relay's clock. */
     private static final long AHEAD_US = 60_000_000;
@@ -20,7 +20,7 @@
     private final List<String> kinds;
     private final ServiceName service;
 
-    EntryReader(List<String> zones, List<String> kinds, ServiceName service) {
+    EndpointEntryReader(List<String> zones, List<String> kinds, ServiceName service) {
         this.zones = zones;
         this.kinds = kinds;
         this.service = service;
