--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.session.Sessions;
 import gatelock.wire.DiscoveryClient;
-import gatelock.wire.Front;
+import gatelock.wire.ClientListener;
 import gatelock.wire.Turn;
 
 import io.undertow.server.HttpHandler;
@@ -52,7 +52,7 @@
     private final Path operatorsFile;
     private final OperatorConfig operator;
     private RelayConfig told;
-    private Front front;
+    private ClientListener front;
     private RequestPipeline chain;
     private ControlPlane steering;
     private Sessions sessions;
@@ -173,7 +173,7 @@
 
     private void run() {
         try {
-            front = new Front(turn, counters, told.sockets() / 4, told.sockets() * 2 / 5);
+            front = new ClientListener(turn, counters, told.sockets() / 4, told.sockets() * 2 / 5);
             switch (how) {
                 case COLD -> {
                     front.listen(told.listen());
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -12,7 +12,7 @@
 import gatelock.wire.OutcomeRecorder;
 import gatelock.wire.ReleaseControllerClient;
 import gatelock.wire.DiscoveryClient;
-import gatelock.wire.Front;
+import gatelock.wire.ClientListener;
 import gatelock.wire.Lines;
 import gatelock.wire.Orders;
 import gatelock.wire.RelayBack;
@@ -51,7 +51,7 @@
      * @param sessions null: none are opened
      * @param membership what units are used of those that are listed; null: all
      */
-    RequestPipeline(RelayConfig told, Turn turn, Counters counters, Front front, Admission admission,
+    RequestPipeline(RelayConfig told, Turn turn, Counters counters, ClientListener front, Admission admission,
         Sessions sessions, OperatorConfig.Membership membership) {
         this.told = told;
         this.membership = membership;
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -5,7 +5,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
 import gatelock.relay.RoutePolicy;
-import gatelock.wire.Front;
+import gatelock.wire.ClientListener;
 import gatelock.wire.Line;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
@@ -40,7 +40,7 @@
     private final RelayConfig told;
     private final InetSocketAddress at;
     private final Turn turn;
-    private final Front front;
+    private final ClientListener front;
     private final HttpHandler clients;
     private final Consumer<StartupWarmUp> then;
     private final Counters counters = new Counters();
@@ -55,7 +55,7 @@
      * @param at where this relay listens
      * @param clients takes the reqs that are not the rehearsal's own
      */
-    StartupWarmUp(RelayConfig told, InetSocketAddress at, Turn turn, Front front, HttpHandler clients,
+    StartupWarmUp(RelayConfig told, InetSocketAddress at, Turn turn, ClientListener front, HttpHandler clients,
               Consumer<StartupWarmUp> then) {
         this.clients = clients;
         this.told = told;
--- a/src/main/java/gatelock/wire/Front.java
+++ b/src/main/java/gatelock/wire/ClientListener.java
@@ -30,7 +30,7 @@
  * The listener: client connections, how many there may be and how long one may keep a req from being whole,
  * readiness, and taking leave.
  */
-public final class Front {
+public final class ClientListener {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private static final int BUFFER_BYTES = 4096;
     private static final int BACKLOG = 256;
@@ -60,7 +60,7 @@
      * @param withEase client connections held at a time; beyond that idle ones make room
      * @param most beyond that all that wait for a first req do, and further ones are not accepted
      */
-    public Front(Turn turn, Counters counters, int withEase, int most) {
+    public ClientListener(Turn turn, Counters counters, int withEase, int most) {
         this.turn = turn;
         this.most = most;
         this.clients = new ClientConnections<>(counters, new ClientConnections.Sockets<>() {
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/TakeIn.java
@@ -64,10 +64,10 @@
     private final RequestAdmitter admit;
     private final Admission admission;
     private Upgrade upgrade;
-    private final Front front;
+    private final ClientListener front;
 
     /** @param admission what the plan in force means; null: there never is one */
-    public TakeIn(Counters counters, Names names, Turn turn, RequestAdmitter admit, Front front, Admission admission) {
+    public TakeIn(Counters counters, Names names, Turn turn, RequestAdmitter admit, ClientListener front, Admission admission) {
         this.admission = admission;
         this.turn = turn;
         this.counters = counters;
--- a/src/test/java/gatelock/wire/FrontTest.java
+++ b/src/test/java/gatelock/wire/ClientListenerTest.java
@@ -22,7 +22,7 @@
 import org.xnio.XnioWorker;
 
 /** The listener alone, on an I/O thread that the test holds up. */
-final class FrontTest {
+final class ClientListenerTest {
     private static final String REQ = "GET /read HTTP/1.1\r\nHost: x\r\n\r\n";
 
     @Test
@@ -31,7 +31,7 @@
         List<Socket> standing = new ArrayList<>();
         try {
             Turn turn = new Turn(worker.getIoThread());
-            Front front = new Front(turn, new Counters(), 200, 300);
+            ClientListener front = new ClientListener(turn, new Counters(), 200, 300);
             InetSocketAddress at = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             front.admit(exchange -> {
                 front.whole(exchange);
