--- a/src/main/java/gatelock/wire/ClientListener.java
+++ b/src/main/java/gatelock/wire/ClientListener.java
@@ -48,7 +48,7 @@
     private final Turn turn;
     private final int most;
     private final ClientConnections<StreamConnection> clients;
-    private final Map<StreamConnection, Inflow> inflows = new HashMap<>();
+    private final Map<StreamConnection, ClientReadConduit> inflows = new HashMap<>();
     private AcceptingChannel<StreamConnection> listener;
     private HttpHandler takeIn;
     private boolean ready;
@@ -105,7 +105,7 @@
     }
 
     private void accepted(StreamConnection connection, HttpOpenListener opened) {
-        Inflow inflow = new Inflow(connection.getSourceChannel().getConduit(),
+        ClientReadConduit inflow = new ClientReadConduit(connection.getSourceChannel().getConduit(),
             () -> clients.bytes(turn.nowUs(), connection));
         connection.getSourceChannel().setConduit(inflow);
         inflows.put(connection, inflow);
--- a/src/main/java/gatelock/wire/Inflow.java
+++ b/src/main/java/gatelock/wire/ClientReadConduit.java
@@ -13,13 +13,13 @@
  * bytes, and
  * can look ahead without taking them away.
  */
-final class Inflow extends AbstractStreamSourceConduit<StreamSourceConduit> {
+final class ClientReadConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private static final int AHEAD_BYTES = 512;
 
     private final Runnable came;
     private ByteBuffer ahead;
 
-    Inflow(StreamSourceConduit next, Runnable came) {
+    ClientReadConduit(StreamSourceConduit next, Runnable came) {
         super(next);
         this.came = came;
     }
