--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -3,7 +3,7 @@
 import gatelock.bench.SettingsDecoder;
 import gatelock.plan.DeploymentContext;
 import gatelock.relay.RelaySettings;
-import gatelock.wire.Json;
+import gatelock.wire.JsonObject;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -18,7 +18,7 @@
 /** What a relay is told when it starts, read from one JSON file. */
 record RelayConfig(String name, InetSocketAddress listen, InetSocketAddress discovery,
     InetSocketAddress desk,
-                     int sockets, Json known, Json news, RelaySettings charter, long openWithinUs,
+                     int sockets, JsonObject known, JsonObject news, RelaySettings charter, long openWithinUs,
                      List<Long> deadlinesUs, Map<String, String> settings) {
 
     /** Reads it whole; whatever is missing or odd is told in one line. */
@@ -44,8 +44,8 @@
     }
 
     private static RelayConfig readAll(Path file) throws IOException {
-        Json all = Json.read(Files.readAllBytes(file));
-        Json deployer = all.object("deployer");
+        JsonObject all = JsonObject.read(Files.readAllBytes(file));
+        JsonObject deployer = all.object("deployer");
         Map<String, String> settings = new HashMap<>();
         flatten("", all.object("settings").fields(), settings);
         SettingsValidator.check(settings);
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -120,7 +120,7 @@
     }
 
     /** Begins from the list that this relay last held. */
-    public void start(DecisionEngine gate, Admission admission, Json known) throws IOException {
+    public void start(DecisionEngine gate, Admission admission, JsonObject known) throws IOException {
         this.gate = gate;
         this.admission = admission;
         List<EndpointEntry> entries = entries(known);
@@ -207,7 +207,7 @@
             if (answer.status() != 200) {
                 throw new IOException("status " + answer.status());
             }
-            Json list = Json.read(answer.body());
+            JsonObject list = JsonObject.read(answer.body());
             List<EndpointEntry> entries = entries(list);
             boolean whole = list.yes("snapshot");
             unread = null;
@@ -327,10 +327,10 @@
             : Math.max(changedUs, scope.changedUs()), tooLong);
     }
 
-    private List<EndpointEntry> entries(Json list) throws IOException {
+    private List<EndpointEntry> entries(JsonObject list) throws IOException {
         List<EndpointEntry> entries = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Json e : list.objects("endpoints")) {
+        for (JsonObject e : list.objects("endpoints")) {
             EndpointEntry entry = reader.read(e, turn.nowUs());
             if (!names.add(entry.name())) {
                 throw new IOException("expected each unit once, found twice " + entry.name());
@@ -344,7 +344,7 @@
     private List<InetSocketAddress> noted(List<EndpointEntry> entries, List<Endpoint> listed, boolean whole) {
         List<InetSocketAddress> left = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
-            left.addAll(addresses.put(Json.resolved(entries.get(i).address()), listed.get(i)));
+            left.addAll(addresses.put(JsonObject.resolved(entries.get(i).address()), listed.get(i)));
         }
         if (whole) {
             left.addAll(addresses.keepOnly(entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
@@ -437,7 +437,7 @@
         }
 
         @Override
-        public void entry(Json entry) throws IOException {
+        public void entry(JsonObject entry) throws IOException {
             EndpointEntry read = reader.read(entry, turn.nowUs());
             none = false;
             try {
--- a/src/main/java/gatelock/wire/EndpointEntryReader.java
+++ b/src/main/java/gatelock/wire/EndpointEntryReader.java
@@ -27,7 +27,7 @@
     }
 
     /** An entry whose address is of the right form, and not looked up yet. */
-    EndpointEntry read(Json e, long nowUs) throws IOException {
+    EndpointEntry read(JsonObject e, long nowUs) throws IOException {
         String unit = e.text("name");
         Endpoint.Health health = HEALTH.get(e.text("status"));
         if (health == null) {
@@ -43,7 +43,7 @@
     }
 
     /** Labels are our own addition to an entry; what is no text under them is left out. */
-    private static Map<String, String> labels(Json entry) {
+    private static Map<String, String> labels(JsonObject entry) {
         if (!(entry.fields().get("labels") instanceof Map<?, ?> borne)) {
             return Map.of();
         }
@@ -56,7 +56,7 @@
         return labels;
     }
 
-    private static int number(List<String> names, Json entry, String field) {
+    private static int number(List<String> names, JsonObject entry, String field) {
         return Math.max(0, names.indexOf(entry.textOr(field, "")));
     }
 }
--- a/src/main/java/gatelock/wire/Json.java
+++ b/src/main/java/gatelock/wire/JsonObject.java
@@ -15,32 +15,32 @@
  * is not of its kind or out of any sensible range is an {@link IOException}, so that a spoilt message is never
  * half believed.
  */
-public record Json(Map<String, Object> fields) {
+public record JsonObject(Map<String, Object> fields) {
     /** No id, count or time goes beyond; times are still whole as microseconds. */
     private static final double MOST_WHOLE = 1e15;
 
     /** Reads one object and nothing behind it. */
-    public static Json read(byte[] text) throws IOException {
+    public static JsonObject read(byte[] text) throws IOException {
         try (JsonParser parser = JSON.std.createParser(new String(text, StandardCharsets.UTF_8))) {
             Map<String, Object> fields = JSON.std.mapFrom(parser);
             if (fields == null || parser.nextToken() != null) {
                 throw new IOException("expected one JSON object");
             }
-            return new Json(fields);
+            return new JsonObject(fields);
         } catch (RuntimeException e) {
             throw new IOException("expected a JSON object", e);
         }
     }
 
-    public Json object(String name) throws IOException {
+    public JsonObject object(String name) throws IOException {
         return of(need(name), name);
     }
 
-    public List<Json> objects(String name) throws IOException {
+    public List<JsonObject> objects(String name) throws IOException {
         if (!(need(name) instanceof List<?> list)) {
             throw new IOException("expected a list under " + name);
         }
-        List<Json> found = new ArrayList<>(list.size());
+        List<JsonObject> found = new ArrayList<>(list.size());
         for (Object item : list) {
             found.add(of(item, name));
         }
@@ -123,9 +123,9 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static Json of(Object value, String name) throws IOException {
+    private static JsonObject of(Object value, String name) throws IOException {
         if (value instanceof Map<?, ?> map) {
-            return new Json((Map<String, Object>) map);
+            return new JsonObject((Map<String, Object>) map);
         }
         throw new IOException("expected an object under " + name);
     }
--- a/src/main/java/gatelock/wire/ListReader.java
+++ b/src/main/java/gatelock/wire/ListReader.java
@@ -18,7 +18,7 @@
 
 /**
  * Reads a list of units from the pieces in which it comes and hands on entry by entry, so that no more than one
- * is held. It tells the same as {@link Json#read} of the whole text would, and is stricter where that would cost
+ * is held. It tells the same as {@link JsonObject#read} of the whole text would, and is stricter where that would cost
  * memory or a guess: bytes that are no UTF-8, entries of more than {@link #MOST_ENTRY} bytes,
  * values nested deeper than {@link #DEEPEST} and more fields than {@link #MOST_FIELDS} beside the entries are refused.
  */
@@ -42,7 +42,7 @@
         /** Once, before the first entry: whether the list is whole or a change. */
         void begins(boolean whole);
 
-        void entry(Json entry) throws IOException;
+        void entry(JsonObject entry) throws IOException;
     }
 
     /** What stands beside the entries. */
@@ -58,7 +58,7 @@
     /** Objects and lists of an entry that are open, the entry itself first. */
     private final Deque<Object> open = new ArrayDeque<>();
     private final Deque<String> names = new ArrayDeque<>();
-    private List<Json> held = new ArrayList<>();
+    private List<JsonObject> held = new ArrayList<>();
     private final Set<String> fields = new HashSet<>();
     private boolean begun;
     private Boolean whole;
@@ -110,7 +110,7 @@
         if (parser.nextToken() != null || !over) {
             throw new IOException("expected one JSON object");
         }
-        Json beside = new Json(frame);
+        JsonObject beside = new JsonObject(frame);
         if (!listed) {
             throw new IOException("expected endpoints");
         }
@@ -162,7 +162,7 @@
             inList = true;
             listed = true;
             if (frame.containsKey("snapshot")) {
-                begin(new Json(frame).yes("snapshot"));
+                begin(new JsonObject(frame).yes("snapshot"));
             }
         } else {
             boolean matters = field.equals("index") || field.equals("snapshot");
@@ -224,7 +224,7 @@
         if (parser.currentLocation().getByteOffset() - entryFromBytes > MOST_ENTRY) {
             throw new IOException("expected an entry of up to " + MOST_ENTRY + " bytes");
         }
-        Json entry = new Json((Map<String, Object>) done);
+        JsonObject entry = new JsonObject((Map<String, Object>) done);
         if (!begun && held.size() == MOST_HELD) {
             begin(wholeAsked);
         }
@@ -239,9 +239,9 @@
         begun = true;
         this.whole = whole;
         taker.begins(whole);
-        List<Json> first = held;
+        List<JsonObject> first = held;
         held = List.of();
-        for (Json entry : first) {
+        for (JsonObject entry : first) {
             taker.entry(entry);
         }
     }
--- a/src/main/java/gatelock/wire/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/wire/ReleaseControllerClient.java
@@ -44,7 +44,7 @@
     }
 
     /** Begins from the news that the configuration holds. */
-    public void start(DecisionEngine gate, Json news) throws IOException {
+    public void start(DecisionEngine gate, JsonObject news) throws IOException {
         this.gate = gate;
         told(news, DecisionEngine.VoteAnswer.NOT_ASKED);
         standing = new Stream().begin();
@@ -75,7 +75,7 @@
         lines.call(address, StandardCharsets.US_ASCII.encode(call), voteWaitUs, new Vote());
     }
 
-    private void told(Json news, DecisionEngine.VoteAnswer answer) throws IOException {
+    private void told(JsonObject news, DecisionEngine.VoteAnswer answer) throws IOException {
         DecisionEngine.Phase phase = PHASES.get(news.text("mode"));
         if (phase == null) {
             throw new IOException("expected a known mode, found " + news.text("mode"));
@@ -98,7 +98,7 @@
         @Override
         public boolean answered(UpstreamResponse answer) {
             try {
-                Json said = Json.read(answer.body());
+                JsonObject said = JsonObject.read(answer.body());
                 switch (answer.status()) {
                     case 200 -> told(said, DecisionEngine.VoteAnswer.COUNTED);
                     case 429 -> without(DecisionEngine.VoteAnswer.BUSY);
@@ -160,7 +160,7 @@
 
         private void line(byte[] line) {
             try {
-                Json said = Json.read(line);
+                JsonObject said = JsonObject.read(line);
                 heard();
                 if ("news".equals(said.textOr("type", ""))) {
                     told(said.object("object"), DecisionEngine.VoteAnswer.NOT_ASKED);
--- a/src/main/java/gatelock/wire/ServiceName.java
+++ b/src/main/java/gatelock/wire/ServiceName.java
@@ -8,7 +8,7 @@
     /** All units are of one service. */
     ServiceName ONE = (unit, entry, labels) -> "";
 
-    String of(String unit, Json entry, Map<String, String> labels);
+    String of(String unit, JsonObject entry, Map<String, String> labels);
 
     /** By a label of the unit or, where it has none of that name, by a field of its entry. */
     static ServiceName byLabel(String name) {
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -6,7 +6,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.standin.LongList;
 import gatelock.wire.DiscoveryClient;
-import gatelock.wire.Json;
+import gatelock.wire.JsonObject;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
 import gatelock.standin.QuietOutlet;
@@ -65,7 +65,7 @@
         turn.soon(() -> {
             try {
                 gate.start(turn.nowUs());
-                discovery.start(gate, admission, Json.read("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
+                discovery.start(gate, admission, JsonObject.read("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
                 gate.news(turn.nowUs(), 1, 0, DecisionEngine.Phase.RELEASED, 1, 60_000_000, DecisionEngine.VoteAnswer.NOT_ASKED);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
--- a/src/test/java/gatelock/wire/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryClientTest.java
@@ -114,7 +114,7 @@
             try {
                 new DiscoveryClient(turn, counters, platform, at, addresses, units, List.of("east", "west"), List.of("s", "m"),
                     false, new SplittableRandom(1), membership).start(new Noting(), null,
-                    Json.read(KNOWN.getBytes(StandardCharsets.UTF_8)));
+                    JsonObject.read(KNOWN.getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
--- a/src/test/java/gatelock/wire/ListReaderTest.java
+++ b/src/test/java/gatelock/wire/ListReaderTest.java
@@ -30,9 +30,9 @@
     /** As discovery reads a list that came whole. */
     private static Said atOnce(byte[] text) {
         try {
-            Json list = Json.read(text);
+            JsonObject list = JsonObject.read(text);
             List<Map<String, Object>> entries = new ArrayList<>();
-            for (Json e : list.objects("endpoints")) {
+            for (JsonObject e : list.objects("endpoints")) {
                 entries.add(e.fields());
             }
             return new Said(list.yes("snapshot"), list.whole("index"), entries, false);
@@ -53,7 +53,7 @@
                 }
 
                 @Override
-                public void entry(Json entry) {
+                public void entry(JsonObject entry) {
                     assertThat(begun).hasSize(1);
                     entries.add(entry.fields());
                 }
@@ -166,7 +166,7 @@
                 }
 
                 @Override
-                public void entry(Json entry) {
+                public void entry(JsonObject entry) {
                     // nothing is kept
                 }
             });
