--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -6,7 +6,7 @@
 import gatelock.relay.Endpoint;
 import gatelock.relay.RoutePolicy;
 import gatelock.wire.ClientListener;
-import gatelock.wire.Line;
+import gatelock.wire.OutboundConnection;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
 
@@ -148,7 +148,7 @@
             + "\r\n"
             + body;
         own.call(at, StandardCharsets.US_ASCII.encode(text), ONE_US,
-            new Line.User() {
+            new OutboundConnection.User() {
                 @Override
                 public boolean answered(UpstreamResponse answer) {
                     turn.soon(StartupWarmUp.this::ask);
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -7,7 +7,7 @@
 import gatelock.plan.Diagnostic;
 import gatelock.plan.ConfigVersion;
 import gatelock.plan.VersionTracker;
-import gatelock.wire.Line;
+import gatelock.wire.OutboundConnection;
 import gatelock.wire.Lines;
 import gatelock.wire.Turn;
 
@@ -47,7 +47,7 @@
     private final long holdMs;
     private List<InetSocketAddress> services;
     private int at;
-    private Line line;
+    private OutboundConnection line;
     private XnioExecutor.Key again;
     private long askedUs;
     private long heardUs;
@@ -241,7 +241,7 @@
     }
 
     /** One call. */
-    private final class Asked implements Line.User {
+    private final class Asked implements OutboundConnection.User {
         private final InetSocketAddress to;
         private String unreadable;
 
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -62,7 +62,7 @@
     private InetSocketAddress address;
     private DecisionEngine gate;
     private Admission admission;
-    private Line line;
+    private OutboundConnection line;
     private XnioExecutor.Key again;
     private long index = -1;
     private boolean following;
@@ -197,7 +197,7 @@
             line = lines.call(address, bytes, answerUs, new Asked());
         } else {
             AskedByScope asked = new AskedByScope(!watch);
-            line = lines.call(address, bytes, new Line.Patience(answerUs, PIECE_US, WHOLE_US), asked, asked);
+            line = lines.call(address, bytes, new OutboundConnection.Patience(answerUs, PIECE_US, WHOLE_US), asked, asked);
         }
     }
 
@@ -353,7 +353,7 @@
     }
 
     /** One call for the list. */
-    private class Asked implements Line.User {
+    private class Asked implements OutboundConnection.User {
         private String tooLong;
         private String unreadable;
 
--- a/src/main/java/gatelock/wire/Lines.java
+++ b/src/main/java/gatelock/wire/Lines.java
@@ -17,8 +17,8 @@
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private final Turn turn;
     private final Counters counters;
-    private final IdleConnections<Line> idle;
-    private final Map<InetSocketAddress, Set<Line>> comingUp = new HashMap<>();
+    private final IdleConnections<OutboundConnection> idle;
+    private final Map<InetSocketAddress, Set<OutboundConnection>> comingUp = new HashMap<>();
     private final long openWithinUs;
     private final long idleUs;
     private final long restUs;
@@ -51,7 +51,7 @@
         this.idleUs = idleUs;
         this.restUs = restUs;
         this.most = most;
-        this.idle = new IdleConnections<>(most, Line::drop);
+        this.idle = new IdleConnections<>(most, OutboundConnection::drop);
         turn.soon(this::sweep);
     }
 
@@ -73,14 +73,14 @@
     }
 
     /** Makes one call, on a connection that stands or on a new one; it is given up after {@code callUs}. */
-    public Line call(InetSocketAddress address, ByteBuffer call, long callUs, Line.User user) {
-        return call(address, call, Line.Patience.of(callUs), null, user);
+    public OutboundConnection call(InetSocketAddress address, ByteBuffer call, long callUs, OutboundConnection.User user) {
+        return call(address, call, OutboundConnection.Patience.of(callUs), null, user);
     }
 
     /** The same of an answer whose body {@code parts} takes as it comes, and which may take its time. */
-    Line call(InetSocketAddress address, ByteBuffer call, Line.Patience patience, Parts parts, Line.User user) {
+    OutboundConnection call(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, Parts parts, OutboundConnection.User user) {
         long restedUs = turn.nowUs() - restUs;
-        for (Line line = idle.take(address, restedUs); line != null; line = idle.take(address, restedUs)) {
+        for (OutboundConnection line = idle.take(address, restedUs); line != null; line = idle.take(address, restedUs)) {
             if (line.stands()) {
                 line.call(call, patience, parts, user);
                 return line;
@@ -91,18 +91,18 @@
     }
 
     /** Makes one call of any length on a connection of its own; {@code parts} takes its body as it comes. */
-    Line stream(InetSocketAddress address, ByteBuffer call, Parts parts, Line.User user) {
-        return open(address, call, Line.Patience.of(0), parts, user);
+    OutboundConnection stream(InetSocketAddress address, ByteBuffer call, Parts parts, OutboundConnection.User user) {
+        return open(address, call, OutboundConnection.Patience.of(0), parts, user);
     }
 
-    private Line open(InetSocketAddress address, ByteBuffer call, Line.Patience patience, Parts parts,
-                      Line.User user) {
+    private OutboundConnection open(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, Parts parts,
+                      OutboundConnection.User user) {
         counters.add("connections opened");
         if (open >= most) {
             idle.closeOldest();
         }
         open++;
-        Line line = new Line(turn, this, address);
+        OutboundConnection line = new OutboundConnection(turn, this, address);
         comingUp.computeIfAbsent(address, a -> new LinkedHashSet<>()).add(line);
         line.open(openWithinUs, call, patience, parts, user);
         return line;
@@ -114,17 +114,17 @@
      */
     void close(InetSocketAddress address) {
         idle.closeAll(address);
-        List.copyOf(comingUp.getOrDefault(address, Set.of())).forEach(Line::goesOn);
+        List.copyOf(comingUp.getOrDefault(address, Set.of())).forEach(OutboundConnection::goesOn);
     }
 
-    void isUp(Line line) {
-        Set<Line> there = comingUp.get(line.address());
+    void isUp(OutboundConnection line) {
+        Set<OutboundConnection> there = comingUp.get(line.address());
         if (there != null && there.remove(line) && there.isEmpty()) {
             comingUp.remove(line.address());
         }
     }
 
-    void idle(Line line) {
+    void idle(OutboundConnection line) {
         idle.put(turn.nowUs(), line.address(), line);
         if (stopped) {
             sweep();
@@ -141,7 +141,7 @@
         return open + " connections, " + idle.size() + " idle";
     }
 
-    void gone(Line line) {
+    void gone(OutboundConnection line) {
         open--;
         isUp(line);
         idle.remove(line);
--- a/src/main/java/gatelock/wire/Line.java
+++ b/src/main/java/gatelock/wire/OutboundConnection.java
@@ -17,7 +17,7 @@
  * A connection that this relay opens, with one call on it at a time. It sends nothing twice, and it sees
  * whether a call's last byte was written: what ended before that has never run.
  */
-public final class Line {
+public final class OutboundConnection {
     /**
      * Guards against an answer of many megabytes that comes faster than it is read, and would hold the thread and
      * with it all reqs for as long: after so many pieces others have their turn. Could harm nothing but the answer,
@@ -80,7 +80,7 @@
     private boolean written;
     private boolean ended;
 
-    Line(Turn turn, Lines home, InetSocketAddress address) {
+    OutboundConnection(Turn turn, Lines home, InetSocketAddress address) {
         this.turn = turn;
         this.home = home;
         this.address = address;
@@ -102,7 +102,7 @@
         opening.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
             @Override
             public void handleFailed(IOException e, Void nothing) {
-                turn.soon(Line.this::end);
+                turn.soon(OutboundConnection.this::end);
             }
         }, null);
     }
--- a/src/main/java/gatelock/wire/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/wire/ReleaseControllerClient.java
@@ -94,7 +94,7 @@
     }
 
     /** One vote; one whose answer can't be read may have counted. */
-    private final class Vote implements Line.User {
+    private final class Vote implements OutboundConnection.User {
         @Override
         public boolean answered(UpstreamResponse answer) {
             try {
@@ -126,10 +126,10 @@
     }
 
     /** A connection on which news come unasked. Nothing more is ever written to it. */
-    private final class Stream implements Line.User {
+    private final class Stream implements OutboundConnection.User {
         private final ByteArrayOutputStream text = new ByteArrayOutputStream(256);
         private final InetSocketAddress where = address;
-        private Line line;
+        private OutboundConnection line;
         private XnioExecutor.Key quiet;
         private boolean over;
 
--- a/src/main/java/gatelock/wire/SendOff.java
+++ b/src/main/java/gatelock/wire/SendOff.java
@@ -42,12 +42,12 @@
     }
 
     /** One try. */
-    private final class Try implements Line.User {
+    private final class Try implements OutboundConnection.User {
         private final InFlightRequest req;
         private final String unit;
         private final int number;
         private final long sentUs = turn.nowUs();
-        private Line line;
+        private OutboundConnection line;
         private boolean ended;
         private boolean stopped;
 
--- a/src/test/java/gatelock/wire/LineTest.java
+++ b/src/test/java/gatelock/wire/OutboundConnectionTest.java
@@ -24,13 +24,13 @@
 import org.xnio.XnioWorker;
 
 /** One call on a connection, on an I/O thread that the test holds up. */
-final class LineTest {
+final class OutboundConnectionTest {
     private static final long CALL_US = 200_000;
     private final XnioWorker worker;
     private final Turn turn;
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
 
-    LineTest() throws Exception {
+    OutboundConnectionTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         turn = new Turn(worker.getIoThread());
     }
@@ -40,7 +40,7 @@
         worker.shutdownNow();
     }
 
-    private final class Hears implements Line.User {
+    private final class Hears implements OutboundConnection.User {
         @Override
         public boolean answered(UpstreamResponse answer) {
             heard.add("answered " + new String(answer.body(), StandardCharsets.US_ASCII));
