--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -10,7 +10,7 @@
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.VersionTracker;
 import gatelock.wire.DiscoveryClient;
-import gatelock.wire.Lines;
+import gatelock.wire.ConnectionPool;
 import gatelock.wire.Turn;
 
 import java.io.IOException;
@@ -66,7 +66,7 @@
         keep = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), mostBytes);
         steward = new ConfigUpdater(turn, counters, new VersionTracker(control.history()), admission,
             new ConfigCompiler(told.grounds()), keep);
-        Lines lines = new Lines(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
+        ConnectionPool lines = new ConnectionPool(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
         subscription = new ConfigSubscription(turn, counters, lines, steward, new Backoff(FIRST_WAIT_US,
             control.mostWaitUs(),
             new SplittableRandom(told.charter().seed() + 2)), told.name(), control.services(),
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -13,7 +13,7 @@
 import gatelock.wire.ReleaseControllerClient;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.ClientListener;
-import gatelock.wire.Lines;
+import gatelock.wire.ConnectionPool;
 import gatelock.wire.Orders;
 import gatelock.wire.RelayBack;
 import gatelock.wire.RouteOut;
@@ -31,7 +31,7 @@
 
     final EndpointAddresses addresses = new EndpointAddresses();
     final InFlightRequests open;
-    final Lines units;
+    final ConnectionPool units;
     final Orders orders;
     final DecisionEngine gate;
     final TakeIn takeIn;
@@ -61,7 +61,7 @@
         this.counters = counters;
         open = new InFlightRequests(counters);
         // An idle connection is closed well before the unit would, so that no req crosses its end.
-        units = new Lines(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
+        units = new ConnectionPool(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
             * 2 / 5);
         RelayBack relayBack = new RelayBack(turn, open, counters);
         OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
@@ -81,7 +81,7 @@
 
     /** Begins from what the configuration holds, and follows discovery and the desk from there. */
     void start() throws IOException {
-        Lines platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
+        ConnectionPool platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
         desk = new ReleaseControllerClient(turn, counters, platform, told.desk(), told.charter().rollout().voteWaitUs());
         discovery = new DiscoveryClient(turn, counters, platform, told.discovery(), addresses, units,
             told.plain("zones"), told.plain("flavors"), told.charter().mustAskForList(),
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -7,7 +7,7 @@
 import gatelock.relay.RoutePolicy;
 import gatelock.wire.ClientListener;
 import gatelock.wire.OutboundConnection;
-import gatelock.wire.Lines;
+import gatelock.wire.ConnectionPool;
 import gatelock.wire.Turn;
 
 import io.undertow.server.HttpHandler;
@@ -45,7 +45,7 @@
     private final Consumer<StartupWarmUp> then;
     private final Counters counters = new Counters();
     private final RequestPipeline chain;
-    private final Lines own;
+    private final ConnectionPool own;
     private final String mark;
     private int asked;
     private int running;
@@ -64,7 +64,7 @@
         this.front = front;
         this.then = then;
         this.chain = new RequestPipeline(told, turn, counters, front, null, null, null);
-        this.own = new Lines(turn, new Counters(), 1_000_000, 1_000_000, 0, AT_ONCE);
+        this.own = new ConnectionPool(turn, new Counters(), 1_000_000, 1_000_000, 0, AT_ONCE);
         this.mark = "rehearsal-" + Long.toHexString(told.charter().seed()) + "-";
     }
 
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -8,7 +8,7 @@
 import gatelock.plan.ConfigVersion;
 import gatelock.plan.VersionTracker;
 import gatelock.wire.OutboundConnection;
-import gatelock.wire.Lines;
+import gatelock.wire.ConnectionPool;
 import gatelock.wire.Turn;
 
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -40,7 +40,7 @@
 
     private final Turn turn;
     private final Counters counters;
-    private final Lines lines;
+    private final ConnectionPool lines;
     private final ConfigUpdater steward;
     private final Backoff backoff;
     private final String relay;
@@ -61,7 +61,7 @@
      * @param services in the order in which they are tried
      * @param holdMs how long a call may wait for a later version
      */
-    public ConfigSubscription(Turn turn, Counters counters, Lines lines, ConfigUpdater steward, Backoff backoff,
+    public ConfigSubscription(Turn turn, Counters counters, ConnectionPool lines, ConfigUpdater steward, Backoff backoff,
         String relay,
                         List<InetSocketAddress> services, long holdMs) {
         this.turn = turn;
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -52,9 +52,9 @@
 
     private final Turn turn;
     private final Counters counters;
-    private final Lines lines;
+    private final ConnectionPool lines;
     private final EndpointAddresses addresses;
-    private final Lines units;
+    private final ConnectionPool units;
     private final EndpointEntryReader reader;
     private final Membership membership;
     private final boolean onRequest;
@@ -103,9 +103,9 @@
      * @param onRequest whether the list is followed only when asked for, and a failure is told
      * @param membership null: all units that are listed are used
      */
-    public DiscoveryClient(Turn turn, Counters counters, Lines lines, InetSocketAddress address,
+    public DiscoveryClient(Turn turn, Counters counters, ConnectionPool lines, InetSocketAddress address,
         EndpointAddresses addresses,
-                     Lines units, List<String> zones, List<String> kinds, boolean onRequest,
+                     ConnectionPool units, List<String> zones, List<String> kinds, boolean onRequest,
                      RandomGenerator chance, Membership membership) {
         this.turn = turn;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/OutboundConnection.java
+++ b/src/main/java/gatelock/wire/OutboundConnection.java
@@ -64,7 +64,7 @@
     }
 
     private final Turn turn;
-    private final Lines home;
+    private final ConnectionPool home;
     private final InetSocketAddress address;
     private StreamConnection connection;
     private IoFuture<StreamConnection> opening;
@@ -80,7 +80,7 @@
     private boolean written;
     private boolean ended;
 
-    OutboundConnection(Turn turn, Lines home, InetSocketAddress address) {
+    OutboundConnection(Turn turn, ConnectionPool home, InetSocketAddress address) {
         this.turn = turn;
         this.home = home;
         this.address = address;
--- a/src/main/java/gatelock/wire/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/wire/ReleaseControllerClient.java
@@ -28,14 +28,14 @@
 
     private final Turn turn;
     private final Counters counters;
-    private final Lines lines;
+    private final ConnectionPool lines;
     private final long voteWaitUs;
     private InetSocketAddress address;
     private DecisionEngine gate;
     private Stream standing;
     private Stream second;
 
-    public ReleaseControllerClient(Turn turn, Counters counters, Lines lines, InetSocketAddress address, long voteWaitUs) {
+    public ReleaseControllerClient(Turn turn, Counters counters, ConnectionPool lines, InetSocketAddress address, long voteWaitUs) {
         this.turn = turn;
         this.counters = counters;
         this.lines = lines;
--- a/src/main/java/gatelock/wire/SendOff.java
+++ b/src/main/java/gatelock/wire/SendOff.java
@@ -14,11 +14,11 @@
     private static final long SEEN_US = 2_000;
 
     private final Turn turn;
-    private final Lines lines;
+    private final ConnectionPool lines;
     private final OutcomeRecorder book;
     private BiConsumer<String, AttemptResult> hears = (unit, ending) -> { };
 
-    public SendOff(Turn turn, Lines lines, OutcomeRecorder book) {
+    public SendOff(Turn turn, ConnectionPool lines, OutcomeRecorder book) {
         this.turn = turn;
         this.lines = lines;
         this.book = book;
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -7,7 +7,7 @@
 import gatelock.standin.LongList;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.JsonObject;
-import gatelock.wire.Lines;
+import gatelock.wire.ConnectionPool;
 import gatelock.wire.Turn;
 import gatelock.standin.QuietOutlet;
 
@@ -40,8 +40,8 @@
     private final int size;
     private final XnioWorker worker;
     private final Turn turn;
-    private final Lines platform;
-    private final Lines units;
+    private final ConnectionPool platform;
+    private final ConnectionPool units;
     private final DiscoveryClient discovery;
     private final DecisionEngine gate;
     private final EndpointAddresses addresses = new EndpointAddresses();
@@ -55,8 +55,8 @@
             .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
         turn = new Turn(worker.getIoThread());
         Counters counters = new Counters();
-        platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, NO_BOUND);
-        units = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8);
+        platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, NO_BOUND);
+        units = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
         String[] at = list.address("r").split(":");
         discovery = new DiscoveryClient(turn, counters, platform, new InetSocketAddress(at[0], Integer.parseInt(at[1])),
             addresses, units, List.of("east", "west"), List.of("small"), false, new SplittableRandom(17), null);
--- a/src/test/java/gatelock/wire/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryClientTest.java
@@ -109,8 +109,8 @@
     private void start(DiscoveryClient.Membership membership) {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
         turn.soon(() -> {
-            Lines platform = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
-            Lines units = new Lines(turn, counters, 1_000_000, 4_000_000, 0, 8);
+            ConnectionPool platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
+            ConnectionPool units = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
             try {
                 new DiscoveryClient(turn, counters, platform, at, addresses, units, List.of("east", "west"), List.of("s", "m"),
                     false, new SplittableRandom(1), membership).start(new Noting(), null,
--- a/src/test/java/gatelock/wire/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/wire/OutboundConnectionTest.java
@@ -60,7 +60,7 @@
 
     private void call(ServerSocket party) {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), party.getLocalPort());
-        turn.soon(() -> new Lines(turn, new Counters(), 1_000_000, 4_000_000, 0, 8).call(at,
+        turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8).call(at,
             ByteBuffer.wrap("GET /list HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)), CALL_US, new Hears()));
     }
 
@@ -99,7 +99,7 @@
             InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), party.getLocalPort());
             // More than the system takes at once from one that nobody reads from.
             ByteBuffer large = ByteBuffer.allocate(64 * 1024 * 1024);
-            turn.soon(() -> new Lines(turn, new Counters(), 1_000_000, 4_000_000, 0, 8).call(at, large, 20_000_000,
+            turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8).call(at, large, 20_000_000,
                 new Hears()));
             try (Socket caller = party.accept()) {
                 caller.getInputStream().read();
