--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -396,9 +396,9 @@
     }
 
     /** One call for a list that is read as it comes; it counts only once it has come to a good end. */
-    private final class AskedByScope extends Asked implements Parts, ListReader.Taker {
+    private final class AskedByScope extends Asked implements Parts, EndpointListReader.Taker {
         private final boolean wholeAsked;
-        private ListReader list;
+        private EndpointListReader list;
         private long cameBytes;
         private EndpointSubset.Reading reading;
         private boolean none = true;
@@ -415,7 +415,7 @@
             if (bytes > membership.mostListBytes) {
                 throw new TooLongAnswer("" + bytes, membership.mostListBytes);
             }
-            list = new ListReader(wholeAsked, this);
+            list = new EndpointListReader(wholeAsked, this);
         }
 
         @Override
@@ -450,7 +450,7 @@
         @Override
         public boolean answered(UpstreamResponse answer) {
             try {
-                ListReader.Frame frame = list.end();
+                EndpointListReader.Frame frame = list.end();
                 unread = null;
                 // A watch that ended without a change is none.
                 taken(frame.index(), frame.whole() || !none, () -> {
--- a/src/main/java/gatelock/wire/ListReader.java
+++ b/src/main/java/gatelock/wire/EndpointListReader.java
@@ -22,7 +22,7 @@
  * memory or a guess: bytes that are no UTF-8, entries of more than {@link #MOST_ENTRY} bytes,
  * values nested deeper than {@link #DEEPEST} and more fields than {@link #MOST_FIELDS} beside the entries are refused.
  */
-final class ListReader {
+final class EndpointListReader {
     /** An entry with all its labels is a tenth of this at most; longer is no entry. */
     static final int MOST_ENTRY = 16 * 1024;
     /** Entries that are held while it is not told yet whether they are a whole list. */
@@ -76,7 +76,7 @@
      * @param wholeAsked whether a whole list was asked for: so it is taken where more than {@link #MOST_HELD}
      *     entries come before it is told what they are
      */
-    ListReader(boolean wholeAsked, Taker taker) {
+    EndpointListReader(boolean wholeAsked, Taker taker) {
         this.wholeAsked = wholeAsked;
         this.taker = taker;
         try {
--- a/src/test/java/gatelock/wire/ListReaderTest.java
+++ b/src/test/java/gatelock/wire/EndpointListReaderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A list in pieces against the same list as one text. */
-final class ListReaderTest {
+final class EndpointListReaderTest {
     private static final String ENTRY = "{\"name\":\"%s\",\"address\":\"127.0.0.1:1\",\"status\":\"in_service\"}";
 
     /** What a list says; the reason where it can't be taken. */
@@ -45,7 +45,7 @@
         List<Map<String, Object>> entries = new ArrayList<>();
         List<Boolean> begun = new ArrayList<>();
         try {
-            ListReader reader = new ListReader(wholeAsked, new ListReader.Taker() {
+            EndpointListReader reader = new EndpointListReader(wholeAsked, new EndpointListReader.Taker() {
                 @Override
                 public void begins(boolean whole) {
                     assertThat(entries).isEmpty();
@@ -68,7 +68,7 @@
             if (from < text.length) {
                 reader.read(Arrays.copyOfRange(text, from, text.length));
             }
-            ListReader.Frame frame = reader.end();
+            EndpointListReader.Frame frame = reader.end();
             assertThat(begun).containsExactly(frame.whole());
             return new Said(frame.whole(), frame.index(), entries, false);
         } catch (IOException e) {
@@ -139,7 +139,7 @@
     @Test
     void whatIsToldOnlyBehindManyEntriesIsTakenAsItWasAskedFor() {
         StringBuilder list = new StringBuilder("{\"endpoints\":[");
-        for (int i = 0; i <= ListReader.MOST_HELD; i++) {
+        for (int i = 0; i <= EndpointListReader.MOST_HELD; i++) {
             list.append(i == 0 ? "" : ",").append(String.format(ENTRY, "u" + i));
         }
         byte[] whole = bytes(list + "],\"snapshot\":true,\"index\":3}");
@@ -153,13 +153,13 @@
     @Test
     void whatWouldFillTheMemoryOrIsNoTextIsRefusedWhileItComes() throws Exception {
         String head = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
-        String pad = "p".repeat(ListReader.MOST_ENTRY / 2);
+        String pad = "p".repeat(EndpointListReader.MOST_ENTRY / 2);
         for (String odd : new String[] {head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + pad,
             head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + "\"}", head + "{\"a\":" + "[".repeat(100),
             "[".repeat(100), "{\"x\":" + "[".repeat(100), head + "{\"" + pad + pad + pad, "{\"index\":" + "1".repeat(200),
             head + "],\"endpoints\":[]}", head + "{\"a\":\"\u00e4\"}]}"}) {
             byte[] text = odd.contains("\u00e4") ? odd.getBytes(StandardCharsets.ISO_8859_1) : bytes(odd);
-            ListReader reader = new ListReader(true, new ListReader.Taker() {
+            EndpointListReader reader = new EndpointListReader(true, new EndpointListReader.Taker() {
                 @Override
                 public void begins(boolean whole) {
                     // nothing is kept
