--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -14,7 +14,7 @@
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.ClientListener;
 import gatelock.wire.ConnectionPool;
-import gatelock.wire.Orders;
+import gatelock.wire.ActionExecutor;
 import gatelock.wire.RelayBack;
 import gatelock.wire.RouteOut;
 import gatelock.wire.SendOff;
@@ -32,7 +32,7 @@
     final EndpointAddresses addresses = new EndpointAddresses();
     final InFlightRequests open;
     final ConnectionPool units;
-    final Orders orders;
+    final ActionExecutor orders;
     final DecisionEngine gate;
     final TakeIn takeIn;
     private final RequestAdmitter admit;
@@ -67,7 +67,7 @@
         OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
         sendOff = new SendOff(turn, units, book);
         RouteOut routeOut = new RouteOut(addresses, sendOff);
-        orders = new Orders(turn, open);
+        orders = new ActionExecutor(turn, open);
         gate = new ReleaseGate(told.charter(), orders);
         orders.bind(gate, routeOut, relayBack, book);
         admit = new RequestAdmitter(turn, open, counters, book, relayBack, gate, admission,
--- a/src/main/java/gatelock/wire/Orders.java
+++ b/src/main/java/gatelock/wire/ActionExecutor.java
@@ -12,7 +12,7 @@
  * What the decisions ask for. All of it is done right after the call that led to it, in order, so that no
  * stage is entered while the decisions are still at work.
  */
-public final class Orders implements DecisionActions {
+public final class ActionExecutor implements DecisionActions {
     private static final System.Logger LOG = System.getLogger("gatelock.decision");
 
     private final Turn turn;
@@ -25,7 +25,7 @@
     private DecisionEngine gate;
     private boolean stopped;
 
-    public Orders(Turn turn, InFlightRequests open) {
+    public ActionExecutor(Turn turn, InFlightRequests open) {
         this.turn = turn;
         this.open = open;
     }
