--- a/src/main/java/gatelock/wire/ConnectionPool.java
+++ b/src/main/java/gatelock/wire/ConnectionPool.java
@@ -78,7 +78,7 @@
     }
 
     /** The same of an answer whose body {@code parts} takes as it comes, and which may take its time. */
-    OutboundConnection call(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, Parts parts, OutboundConnection.User user) {
+    OutboundConnection call(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, BodyConsumer parts, OutboundConnection.User user) {
         long restedUs = turn.nowUs() - restUs;
         for (OutboundConnection line = idle.take(address, restedUs); line != null; line = idle.take(address, restedUs)) {
             if (line.stands()) {
@@ -91,11 +91,11 @@
     }
 
     /** Makes one call of any length on a connection of its own; {@code parts} takes its body as it comes. */
-    OutboundConnection stream(InetSocketAddress address, ByteBuffer call, Parts parts, OutboundConnection.User user) {
+    OutboundConnection stream(InetSocketAddress address, ByteBuffer call, BodyConsumer parts, OutboundConnection.User user) {
         return open(address, call, OutboundConnection.Patience.of(0), parts, user);
     }
 
-    private OutboundConnection open(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, Parts parts,
+    private OutboundConnection open(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, BodyConsumer parts,
                       OutboundConnection.User user) {
         counters.add("connections opened");
         if (open >= most) {
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -396,7 +396,7 @@
     }
 
     /** One call for a list that is read as it comes; it counts only once it has come to a good end. */
-    private final class AskedByScope extends Asked implements Parts, EndpointListReader.Taker {
+    private final class AskedByScope extends Asked implements BodyConsumer, EndpointListReader.Taker {
         private final boolean wholeAsked;
         private EndpointListReader list;
         private long cameBytes;
--- a/src/main/java/gatelock/wire/OutboundConnection.java
+++ b/src/main/java/gatelock/wire/OutboundConnection.java
@@ -72,7 +72,7 @@
     private XnioExecutor.Key callLimit;
     private ByteBuffer call;
     private ResponseReader reader;
-    private Parts parts;
+    private BodyConsumer parts;
     private Patience patience;
     private long beganUs;
     private long cameUs;
@@ -91,7 +91,7 @@
     }
 
     /** Opens the connection and makes the first call on it. */
-    void open(long openUs, ByteBuffer call, Patience patience, Parts parts, User user) {
+    void open(long openUs, ByteBuffer call, Patience patience, BodyConsumer parts, User user) {
         begin(call, patience, parts, user);
         openLimit = turn.in(openUs, () -> {
             if (connection == null) {
@@ -108,12 +108,12 @@
     }
 
     /** Makes one more call on a connection that stands idle. */
-    void call(ByteBuffer call, Patience patience, Parts parts, User user) {
+    void call(ByteBuffer call, Patience patience, BodyConsumer parts, User user) {
         begin(call, patience, parts, user);
         write();
     }
 
-    private void begin(ByteBuffer call, Patience patience, Parts parts, User user) {
+    private void begin(ByteBuffer call, Patience patience, BodyConsumer parts, User user) {
         if (patience.beginUs > 0) {
             callLimit = turn.in(patience.beginUs, () -> overdue(user));
         }
--- a/src/main/java/gatelock/wire/ResponseReader.java
+++ b/src/main/java/gatelock/wire/ResponseReader.java
@@ -31,7 +31,7 @@
 
     private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, WHOLE }
 
-    private final Parts parts;
+    private final BodyConsumer parts;
     private final int mostBody;
     private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(512);
@@ -46,7 +46,7 @@
      * @param parts takes the body piece by piece as it comes; null: the body is held whole
      * @param mostBody that a body held whole may have
      */
-    ResponseReader(Parts parts, int mostBody) {
+    ResponseReader(BodyConsumer parts, int mostBody) {
         this.parts = parts;
         this.mostBody = mostBody;
     }
