--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -15,7 +15,7 @@
 import gatelock.wire.ClientListener;
 import gatelock.wire.ConnectionPool;
 import gatelock.wire.ActionExecutor;
-import gatelock.wire.RelayBack;
+import gatelock.wire.ResponseWriter;
 import gatelock.wire.RouteOut;
 import gatelock.wire.SendOff;
 import gatelock.wire.TakeIn;
@@ -63,7 +63,7 @@
         // An idle connection is closed well before the unit would, so that no req crosses its end.
         units = new ConnectionPool(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
             * 2 / 5);
-        RelayBack relayBack = new RelayBack(turn, open, counters);
+        ResponseWriter relayBack = new ResponseWriter(turn, open, counters);
         OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
         sendOff = new SendOff(turn, units, book);
         RouteOut routeOut = new RouteOut(addresses, sendOff);
--- a/src/main/java/gatelock/wire/ActionExecutor.java
+++ b/src/main/java/gatelock/wire/ActionExecutor.java
@@ -18,7 +18,7 @@
     private final Turn turn;
     private final InFlightRequests open;
     private RouteOut routeOut;
-    private RelayBack relayBack;
+    private ResponseWriter relayBack;
     private OutcomeRecorder book;
     private ReleaseControllerClient desk;
     private DiscoveryClient discovery;
@@ -31,7 +31,7 @@
     }
 
     /** Names who carries them out, before the first one is given. */
-    public void bind(DecisionEngine gate, RouteOut routeOut, RelayBack relayBack, OutcomeRecorder book) {
+    public void bind(DecisionEngine gate, RouteOut routeOut, ResponseWriter relayBack, OutcomeRecorder book) {
         this.gate = gate;
         this.routeOut = routeOut;
         this.relayBack = relayBack;
--- a/src/main/java/gatelock/wire/OutcomeRecorder.java
+++ b/src/main/java/gatelock/wire/OutcomeRecorder.java
@@ -12,9 +12,9 @@
     private final Turn turn;
     private final InFlightRequests open;
     private final Counters counters;
-    private final RelayBack relayBack;
+    private final ResponseWriter relayBack;
 
-    public OutcomeRecorder(Turn turn, InFlightRequests open, Counters counters, RelayBack relayBack) {
+    public OutcomeRecorder(Turn turn, InFlightRequests open, Counters counters, ResponseWriter relayBack) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/RequestAdmitter.java
+++ b/src/main/java/gatelock/wire/RequestAdmitter.java
@@ -22,7 +22,7 @@
     private final InFlightRequests open;
     private final Counters counters;
     private final OutcomeRecorder book;
-    private final RelayBack relayBack;
+    private final ResponseWriter relayBack;
     private final DecisionEngine gate;
     private final Admission admission;
     private final long longestPauseUs;
@@ -33,7 +33,7 @@
      * @param admission what the plan in force means; null: there never is one
      * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
      */
-    public RequestAdmitter(Turn turn, InFlightRequests open, Counters counters, OutcomeRecorder book, RelayBack relayBack, DecisionEngine gate,
+    public RequestAdmitter(Turn turn, InFlightRequests open, Counters counters, OutcomeRecorder book, ResponseWriter relayBack, DecisionEngine gate,
                  Admission admission, long longestPauseUs) {
         this.turn = turn;
         this.open = open;
--- a/src/main/java/gatelock/wire/RelayBack.java
+++ b/src/main/java/gatelock/wire/ResponseWriter.java
@@ -6,12 +6,12 @@
 import gatelock.kept.UpstreamResponse;
 
 /** Fifth stage: the one final answer goes back to the caller. */
-public final class RelayBack {
+public final class ResponseWriter {
     private final Turn turn;
     private final InFlightRequests open;
     private final Counters counters;
 
-    public RelayBack(Turn turn, InFlightRequests open, Counters counters) {
+    public ResponseWriter(Turn turn, InFlightRequests open, Counters counters) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
