--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -16,7 +16,7 @@
 import gatelock.wire.ConnectionPool;
 import gatelock.wire.ActionExecutor;
 import gatelock.wire.ResponseWriter;
-import gatelock.wire.RouteOut;
+import gatelock.wire.EndpointResolver;
 import gatelock.wire.SendOff;
 import gatelock.wire.TakeIn;
 import gatelock.wire.Turn;
@@ -66,7 +66,7 @@
         ResponseWriter relayBack = new ResponseWriter(turn, open, counters);
         OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
         sendOff = new SendOff(turn, units, book);
-        RouteOut routeOut = new RouteOut(addresses, sendOff);
+        EndpointResolver routeOut = new EndpointResolver(addresses, sendOff);
         orders = new ActionExecutor(turn, open);
         gate = new ReleaseGate(told.charter(), orders);
         orders.bind(gate, routeOut, relayBack, book);
--- a/src/main/java/gatelock/wire/ActionExecutor.java
+++ b/src/main/java/gatelock/wire/ActionExecutor.java
@@ -17,7 +17,7 @@
 
     private final Turn turn;
     private final InFlightRequests open;
-    private RouteOut routeOut;
+    private EndpointResolver routeOut;
     private ResponseWriter relayBack;
     private OutcomeRecorder book;
     private ReleaseControllerClient desk;
@@ -31,7 +31,7 @@
     }
 
     /** Names who carries them out, before the first one is given. */
-    public void bind(DecisionEngine gate, RouteOut routeOut, ResponseWriter relayBack, OutcomeRecorder book) {
+    public void bind(DecisionEngine gate, EndpointResolver routeOut, ResponseWriter relayBack, OutcomeRecorder book) {
         this.gate = gate;
         this.routeOut = routeOut;
         this.relayBack = relayBack;
--- a/src/main/java/gatelock/wire/RouteOut.java
+++ b/src/main/java/gatelock/wire/EndpointResolver.java
@@ -6,11 +6,11 @@
 import java.net.InetSocketAddress;
 
 /** Third stage: the unit that was decided on becomes an address. */
-public final class RouteOut {
+public final class EndpointResolver {
     private final EndpointAddresses addresses;
     private final SendOff sendOff;
 
-    public RouteOut(EndpointAddresses addresses, SendOff sendOff) {
+    public EndpointResolver(EndpointAddresses addresses, SendOff sendOff) {
         this.addresses = addresses;
         this.sendOff = sendOff;
     }
