--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -17,7 +17,7 @@
 import gatelock.wire.ActionExecutor;
 import gatelock.wire.ResponseWriter;
 import gatelock.wire.EndpointResolver;
-import gatelock.wire.SendOff;
+import gatelock.wire.AttemptSender;
 import gatelock.wire.TakeIn;
 import gatelock.wire.Turn;
 import gatelock.wire.ws.Upgrades;
@@ -42,7 +42,7 @@
     private final Admission admission;
     private final Sessions sessions;
     private final OperatorConfig.Membership membership;
-    private final SendOff sendOff;
+    private final AttemptSender sendOff;
     private ReleaseControllerClient desk;
     private DiscoveryClient discovery;
 
@@ -65,7 +65,7 @@
             * 2 / 5);
         ResponseWriter relayBack = new ResponseWriter(turn, open, counters);
         OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
-        sendOff = new SendOff(turn, units, book);
+        sendOff = new AttemptSender(turn, units, book);
         EndpointResolver routeOut = new EndpointResolver(addresses, sendOff);
         orders = new ActionExecutor(turn, open);
         gate = new ReleaseGate(told.charter(), orders);
--- a/src/main/java/gatelock/wire/SendOff.java
+++ b/src/main/java/gatelock/wire/AttemptSender.java
@@ -10,7 +10,7 @@
 import java.util.function.BiConsumer;
 
 /** Fourth stage: one try goes out on a connection of its own for the time, and its ending is found. */
-public final class SendOff {
+public final class AttemptSender {
     private static final long SEEN_US = 2_000;
 
     private final Turn turn;
@@ -18,7 +18,7 @@
     private final OutcomeRecorder book;
     private BiConsumer<String, AttemptResult> hears = (unit, ending) -> { };
 
-    public SendOff(Turn turn, ConnectionPool lines, OutcomeRecorder book) {
+    public AttemptSender(Turn turn, ConnectionPool lines, OutcomeRecorder book) {
         this.turn = turn;
         this.lines = lines;
         this.book = book;
--- a/src/main/java/gatelock/wire/EndpointResolver.java
+++ b/src/main/java/gatelock/wire/EndpointResolver.java
@@ -8,9 +8,9 @@
 /** Third stage: the unit that was decided on becomes an address. */
 public final class EndpointResolver {
     private final EndpointAddresses addresses;
-    private final SendOff sendOff;
+    private final AttemptSender sendOff;
 
-    public EndpointResolver(EndpointAddresses addresses, SendOff sendOff) {
+    public EndpointResolver(EndpointAddresses addresses, AttemptSender sendOff) {
         this.addresses = addresses;
         this.sendOff = sendOff;
     }
