--- a/src/main/java/gatelock/boot/OperatorConfig.java
+++ b/src/main/java/gatelock/boot/OperatorConfig.java
@@ -4,7 +4,7 @@
 import gatelock.plan.ConfigDocument;
 import gatelock.plan.Diagnostic;
 import gatelock.plan.SchemaValidator;
-import gatelock.wire.ServiceName;
+import gatelock.wire.ServiceNameExtractor;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -45,7 +45,7 @@
     }
 
     /** Which units are used of those that are listed, and how long an answer with a list may be. */
-    record Membership(EndpointSubset.Terms terms, ServiceName service, long mostListBytes, String text) {
+    record Membership(EndpointSubset.Terms terms, ServiceNameExtractor service, long mostListBytes, String text) {
 
         /** Whether the file says the same. */
         boolean same(Membership other) {
@@ -128,9 +128,9 @@
         long numbered = node.path("number").asLong(told.charter().number());
         long number = numbered < 0 ? told.charter().seed() : numbered;
         JsonNode service = node.path("service");
-        ServiceName name = service.has("label") ? ServiceName.byLabel(service.get("label").asText())
-            : service.has("separator") ? ServiceName.before(service.get("separator").asText())
-            : ServiceName.ONE;
+        ServiceNameExtractor name = service.has("label") ? ServiceNameExtractor.byLabel(service.get("label").asText())
+            : service.has("separator") ? ServiceNameExtractor.before(service.get("separator").asText())
+            : ServiceNameExtractor.ONE;
         return new Membership(new EndpointSubset.Terms(number, zone == null ? -1 : zones.indexOf(zone), most, perService,
             part, elsewhere, (long) (node.path("settleS").asDouble(SETTLE_S) * 1e6)), name,
             node.path("mostListBytes").asLong(MOST_LIST_BYTES), node.toString());
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -81,7 +81,7 @@
      *
      * @param mostListBytes that an answer with a list may have
      */
-    public record Membership(EndpointSubset scope, ServiceName service, long mostListBytes) {
+    public record Membership(EndpointSubset scope, ServiceNameExtractor service, long mostListBytes) {
     }
 
     /**
@@ -113,7 +113,7 @@
         this.address = address;
         this.addresses = addresses;
         this.units = units;
-        this.reader = new EndpointEntryReader(zones, kinds, membership == null ? ServiceName.ONE : membership.service);
+        this.reader = new EndpointEntryReader(zones, kinds, membership == null ? ServiceNameExtractor.ONE : membership.service);
         this.membership = membership;
         this.onRequest = onRequest;
         this.chance = chance;
--- a/src/main/java/gatelock/wire/EndpointEntryReader.java
+++ b/src/main/java/gatelock/wire/EndpointEntryReader.java
@@ -18,9 +18,9 @@
 
     private final List<String> zones;
     private final List<String> kinds;
-    private final ServiceName service;
+    private final ServiceNameExtractor service;
 
-    EndpointEntryReader(List<String> zones, List<String> kinds, ServiceName service) {
+    EndpointEntryReader(List<String> zones, List<String> kinds, ServiceNameExtractor service) {
         this.zones = zones;
         this.kinds = kinds;
         this.service = service;
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.catchThrowable;
 
 import gatelock.membership.EndpointSubset;
-import gatelock.wire.ServiceName;
+import gatelock.wire.ServiceNameExtractor;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -158,7 +158,7 @@
         assertThat(read.terms()).isEqualTo(new EndpointSubset.Terms(deployment().charter().seed(), -1, 40, 4, 1, 1,
             10_000_000));
         assertThat(read.mostListBytes()).isEqualTo(64 << 20);
-        assertThat(read.service()).isSameAs(ServiceName.ONE);
+        assertThat(read.service()).isSameAs(ServiceNameExtractor.ONE);
         OperatorConfig.Membership all = OperatorConfig.read(Path.of(file("operator.json", "{\"membership\": {\"most\": 1024, "
             + "\"perService\": 1, \"zone\": \"east\", \"number\": 17, \"leastHolders\": 0, \"settleS\": 0.5, \"mostListBytes\": 2097152, "
             + "\"service\": {\"separator\": \"-\"}}}")), deployment()).membership();
--- a/src/test/java/gatelock/wire/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryClientTest.java
@@ -216,7 +216,7 @@
 
     @Test
     void aScopeThatHoldsAllTellsTheSameAndAsksTheSame() throws Exception {
-        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceName.ONE, 1 << 20));
+        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceNameExtractor.ONE, 1 << 20));
         play();
         List<String> calls = taken("GET");
         List<String> told = course.stream().filter(c -> !c.startsWith("GET")).map(DiscoveryClientTest::inOrder).toList();
@@ -242,7 +242,7 @@
 
     @Test
     void aListThatTricklesInIsReadAndOneThatStopsIsAskedForAgain() throws Exception {
-        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceName.ONE, 1 << 20));
+        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceNameExtractor.ONE, 1 << 20));
         asked();
         String body = list(5, true, entry("a", 11, "in_service", 7, 1), entry("b", 12, "in_service", 0, 1));
         socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n")
