--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -18,7 +18,7 @@
 import gatelock.wire.ResponseWriter;
 import gatelock.wire.EndpointResolver;
 import gatelock.wire.AttemptSender;
-import gatelock.wire.TakeIn;
+import gatelock.wire.RequestReader;
 import gatelock.wire.Turn;
 import gatelock.wire.ws.Upgrades;
 
@@ -34,7 +34,7 @@
     final ConnectionPool units;
     final ActionExecutor orders;
     final DecisionEngine gate;
-    final TakeIn takeIn;
+    final RequestReader takeIn;
     private final RequestAdmitter admit;
     private final Turn turn;
     private final RelayConfig told;
@@ -72,7 +72,7 @@
         orders.bind(gate, routeOut, relayBack, book);
         admit = new RequestAdmitter(turn, open, counters, book, relayBack, gate, admission,
             told.charter().pausesHeard() ? told.charter().longestPauseUs() : 0);
-        takeIn = new TakeIn(counters, new TakeIn.Names(told.numbered("lanes"), told.numbered("orgs"),
+        takeIn = new RequestReader(counters, new RequestReader.Names(told.numbered("lanes"), told.numbered("orgs"),
             told.charter().routes(), told.deadlinesUs()), turn, admit, front, admission);
         if (sessions != null) {
             takeIn.opensBy(new Upgrades(turn, counters, book, gate, sessions));
--- a/src/main/java/gatelock/wire/TakeIn.java
+++ b/src/main/java/gatelock/wire/RequestReader.java
@@ -38,7 +38,7 @@
 /**
  * First stage: a client's req is read whole and checked for its form; the fields that matter are taken out.
  */
-public final class TakeIn implements HttpHandler {
+public final class RequestReader implements HttpHandler {
     private static final int FIRST_CHUNKS = 1024;
     private static final int MOST_DIGITS = 9;
     private static final int MOST_ID = 256;
@@ -67,7 +67,7 @@
     private final ClientListener front;
 
     /** @param admission what the plan in force means; null: there never is one */
-    public TakeIn(Counters counters, Names names, Turn turn, RequestAdmitter admit, ClientListener front, Admission admission) {
+    public RequestReader(Counters counters, Names names, Turn turn, RequestAdmitter admit, ClientListener front, Admission admission) {
         this.admission = admission;
         this.turn = turn;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -8,7 +8,7 @@
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
 import gatelock.wire.OutcomeRecorder;
-import gatelock.wire.TakeIn;
+import gatelock.wire.RequestReader;
 import gatelock.wire.Turn;
 
 import io.undertow.connector.ByteBufferPool;
@@ -48,7 +48,7 @@
  * ordinary
  * req, which may be shed with a time to come back.
  */
-public final class Upgrades implements TakeIn.Upgrade {
+public final class Upgrades implements RequestReader.Upgrade {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private static final int BUFFER_BYTES = 4096;
     private static final HttpString PROTOCOL = new HttpString("Sec-WebSocket-Protocol");
