--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -413,7 +413,7 @@
                 throw new UnreadableAnswer("status " + status);
             }
             if (bytes > membership.mostListBytes) {
-                throw new TooLongAnswer("" + bytes, membership.mostListBytes);
+                throw new ResponseTooLongException("" + bytes, membership.mostListBytes);
             }
             list = new EndpointListReader(wholeAsked, this);
         }
@@ -422,7 +422,7 @@
         public void take(byte[] some) throws UnreadableAnswer {
             cameBytes += some.length;
             if (cameBytes > membership.mostListBytes) {
-                throw new TooLongAnswer("at least " + cameBytes, membership.mostListBytes);
+                throw new ResponseTooLongException("at least " + cameBytes, membership.mostListBytes);
             }
             try {
                 list.read(some);
--- a/src/main/java/gatelock/wire/OutboundConnection.java
+++ b/src/main/java/gatelock/wire/OutboundConnection.java
@@ -225,7 +225,7 @@
         } catch (UnreadableAnswer e) {
             home.unreadable(address, e);
             if (user != null) {
-                if (e instanceof TooLongAnswer) {
+                if (e instanceof ResponseTooLongException) {
                     user.tooLong(e.getMessage());
                 } else {
                     user.unreadable(e.getMessage());
--- a/src/main/java/gatelock/wire/ResponseReader.java
+++ b/src/main/java/gatelock/wire/ResponseReader.java
@@ -92,7 +92,7 @@
             parts.take(some);
         } else {
             if (body.size() + some.length > mostBody) {
-                throw new TooLongAnswer("at least " + (body.size() + some.length), mostBody);
+                throw new ResponseTooLongException("at least " + (body.size() + some.length), mostBody);
             }
             body.writeBytes(some);
         }
@@ -207,7 +207,7 @@
             && text.chars().allMatch(c -> c < 128 && Character.digit(c, radix) >= 0);
         long found = form ? Long.parseLong(text, radix) : -1;
         if (parts == null && found > mostBody) {
-            throw new TooLongAnswer((part == Part.CHUNK_SIZE ? "at least " : "") + found, mostBody);
+            throw new ResponseTooLongException((part == Part.CHUNK_SIZE ? "at least " : "") + found, mostBody);
         }
         if (found < 0) {
             throw new UnreadableAnswer("expected a length, found " + text);
--- a/src/main/java/gatelock/wire/TooLongAnswer.java
+++ b/src/main/java/gatelock/wire/ResponseTooLongException.java
@@ -1,14 +1,14 @@
 package gatelock.wire;
 
 /** The body that comes back, or a part of it, is longer than is taken here. */
-final class TooLongAnswer extends UnreadableAnswer {
+final class ResponseTooLongException extends UnreadableAnswer {
     private static final long serialVersionUID = 1L;
 
     /**
      * @param bytes of the body, in words where only a part of it is known
      * @param most that a body may have, in bytes
      */
-    TooLongAnswer(String bytes, long most) {
+    ResponseTooLongException(String bytes, long most) {
         super("body of " + bytes + " bytes is longer than " + most);
     }
 }
