--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -11,7 +11,7 @@
 import gatelock.plan.VersionTracker;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.ConnectionPool;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -45,13 +45,13 @@
     final Admission admission;
     private final OperatorConfig.Control control;
     private final InetSocketAddress listener;
-    private final Turn turn;
+    private final EventLoop turn;
     private final ConfigUpdater steward;
     private final LastKnownGoodStore keep;
     private final ConfigSubscription subscription;
     private final AdminServer window;
 
-    ControlPlane(OperatorConfig operator, RelayConfig told, Turn turn, Counters counters) {
+    ControlPlane(OperatorConfig operator, RelayConfig told, EventLoop turn, Counters counters) {
         this.turn = turn;
         this.control = operator.control();
         this.listener = operator.listener();
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -4,7 +4,7 @@
 import gatelock.session.Sessions;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.ClientListener;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import io.undertow.server.HttpHandler;
 
@@ -47,7 +47,7 @@
 
     private final Path file;
     private final Start how;
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters = new Counters();
     private final Path operatorsFile;
     private final OperatorConfig operator;
@@ -62,7 +62,7 @@
     enum Start { REHEARSED, COLD, REHEARSAL_ONLY }
 
     private RelayService(Path file, RelayConfig told, Path operatorsFile, OperatorConfig operator, Start how,
-        Turn turn) {
+        EventLoop turn) {
         this.file = file;
         this.operatorsFile = operatorsFile;
         this.operator = operator;
@@ -82,7 +82,7 @@
             .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1)
             .set(Options.STACK_SIZE, STACK_BYTES).set(Options.WORKER_NAME, "gatelock").getMap());
         RelayService service = new RelayService(file, told, operatorsFile, operator, how,
-            new Turn(worker.getIoThread()));
+            new EventLoop(worker.getIoThread()));
         // Before it can be told to leave, as whoever leaves must have begun.
         service.turn.soon(service::run);
         CountDownLatch left = new CountDownLatch(1);
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -19,7 +19,7 @@
 import gatelock.wire.EndpointResolver;
 import gatelock.wire.AttemptSender;
 import gatelock.wire.RequestReader;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 import gatelock.wire.ws.Upgrades;
 
 import java.io.IOException;
@@ -36,7 +36,7 @@
     final DecisionEngine gate;
     final RequestReader takeIn;
     private final RequestAdmitter admit;
-    private final Turn turn;
+    private final EventLoop turn;
     private final RelayConfig told;
     private final Counters counters;
     private final Admission admission;
@@ -51,7 +51,7 @@
      * @param sessions null: none are opened
      * @param membership what units are used of those that are listed; null: all
      */
-    RequestPipeline(RelayConfig told, Turn turn, Counters counters, ClientListener front, Admission admission,
+    RequestPipeline(RelayConfig told, EventLoop turn, Counters counters, ClientListener front, Admission admission,
         Sessions sessions, OperatorConfig.Membership membership) {
         this.told = told;
         this.membership = membership;
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -8,7 +8,7 @@
 import gatelock.wire.ClientListener;
 import gatelock.wire.OutboundConnection;
 import gatelock.wire.ConnectionPool;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
@@ -39,7 +39,7 @@
 
     private final RelayConfig told;
     private final InetSocketAddress at;
-    private final Turn turn;
+    private final EventLoop turn;
     private final ClientListener front;
     private final HttpHandler clients;
     private final Consumer<StartupWarmUp> then;
@@ -55,7 +55,7 @@
      * @param at where this relay listens
      * @param clients takes the reqs that are not the rehearsal's own
      */
-    StartupWarmUp(RelayConfig told, InetSocketAddress at, Turn turn, ClientListener front, HttpHandler clients,
+    StartupWarmUp(RelayConfig told, InetSocketAddress at, EventLoop turn, ClientListener front, HttpHandler clients,
               Consumer<StartupWarmUp> then) {
         this.clients = clients;
         this.told = told;
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -5,7 +5,7 @@
 import gatelock.plan.ConfigVersion;
 import gatelock.plan.VersionTracker;
 import gatelock.wire.DiscoveryClient;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -43,14 +43,14 @@
     private static final int MOST = 8;
     private static final int IDLE_MS = 10_000;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final ConfigUpdater steward;
     private final Supplier<ConfigSubscription> subscription;
     private Supplier<DiscoveryClient.State> list;
     private AcceptingChannel<StreamConnection> listener;
 
-    public AdminServer(Turn turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
+    public AdminServer(EventLoop turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
         this.turn = turn;
         this.counters = counters;
         this.steward = steward;
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -9,7 +9,7 @@
 import gatelock.plan.VersionTracker;
 import gatelock.wire.OutboundConnection;
 import gatelock.wire.ConnectionPool;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
@@ -38,7 +38,7 @@
     private static final long GRACE_US = 5_000_000;
     private static final int MOST_WORDS = 200;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final ConnectionPool lines;
     private final ConfigUpdater steward;
@@ -61,7 +61,7 @@
      * @param services in the order in which they are tried
      * @param holdMs how long a call may wait for a later version
      */
-    public ConfigSubscription(Turn turn, Counters counters, ConnectionPool lines, ConfigUpdater steward, Backoff backoff,
+    public ConfigSubscription(EventLoop turn, Counters counters, ConnectionPool lines, ConfigUpdater steward, Backoff backoff,
         String relay,
                         List<InetSocketAddress> services, long holdMs) {
         this.turn = turn;
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -8,7 +8,7 @@
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.ConfigVersion;
 import gatelock.plan.VersionTracker;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import java.lang.System.Logger.Level;
 import java.util.List;
@@ -24,7 +24,7 @@
     private static final System.Logger LOG = System.getLogger("gatelock.control");
     private static final int LOGGED = 5;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final VersionTracker succession;
     private final Admission admission;
@@ -43,7 +43,7 @@
     }
 
     /** @param keep null: nothing is kept on disk */
-    public ConfigUpdater(Turn turn, Counters counters, VersionTracker succession, Admission admission,
+    public ConfigUpdater(EventLoop turn, Counters counters, VersionTracker succession, Admission admission,
         ConfigCompiler compiler,
                    LastKnownGoodStore keep) {
         this.turn = turn;
--- a/src/main/java/gatelock/wire/ActionExecutor.java
+++ b/src/main/java/gatelock/wire/ActionExecutor.java
@@ -15,7 +15,7 @@
 public final class ActionExecutor implements DecisionActions {
     private static final System.Logger LOG = System.getLogger("gatelock.decision");
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final InFlightRequests open;
     private EndpointResolver routeOut;
     private ResponseWriter relayBack;
@@ -25,7 +25,7 @@
     private DecisionEngine gate;
     private boolean stopped;
 
-    public ActionExecutor(Turn turn, InFlightRequests open) {
+    public ActionExecutor(EventLoop turn, InFlightRequests open) {
         this.turn = turn;
         this.open = open;
     }
--- a/src/main/java/gatelock/wire/AttemptSender.java
+++ b/src/main/java/gatelock/wire/AttemptSender.java
@@ -13,12 +13,12 @@
 public final class AttemptSender {
     private static final long SEEN_US = 2_000;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final ConnectionPool lines;
     private final OutcomeRecorder book;
     private BiConsumer<String, AttemptResult> hears = (unit, ending) -> { };
 
-    public AttemptSender(Turn turn, ConnectionPool lines, OutcomeRecorder book) {
+    public AttemptSender(EventLoop turn, ConnectionPool lines, OutcomeRecorder book) {
         this.turn = turn;
         this.lines = lines;
         this.book = book;
--- a/src/main/java/gatelock/wire/ClientListener.java
+++ b/src/main/java/gatelock/wire/ClientListener.java
@@ -45,7 +45,7 @@
     /** The last reqs that a relay takes when it leaves have so long. */
     private static final long LAST_REQS_US = 600_000;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final int most;
     private final ClientConnections<StreamConnection> clients;
     private final Map<StreamConnection, ClientReadConduit> inflows = new HashMap<>();
@@ -60,7 +60,7 @@
      * @param withEase client connections held at a time; beyond that idle ones make room
      * @param most beyond that all that wait for a first req do, and further ones are not accepted
      */
-    public ClientListener(Turn turn, Counters counters, int withEase, int most) {
+    public ClientListener(EventLoop turn, Counters counters, int withEase, int most) {
         this.turn = turn;
         this.most = most;
         this.clients = new ClientConnections<>(counters, new ClientConnections.Sockets<>() {
--- a/src/main/java/gatelock/wire/ConnectionPool.java
+++ b/src/main/java/gatelock/wire/ConnectionPool.java
@@ -15,7 +15,7 @@
 /** The connections that this relay opens to one kind of party, kept between calls. */
 public final class ConnectionPool {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final IdleConnections<OutboundConnection> idle;
     private final Map<InetSocketAddress, Set<OutboundConnection>> comingUp = new HashMap<>();
@@ -37,12 +37,12 @@
      *     late copy or noise; costs some connections more under load
      * @param most how many there may be; beyond that one without a call goes for each that is opened
      */
-    public ConnectionPool(Turn turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most) {
+    public ConnectionPool(EventLoop turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most) {
         this(turn, counters, openWithinUs, idleUs, restUs, most, ResponseReader.MOST_BODY);
     }
 
     /** The same with answers of a size of their own, as the protocol's bound is only for reqs. */
-    public ConnectionPool(Turn turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most,
+    public ConnectionPool(EventLoop turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most,
         int mostBody) {
         this.mostBody = mostBody;
         this.turn = turn;
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -50,7 +50,7 @@
     public static final int MOST_LIST = 2 * 1024 * 1024;
     private static final String TOO_LONG = "too long";
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final ConnectionPool lines;
     private final EndpointAddresses addresses;
@@ -103,7 +103,7 @@
      * @param onRequest whether the list is followed only when asked for, and a failure is told
      * @param membership null: all units that are listed are used
      */
-    public DiscoveryClient(Turn turn, Counters counters, ConnectionPool lines, InetSocketAddress address,
+    public DiscoveryClient(EventLoop turn, Counters counters, ConnectionPool lines, InetSocketAddress address,
         EndpointAddresses addresses,
                      ConnectionPool units, List<String> zones, List<String> kinds, boolean onRequest,
                      RandomGenerator chance, Membership membership) {
--- a/src/main/java/gatelock/wire/Turn.java
+++ b/src/main/java/gatelock/wire/EventLoop.java
@@ -10,7 +10,7 @@
 import java.util.function.Supplier;
 
 /** The one thread that does everything: its clock, its timers, and its queue of what is to be done next. */
-public final class Turn {
+public final class EventLoop {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private static final int READ_BYTES = 16 * 1024;
 
@@ -19,7 +19,7 @@
     private final long startUs = System.currentTimeMillis() * 1000;
     private final ByteBuffer reading = ByteBuffer.allocateDirect(READ_BYTES);
 
-    public Turn(XnioIoThread thread) {
+    public EventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
--- a/src/main/java/gatelock/wire/OutboundConnection.java
+++ b/src/main/java/gatelock/wire/OutboundConnection.java
@@ -63,7 +63,7 @@
         }
     }
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final ConnectionPool home;
     private final InetSocketAddress address;
     private StreamConnection connection;
@@ -80,7 +80,7 @@
     private boolean written;
     private boolean ended;
 
-    OutboundConnection(Turn turn, ConnectionPool home, InetSocketAddress address) {
+    OutboundConnection(EventLoop turn, ConnectionPool home, InetSocketAddress address) {
         this.turn = turn;
         this.home = home;
         this.address = address;
--- a/src/main/java/gatelock/wire/OutcomeRecorder.java
+++ b/src/main/java/gatelock/wire/OutcomeRecorder.java
@@ -9,12 +9,12 @@
 
 /** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
 public final class OutcomeRecorder {
-    private final Turn turn;
+    private final EventLoop turn;
     private final InFlightRequests open;
     private final Counters counters;
     private final ResponseWriter relayBack;
 
-    public OutcomeRecorder(Turn turn, InFlightRequests open, Counters counters, ResponseWriter relayBack) {
+    public OutcomeRecorder(EventLoop turn, InFlightRequests open, Counters counters, ResponseWriter relayBack) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/wire/ReleaseControllerClient.java
@@ -26,7 +26,7 @@
     private static final long REOPEN_US = 200_000;
     private static final int MOST_LINE = 256 * 1024;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final ConnectionPool lines;
     private final long voteWaitUs;
@@ -35,7 +35,7 @@
     private Stream standing;
     private Stream second;
 
-    public ReleaseControllerClient(Turn turn, Counters counters, ConnectionPool lines, InetSocketAddress address, long voteWaitUs) {
+    public ReleaseControllerClient(EventLoop turn, Counters counters, ConnectionPool lines, InetSocketAddress address, long voteWaitUs) {
         this.turn = turn;
         this.counters = counters;
         this.lines = lines;
--- a/src/main/java/gatelock/wire/RequestAdmitter.java
+++ b/src/main/java/gatelock/wire/RequestAdmitter.java
@@ -18,7 +18,7 @@
     /** While somebody waits, limits are looked at so often at the least. */
     private static final long LOOK_US = 10_000;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final InFlightRequests open;
     private final Counters counters;
     private final OutcomeRecorder book;
@@ -33,7 +33,7 @@
      * @param admission what the plan in force means; null: there never is one
      * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
      */
-    public RequestAdmitter(Turn turn, InFlightRequests open, Counters counters, OutcomeRecorder book, ResponseWriter relayBack, DecisionEngine gate,
+    public RequestAdmitter(EventLoop turn, InFlightRequests open, Counters counters, OutcomeRecorder book, ResponseWriter relayBack, DecisionEngine gate,
                  Admission admission, long longestPauseUs) {
         this.turn = turn;
         this.open = open;
--- a/src/main/java/gatelock/wire/RequestReader.java
+++ b/src/main/java/gatelock/wire/RequestReader.java
@@ -58,7 +58,7 @@
                         List<Long> deadlinesUs) {
     }
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final Names names;
     private final RequestAdmitter admit;
@@ -67,7 +67,7 @@
     private final ClientListener front;
 
     /** @param admission what the plan in force means; null: there never is one */
-    public RequestReader(Counters counters, Names names, Turn turn, RequestAdmitter admit, ClientListener front, Admission admission) {
+    public RequestReader(Counters counters, Names names, EventLoop turn, RequestAdmitter admit, ClientListener front, Admission admission) {
         this.admission = admission;
         this.turn = turn;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/ResponseWriter.java
+++ b/src/main/java/gatelock/wire/ResponseWriter.java
@@ -7,11 +7,11 @@
 
 /** Fifth stage: the one final answer goes back to the caller. */
 public final class ResponseWriter {
-    private final Turn turn;
+    private final EventLoop turn;
     private final InFlightRequests open;
     private final Counters counters;
 
-    public ResponseWriter(Turn turn, InFlightRequests open, Counters counters) {
+    public ResponseWriter(EventLoop turn, InFlightRequests open, Counters counters) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
--- a/src/main/java/gatelock/wire/ws/Coupling.java
+++ b/src/main/java/gatelock/wire/ws/Coupling.java
@@ -6,7 +6,7 @@
 import gatelock.session.Cause;
 import gatelock.session.Session;
 import gatelock.session.Sessions;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import io.undertow.websockets.core.AbstractReceiveListener;
 import io.undertow.websockets.core.BufferedBinaryMessage;
@@ -44,7 +44,7 @@
     private static final int CONTROL_BYTES = 125;
     private static final int READ_BYTES = 4_096;
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final DecisionEngine gate;
     private final SessionPolicy terms;
@@ -56,7 +56,7 @@
     private long framesFromUs;
     private int frames;
 
-    Coupling(Turn turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String unitName,
+    Coupling(EventLoop turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String unitName,
         int route,
              WebSocketChannel client, WebSocketChannel unit, Runnable whenOver) {
         this.turn = turn;
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -9,7 +9,7 @@
 import gatelock.session.Sessions;
 import gatelock.wire.OutcomeRecorder;
 import gatelock.wire.RequestReader;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
@@ -58,14 +58,14 @@
     private static final List<String> PASSED = List.of("X-Trace-Id", "X-Customer", "Cookie", "X-Size-Hint",
         "Origin");
 
-    private final Turn turn;
+    private final EventLoop turn;
     private final Counters counters;
     private final OutcomeRecorder book;
     private final DecisionEngine gate;
     private final Sessions sessions;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0);
 
-    public Upgrades(Turn turn, Counters counters, OutcomeRecorder book, DecisionEngine gate, Sessions sessions) {
+    public Upgrades(EventLoop turn, Counters counters, OutcomeRecorder book, DecisionEngine gate, Sessions sessions) {
         this.turn = turn;
         this.counters = counters;
         this.book = book;
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -8,7 +8,7 @@
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.JsonObject;
 import gatelock.wire.ConnectionPool;
-import gatelock.wire.Turn;
+import gatelock.wire.EventLoop;
 import gatelock.standin.QuietOutlet;
 
 import org.xnio.OptionMap;
@@ -39,7 +39,7 @@
     final LongList list;
     private final int size;
     private final XnioWorker worker;
-    private final Turn turn;
+    private final EventLoop turn;
     private final ConnectionPool platform;
     private final ConnectionPool units;
     private final DiscoveryClient discovery;
@@ -53,7 +53,7 @@
         list = new LongList(size, i -> entry(i, 0));
         worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
             .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
-        turn = new Turn(worker.getIoThread());
+        turn = new EventLoop(worker.getIoThread());
         Counters counters = new Counters();
         platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, NO_BOUND);
         units = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
--- a/src/test/java/gatelock/wire/ClientListenerTest.java
+++ b/src/test/java/gatelock/wire/ClientListenerTest.java
@@ -30,7 +30,7 @@
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         List<Socket> standing = new ArrayList<>();
         try {
-            Turn turn = new Turn(worker.getIoThread());
+            EventLoop turn = new EventLoop(worker.getIoThread());
             ClientListener front = new ClientListener(turn, new Counters(), 200, 300);
             InetSocketAddress at = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             front.admit(exchange -> {
--- a/src/test/java/gatelock/wire/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryClientTest.java
@@ -40,7 +40,7 @@
     /** What was asked, and what the decisions were told, in the order in which it was. */
     private final BlockingQueue<String> course = new LinkedBlockingQueue<>();
     private final XnioWorker worker;
-    private final Turn turn;
+    private final EventLoop turn;
     private final EndpointAddresses addresses = new EndpointAddresses();
     private final Counters counters = new Counters();
     private final ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
@@ -48,7 +48,7 @@
 
     DiscoveryClientTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        turn = new Turn(worker.getIoThread());
+        turn = new EventLoop(worker.getIoThread());
     }
 
     @AfterEach
--- a/src/test/java/gatelock/wire/LateThread.java
+++ b/src/test/java/gatelock/wire/LateThread.java
@@ -8,7 +8,7 @@
     }
 
     /** Holds the thread up, and returns once it is; it goes on as soon as the latch is down. */
-    static CountDownLatch hold(Turn turn) throws InterruptedException {
+    static CountDownLatch hold(EventLoop turn) throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch on = new CountDownLatch(1);
         turn.soon(() -> {
--- a/src/test/java/gatelock/wire/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/wire/OutboundConnectionTest.java
@@ -27,12 +27,12 @@
 final class OutboundConnectionTest {
     private static final long CALL_US = 200_000;
     private final XnioWorker worker;
-    private final Turn turn;
+    private final EventLoop turn;
     private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
 
     OutboundConnectionTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        turn = new Turn(worker.getIoThread());
+        turn = new EventLoop(worker.getIoThread());
     }
 
     @AfterEach
