--- a/src/main/java/gatelock/wire/BodyConsumer.java
+++ b/src/main/java/gatelock/wire/BodyConsumer.java
@@ -4,9 +4,9 @@
 interface BodyConsumer {
 
     /** The head has come; {@code bytes}: of the body, -1 where that is not told. */
-    default void begins(int status, long bytes) throws UnreadableAnswer {
+    default void begins(int status, long bytes) throws MalformedResponseException {
     }
 
     /** The next piece, never empty. */
-    void take(byte[] some) throws UnreadableAnswer;
+    void take(byte[] some) throws MalformedResponseException;
 }
--- a/src/main/java/gatelock/wire/ConnectionPool.java
+++ b/src/main/java/gatelock/wire/ConnectionPool.java
@@ -131,7 +131,7 @@
         }
     }
 
-    void unreadable(InetSocketAddress address, UnreadableAnswer e) {
+    void unreadable(InetSocketAddress address, MalformedResponseException e) {
         counters.add("answers unreadable");
         LOG.log(Level.DEBUG, () -> "answer from " + address + ": " + e.getMessage());
     }
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -408,9 +408,9 @@
         }
 
         @Override
-        public void begins(int status, long bytes) throws UnreadableAnswer {
+        public void begins(int status, long bytes) throws MalformedResponseException {
             if (status != 200) {
-                throw new UnreadableAnswer("status " + status);
+                throw new MalformedResponseException("status " + status);
             }
             if (bytes > membership.mostListBytes) {
                 throw new ResponseTooLongException("" + bytes, membership.mostListBytes);
@@ -419,7 +419,7 @@
         }
 
         @Override
-        public void take(byte[] some) throws UnreadableAnswer {
+        public void take(byte[] some) throws MalformedResponseException {
             cameBytes += some.length;
             if (cameBytes > membership.mostListBytes) {
                 throw new ResponseTooLongException("at least " + cameBytes, membership.mostListBytes);
@@ -427,7 +427,7 @@
             try {
                 list.read(some);
             } catch (IOException e) {
-                throw new UnreadableAnswer(e.getMessage());
+                throw new MalformedResponseException(e.getMessage());
             }
         }
 
--- a/src/main/java/gatelock/wire/UnreadableAnswer.java
+++ b/src/main/java/gatelock/wire/MalformedResponseException.java
@@ -1,10 +1,10 @@
 package gatelock.wire;
 
 /** What came back does not read as HTTP, or as what was asked for. */
-class UnreadableAnswer extends Exception {
+class MalformedResponseException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    UnreadableAnswer(String message) {
+    MalformedResponseException(String message) {
         super(message);
     }
 }
--- a/src/main/java/gatelock/wire/OutboundConnection.java
+++ b/src/main/java/gatelock/wire/OutboundConnection.java
@@ -215,14 +215,14 @@
                 reader.read(in);
                 if (reader.whole() && !written) {
                     // What answers a call that has not come whole answers another, or none.
-                    throw new UnreadableAnswer("an answer before the call was whole");
+                    throw new MalformedResponseException("an answer before the call was whole");
                 }
                 if (reader.whole()) {
                     finish(reader.lasting() && written && !in.hasRemaining());
                     return;
                 }
             }
-        } catch (UnreadableAnswer e) {
+        } catch (MalformedResponseException e) {
             home.unreadable(address, e);
             if (user != null) {
                 if (e instanceof ResponseTooLongException) {
--- a/src/main/java/gatelock/wire/ResponseReader.java
+++ b/src/main/java/gatelock/wire/ResponseReader.java
@@ -65,7 +65,7 @@
     }
 
     /** Takes in what came, up to the end of the answer. */
-    void read(ByteBuffer in) throws UnreadableAnswer {
+    void read(ByteBuffer in) throws MalformedResponseException {
         while (in.hasRemaining() && part != Part.WHOLE) {
             switch (part) {
                 case BODY, CHUNK -> bytes(in);
@@ -76,7 +76,7 @@
                         line.reset();
                         line(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
                     } else if (headBytes++ >= MOST_HEAD) {
-                        throw new UnreadableAnswer("head or line too long");
+                        throw new MalformedResponseException("head or line too long");
                     } else {
                         line.write(b);
                     }
@@ -85,7 +85,7 @@
         }
     }
 
-    private void bytes(ByteBuffer in) throws UnreadableAnswer {
+    private void bytes(ByteBuffer in) throws MalformedResponseException {
         byte[] some = new byte[(int) Math.min(left, in.remaining())];
         in.get(some);
         if (parts != null) {
@@ -102,7 +102,7 @@
         }
     }
 
-    private void line(String text) throws UnreadableAnswer {
+    private void line(String text) throws MalformedResponseException {
         switch (part) {
             case STATUS -> statusLine(text);
             case HEADERS -> {
@@ -120,7 +120,7 @@
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new UnreadableAnswer("chunk longer than told");
+                    throw new MalformedResponseException("chunk longer than told");
                 }
                 part = Part.CHUNK_SIZE;
             }
@@ -128,21 +128,21 @@
         }
     }
 
-    private void statusLine(String text) throws UnreadableAnswer {
+    private void statusLine(String text) throws MalformedResponseException {
         boolean form = STATUS_LINE.matcher(text).matches();
         status = form ? Integer.parseInt(text.substring(9, 12)) : 0;
         if (status < 100 || status == 101) {
-            throw new UnreadableAnswer("no status line, or another protocol");
+            throw new MalformedResponseException("no status line, or another protocol");
         }
         lasting = text.charAt(7) == '1';
         part = Part.HEADERS;
     }
 
     /** Keeps a header; one that could mean something else to the next reader is left out. */
-    private void header(String text) throws UnreadableAnswer {
+    private void header(String text) throws MalformedResponseException {
         int colon = text.indexOf(':');
         if (colon <= 0) {
-            throw new UnreadableAnswer("no header");
+            throw new MalformedResponseException("no header");
         }
         String name = text.substring(0, colon);
         String value = text.substring(colon + 1).trim();
@@ -153,7 +153,7 @@
         }
     }
 
-    private void headersEnd() throws UnreadableAnswer {
+    private void headersEnd() throws MalformedResponseException {
         if (status < 200) {
             headers.clear();
             part = Part.STATUS;
@@ -170,10 +170,10 @@
         if (status == 204 || status == 304) {
             part = Part.WHOLE;
         } else if (coding == null == (length == null)) {
-            throw new UnreadableAnswer("no length, or two");
+            throw new MalformedResponseException("no length, or two");
         } else if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked")) {
-                throw new UnreadableAnswer("unknown coding");
+                throw new MalformedResponseException("unknown coding");
             }
             part = Part.CHUNK_SIZE;
         } else {
@@ -188,12 +188,12 @@
     /**
      * The value of a header that may stand once only, or again with the same value; null where it is absent.
      */
-    private String only(String name) throws UnreadableAnswer {
+    private String only(String name) throws MalformedResponseException {
         String found = null;
         for (int i = 0; i < headers.size(); i += 2) {
             if (headers.get(i).equalsIgnoreCase(name)) {
                 if (found != null && !found.equals(headers.get(i + 1))) {
-                    throw new UnreadableAnswer("two values of " + name);
+                    throw new MalformedResponseException("two values of " + name);
                 }
                 found = headers.get(i + 1);
             }
@@ -202,7 +202,7 @@
     }
 
     /** A length: digits only, and of a body held whole no more than it may have. */
-    private long number(String text, int radix) throws UnreadableAnswer {
+    private long number(String text, int radix) throws MalformedResponseException {
         boolean form = text.length() <= 12 && !text.isEmpty()
             && text.chars().allMatch(c -> c < 128 && Character.digit(c, radix) >= 0);
         long found = form ? Long.parseLong(text, radix) : -1;
@@ -210,7 +210,7 @@
             throw new ResponseTooLongException((part == Part.CHUNK_SIZE ? "at least " : "") + found, mostBody);
         }
         if (found < 0) {
-            throw new UnreadableAnswer("expected a length, found " + text);
+            throw new MalformedResponseException("expected a length, found " + text);
         }
         return found;
     }
--- a/src/main/java/gatelock/wire/ResponseTooLongException.java
+++ b/src/main/java/gatelock/wire/ResponseTooLongException.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 /** The body that comes back, or a part of it, is longer than is taken here. */
-final class ResponseTooLongException extends UnreadableAnswer {
+final class ResponseTooLongException extends MalformedResponseException {
     private static final long serialVersionUID = 1L;
 
     /**
