--- a/src/test/java/gatelock/wire/ClientListenerTest.java
+++ b/src/test/java/gatelock/wire/ClientListenerTest.java
@@ -47,7 +47,7 @@
             // All are due to end within half a second from about here.
             Thread.sleep(1_500);
             for (int i = 0; i < 60; i += 5) {
-                CountDownLatch on = LateThread.hold(turn);
+                CountDownLatch on = DelayedIoThread.hold(turn);
                 List<Socket> asking = new ArrayList<>();
                 for (Socket client : standing.subList(i, i + 5)) {
                     if (!hasEnded(client)) {
--- a/src/test/java/gatelock/wire/LateThread.java
+++ b/src/test/java/gatelock/wire/DelayedIoThread.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.CountDownLatch;
 
 /** An I/O thread that is late. */
-final class LateThread {
-    private LateThread() {
+final class DelayedIoThread {
+    private DelayedIoThread() {
     }
 
     /** Holds the thread up, and returns once it is; it goes on as soon as the latch is down. */
--- a/src/test/java/gatelock/wire/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/wire/OutboundConnectionTest.java
@@ -69,7 +69,7 @@
         call(party);
         try (Socket caller = party.accept()) {
             caller.getInputStream().read();
-            CountDownLatch on = LateThread.hold(turn);
+            CountDownLatch on = DelayedIoThread.hold(turn);
             caller.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
             Thread.sleep(2 * CALL_US / 1000);
             on.countDown();
