--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/Upgrades.java
@@ -162,7 +162,7 @@
                 false);
             try {
                 WebSocketConnectionCallback coupled = (facade, client) ->
-                    new Coupling(turn, counters, gate, sessions, terms, unitName, route, client, unit,
+                    new WebSocketProxySession(turn, counters, gate, sessions, terms, unitName, route, client, unit,
                     whenOver).begin();
                 new WebSocketProtocolHandshakeHandler(List.of(handshake), coupled).handleRequest(exchange);
             } catch (Exception e) {
--- a/src/main/java/gatelock/wire/ws/Coupling.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
@@ -33,7 +33,7 @@
  * side read:
  * a side that reads slowly stalls the other, and nobody else.
  */
-final class Coupling implements Session.Wires {
+final class WebSocketProxySession implements Session.Wires {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private static final long AGAIN_US = 20_000;
     /** A message held back for the cap waits so long at the most. */
@@ -56,7 +56,7 @@
     private long framesFromUs;
     private int frames;
 
-    Coupling(EventLoop turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String unitName,
+    WebSocketProxySession(EventLoop turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String unitName,
         int route,
              WebSocketChannel client, WebSocketChannel unit, Runnable whenOver) {
         this.turn = turn;
