--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -20,7 +20,7 @@
 import gatelock.wire.AttemptSender;
 import gatelock.wire.RequestReader;
 import gatelock.wire.EventLoop;
-import gatelock.wire.ws.Upgrades;
+import gatelock.wire.ws.WebSocketUpgrader;
 
 import java.io.IOException;
 import java.util.SplittableRandom;
@@ -75,7 +75,7 @@
         takeIn = new RequestReader(counters, new RequestReader.Names(told.numbered("lanes"), told.numbered("orgs"),
             told.charter().routes(), told.deadlinesUs()), turn, admit, front, admission);
         if (sessions != null) {
-            takeIn.opensBy(new Upgrades(turn, counters, book, gate, sessions));
+            takeIn.opensBy(new WebSocketUpgrader(turn, counters, book, gate, sessions));
         }
     }
 
--- a/src/main/java/gatelock/wire/ws/Upgrades.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketUpgrader.java
@@ -48,7 +48,7 @@
  * ordinary
  * req, which may be shed with a time to come back.
  */
-public final class Upgrades implements RequestReader.Upgrade {
+public final class WebSocketUpgrader implements RequestReader.Upgrade {
     private static final System.Logger LOG = System.getLogger("gatelock.wire");
     private static final int BUFFER_BYTES = 4096;
     private static final HttpString PROTOCOL = new HttpString("Sec-WebSocket-Protocol");
@@ -65,7 +65,7 @@
     private final Sessions sessions;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0);
 
-    public Upgrades(EventLoop turn, Counters counters, OutcomeRecorder book, DecisionEngine gate, Sessions sessions) {
+    public WebSocketUpgrader(EventLoop turn, Counters counters, OutcomeRecorder book, DecisionEngine gate, Sessions sessions) {
         this.turn = turn;
         this.counters = counters;
         this.book = book;
