--- a/src/main/java/gatelock/session/Cause.java
+++ b/src/main/java/gatelock/session/CloseReason.java
@@ -3,7 +3,7 @@
 /**
  * Why a session ends, and what each side is told: one code (RFC 6455, 7.4 and its registry) and one reason.
  */
-public enum Cause {
+public enum CloseReason {
     /** A side closed it; its own code goes to the other. */
     CLOSED(1000, 1000, "closed"),
     CLIENT_LOST(1001, 1001, "client lost"),
@@ -26,7 +26,7 @@
     private final int toUnit;
     private final String reason;
 
-    Cause(int toClient, int toUnit, String reason) {
+    CloseReason(int toClient, int toUnit, String reason) {
         this.toClient = toClient;
         this.toUnit = toUnit;
         this.reason = reason;
--- a/src/main/java/gatelock/session/Session.java
+++ b/src/main/java/gatelock/session/Session.java
@@ -37,7 +37,7 @@
     private final int place;
     private final String unit;
     private final int route;
-    private Cause cause;
+    private CloseReason cause;
     private long endedUs;
 
     Session(int place, String unit, int route, Wires wires) {
@@ -70,12 +70,12 @@
     }
 
     /** Why it ended, or null. */
-    public Cause cause() {
+    public CloseReason cause() {
         return cause;
     }
 
     /** The relay ends it. {@code afterMs} is when the client may come back, or 0: that is not its concern. */
-    public void end(long nowUs, Cause why, long afterMs) {
+    public void end(long nowUs, CloseReason why, long afterMs) {
         if (cause == null) {
             cause = why;
             endedUs = nowUs;
@@ -88,7 +88,7 @@
     /** A side has closed: with its own close if nothing was said to it before, or in answer to what was. */
     public void closed(long nowUs, Side side, int code, String reason) {
         if (cause == null) {
-            cause = Cause.CLOSED;
+            cause = CloseReason.CLOSED;
             endedUs = nowUs;
             // Each gets the code that came, where one may be sent on at all.
             int told = sendable(code) ? code : code == 1005 ? 1000 : 1002;
@@ -104,7 +104,7 @@
             return;
         }
         ends.put(side, End.GONE);
-        end(nowUs, side == Side.CLIENT ? Cause.CLIENT_LOST : Cause.UNIT_LOST, 0);
+        end(nowUs, side == Side.CLIENT ? CloseReason.CLIENT_LOST : CloseReason.UNIT_LOST, 0);
     }
 
     /** Cuts off what did not answer its close in time; tells whether both sides are gone. */
--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/Sessions.java
@@ -37,7 +37,7 @@
     private int newest = -1;
     private DecisionEngine.Phase phase = DecisionEngine.Phase.RELEASED;
 
-    private record Leaving(Session session, Cause cause, long byUs) {
+    private record Leaving(Session session, CloseReason cause, long byUs) {
     }
 
     /**
@@ -73,9 +73,9 @@
         Endpoint at = units.get(unit);
         if (at == null || at.health() != Endpoint.Health.READY) {
             // It was asked for before the unit was known to leave.
-            leaves(session, Cause.DRAIN, nowUs + drainUs);
+            leaves(session, CloseReason.DRAIN, nowUs + drainUs);
         } else if (takenBack(at.build())) {
-            session.end(nowUs, Cause.TRIAL_BACK, back());
+            session.end(nowUs, CloseReason.TRIAL_BACK, back());
         }
         return session;
     }
@@ -106,10 +106,10 @@
     }
 
     private void allLeave(long nowUs, String unit) {
-        byUnit.getOrDefault(unit, Set.of()).forEach(s -> leaves(s, Cause.DRAIN, nowUs + drainUs));
+        byUnit.getOrDefault(unit, Set.of()).forEach(s -> leaves(s, CloseReason.DRAIN, nowUs + drainUs));
     }
 
-    private void leaves(Session session, Cause cause, long byUs) {
+    private void leaves(Session session, CloseReason cause, long byUs) {
         if (session.open() && !due.containsKey(session)) {
             Leaving leaves = new Leaving(session, cause, byUs);
             leaving.add(leaves);
@@ -128,7 +128,7 @@
             for (Session s : List.copyOf(all.values())) {
                 Endpoint at = units.get(s.unit());
                 if (at != null && takenBack(at.build())) {
-                    s.end(nowUs, Cause.TRIAL_BACK, back());
+                    s.end(nowUs, CloseReason.TRIAL_BACK, back());
                 }
             }
         }
@@ -141,13 +141,13 @@
     /** The relay leaves: all must go by then. */
     public void leave(long nowUs, long byUs) {
         relayLeaves = true;
-        all.values().forEach(s -> leaves(s, Cause.LEAVING, byUs));
+        all.values().forEach(s -> leaves(s, CloseReason.LEAVING, byUs));
     }
 
     /** A message can't go to its unit any more, as that leaves: the session goes before its turn. */
     public void unreachable(long nowUs, Session session) {
         Endpoint at = units.get(session.unit());
-        session.end(nowUs, at != null && takenBack(at.build()) ? Cause.TRIAL_BACK : Cause.DRAIN, back());
+        session.end(nowUs, at != null && takenBack(at.build()) ? CloseReason.TRIAL_BACK : CloseReason.DRAIN, back());
     }
 
     /**
--- a/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
@@ -3,7 +3,7 @@
 import gatelock.kept.Counters;
 import gatelock.plan.SessionPolicy;
 import gatelock.relay.DecisionEngine;
-import gatelock.session.Cause;
+import gatelock.session.CloseReason;
 import gatelock.session.Session;
 import gatelock.session.Sessions;
 import gatelock.wire.EventLoop;
@@ -128,13 +128,13 @@
         }
         long nowUs = turn.nowUs();
         if (terms.idleUs() > 0 && nowUs - messageUs >= terms.idleUs()) {
-            session.end(nowUs, Cause.IDLE, 0);
+            session.end(nowUs, CloseReason.IDLE, 0);
         } else if (client.stalled(nowUs) || unit.stalled(nowUs)) {
-            session.end(nowUs, Cause.STALLED, 0);
+            session.end(nowUs, CloseReason.STALLED, 0);
         } else if (nowUs - client.heardUs > 2 * terms.pingUs() + terms.pingUs() / 2) {
-            session.end(nowUs, Cause.SILENT_CLIENT, 0);
+            session.end(nowUs, CloseReason.SILENT_CLIENT, 0);
         } else if (nowUs - unit.heardUs > 2 * terms.pingUs() + terms.pingUs() / 2) {
-            session.end(nowUs, Cause.SILENT_UNIT, 0);
+            session.end(nowUs, CloseReason.SILENT_UNIT, 0);
         } else {
             client.ping(nowUs);
             unit.ping(nowUs);
@@ -198,7 +198,7 @@
             if (++frames <= terms.framesPerS()) {
                 return false;
             }
-            session.end(nowUs, Cause.FLOOD, 0);
+            session.end(nowUs, CloseReason.FLOOD, 0);
             return true;
         }
 
@@ -267,8 +267,8 @@
             private void add(ByteBuffer some) {
                 if (whole.size() + some.remaining() > terms.messageBytes()) {
                     if (!tooBig) {
-                        session.end(turn.nowUs(), side == Session.Side.UNIT ? Cause.UNIT_FAULT
-                            : Cause.TOO_BIG, 0);
+                        session.end(turn.nowUs(), side == Session.Side.UNIT ? CloseReason.UNIT_FAULT
+                            : CloseReason.TOO_BIG, 0);
                     }
                     tooBig = true;
                     whole.reset();
@@ -280,7 +280,7 @@
 
         private void arrived(boolean text, byte[] whole) {
             if (text && !utf8(whole)) {
-                session.end(turn.nowUs(), side == Session.Side.UNIT ? Cause.UNIT_FAULT : Cause.INVALID, 0);
+                session.end(turn.nowUs(), side == Session.Side.UNIT ? CloseReason.UNIT_FAULT : CloseReason.INVALID, 0);
             } else if (text) {
                 came(() -> WebSockets.sendText(ByteBuffer.wrap(whole), other().channel, other().sent(this)));
             } else {
@@ -322,7 +322,7 @@
                 case NEVER -> unreachable.accept(session);
                 case LATER -> {
                     if (nowUs - cameUs >= HELD_US) {
-                        session.end(nowUs, Cause.NO_ROOM, 500);
+                        session.end(nowUs, CloseReason.NO_ROOM, 500);
                     } else {
                         turn.in(AGAIN_US, () -> ask(send, cameUs, false));
                     }
@@ -390,8 +390,8 @@
                 session.lost(nowUs, side);
             } else {
                 boolean utf = String.valueOf(e.getMessage()).contains("UTF");
-                session.end(nowUs, side == Session.Side.UNIT ? Cause.UNIT_FAULT : utf ? Cause.INVALID
-                    : Cause.PROTOCOL, 0);
+                session.end(nowUs, side == Session.Side.UNIT ? CloseReason.UNIT_FAULT : utf ? CloseReason.INVALID
+                    : CloseReason.PROTOCOL, 0);
             }
         }
     }
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -56,7 +56,7 @@
             Session.Side side = random.nextBoolean() ? Session.Side.CLIENT : Session.Side.UNIT;
             boolean there = !peers.lost.contains(side) && !peers.cut.contains(side);
             switch (random.nextInt(4)) {
-                case 0 -> session.end(nowUs, Cause.values()[random.nextInt(Cause.values().length)],
+                case 0 -> session.end(nowUs, CloseReason.values()[random.nextInt(CloseReason.values().length)],
                     random.nextInt(2) * 100);
                 case 1 -> {
                     if (there) {
@@ -78,7 +78,7 @@
                     || !peers.lost.contains(s)));
             }
         }
-        session.end(nowUs, Cause.IDLE, 0);
+        session.end(nowUs, CloseReason.IDLE, 0);
         assertThat(session.due(nowUs + 2 * SECOND)).isTrue();
     }
 
