--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -129,7 +129,7 @@
     final Records records = new Records();
     final Desk desk;
     final Meter meter;
-    private final HollowDiscovery discovery;
+    private final SimulatedDiscovery discovery;
     private final List<Service> services = new ArrayList<>();
     private final SplittableRandom chance;
     private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.atUs != b.atUs
@@ -155,7 +155,7 @@
         this.terms = terms;
         this.meter = meter;
         this.chance = new SplittableRandom(terms.seed);
-        this.discovery = new HollowDiscovery(terms, records);
+        this.discovery = new SimulatedDiscovery(terms, records);
         this.desk = new Desk();
         nowUs = 100 * S;
         addServices();
@@ -253,7 +253,7 @@
         return records.broken(terms);
     }
 
-    HollowDiscovery discovery() {
+    SimulatedDiscovery discovery() {
         return discovery;
     }
 
@@ -299,7 +299,7 @@
 
     /** Discovery's list has changed: every relay that is up is told, each when its link has carried it. */
     private void tell(List<Unit> changed) {
-        HollowDiscovery.Message message = discovery.changed(nowUs, changed.stream().map(Unit::entry).toList());
+        SimulatedDiscovery.Message message = discovery.changed(nowUs, changed.stream().map(Unit::entry).toList());
         long lateUs = 200 * MS + chance.nextLong(600 * MS);
         for (Relay r : relays) {
             long readyUs = nowUs + lateUs + chance.nextLong(300 * MS);
@@ -428,9 +428,9 @@
             this.service = service;
         }
 
-        HollowDiscovery.Entry entry() {
-            return new HollowDiscovery.Entry(new EndpointEntry(name, services.get(service).name,
-                HollowDiscovery.address(number), zone, 0, 0, build, health, startUs));
+        SimulatedDiscovery.Entry entry() {
+            return new SimulatedDiscovery.Entry(new EndpointEntry(name, services.get(service).name,
+                SimulatedDiscovery.address(number), zone, 0, 0, build, health, startUs));
         }
 
         private void begins() {
@@ -549,7 +549,7 @@
         private long linkFreeUs;
         private long heardLastUs;
         /** The list that it left behind on its disk when it ended. */
-        private List<HollowDiscovery.Entry> kept;
+        private List<SimulatedDiscovery.Entry> kept;
 
         Relay(int number, double weight) {
             this.number = number;
@@ -600,9 +600,9 @@
         }
 
         /** Hands a part of the list to the decisions: all of it, or what is in scope. */
-        private void takesIn(DecisionEngine.ListForm form, List<HollowDiscovery.Entry> entries, long index) {
+        private void takesIn(DecisionEngine.ListForm form, List<SimulatedDiscovery.Entry> entries, long index) {
             if (scope == null) {
-                gate.listed(nowUs, form, HollowDiscovery.listed(entries));
+                gate.listed(nowUs, form, SimulatedDiscovery.listed(entries));
                 return;
             }
             Meter.Role before = meter.in(Meter.Role.SCOPE);
@@ -654,7 +654,7 @@
         }
 
         /** What discovery sends is on its way here, after all that was sent before. */
-        private void told(HollowDiscovery.Message message, long readyUs) {
+        private void told(SimulatedDiscovery.Message message, long readyUs) {
             boolean first = number == 0;
             boolean drain = !message.whole() && message.entries().stream()
                 .anyMatch(e -> e.listed().health() == Endpoint.Health.DRAINING);
@@ -698,7 +698,7 @@
             settle(id, req);
         }
 
-        private void hears(HollowDiscovery.Message message) {
+        private void hears(SimulatedDiscovery.Message message) {
             message.record().heard(number);
             records.told(number, message, nowUs);
             Meter.Role before = meter.in(Meter.Role.LIST);
--- a/src/test/java/gatelock/fleet/Records.java
+++ b/src/test/java/gatelock/fleet/Records.java
@@ -121,12 +121,12 @@
     }
 
     /** A relay hears an answer of discovery; a whole list brings back what it had heard to be leaving. */
-    void told(int relay, HollowDiscovery.Message message, long atUs) {
+    void told(int relay, SimulatedDiscovery.Message message, long atUs) {
         Set<String> its = gone.computeIfAbsent(relay, r -> new HashSet<>());
         if (message.whole() && its.isEmpty()) {
             return;
         }
-        for (HollowDiscovery.Entry e : message.entries()) {
+        for (SimulatedDiscovery.Entry e : message.entries()) {
             boolean ready = e.listed().health() == Endpoint.Health.READY;
             boolean news = ready ? its.remove(e.listed().unit()) : its.add(e.listed().unit());
             if (news) {
--- a/src/test/java/gatelock/fleet/HollowDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 
 /** The list of units as discovery holds it, its changes by index, and what a relay is sent of them. */
-final class HollowDiscovery {
+final class SimulatedDiscovery {
     /** An entry as it was at one time, shared by all relays, and what the decisions take of it. */
     record Entry(gatelock.membership.EndpointEntry told, Endpoint listed) {
         private static final Map<Endpoint.Health, String> STATUS = Map.of(Endpoint.Health.READY, "in_service",
@@ -49,7 +49,7 @@
     private long index;
     private long bytes;
 
-    HollowDiscovery(Fleet.Terms terms, Records records) {
+    SimulatedDiscovery(Fleet.Terms terms, Records records) {
         this.terms = terms;
         this.records = records;
     }
