--- a/src/test/java/gatelock/fleet/Meter.java
+++ b/src/test/java/gatelock/fleet/CpuMeter.java
@@ -7,7 +7,7 @@
  * Processor time of the one thread that plays a fleet, by what it did, and the heap that relays take. Collecting
  * garbage is done by other threads and does not count here. Off, it costs nothing and says nothing.
  */
-final class Meter {
+final class CpuMeter {
     /** Whose work it is: the world's around the relays, or one of a relay's own. */
     enum Role { WORLD, LIST, SCOPE, BEAT, REQS }
 
@@ -20,7 +20,7 @@
     private long heapBefore;
     private long heapTaken;
 
-    Meter(boolean on) {
+    CpuMeter(boolean on) {
         this.on = on;
     }
 
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -128,7 +128,7 @@
     final Terms terms;
     final Records records = new Records();
     final Desk desk;
-    final Meter meter;
+    final CpuMeter meter;
     private final SimulatedDiscovery discovery;
     private final List<Service> services = new ArrayList<>();
     private final SplittableRandom chance;
@@ -148,10 +148,10 @@
     private int unitsEver;
 
     Fleet(Terms terms) {
-        this(terms, new Meter(false));
+        this(terms, new CpuMeter(false));
     }
 
-    Fleet(Terms terms, Meter meter) {
+    Fleet(Terms terms, CpuMeter meter) {
         this.terms = terms;
         this.meter = meter;
         this.chance = new SplittableRandom(terms.seed);
@@ -578,7 +578,7 @@
                 routes, List.of(), 1, 5, true, true, 2 * S, false, terms.coldFrom, terms.warmUs,
                 terms.coldMultiple, terms.windowUs, terms.openingPrice, 20 * S, rollout);
             boolean cached = terms.linkBytesPerS > 0 && kept != null;
-            Meter.Role before = meter.in(Meter.Role.LIST);
+            CpuMeter.Role before = meter.in(CpuMeter.Role.LIST);
             gate = new ReleaseGate(charter, this);
             scope = terms.scoped ? new EndpointSubset(terms.scope(number)) : null;
             up = true;
@@ -605,7 +605,7 @@
                 gate.listed(nowUs, form, SimulatedDiscovery.listed(entries));
                 return;
             }
-            Meter.Role before = meter.in(Meter.Role.SCOPE);
+            CpuMeter.Role before = meter.in(CpuMeter.Role.SCOPE);
             EndpointSubset.Reading reading = scope.read(form != DecisionEngine.ListForm.DELTA);
             entries.forEach(e -> reading.add(e.told()));
             EndpointSubset.Change change = reading.take(nowUs, index);
@@ -624,7 +624,7 @@
                 return;
             }
             gate.listed(nowUs, form, those.stream().map(EndpointEntry::listed).toList());
-            Meter.Role before = meter.in(Meter.Role.WORLD);
+            CpuMeter.Role before = meter.in(CpuMeter.Role.WORLD);
             if (change.whole()) {
                 held.stream().forEach(n -> discovery.holders(n, -1));
                 held.clear();
@@ -643,9 +643,9 @@
         private void lookAgain(int was) {
             in(250 * MS, () -> {
                 if (was == life && up) {
-                    Meter.Role before = meter.in(Meter.Role.SCOPE);
+                    CpuMeter.Role before = meter.in(CpuMeter.Role.SCOPE);
                     EndpointSubset.Change change = scope.due(nowUs);
-                    meter.in(Meter.Role.LIST);
+                    meter.in(CpuMeter.Role.LIST);
                     tells(DecisionEngine.ListForm.DELTA, change);
                     meter.in(before);
                     lookAgain(was);
@@ -691,7 +691,7 @@
             Open req = new Open(nowUs + waitsUs[route]);
             open.put(id, req);
             records.taken.add(new Records.Taken(id, number, routes.get(route), nowUs, req.endUs));
-            Meter.Role before = meter.in(Meter.Role.REQS);
+            CpuMeter.Role before = meter.in(CpuMeter.Role.REQS);
             req.handle = gate.take(nowUs, id, route, 0, chance.nextLong(5000), waitsUs[route],
                 (long) terms.workUs, bounds);
             meter.in(before);
@@ -701,7 +701,7 @@
         private void hears(SimulatedDiscovery.Message message) {
             message.record().heard(number);
             records.told(number, message, nowUs);
-            Meter.Role before = meter.in(Meter.Role.LIST);
+            CpuMeter.Role before = meter.in(CpuMeter.Role.LIST);
             takesIn(message.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, message.entries(),
                 message.index());
             meter.in(before);
@@ -725,7 +725,7 @@
             if (ending != AttemptResult.TIMED_OUT && ending != AttemptResult.CANCELLED) {
                 idle.computeIfAbsent(work.at.name, u -> new ArrayDeque<>()).add(nowUs);
             }
-            Meter.Role before = meter.in(Meter.Role.REQS);
+            CpuMeter.Role before = meter.in(CpuMeter.Role.REQS);
             if (scope != null && ending != AttemptResult.NOT_SENT) {
                 scope.ended(nowUs, work.at.name, ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED
                     || ending == AttemptResult.TURNED_AWAY);
@@ -737,7 +737,7 @@
 
         @Override
         public void send(String id, String unit, long timeoutUs) {
-            Meter.Role before = meter.in(Meter.Role.WORLD);
+            CpuMeter.Role before = meter.in(CpuMeter.Role.WORLD);
             Open req = open.get(id);
             Unit u = units.get(unit);
             Work work = new Work(this, id, req.tries++, u, req.workUs);
@@ -794,7 +794,7 @@
             in(inUs, () -> {
                 if (was == life && up) {
                     // The gate's first two tokens are its own; every other is a req's.
-                    Meter.Role before = meter.in(token > 1 ? Meter.Role.REQS : Meter.Role.BEAT);
+                    CpuMeter.Role before = meter.in(token > 1 ? CpuMeter.Role.REQS : CpuMeter.Role.BEAT);
                     gate.due(nowUs, token);
                     meter.in(before);
                 }
--- a/src/test/java/gatelock/fleet/Play.java
+++ b/src/test/java/gatelock/fleet/Play.java
@@ -65,14 +65,14 @@
     }
 
     /** What came of a play. */
-    record Result(Fleet fleet, Meter meter, List<String> broken, double spanS, double wallS) {
+    record Result(Fleet fleet, CpuMeter meter, List<String> broken, double spanS, double wallS) {
         long count(String rule) {
             return broken.stream().filter(b -> b.startsWith(rule)).count();
         }
     }
 
     /** One play; the meter is on where figures of time and memory are wanted. */
-    Result play(Step step, Fleet.Terms terms, Meter meter) {
+    Result play(Step step, Fleet.Terms terms, CpuMeter meter) {
         long wall = System.nanoTime();
         Fleet fleet = new Fleet(terms, meter);
         fleet.run(BEFORE_S * Fleet.S);
@@ -80,7 +80,7 @@
         long fromUs = fleet.nowUs();
         events(fleet, step);
         double spanS = (fleet.nowUs() - fromUs) / (double) Fleet.S;
-        meter.in(Meter.Role.WORLD);
+        meter.in(CpuMeter.Role.WORLD);
         meter.stop();
         List<String> broken = fleet.broken();
         return new Result(fleet, meter, broken, spanS, (System.nanoTime() - wall) / 1e9);
--- a/src/test/java/gatelock/fleet/Scale.java
+++ b/src/test/java/gatelock/fleet/Scale.java
@@ -50,7 +50,7 @@
         for (Play play : plays) {
             for (String scope : modes) {
                 boolean scoped = scope.equals("scope");
-                Play.Result result = play.play(step, terms(step, scoped, asked, holders), new Meter(true));
+                Play.Result result = play.play(step, terms(step, scoped, asked, holders), new CpuMeter(true));
                 ObjectNode out = out(step, play, scope, result, commit);
                 merge(step, out, commit);
                 System.out.println(JSON.writeValueAsString(out));
@@ -87,7 +87,7 @@
         long[] reached = records.reachedUs();
         long told = records.messages.stream().mapToLong(m -> m.owed()).sum();
         long bytes = records.messages.stream().mapToLong(m -> m.bytes * m.owed()).sum();
-        Meter meter = result.meter();
+        CpuMeter meter = result.meter();
         double spanUs = result.spanS() * Fleet.S;
         ObjectNode out = JSON.createObjectNode();
         out.put("play", play.name().toLowerCase(Locale.ROOT)).put("scope", scope);
@@ -99,15 +99,15 @@
         out.put("entryBytes", round(fleet.discovery().entryBytes()));
         out.put("bytesPerRelay", bytes / played);
         out.put("bytesPerRelayS", round(bytes / (double) played / result.spanS() / squeeze));
-        double listUs = meter.us(Meter.Role.LIST) + meter.us(Meter.Role.SCOPE);
-        double beatUs = meter.us(Meter.Role.BEAT);
+        double listUs = meter.us(CpuMeter.Role.LIST) + meter.us(CpuMeter.Role.SCOPE);
+        double beatUs = meter.us(CpuMeter.Role.BEAT);
         out.put("cpuPerRelayShare", share((listUs / squeeze + beatUs) / played / spanUs));
-        out.put("cpuListUsPerChange", round(meter.us(Meter.Role.LIST) / Math.max(1, told)));
-        out.put("cpuScopeUsPerChange", round(meter.us(Meter.Role.SCOPE) / Math.max(1, told)));
+        out.put("cpuListUsPerChange", round(meter.us(CpuMeter.Role.LIST) / Math.max(1, told)));
+        out.put("cpuScopeUsPerChange", round(meter.us(CpuMeter.Role.SCOPE) / Math.max(1, told)));
         out.put("cpuBeatShare", share(beatUs / played / spanUs));
         long inSpan = records.taken.size();
-        out.put("cpuUsPerReq", round(meter.us(Meter.Role.REQS) / Math.max(1, inSpan)));
-        out.put("cpuWorldS", round(meter.us(Meter.Role.WORLD) / Fleet.S));
+        out.put("cpuUsPerReq", round(meter.us(CpuMeter.Role.REQS) / Math.max(1, inSpan)));
+        out.put("cpuWorldS", round(meter.us(CpuMeter.Role.WORLD) / Fleet.S));
         out.put("heapPerRelayBytes", meter.heapTaken() / played);
         out.put("taken", records.taken.size()).put("completed", records.answers.size() - records.refused());
         out.put("refused", records.refused());
--- a/src/test/java/gatelock/fleet/ScaleTest.java
+++ b/src/test/java/gatelock/fleet/ScaleTest.java
@@ -22,7 +22,7 @@
         terms.scoped = scoped;
         // So few relays would use all units.
         terms.leastHolders = 0;
-        return play.play(SMALLEST, terms, new Meter(false));
+        return play.play(SMALLEST, terms, new CpuMeter(false));
     }
 
     @ParameterizedTest
@@ -45,7 +45,7 @@
     void fewRelaysRefuseNoMoreWithAScopeThanWithoutOne(Play play) {
         Fleet.Terms terms = SMALLEST.terms(0, 36);
         terms.scoped = true;
-        Play.Result with = play.play(SMALLEST, terms, new Meter(false));
+        Play.Result with = play.play(SMALLEST, terms, new CpuMeter(false));
         keepsAll(with);
         Records without = play(play, Fleet.Fault.NONE).fleet().records;
         assertThat(with.fleet().records.refused()).isLessThan(without.refused() * 6 / 5 + 20);
