--- a/src/test/java/gatelock/fleet/Play.java
+++ b/src/test/java/gatelock/fleet/FleetScenario.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What is played at a step; each brings its own course of events, and ends with everything at rest. */
-enum Play {
+enum FleetScenario {
     /** Restarts and failures at the target's daily rates for all units, whatever the step's part of them. */
     DAY {
         @Override
--- a/src/test/java/gatelock/fleet/Scale.java
+++ b/src/test/java/gatelock/fleet/Scale.java
@@ -44,13 +44,13 @@
         int asked = args.length > 3 ? Integer.parseInt(args[3]) : 0;
         String commit = args.length > 4 ? args[4] : "unknown";
         int holders = args.length > 5 ? Integer.parseInt(args[5]) : EndpointSubset.LEAST_HOLDERS;
-        List<Play> plays = which.equals("every") ? List.of(Play.values())
-            : List.of(Play.valueOf(which.toUpperCase(Locale.ROOT)));
+        List<FleetScenario> plays = which.equals("every") ? List.of(FleetScenario.values())
+            : List.of(FleetScenario.valueOf(which.toUpperCase(Locale.ROOT)));
         List<String> modes = mode.equals("both") ? List.of("all", "scope") : List.of(mode);
-        for (Play play : plays) {
+        for (FleetScenario play : plays) {
             for (String scope : modes) {
                 boolean scoped = scope.equals("scope");
-                Play.Result result = play.play(step, terms(step, scoped, asked, holders), new CpuMeter(true));
+                FleetScenario.Result result = play.play(step, terms(step, scoped, asked, holders), new CpuMeter(true));
                 ObjectNode out = out(step, play, scope, result, commit);
                 merge(step, out, commit);
                 System.out.println(JSON.writeValueAsString(out));
@@ -77,7 +77,7 @@
             .getTotalMemorySize();
     }
 
-    private static ObjectNode out(Step step, Play play, String scope, Play.Result result, String commit) {
+    private static ObjectNode out(Step step, FleetScenario play, String scope, FleetScenario.Result result, String commit) {
         Fleet fleet = result.fleet();
         Records records = fleet.records;
         Fleet.Terms terms = fleet.terms;
@@ -120,7 +120,7 @@
         return out;
     }
 
-    private static String verdict(Play.Result result, String rule, boolean checked) {
+    private static String verdict(FleetScenario.Result result, String rule, boolean checked) {
         long n = result.count(rule);
         return !checked ? "not checked" : n == 0 ? "kept" : "broken " + n;
     }
@@ -165,7 +165,7 @@
             its.put("step", s.name()).put("relays", s.relays()).put("units", s.units());
             its.put("services", s.services()).put("zones", s.zones());
             ArrayNode plays = JSON.createArrayNode();
-            for (Play p : Play.values()) {
+            for (FleetScenario p : FleetScenario.values()) {
                 for (String scope : List.of("all", "scope")) {
                     var mine = s == step && is(play, p, scope) ? play : find(its.path("plays"), p, scope);
                     if (mine != null) {
@@ -183,7 +183,7 @@
         Files.writeString(FILE, JSON.writeValueAsString(file) + "\n");
     }
 
-    private static JsonNode find(Iterable<JsonNode> in, Play play, String scope) {
+    private static JsonNode find(Iterable<JsonNode> in, FleetScenario play, String scope) {
         for (var one : in) {
             if (is(one, play, scope)) {
                 return one;
@@ -192,7 +192,7 @@
         return null;
     }
 
-    private static boolean is(JsonNode node, Play play, String scope) {
+    private static boolean is(JsonNode node, FleetScenario play, String scope) {
         return node.get("play").asText().equalsIgnoreCase(play.name()) && node.get("scope").asText().equals(scope);
     }
 }
--- a/src/test/java/gatelock/fleet/ScaleTest.java
+++ b/src/test/java/gatelock/fleet/ScaleTest.java
@@ -12,11 +12,11 @@
 final class ScaleTest {
     private static final Step SMALLEST = Step.LADDER.get(0);
 
-    private static Play.Result play(Play play, Fleet.Fault fault) {
+    private static FleetScenario.Result play(FleetScenario play, Fleet.Fault fault) {
         return play(play, fault, false);
     }
 
-    private static Play.Result play(Play play, Fleet.Fault fault, boolean scoped) {
+    private static FleetScenario.Result play(FleetScenario play, Fleet.Fault fault, boolean scoped) {
         Fleet.Terms terms = SMALLEST.terms(0, 36);
         terms.fault = fault;
         terms.scoped = scoped;
@@ -26,32 +26,32 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Play.class)
-    void smallestStepKeepsTheRulesAndTellsEveryRelay(Play play) {
+    @EnumSource(FleetScenario.class)
+    void smallestStepKeepsTheRulesAndTellsEveryRelay(FleetScenario play) {
         keepsAll(play(play, Fleet.Fault.NONE));
     }
 
     @ParameterizedTest
-    @EnumSource(Play.class)
-    void smallestStepKeepsTheRulesWithAScope(Play play) {
-        Play.Result result = play(play, Fleet.Fault.NONE, true);
+    @EnumSource(FleetScenario.class)
+    void smallestStepKeepsTheRulesWithAScope(FleetScenario play) {
+        FleetScenario.Result result = play(play, Fleet.Fault.NONE, true);
         keepsAll(result);
         assertThat(result.fleet().records.held).isNotEmpty();
     }
 
     /** Of few relays each has to use more units than its least, or units stand idle beside full ones. */
     @ParameterizedTest
-    @EnumSource(Play.class)
-    void fewRelaysRefuseNoMoreWithAScopeThanWithoutOne(Play play) {
+    @EnumSource(FleetScenario.class)
+    void fewRelaysRefuseNoMoreWithAScopeThanWithoutOne(FleetScenario play) {
         Fleet.Terms terms = SMALLEST.terms(0, 36);
         terms.scoped = true;
-        Play.Result with = play.play(SMALLEST, terms, new CpuMeter(false));
+        FleetScenario.Result with = play.play(SMALLEST, terms, new CpuMeter(false));
         keepsAll(with);
         Records without = play(play, Fleet.Fault.NONE).fleet().records;
         assertThat(with.fleet().records.refused()).isLessThan(without.refused() * 6 / 5 + 20);
     }
 
-    private static void keepsAll(Play.Result result) {
+    private static void keepsAll(FleetScenario.Result result) {
         assertThat(result.broken()).isEmpty();
         Records records = result.fleet().records;
         assertThat(records.taken).hasSizeGreaterThan(10_000);
@@ -64,25 +64,25 @@
 
     @Test
     void oneSeedIsOneDigest() {
-        assertThat(play(Play.ZONE, Fleet.Fault.NONE).fleet().records.digest())
-            .isEqualTo(play(Play.ZONE, Fleet.Fault.NONE).fleet().records.digest());
+        assertThat(play(FleetScenario.ZONE, Fleet.Fault.NONE).fleet().records.digest())
+            .isEqualTo(play(FleetScenario.ZONE, Fleet.Fault.NONE).fleet().records.digest());
     }
 
     @Test
     void changeThatOneRelayNeverGetsIsFound() {
-        List<String> broken = play(Play.DAY, Fleet.Fault.CHANGE_MISSED).broken();
+        List<String> broken = play(FleetScenario.DAY, Fleet.Fault.CHANGE_MISSED).broken();
         assertThat(broken).filteredOn(b -> b.startsWith("change")).containsExactly("change 3: relay 0 never had it");
     }
 
     @Test
     void drainThatIsToldLateIsFound() {
-        List<String> broken = play(Play.DAY, Fleet.Fault.DRAIN_LATE).broken();
+        List<String> broken = play(FleetScenario.DAY, Fleet.Fault.DRAIN_LATE).broken();
         assertThat(broken).isNotEmpty().allMatch(b -> b.startsWith("told late: relay 0 sent to"));
     }
 
     @Test
     void unitThatAllRelaysHoldIsFound() {
-        List<String> broken = play(Play.RACK, Fleet.Fault.HELD_BY_ALL, true).broken();
+        List<String> broken = play(FleetScenario.RACK, Fleet.Fault.HELD_BY_ALL, true).broken();
         assertThat(broken).filteredOn(b -> b.startsWith("held")).containsExactly("held: s1-u0 by 6 of 6 relays");
     }
 }
