--- a/Makefile
+++ b/Makefile
@@ -38,7 +38,7 @@
 # How often a simulated fleet releases bad builds and sends good ones back; the table of docs/measurements/fleet.md.
 measure-fleet:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
-	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.fleet.Rates 20
+	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.fleet.VerdictRates 20
 
 # One step of the ladder with hollow relays, into docs/capacity/scale.json: STEP=1/1000, 1/100, 1/10, 1/3 or 1;
 # PLAY=day, rack, zone, restart or every; MODE=all, scope or both; RELAYS=N plays only so many of the step's.
--- a/src/test/java/gatelock/fleet/Rates.java
+++ b/src/test/java/gatelock/fleet/VerdictRates.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 /** How often bad builds are released and good ones sent back, over many seeds; a table, no test. */
-final class Rates {
+final class VerdictRates {
     private static final long S = Fleet.S;
 
     /** A build on offer, and what happens beside it. */
@@ -27,7 +27,7 @@
         new Case("errors 10% from 6 s on", 0.1, 1, 6 * S, 0, false, false),
         new Case("work x2.5 when busy", 0, 2.5, 0, 0.4, false, false));
 
-    private Rates() {
+    private VerdictRates() {
     }
 
     /** The first word is how many seeds, any further ones are sizes of fleets. */
@@ -40,7 +40,7 @@
             for (Case c : CASES) {
                 List<Fleet> played = IntStream.rangeClosed(1, seeds).parallel()
                     .mapToObj(seed -> play(relays, seed, c)).toList();
-                long gone = played.stream().filter(Rates::isBack).count();
+                long gone = played.stream().filter(VerdictRates::isBack).count();
                 long late = played.stream().filter(f -> isBack(f) && wasReleased(f)).count();
                 long stays = played.stream().filter(f -> !isBack(f) && wasReleased(f)).count();
                 double us = played.stream().flatMap(f -> f.desk.stageUs.stream()).mapToLong(x -> x).average()
