--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/Fleet.java
@@ -126,7 +126,7 @@
     }
 
     final Terms terms;
-    final Records records = new Records();
+    final FleetRecords records = new FleetRecords();
     final Desk desk;
     final CpuMeter meter;
     private final SimulatedDiscovery discovery;
@@ -438,7 +438,7 @@
             life++;
             busy = 0;
             waiting.clear();
-            records.starts.add(new Records.Start(name, terms.slots, nowUs));
+            records.starts.add(new FleetRecords.Start(name, terms.slots, nowUs));
         }
 
         private void lost() {
@@ -479,7 +479,7 @@
             while (nowUs >= silentUntilUs && busy < terms.slots && !waiting.isEmpty()) {
                 Work work = waiting.poll();
                 busy++;
-                records.ran.add(new Records.Ran(work.id, name, nowUs));
+                records.ran.add(new FleetRecords.Ran(work.id, name, nowUs));
                 double able = speed * (startUs == 0 ? 1 : terms.able(nowUs - startUs));
                 boolean isBad = build > 1 && nowUs - startUs >= terms.badFromUs
                     && busy > terms.badFromBusy * terms.slots;
@@ -690,7 +690,7 @@
             RequestConstraints bounds = terms.services > 1 ? services.get(at(chance.nextDouble())) : RequestConstraints.NONE;
             Open req = new Open(nowUs + waitsUs[route]);
             open.put(id, req);
-            records.taken.add(new Records.Taken(id, number, routes.get(route), nowUs, req.endUs));
+            records.taken.add(new FleetRecords.Taken(id, number, routes.get(route), nowUs, req.endUs));
             CpuMeter.Role before = meter.in(CpuMeter.Role.REQS);
             req.handle = gate.take(nowUs, id, route, 0, chance.nextLong(5000), waitsUs[route],
                 (long) terms.workUs, bounds);
@@ -720,7 +720,7 @@
             }
             if (ending == AttemptResult.COMPLETED && !req.over) {
                 req.over = true;
-                records.answers.add(new Records.Answer(work.id, nowUs, true));
+                records.answers.add(new FleetRecords.Answer(work.id, nowUs, true));
             }
             if (ending != AttemptResult.TIMED_OUT && ending != AttemptResult.CANCELLED) {
                 idle.computeIfAbsent(work.at.name, u -> new ArrayDeque<>()).add(nowUs);
@@ -742,7 +742,7 @@
             Unit u = units.get(unit);
             Work work = new Work(this, id, req.tries++, u, req.workUs);
             out.add(work);
-            records.sent.add(new Records.Sent(id, number, unit, u.build, terms.workUs, nowUs));
+            records.sent.add(new FleetRecords.Sent(id, number, unit, u.build, terms.workUs, nowUs));
             ArrayDeque<Long> standing = idle.getOrDefault(unit, new ArrayDeque<>());
             standing.removeIf(since -> since < nowUs - 20 * S);
             boolean stands = standing.pollLast() != null;
@@ -754,7 +754,7 @@
 
         private void answered(String id) {
             open.get(id).over = true;
-            records.answers.add(new Records.Answer(id, nowUs, false));
+            records.answers.add(new FleetRecords.Answer(id, nowUs, false));
             Open req = open.get(id);
             in(0, () -> settle(id, req));
         }
@@ -879,9 +879,9 @@
             if (isNews) {
                 double cap = phase == DecisionEngine.Phase.TRIAL ? caps()[stage] : phase == DecisionEngine.Phase.RELEASED ? 1 : 0;
                 if (phase == DecisionEngine.Phase.TRIAL) {
-                    records.caps.add(new Records.Cap(r.number, build, cap, nowUs));
+                    records.caps.add(new FleetRecords.Cap(r.number, build, cap, nowUs));
                 } else {
-                    records.caps.add(new Records.Cap(r.number, -1, 1, nowUs));
+                    records.caps.add(new FleetRecords.Cap(r.number, -1, 1, nowUs));
                 }
                 r.gate.news(nowUs, build, stage, phase, cap, nowUs - sinceUs, answer);
             } else {
--- a/src/test/java/gatelock/fleet/Records.java
+++ b/src/test/java/gatelock/fleet/FleetRecords.java
@@ -22,7 +22,7 @@
  * What units, clients, the list and the desk saw, and the five rules checked from that alone: nothing here
  * asks a relay what it meant.
  */
-final class Records {
+final class FleetRecords {
     record Taken(String id, int relay, RoutePolicy route, long atUs, long endUs) {
     }
 
--- a/src/test/java/gatelock/fleet/RecordsTest.java
+++ b/src/test/java/gatelock/fleet/FleetRecordsTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 /** The checker names each rule that is broken, and nothing where none is. */
-final class RecordsTest {
+final class FleetRecordsTest {
     private static final long S = Fleet.S;
     private static final RoutePolicy ONCE = new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, S, S, 1);
     private final Fleet.Terms terms = new Fleet.Terms();
-    private final Records records = new Records();
+    private final FleetRecords records = new FleetRecords();
 
     private void served(String id, long atUs) {
-        records.taken.add(new Records.Taken(id, 0, ONCE, atUs, atUs + 5 * S));
-        records.sent.add(new Records.Sent(id, 0, "u", 1, terms.workUs, atUs));
-        records.ran.add(new Records.Ran(id, "u", atUs));
-        records.answers.add(new Records.Answer(id, atUs + S, true));
+        records.taken.add(new FleetRecords.Taken(id, 0, ONCE, atUs, atUs + 5 * S));
+        records.sent.add(new FleetRecords.Sent(id, 0, "u", 1, terms.workUs, atUs));
+        records.ran.add(new FleetRecords.Ran(id, "u", atUs));
+        records.answers.add(new FleetRecords.Answer(id, atUs + S, true));
     }
 
     @Test
@@ -33,28 +33,28 @@
         served("b", S);
         served("c", S);
         records.answers.remove(0);
-        records.answers.add(new Records.Answer("b", 3 * S, false));
-        records.answers.set(1, new Records.Answer("c", 7 * S, true));
+        records.answers.add(new FleetRecords.Answer("b", 3 * S, false));
+        records.answers.set(1, new FleetRecords.Answer("c", 7 * S, true));
         assertThat(records.broken(terms)).hasSize(3).allMatch(b -> b.startsWith("rule 1"));
     }
 
     @Test
     void effectTwice() {
         served("a", S);
-        records.ran.add(new Records.Ran("a", "v", 2 * S));
+        records.ran.add(new FleetRecords.Ran("a", "v", 2 * S));
         assertThat(records.broken(terms)).singleElement().asString().startsWith("rule 2: a ran 2");
     }
 
     @Test
     void sendToAUnitThatLeft() {
         served("a", 3 * S);
-        records.leaves.add(new Records.Told(0, "u", S));
+        records.leaves.add(new FleetRecords.Told(0, "u", S));
         assertThat(records.broken(terms)).singleElement().asString().startsWith("rule 3: a went to u");
     }
 
     @Test
     void coldUnitUnderTheSumOfAll() {
-        records.starts.add(new Records.Start("u", terms.slots, S));
+        records.starts.add(new FleetRecords.Start("u", terms.slots, S));
         for (int i = 0; i < 20; i++) {
             served("a" + i, S + i);
         }
@@ -63,7 +63,7 @@
 
     @Test
     void moreTriesAtTheTrialThanTheCap() {
-        records.caps.add(new Records.Cap(0, 1, 0.1, 0));
+        records.caps.add(new FleetRecords.Cap(0, 1, 0.1, 0));
         for (int i = 0; i < 6; i++) {
             served("a" + i, S + i);
         }
@@ -73,8 +73,8 @@
     @Test
     void sendToAUnitThatCameBackIsNone() {
         served("a", 6 * S);
-        records.leaves.add(new Records.Told(0, "u", S));
-        records.backs.add(new Records.Told(0, "u", 5 * S));
+        records.leaves.add(new FleetRecords.Told(0, "u", S));
+        records.backs.add(new FleetRecords.Told(0, "u", 5 * S));
         assertThat(records.broken(terms)).isEmpty();
         records.backs.clear();
         assertThat(records.broken(terms)).singleElement().asString().startsWith("rule 3: a went to u");
@@ -85,10 +85,10 @@
     void drainToldLateByDiscoverysOwnClock() {
         terms.linkBytesPerS = 23_000;
         served("a", 10 * S);
-        records.downs.add(new Records.Known("u", S));
-        records.leaves.add(new Records.Told(0, "u", 10 * S));
+        records.downs.add(new FleetRecords.Known("u", S));
+        records.leaves.add(new FleetRecords.Told(0, "u", 10 * S));
         assertThat(records.broken(terms)).singleElement().asString().startsWith("told late: relay 0 sent to u");
-        records.ups.add(new Records.Known("u", 9 * S));
+        records.ups.add(new FleetRecords.Known("u", 9 * S));
         assertThat(records.broken(terms)).isEmpty();
     }
 
@@ -96,14 +96,14 @@
     void secondNoticeOfAUnitThatLeftBringsNoGrace() {
         terms.linkBytesPerS = 23_000;
         served("a", 12 * S);
-        records.downs.add(new Records.Known("u", S));
-        records.downs.add(new Records.Known("u", 11 * S));
+        records.downs.add(new FleetRecords.Known("u", S));
+        records.downs.add(new FleetRecords.Known("u", 11 * S));
         assertThat(records.broken(terms)).singleElement().asString().startsWith("told late");
     }
 
     @Test
     void changeThatARelayNeverHad() {
-        Records.Message message = records.message(1, S, 300);
+        FleetRecords.Message message = records.message(1, S, 300);
         message.owed(0, 2 * S);
         message.owed(1, 2 * S);
         message.heard(0);
@@ -118,9 +118,9 @@
 
     @Test
     void unitThatAllRelaysHold() {
-        records.held.add(new Records.Held("u", 40, 6, 6, 8));
-        records.held.add(new Records.Held("v", 40, 3, 6, 8));
-        records.held.add(new Records.Held("w", 12, 6, 6, 8));
+        records.held.add(new FleetRecords.Held("u", 40, 6, 6, 8));
+        records.held.add(new FleetRecords.Held("v", 40, 3, 6, 8));
+        records.held.add(new FleetRecords.Held("w", 12, 6, 6, 8));
         assertThat(records.broken(terms)).containsExactly("held: u by 6 of 6 relays");
     }
 }
--- a/src/test/java/gatelock/fleet/FleetTest.java
+++ b/src/test/java/gatelock/fleet/FleetTest.java
@@ -151,7 +151,7 @@
 
     @Test
     void oneSeedIsOneCourseOfEvents() {
-        List<Records> two = List.of(new Fleet(of(50, 8)), new Fleet(of(50, 8))).stream().map(f -> {
+        List<FleetRecords> two = List.of(new Fleet(of(50, 8)), new Fleet(of(50, 8))).stream().map(f -> {
             f.run(8 * S);
             return f.records;
         }).toList();
--- a/src/test/java/gatelock/fleet/Scale.java
+++ b/src/test/java/gatelock/fleet/Scale.java
@@ -79,7 +79,7 @@
 
     private static ObjectNode out(Step step, FleetScenario play, String scope, FleetScenario.Result result, String commit) {
         Fleet fleet = result.fleet();
-        Records records = fleet.records;
+        FleetRecords records = fleet.records;
         Fleet.Terms terms = fleet.terms;
         int played = terms.played();
         boolean whole = played == terms.relays;
--- a/src/test/java/gatelock/fleet/ScaleTest.java
+++ b/src/test/java/gatelock/fleet/ScaleTest.java
@@ -47,13 +47,13 @@
         terms.scoped = true;
         FleetScenario.Result with = play.play(SMALLEST, terms, new CpuMeter(false));
         keepsAll(with);
-        Records without = play(play, Fleet.Fault.NONE).fleet().records;
+        FleetRecords without = play(play, Fleet.Fault.NONE).fleet().records;
         assertThat(with.fleet().records.refused()).isLessThan(without.refused() * 6 / 5 + 20);
     }
 
     private static void keepsAll(FleetScenario.Result result) {
         assertThat(result.broken()).isEmpty();
-        Records records = result.fleet().records;
+        FleetRecords records = result.fleet().records;
         assertThat(records.taken).hasSizeGreaterThan(10_000);
         assertThat(records.sent).hasSizeGreaterThan(10_000);
         assertThat(records.onTheWay()).isZero();
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -35,21 +35,21 @@
     }
 
     /** An answer to a relay's watch: what changed, or the whole list as of an index. */
-    record Message(long index, boolean whole, List<Entry> entries, long bytes, Records.Message record) {
+    record Message(long index, boolean whole, List<Entry> entries, long bytes, FleetRecords.Message record) {
     }
 
     /** Around the entries of an answer: its head, its index and whether it is the whole. */
     private static final int ANSWER_BYTES = 160;
 
     private final Fleet.Terms terms;
-    private final Records records;
+    private final FleetRecords records;
     private final Map<String, Entry> list = new LinkedHashMap<>();
     private List<Entry> whole;
     private int[] holders = new int[0];
     private long index;
     private long bytes;
 
-    SimulatedDiscovery(Fleet.Terms terms, Records records) {
+    SimulatedDiscovery(Fleet.Terms terms, FleetRecords records) {
         this.terms = terms;
         this.records = records;
     }
@@ -92,7 +92,7 @@
         whole = null;
         index++;
         entries.forEach(e -> (e.listed.health() == Endpoint.Health.READY ? records.ups : records.downs)
-            .add(new Records.Known(e.listed.unit(), nowUs)));
+            .add(new FleetRecords.Known(e.listed.unit(), nowUs)));
         long length = ANSWER_BYTES + entries.stream().mapToLong(this::length).sum();
         return new Message(index, false, entries, length, records.message(index, nowUs, length));
     }
@@ -126,7 +126,7 @@
             int unit = number.applyAsInt(e.listed.unit());
             if (unit < holders.length && holders[unit] > 0) {
                 int its = ready.getOrDefault(e.service(), 0L).intValue();
-                records.held.add(new Records.Held(e.listed.unit(), its, holders[unit], relays,
+                records.held.add(new FleetRecords.Held(e.listed.unit(), its, holders[unit], relays,
                     terms.scope(0).aim(its)));
             }
         }
