--- a/Makefile
+++ b/Makefile
@@ -49,7 +49,7 @@
 scale:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
 	java -Xmx12g -XX:+UseParallelGC -XX:ParallelGCThreads=3 \
-		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.fleet.Scale \
+		-cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.fleet.ScaleRun \
 		$(STEP) $(PLAY) $(MODE) $(RELAYS) $$(git rev-parse --short HEAD)
 
 # Options for a relay's units side by side and what a scope costs: the tables of docs/measurements/membership.md and
--- a/src/test/java/gatelock/fleet/Scale.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -23,7 +23,7 @@
  * one of its kind: {@code STEP [PLAY|every] [all|scope|both] [RELAYS] [COMMIT] [HOLDERS]}; HOLDERS: relays that a
  * scope wants to hold a unit.
  */
-final class Scale {
+final class ScaleRun {
     private static final Path FILE = Path.of("docs/capacity/scale.json");
     private static final long SEED = 36;
     /** What the decisions of one relay take for a unit that they hold, and a margin for all else. */
@@ -31,7 +31,7 @@
     private static final double HEAP_PART = 0.5;
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    private Scale() {
+    private ScaleRun() {
     }
 
     public static void main(String[] args) throws IOException {
--- a/src/test/java/gatelock/fleet/ScaleTest.java
+++ b/src/test/java/gatelock/fleet/ScaleRunTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** The smallest step of the ladder: the same verdict each time, and each planted fault is found. */
-final class ScaleTest {
+final class ScaleRunTest {
     private static final Step SMALLEST = Step.LADDER.get(0);
 
     private static FleetScenario.Result play(FleetScenario play, Fleet.Fault fault) {
