--- a/src/test/java/gatelock/fleet/FleetScenario.java
+++ b/src/test/java/gatelock/fleet/FleetScenario.java
@@ -7,7 +7,7 @@
     /** Restarts and failures at the target's daily rates for all units, whatever the step's part of them. */
     DAY {
         @Override
-        void events(Fleet fleet, Step step) {
+        void events(Fleet fleet, ScaleStep step) {
             double perS = (step.restartsPerS() + step.failuresPerS()) * squeeze(step);
             int events = (int) Math.round(perS * SPAN_S);
             int lost = (int) Math.max(1, Math.round(step.failuresPerS() * squeeze(step) * SPAN_S));
@@ -23,14 +23,14 @@
         }
 
         @Override
-        double squeeze(Step step) {
+        double squeeze(ScaleStep step) {
             return 1 / step.part();
         }
     },
     /** All units under a switch are lost, and back cold. */
     RACK {
         @Override
-        void events(Fleet fleet, Step step) {
+        void events(Fleet fleet, ScaleStep step) {
             fleet.loseRack(0, step.rackUnits(), BACK_S * Fleet.S);
             fleet.run((BACK_S + AFTER_S) * Fleet.S);
         }
@@ -38,7 +38,7 @@
     /** All units and relays of a zone are lost, and back cold. */
     ZONE {
         @Override
-        void events(Fleet fleet, Step step) {
+        void events(Fleet fleet, ScaleStep step) {
             fleet.loseZone(0, BACK_S * Fleet.S);
             fleet.run((BACK_S + AFTER_S) * Fleet.S);
         }
@@ -46,7 +46,7 @@
     /** Everything is started anew at once: relays are back after 3 s, units from 5 to 7 s. */
     RESTART {
         @Override
-        void events(Fleet fleet, Step step) {
+        void events(Fleet fleet, ScaleStep step) {
             fleet.restartAll(3 * Fleet.S, 5 * Fleet.S);
             fleet.run((BACK_S + AFTER_S) * Fleet.S);
         }
@@ -57,10 +57,10 @@
     private static final int AFTER_S = 12;
     private static final int BEFORE_S = 6;
 
-    abstract void events(Fleet fleet, Step step);
+    abstract void events(Fleet fleet, ScaleStep step);
 
     /** How many times as often as in an ordinary day of that step. */
-    double squeeze(Step step) {
+    double squeeze(ScaleStep step) {
         return 1;
     }
 
@@ -72,7 +72,7 @@
     }
 
     /** One play; the meter is on where figures of time and memory are wanted. */
-    Result play(Step step, Fleet.Terms terms, CpuMeter meter) {
+    Result play(ScaleStep step, Fleet.Terms terms, CpuMeter meter) {
         long wall = System.nanoTime();
         Fleet fleet = new Fleet(terms, meter);
         fleet.run(BEFORE_S * Fleet.S);
--- a/src/test/java/gatelock/fleet/ScaleRun.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -38,7 +38,7 @@
         if (Runtime.getRuntime().maxMemory() > machineMemory() / 2 * 1.05) {
             throw new IllegalStateException("the heap is more than half of this machine's memory");
         }
-        Step step = Step.of(args[0]);
+        ScaleStep step = ScaleStep.of(args[0]);
         String which = args.length > 1 ? args[1] : "every";
         String mode = args.length > 2 ? args[2] : "all";
         int asked = args.length > 3 ? Integer.parseInt(args[3]) : 0;
@@ -60,7 +60,7 @@
     }
 
     /** As many of the step's relays as were asked for, and no more than the heap bears. */
-    private static Fleet.Terms terms(Step step, boolean scoped, int asked, int holders) {
+    private static Fleet.Terms terms(ScaleStep step, boolean scoped, int asked, int holders) {
         long inScope = Math.max((long) step.services() * new Fleet.Terms().perService,
             (long) step.units() * Math.min(step.relays(), holders) / step.relays());
         long held = scoped ? Math.min(step.units(), inScope) : step.units();
@@ -77,7 +77,7 @@
             .getTotalMemorySize();
     }
 
-    private static ObjectNode out(Step step, FleetScenario play, String scope, FleetScenario.Result result, String commit) {
+    private static ObjectNode out(ScaleStep step, FleetScenario play, String scope, FleetScenario.Result result, String commit) {
         Fleet fleet = result.fleet();
         FleetRecords records = fleet.records;
         Fleet.Terms terms = fleet.terms;
@@ -144,7 +144,7 @@
     }
 
     /** One play takes the place of an earlier one of the same step, play and scope; steps stay in their order. */
-    private static void merge(Step step, ObjectNode play, String commit) throws IOException {
+    private static void merge(ScaleStep step, ObjectNode play, String commit) throws IOException {
         ObjectNode file = Files.exists(FILE) ? (ObjectNode) JSON.readTree(FILE.toFile()) : JSON.createObjectNode();
         ObjectNode run = file.putObject("run");
         run.put("id", play.get("run").asText()).put("date", Instant.now().toString()).put("commit", commit);
@@ -153,7 +153,7 @@
         ArrayNode before = file.path("steps").isArray() ? (ArrayNode) file.get("steps") : JSON.createArrayNode();
         ArrayNode steps = JSON.createArrayNode();
         String largest = "";
-        for (Step s : Step.LADDER) {
+        for (ScaleStep s : ScaleStep.LADDER) {
             ObjectNode its = null;
             for (var b : before) {
                 its = b.get("step").asText().equals(s.name()) ? (ObjectNode) b : its;
--- a/src/test/java/gatelock/fleet/ScaleRunTest.java
+++ b/src/test/java/gatelock/fleet/ScaleRunTest.java
@@ -10,7 +10,7 @@
 
 /** The smallest step of the ladder: the same verdict each time, and each planted fault is found. */
 final class ScaleRunTest {
-    private static final Step SMALLEST = Step.LADDER.get(0);
+    private static final ScaleStep SMALLEST = ScaleStep.LADDER.get(0);
 
     private static FleetScenario.Result play(FleetScenario play, Fleet.Fault fault) {
         return play(play, fault, false);
--- a/src/test/java/gatelock/fleet/Step.java
+++ b/src/test/java/gatelock/fleet/ScaleStep.java
@@ -6,13 +6,13 @@
  * A step of the ladder to the target of docs/capacity/target.json: how many relays, units and services, in how many
  * zones; {@code reqsShare}: of the target's reqs for each unit, what is played, with four times the work each.
  */
-record Step(String name, double part, int relays, int units, int services, int zones, double reqsShare) {
-    static final List<Step> LADDER = List.of(
-        new Step("1/1000", 0.001, 6, 200, 7, 3, 0.25),
-        new Step("1/100", 0.01, 57, 2_000, 72, 19, 0.25),
-        new Step("1/10", 0.1, 570, 20_000, 720, 19, 0.01),
-        new Step("1/3", 1 / 3.0, 1_900, 66_667, 2_400, 19, 0.01),
-        new Step("1", 1, 5_700, 200_000, 7_200, 19, 0.01));
+record ScaleStep(String name, double part, int relays, int units, int services, int zones, double reqsShare) {
+    static final List<ScaleStep> LADDER = List.of(
+        new ScaleStep("1/1000", 0.001, 6, 200, 7, 3, 0.25),
+        new ScaleStep("1/100", 0.01, 57, 2_000, 72, 19, 0.25),
+        new ScaleStep("1/10", 0.1, 570, 20_000, 720, 19, 0.01),
+        new ScaleStep("1/3", 1 / 3.0, 1_900, 66_667, 2_400, 19, 0.01),
+        new ScaleStep("1", 1, 5_700, 200_000, 7_200, 19, 0.01));
 
     /** Of the target, at its peak. */
     private static final double REQS_PER_UNIT_S = 24.5;
@@ -28,9 +28,9 @@
     /** Assumed: how units and reqs fall on services, as an exponent of Zipf. */
     private static final double SKEW = 0.6;
 
-    static Step of(String name) {
+    static ScaleStep of(String name) {
         return LADDER.stream().filter(s -> s.name.equals(name)).findFirst().orElseThrow(
-            () -> new IllegalArgumentException("STEP is one of " + LADDER.stream().map(Step::name).toList()));
+            () -> new IllegalArgumentException("STEP is one of " + LADDER.stream().map(ScaleStep::name).toList()));
     }
 
     /** The fleet of this step of which so many relays are played. */
