--- a/src/test/java/gatelock/fleet/FleetRecords.java
+++ b/src/test/java/gatelock/fleet/FleetRecords.java
@@ -107,7 +107,7 @@
     long endUs = Long.MAX_VALUE;
 
     /** Every rule that these records break, one line for each case. */
-    List<String> broken(Fleet.Terms terms) {
+    List<String> broken(SimulatedFleet.Terms terms) {
         List<String> found = new ArrayList<>();
         oneAnswer(found);
         noEffectTwice(found);
@@ -172,7 +172,7 @@
      * Rule 3 by discovery's own clock: once a relay should have been told that a unit leaves, and after the same
      * grace, nothing goes there, whatever the relay itself heard.
      */
-    private void toldLate(List<String> found, Fleet.Terms terms) {
+    private void toldLate(List<String> found, SimulatedFleet.Terms terms) {
         if (terms.linkBytesPerS == 0) {
             return;
         }
@@ -268,7 +268,7 @@
     }
 
     /** In every window that begins with a send, the work sent to a cold unit stays under its multiple. */
-    private void coldUnits(List<String> found, Fleet.Terms terms) {
+    private void coldUnits(List<String> found, SimulatedFleet.Terms terms) {
         Map<String, List<Sent>> byUnit = new HashMap<>();
         sent.forEach(s -> byUnit.computeIfAbsent(s.unit, u -> new ArrayList<>()).add(s));
         for (Start start : starts) {
@@ -290,7 +290,7 @@
     }
 
     /** In every window, tries at the trial stay within free + cap x reqs taken; two and 4% above it pass. */
-    private void exposure(List<String> found, Fleet.Terms terms) {
+    private void exposure(List<String> found, SimulatedFleet.Terms terms) {
         if (caps.stream().allMatch(c -> c.build < 0)) {
             return;
         }
@@ -301,7 +301,7 @@
             sentBy.getOrDefault(relay, List.of())));
     }
 
-    private static void exposure(List<String> found, Fleet.Terms terms, int relay, List<Cap> told, List<Taken> in,
+    private static void exposure(List<String> found, SimulatedFleet.Terms terms, int relay, List<Cap> told, List<Taken> in,
                                  List<Sent> out) {
         for (int i = 0; i < told.size(); i++) {
             Cap cap = told.get(i);
--- a/src/test/java/gatelock/fleet/FleetRecordsTest.java
+++ b/src/test/java/gatelock/fleet/FleetRecordsTest.java
@@ -8,9 +8,9 @@
 
 /** The checker names each rule that is broken, and nothing where none is. */
 final class FleetRecordsTest {
-    private static final long S = Fleet.S;
+    private static final long S = SimulatedFleet.S;
     private static final RoutePolicy ONCE = new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, S, S, 1);
-    private final Fleet.Terms terms = new Fleet.Terms();
+    private final SimulatedFleet.Terms terms = new SimulatedFleet.Terms();
     private final FleetRecords records = new FleetRecords();
 
     private void served(String id, long atUs) {
--- a/src/test/java/gatelock/fleet/FleetScenario.java
+++ b/src/test/java/gatelock/fleet/FleetScenario.java
@@ -7,19 +7,19 @@
     /** Restarts and failures at the target's daily rates for all units, whatever the step's part of them. */
     DAY {
         @Override
-        void events(Fleet fleet, ScaleStep step) {
+        void events(SimulatedFleet fleet, ScaleStep step) {
             double perS = (step.restartsPerS() + step.failuresPerS()) * squeeze(step);
             int events = (int) Math.round(perS * SPAN_S);
             int lost = (int) Math.max(1, Math.round(step.failuresPerS() * squeeze(step) * SPAN_S));
             for (int i = 0; i < events; i++) {
-                fleet.run(SPAN_S * Fleet.S / events);
+                fleet.run(SPAN_S * SimulatedFleet.S / events);
                 if (i % (events / lost) == events / lost / 2) {
                     fleet.loseOne();
                 } else {
                     fleet.replaceOne();
                 }
             }
-            fleet.run(14 * Fleet.S);
+            fleet.run(14 * SimulatedFleet.S);
         }
 
         @Override
@@ -30,25 +30,25 @@
     /** All units under a switch are lost, and back cold. */
     RACK {
         @Override
-        void events(Fleet fleet, ScaleStep step) {
-            fleet.loseRack(0, step.rackUnits(), BACK_S * Fleet.S);
-            fleet.run((BACK_S + AFTER_S) * Fleet.S);
+        void events(SimulatedFleet fleet, ScaleStep step) {
+            fleet.loseRack(0, step.rackUnits(), BACK_S * SimulatedFleet.S);
+            fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
         }
     },
     /** All units and relays of a zone are lost, and back cold. */
     ZONE {
         @Override
-        void events(Fleet fleet, ScaleStep step) {
-            fleet.loseZone(0, BACK_S * Fleet.S);
-            fleet.run((BACK_S + AFTER_S) * Fleet.S);
+        void events(SimulatedFleet fleet, ScaleStep step) {
+            fleet.loseZone(0, BACK_S * SimulatedFleet.S);
+            fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
         }
     },
     /** Everything is started anew at once: relays are back after 3 s, units from 5 to 7 s. */
     RESTART {
         @Override
-        void events(Fleet fleet, ScaleStep step) {
-            fleet.restartAll(3 * Fleet.S, 5 * Fleet.S);
-            fleet.run((BACK_S + AFTER_S) * Fleet.S);
+        void events(SimulatedFleet fleet, ScaleStep step) {
+            fleet.restartAll(3 * SimulatedFleet.S, 5 * SimulatedFleet.S);
+            fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
         }
     };
 
@@ -57,7 +57,7 @@
     private static final int AFTER_S = 12;
     private static final int BEFORE_S = 6;
 
-    abstract void events(Fleet fleet, ScaleStep step);
+    abstract void events(SimulatedFleet fleet, ScaleStep step);
 
     /** How many times as often as in an ordinary day of that step. */
     double squeeze(ScaleStep step) {
@@ -65,21 +65,21 @@
     }
 
     /** What came of a play. */
-    record Result(Fleet fleet, CpuMeter meter, List<String> broken, double spanS, double wallS) {
+    record Result(SimulatedFleet fleet, CpuMeter meter, List<String> broken, double spanS, double wallS) {
         long count(String rule) {
             return broken.stream().filter(b -> b.startsWith(rule)).count();
         }
     }
 
     /** One play; the meter is on where figures of time and memory are wanted. */
-    Result play(ScaleStep step, Fleet.Terms terms, CpuMeter meter) {
+    Result play(ScaleStep step, SimulatedFleet.Terms terms, CpuMeter meter) {
         long wall = System.nanoTime();
-        Fleet fleet = new Fleet(terms, meter);
-        fleet.run(BEFORE_S * Fleet.S);
+        SimulatedFleet fleet = new SimulatedFleet(terms, meter);
+        fleet.run(BEFORE_S * SimulatedFleet.S);
         meter.begin();
         long fromUs = fleet.nowUs();
         events(fleet, step);
-        double spanS = (fleet.nowUs() - fromUs) / (double) Fleet.S;
+        double spanS = (fleet.nowUs() - fromUs) / (double) SimulatedFleet.S;
         meter.in(CpuMeter.Role.WORLD);
         meter.stop();
         List<String> broken = fleet.broken();
--- a/src/test/java/gatelock/fleet/ScaleRun.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -60,13 +60,13 @@
     }
 
     /** As many of the step's relays as were asked for, and no more than the heap bears. */
-    private static Fleet.Terms terms(ScaleStep step, boolean scoped, int asked, int holders) {
-        long inScope = Math.max((long) step.services() * new Fleet.Terms().perService,
+    private static SimulatedFleet.Terms terms(ScaleStep step, boolean scoped, int asked, int holders) {
+        long inScope = Math.max((long) step.services() * new SimulatedFleet.Terms().perService,
             (long) step.units() * Math.min(step.relays(), holders) / step.relays());
         long held = scoped ? Math.min(step.units(), inScope) : step.units();
         long bears = (long) (Runtime.getRuntime().maxMemory() * HEAP_PART) / (held * BYTES_PER_HELD);
         int played = (int) Math.max(1, Math.min(asked > 0 ? asked : step.relays(), bears));
-        Fleet.Terms terms = step.terms(played, SEED);
+        SimulatedFleet.Terms terms = step.terms(played, SEED);
         terms.scoped = scoped;
         terms.leastHolders = holders;
         return terms;
@@ -78,9 +78,9 @@
     }
 
     private static ObjectNode out(ScaleStep step, FleetScenario play, String scope, FleetScenario.Result result, String commit) {
-        Fleet fleet = result.fleet();
+        SimulatedFleet fleet = result.fleet();
         FleetRecords records = fleet.records;
-        Fleet.Terms terms = fleet.terms;
+        SimulatedFleet.Terms terms = fleet.terms;
         int played = terms.played();
         boolean whole = played == terms.relays;
         double squeeze = play.squeeze(step);
@@ -88,7 +88,7 @@
         long told = records.messages.stream().mapToLong(m -> m.owed()).sum();
         long bytes = records.messages.stream().mapToLong(m -> m.bytes * m.owed()).sum();
         CpuMeter meter = result.meter();
-        double spanUs = result.spanS() * Fleet.S;
+        double spanUs = result.spanS() * SimulatedFleet.S;
         ObjectNode out = JSON.createObjectNode();
         out.put("play", play.name().toLowerCase(Locale.ROOT)).put("scope", scope);
         out.put("run", runId(commit)).put("relaysPlayed", played).put("squeeze", round(squeeze));
@@ -107,7 +107,7 @@
         out.put("cpuBeatShare", share(beatUs / played / spanUs));
         long inSpan = records.taken.size();
         out.put("cpuUsPerReq", round(meter.us(CpuMeter.Role.REQS) / Math.max(1, inSpan)));
-        out.put("cpuWorldS", round(meter.us(CpuMeter.Role.WORLD) / Fleet.S));
+        out.put("cpuWorldS", round(meter.us(CpuMeter.Role.WORLD) / SimulatedFleet.S));
         out.put("heapPerRelayBytes", meter.heapTaken() / played);
         out.put("taken", records.taken.size()).put("completed", records.answers.size() - records.refused());
         out.put("refused", records.refused());
--- a/src/test/java/gatelock/fleet/ScaleRunTest.java
+++ b/src/test/java/gatelock/fleet/ScaleRunTest.java
@@ -12,12 +12,12 @@
 final class ScaleRunTest {
     private static final ScaleStep SMALLEST = ScaleStep.LADDER.get(0);
 
-    private static FleetScenario.Result play(FleetScenario play, Fleet.Fault fault) {
+    private static FleetScenario.Result play(FleetScenario play, SimulatedFleet.Fault fault) {
         return play(play, fault, false);
     }
 
-    private static FleetScenario.Result play(FleetScenario play, Fleet.Fault fault, boolean scoped) {
-        Fleet.Terms terms = SMALLEST.terms(0, 36);
+    private static FleetScenario.Result play(FleetScenario play, SimulatedFleet.Fault fault, boolean scoped) {
+        SimulatedFleet.Terms terms = SMALLEST.terms(0, 36);
         terms.fault = fault;
         terms.scoped = scoped;
         // So few relays would use all units.
@@ -28,13 +28,13 @@
     @ParameterizedTest
     @EnumSource(FleetScenario.class)
     void smallestStepKeepsTheRulesAndTellsEveryRelay(FleetScenario play) {
-        keepsAll(play(play, Fleet.Fault.NONE));
+        keepsAll(play(play, SimulatedFleet.Fault.NONE));
     }
 
     @ParameterizedTest
     @EnumSource(FleetScenario.class)
     void smallestStepKeepsTheRulesWithAScope(FleetScenario play) {
-        FleetScenario.Result result = play(play, Fleet.Fault.NONE, true);
+        FleetScenario.Result result = play(play, SimulatedFleet.Fault.NONE, true);
         keepsAll(result);
         assertThat(result.fleet().records.held).isNotEmpty();
     }
@@ -43,11 +43,11 @@
     @ParameterizedTest
     @EnumSource(FleetScenario.class)
     void fewRelaysRefuseNoMoreWithAScopeThanWithoutOne(FleetScenario play) {
-        Fleet.Terms terms = SMALLEST.terms(0, 36);
+        SimulatedFleet.Terms terms = SMALLEST.terms(0, 36);
         terms.scoped = true;
         FleetScenario.Result with = play.play(SMALLEST, terms, new CpuMeter(false));
         keepsAll(with);
-        FleetRecords without = play(play, Fleet.Fault.NONE).fleet().records;
+        FleetRecords without = play(play, SimulatedFleet.Fault.NONE).fleet().records;
         assertThat(with.fleet().records.refused()).isLessThan(without.refused() * 6 / 5 + 20);
     }
 
@@ -59,30 +59,30 @@
         assertThat(records.onTheWay()).isZero();
         assertThat(records.messages).isNotEmpty();
         long[] reached = records.reachedUs();
-        assertThat(reached[reached.length - 1]).isLessThan(7 * Fleet.S);
+        assertThat(reached[reached.length - 1]).isLessThan(7 * SimulatedFleet.S);
     }
 
     @Test
     void oneSeedIsOneDigest() {
-        assertThat(play(FleetScenario.ZONE, Fleet.Fault.NONE).fleet().records.digest())
-            .isEqualTo(play(FleetScenario.ZONE, Fleet.Fault.NONE).fleet().records.digest());
+        assertThat(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE).fleet().records.digest())
+            .isEqualTo(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE).fleet().records.digest());
     }
 
     @Test
     void changeThatOneRelayNeverGetsIsFound() {
-        List<String> broken = play(FleetScenario.DAY, Fleet.Fault.CHANGE_MISSED).broken();
+        List<String> broken = play(FleetScenario.DAY, SimulatedFleet.Fault.CHANGE_MISSED).broken();
         assertThat(broken).filteredOn(b -> b.startsWith("change")).containsExactly("change 3: relay 0 never had it");
     }
 
     @Test
     void drainThatIsToldLateIsFound() {
-        List<String> broken = play(FleetScenario.DAY, Fleet.Fault.DRAIN_LATE).broken();
+        List<String> broken = play(FleetScenario.DAY, SimulatedFleet.Fault.DRAIN_LATE).broken();
         assertThat(broken).isNotEmpty().allMatch(b -> b.startsWith("told late: relay 0 sent to"));
     }
 
     @Test
     void unitThatAllRelaysHoldIsFound() {
-        List<String> broken = play(FleetScenario.RACK, Fleet.Fault.HELD_BY_ALL, true).broken();
+        List<String> broken = play(FleetScenario.RACK, SimulatedFleet.Fault.HELD_BY_ALL, true).broken();
         assertThat(broken).filteredOn(b -> b.startsWith("held")).containsExactly("held: s1-u0 by 6 of 6 relays");
     }
 }
--- a/src/test/java/gatelock/fleet/ScaleStep.java
+++ b/src/test/java/gatelock/fleet/ScaleStep.java
@@ -16,7 +16,7 @@
 
     /** Of the target, at its peak. */
     private static final double REQS_PER_UNIT_S = 24.5;
-    private static final double WORK_US = 280 * Fleet.MS;
+    private static final double WORK_US = 280 * SimulatedFleet.MS;
     private static final long LINK_BYTES_PER_S = 23_000;
     /** Of the target, in a day. */
     private static final double RESTARTS = 41_000;
@@ -34,8 +34,8 @@
     }
 
     /** The fleet of this step of which so many relays are played. */
-    Fleet.Terms terms(int played, long seed) {
-        Fleet.Terms t = new Fleet.Terms();
+    SimulatedFleet.Terms terms(int played, long seed) {
+        SimulatedFleet.Terms t = new SimulatedFleet.Terms();
         t.relays = relays;
         t.relaysPlayed = played;
         t.units = units;
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -41,7 +41,7 @@
     /** Around the entries of an answer: its head, its index and whether it is the whole. */
     private static final int ANSWER_BYTES = 160;
 
-    private final Fleet.Terms terms;
+    private final SimulatedFleet.Terms terms;
     private final FleetRecords records;
     private final Map<String, Entry> list = new LinkedHashMap<>();
     private List<Entry> whole;
@@ -49,7 +49,7 @@
     private long index;
     private long bytes;
 
-    SimulatedDiscovery(Fleet.Terms terms, FleetRecords records) {
+    SimulatedDiscovery(SimulatedFleet.Terms terms, FleetRecords records) {
         this.terms = terms;
         this.records = records;
     }
--- a/src/test/java/gatelock/fleet/Fleet.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleet.java
@@ -33,7 +33,7 @@
  * A fleet in simulated time: the real module of every relay, and a plain world of units, clients, a list that
  * comes late and a release desk that takes so many calls a second. One seed gives one course of events.
  */
-final class Fleet {
+final class SimulatedFleet {
     static final long MS = 1_000;
     static final long S = 1_000_000;
 
@@ -147,11 +147,11 @@
     private boolean quiet;
     private int unitsEver;
 
-    Fleet(Terms terms) {
+    SimulatedFleet(Terms terms) {
         this(terms, new CpuMeter(false));
     }
 
-    Fleet(Terms terms, CpuMeter meter) {
+    SimulatedFleet(Terms terms, CpuMeter meter) {
         this.terms = terms;
         this.meter = meter;
         this.chance = new SplittableRandom(terms.seed);
--- a/src/test/java/gatelock/fleet/FleetTest.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleetTest.java
@@ -12,11 +12,11 @@
 import java.util.List;
 
 /** What holds for many relays together, whatever one of them does alone. */
-final class FleetTest {
-    private static final long S = Fleet.S;
+final class SimulatedFleetTest {
+    private static final long S = SimulatedFleet.S;
 
-    private static Fleet.Terms of(int relays, long seed) {
-        Fleet.Terms terms = new Fleet.Terms();
+    private static SimulatedFleet.Terms of(int relays, long seed) {
+        SimulatedFleet.Terms terms = new SimulatedFleet.Terms();
         terms.relays = relays;
         terms.units = Math.max(10, Math.min(60, relays * 4));
         terms.reqsPerS = terms.units * 4.7;
@@ -24,8 +24,8 @@
         return terms;
     }
 
-    private static Fleet offered(Fleet.Terms terms) {
-        Fleet fleet = new Fleet(terms);
+    private static SimulatedFleet offered(SimulatedFleet.Terms terms) {
+        SimulatedFleet fleet = new SimulatedFleet(terms);
         fleet.run(10 * S);
         fleet.desk.offer();
         return fleet;
@@ -34,7 +34,7 @@
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 50, 120})
     void enoughVoicesStandForGoodBuildAndNoneIsTurnedAway(int relays) {
-        Fleet fleet = offered(of(relays, 1));
+        SimulatedFleet fleet = offered(of(relays, 1));
         fleet.run(21 * S);
         assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
         assertThat(fleet.desk.stageUs).allMatch(us -> us <= 7 * S);
@@ -47,10 +47,10 @@
     @CsvSource({"1, 0.1, 1", "3, 0.1, 1", "14, 0.2, 1", "50, 0.2, 1", "120, 0.2, 1", "14, 0.3, 1",
         "50, 0.3, 1", "120, 0.3, 1", "50, 0, 3", "120, 0, 3"})
     void badBuildGoesBackThoughEachRelaySeesLittleOfIt(int relays, double fails, double work) {
-        Fleet.Terms terms = of(relays, 1);
+        SimulatedFleet.Terms terms = of(relays, 1);
         terms.newFails = fails;
         terms.newWork = work;
-        Fleet fleet = offered(terms);
+        SimulatedFleet fleet = offered(terms);
         fleet.run(25 * S);
         assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
         assertThat(fleet.desk.stageUs.size()).as("stages passed").isLessThan(terms.shares.length);
@@ -61,11 +61,11 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void buildThatIsWorseAtAllOfItsUnitsGoesBackThoughEachHasFewOutcomes(long seed) {
-        Fleet.Terms terms = of(14, seed);
+        SimulatedFleet.Terms terms = of(14, seed);
         terms.units = 60;
         terms.reqsPerS = 340;
         terms.newWork = 1.7;
-        Fleet fleet = offered(terms);
+        SimulatedFleet fleet = offered(terms);
         fleet.run(25 * S);
         assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
         assertThat(fleet.broken()).isEmpty();
@@ -74,20 +74,20 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void goodBuildDoesNotGoBackWhileUnitsPause(long seed) {
-        Fleet.Terms terms = of(100, seed);
-        Fleet fleet = offered(terms);
+        SimulatedFleet.Terms terms = of(100, seed);
+        SimulatedFleet fleet = offered(terms);
         for (int i = 0; i < 5; i++) {
             fleet.run(5 * S);
-            fleet.pauseSome(0.3, 500 * Fleet.MS, 2 * S);
+            fleet.pauseSome(0.3, 500 * SimulatedFleet.MS, 2 * S);
         }
         assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
     }
 
     @Test
     void rollingRestartsDoNotHoldGoodBuildUp() {
-        Fleet fleet = new Fleet(of(100, 9));
+        SimulatedFleet fleet = new SimulatedFleet(of(100, 9));
         fleet.run(10 * S);
-        fleet.pauseSome(0.3, 500 * Fleet.MS, 2 * S);
+        fleet.pauseSome(0.3, 500 * SimulatedFleet.MS, 2 * S);
         fleet.desk.offer();
         for (int i = 0; i < 100; i += 10) {
             fleet.relays().subList(i, i + 10).forEach(r -> r.kill(S));
@@ -100,8 +100,8 @@
 
     @Test
     void herdOfRestartsLeavesColdUnitsUnderTheirBound() {
-        Fleet.Terms terms = of(100, 5);
-        Fleet fleet = new Fleet(terms);
+        SimulatedFleet.Terms terms = of(100, 5);
+        SimulatedFleet fleet = new SimulatedFleet(terms);
         fleet.run(10 * S);
         fleet.relays().stream().limit(70).forEach(r -> r.kill(S));
         fleet.run(S / 2);
@@ -112,7 +112,7 @@
 
     @Test
     void burstIsServed() {
-        Fleet fleet = new Fleet(of(100, 6));
+        SimulatedFleet fleet = new SimulatedFleet(of(100, 6));
         fleet.run(15 * S);
         fleet.load(1.4);
         fleet.run(5 * S);
@@ -122,10 +122,10 @@
     @ParameterizedTest
     @CsvSource({"14, 1", "14, 2", "100, 1", "100, 2"})
     void zoneThatFallsSilentIsLeftBeforeTheListSaysSo(int relays, long seed) {
-        Fleet.Terms terms = of(relays, seed);
+        SimulatedFleet.Terms terms = of(relays, seed);
         terms.units = 60;
         terms.reqsPerS = 200;
-        Fleet fleet = new Fleet(terms);
+        SimulatedFleet fleet = new SimulatedFleet(terms);
         fleet.run(15 * S);
         fleet.pauseZone(0, 8 * S);
         fleet.run(8 * S);
@@ -138,11 +138,11 @@
 
     @Test
     void connectionsThatStandAreUsedWhereNewOnesHaveTheirPrice() {
-        Fleet.Terms free = of(100, 7);
+        SimulatedFleet.Terms free = of(100, 7);
         free.openingPrice = 0;
-        Fleet without = new Fleet(free);
+        SimulatedFleet without = new SimulatedFleet(free);
         without.run(40 * S);
-        Fleet with = new Fleet(of(100, 7));
+        SimulatedFleet with = new SimulatedFleet(of(100, 7));
         with.run(40 * S);
         assertThat(with.records.opened).isLessThan(without.records.opened / 2);
         assertThat(with.records.inTime(0, with.nowUs() - 5 * S))
@@ -151,7 +151,7 @@
 
     @Test
     void oneSeedIsOneCourseOfEvents() {
-        List<FleetRecords> two = List.of(new Fleet(of(50, 8)), new Fleet(of(50, 8))).stream().map(f -> {
+        List<FleetRecords> two = List.of(new SimulatedFleet(of(50, 8)), new SimulatedFleet(of(50, 8))).stream().map(f -> {
             f.run(8 * S);
             return f.records;
         }).toList();
--- a/src/test/java/gatelock/fleet/VerdictRates.java
+++ b/src/test/java/gatelock/fleet/VerdictRates.java
@@ -7,7 +7,7 @@
 
 /** How often bad builds are released and good ones sent back, over many seeds; a table, no test. */
 final class VerdictRates {
-    private static final long S = Fleet.S;
+    private static final long S = SimulatedFleet.S;
 
     /** A build on offer, and what happens beside it. */
     private record Case(String name, double fails, double work, long badFromUs, double badFromBusy,
@@ -38,7 +38,7 @@
         System.out.println("| relays | build | back before release | back after | stays | a stage, s |");
         for (int relays : sizes) {
             for (Case c : CASES) {
-                List<Fleet> played = IntStream.rangeClosed(1, seeds).parallel()
+                List<SimulatedFleet> played = IntStream.rangeClosed(1, seeds).parallel()
                     .mapToObj(seed -> play(relays, seed, c)).toList();
                 long gone = played.stream().filter(VerdictRates::isBack).count();
                 long late = played.stream().filter(f -> isBack(f) && wasReleased(f)).count();
@@ -51,16 +51,16 @@
         }
     }
 
-    private static boolean isBack(Fleet f) {
+    private static boolean isBack(SimulatedFleet f) {
         return f.desk.phase() == DecisionEngine.Phase.REVERTING;
     }
 
-    private static boolean wasReleased(Fleet f) {
+    private static boolean wasReleased(SimulatedFleet f) {
         return f.desk.stageUs.size() == f.terms.shares.length;
     }
 
-    private static Fleet play(int relays, long seed, Case c) {
-        Fleet.Terms t = new Fleet.Terms();
+    private static SimulatedFleet play(int relays, long seed, Case c) {
+        SimulatedFleet.Terms t = new SimulatedFleet.Terms();
         t.relays = relays;
         t.seed = seed;
         t.newFails = c.fails;
@@ -68,13 +68,13 @@
         t.badFromUs = c.badFromUs;
         t.badFromBusy = c.badFromBusy;
         t.reqsPerS = 340;
-        Fleet f = new Fleet(t);
+        SimulatedFleet f = new SimulatedFleet(t);
         f.run(10 * S);
         f.desk.offer();
         for (int i = 0; i < 6; i++) {
             f.run(5 * S);
             if (c.pauses) {
-                f.pauseSome(0.15, 600 * Fleet.MS, 2 * S);
+                f.pauseSome(0.15, 600 * SimulatedFleet.MS, 2 * S);
             }
             if (c.burst) {
                 f.load(i == 1 ? 1.5 : i == 3 ? 1 / 1.5 : 1);
