--- a/src/test/java/gatelock/SessionsTest.java
+++ b/src/test/java/gatelock/SessionsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.standin.ControlService;
-import gatelock.standin.Hive;
+import gatelock.standin.WebSocketEndpoint;
 import gatelock.standin.Tablet;
 
 import java.nio.file.Files;
@@ -30,13 +30,13 @@
     private Path directory;
     private StandIns all;
     private ControlService control;
-    private Hive hive;
+    private WebSocketEndpoint hive;
 
     @BeforeEach
     void stand() throws Exception {
         all = new StandIns();
         control = new ControlService();
-        hive = new Hive();
+        hive = new WebSocketEndpoint();
         Files.writeString(all.config, Files.readString(all.config).replace(all.unit.address(), hive.address())
             .replace("\"deadlineNs\": 1000000000", "\"deadlineNs\": 2500000000"));
         control.offer(1, "s", 1, PLAN);
@@ -163,7 +163,7 @@
     @Test
     void atADrainNothingNewGoesThereAndSessionsLeaveInTurn() throws Exception {
         StandIns.Came asked = all.discovery.next();
-        try (Hive other = new Hive()) {
+        try (WebSocketEndpoint other = new WebSocketEndpoint()) {
             String both = String.format(ENTRY, "a", hive.address(), "in_service", 1) + ","
                 + String.format(ENTRY, "b", other.address(), "%s", 1);
             asked.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + String.format(both,
@@ -263,7 +263,7 @@
     void aTrialGetsNoMoreThanItsCapAndItsSessionsEndWhenItGoesBack() throws Exception {
         StandIns.Came list = all.discovery.next();
         java.io.OutputStream news = StandIns.chunked(all.desk.next());
-        try (Hive trial = new Hive()) {
+        try (WebSocketEndpoint trial = new WebSocketEndpoint()) {
             String state = "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\",\"exposure\":%s,\"old_ms\":1}}\n";
             StandIns.chunk(news, String.format(state, "trial", "0.2"));
             list.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + String.format(ENTRY,
@@ -310,9 +310,9 @@
             over.set(true);
             List<Long> atTrial = trial.log().stream().filter(c -> c.what().startsWith("m") || c.what()
                 .equals("open"))
-                .map(Hive.Came::ns).sorted().toList();
+                .map(WebSocketEndpoint.Came::ns).sorted().toList();
             List<Long> taken = java.util.stream.Stream.of(hive.log(), trial.log()).flatMap(List::stream)
-                .filter(c -> c.what().equals("open")).map(Hive.Came::ns)
+                .filter(c -> c.what().equals("open")).map(WebSocketEndpoint.Came::ns)
                 .collect(java.util.stream.Collectors.toCollection(ArrayList::new));
             taken.addAll(saidNs);
             for (long from : atTrial) {
--- a/src/test/java/gatelock/standin/SessionMeasure.java
+++ b/src/test/java/gatelock/standin/SessionMeasure.java
@@ -31,7 +31,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        try (Village village = new Village(1); Hive hive = new Hive(); ControlService control = new ControlService()) {
+        try (Village village = new Village(1); WebSocketEndpoint hive = new WebSocketEndpoint(); ControlService control = new ControlService()) {
             String unit = "127.0.0.1:" + hive.address().split(":")[1];
             // No discovery: the list that the relay begins with names the one unit that speaks both.
             String text = Files.readString(Path.of("examples/relay.json")).replace("127.0.0.1:8500", "127.0.0.1:1");
@@ -120,7 +120,7 @@
         return us;
     }
 
-    private static Tablet direct(Hive hive) throws IOException {
+    private static Tablet direct(WebSocketEndpoint hive) throws IOException {
         Socket socket = new Socket();
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(),
             Integer.parseInt(hive.address().split(":")[1])));
--- a/src/test/java/gatelock/standin/Hive.java
+++ b/src/test/java/gatelock/standin/WebSocketEndpoint.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A unit that speaks WebSocket: opens sessions, echoes texts, and notes with its time all that came. */
-public final class Hive implements AutoCloseable {
+public final class WebSocketEndpoint implements AutoCloseable {
     /** What came on one session, when. */
     public record Came(long ns, String what) {
     }
@@ -26,7 +26,7 @@
     private volatile boolean refuses;
     private volatile boolean echoes = true;
 
-    public Hive() throws IOException {
+    public WebSocketEndpoint() throws IOException {
         thread(() -> {
             while (!listener.isClosed()) {
                 Socket socket = listener.accept();
