--- a/src/test/java/gatelock/SessionsTest.java
+++ b/src/test/java/gatelock/SessionsTest.java
@@ -4,7 +4,7 @@
 
 import gatelock.standin.ControlService;
 import gatelock.standin.WebSocketEndpoint;
-import gatelock.standin.Tablet;
+import gatelock.standin.WebSocketPeer;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -55,23 +55,23 @@
         all.close();
     }
 
-    private Tablet open(String id) throws Exception {
-        return Tablet.open(all.port, "/read/hive/7?since=3", id, "");
+    private WebSocketPeer open(String id) throws Exception {
+        return WebSocketPeer.open(all.port, "/read/hive/7?since=3", id, "");
     }
 
-    private static void echoes(Tablet tablet, String text) throws Exception {
+    private static void echoes(WebSocketPeer tablet, String text) throws Exception {
         tablet.text(text);
         assertThat(tablet.frame().text()).isEqualTo(text);
     }
 
     @Test
     void framesGoBothWaysAndACloseGoesThroughWithItsCode() throws Exception {
-        try (Tablet tablet = open("a")) {
+        try (WebSocketPeer tablet = open("a")) {
             for (int i = 0; i < 50; i++) {
                 echoes(tablet, "weight " + i + " \u0da7");
             }
             tablet.close(4001, "seen enough");
-            Tablet.Frame close = tablet.frame();
+            WebSocketPeer.Frame close = tablet.frame();
             assertThat(close.code()).isEqualTo(4001);
             assertThat(tablet.frame().opcode()).isEqualTo(-1);
         }
@@ -84,31 +84,31 @@
 
     @Test
     void fragmentsWithSignsOfLifeInBetweenAreOneMessageAndBinaryStaysBinary() throws Exception {
-        try (Tablet tablet = open("f")) {
-            tablet.frame(Tablet.TEXT, "one ".getBytes());
-            tablet.frame(0x80 | Tablet.PING, "alive".getBytes());
+        try (WebSocketPeer tablet = open("f")) {
+            tablet.frame(WebSocketPeer.TEXT, "one ".getBytes());
+            tablet.frame(0x80 | WebSocketPeer.PING, "alive".getBytes());
             tablet.frame(0, "two ".getBytes());
             tablet.frame(0x80, "three".getBytes());
-            Tablet.Frame pong = tablet.next();
-            assertThat(pong.opcode()).isEqualTo(Tablet.PONG);
+            WebSocketPeer.Frame pong = tablet.next();
+            assertThat(pong.opcode()).isEqualTo(WebSocketPeer.PONG);
             assertThat(pong.text()).isEqualTo("alive");
             assertThat(tablet.frame().text()).isEqualTo("one two three");
             byte[] bytes = {0, (byte) 0xff, 7};
-            tablet.frame(0x80 | Tablet.BINARY, bytes);
-            Tablet.Frame back = tablet.frame();
-            assertThat(back.opcode()).isEqualTo(Tablet.BINARY);
+            tablet.frame(0x80 | WebSocketPeer.BINARY, bytes);
+            WebSocketPeer.Frame back = tablet.frame();
+            assertThat(back.opcode()).isEqualTo(WebSocketPeer.BINARY);
             assertThat(back.body()).isEqualTo(bytes);
-            tablet.frame(0x80 | Tablet.TEXT, new byte[0]);
+            tablet.frame(0x80 | WebSocketPeer.TEXT, new byte[0]);
             assertThat(tablet.frame().body()).isEmpty();
         }
     }
 
     @Test
     void aFloodOfFramesEndsThatSessionOnly() throws Exception {
-        try (Tablet tablet = open("flood"); Tablet other = open("other")) {
+        try (WebSocketPeer tablet = open("flood"); WebSocketPeer other = open("other")) {
             StandIns.go(() -> {
                 for (int i = 0; i < 5_000; i++) {
-                    tablet.frame(0x80 | Tablet.PING, new byte[0]);
+                    tablet.frame(0x80 | WebSocketPeer.PING, new byte[0]);
                 }
             });
             assertThat(tablet.frame().code()).isEqualTo(1008);
@@ -119,9 +119,9 @@
     @Test
     void anUpgradeThatCantBeIsAPlainAnswer() throws Exception {
         hive.refuse();
-        try (Tablet tablet = open("a")) {
+        try (WebSocketPeer tablet = open("a")) {
             throw new AssertionError("it was opened");
-        } catch (Tablet.Refused e) {
+        } catch (WebSocketPeer.Refused e) {
             assertThat(e.getMessage()).startsWith("HTTP/1.1 50");
         }
     }
@@ -129,12 +129,12 @@
     @Test
     void aUnitThatIsLostAndAClientThatIsLostAreToldToTheOther() throws Exception {
         hive.stay();
-        try (Tablet tablet = open("a")) {
+        try (WebSocketPeer tablet = open("a")) {
             hive.next().close();
             assertThat(tablet.frame().code()).isEqualTo(1014);
         }
-        Tablet leaving = open("b");
-        Tablet unit = hive.next();
+        WebSocketPeer leaving = open("b");
+        WebSocketPeer unit = hive.next();
         leaving.close();
         assertThat(unit.frame().code()).isEqualTo(1001);
     }
@@ -151,7 +151,7 @@
             new byte[] {(byte) 0xc3, (byte) 0x28}, 1007},
             {"10.4 too big", 0x81, "y".repeat(2000).getBytes(), 1009}};
         for (Object[] c : cases) {
-            try (Tablet tablet = open("c" + c[0]); Tablet other = open("o" + c[0])) {
+            try (WebSocketPeer tablet = open("c" + c[0]); WebSocketPeer other = open("o" + c[0])) {
                 tablet.frame((Integer) c[1], (byte[]) c[2]);
                 assertThat(tablet.frame().code()).as("%s", c[0]).isEqualTo(c[3]);
                 echoes(other, "unharmed");
@@ -169,7 +169,7 @@
             asked.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + String.format(both,
                 "in_service") + "]}");
             StandIns.Came watch = all.discovery.next();
-            List<Tablet> tablets = new ArrayList<>();
+            List<WebSocketPeer> tablets = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 tablets.add(open("d" + i));
                 echoes(tablets.get(i), "first");
@@ -181,10 +181,10 @@
             long toldNs = System.nanoTime();
             all.discovery.next();
             int closed = 0;
-            for (Tablet tablet : tablets) {
+            for (WebSocketPeer tablet : tablets) {
                 tablet.text("second");
-                Tablet.Frame frame = tablet.frame();
-                if (frame.opcode() == Tablet.CLOSE) {
+                WebSocketPeer.Frame frame = tablet.frame();
+                if (frame.opcode() == WebSocketPeer.CLOSE) {
                     assertThat(frame.code()).isEqualTo(1012);
                     assertThat(frame.reason()).matches(".* come back after [0-9]+ ms");
                     closed++;
@@ -196,7 +196,7 @@
             assertThat(open("new")).isNotNull();
             assertThat(other.log()).noneMatch(c -> c.ns() > toldNs + 1_000_000_000L
                 && !c.what().startsWith("close") && !c.what().equals("ended"));
-            for (Tablet tablet : tablets) {
+            for (WebSocketPeer tablet : tablets) {
                 tablet.close();
             }
         }
@@ -204,22 +204,22 @@
 
     @Test
     void aLimitHoldsForAsLongAsSessionsAreOpen() throws Exception {
-        List<Tablet> tablets = new ArrayList<>();
+        List<WebSocketPeer> tablets = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             tablets.add(open("l" + i));
         }
-        try (Tablet tablet = open("one more")) {
+        try (WebSocketPeer tablet = open("one more")) {
             throw new AssertionError("it was opened");
-        } catch (Tablet.Refused e) {
+        } catch (WebSocketPeer.Refused e) {
             assertThat(e.getMessage()).startsWith("HTTP/1.1 503").contains("Retry-After");
         }
         tablets.get(0).close(1000, "");
         assertThat(tablets.get(0).frame().code()).isEqualTo(1000);
         for (int i = 0; i < 100; i++) {
-            try (Tablet tablet = open("again" + i)) {
+            try (WebSocketPeer tablet = open("again" + i)) {
                 echoes(tablet, "room");
                 return;
-            } catch (Tablet.Refused e) {
+            } catch (WebSocketPeer.Refused e) {
                 Thread.sleep(20);
             }
         }
@@ -229,10 +229,10 @@
     @Test
     void aSideThatGivesNoSignOfLifeEndsTheSession() throws Exception {
         hive.stay();
-        try (Tablet tablet = Tablet.open(all.port, "/read/quick", "mute", "")) {
-            Tablet unit = hive.next();
-            Tablet.Frame frame = tablet.next();
-            while (frame.opcode() == Tablet.PING) {
+        try (WebSocketPeer tablet = WebSocketPeer.open(all.port, "/read/quick", "mute", "")) {
+            WebSocketPeer unit = hive.next();
+            WebSocketPeer.Frame frame = tablet.next();
+            while (frame.opcode() == WebSocketPeer.PING) {
                 frame = tablet.next();
             }
             assertThat(frame.code()).isIn(1001, 1014);
@@ -242,14 +242,14 @@
 
     @Test
     void aRelayThatLeavesTellsEachSession() throws Exception {
-        List<Tablet> tablets = new ArrayList<>();
+        List<WebSocketPeer> tablets = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             tablets.add(open("t" + i));
             echoes(tablets.get(i), "here");
         }
         all.signal("TERM");
-        for (Tablet tablet : tablets) {
-            Tablet.Frame frame = tablet.frame();
+        for (WebSocketPeer tablet : tablets) {
+            WebSocketPeer.Frame frame = tablet.frame();
             assertThat(frame.code()).isEqualTo(1012);
             assertThat(frame.reason()).matches("relay leaves, come back after [0-9]+ ms");
             tablet.frame(0x88, frame.body());
@@ -270,10 +270,10 @@
                 "a", hive.address(),
                 "in_service", 1) + "," + String.format(ENTRY, "b", trial.address(), "in_service", 2) + "]}");
             all.discovery.next();
-            List<Tablet> tablets = new ArrayList<>();
+            List<WebSocketPeer> tablets = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 // A trial unit's own budget fills with the work that is done, so it takes some time.
-                tablets.add(Tablet.open(all.port, "/read/x", "t" + i, "X-Size-Hint: 100000\r\n"));
+                tablets.add(WebSocketPeer.open(all.port, "/read/x", "t" + i, "X-Size-Hint: 100000\r\n"));
                 Thread.sleep(60);
             }
             long opens = trial.log().stream().filter(c -> c.what().equals("open")).count();
@@ -284,17 +284,17 @@
             List<Long> saidNs = java.util.Collections.synchronizedList(new ArrayList<>());
             List<Integer> codes = java.util.Collections.synchronizedList(new ArrayList<>());
             java.util.concurrent.atomic.AtomicBoolean over = new java.util.concurrent.atomic.AtomicBoolean();
-            for (Tablet tablet : tablets) {
+            for (WebSocketPeer tablet : tablets) {
                 Thread thread = new Thread(() -> {
                     try {
-                        for (Tablet.Frame f = null; !over.get() && (f == null || f.opcode() == Tablet.TEXT); f = tablet.frame()) {
+                        for (WebSocketPeer.Frame f = null; !over.get() && (f == null || f.opcode() == WebSocketPeer.TEXT); f = tablet.frame()) {
                             if (f != null) {
                                 Thread.sleep(20);
                             }
                             saidNs.add(System.nanoTime());
                             tablet.text("m" + said.incrementAndGet());
                         }
-                        Tablet.Frame last = tablet.frame();
+                        WebSocketPeer.Frame last = tablet.frame();
                         codes.add(last.code());
                     } catch (Exception e) {
                         codes.add(-2);
@@ -328,7 +328,7 @@
             assertThat(atTrial.size()).as("the cap is used").isGreaterThan(20);
             assertThat(trial.log().stream().filter(c -> c.what().equals("close 1001")).count())
                 .isEqualTo(opens);
-            for (Tablet tablet : tablets) {
+            for (WebSocketPeer tablet : tablets) {
                 tablet.close();
             }
         }
--- a/src/test/java/gatelock/standin/SessionMeasure.java
+++ b/src/test/java/gatelock/standin/SessionMeasure.java
@@ -54,7 +54,7 @@
                 .redirectErrorStream(true).redirectOutput(directory.resolve("relay.log").toFile());
             builder.environment().put("PROXY_CONFIG", config.toString());
             Process relay = builder.start();
-            List<Tablet> tablets = new ArrayList<>();
+            List<WebSocketPeer> tablets = new ArrayList<>();
             try {
                 control.report("1/1");
                 TimeUnit.SECONDS.sleep(2);
@@ -66,14 +66,14 @@
                     open(tablets, target, port);
                     row(tablets, relay, port);
                 }
-                try (Tablet direct = direct(hive)) {
+                try (WebSocketPeer direct = direct(hive)) {
                     Histogram us = echo(direct);
                     System.out.printf("| direct | | | | %d | %d |%n", us.getValueAtPercentile(50),
                         us.getValueAtPercentile(99));
                 }
             } finally {
                 relay.destroyForcibly().waitFor();
-                for (Tablet tablet : tablets) {
+                for (WebSocketPeer tablet : tablets) {
                     tablet.close();
                 }
             }
@@ -81,10 +81,10 @@
         System.exit(0);
     }
 
-    private static void open(List<Tablet> tablets, int target, int port) throws Exception {
+    private static void open(List<WebSocketPeer> tablets, int target, int port) throws Exception {
         for (int tries = 0; tablets.size() < target && tries < 10 * target; tries++) {
             try {
-                tablets.add(Tablet.open(port, "/read/x", "s" + tries + "-" + System.nanoTime(), ""));
+                tablets.add(WebSocketPeer.open(port, "/read/x", "s" + tries + "-" + System.nanoTime(), ""));
             } catch (IOException e) {
                 if (tries % 500 == 0) {
                     System.out.println("not opened: " + e.getMessage().lines().findFirst().orElse(""));
@@ -94,7 +94,7 @@
         }
     }
 
-    private static void row(List<Tablet> tablets, Process relay, int port) throws Exception {
+    private static void row(List<WebSocketPeer> tablets, Process relay, int port) throws Exception {
         Histogram ordinary = SwarmMeasure.load(port, 5);
         Histogram echo = tablets.isEmpty() ? null : echo(tablets.get(tablets.size() - 1));
         String status = Files.readString(Path.of("/proc/" + relay.pid() + "/status"));
@@ -105,12 +105,12 @@
             + echo.getValueAtPercentile(99));
     }
 
-    private static Histogram echo(Tablet tablet) throws IOException {
+    private static Histogram echo(WebSocketPeer tablet) throws IOException {
         Histogram us = new Histogram(3);
         for (int i = 0; i < 4_000; i++) {
             long fromNs = System.nanoTime();
             tablet.text("weight " + i);
-            if (tablet.frame().opcode() != Tablet.TEXT) {
+            if (tablet.frame().opcode() != WebSocketPeer.TEXT) {
                 throw new IOException("no echo");
             }
             if (i >= 1_000) {
@@ -120,7 +120,7 @@
         return us;
     }
 
-    private static Tablet direct(WebSocketEndpoint hive) throws IOException {
+    private static WebSocketPeer direct(WebSocketEndpoint hive) throws IOException {
         Socket socket = new Socket();
         socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(),
             Integer.parseInt(hive.address().split(":")[1])));
@@ -133,6 +133,6 @@
         while (!head.toString().endsWith("\r\n\r\n")) {
             head.append((char) socket.getInputStream().read());
         }
-        return new Tablet(socket, true);
+        return new WebSocketPeer(socket, true);
     }
 }
--- a/src/test/java/gatelock/standin/WebSocketEndpoint.java
+++ b/src/test/java/gatelock/standin/WebSocketEndpoint.java
@@ -21,7 +21,7 @@
 
     private final ServerSocket listener = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
     private final List<Came> log = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<Tablet> opened = new LinkedBlockingQueue<>();
+    private final BlockingQueue<WebSocketPeer> opened = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
     private volatile boolean refuses;
     private volatile boolean echoes = true;
@@ -72,8 +72,8 @@
     }
 
     /** This unit's end of the session that was opened next. */
-    public Tablet next() throws InterruptedException {
-        Tablet tablet = opened.poll(20, TimeUnit.SECONDS);
+    public WebSocketPeer next() throws InterruptedException {
+        WebSocketPeer tablet = opened.poll(20, TimeUnit.SECONDS);
         if (tablet == null) {
             throw new AssertionError("no session was opened");
         }
@@ -118,14 +118,14 @@
         socket.getOutputStream().write(("HTTP/1.1 101 Switching Protocols\r\nUpgrade: "
             + "websocket\r\nConnection: Upgrade\r\n"
             + "Sec-WebSocket-Accept: " + accept + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-        Tablet end = new Tablet(socket, false);
+        WebSocketPeer end = new WebSocketPeer(socket, false);
         opened.add(end);
         if (echoes) {
-            for (Tablet.Frame f = end.frame(); f.opcode() >= 0; f = end.frame()) {
-                log.add(new Came(System.nanoTime(), f.opcode() == Tablet.CLOSE ? "close " + f.code()
+            for (WebSocketPeer.Frame f = end.frame(); f.opcode() >= 0; f = end.frame()) {
+                log.add(new Came(System.nanoTime(), f.opcode() == WebSocketPeer.CLOSE ? "close " + f.code()
                     : f.text()));
-                if (f.opcode() == Tablet.CLOSE) {
-                    end.frame(0x80 | Tablet.CLOSE, f.body());
+                if (f.opcode() == WebSocketPeer.CLOSE) {
+                    end.frame(0x80 | WebSocketPeer.CLOSE, f.body());
                     socket.close();
                     return;
                 }
--- a/src/test/java/gatelock/standin/Tablet.java
+++ b/src/test/java/gatelock/standin/WebSocketPeer.java
@@ -15,7 +15,7 @@
  * nobody should. As a
  * client it masks its frames, as a server it does not.
  */
-public final class Tablet implements AutoCloseable {
+public final class WebSocketPeer implements AutoCloseable {
     public static final int TEXT = 1;
     public static final int BINARY = 2;
     public static final int CLOSE = 8;
@@ -43,14 +43,14 @@
     private final boolean masks;
 
     /** On a connection whose opening handshake is done. */
-    public Tablet(Socket socket, boolean masks) throws IOException {
+    public WebSocketPeer(Socket socket, boolean masks) throws IOException {
         this.socket = socket;
         this.masks = masks;
         this.in = new DataInputStream(socket.getInputStream());
     }
 
     /** Opens a session through a relay; an answer other than 101 is a {@link Refused}. */
-    public static Tablet open(int port, String path, String id, String headers) throws IOException {
+    public static WebSocketPeer open(int port, String path, String id, String headers) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(20_000);
         socket.setTcpNoDelay(true);
@@ -59,7 +59,7 @@
             + "Connection: Upgrade\r\nSec-WebSocket-Key: "
             + "dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n" + headers
             + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-        Tablet tablet = new Tablet(socket, true);
+        WebSocketPeer tablet = new WebSocketPeer(socket, true);
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
             head.append((char) tablet.in.readByte());
