--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -11,7 +11,7 @@
 import gatelock.standin.LongList;
 import gatelock.standin.OpenLoop;
 import gatelock.standin.RelayProcess;
-import gatelock.standin.Village;
+import gatelock.standin.FakeDeployment;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
@@ -178,7 +178,7 @@
     // ---- One relay as a process, and what is around it -------------------------------------------------------
 
     /** The example's configuration with this village, this list and these orgs; many descriptors. */
-    private static String configuration(Village village, String listen, String discovery, int tenants)
+    private static String configuration(FakeDeployment village, String listen, String discovery, int tenants)
             throws IOException {
         StringBuilder orgs = new StringBuilder("\"orgs\": [{\"name\": \"acme\", \"quotaPerS\": 1000}");
         for (int i = 1; i < tenants; i++) {
@@ -191,17 +191,17 @@
     }
 
     /** Entries that all lead to the village's units. */
-    private static LongList list(Village village, int size) {
+    private static LongList list(FakeDeployment village, int size) {
         return new LongList(size, i -> entry(village, i, 0));
     }
 
-    private static String entry(Village village, int number, int change) {
+    private static String entry(FakeDeployment village, int number, int change) {
         return LongList.entry(number, village.address(number % 4), number % 2 == 0 ? "east" : "west",
             "svc-" + number / ModulePlay.UNITS_OF_A_SERVICE, "in_service",
             change == 0 ? 0 : 1_764_000_000_000L + change, 1);
     }
 
-    private RelayProcess relay(Village village, LongList list, String name, int tenants) throws IOException {
+    private RelayProcess relay(FakeDeployment village, LongList list, String name, int tenants) throws IOException {
         int port = RelayProcess.freePorts(1)[0];
         return RelayProcess.start(directory, port, configuration(village, "127.0.0.1:" + port, list.address(name),
             tenants));
@@ -219,7 +219,7 @@
 
     private void reqs() throws Exception {
         List<double[]> cpu = new ArrayList<>();
-        try (Village village = new Village(4, 0); LongList list = list(village, 4);
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 4);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             ready(relay);
             int[] direct = new int[4];
@@ -451,7 +451,7 @@
     private void tenants() throws Exception {
         List<double[]> heap = new ArrayList<>();
         for (int tenants : new int[] {1_000, 5_000, 10_000, 20_000}) {
-            try (Village village = new Village(4, 0); LongList list = list(village, 4);
+            try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 4);
                     RelayProcess relay = relay(village, list, "r", tenants)) {
                 ready(relay);
                 heap.add(point(tenants, ClassHistogram.read(relay.jcmd("GC.class_histogram")).total()));
@@ -465,7 +465,7 @@
         List<double[]> heap = new ArrayList<>();
         List<double[]> resident = new ArrayList<>();
         List<Socket> sockets = new ArrayList<>();
-        try (Village village = new Village(4, 0); LongList list = list(village, 4);
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 4);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             ready(relay);
             for (int target : new int[] {100, 500, 1_000, 2_000}) {
@@ -496,7 +496,7 @@
         List<double[]> starts = new ArrayList<>();
         for (int size : new int[] {1_000, 2_500, 5_000, 10_000}) {
             List<Long> ms = new ArrayList<>();
-            try (Village village = new Village(4, 0); LongList list = list(village, size)) {
+            try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, size)) {
                 for (int i = 0; i < 3; i++) {
                     try (RelayProcess relay = relay(village, list, "r" + i, 1)) {
                         ms.add(ready(relay));
@@ -519,7 +519,7 @@
     private Map<String, Object> real(int size) throws Exception {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("entries", size);
-        try (Village village = new Village(4, 0); LongList list = list(village, size);
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, size);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             long readyMs = relay.ready(30_000);
             boolean taken = !list.await(1, 1, 1_000).isEmpty();
@@ -552,7 +552,7 @@
     /** Some tens of relays on one list: how long until each has a change, and what each holds. */
     private void many() throws Exception {
         List<RelayProcess> relays = new ArrayList<>();
-        try (Village village = new Village(4, 0); LongList list = list(village, 1_000)) {
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 1_000)) {
             for (int i = 0; i < MANY; i++) {
                 relays.add(relay(village, list, "r" + i, 1));
                 if (i % 8 == 7) {
--- a/src/test/java/gatelock/standin/Demo.java
+++ b/src/test/java/gatelock/standin/Demo.java
@@ -45,7 +45,7 @@
             port = one.getLocalPort();
             window = two.getLocalPort();
         }
-        try (Village village = new Village(4); ControlService control = new ControlService()) {
+        try (FakeDeployment village = new FakeDeployment(4); ControlService control = new ControlService()) {
             Path config = directory.resolve("relay.json");
             Files.writeString(config, village.configuration(Files.readString(Path.of("examples/relay.json")),
                 "127.0.0.1:" + port));
@@ -93,7 +93,7 @@
     }
 
     private void show(ControlService control, long born, int number, int port,
-        Village village) throws Exception {
+        FakeDeployment village) throws Exception {
         Map<String, Object> report = control.report(born + "/" + number);
         say("version " + number + ": " + (Boolean.TRUE.equals(report.get("accepted")) ? "in force"
             : "turned down ("
@@ -103,7 +103,7 @@
         traffic(port, village);
     }
 
-    private void traffic(int port, Village village) throws Exception {
+    private void traffic(int port, FakeDeployment village) throws Exception {
         Map<Integer, Integer> now = new TreeMap<>();
         long[] before = new long[4];
         for (int i = 0; i < 4; i++) {
--- a/src/test/java/gatelock/standin/Village.java
+++ b/src/test/java/gatelock/standin/FakeDeployment.java
@@ -14,7 +14,7 @@
  * All that a relay of examples/relay.json speaks to, on free ports: units that take 5 ms if nothing else is said,
  * discovery, the release desk.
  */
-public final class Village implements AutoCloseable {
+public final class FakeDeployment implements AutoCloseable {
     private static final String NEWS =
         "{\"release\":1,\"tranche\":0,\"mode\":\"released\",\"exposure\":1.0,\"old_ms\":60000}";
 
@@ -26,12 +26,12 @@
     private final HttpServer desk;
 
     /** As many units, named a, b, c and so on, by turns in zone east and west. */
-    public Village(int howMany) throws IOException {
+    public FakeDeployment(int howMany) throws IOException {
         this(howMany, 5);
     }
 
     /** The same with units that take so long; 0: as long as they need to answer. */
-    public Village(int howMany, long workMs) throws IOException {
+    public FakeDeployment(int howMany, long workMs) throws IOException {
         did = new AtomicLong[howMany];
         for (int i = 0; i < howMany; i++) {
             AtomicLong mine = new AtomicLong();
--- a/src/test/java/gatelock/standin/ListMeasure.java
+++ b/src/test/java/gatelock/standin/ListMeasure.java
@@ -147,7 +147,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        try (Village village = new Village(4)) {
+        try (FakeDeployment village = new FakeDeployment(4)) {
             String example = village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
             List<String> units = new ArrayList<>();
             Matcher at = Pattern.compile("\"name\":\"[a-d]\",\"address\":\"([^\"]*)\"").matcher(example);
--- a/src/test/java/gatelock/standin/SessionMeasure.java
+++ b/src/test/java/gatelock/standin/SessionMeasure.java
@@ -31,7 +31,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        try (Village village = new Village(1); WebSocketEndpoint hive = new WebSocketEndpoint(); ControlService control = new ControlService()) {
+        try (FakeDeployment village = new FakeDeployment(1); WebSocketEndpoint hive = new WebSocketEndpoint(); ControlService control = new ControlService()) {
             String unit = "127.0.0.1:" + hive.address().split(":")[1];
             // No discovery: the list that the relay begins with names the one unit that speaks both.
             String text = Files.readString(Path.of("examples/relay.json")).replace("127.0.0.1:8500", "127.0.0.1:1");
--- a/src/test/java/gatelock/standin/SwarmMeasure.java
+++ b/src/test/java/gatelock/standin/SwarmMeasure.java
@@ -28,7 +28,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        try (Village village = new Village(4); ControlService control = new ControlService()) {
+        try (FakeDeployment village = new FakeDeployment(4); ControlService control = new ControlService()) {
             Path config = directory.resolve("relay.json");
             Files.writeString(config, village.configuration(Files.readString(Path.of("examples/relay.json")),
                 "127.0.0.1:" + port));
