--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -12,7 +12,7 @@
 import gatelock.relay.RolloutPolicy;
 import gatelock.relay.RoutePolicy;
 import gatelock.standin.LongList;
-import gatelock.standin.Reach;
+import gatelock.standin.EndpointRestriction;
 import gatelock.standin.QuietOutlet;
 
 import java.lang.management.ManagementFactory;
@@ -103,7 +103,7 @@
 
     private void req(boolean scoped) {
         Set<String> service = services.get(chance.nextInt(services.size()));
-        Reach within = service::contains;
+        EndpointRestriction within = service::contains;
         RequestConstraints bounds = scoped ? within : RequestConstraints.NONE;
         long before = sent;
         RequestHandle handle = gate.take(nowUs, "r" + ids++, 0, 0, DecisionEngine.NO_KEY, LEFT_US, COST_US, bounds);
--- a/src/test/java/gatelock/fleet/SimulatedFleet.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleet.java
@@ -14,7 +14,7 @@
 import gatelock.relay.RolloutPolicy;
 import gatelock.relay.RoutePolicy;
 import gatelock.relay.Verdict;
-import gatelock.standin.Reach;
+import gatelock.standin.EndpointRestriction;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -115,7 +115,7 @@
     enum Fault { NONE, CHANGE_MISSED, DRAIN_LATE, HELD_BY_ALL }
 
     /** A service: its reqs reach its units alone, as a pool of a plan has it. */
-    private record Service(String name, Set<String> names, double upTo) implements Reach {
+    private record Service(String name, Set<String> names, double upTo) implements EndpointRestriction {
         @Override
         public boolean reaches(String unit) {
             return names.contains(unit);
--- a/src/test/java/gatelock/standin/Reach.java
+++ b/src/test/java/gatelock/standin/EndpointRestriction.java
@@ -5,7 +5,7 @@
 
 /** Bounds that name the units a req may reach, as a pool of a plan does, and nothing else. */
 @FunctionalInterface
-public interface Reach extends RequestConstraints {
+public interface EndpointRestriction extends RequestConstraints {
     @Override
     default int mostTries() {
         return NONE.mostTries();
