--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -13,7 +13,7 @@
 import gatelock.relay.LoadReport;
 import gatelock.relay.RolloutPolicy;
 import gatelock.relay.RoutePolicy;
-import gatelock.standin.QuietOutlet;
+import gatelock.standin.NoOpActions;
 
 import java.lang.reflect.Field;
 import java.net.InetSocketAddress;
@@ -82,7 +82,7 @@
     }
 
     /** Notes where tries go. */
-    private final class Noting implements QuietOutlet {
+    private final class Noting implements NoOpActions {
         @Override
         public void send(String id, String unit, long timeoutUs) {
             sentTo.add(unit);
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -9,7 +9,7 @@
 import gatelock.wire.JsonObject;
 import gatelock.wire.ConnectionPool;
 import gatelock.wire.EventLoop;
-import gatelock.standin.QuietOutlet;
+import gatelock.standin.NoOpActions;
 
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -121,7 +121,7 @@
     }
 
     /** No req is taken, and no timer runs: what is measured is the list alone. */
-    private static final class Quiet implements QuietOutlet {
+    private static final class Quiet implements NoOpActions {
         @Override
         public void send(String id, String unit, long timeoutUs) {
             throw new IllegalStateException("no req was taken");
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -13,7 +13,7 @@
 import gatelock.relay.RoutePolicy;
 import gatelock.standin.LongList;
 import gatelock.standin.EndpointRestriction;
-import gatelock.standin.QuietOutlet;
+import gatelock.standin.NoOpActions;
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
@@ -25,7 +25,7 @@
 import java.util.SplittableRandom;
 
 /** The module alone, with so many units: reqs that all complete after 5 ms, 860 a second of its own time. */
-final class ModulePlay implements QuietOutlet {
+final class ModulePlay implements NoOpActions {
     static final int UNITS_OF_A_SERVICE = 28;
     private static final long REQ_EVERY_US = 1_163;
     private static final int BATCH = 16;
--- a/src/test/java/gatelock/standin/QuietOutlet.java
+++ b/src/test/java/gatelock/standin/NoOpActions.java
@@ -4,7 +4,7 @@
 import gatelock.relay.Verdict;
 
 /** A way out on which nothing is done; whoever looks at some of its calls says which. */
-public interface QuietOutlet extends DecisionActions {
+public interface NoOpActions extends DecisionActions {
     @Override
     default void send(String id, String unit, long timeoutUs) {
     }
