--- a/src/test/java/gatelock/standin/FakeDeployment.java
+++ b/src/test/java/gatelock/standin/FakeDeployment.java
@@ -18,7 +18,7 @@
     private static final String NEWS =
         "{\"release\":1,\"tranche\":0,\"mode\":\"released\",\"exposure\":1.0,\"old_ms\":60000}";
 
-    private final ExecutorService threads = Http.threads("village");
+    private final ExecutorService threads = HttpStandIn.threads("village");
     private final List<HttpServer> servers = new ArrayList<>();
     private final List<HttpServer> units = new ArrayList<>();
     private final AtomicLong[] did;
@@ -42,7 +42,7 @@
                 call.getRequestBody().readAllBytes();
                 sleep(workMs);
                 mine.incrementAndGet();
-                Http.answer(call, "unit " + name + " did " + call.getRequestMethod() + " " + call.getRequestURI()
+                HttpStandIn.answer(call, "unit " + name + " did " + call.getRequestMethod() + " " + call.getRequestURI()
                     + "\n");
             });
             units.add(unit);
@@ -53,10 +53,10 @@
             if (query != null) {
                 sleep(Long.parseLong(query.replaceAll(".*hold_ms=", "")));
             }
-            Http.answer(call, query == null ? list() : "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
+            HttpStandIn.answer(call, query == null ? list() : "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
         });
         desk = server();
-        desk.createContext("/v2/projects/main/judgements", call -> Http.answer(call, NEWS));
+        desk.createContext("/v2/projects/main/judgements", call -> HttpStandIn.answer(call, NEWS));
         desk.createContext("/v2/projects/main/changes", call -> {
             call.sendResponseHeaders(200, 0);
             try (OutputStream out = call.getResponseBody()) {
@@ -77,7 +77,7 @@
 
     /** Where a unit is to be reached. */
     public String address(int unit) {
-        return Http.at(units.get(unit));
+        return HttpStandIn.at(units.get(unit));
     }
 
     /** How many reqs a unit has done. */
@@ -89,8 +89,8 @@
     public String configuration(String example, String listen) {
         String known = "{\"index\": 1, \"snapshot\": true, \"endpoints\": " + entries()
             + "},\n  \"settings\"";
-        return example.replace("127.0.0.1:8480", listen).replace("127.0.0.1:8500", Http.at(discovery))
-            .replace("127.0.0.1:8501", Http.at(desk)).replace("\"zones\": [\"east\"]",
+        return example.replace("127.0.0.1:8480", listen).replace("127.0.0.1:8500", HttpStandIn.at(discovery))
+            .replace("127.0.0.1:8501", HttpStandIn.at(desk)).replace("\"zones\": [\"east\"]",
             "\"zones\": [\"east\", \"west\"]")
             .replaceFirst("(?s)\\{\"index\".*?\\]\\},\\s*\"settings\"", known);
     }
@@ -104,14 +104,14 @@
         for (int i = 0; i < units.size(); i++) {
             entries.add(String.format("{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"type\":\"small\",\"group\":0,"
                 + "\"status\":\"in_service\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}", name(i),
-                Http.at(units.get(i)),
+                HttpStandIn.at(units.get(i)),
                 i % 2 == 0 ? "east" : "west"));
         }
         return entries.toString();
     }
 
     private HttpServer server() throws IOException {
-        HttpServer server = Http.server(threads);
+        HttpServer server = HttpStandIn.server(threads);
         servers.add(server);
         return server;
     }
--- a/src/test/java/gatelock/standin/Http.java
+++ b/src/test/java/gatelock/standin/HttpStandIn.java
@@ -12,12 +12,12 @@
 import java.util.concurrent.Executors;
 
 /** What the stand-ins that speak HTTP share: listeners on loopback, answers. */
-final class Http {
+final class HttpStandIn {
     static {
         System.setProperty("sun.net.httpserver.nodelay", "true");
     }
 
-    private Http() {
+    private HttpStandIn() {
     }
 
     static ExecutorService threads(String name) {
--- a/src/test/java/gatelock/standin/LongList.java
+++ b/src/test/java/gatelock/standin/LongList.java
@@ -33,7 +33,7 @@
     private record Changed(long index, String text, boolean listed) {
     }
 
-    private final ExecutorService threads = Http.threads("long list");
+    private final ExecutorService threads = HttpStandIn.threads("long list");
     private final List<HttpServer> doors = new ArrayList<>();
     private final int size;
     private final IntFunction<String> entries;
@@ -74,10 +74,10 @@
 
     /** Where one more relay finds the list. */
     public synchronized String address(String relay) throws IOException {
-        HttpServer door = Http.server(threads);
+        HttpServer door = HttpStandIn.server(threads);
         door.createContext("/api/targets", call -> handle(relay, call));
         doors.add(door);
-        return Http.at(door);
+        return HttpStandIn.at(door);
     }
 
     /** From now on an entry reads so; tells the index with which it does. A number past the size is a new entry. */
