--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -4,7 +4,7 @@
 import gatelock.kept.Counters;
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
-import gatelock.standin.LongList;
+import gatelock.standin.LongListDiscovery;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.JsonObject;
 import gatelock.wire.ConnectionPool;
@@ -36,7 +36,7 @@
     private static final long WITHIN_MS = 60_000;
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    final LongList list;
+    final LongListDiscovery list;
     private final int size;
     private final XnioWorker worker;
     private final EventLoop turn;
@@ -50,7 +50,7 @@
     /** Follows the list; when this returns, all of it has been taken in. */
     ListPlay(int size, Admission admission) throws IOException, InterruptedException {
         this.size = size;
-        list = new LongList(size, i -> entry(i, 0));
+        list = new LongListDiscovery(size, i -> entry(i, 0));
         worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
             .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
         turn = new EventLoop(worker.getIoThread());
@@ -77,7 +77,7 @@
 
     /** About 190 bytes, as the target names them. */
     static String entry(int number, int change) {
-        return LongList.entry(number, "10." + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":8443",
+        return LongListDiscovery.entry(number, "10." + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":8443",
             number % 2 == 0 ? "east" : "west", "svc-" + number / ModulePlay.UNITS_OF_A_SERVICE, "in_service",
             1_764_000_000_000L + change, 1);
     }
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -11,7 +11,7 @@
 import gatelock.relay.DecisionActions;
 import gatelock.relay.RolloutPolicy;
 import gatelock.relay.RoutePolicy;
-import gatelock.standin.LongList;
+import gatelock.standin.LongListDiscovery;
 import gatelock.standin.EndpointRestriction;
 import gatelock.standin.NoOpActions;
 
@@ -57,7 +57,7 @@
             if (i % UNITS_OF_A_SERVICE == 0) {
                 services.add(new HashSet<>());
             }
-            String name = LongList.name(i);
+            String name = LongListDiscovery.name(i);
             services.get(services.size() - 1).add(name);
             list.add(new Endpoint(name, 1, i % 3, 0, i % 10, Endpoint.Health.READY, 0));
         }
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -8,7 +8,7 @@
 import gatelock.plan.VersionTracker;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
-import gatelock.standin.LongList;
+import gatelock.standin.LongListDiscovery;
 import gatelock.standin.OpenLoop;
 import gatelock.standin.RelayProcess;
 import gatelock.standin.FakeDeployment;
@@ -191,17 +191,17 @@
     }
 
     /** Entries that all lead to the village's units. */
-    private static LongList list(FakeDeployment village, int size) {
-        return new LongList(size, i -> entry(village, i, 0));
+    private static LongListDiscovery list(FakeDeployment village, int size) {
+        return new LongListDiscovery(size, i -> entry(village, i, 0));
     }
 
     private static String entry(FakeDeployment village, int number, int change) {
-        return LongList.entry(number, village.address(number % 4), number % 2 == 0 ? "east" : "west",
+        return LongListDiscovery.entry(number, village.address(number % 4), number % 2 == 0 ? "east" : "west",
             "svc-" + number / ModulePlay.UNITS_OF_A_SERVICE, "in_service",
             change == 0 ? 0 : 1_764_000_000_000L + change, 1);
     }
 
-    private RelayProcess relay(FakeDeployment village, LongList list, String name, int tenants) throws IOException {
+    private RelayProcess relay(FakeDeployment village, LongListDiscovery list, String name, int tenants) throws IOException {
         int port = RelayProcess.freePorts(1)[0];
         return RelayProcess.start(directory, port, configuration(village, "127.0.0.1:" + port, list.address(name),
             tenants));
@@ -219,7 +219,7 @@
 
     private void reqs() throws Exception {
         List<double[]> cpu = new ArrayList<>();
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 4);
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 4);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             ready(relay);
             int[] direct = new int[4];
@@ -305,7 +305,7 @@
         DecisionEngine gate = ModulePlay.gate(new ModulePlay(1), List.of());
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            Endpoint listed = new Endpoint(LongList.name(i), 1, i % 2, 0, i % 10, Endpoint.Health.READY, 0);
+            Endpoint listed = new Endpoint(LongListDiscovery.name(i), 1, i % 2, 0, i % 10, Endpoint.Health.READY, 0);
             addresses.put(new InetSocketAddress("127.0.0.1", 20_000 + i % 20_000), listed);
             list.add(listed);
         }
@@ -410,13 +410,13 @@
     private void bytes() throws Exception {
         List<double[]> whole = new ArrayList<>();
         for (int size : REAL_ENTRIES) {
-            try (LongList list = new LongList(size, i -> ListPlay.entry(i, 0)); Socket socket = connect(list)) {
+            try (LongListDiscovery list = new LongListDiscovery(size, i -> ListPlay.entry(i, 0)); Socket socket = connect(list)) {
                 whole.add(point(size, call(socket, "")));
             }
         }
         List<double[]> changes = new ArrayList<>();
         List<double[]> holds = new ArrayList<>();
-        try (LongList list = new LongList(10_000, i -> ListPlay.entry(i, 0)); Socket socket = connect(list)) {
+        try (LongListDiscovery list = new LongListDiscovery(10_000, i -> ListPlay.entry(i, 0)); Socket socket = connect(list)) {
             for (int howMany : new int[] {1, 10, 100}) {
                 long changed = 0;
                 long empty = 0;
@@ -437,7 +437,7 @@
             "bytes", holds, how);
     }
 
-    private static Socket connect(LongList list) throws IOException {
+    private static Socket connect(LongListDiscovery list) throws IOException {
         return OpenLoop.open(Integer.parseInt(list.address("r").split(":")[1]));
     }
 
@@ -451,7 +451,7 @@
     private void tenants() throws Exception {
         List<double[]> heap = new ArrayList<>();
         for (int tenants : new int[] {1_000, 5_000, 10_000, 20_000}) {
-            try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 4);
+            try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 4);
                     RelayProcess relay = relay(village, list, "r", tenants)) {
                 ready(relay);
                 heap.add(point(tenants, ClassHistogram.read(relay.jcmd("GC.class_histogram")).total()));
@@ -465,7 +465,7 @@
         List<double[]> heap = new ArrayList<>();
         List<double[]> resident = new ArrayList<>();
         List<Socket> sockets = new ArrayList<>();
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 4);
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 4);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             ready(relay);
             for (int target : new int[] {100, 500, 1_000, 2_000}) {
@@ -496,7 +496,7 @@
         List<double[]> starts = new ArrayList<>();
         for (int size : new int[] {1_000, 2_500, 5_000, 10_000}) {
             List<Long> ms = new ArrayList<>();
-            try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, size)) {
+            try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, size)) {
                 for (int i = 0; i < 3; i++) {
                     try (RelayProcess relay = relay(village, list, "r" + i, 1)) {
                         ms.add(ready(relay));
@@ -519,7 +519,7 @@
     private Map<String, Object> real(int size) throws Exception {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("entries", size);
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, size);
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, size);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             long readyMs = relay.ready(30_000);
             boolean taken = !list.await(1, 1, 1_000).isEmpty();
@@ -552,7 +552,7 @@
     /** Some tens of relays on one list: how long until each has a change, and what each holds. */
     private void many() throws Exception {
         List<RelayProcess> relays = new ArrayList<>();
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongList list = list(village, 1_000)) {
+        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 1_000)) {
             for (int i = 0; i < MANY; i++) {
                 relays.add(relay(village, list, "r" + i, 1));
                 if (i % 8 == 7) {
--- a/src/test/java/gatelock/standin/ListMeasure.java
+++ b/src/test/java/gatelock/standin/ListMeasure.java
@@ -154,7 +154,7 @@
             while (at.find()) {
                 units.add(at.group(1));
             }
-            try (LongList list = new LongList(play.units, i -> entry(i, units, "in_service", 0, 1))) {
+            try (LongListDiscovery list = new LongListDiscovery(play.units, i -> entry(i, units, "in_service", 0, 1))) {
                 String config = example.replaceFirst("\"discovery\": \"[^\"]*:[0-9]+\"", "\"discovery\": \""
                     + list.address("relay") + "\"");
                 List<String> more = new ArrayList<>();
@@ -185,11 +185,11 @@
     }
 
     private static String entry(int i, List<String> units, String status, long sinceMs, int build) {
-        return LongList.entry(i, units.get(i % units.size()), i % 3 == 0 ? "east" : "west", "service-" + i % SERVICES,
+        return LongListDiscovery.entry(i, units.get(i % units.size()), i % 3 == 0 ? "east" : "west", "service-" + i % SERVICES,
             status, sinceMs, build);
     }
 
-    private static Map<String, Object> measured(Play play, List<String> units, LongList list, Relay relay)
+    private static Map<String, Object> measured(Play play, List<String> units, LongListDiscovery list, Relay relay)
             throws Exception {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("units", play.units);
@@ -236,7 +236,7 @@
     }
 
     /** An ordinary day's changes for a while; returns the last one's index. */
-    private static long changes(List<String> units, LongList list, int size) throws InterruptedException {
+    private static long changes(List<String> units, LongListDiscovery list, int size) throws InterruptedException {
         long fromNs = System.nanoTime();
         long index = list.index();
         for (int i = 0; i * (long) STEP_MS < CHANGES_S * 1_000L; i++) {
--- a/src/test/java/gatelock/standin/LongList.java
+++ b/src/test/java/gatelock/standin/LongListDiscovery.java
@@ -23,7 +23,7 @@
  * is written. Each relay has an address of its own, as the agent on its machine, so that what it asks for tells
  * what it has: a watch from an index means that the relay holds the list of that index.
  */
-public final class LongList implements AutoCloseable {
+public final class LongListDiscovery implements AutoCloseable {
     /** Beginning of a watch's answers and whole lists, and what ends them. */
     private static final String HEAD = "{\"index\":%d,\"snapshot\":%b,\"endpoints\":[";
     private static final String END = "]}";
@@ -49,7 +49,7 @@
     private boolean closed;
 
     /** @param entries the text of each entry as it is at the start, a JSON object in ASCII */
-    public LongList(int size, IntFunction<String> entries) {
+    public LongListDiscovery(int size, IntFunction<String> entries) {
         this.size = size;
         this.entries = entries;
         long bytes = 0;
--- a/src/test/java/gatelock/standin/LongListTest.java
+++ b/src/test/java/gatelock/standin/LongListDiscoveryTest.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 
 /** The list as a relay would read it: whole, then what changed; and what it tells of who holds what. */
-class LongListTest {
+class LongListDiscoveryTest {
     private static String text(int number, String status) {
-        return LongList.entry(number, "10.31.207.118:8443", "east", "svc-7142", status, 1_764_000_000_000L, 1);
+        return LongListDiscovery.entry(number, "10.31.207.118:8443", "east", "svc-7142", status, 1_764_000_000_000L, 1);
     }
 
     private static Map<String, Object> get(String address, String query) throws Exception {
@@ -37,7 +37,7 @@
 
     @Test
     void theWholeListIsThatOfTheStartWithWhatChanged() throws Exception {
-        try (LongList list = new LongList(1_000, i -> text(i, "in_service"))) {
+        try (LongListDiscovery list = new LongListDiscovery(1_000, i -> text(i, "in_service"))) {
             String address = list.address("r");
             assertThat(fields(get(address, ""), "name")).hasSize(1_000).doesNotHaveDuplicates();
             list.change(3, text(3, "terminating"));
@@ -45,15 +45,15 @@
             list.change(1_000, text(1_000, "in_service"));
             Map<String, Object> whole = get(address, "");
             assertThat(whole).containsEntry("index", 4).containsEntry("snapshot", true);
-            assertThat(fields(whole, "name")).hasSize(1_000).contains(LongList.name(1_000))
-                .doesNotContain(LongList.name(999));
+            assertThat(fields(whole, "name")).hasSize(1_000).contains(LongListDiscovery.name(1_000))
+                .doesNotContain(LongListDiscovery.name(999));
             assertThat(fields(whole, "status").get(3)).isEqualTo("terminating");
         }
     }
 
     @Test
     void aWatchTellsWhatChangedOrNothingAfterItsHold() throws Exception {
-        try (LongList list = new LongList(10, i -> text(i, "in_service"))) {
+        try (LongListDiscovery list = new LongListDiscovery(10, i -> text(i, "in_service"))) {
             String address = list.address("r");
             assertThat(fields(get(address, "?from=1&hold_ms=1"), "name")).isEmpty();
             list.change(3, text(3, "terminating"));
@@ -67,7 +67,7 @@
 
     @Test
     void aWatchTellsWhatItsRelayHolds() throws Exception {
-        try (LongList list = new LongList(10, i -> text(i, "in_service"))) {
+        try (LongListDiscovery list = new LongListDiscovery(10, i -> text(i, "in_service"))) {
             String one = list.address("one");
             String other = list.address("other");
             long index = list.change(3, text(3, "terminating"));
