--- a/Makefile
+++ b/Makefile
@@ -71,7 +71,7 @@
 DEPLOY ?= deploy/balancer.toml
 measure-list:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
-	java -Ddeploy=$(DEPLOY) -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.standin.ListMeasure $(ROWS)
+	java -Ddeploy=$(DEPLOY) -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.standin.EndpointListBenchmark $(ROWS)
 
 # The tables and the chart of docs/CAPACITY.md, from the files in docs/capacity/.
 capacity:
--- a/src/test/java/gatelock/standin/ListMeasure.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -28,7 +28,7 @@
  * by {@code make measure-list}, from the directory of the project. Words: rows by number (all if none), then
  * {@code write COMMIT} to note them in docs/capacity/relay-scope.json.
  */
-public final class ListMeasure {
+public final class EndpointListBenchmark {
     /** The file whose run line has the flags; another one by {@code -Ddeploy}. */
     private static final Path DEPLOY = Path.of(System.getProperty("deploy", "deploy/balancer.toml"));
     private static final int QUIET_S = 15;
@@ -99,7 +99,7 @@
         return List.of(run.group(1).split(" "));
     }
 
-    private ListMeasure() {
+    private EndpointListBenchmark() {
     }
 
     public static void main(String[] args) throws Exception {
