--- a/Makefile
+++ b/Makefile
@@ -33,7 +33,7 @@
 # Memory, echoes and ordinary reqs with idle sessions on one relay.
 measure-sessions:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
-	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.standin.SessionMeasure
+	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.standin.SessionBenchmark
 
 # How often a simulated fleet releases bad builds and sends good ones back; the table of docs/measurements/fleet.md.
 measure-fleet:
--- a/src/test/java/gatelock/standin/SessionMeasure.java
+++ b/src/test/java/gatelock/standin/SessionBenchmark.java
@@ -19,10 +19,10 @@
  * echo, and ordinary
  * reqs beside them. Not a test: run by {@code make measure-sessions}.
  */
-public final class SessionMeasure {
+public final class SessionBenchmark {
     private static final int SOCKETS = 20_000;
 
-    private SessionMeasure() {
+    private SessionBenchmark() {
     }
 
     public static void main(String[] args) throws Exception {
