--- a/Makefile
+++ b/Makefile
@@ -28,7 +28,7 @@
 # Service while 200 versions a second come, against none.
 measure-swarm:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
-	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.standin.SwarmMeasure
+	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.standin.ConfigUpdateBenchmark
 
 # Memory, echoes and ordinary reqs with idle sessions on one relay.
 measure-sessions:
--- a/src/test/java/gatelock/standin/SwarmMeasure.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -14,12 +14,12 @@
  * counts for
  * all that should have been sent in it.
  */
-public final class SwarmMeasure {
+public final class ConfigUpdateBenchmark {
     private static final int CLIENTS = 16;
     private static final int A_SECOND = 400;
     private static final int SECONDS = 10;
 
-    private SwarmMeasure() {
+    private ConfigUpdateBenchmark() {
     }
 
     public static void main(String[] args) throws Exception {
--- a/src/test/java/gatelock/standin/EndpointListBenchmark.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -213,7 +213,7 @@
         row.put("changesCorePercent", round(changing * 100));
         row.put("changesBytesPerS", (list.bytesOut() - bytes) / CHANGES_S);
         row.put("followed", !list.await(index, 1, 5_000).isEmpty());
-        Histogram us = SwarmMeasure.load(relay.port, REQS_S);
+        Histogram us = ConfigUpdateBenchmark.load(relay.port, REQS_S);
         row.put("reqs200", us.getTotalCount());
         row.put("reqsP99Ms", round(us.getValueAtPercentile(99) / 1e3));
         row.put("residentMb", round(relay.memoryMb("VmRSS")));
--- a/src/test/java/gatelock/standin/SessionBenchmark.java
+++ b/src/test/java/gatelock/standin/SessionBenchmark.java
@@ -95,7 +95,7 @@
     }
 
     private static void row(List<WebSocketPeer> tablets, Process relay, int port) throws Exception {
-        Histogram ordinary = SwarmMeasure.load(port, 5);
+        Histogram ordinary = ConfigUpdateBenchmark.load(port, 5);
         Histogram echo = tablets.isEmpty() ? null : echo(tablets.get(tablets.size() - 1));
         String status = Files.readString(Path.of("/proc/" + relay.pid() + "/status"));
         long kb = Long.parseLong(status.replaceAll("(?s).*VmRSS:\\s*(\\d+) kB.*", "$1"));
