--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.bench.SimulatorHost;
+import gatelock.simulator.SimulatorHost;
 import gatelock.plan.RequestAttributes;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.ConfigDiff;
--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.bench.SimulatorHost;
+import gatelock.simulator.SimulatorHost;
 
 import java.io.IOException;
 import java.io.PrintWriter;
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.bench.SettingsDecoder;
+import gatelock.simulator.SettingsDecoder;
 import gatelock.plan.DeploymentContext;
 import gatelock.relay.RelaySettings;
 import gatelock.wire.JsonObject;
--- a/src/main/java/gatelock/bench/FieldReader.java
+++ b/src/main/java/gatelock/simulator/FieldReader.java
@@ -1,4 +1,4 @@
-package gatelock.bench;
+package gatelock.simulator;
 
 import gatelock.relay.LoadReport;
 
--- a/src/main/java/gatelock/bench/MalformedLineException.java
+++ b/src/main/java/gatelock/simulator/MalformedLineException.java
@@ -1,4 +1,4 @@
-package gatelock.bench;
+package gatelock.simulator;
 
 /** Input that does not read as the wire; the message says what was expected. */
 public final class MalformedLineException extends RuntimeException {
--- a/src/main/java/gatelock/bench/SimulatorHost.java
+++ b/src/main/java/gatelock/simulator/SimulatorHost.java
@@ -1,4 +1,4 @@
-package gatelock.bench;
+package gatelock.simulator;
 
 import gatelock.decision.ReleaseGate;
 import gatelock.relay.AttemptResult;
