--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -4,7 +4,7 @@
 import gatelock.control.ConfigUpdater;
 import gatelock.control.ConfigSubscription;
 import gatelock.control.AdminServer;
-import gatelock.kept.Counters;
+import gatelock.state.Counters;
 import gatelock.plan.Admission;
 import gatelock.plan.Backoff;
 import gatelock.plan.ConfigCompiler;
--- a/src/main/java/gatelock/boot/LogbackHandler.java
+++ b/src/main/java/gatelock/boot/LogbackHandler.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.kept.LogField;
+import gatelock.state.LogField;
 
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.LoggerContext;
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -1,6 +1,6 @@
 package gatelock.boot;
 
-import gatelock.kept.Counters;
+import gatelock.state.Counters;
 import gatelock.session.Sessions;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.ClientListener;
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -1,9 +1,9 @@
 package gatelock.boot;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.kept.EndpointAddresses;
-import gatelock.kept.Counters;
-import gatelock.kept.InFlightRequests;
+import gatelock.state.EndpointAddresses;
+import gatelock.state.Counters;
+import gatelock.state.InFlightRequests;
 import gatelock.membership.EndpointSubset;
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
-import gatelock.kept.Counters;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.Counters;
+import gatelock.state.UpstreamResponse;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
 import gatelock.relay.RoutePolicy;
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -1,6 +1,6 @@
 package gatelock.control;
 
-import gatelock.kept.Counters;
+import gatelock.state.Counters;
 import gatelock.plan.CompiledConfig;
 import gatelock.plan.ConfigVersion;
 import gatelock.plan.VersionTracker;
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -1,8 +1,8 @@
 package gatelock.control;
 
-import gatelock.kept.Counters;
-import gatelock.kept.LogField;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.Counters;
+import gatelock.state.LogField;
+import gatelock.state.UpstreamResponse;
 import gatelock.plan.Backoff;
 import gatelock.plan.Diagnostic;
 import gatelock.plan.ConfigVersion;
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -1,7 +1,7 @@
 package gatelock.control;
 
-import gatelock.kept.Counters;
-import gatelock.kept.LogField;
+import gatelock.state.Counters;
+import gatelock.state.LogField;
 import gatelock.plan.Admission;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.Diagnostic;
--- a/src/main/java/gatelock/kept/IdleConnections.java
+++ b/src/main/java/gatelock/state/IdleConnections.java
@@ -1,4 +1,4 @@
-package gatelock.kept;
+package gatelock.state;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
--- a/src/main/java/gatelock/kept/LogField.java
+++ b/src/main/java/gatelock/state/LogField.java
@@ -1,4 +1,4 @@
-package gatelock.kept;
+package gatelock.state;
 
 /**
  * A value in a log line that bears a name, so that a structured log has it as a field. Goes among the
--- a/src/main/java/gatelock/kept/ResponseSink.java
+++ b/src/main/java/gatelock/state/ResponseSink.java
@@ -1,4 +1,4 @@
-package gatelock.kept;
+package gatelock.state;
 
 /** Whoever waits for a req's answer, in whatever protocol it came; gets exactly one. */
 public interface ResponseSink {
--- a/src/main/java/gatelock/kept/package-info.java
+++ b/src/main/java/gatelock/state/package-info.java
@@ -2,4 +2,4 @@
  * What a relay holds in memory: open reqs, unit addresses, idle connections, counters. Nothing here speaks
  * or decides.
  */
-package gatelock.kept;
+package gatelock.state;
--- a/src/main/java/gatelock/wire/ActionExecutor.java
+++ b/src/main/java/gatelock/wire/ActionExecutor.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
-import gatelock.kept.InFlightRequest;
-import gatelock.kept.InFlightRequests;
+import gatelock.state.InFlightRequest;
+import gatelock.state.InFlightRequests;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.DecisionActions;
 import gatelock.relay.Verdict;
--- a/src/main/java/gatelock/wire/AttemptSender.java
+++ b/src/main/java/gatelock/wire/AttemptSender.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
-import gatelock.kept.InFlightRequest;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.InFlightRequest;
+import gatelock.state.UpstreamResponse;
 import gatelock.relay.AttemptResult;
 
 import java.net.InetSocketAddress;
--- a/src/main/java/gatelock/wire/ClientListener.java
+++ b/src/main/java/gatelock/wire/ClientListener.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
-import gatelock.kept.ClientConnections;
-import gatelock.kept.Counters;
+import gatelock.state.ClientConnections;
+import gatelock.state.Counters;
 
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
--- a/src/main/java/gatelock/wire/ConnectionPool.java
+++ b/src/main/java/gatelock/wire/ConnectionPool.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
-import gatelock.kept.Counters;
-import gatelock.kept.IdleConnections;
+import gatelock.state.Counters;
+import gatelock.state.IdleConnections;
 
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -1,8 +1,8 @@
 package gatelock.wire;
 
-import gatelock.kept.EndpointAddresses;
-import gatelock.kept.Counters;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.EndpointAddresses;
+import gatelock.state.Counters;
+import gatelock.state.UpstreamResponse;
 import gatelock.membership.EndpointEntry;
 import gatelock.membership.EndpointSubset;
 import gatelock.plan.Admission;
--- a/src/main/java/gatelock/wire/EndpointResolver.java
+++ b/src/main/java/gatelock/wire/EndpointResolver.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
-import gatelock.kept.EndpointAddresses;
-import gatelock.kept.InFlightRequest;
+import gatelock.state.EndpointAddresses;
+import gatelock.state.InFlightRequest;
 
 import java.net.InetSocketAddress;
 
--- a/src/main/java/gatelock/wire/OutboundConnection.java
+++ b/src/main/java/gatelock/wire/OutboundConnection.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.UpstreamResponse;
 
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
--- a/src/main/java/gatelock/wire/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/wire/ReleaseControllerClient.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
-import gatelock.kept.Counters;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.Counters;
+import gatelock.state.UpstreamResponse;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Verdict;
 
--- a/src/main/java/gatelock/wire/RequestAdmitter.java
+++ b/src/main/java/gatelock/wire/RequestAdmitter.java
@@ -1,8 +1,8 @@
 package gatelock.wire;
 
-import gatelock.kept.Counters;
-import gatelock.kept.InFlightRequest;
-import gatelock.kept.InFlightRequests;
+import gatelock.state.Counters;
+import gatelock.state.InFlightRequest;
+import gatelock.state.InFlightRequests;
 import gatelock.plan.Admission;
 import gatelock.plan.StartupQueue;
 import gatelock.plan.QueuedRequest;
--- a/src/main/java/gatelock/wire/RequestReader.java
+++ b/src/main/java/gatelock/wire/RequestReader.java
@@ -1,9 +1,9 @@
 package gatelock.wire;
 
-import gatelock.kept.ResponseSink;
-import gatelock.kept.Counters;
-import gatelock.kept.InFlightRequest;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.ResponseSink;
+import gatelock.state.Counters;
+import gatelock.state.InFlightRequest;
+import gatelock.state.UpstreamResponse;
 import gatelock.plan.Admission;
 import gatelock.plan.RequestAttributes;
 import gatelock.plan.SessionPolicy;
--- a/src/main/java/gatelock/wire/ResponseReader.java
+++ b/src/main/java/gatelock/wire/ResponseReader.java
@@ -1,6 +1,6 @@
 package gatelock.wire;
 
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.UpstreamResponse;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
--- a/src/main/java/gatelock/wire/ResponseWriter.java
+++ b/src/main/java/gatelock/wire/ResponseWriter.java
@@ -1,9 +1,9 @@
 package gatelock.wire;
 
-import gatelock.kept.Counters;
-import gatelock.kept.InFlightRequest;
-import gatelock.kept.InFlightRequests;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.Counters;
+import gatelock.state.InFlightRequest;
+import gatelock.state.InFlightRequests;
+import gatelock.state.UpstreamResponse;
 
 /** Fifth stage: the one final answer goes back to the caller. */
 public final class ResponseWriter {
--- a/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
@@ -1,6 +1,6 @@
 package gatelock.wire.ws;
 
-import gatelock.kept.Counters;
+import gatelock.state.Counters;
 import gatelock.plan.SessionPolicy;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.CloseReason;
--- a/src/main/java/gatelock/wire/ws/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketUpgrader.java
@@ -1,8 +1,8 @@
 package gatelock.wire.ws;
 
-import gatelock.kept.Counters;
-import gatelock.kept.InFlightRequest;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.Counters;
+import gatelock.state.InFlightRequest;
+import gatelock.state.UpstreamResponse;
 import gatelock.plan.SessionPolicy;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.kept.EndpointAddresses;
-import gatelock.kept.IdleConnections;
+import gatelock.state.EndpointAddresses;
+import gatelock.state.IdleConnections;
 import gatelock.relay.RelaySettings;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -1,7 +1,7 @@
 package gatelock.capacity;
 
-import gatelock.kept.EndpointAddresses;
-import gatelock.kept.Counters;
+import gatelock.state.EndpointAddresses;
+import gatelock.state.Counters;
 import gatelock.plan.Admission;
 import gatelock.relay.DecisionEngine;
 import gatelock.standin.LongListDiscovery;
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -1,6 +1,6 @@
 package gatelock.capacity;
 
-import gatelock.kept.EndpointAddresses;
+import gatelock.state.EndpointAddresses;
 import gatelock.plan.Admission;
 import gatelock.plan.ConfigCompiler;
 import gatelock.plan.SampleConfigs;
--- a/src/test/java/gatelock/wire/ClientListenerTest.java
+++ b/src/test/java/gatelock/wire/ClientListenerTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.kept.Counters;
+import gatelock.state.Counters;
 
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/gatelock/wire/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryClientTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.kept.EndpointAddresses;
-import gatelock.kept.Counters;
+import gatelock.state.EndpointAddresses;
+import gatelock.state.Counters;
 import gatelock.membership.EndpointSubset;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
--- a/src/test/java/gatelock/wire/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/wire/OutboundConnectionTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.kept.Counters;
-import gatelock.kept.UpstreamResponse;
+import gatelock.state.Counters;
+import gatelock.state.UpstreamResponse;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
