--- a/Makefile
+++ b/Makefile
@@ -23,7 +23,7 @@
 # The tables of docs/measurements/versioned-configuration.md.
 measure-plan:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
-	java -Xmx1g -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.plan.ConfigBenchmark
+	java -Xmx1g -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.config.ConfigBenchmark
 
 # Service while 200 versions a second come, against none.
 measure-swarm:
--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -1,15 +1,15 @@
 package gatelock.boot;
 
 import gatelock.simulator.SimulatorHost;
-import gatelock.plan.RequestAttributes;
-import gatelock.plan.ConfigCompiler;
-import gatelock.plan.ConfigDiff;
-import gatelock.plan.RouteExplainer;
-import gatelock.plan.Diagnostic;
-import gatelock.plan.SchemaValidator;
-import gatelock.plan.DeploymentContext;
-import gatelock.plan.CompiledConfig;
-import gatelock.plan.ConfigVersion;
+import gatelock.config.RequestAttributes;
+import gatelock.config.ConfigCompiler;
+import gatelock.config.ConfigDiff;
+import gatelock.config.RouteExplainer;
+import gatelock.config.Diagnostic;
+import gatelock.config.SchemaValidator;
+import gatelock.config.DeploymentContext;
+import gatelock.config.CompiledConfig;
+import gatelock.config.ConfigVersion;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
--- a/src/main/java/gatelock/boot/OperatorConfig.java
+++ b/src/main/java/gatelock/boot/OperatorConfig.java
@@ -1,9 +1,9 @@
 package gatelock.boot;
 
 import gatelock.membership.EndpointSubset;
-import gatelock.plan.ConfigDocument;
-import gatelock.plan.Diagnostic;
-import gatelock.plan.SchemaValidator;
+import gatelock.config.ConfigDocument;
+import gatelock.config.Diagnostic;
+import gatelock.config.SchemaValidator;
 import gatelock.wire.ServiceNameExtractor;
 
 import com.fasterxml.jackson.databind.JsonNode;
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -1,7 +1,7 @@
 package gatelock.boot;
 
 import gatelock.simulator.SettingsDecoder;
-import gatelock.plan.DeploymentContext;
+import gatelock.config.DeploymentContext;
 import gatelock.relay.RelaySettings;
 import gatelock.wire.JsonObject;
 
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -5,7 +5,7 @@
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequests;
 import gatelock.membership.EndpointSubset;
-import gatelock.plan.Admission;
+import gatelock.config.Admission;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
 import gatelock.wire.RequestAdmitter;
--- a/src/main/java/gatelock/plan/ConfigVersion.java
+++ b/src/main/java/gatelock/config/ConfigVersion.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/main/java/gatelock/plan/Diagnostic.java
+++ b/src/main/java/gatelock/config/Diagnostic.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/src/main/java/gatelock/plan/LimitPolicy.java
+++ b/src/main/java/gatelock/config/LimitPolicy.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 /**
  * A bound on reqs.
--- a/src/main/java/gatelock/plan/QueuedRequest.java
+++ b/src/main/java/gatelock/config/QueuedRequest.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 /** Whoever brought a req, while its limits let it wait. */
 public interface QueuedRequest {
--- a/src/main/java/gatelock/plan/ResolvedConfig.java
+++ b/src/main/java/gatelock/config/ResolvedConfig.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
--- a/src/main/java/gatelock/plan/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 import com.networknt.schema.Error;
 import com.networknt.schema.InputFormat;
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -1,9 +1,9 @@
 package gatelock.control;
 
 import gatelock.state.Counters;
-import gatelock.plan.CompiledConfig;
-import gatelock.plan.ConfigVersion;
-import gatelock.plan.VersionTracker;
+import gatelock.config.CompiledConfig;
+import gatelock.config.ConfigVersion;
+import gatelock.config.VersionTracker;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.EventLoop;
 
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -2,12 +2,12 @@
 
 import gatelock.state.Counters;
 import gatelock.state.LogField;
-import gatelock.plan.Admission;
-import gatelock.plan.ConfigCompiler;
-import gatelock.plan.Diagnostic;
-import gatelock.plan.CompiledConfig;
-import gatelock.plan.ConfigVersion;
-import gatelock.plan.VersionTracker;
+import gatelock.config.Admission;
+import gatelock.config.ConfigCompiler;
+import gatelock.config.Diagnostic;
+import gatelock.config.CompiledConfig;
+import gatelock.config.ConfigVersion;
+import gatelock.config.VersionTracker;
 import gatelock.wire.EventLoop;
 
 import java.lang.System.Logger.Level;
--- a/src/main/java/gatelock/control/LastKnownGoodStore.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -1,6 +1,6 @@
 package gatelock.control;
 
-import gatelock.plan.ConfigVersion;
+import gatelock.config.ConfigVersion;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -5,7 +5,7 @@
 import gatelock.state.UpstreamResponse;
 import gatelock.membership.EndpointEntry;
 import gatelock.membership.EndpointSubset;
-import gatelock.plan.Admission;
+import gatelock.config.Admission;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
--- a/src/main/java/gatelock/wire/RequestAdmitter.java
+++ b/src/main/java/gatelock/wire/RequestAdmitter.java
@@ -3,9 +3,9 @@
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
-import gatelock.plan.Admission;
-import gatelock.plan.StartupQueue;
-import gatelock.plan.QueuedRequest;
+import gatelock.config.Admission;
+import gatelock.config.StartupQueue;
+import gatelock.config.QueuedRequest;
 import gatelock.relay.RequestConstraints;
 import gatelock.relay.DecisionEngine;
 
--- a/src/main/java/gatelock/wire/RequestReader.java
+++ b/src/main/java/gatelock/wire/RequestReader.java
@@ -4,9 +4,9 @@
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.UpstreamResponse;
-import gatelock.plan.Admission;
-import gatelock.plan.RequestAttributes;
-import gatelock.plan.SessionPolicy;
+import gatelock.config.Admission;
+import gatelock.config.RequestAttributes;
+import gatelock.config.SessionPolicy;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.RoutePolicy;
 
--- a/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
@@ -1,7 +1,7 @@
 package gatelock.wire.ws;
 
 import gatelock.state.Counters;
-import gatelock.plan.SessionPolicy;
+import gatelock.config.SessionPolicy;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.CloseReason;
 import gatelock.session.Session;
--- a/src/main/java/gatelock/wire/ws/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketUpgrader.java
@@ -3,7 +3,7 @@
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.UpstreamResponse;
-import gatelock.plan.SessionPolicy;
+import gatelock.config.SessionPolicy;
 import gatelock.relay.AttemptResult;
 import gatelock.relay.DecisionEngine;
 import gatelock.session.Sessions;
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -2,7 +2,7 @@
 
 import gatelock.state.EndpointAddresses;
 import gatelock.state.Counters;
-import gatelock.plan.Admission;
+import gatelock.config.Admission;
 import gatelock.relay.DecisionEngine;
 import gatelock.standin.LongListDiscovery;
 import gatelock.wire.DiscoveryClient;
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -1,11 +1,11 @@
 package gatelock.capacity;
 
 import gatelock.state.EndpointAddresses;
-import gatelock.plan.Admission;
-import gatelock.plan.ConfigCompiler;
-import gatelock.plan.SampleConfigs;
-import gatelock.plan.ConfigVersion;
-import gatelock.plan.VersionTracker;
+import gatelock.config.Admission;
+import gatelock.config.ConfigCompiler;
+import gatelock.config.SampleConfigs;
+import gatelock.config.ConfigVersion;
+import gatelock.config.VersionTracker;
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
 import gatelock.standin.LongListDiscovery;
--- a/src/test/java/gatelock/plan/ConfigBenchmark.java
+++ b/src/test/java/gatelock/config/ConfigBenchmark.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 import gatelock.relay.DecisionEngine;
 import gatelock.relay.Endpoint;
--- a/src/test/java/gatelock/plan/RouteTableTest.java
+++ b/src/test/java/gatelock/config/RouteTableTest.java
@@ -1,4 +1,4 @@
-package gatelock.plan;
+package gatelock.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
+++ b/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.plan.ConfigVersion;
+import gatelock.config.ConfigVersion;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
