--- a/src/main/java/gatelock/relay/AttemptResult.java
+++ b/src/main/java/gatelock/api/AttemptResult.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /** How an upstream try ended. */
 public enum AttemptResult {
--- a/src/main/java/gatelock/relay/DecisionActions.java
+++ b/src/main/java/gatelock/api/DecisionActions.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /** What the decisions can have done; calls take effect in order, at the time of the call that led to them. */
 public interface DecisionActions {
--- a/src/main/java/gatelock/relay/DecisionEngine.java
+++ b/src/main/java/gatelock/api/DecisionEngine.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 import java.util.List;
 
--- a/src/main/java/gatelock/relay/Endpoint.java
+++ b/src/main/java/gatelock/api/Endpoint.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /** A unit as the list shows it; {@code startUs} is its latest start, 0 for long past. */
 public record Endpoint(String unit, int build, int zone, int kind, int cell, Health health, long startUs) {
--- a/src/main/java/gatelock/relay/LoadReport.java
+++ b/src/main/java/gatelock/api/LoadReport.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /** A unit's report of its own load; a value it does not give is NaN. */
 public record LoadReport(double waiting) {
--- a/src/main/java/gatelock/relay/RequestConstraints.java
+++ b/src/main/java/gatelock/api/RequestConstraints.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /**
  * What was set for one req beyond the charter's terms. It only narrows: a gate that heeds it does nothing
--- a/src/main/java/gatelock/relay/RequestHandle.java
+++ b/src/main/java/gatelock/api/RequestHandle.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /** A req that was taken: all that happens to it later is a call on this handle. */
 public interface RequestHandle {
--- a/src/main/java/gatelock/relay/RolloutPolicy.java
+++ b/src/main/java/gatelock/api/RolloutPolicy.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /**
  * How builds are released here. {@code leastUs} is a stage's least time; {@code caps} gives each stage's
--- a/src/main/java/gatelock/relay/RoutePolicy.java
+++ b/src/main/java/gatelock/api/RoutePolicy.java
@@ -1,4 +1,4 @@
-package gatelock.relay;
+package gatelock.api;
 
 /** What was agreed for the reqs of one route. */
 public record RoutePolicy(Repeat repeat, Group group, long rememberUs, long objectiveUs, double value) {
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -2,7 +2,7 @@
 
 import gatelock.simulator.SettingsDecoder;
 import gatelock.config.DeploymentContext;
-import gatelock.relay.RelaySettings;
+import gatelock.api.RelaySettings;
 import gatelock.wire.JsonObject;
 
 import java.io.IOException;
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -6,7 +6,7 @@
 import gatelock.state.InFlightRequests;
 import gatelock.membership.EndpointSubset;
 import gatelock.config.Admission;
-import gatelock.relay.DecisionEngine;
+import gatelock.api.DecisionEngine;
 import gatelock.session.Sessions;
 import gatelock.wire.RequestAdmitter;
 import gatelock.wire.OutcomeRecorder;
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -1,9 +1,9 @@
 package gatelock.boot;
 
-import gatelock.relay.RequestConstraints;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.RequestHandle;
-import gatelock.relay.Endpoint;
+import gatelock.api.RequestConstraints;
+import gatelock.api.DecisionEngine;
+import gatelock.api.RequestHandle;
+import gatelock.api.Endpoint;
 import gatelock.session.Sessions;
 
 import java.util.List;
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -2,9 +2,9 @@
 
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.Endpoint;
-import gatelock.relay.RoutePolicy;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
+import gatelock.api.RoutePolicy;
 import gatelock.wire.ClientListener;
 import gatelock.wire.OutboundConnection;
 import gatelock.wire.ConnectionPool;
--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -1,9 +1,9 @@
 package gatelock.config;
 
-import gatelock.relay.RequestConstraints;
-import gatelock.relay.AttemptResult;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.Endpoint;
+import gatelock.api.RequestConstraints;
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/gatelock/config/DeploymentContext.java
+++ b/src/main/java/gatelock/config/DeploymentContext.java
@@ -1,6 +1,6 @@
 package gatelock.config;
 
-import gatelock.relay.RoutePolicy;
+import gatelock.api.RoutePolicy;
 
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/gatelock/config/RetryPolicy.java
+++ b/src/main/java/gatelock/config/RetryPolicy.java
@@ -1,6 +1,6 @@
 package gatelock.config;
 
-import gatelock.relay.AttemptResult;
+import gatelock.api.AttemptResult;
 
 import java.util.Set;
 
--- a/src/main/java/gatelock/config/RouteExplainer.java
+++ b/src/main/java/gatelock/config/RouteExplainer.java
@@ -62,7 +62,7 @@
             return "as the module decides";
         }
         return r.name() + ": " + r.most() + " tries" + (r.most() == 1 ? "" : " after " + r.after().stream()
-            .filter(e -> e != gatelock.relay.AttemptResult.NOT_SENT).map(e -> e.name()
+            .filter(e -> e != gatelock.api.AttemptResult.NOT_SENT).map(e -> e.name()
             .toLowerCase(java.util.Locale.ROOT)
             .replace('_', '-')).sorted().toList() + ", further ones up to " + number(r.budget()) + " of reqs")
             + (r.tryUs() > 0 ? ", each for " + r.tryUs() / 1000 + " ms" : "");
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -1,6 +1,6 @@
 package gatelock.decision;
 
-import gatelock.relay.*;
+import gatelock.api.*;
 
 import java.util.*;
 import java.util.random.RandomGenerator;
@@ -8,7 +8,7 @@
 
 /**
  * THE module: every decision of one relay. It is called through {@link DecisionEngine} and {@link RequestHandle} and calls out
- * on {@link DecisionActions}; all three stand in gatelock.relay. One thread calls it; its clock is the calls'.
+ * on {@link DecisionActions}; all three stand in gatelock.api. One thread calls it; its clock is the calls'.
  *
  * <p>Read {@link Rq#place} first, the ordinary path of a req, then {@link #weigh}, that of a vote. The rest
  * is what these two ask: what a build may get (Build), what a unit may (Unit), how outcomes are weighed.
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -1,6 +1,6 @@
 package gatelock.membership;
 
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 
 import java.util.Map;
 
--- a/src/main/java/gatelock/simulator/FieldReader.java
+++ b/src/main/java/gatelock/simulator/FieldReader.java
@@ -1,6 +1,6 @@
 package gatelock.simulator;
 
-import gatelock.relay.LoadReport;
+import gatelock.api.LoadReport;
 
 import java.util.Map;
 
--- a/src/main/java/gatelock/simulator/SettingsDecoder.java
+++ b/src/main/java/gatelock/simulator/SettingsDecoder.java
@@ -1,8 +1,8 @@
 package gatelock.simulator;
 
-import gatelock.relay.RelaySettings;
-import gatelock.relay.RolloutPolicy;
-import gatelock.relay.RoutePolicy;
+import gatelock.api.RelaySettings;
+import gatelock.api.RolloutPolicy;
+import gatelock.api.RoutePolicy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/gatelock/simulator/SimulatorHost.java
+++ b/src/main/java/gatelock/simulator/SimulatorHost.java
@@ -1,13 +1,13 @@
 package gatelock.simulator;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.relay.AttemptResult;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.RequestHandle;
-import gatelock.relay.Endpoint;
-import gatelock.relay.LoadReport;
-import gatelock.relay.DecisionActions;
-import gatelock.relay.Verdict;
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.api.RequestHandle;
+import gatelock.api.Endpoint;
+import gatelock.api.LoadReport;
+import gatelock.api.DecisionActions;
+import gatelock.api.Verdict;
 
 import java.io.BufferedReader;
 import java.io.IOException;
--- a/src/main/java/gatelock/state/Counters.java
+++ b/src/main/java/gatelock/state/Counters.java
@@ -1,6 +1,6 @@
 package gatelock.state;
 
-import gatelock.relay.AttemptResult;
+import gatelock.api.AttemptResult;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/src/main/java/gatelock/state/EndpointAddresses.java
+++ b/src/main/java/gatelock/state/EndpointAddresses.java
@@ -1,6 +1,6 @@
 package gatelock.state;
 
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 
 import java.net.InetSocketAddress;
 import java.util.HashMap;
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -1,6 +1,6 @@
 package gatelock.state;
 
-import gatelock.relay.RequestHandle;
+import gatelock.api.RequestHandle;
 
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/gatelock/wire/ActionExecutor.java
+++ b/src/main/java/gatelock/wire/ActionExecutor.java
@@ -2,9 +2,9 @@
 
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.DecisionActions;
-import gatelock.relay.Verdict;
+import gatelock.api.DecisionEngine;
+import gatelock.api.DecisionActions;
+import gatelock.api.Verdict;
 
 import java.lang.System.Logger.Level;
 
--- a/src/main/java/gatelock/wire/AttemptSender.java
+++ b/src/main/java/gatelock/wire/AttemptSender.java
@@ -2,7 +2,7 @@
 
 import gatelock.state.InFlightRequest;
 import gatelock.state.UpstreamResponse;
-import gatelock.relay.AttemptResult;
+import gatelock.api.AttemptResult;
 
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/wire/DiscoveryClient.java
@@ -6,9 +6,9 @@
 import gatelock.membership.EndpointEntry;
 import gatelock.membership.EndpointSubset;
 import gatelock.config.Admission;
-import gatelock.relay.AttemptResult;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.Endpoint;
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
 
 import org.xnio.XnioExecutor;
 
--- a/src/main/java/gatelock/wire/EndpointEntryReader.java
+++ b/src/main/java/gatelock/wire/EndpointEntryReader.java
@@ -1,7 +1,7 @@
 package gatelock.wire;
 
 import gatelock.membership.EndpointEntry;
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 
 import java.io.IOException;
 import java.util.HashMap;
--- a/src/main/java/gatelock/wire/OutcomeRecorder.java
+++ b/src/main/java/gatelock/wire/OutcomeRecorder.java
@@ -4,8 +4,8 @@
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
 import gatelock.state.UpstreamResponse;
-import gatelock.relay.AttemptResult;
-import gatelock.relay.LoadReport;
+import gatelock.api.AttemptResult;
+import gatelock.api.LoadReport;
 
 /** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
 public final class OutcomeRecorder {
--- a/src/main/java/gatelock/wire/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/wire/ReleaseControllerClient.java
@@ -2,8 +2,8 @@
 
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.Verdict;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Verdict;
 
 import org.xnio.XnioExecutor;
 
--- a/src/main/java/gatelock/wire/RequestAdmitter.java
+++ b/src/main/java/gatelock/wire/RequestAdmitter.java
@@ -6,8 +6,8 @@
 import gatelock.config.Admission;
 import gatelock.config.StartupQueue;
 import gatelock.config.QueuedRequest;
-import gatelock.relay.RequestConstraints;
-import gatelock.relay.DecisionEngine;
+import gatelock.api.RequestConstraints;
+import gatelock.api.DecisionEngine;
 
 /**
  * Second stage: a req in good form asks the plan's limits, where there is a plan, and is handed to the
--- a/src/main/java/gatelock/wire/RequestReader.java
+++ b/src/main/java/gatelock/wire/RequestReader.java
@@ -7,8 +7,8 @@
 import gatelock.config.Admission;
 import gatelock.config.RequestAttributes;
 import gatelock.config.SessionPolicy;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.RoutePolicy;
+import gatelock.api.DecisionEngine;
+import gatelock.api.RoutePolicy;
 
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.io.IoCallback;
--- a/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
+++ b/src/main/java/gatelock/wire/ws/WebSocketProxySession.java
@@ -2,7 +2,7 @@
 
 import gatelock.state.Counters;
 import gatelock.config.SessionPolicy;
-import gatelock.relay.DecisionEngine;
+import gatelock.api.DecisionEngine;
 import gatelock.session.CloseReason;
 import gatelock.session.Session;
 import gatelock.session.Sessions;
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -3,16 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.relay.RelaySettings;
-import gatelock.relay.AttemptResult;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.RequestHandle;
-import gatelock.relay.Endpoint;
-import gatelock.relay.LoadReport;
-import gatelock.relay.DecisionActions;
-import gatelock.relay.RolloutPolicy;
-import gatelock.relay.RoutePolicy;
-import gatelock.relay.Verdict;
+import gatelock.api.RelaySettings;
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.api.RequestHandle;
+import gatelock.api.Endpoint;
+import gatelock.api.LoadReport;
+import gatelock.api.DecisionActions;
+import gatelock.api.RolloutPolicy;
+import gatelock.api.RoutePolicy;
+import gatelock.api.Verdict;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/test/java/gatelock/ScopeTest.java
+++ b/src/test/java/gatelock/ScopeTest.java
@@ -6,7 +6,7 @@
 
 import gatelock.membership.EndpointEntry;
 import gatelock.membership.EndpointSubset;
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 import gatelock.standin.ControlService;
 
 import java.io.OutputStream;
--- a/src/test/java/gatelock/capacity/ClassHistogramTest.java
+++ b/src/test/java/gatelock/capacity/ClassHistogramTest.java
@@ -11,14 +11,14 @@
          num     #instances         #bytes  class name (module)
         -------------------------------------------------------
            1:         31123        2216344  [B (java.base@17.0.13)
-           2:           100           2400  gatelock.relay.Listed
+           2:           100           2400  gatelock.api.Listed
         Total         31223        2218744
         """;
 
     @Test
     void linesAreReadByClass() {
         ClassHistogram read = ClassHistogram.read(TEXT);
-        assertThat(read.bytes()).containsEntry("[B", 2_216_344L).containsEntry("gatelock.relay.Listed", 2_400L);
+        assertThat(read.bytes()).containsEntry("[B", 2_216_344L).containsEntry("gatelock.api.Listed", 2_400L);
         assertThat(read.total()).isEqualTo(2_218_744);
     }
 
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -3,7 +3,7 @@
 import gatelock.state.EndpointAddresses;
 import gatelock.state.Counters;
 import gatelock.config.Admission;
-import gatelock.relay.DecisionEngine;
+import gatelock.api.DecisionEngine;
 import gatelock.standin.LongListDiscovery;
 import gatelock.wire.DiscoveryClient;
 import gatelock.wire.JsonObject;
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -1,16 +1,16 @@
 package gatelock.capacity;
 
 import gatelock.decision.ReleaseGate;
-import gatelock.relay.RequestConstraints;
-import gatelock.relay.RelaySettings;
-import gatelock.relay.AttemptResult;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.RequestHandle;
-import gatelock.relay.Endpoint;
-import gatelock.relay.LoadReport;
-import gatelock.relay.DecisionActions;
-import gatelock.relay.RolloutPolicy;
-import gatelock.relay.RoutePolicy;
+import gatelock.api.RequestConstraints;
+import gatelock.api.RelaySettings;
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.api.RequestHandle;
+import gatelock.api.Endpoint;
+import gatelock.api.LoadReport;
+import gatelock.api.DecisionActions;
+import gatelock.api.RolloutPolicy;
+import gatelock.api.RoutePolicy;
 import gatelock.standin.LongListDiscovery;
 import gatelock.standin.EndpointRestriction;
 import gatelock.standin.NoOpActions;
--- a/src/test/java/gatelock/config/AdmissionTest.java
+++ b/src/test/java/gatelock/config/AdmissionTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.AttemptResult;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.Endpoint;
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/gatelock/config/ConfigBenchmark.java
+++ b/src/test/java/gatelock/config/ConfigBenchmark.java
@@ -1,7 +1,7 @@
 package gatelock.config;
 
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.Endpoint;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/gatelock/fleet/FleetRecords.java
+++ b/src/test/java/gatelock/fleet/FleetRecords.java
@@ -1,7 +1,7 @@
 package gatelock.fleet;
 
-import gatelock.relay.Endpoint;
-import gatelock.relay.RoutePolicy;
+import gatelock.api.Endpoint;
+import gatelock.api.RoutePolicy;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
--- a/src/test/java/gatelock/fleet/FleetRecordsTest.java
+++ b/src/test/java/gatelock/fleet/FleetRecordsTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.RoutePolicy;
+import gatelock.api.RoutePolicy;
 
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 
 import java.util.AbstractList;
 import java.util.Arrays;
--- a/src/test/java/gatelock/fleet/SimulatedFleetTest.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.DecisionEngine;
+import gatelock.api.DecisionEngine;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/src/test/java/gatelock/fleet/VerdictRates.java
+++ b/src/test/java/gatelock/fleet/VerdictRates.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-import gatelock.relay.DecisionEngine;
+import gatelock.api.DecisionEngine;
 
 import java.util.List;
 import java.util.stream.IntStream;
--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/src/test/java/gatelock/membership/SubsetBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetBenchmark.java
@@ -1,7 +1,7 @@
 package gatelock.membership;
 
 import gatelock.capacity.Fit;
-import gatelock.relay.Endpoint;
+import gatelock.api.Endpoint;
 
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.Endpoint;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
--- a/src/test/java/gatelock/standin/EndpointRestriction.java
+++ b/src/test/java/gatelock/standin/EndpointRestriction.java
@@ -1,7 +1,7 @@
 package gatelock.standin;
 
-import gatelock.relay.RequestConstraints;
-import gatelock.relay.AttemptResult;
+import gatelock.api.RequestConstraints;
+import gatelock.api.AttemptResult;
 
 /** Bounds that name the units a req may reach, as a pool of a plan does, and nothing else. */
 @FunctionalInterface
--- a/src/test/java/gatelock/standin/NoOpActions.java
+++ b/src/test/java/gatelock/standin/NoOpActions.java
@@ -1,7 +1,7 @@
 package gatelock.standin;
 
-import gatelock.relay.DecisionActions;
-import gatelock.relay.Verdict;
+import gatelock.api.DecisionActions;
+import gatelock.api.Verdict;
 
 /** A way out on which nothing is done; whoever looks at some of its calls says which. */
 public interface NoOpActions extends DecisionActions {
--- a/src/test/java/gatelock/wire/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/wire/DiscoveryClientTest.java
@@ -5,10 +5,10 @@
 import gatelock.state.EndpointAddresses;
 import gatelock.state.Counters;
 import gatelock.membership.EndpointSubset;
-import gatelock.relay.RequestConstraints;
-import gatelock.relay.DecisionEngine;
-import gatelock.relay.RequestHandle;
-import gatelock.relay.Endpoint;
+import gatelock.api.RequestConstraints;
+import gatelock.api.DecisionEngine;
+import gatelock.api.RequestHandle;
+import gatelock.api.Endpoint;
 
 import java.io.IOException;
 import java.io.InputStream;
