--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -20,7 +20,7 @@
 import gatelock.wire.AttemptSender;
 import gatelock.wire.RequestReader;
 import gatelock.wire.EventLoop;
-import gatelock.wire.ws.WebSocketUpgrader;
+import gatelock.websocket.WebSocketUpgrader;
 
 import java.io.IOException;
 import java.util.SplittableRandom;
--- a/src/main/java/gatelock/wire/ws/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/websocket/WebSocketUpgrader.java
@@ -1,4 +1,4 @@
-package gatelock.wire.ws;
+package gatelock.websocket;
 
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
--- a/src/main/java/gatelock/wire/ws/package-info.java
+++ b/src/main/java/gatelock/websocket/package-info.java
@@ -1,2 +1,2 @@
 /** WebSocket on the wire, on Undertow's own support: upgrades, frames, signs of life. Decides nothing. */
-package gatelock.wire.ws;
+package gatelock.websocket;
