--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -1,5 +1,8 @@
 package gatelock.boot;
 
+import gatelock.discovery.DiscoveryClient;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
 import gatelock.control.LastKnownGoodStore;
 import gatelock.control.ConfigUpdater;
 import gatelock.control.ConfigSubscription;
@@ -9,9 +12,6 @@
 import gatelock.config.Backoff;
 import gatelock.config.ConfigCompiler;
 import gatelock.config.VersionTracker;
-import gatelock.wire.DiscoveryClient;
-import gatelock.wire.ConnectionPool;
-import gatelock.wire.EventLoop;
 
 import java.io.IOException;
 import java.lang.System.Logger.Level;
--- a/src/main/java/gatelock/boot/OperatorConfig.java
+++ b/src/main/java/gatelock/boot/OperatorConfig.java
@@ -1,10 +1,10 @@
 package gatelock.boot;
 
+import gatelock.discovery.ServiceNameExtractor;
 import gatelock.membership.EndpointSubset;
 import gatelock.config.ConfigDocument;
 import gatelock.config.Diagnostic;
 import gatelock.config.SchemaValidator;
-import gatelock.wire.ServiceNameExtractor;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -1,9 +1,9 @@
 package gatelock.boot;
 
+import gatelock.net.JsonObject;
 import gatelock.simulator.SettingsDecoder;
 import gatelock.config.DeploymentContext;
 import gatelock.api.RelaySettings;
-import gatelock.wire.JsonObject;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -1,10 +1,10 @@
 package gatelock.boot;
 
+import gatelock.discovery.DiscoveryClient;
+import gatelock.http.ClientListener;
+import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.session.Sessions;
-import gatelock.wire.DiscoveryClient;
-import gatelock.wire.ClientListener;
-import gatelock.wire.EventLoop;
 
 import io.undertow.server.HttpHandler;
 
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -1,5 +1,17 @@
 package gatelock.boot;
 
+import gatelock.discovery.DiscoveryClient;
+import gatelock.http.ClientListener;
+import gatelock.http.RequestReader;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.pipeline.ActionExecutor;
+import gatelock.pipeline.AttemptSender;
+import gatelock.pipeline.EndpointResolver;
+import gatelock.pipeline.OutcomeRecorder;
+import gatelock.pipeline.RequestAdmitter;
+import gatelock.pipeline.ResponseWriter;
+import gatelock.release.ReleaseControllerClient;
 import gatelock.decision.ReleaseGate;
 import gatelock.state.EndpointAddresses;
 import gatelock.state.Counters;
@@ -8,18 +20,6 @@
 import gatelock.config.Admission;
 import gatelock.api.DecisionEngine;
 import gatelock.session.Sessions;
-import gatelock.wire.RequestAdmitter;
-import gatelock.wire.OutcomeRecorder;
-import gatelock.wire.ReleaseControllerClient;
-import gatelock.wire.DiscoveryClient;
-import gatelock.wire.ClientListener;
-import gatelock.wire.ConnectionPool;
-import gatelock.wire.ActionExecutor;
-import gatelock.wire.ResponseWriter;
-import gatelock.wire.EndpointResolver;
-import gatelock.wire.AttemptSender;
-import gatelock.wire.RequestReader;
-import gatelock.wire.EventLoop;
 import gatelock.websocket.WebSocketUpgrader;
 
 import java.io.IOException;
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -1,14 +1,14 @@
 package gatelock.boot;
 
+import gatelock.http.ClientListener;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.OutboundConnection;
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
 import gatelock.api.RoutePolicy;
-import gatelock.wire.ClientListener;
-import gatelock.wire.OutboundConnection;
-import gatelock.wire.ConnectionPool;
-import gatelock.wire.EventLoop;
 
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -1,11 +1,11 @@
 package gatelock.control;
 
+import gatelock.discovery.DiscoveryClient;
+import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.config.CompiledConfig;
 import gatelock.config.ConfigVersion;
 import gatelock.config.VersionTracker;
-import gatelock.wire.DiscoveryClient;
-import gatelock.wire.EventLoop;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -1,5 +1,8 @@
 package gatelock.control;
 
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.OutboundConnection;
 import gatelock.state.Counters;
 import gatelock.state.LogField;
 import gatelock.state.UpstreamResponse;
@@ -7,9 +10,6 @@
 import gatelock.config.Diagnostic;
 import gatelock.config.ConfigVersion;
 import gatelock.config.VersionTracker;
-import gatelock.wire.OutboundConnection;
-import gatelock.wire.ConnectionPool;
-import gatelock.wire.EventLoop;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -1,5 +1,6 @@
 package gatelock.control;
 
+import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.state.LogField;
 import gatelock.config.Admission;
@@ -8,7 +9,6 @@
 import gatelock.config.CompiledConfig;
 import gatelock.config.ConfigVersion;
 import gatelock.config.VersionTracker;
-import gatelock.wire.EventLoop;
 
 import java.lang.System.Logger.Level;
 import java.util.List;
--- a/src/main/java/gatelock/wire/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -1,5 +1,12 @@
-package gatelock.wire;
-
+package gatelock.discovery;
+
+import gatelock.net.BodyConsumer;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.JsonObject;
+import gatelock.net.MalformedResponseException;
+import gatelock.net.OutboundConnection;
+import gatelock.net.ResponseTooLongException;
 import gatelock.state.EndpointAddresses;
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
@@ -28,7 +35,7 @@
 
 /** Speaks with discovery: the whole list, then a watch that is renewed as soon as it has answered. */
 public final class DiscoveryClient {
-    private static final System.Logger LOG = System.getLogger("gatelock.wire");
+    private static final System.Logger LOG = System.getLogger("gatelock.discovery");
     /** A watch waits so long at most; short, so that a connection gone silent is found out. */
     private static final long HOLD_MS = 2_000;
     private static final long GRACE_US = 1_000_000;
@@ -161,7 +168,7 @@
         }
     }
 
-    void follow() {
+    public void follow() {
         if (!following) {
             following = true;
             ask();
--- a/src/main/java/gatelock/wire/EndpointEntryReader.java
+++ b/src/main/java/gatelock/discovery/EndpointEntryReader.java
@@ -1,5 +1,6 @@
-package gatelock.wire;
+package gatelock.discovery;
 
+import gatelock.net.JsonObject;
 import gatelock.membership.EndpointEntry;
 import gatelock.api.Endpoint;
 
--- a/src/main/java/gatelock/wire/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -1,5 +1,6 @@
-package gatelock.wire;
+package gatelock.discovery;
 
+import gatelock.net.JsonObject;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/gatelock/wire/ServiceNameExtractor.java
+++ b/src/main/java/gatelock/discovery/ServiceNameExtractor.java
@@ -1,5 +1,6 @@
-package gatelock.wire;
+package gatelock.discovery;
 
+import gatelock.net.JsonObject;
 import java.util.Map;
 
 /** How a list tells the service of a unit; what a list does not tell is "", one service of its own. */
--- a/src/main/java/gatelock/wire/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -1,5 +1,6 @@
-package gatelock.wire;
+package gatelock.http;
 
+import gatelock.net.EventLoop;
 import gatelock.state.ClientConnections;
 import gatelock.state.Counters;
 
@@ -31,7 +32,7 @@
  * readiness, and taking leave.
  */
 public final class ClientListener {
-    private static final System.Logger LOG = System.getLogger("gatelock.wire");
+    private static final System.Logger LOG = System.getLogger("gatelock.http");
     private static final int BUFFER_BYTES = 4096;
     private static final int BACKLOG = 256;
     private static final int SPARE = 8;
--- a/src/main/java/gatelock/wire/ClientReadConduit.java
+++ b/src/main/java/gatelock/http/ClientReadConduit.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.http;
 
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.conduits.AbstractStreamSourceConduit;
--- a/src/main/java/gatelock/wire/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -1,5 +1,8 @@
-package gatelock.wire;
+package gatelock.http;
 
+import gatelock.net.EventLoop;
+import gatelock.net.ResponseReader;
+import gatelock.pipeline.RequestAdmitter;
 import gatelock.state.ResponseSink;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
--- a/src/main/java/gatelock/wire/BodyConsumer.java
+++ b/src/main/java/gatelock/net/BodyConsumer.java
@@ -1,7 +1,7 @@
-package gatelock.wire;
+package gatelock.net;
 
 /** Takes an answer's body piece by piece as it comes, so that nobody holds it whole. */
-interface BodyConsumer {
+public interface BodyConsumer {
 
     /** The head has come; {@code bytes}: of the body, -1 where that is not told. */
     default void begins(int status, long bytes) throws MalformedResponseException {
--- a/src/main/java/gatelock/wire/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.net;
 
 import gatelock.state.Counters;
 import gatelock.state.IdleConnections;
@@ -14,7 +14,7 @@
 
 /** The connections that this relay opens to one kind of party, kept between calls. */
 public final class ConnectionPool {
-    private static final System.Logger LOG = System.getLogger("gatelock.wire");
+    private static final System.Logger LOG = System.getLogger("gatelock.net");
     private final EventLoop turn;
     private final Counters counters;
     private final IdleConnections<OutboundConnection> idle;
@@ -78,7 +78,7 @@
     }
 
     /** The same of an answer whose body {@code parts} takes as it comes, and which may take its time. */
-    OutboundConnection call(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, BodyConsumer parts, OutboundConnection.User user) {
+    public OutboundConnection call(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, BodyConsumer parts, OutboundConnection.User user) {
         long restedUs = turn.nowUs() - restUs;
         for (OutboundConnection line = idle.take(address, restedUs); line != null; line = idle.take(address, restedUs)) {
             if (line.stands()) {
@@ -91,7 +91,7 @@
     }
 
     /** Makes one call of any length on a connection of its own; {@code parts} takes its body as it comes. */
-    OutboundConnection stream(InetSocketAddress address, ByteBuffer call, BodyConsumer parts, OutboundConnection.User user) {
+    public OutboundConnection stream(InetSocketAddress address, ByteBuffer call, BodyConsumer parts, OutboundConnection.User user) {
         return open(address, call, OutboundConnection.Patience.of(0), parts, user);
     }
 
@@ -112,7 +112,7 @@
      * A party has left, drains or came back as another process: closes the idle ones to it, and whoever waits
      * for one to come up is asked whether its call may still go.
      */
-    void close(InetSocketAddress address) {
+    public void close(InetSocketAddress address) {
         idle.closeAll(address);
         List.copyOf(comingUp.getOrDefault(address, Set.of())).forEach(OutboundConnection::goesOn);
     }
--- a/src/main/java/gatelock/wire/EventLoop.java
+++ b/src/main/java/gatelock/net/EventLoop.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.net;
 
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
@@ -11,7 +11,7 @@
 
 /** The one thread that does everything: its clock, its timers, and its queue of what is to be done next. */
 public final class EventLoop {
-    private static final System.Logger LOG = System.getLogger("gatelock.wire");
+    private static final System.Logger LOG = System.getLogger("gatelock.net");
     private static final int READ_BYTES = 16 * 1024;
 
     private final XnioIoThread thread;
--- a/src/main/java/gatelock/wire/JsonObject.java
+++ b/src/main/java/gatelock/net/JsonObject.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.net;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.jr.ob.JSON;
@@ -64,7 +64,7 @@
     }
 
     /** The same as it stands there, its form checked and its host not looked up. */
-    String addressText(String name) throws IOException {
+    public String addressText(String name) throws IOException {
         String text = text(name);
         int colon = text.lastIndexOf(':');
         try {
@@ -80,7 +80,7 @@
     }
 
     /** What a text whose form was checked names. */
-    static InetSocketAddress resolved(String text) {
+    public static InetSocketAddress resolved(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
--- a/src/main/java/gatelock/wire/MalformedResponseException.java
+++ b/src/main/java/gatelock/net/MalformedResponseException.java
@@ -1,10 +1,10 @@
-package gatelock.wire;
+package gatelock.net;
 
 /** What came back does not read as HTTP, or as what was asked for. */
-class MalformedResponseException extends Exception {
+public class MalformedResponseException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedResponseException(String message) {
+    public MalformedResponseException(String message) {
         super(message);
     }
 }
--- a/src/main/java/gatelock/wire/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.net;
 
 import gatelock.state.UpstreamResponse;
 
@@ -56,7 +56,7 @@
      * How long a call may take, in microseconds: until its answer begins, then from one piece of it to the next,
      * and in all; 0: as long as it likes.
      */
-    record Patience(long beginUs, long pieceUs, long wholeUs) {
+    public record Patience(long beginUs, long pieceUs, long wholeUs) {
         /** All of the answer within this time. */
         static Patience of(long us) {
             return new Patience(us, 0, us);
--- a/src/main/java/gatelock/wire/ResponseReader.java
+++ b/src/main/java/gatelock/net/ResponseReader.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.net;
 
 import gatelock.state.UpstreamResponse;
 
@@ -20,11 +20,11 @@
  * answers
  * with their connection, or has heads beyond {@link #MOST_HEAD}.
  */
-final class ResponseReader {
+public final class ResponseReader {
     /** All that may stand before a body, 1xx answers included; and any line later on. */
     private static final int MOST_HEAD = 16 * 1024;
     /** The most that any body may hold, in the protocol. */
-    static final int MOST_BODY = 64 * 1024;
+    public static final int MOST_BODY = 64 * 1024;
 
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?",
         Pattern.DOTALL);
--- a/src/main/java/gatelock/wire/ActionExecutor.java
+++ b/src/main/java/gatelock/pipeline/ActionExecutor.java
@@ -1,5 +1,8 @@
-package gatelock.wire;
+package gatelock.pipeline;
 
+import gatelock.discovery.DiscoveryClient;
+import gatelock.net.EventLoop;
+import gatelock.release.ReleaseControllerClient;
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
 import gatelock.api.DecisionEngine;
--- a/src/main/java/gatelock/wire/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -1,5 +1,8 @@
-package gatelock.wire;
+package gatelock.pipeline;
 
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.OutboundConnection;
 import gatelock.state.InFlightRequest;
 import gatelock.state.UpstreamResponse;
 import gatelock.api.AttemptResult;
--- a/src/main/java/gatelock/wire/EndpointResolver.java
+++ b/src/main/java/gatelock/pipeline/EndpointResolver.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.pipeline;
 
 import gatelock.state.EndpointAddresses;
 import gatelock.state.InFlightRequest;
--- a/src/main/java/gatelock/wire/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -1,5 +1,6 @@
-package gatelock.wire;
+package gatelock.pipeline;
 
+import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
@@ -46,12 +47,12 @@
     }
 
     /** Whether a req of this id is still open, so that another can't be told from it. */
-    boolean isOpen(String id) {
+    public boolean isOpen(String id) {
         return open.get(id) != null;
     }
 
     /** @param way where the plan leads it, or null: no plan, or none of its routes is for it */
-    void admit(InFlightRequest req, Admission.Way way, int route, int tenant, long key, long costUs) {
+    public void admit(InFlightRequest req, Admission.Way way, int route, int tenant, long key, long costUs) {
         counters.add("taken");
         open.add(req);
         if (way == null) {
@@ -150,7 +151,7 @@
         }
     }
 
-    void left(InFlightRequest req) {
+    public void left(InFlightRequest req) {
         early.leave(req);
         book.left(req);
     }
--- a/src/main/java/gatelock/wire/ResponseWriter.java
+++ b/src/main/java/gatelock/pipeline/ResponseWriter.java
@@ -1,5 +1,6 @@
-package gatelock.wire;
+package gatelock.pipeline;
 
+import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
--- a/src/main/java/gatelock/wire/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/release/ReleaseControllerClient.java
@@ -1,5 +1,9 @@
-package gatelock.wire;
+package gatelock.release;
 
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.JsonObject;
+import gatelock.net.OutboundConnection;
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
 import gatelock.api.DecisionEngine;
@@ -17,7 +21,7 @@
 
 /** Speaks with the release desk: votes, each with its answer, and news on a connection of its own. */
 public final class ReleaseControllerClient {
-    private static final System.Logger LOG = System.getLogger("gatelock.wire");
+    private static final System.Logger LOG = System.getLogger("gatelock.release");
     private static final Map<String, DecisionEngine.Phase> PHASES = Map.of("trial", DecisionEngine.Phase.TRIAL,
         "rolling_back", DecisionEngine.Phase.REVERTING, "released", DecisionEngine.Phase.RELEASED, "withdrawn", DecisionEngine.Phase.WITHDRAWN);
     private static final String BASE = "/v2/projects/main/";
@@ -66,7 +70,7 @@
         }
     }
 
-    void vote(int build, int stage, Verdict verdict) {
+    public void vote(int build, int stage, Verdict verdict) {
         counters.add("votes");
         String body = "{\"release\":" + build + ",\"tranche\":" + stage + ",\"ruling\":\""
             + verdict.name().toLowerCase(Locale.ROOT) + "\"}";
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -1,12 +1,12 @@
 package gatelock.websocket;
 
+import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.config.SessionPolicy;
 import gatelock.api.DecisionEngine;
 import gatelock.session.CloseReason;
 import gatelock.session.Session;
 import gatelock.session.Sessions;
-import gatelock.wire.EventLoop;
 
 import io.undertow.websockets.core.AbstractReceiveListener;
 import io.undertow.websockets.core.BufferedBinaryMessage;
@@ -34,7 +34,7 @@
  * a side that reads slowly stalls the other, and nobody else.
  */
 final class WebSocketProxySession implements Session.Wires {
-    private static final System.Logger LOG = System.getLogger("gatelock.wire");
+    private static final System.Logger LOG = System.getLogger("gatelock.websocket");
     private static final long AGAIN_US = 20_000;
     /** A message held back for the cap waits so long at the most. */
     private static final long HELD_US = 2_000_000;
--- a/src/main/java/gatelock/websocket/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/websocket/WebSocketUpgrader.java
@@ -1,5 +1,8 @@
 package gatelock.websocket;
 
+import gatelock.http.RequestReader;
+import gatelock.net.EventLoop;
+import gatelock.pipeline.OutcomeRecorder;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.UpstreamResponse;
@@ -7,9 +10,6 @@
 import gatelock.api.AttemptResult;
 import gatelock.api.DecisionEngine;
 import gatelock.session.Sessions;
-import gatelock.wire.OutcomeRecorder;
-import gatelock.wire.RequestReader;
-import gatelock.wire.EventLoop;
 
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
@@ -49,7 +49,7 @@
  * req, which may be shed with a time to come back.
  */
 public final class WebSocketUpgrader implements RequestReader.Upgrade {
-    private static final System.Logger LOG = System.getLogger("gatelock.wire");
+    private static final System.Logger LOG = System.getLogger("gatelock.websocket");
     private static final int BUFFER_BYTES = 4096;
     private static final HttpString PROTOCOL = new HttpString("Sec-WebSocket-Protocol");
     private static final HttpString KEY = new HttpString("Sec-WebSocket-Key");
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -1,10 +1,10 @@
 package gatelock.boot;
 
+import gatelock.discovery.ServiceNameExtractor;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowable;
 
 import gatelock.membership.EndpointSubset;
-import gatelock.wire.ServiceNameExtractor;
 
 import com.fasterxml.jackson.jr.ob.JSON;
 
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -1,14 +1,14 @@
 package gatelock.capacity;
 
+import gatelock.discovery.DiscoveryClient;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.JsonObject;
 import gatelock.state.EndpointAddresses;
 import gatelock.state.Counters;
 import gatelock.config.Admission;
 import gatelock.api.DecisionEngine;
 import gatelock.standin.LongListDiscovery;
-import gatelock.wire.DiscoveryClient;
-import gatelock.wire.JsonObject;
-import gatelock.wire.ConnectionPool;
-import gatelock.wire.EventLoop;
 import gatelock.standin.NoOpActions;
 
 import org.xnio.OptionMap;
--- a/src/test/java/gatelock/wire/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -1,5 +1,8 @@
-package gatelock.wire;
+package gatelock.discovery;
 
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.JsonObject;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.state.EndpointAddresses;
--- a/src/test/java/gatelock/wire/EndpointListReaderTest.java
+++ b/src/test/java/gatelock/discovery/EndpointListReaderTest.java
@@ -1,5 +1,6 @@
-package gatelock.wire;
+package gatelock.discovery;
 
+import gatelock.net.JsonObject;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
--- a/src/test/java/gatelock/wire/ClientListenerTest.java
+++ b/src/test/java/gatelock/http/ClientListenerTest.java
@@ -1,5 +1,7 @@
-package gatelock.wire;
+package gatelock.http;
 
+import gatelock.net.DelayedIoThread;
+import gatelock.net.EventLoop;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.state.Counters;
--- a/src/test/java/gatelock/wire/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/net/OutboundConnectionTest.java
@@ -1,4 +1,4 @@
-package gatelock.wire;
+package gatelock.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
