--- a/src/main/java/gatelock/api/DecisionActions.java
+++ b/src/main/java/gatelock/api/DecisionActions.java
@@ -3,8 +3,8 @@
 /** What the decisions can have done; calls take effect in order, at the time of the call that led to them. */
 public interface DecisionActions {
 
-    /** Sends a req to a unit; tries of a req number from 0 in the order sent. 0: until the client leaves. */
-    void send(String id, String unit, long timeoutUs);
+    /** Sends a request to an endpoint; tries of a request number from 0 in the order sent. 0: until the client leaves. */
+    void send(String id, String endpoint, long timeoutUs);
 
     /** Final answer: not done, trying again is harmless, best after {@code pauseUs} (0: no advice). */
     void shed(String id, long pauseUs);
@@ -12,8 +12,8 @@
     /** Final answer: errored, nothing promised. */
     void error(String id);
 
-    /** Stops waiting for one try; its ending still comes. */
-    void cancel(String id, int tryNo);
+    /** Stops waiting for one attempt; its ending still comes. */
+    void cancel(String id, int attemptNo);
 
     /** Casts this relay's one vote. */
     void vote(int build, int stage, Verdict verdict);
--- a/src/main/java/gatelock/api/DecisionEngine.java
+++ b/src/main/java/gatelock/api/DecisionEngine.java
@@ -8,10 +8,10 @@
  */
 public interface DecisionEngine {
 
-    /** What a list of units is: what changed, all there is, a remembered whole, or notice that none came. */
+    /** What a list of endpoints is: what changed, all there is, a remembered whole, or notice that none came. */
     enum ListForm { DELTA, FULL, CACHED, FAILED }
 
-    /** The state of the newest build at the release desk, in the order in which a build comes to them. */
+    /** The state of the newest build at the release controller, in the order in which a build comes to them. */
     enum Phase { TRIAL, RELEASED, REVERTING, WITHDRAWN }
 
     /** How a vote was answered: {@code NOT_ASKED} marks news that answers no vote. */
@@ -21,9 +21,9 @@
     void start(long nowUs);
 
     /**
-     * A req has arrived; it is owed exactly one final answer.
+     * A request has arrived; it is owed exactly one final answer.
      *
-     * @param key the subject of the req, or {@link #NO_KEY}
+     * @param key the subject of the request, or {@link #NO_KEY}
      * @param leftUs how long the client still waits
      * @param costUs the announced work as time on a standard core, or 0 where nothing valid was announced
      */
@@ -31,39 +31,39 @@
         return take(nowUs, id, route, tenant, key, leftUs, costUs, RequestConstraints.NONE);
     }
 
-    /** The same of a req for which more was set than the charter's terms. */
+    /** The same of a request for which more was set than the charter's terms. */
     RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
         RequestConstraints bounds);
 
-    /** Stands for a req without a key. */
+    /** Stands for a request without a key. */
     long NO_KEY = -1;
 
-    /** When a message of an open session may go to its unit. */
+    /** When a message of an open session may go to its endpoint. */
     enum Passing { NOW, LATER, NEVER }
 
     /**
-     * A message of a session that stands at a unit is to go there. It counts as a req taken and, at a build
-     * on trial, as
-     * a try.
+     * A message of a session that stands at an endpoint is to go there. It counts as a request taken and, at a build
+     * canary, as
+     * an attempt.
      *
      * @param first whether it is asked for the first time, and not again after {@link Passing#LATER}
      */
-    default Passing message(long nowUs, String unit, int route, boolean first) {
+    default Passing message(long nowUs, String endpoint, int route, boolean first) {
         return Passing.NEVER;
     }
 
-    /** The list of units, or a part of it, has come in. */
-    void listed(long nowUs, ListForm form, List<Endpoint> units);
+    /** The list of endpoints, or a part of it, has come in. */
+    void listed(long nowUs, ListForm form, List<Endpoint> endpoints);
 
     /** News of the newest build; {@code answer} tells whether it answers a vote. Only where it is
      * {@code NOT_ASKED} or {@code COUNTED} do the other values hold. */
     void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer);
 
-    /** A client found an answer wrong that {@code unit} gave to a try sent {@code agoUs} ago. */
-    void complaint(long nowUs, String unit, int route, long agoUs);
+    /** A client found an answer wrong that {@code endpoint} gave to an attempt sent {@code agoUs} ago. */
+    void complaint(long nowUs, String endpoint, int route, long agoUs);
 
     /**
-     * The release desk's sample of all relays' tries at a build on one route, over a span that ended
+     * The release controller's sample of all relays' tries at a build on one route, over a span that ended
      * {@code agoUs} ago: how many, how many of them failed, and the mean time of the rest.
      */
     void counted(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs);
--- a/src/main/java/gatelock/api/LoadReport.java
+++ b/src/main/java/gatelock/api/LoadReport.java
@@ -1,6 +1,6 @@
 package gatelock.api;
 
-/** A unit's report of its own load; a value it does not give is NaN. */
+/** An endpoint's report of its own load; a value it does not give is NaN. */
 public record LoadReport(double waiting) {
 
     /** No report came. */
--- a/src/main/java/gatelock/api/RequestConstraints.java
+++ b/src/main/java/gatelock/api/RequestConstraints.java
@@ -1,7 +1,7 @@
 package gatelock.api;
 
 /**
- * What was set for one req beyond the charter's terms. It only narrows: a gate that heeds it does nothing
+ * What was set for one request beyond the charter's terms. It only narrows: a gate that heeds it does nothing
  * that it
  * would not have been free to do without.
  */
@@ -10,17 +10,17 @@
     /** Nothing was set. */
     RequestConstraints NONE = new RequestConstraints() {
         @Override
-        public boolean reaches(String unit) {
+        public boolean reaches(String endpoint) {
             return true;
         }
 
         @Override
-        public int mostTries() {
+        public int mostAttempts() {
             return Integer.MAX_VALUE;
         }
 
         @Override
-        public long tryUs() {
+        public long attemptUs() {
             return 0;
         }
 
@@ -30,15 +30,15 @@
         }
     };
 
-    /** Whether a try may go to this unit. */
-    boolean reaches(String unit);
+    /** Whether an attempt may go to this endpoint. */
+    boolean reaches(String endpoint);
 
-    /** How many tries there may be at the most, the first one included. */
-    int mostTries();
+    /** How many attempts there may be at the most, the first one included. */
+    int mostAttempts();
 
-    /** How long one try may take, in microseconds; 0: as long as the req. */
-    long tryUs();
+    /** How long one attempt may take, in microseconds; 0: as long as the request. */
+    long attemptUs();
 
-    /** Whether one more try may follow one that ended so; a yes is counted as that try. */
+    /** Whether one more try may follow one that ended so; a yes is counted as that attempt. */
     boolean goesOn(long nowUs, AttemptResult last);
 }
--- a/src/main/java/gatelock/api/RolloutPolicy.java
+++ b/src/main/java/gatelock/api/RolloutPolicy.java
@@ -2,8 +2,8 @@
 
 /**
  * How builds are released here. {@code leastUs} is a stage's least time; {@code caps} gives each stage's
- * share of the reqs; {@code free} tries come on top of the share within any window. {@code backVotes} relays
- * send a build back; the desk takes {@code votesPerS} from all; {@code counts} tells that it sends sampled
+ * share of the requests; {@code free} tries come on top of the share within any window. {@code backVotes} relays
+ * send a build back; the release controller takes {@code votesPerS} from all; {@code counts} tells that it sends sampled
  * counts.
  */
 public record RolloutPolicy(Gatekeeping gatekeeping, long leastUs, long voteLifeUs, long voteWaitUs, double[] caps,
--- a/src/main/java/gatelock/api/RoutePolicy.java
+++ b/src/main/java/gatelock/api/RoutePolicy.java
@@ -1,11 +1,11 @@
 package gatelock.api;
 
-/** What was agreed for the reqs of one route. */
+/** What was agreed for the requests of one route. */
 public record RoutePolicy(Repeat repeat, Group group, long rememberUs, long objectiveUs, double value) {
 
-    /** Whether a req may run again. */
+    /** Whether a request may run again. */
     public enum Repeat { RETRIABLE, DEDUPED, NON_RETRIABLE }
 
-    /** Which units drop a repeat of a deduped req. */
+    /** Which endpoints drop a repeat of a deduped request. */
     public enum Group { ALL, ZONE, CELL }
 }
--- a/src/main/java/gatelock/api/Verdict.java
+++ b/src/main/java/gatelock/api/Verdict.java
@@ -1,4 +1,4 @@
 package gatelock.api;
 
-/** A vote on the build on trial. */
+/** A vote on the canary build. */
 public enum Verdict { NONE, ON, HOLD, BACK }
--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -32,9 +32,9 @@
     private static final long FIRST_WAIT_US = 200_000;
     private static final long LOOK_US = 20_000;
     /**
-     * Guards against a version that fills the memory while it is read, of which reqs would be lost: so many
+     * Guards against a version that fills the memory while it is read, of which requests would be lost: so many
      * bytes of heap
-     * for each of its text, as measured, the plan before it and room for reqs beside. Could turn down a large
+     * for each of its text, as measured, the plan before it and room for requests beside. Could turn down a large
      * version
      * that would just have fitted.
      */
@@ -118,7 +118,7 @@
         }
     }
 
-    /** Shows the list of units to operators. */
+    /** Shows the list of endpoints to operators. */
     void shows(Supplier<DiscoveryClient.State> list) {
         window.shows(list);
     }
--- a/src/main/java/gatelock/boot/OperatorConfig.java
+++ b/src/main/java/gatelock/boot/OperatorConfig.java
@@ -24,12 +24,12 @@
     boolean jsonLog, String logLevel) {
 
     /**
-     * Guards against a scope that fills the heap, of which reqs would be lost: twice what a unit was measured to
+     * Guards against a scope that fills the heap, of which requests would be lost: twice what an endpoint was measured to
      * take there, in a quarter of it. Could refuse a scope that would just have fitted.
      */
     private static final long HEAP_FOR_A_UNIT = 3_200;
     private static final int HEAP_SHARE = 4;
-    /** So many units may be in scope in any heap. */
+    /** So many endpoints may be in scope in any heap. */
     private static final int LEAST_BORNE = 1_024;
     private static final long MOST_LIST_BYTES = 64L << 20;
     private static final double SETTLE_S = 10;
@@ -41,10 +41,10 @@
     }
 
     /** WebSocket sessions; {@code most} 0: a tenth of the descriptors. */
-    record Sessions(int most, double opensPerUnit, long drainUs) {
+    record Sessions(int most, double opensPerEndpoint, long drainUs) {
     }
 
-    /** Which units are used of those that are listed, and how long an answer with a list may be. */
+    /** Which endpoints are used of those that are listed, and how long an answer with a list may be. */
     record Membership(EndpointSubset.Terms terms, ServiceNameExtractor service, long mostListBytes, String text) {
 
         /** Whether the file says the same. */
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -17,7 +17,7 @@
 
 /** What a relay is told when it starts, read from one JSON file. */
 record RelayConfig(String name, InetSocketAddress listen, InetSocketAddress discovery,
-    InetSocketAddress desk,
+    InetSocketAddress controller,
                      int sockets, JsonObject known, JsonObject news, RelaySettings charter, long openWithinUs,
                      List<Long> deadlinesUs, Map<String, String> settings) {
 
@@ -33,7 +33,7 @@
 
     /** This one with the addresses of another, the only things that change while a relay runs. */
     RelayConfig movedTo(RelayConfig to) {
-        return new RelayConfig(name, listen, to.discovery, to.desk, sockets, known, news, charter,
+        return new RelayConfig(name, listen, to.discovery, to.controller, sockets, known, news, charter,
             openWithinUs, deadlinesUs, settings);
     }
 
@@ -54,7 +54,7 @@
         for (int i = 0; i < charter.routes().size(); i++) {
             deadlinesUs.add(SettingsDecoder.us(settings, "lanes." + i + ".deadlineNs"));
         }
-        // Where no time for a connection to come up is set, that of the longest req bounds it.
+        // Where no time for a connection to come up is set, that of the longest request bounds it.
         long openUs = SettingsDecoder.us(settings, "limits.dialTimeoutNs");
         long longestUs = deadlinesUs.stream().mapToLong(Long::longValue).max().orElseThrow();
         return new RelayConfig(all.text("name"), all.address("listen"), all.address("discovery"),
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -36,7 +36,7 @@
     private static final long SESSIONS_LOOK_US = 20_000;
     /**
      * Guards against a list from before a restart: what discovery has told since counts as told to a new process,
-     * and reqs sent by the old list go to units that left. Only after so long without a word, at the end of a call
+     * and requests sent by the old list go to endpoints that left. Only after so long without a word, at the end of a call
      * that had all of its time, is discovery taken to be down, and what is known serves. Could harm where it is
      * down: each start is later by this, well within what a start may take.
      */
@@ -95,7 +95,7 @@
             }
             LOG.log(Level.INFO, "ends: " + service.counters);
         }, "leave"));
-        // A file is read on the worker's one task thread: one after the other, and never in the way of reqs.
+        // A file is read on the worker's one task thread: one after the other, and never in the way of requests.
         hangup.means(() -> worker.execute(service::readAnew));
     }
 
@@ -156,7 +156,7 @@
     }
 
     private void move(String why, RelayConfig now, OperatorConfig operatorNow) {
-        LOG.log(Level.INFO, why + ", discovery at " + now.discovery() + ", release desk at " + now.desk()
+        LOG.log(Level.INFO, why + ", discovery at " + now.discovery() + ", release desk at " + now.controller()
             + (told.sameTerms(now) ? "" : "; name, listen, limits and settings stay until a restart"));
         told = told.movedTo(now);
         if (chain != null) {
@@ -202,14 +202,14 @@
         }
     }
 
-    /** Puts the real chain together and begins to follow discovery and the desk. */
+    /** Puts the real chain together and begins to follow discovery and the release controller. */
     private void prepare() throws IOException {
         steering = operator == null || operator.control() == null ? null
             : new ControlPlane(operator, told, turn, counters);
         OperatorConfig.Sessions asked = operator == null || steering == null ? null : operator.sessions();
         int mostSessions = asked == null ? 0 : asked.most() > 0 ? Math.min(asked.most(), told.sockets() / 5)
             : told.sockets() / 10;
-        sessions = asked == null ? null : new Sessions(mostSessions, asked.opensPerUnit(), asked.drainUs(),
+        sessions = asked == null ? null : new Sessions(mostSessions, asked.opensPerEndpoint(), asked.drainUs(),
             new SplittableRandom(told.charter().seed() + 3));
         chain = new RequestPipeline(told, turn, counters, front, steering == null ? null : steering.admission,
             sessions, operator == null ? null : operator.membership());
@@ -253,7 +253,7 @@
     private void tellCounters() {
         LOG.log(Level.INFO, counters + "; open reqs " + chain.open.size() + ", clients " + front.size()
             + ", units "
-            + chain.units + listed());
+            + chain.endpoints + listed());
         turn.in(COUNTERS_EVERY_US, this::tellCounters);
     }
 }
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -25,13 +25,13 @@
 import java.io.IOException;
 import java.util.SplittableRandom;
 
-/** The stages of a req put together around one set of decisions. */
+/** The stages of a request put together around one set of decisions. */
 final class RequestPipeline {
     private static final long SESSIONS_LOOK_US = 50_000;
 
     final EndpointAddresses addresses = new EndpointAddresses();
     final InFlightRequests open;
-    final ConnectionPool units;
+    final ConnectionPool endpoints;
     final ActionExecutor orders;
     final DecisionEngine gate;
     final RequestReader takeIn;
@@ -43,13 +43,13 @@
     private final Sessions sessions;
     private final OperatorConfig.Membership membership;
     private final AttemptSender sendOff;
-    private ReleaseControllerClient desk;
+    private ReleaseControllerClient controller;
     private DiscoveryClient discovery;
 
     /**
      * @param admission what the plan in force means; null: there never is one
      * @param sessions null: none are opened
-     * @param membership what units are used of those that are listed; null: all
+     * @param membership what endpoints are used of those that are listed; null: all
      */
     RequestPipeline(RelayConfig told, EventLoop turn, Counters counters, ClientListener front, Admission admission,
         Sessions sessions, OperatorConfig.Membership membership) {
@@ -60,12 +60,12 @@
         this.turn = turn;
         this.counters = counters;
         open = new InFlightRequests(counters);
-        // An idle connection is closed well before the unit would, so that no req crosses its end.
-        units = new ConnectionPool(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
+        // An idle connection is closed well before the endpoint would, so that no request crosses its end.
+        endpoints = new ConnectionPool(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
             * 2 / 5);
         ResponseWriter relayBack = new ResponseWriter(turn, open, counters);
         OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
-        sendOff = new AttemptSender(turn, units, book);
+        sendOff = new AttemptSender(turn, endpoints, book);
         EndpointResolver routeOut = new EndpointResolver(addresses, sendOff);
         orders = new ActionExecutor(turn, open);
         gate = new ReleaseGate(told.charter(), orders);
@@ -79,11 +79,11 @@
         }
     }
 
-    /** Begins from what the configuration holds, and follows discovery and the desk from there. */
+    /** Begins from what the configuration holds, and follows discovery and the release controller from there. */
     void start() throws IOException {
         ConnectionPool platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
-        desk = new ReleaseControllerClient(turn, counters, platform, told.desk(), told.charter().rollout().voteWaitUs());
-        discovery = new DiscoveryClient(turn, counters, platform, told.discovery(), addresses, units,
+        controller = new ReleaseControllerClient(turn, counters, platform, told.controller(), told.charter().rollout().voteWaitUs());
+        discovery = new DiscoveryClient(turn, counters, platform, told.discovery(), addresses, endpoints,
             told.plain("zones"), told.plain("flavors"), told.charter().mustAskForList(),
             new SplittableRandom(told.charter().seed() + 1), membership == null ? null
             : new DiscoveryClient.Membership(new EndpointSubset(membership.terms()), membership.service(),
@@ -91,17 +91,17 @@
         if (membership != null) {
             sendOff.whenEnded(discovery::ended);
         }
-        orders.bind(desk, discovery);
+        orders.bind(controller, discovery);
         gate.start(turn.nowUs());
         DecisionEngine hears = sessions == null ? gate : new SessionAwareEngine(gate, sessions);
         discovery.start(hears, admission, told.known());
-        desk.start(hears, told.news());
+        controller.start(hears, told.news());
         if (sessions != null) {
             look();
         }
     }
 
-    /** Lets reqs go on to units, those that came early first; tells how many these are. */
+    /** Lets requests go on to endpoints, those that came early first; tells how many these are. */
     int open() {
         return admit.open();
     }
@@ -111,7 +111,7 @@
         discovery.whenListed(silentUs, then);
     }
 
-    /** How the list of units stands. */
+    /** How the list of endpoints stands. */
     DiscoveryClient.State listState() {
         return discovery.state();
     }
@@ -127,9 +127,9 @@
         turn.in(SESSIONS_LOOK_US, this::look);
     }
 
-    /** Follows discovery and the desk at other addresses from now on. */
+    /** Follows discovery and the release controller at other addresses from now on. */
     void move(RelayConfig to) {
         discovery.move(to.discovery());
-        desk.move(to.desk());
+        controller.move(to.controller());
     }
 }
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -8,7 +8,7 @@
 
 import java.util.List;
 
-/** The decisions, with all that is told of units and builds told to the sessions too. */
+/** The decisions, with all that is told of endpoints and builds told to the sessions too. */
 record SessionAwareEngine(DecisionEngine gate, Sessions sessions) implements DecisionEngine {
 
     @Override
@@ -23,14 +23,14 @@
     }
 
     @Override
-    public Passing message(long nowUs, String unit, int route, boolean first) {
-        return gate.message(nowUs, unit, route, first);
+    public Passing message(long nowUs, String endpoint, int route, boolean first) {
+        return gate.message(nowUs, endpoint, route, first);
     }
 
     @Override
-    public void listed(long nowUs, ListForm form, List<Endpoint> units) {
-        gate.listed(nowUs, form, units);
-        sessions.listed(nowUs, form, units);
+    public void listed(long nowUs, ListForm form, List<Endpoint> endpoints) {
+        gate.listed(nowUs, form, endpoints);
+        sessions.listed(nowUs, form, endpoints);
     }
 
     @Override
@@ -43,8 +43,8 @@
     }
 
     @Override
-    public void complaint(long nowUs, String unit, int route, long agoUs) {
-        gate.complaint(nowUs, unit, route, agoUs);
+    public void complaint(long nowUs, String endpoint, int route, long agoUs) {
+        gate.complaint(nowUs, endpoint, route, agoUs);
     }
 
     @Override
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -25,7 +25,7 @@
 
 /**
  * Before a relay says that it is ready it serves itself for a while: a chain of its own, with decisions that
- * are thrown away, takes reqs from this very process and sends them to it as to units. Guards against a cold
+ * are thrown away, takes requests from this very process and sends them to it as to endpoints. Guards against a cold
  * virtual machine that meets a whole relay's load in its first second, falls behind and stays there.
  */
 final class StartupWarmUp {
@@ -53,7 +53,7 @@
 
     /**
      * @param at where this relay listens
-     * @param clients takes the reqs that are not the rehearsal's own
+     * @param clients takes the requests that are not the rehearsal's own
      */
     StartupWarmUp(RelayConfig told, InetSocketAddress at, EventLoop turn, ClientListener front, HttpHandler clients,
               Consumer<StartupWarmUp> then) {
@@ -71,13 +71,13 @@
     void begin() {
         chain.gate.start(turn.nowUs());
         chain.open();
-        List<Endpoint> units = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < UNITS; i++) {
-            units.add(new Endpoint("rehearsal-" + i, i % 4 == 0 ? 1 : 0, i % 2, i % 2, 0, Endpoint.Health.READY,
+            endpoints.add(new Endpoint("rehearsal-" + i, i % 4 == 0 ? 1 : 0, i % 2, i % 2, 0, Endpoint.Health.READY,
                 0));
-            chain.addresses.put(at, units.get(i));
+            chain.addresses.put(at, endpoints.get(i));
         }
-        chain.gate.listed(turn.nowUs(), DecisionEngine.ListForm.FULL, units);
+        chain.gate.listed(turn.nowUs(), DecisionEngine.ListForm.FULL, endpoints);
         chain.gate.news(turn.nowUs(), 1, 0, DecisionEngine.Phase.TRIAL, 0.3, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
         front.admit(this::handle, false);
         for (int i = 0; i < AT_ONCE; i++) {
@@ -88,8 +88,8 @@
     }
 
     /**
-     * Who takes reqs in once the rehearsal has ended. Guards against a try of the rehearsal that is read only
-     * then, and that no unit may see; harms nobody, as its ids are this start's own.
+     * Who takes requests in once the rehearsal has ended. Guards against an attempt of the rehearsal that is read only
+     * then, and that no endpoint may see; harms nobody, as its ids are this start's own.
      */
     HttpHandler before(HttpHandler real) {
         return exchange -> {
@@ -107,9 +107,9 @@
     }
 
     /**
-     * The same req comes twice: first from a client, then as to a unit, while the first is still open.
+     * The same request comes twice: first from a client, then as to an endpoint, while the first is still open.
      *
-     * <p>Guards against clients that come before this relay is ready: their reqs must not be rehearsed with,
+     * <p>Guards against clients that come before this relay is ready: their requests must not be rehearsed with,
      * as nobody but this relay would answer them. They are held, and the rehearsal ends at once. Should hold
      * whenever they come; could harm where thousands come then, as the code is less warm for them.
      */
@@ -172,7 +172,7 @@
         LOG.log(Level.INFO, "rehearsed " + asked + " reqs: " + counters);
         chain.orders.stop();
         own.stop();
-        chain.units.stop();
+        chain.endpoints.stop();
         then.accept(this);
     }
 }
--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 
 /**
- * What the plan in force means for each req: its entry, its limits, the units it may reach, its further
- * tries. A req
+ * What the plan in force means for each request: its entry, its limits, the endpoints it may reach, its further
+ * tries. A request
  * ends under the plan that took it; what limits and budgets have counted goes on from plan to plan. One
  * thread calls
  * it.
@@ -22,9 +22,9 @@
 public final class Admission {
     /** Traffic of a route is remembered so long. */
     private static final double TRAFFIC_US = 60e6;
-    /** So much of it counts as traffic: about one req in the last minute. */
+    /** So much of it counts as traffic: about one request in the last minute. */
     private static final double SOME_TRAFFIC = 0.3;
-    /** Further tries are had at once, beyond the budget's share. */
+    /** retries are had at once, beyond the budget's share. */
     private static final double FREE_TRIES = 3;
     private static final double BUDGET_US = 10e6;
 
@@ -37,7 +37,7 @@
     private CompiledConfig plan;
     private long unmatched;
 
-    /** @param mostDropped of all ready units that routes reach, the share that one version may stop using */
+    /** @param mostDropped of all ready endpoints that routes reach, the share that one version may stop using */
     public Admission(double mostDropped) {
         this.mostDropped = mostDropped;
     }
@@ -60,13 +60,13 @@
         }
     }
 
-    /** Further tries that a policy has had, beside its reqs; goes on while its name stays. */
+    /** retries that a policy has had, beside its requests; goes on while its name stays. */
     private static final class Budget {
-        private final Rate reqs = new Rate();
+        private final Rate requests = new Rate();
         private final Rate further = new Rate();
     }
 
-    /** Where a req leads. */
+    /** Where a request leads. */
     public static final class Way {
         private final CompiledConfig plan;
         private final RouteEntry entry;
@@ -90,7 +90,7 @@
         }
     }
 
-    /** A req under the plan that took it. */
+    /** A request under the plan that took it. */
     public final class Pass implements RequestConstraints {
         private final Way way;
         private final String pool;
@@ -104,7 +104,7 @@
             this.pool = way.entry.pool() == null ? null : muster.serving(nowUs, way.entry.pool());
             this.retries = way.plan.retries(way.entry, pool);
             this.budget = budgets.computeIfAbsent(retries.name(), n -> new Budget());
-            budget.reqs.add(nowUs, BUDGET_US);
+            budget.requests.add(nowUs, BUDGET_US);
         }
 
         /** It was shed, and may come back after {@link #pauseUs}. */
@@ -141,19 +141,19 @@
          * holds.
          */
         @Override
-        public boolean reaches(String unit) {
-            return pool == null || (way.plan == plan ? muster.stands(pool, unit)
-                : muster.selects(way.plan.pools().get(pool), unit));
+        public boolean reaches(String endpoint) {
+            return pool == null || (way.plan == plan ? muster.stands(pool, endpoint)
+                : muster.selects(way.plan.pools().get(pool), endpoint));
         }
 
         @Override
-        public int mostTries() {
+        public int mostAttempts() {
             return retries.most();
         }
 
         @Override
-        public long tryUs() {
-            return retries.tryUs();
+        public long attemptUs() {
+            return retries.attemptUs();
         }
 
         @Override
@@ -162,7 +162,7 @@
                 return false;
             }
             boolean within = budget.further.read(nowUs, BUDGET_US)
-                < FREE_TRIES + retries.budget() * budget.reqs.read(nowUs, BUDGET_US);
+                < FREE_TRIES + retries.budget() * budget.requests.read(nowUs, BUDGET_US);
             if (within) {
                 budget.further.add(nowUs, BUDGET_US);
             }
@@ -175,14 +175,14 @@
         return plan;
     }
 
-    /** Where a req leads; null: no entry is for it. */
+    /** Where a request leads; null: no entry is for it. */
     public Way way(RequestAttributes asked) {
         RouteEntry entry = plan == null ? null : plan.entry(asked);
         return entry == null ? null : new Way(plan, entry);
     }
 
     /**
-     * 0, or the status with which a req is turned away whatever its class: a unit may read its path as
+     * 0, or the status with which a request is turned away whatever its class: an endpoint may read its path as
      * another's, or
      * no entry is for it and the plan refuses such.
      */
@@ -191,7 +191,7 @@
         return RouteMatch.odd(asked.path()) ? 400 : way == null && plan.refusesUnmatched() ? 404 : 0;
     }
 
-    /** A req that is whole asks to be taken: it passes, waits or is shed at once. */
+    /** A request that is whole asks to be taken: it passes, waits or is shed at once. */
     public Pass ask(long nowUs, Way way, int tenant, long endUs, QueuedRequest waiting) {
         traffic.computeIfAbsent(way.entry.name(), n -> new Rate()).add(nowUs, TRAFFIC_US);
         // It may have been matched before another version came in force; it goes on by the one it was matched
@@ -203,7 +203,7 @@
         return pass;
     }
 
-    /** A limit's terms are those in force, also for a req matched by the version before. */
+    /** A limit's terms are those in force, also for a request matched by the version before. */
     private List<LimitPolicy> current(Way way) {
         if (way.plan == plan) {
             return way.entry.limits();
@@ -224,7 +224,7 @@
         return limits.nextUs(nowUs);
     }
 
-    /** The list of units, or a part of it; {@code labels} that units bear, by unit. */
+    /** The list of endpoints, or a part of it; {@code labels} that endpoints bear, by endpoint. */
     public void listed(long nowUs,
         DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
         muster.listed(nowUs, form, entries, labels);
@@ -250,9 +250,9 @@
                     + " is gone, and had reqs in the last minute", "name it under removes, or put it back"));
             }
         }
-        int[] units = muster.reachedAndNot(plan, next);
-        if (units[1] > mostDropped * units[0]) {
-            findings.add(new Diagnostic("B-UNITS", true, "/pools", 0, 0, units[1] + " of " + units[0]
+        int[] endpoints = muster.reachedAndNot(plan, next);
+        if (endpoints[1] > mostDropped * endpoints[0]) {
+            findings.add(new Diagnostic("B-UNITS", true, "/pools", 0, 0, endpoints[1] + " of " + endpoints[0]
                 + " units that routes reach would get no reqs any more", "do it in steps of less than "
                 + Math.round(mostDropped * 100) + "%, or mend the pools"));
         }
@@ -265,7 +265,7 @@
         muster.follow(nowUs, next);
         limits.follow(nowUs, next.limits());
         traffic.keySet().removeIf(n -> !next.entries().containsKey(n));
-        // Those still held by reqs of the version before go on there until these end.
+        // Those still held by requests of the version before go on there until these end.
         budgets.keySet().retainAll(next.policies());
     }
 
--- a/src/main/java/gatelock/config/CompiledConfig.java
+++ b/src/main/java/gatelock/config/CompiledConfig.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A version made ready for use. It never changes; a req ends under the one that took it. */
+/** A version made ready for use. It never changes; a request ends under the one that took it. */
 public final class CompiledConfig {
     private final ConfigVersion stamp;
     private final String by;
@@ -24,7 +24,7 @@
     private final List<RouteEntry> byPlace;
     private final RouteTable<RouteEntry> table;
     private final Map<String, List<String>> chains = new HashMap<>();
-    /** Ways to choose units that differ; many pools may share one. */
+    /** Ways to choose endpoints that differ; many pools may share one. */
     private final List<Pool> selectors = new ArrayList<>();
     private final Map<String, Integer> selectorOf = new HashMap<>();
     private final List<Pool> reaching = new ArrayList<>();
@@ -94,7 +94,7 @@
         return refusesUnmatched;
     }
 
-    /** The entry that a req meets, or null. */
+    /** The entry that a request meets, or null. */
     RouteEntry entry(RequestAttributes asked) {
         return table.first(asked);
     }
@@ -126,14 +126,14 @@
     }
 
     /**
-     * What further tries a req of an entry may have while that pool serves it: the entry's, its pool's, the
+     * What retries a request of an entry may have while that pool serves it: the entry's, its pool's, the
      * default.
      */
     RetryPolicy retries(RouteEntry entry, String pool) {
         return entry.retries() != null ? entry.retries() : poolRetries.getOrDefault(pool, defaultRetries);
     }
 
-    /** Ways to choose units that differ, as pools without a name. */
+    /** Ways to choose endpoints that differ, as pools without a name. */
     List<Pool> selectors() {
         return selectors;
     }
@@ -143,12 +143,12 @@
         return selectorOf.get(pool.name());
     }
 
-    /** Whether some req can reach units of this sort. */
+    /** Whether some request can reach endpoints of this sort. */
     boolean reaches(int zone, int kind, Map<String, String> labels) {
         return reachesAll || reaching.stream().anyMatch(p -> p.selects(zone, kind, labels));
     }
 
-    /** Names of all policies that some req can come under. */
+    /** Names of all policies that some request can come under. */
     Set<String> policies() {
         return policies;
     }
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -146,7 +146,7 @@
             labels, node.path("fallback").asText(null), node.path("leastShare").asDouble(0));
     }
 
-    /** What a list names, by place; a name that the deployment has not is of no unit. */
+    /** What a list names, by place; a name that the deployment has not is of no endpoint. */
     private static Set<Integer> places(JsonNode names, List<String> known) {
         Set<Integer> places = new HashSet<>();
         names.forEach(n -> places.add(known.indexOf(n.asText())));
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -7,7 +7,7 @@
 import java.util.TreeSet;
 
 /**
- * Two plans compared by what they mean for reqs, not by their text: where the meaning is the same there is
+ * Two plans compared by what they mean for requests, not by their text: where the meaning is the same there is
  * nothing
  * to say, however the text was moved about.
  */
@@ -26,7 +26,7 @@
         this.grounds = grounds;
     }
 
-    /** A line for each thing that changes for some reqs; none where the two mean the same. */
+    /** A line for each thing that changes for some requests; none where the two mean the same. */
     public static List<String> of(CompiledConfig before, CompiledConfig after, DeploymentContext grounds) {
         ConfigDiff diff = new ConfigDiff(before, after, grounds);
         diff.unmatched();
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Where the reqs that an entry is for go in the other version, as far as one req tells. */
+    /** Where the requests that an entry is for go in the other version, as far as one request tells. */
     private static String landsNow(RouteEntry e, CompiledConfig other) {
         RouteEntry there = other.entry(example(e.match()));
         return there == null ? "" : "; in the other version they meet " + there.name();
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Entries that stay but change places, told by one req for which both of a pair are. */
+    /** Entries that stay but change places, told by one request for which both of a pair are. */
     private void order() {
         TreeSet<String> said = new TreeSet<>();
         for (RouteEntry is : after.entries().values()) {
@@ -115,7 +115,7 @@
         lines.addAll(said);
     }
 
-    /** Whether an entry is for the same reqs in both versions. */
+    /** Whether an entry is for the same requests in both versions. */
     private boolean same(RouteEntry e) {
         RouteEntry was = before.entries().get(e.name());
         RouteEntry is = after.entries().get(e.name());
@@ -123,7 +123,7 @@
     }
 
     /**
-     * A req for which both are, or null where there is none; the second one's path leads to the first one's.
+     * A request for which both are, or null where there is none; the second one's path leads to the first one's.
      */
     private static RequestAttributes example(RouteMatch one, RouteMatch other) {
         TreeSet<String> methods = new TreeSet<>(one.methods().isEmpty() ? other.methods() : one.methods());
--- a/src/main/java/gatelock/config/ConfigValidator.java
+++ b/src/main/java/gatelock/config/ConfigValidator.java
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Where reqs of a route go, and whether they may. */
+    /** Where requests of a route go, and whether they may. */
     private void leads(ResolvedConfig.Line line, String at) {
         Integer classNo = line.className() == null ? null : grounds.classes().get(line.className());
         if (classNo == null) {
@@ -260,7 +260,7 @@
     }
 
     /**
-     * Rule 2, before anything is sent: no way by which a non-retriable req gets to a policy under which a req
+     * Rule 2, before anything is sent: no way by which a non-retriable request gets to a policy under which a request
      * that may
      * have run is sent again. The module would not do so; a version that asks for it is a mistake of its
      * author's.
@@ -299,7 +299,7 @@
         }
     }
 
-    /** A repeat must meet the units that drop it: one zone's or one cell's. */
+    /** A repeat must meet the endpoints that drop it: one zone's or one cell's. */
     private void groups(ResolvedConfig.Line line, RoutePolicy terms) {
         if (terms.group() == RoutePolicy.Group.ALL) {
             return;
--- a/src/main/java/gatelock/config/LimitPolicy.java
+++ b/src/main/java/gatelock/config/LimitPolicy.java
@@ -1,12 +1,12 @@
 package gatelock.config;
 
 /**
- * A bound on reqs.
+ * A bound on requests.
  *
- * @param perUs reqs a microsecond, or infinite
- * @param burst reqs that may come at once
- * @param inFlight reqs not answered yet at a time
- * @param queueLength reqs that may wait; 0: none
+ * @param perUs requests a microsecond, or infinite
+ * @param burst requests that may come at once
+ * @param inFlight requests not answered yet at a time
+ * @param queueLength requests that may wait; 0: none
  * @param waitUs how long one may wait
  */
 record LimitPolicy(String name, Per per, double perUs, double burst, int inFlight, int queueLength, long waitUs) {
--- a/src/main/java/gatelock/config/Pool.java
+++ b/src/main/java/gatelock/config/Pool.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * Units that serve together.
+ * Endpoints that serve together.
  *
  * @param zones by place; empty: any
  * @param kinds by place; empty: any
- * @param labels that a unit must bear, all of them
+ * @param labels that an endpoint must bear, all of them
  * @param fallback serves when too few of these do; null: none
- * @param leastShare of the units that this pool lately had
+ * @param leastShare of the endpoints that this pool lately had
  */
 record Pool(String name, Set<Integer> zones, Set<Integer> kinds, Map<String, String> labels, String fallback,
             double leastShare) {
--- a/src/main/java/gatelock/config/PoolMembership.java
+++ b/src/main/java/gatelock/config/PoolMembership.java
@@ -12,30 +12,30 @@
 import java.util.Set;
 
 /**
- * Which units stand in which pool of the plan in force, and which pool serves in place of another. Units are
+ * Which endpoints stand in which pool of the plan in force, and which pool serves in place of another. Endpoints are
  * kept by their
  * sort, which is all that a pool can choose by: a new plan costs as much as there are sorts times ways to
  * choose, whatever the
- * number of units, routes and pools.
+ * number of endpoints, routes and pools.
  */
 final class PoolMembership {
-    /** How long it takes until a pool that lost units for good is measured by those it has. */
+    /** How long it takes until a pool that lost endpoints for good is measured by those it has. */
     private static final double MEMORY_US = 300e6;
     /** Back from a fallback only with so many times the least share: no swinging at the bound. */
     private static final double BACK_AT = 1.1;
 
-    private final Map<String, Member> units = new HashMap<>();
+    private final Map<String, Member> endpoints = new HashMap<>();
     private final Map<Sort, Sort> sorts = new HashMap<>();
     private Map<String, Stand> stands = Map.of();
     private int[] ready = new int[0];
     private CompiledConfig plan;
 
-    /** Units alike in all that a pool can choose by. */
+    /** Endpoints alike in all that a pool can choose by. */
     private static final class Sort {
         private final int zone;
         private final int kind;
         private final Map<String, String> labels;
-        private int units;
+        private int endpoints;
         private int ready;
         /** The selectors of the plan in force that choose them. */
         private BitSet chosenBy = new BitSet();
@@ -74,7 +74,7 @@
             this.selector = selector;
         }
 
-        /** Updates and tells how many units it lately had. */
+        /** Updates and tells how many endpoints it lately had. */
         double usual(long nowUs, int ready) {
             double fade = nowUs > usualAtUs ? Math.exp((usualAtUs - nowUs) / MEMORY_US) : 1;
             usual = Math.max(ready, ready + (usual - ready) * fade);
@@ -83,7 +83,7 @@
         }
     }
 
-    /** The list of units, or a part of it, has come in. */
+    /** The list of endpoints, or a part of it, has come in. */
     void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries,
                 Map<String, Map<String, String>> borne) {
         if (form == DecisionEngine.ListForm.FAILED) {
@@ -93,8 +93,8 @@
         stands.values().forEach(s -> s.usual(nowUs, ready[s.selector]));
         if (form != DecisionEngine.ListForm.DELTA) {
             Set<String> named = new HashSet<>();
-            entries.forEach(l -> named.add(l.unit()));
-            for (Iterator<Map.Entry<String, Member>> all = units.entrySet().iterator(); all.hasNext(); ) {
+            entries.forEach(l -> named.add(l.endpoint()));
+            for (Iterator<Map.Entry<String, Member>> all = endpoints.entrySet().iterator(); all.hasNext(); ) {
                 Map.Entry<String, Member> e = all.next();
                 if (!named.contains(e.getKey())) {
                     all.remove();
@@ -103,18 +103,18 @@
             }
         }
         for (Endpoint l : entries) {
-            Member was = units.remove(l.unit());
+            Member was = endpoints.remove(l.endpoint());
             if (was != null) {
                 count(was, -1);
             }
             if (l.health() != Endpoint.Health.GONE) {
-                Sort sort = sort(new Sort(l.zone(), l.kind(), borne.getOrDefault(l.unit(), Map.of())));
+                Sort sort = sort(new Sort(l.zone(), l.kind(), borne.getOrDefault(l.endpoint(), Map.of())));
                 Member is = new Member(sort, l.health() == Endpoint.Health.READY);
-                units.put(l.unit(), is);
+                endpoints.put(l.endpoint(), is);
                 count(is, 1);
             }
         }
-        sorts.keySet().removeIf(s -> s.units == 0);
+        sorts.keySet().removeIf(s -> s.endpoints == 0);
     }
 
     private Sort sort(Sort like) {
@@ -135,7 +135,7 @@
     }
 
     private void count(Member member, int by) {
-        member.sort.units += by;
+        member.sort.endpoints += by;
         if (member.ready) {
             member.sort.ready += by;
             member.sort.chosenBy.stream().forEach(i -> ready[i] += by);
@@ -167,7 +167,7 @@
         }
     }
 
-    /** The pool that serves in place of this one now: itself, or the first fallback that has units enough. */
+    /** The pool that serves in place of this one now: itself, or the first fallback that has endpoints enough. */
     String serving(long nowUs, String pool) {
         List<String> chain = plan.chain(pool);
         for (String name : chain) {
@@ -188,16 +188,16 @@
         return pool;
     }
 
-    /** Whether a unit stands in a pool of the plan in force. */
-    boolean stands(String pool, String unit) {
-        Member member = units.get(unit);
+    /** Whether an endpoint stands in a pool of the plan in force. */
+    boolean stands(String pool, String endpoint) {
+        Member member = endpoints.get(endpoint);
         Stand s = stands.get(pool);
         return member != null && s != null && member.sort.chosenBy.get(s.selector);
     }
 
     /** The same of a pool whose plan is in force no more. */
-    boolean selects(Pool pool, String unit) {
-        Member member = units.get(unit);
+    boolean selects(Pool pool, String endpoint) {
+        Member member = endpoints.get(endpoint);
         return member != null && pool.selects(member.sort.zone, member.sort.kind, member.sort.labels);
     }
 
@@ -206,7 +206,7 @@
         return s == null ? 0 : ready[s.selector];
     }
 
-    /** Ready units that a plan's routes can reach, and of these, how many another's can not. */
+    /** Ready endpoints that a plan's routes can reach, and of these, how many another's can not. */
     int[] reachedAndNot(CompiledConfig by, CompiledConfig other) {
         int reached = 0;
         int not = 0;
--- a/src/main/java/gatelock/config/QueuedRequest.java
+++ b/src/main/java/gatelock/config/QueuedRequest.java
@@ -1,6 +1,6 @@
 package gatelock.config;
 
-/** Whoever brought a req, while its limits let it wait. */
+/** Whoever brought a request, while its limits let it wait. */
 public interface QueuedRequest {
     /** It may go on now. */
     void passes(long nowUs);
--- a/src/main/java/gatelock/config/RequestAttributes.java
+++ b/src/main/java/gatelock/config/RequestAttributes.java
@@ -3,7 +3,7 @@
 import java.util.function.UnaryOperator;
 
 /**
- * What a req's entry depends on.
+ * What a request's entry depends on.
  *
  * @param host without a port, or null
  * @param path as it came, without the query
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -79,7 +79,7 @@
             return (limit.perUs() == Double.POSITIVE_INFINITY || tokens >= 1) && inFlight < limit.inFlight();
         }
 
-        /** How long until the next req may pass, as far as it is known; in flight: as one that is short. */
+        /** How long until the next request may pass, as far as it is known; in flight: as one that is short. */
         private long untilUs(long nowUs) {
             earn(nowUs);
             boolean rated = limit.perUs() < Double.POSITIVE_INFINITY && tokens < 1;
@@ -91,7 +91,7 @@
     /** To come back to a limit that has its fill in flight. */
     private static final long BUSY_US = 100_000;
 
-    /** A req that asks its limits; holds of each what it took until it is answered. */
+    /** A request that asks its limits; holds of each what it took until it is answered. */
     final class Ticket {
         private final int tenant;
         private final List<Count> counts;
@@ -112,7 +112,7 @@
             return waitsFor != null;
         }
 
-        /** The req is answered, or its client left: what it held is free, and who waits may come. */
+        /** The request is answered, or its client left: what it held is free, and who waits may come. */
         void over(long nowUs) {
             if (waitsFor != null) {
                 leaveQueue(this);
@@ -136,11 +136,11 @@
     /** What came of asking. */
     enum Answer { PASSES, WAITS, SHED }
 
-    /** What a req was told, its ticket unless it was shed, and when it may come back if so. */
+    /** What a request was told, its ticket unless it was shed, and when it may come back if so. */
     record Told(Answer answer, Ticket ticket, long pauseUs) {
     }
 
-    /** A req asks all its limits at once: of all or of none it takes its part. */
+    /** A request asks all its limits at once: of all or of none it takes its part. */
     Told ask(long nowUs, List<LimitPolicy> limits, String route, int tenant, long endUs, QueuedRequest waiting) {
         if (limits.isEmpty()) {
             return new Told(Answer.PASSES, null, 0);
--- a/src/main/java/gatelock/config/RouteEntry.java
+++ b/src/main/java/gatelock/config/RouteEntry.java
@@ -7,7 +7,7 @@
  *
  * @param place in the version's list of routes
  * @param classNo of the class whose terms hold
- * @param pool null: all units
+ * @param pool null: all endpoints
  * @param sessions what is agreed for WebSocket sessions; null: none are
  * @param retries that the entry itself leads to; null where its pool's or the default's hold
  */
--- a/src/main/java/gatelock/config/RouteExplainer.java
+++ b/src/main/java/gatelock/config/RouteExplainer.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a plan does with a req, said before one comes. */
+/** What a plan does with a request, said before one comes. */
 public final class RouteExplainer {
     private RouteExplainer() {
     }
 
-    /** Each point by its name: entry, class, pools in order, limits, further tries. */
+    /** Each point by its name: entry, class, pools in order, limits, retries. */
     public static Map<String, Object> of(CompiledConfig plan, DeploymentContext grounds, RequestAttributes asked) {
         Map<String, Object> said = new LinkedHashMap<>();
         if (RouteMatch.odd(asked.path())) {
@@ -31,12 +31,12 @@
         List<String> limits = new ArrayList<>();
         entry.limits().forEach(l -> limits.add(words(l)));
         said.put("limits", limits);
-        Map<String, String> tries = new LinkedHashMap<>();
+        Map<String, String> attempts = new LinkedHashMap<>();
         if (chain.isEmpty()) {
-            tries.put("all units", words(plan.retries(entry, null)));
+            attempts.put("all units", words(plan.retries(entry, null)));
         }
-        chain.forEach(p -> tries.put(p, words(plan.retries(entry, p))));
-        said.put("tries", tries);
+        chain.forEach(p -> attempts.put(p, words(plan.retries(entry, p))));
+        said.put("tries", attempts);
         return said;
     }
 
@@ -65,7 +65,7 @@
             .filter(e -> e != gatelock.api.AttemptResult.NOT_SENT).map(e -> e.name()
             .toLowerCase(java.util.Locale.ROOT)
             .replace('_', '-')).sorted().toList() + ", further ones up to " + number(r.budget()) + " of reqs")
-            + (r.tryUs() > 0 ? ", each for " + r.tryUs() / 1000 + " ms" : "");
+            + (r.attemptUs() > 0 ? ", each for " + r.attemptUs() / 1000 + " ms" : "");
     }
 
     private static String number(double n) {
--- a/src/main/java/gatelock/config/RouteMatch.java
+++ b/src/main/java/gatelock/config/RouteMatch.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /**
- * Which reqs an entry is for.
+ * Which requests an entry is for.
  *
  * @param host a name, {@code *.} and a name for all hosts under it, or {@code *} for any
- * @param segments of the path that a req's path begins with; none: any path
+ * @param segments of the path that a request's path begins with; none: any path
  * @param methods empty: any
  * @param headers by name in lower case: the value, or {@code *} for any value
  */
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Guards against a path that a unit may read as another one than this relay does, and that would pass by
+     * Guards against a path that an endpoint may read as another one than this relay does, and that would pass by
      * an entry
-     * meant for it: dots that go up, or a slash or dot in disguise. Should hold for any unit that tidies
+     * meant for it: dots that go up, or a slash or dot in disguise. Should hold for any endpoint that tidies
      * paths; harms
      * a client that really has such names, which is told so.
      */
@@ -80,7 +80,7 @@
         return true;
     }
 
-    /** Whether this is for all reqs that the other is for. */
+    /** Whether this is for all requests that the other is for. */
     boolean covers(RouteMatch other) {
         boolean wholeHost = host.equals("*") || host.equals(other.host)
             || host.startsWith("*.") && other.host.endsWith(host.substring(1))
--- a/src/main/java/gatelock/config/RouteTable.java
+++ b/src/main/java/gatelock/config/RouteTable.java
@@ -7,7 +7,7 @@
 import java.util.function.BiPredicate;
 
 /**
- * An ordered table of matches, of which the first that fits a req holds. Kept as a compressed trie over the
+ * An ordered table of matches, of which the first that fits a request holds. Kept as a compressed trie over the
  * segments
  * of paths: an edge bears as many segments as lead to no choice, a node those entries whose path ends there,
  * by host
--- a/src/main/java/gatelock/config/StartupQueue.java
+++ b/src/main/java/gatelock/config/StartupQueue.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * What came before this relay knows its units, in order, each with what is to be done once it may go on. Guards
- * against reqs of clients of an earlier life, which come as soon as the relay listens, and that must not go by a list
+ * What came before this relay knows its endpoints, in order, each with what is to be done once it may go on. Guards
+ * against requests of clients of an earlier life, which come as soon as the relay listens, and that must not go by a list
  * from before the restart. Could harm where a start takes longer than clients wait: those are given up one by one.
  *
  * @param <T> whatever waits; equal only to itself
--- a/src/main/java/gatelock/config/package-info.java
+++ b/src/main/java/gatelock/config/package-info.java
@@ -4,7 +4,7 @@
  * force
  * ({@link gatelock.config.CompiledConfig}), which versions follow one another ({@link gatelock.config.VersionTracker}), and
  * what it
- * means for a req ({@link gatelock.config.Admission}). Nothing here does I/O or reads a clock; times are whole
+ * means for a request ({@link gatelock.config.Admission}). Nothing here does I/O or reads a clock; times are whole
  * microseconds that the caller brings.
  */
 package gatelock.config;
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -37,7 +37,7 @@
 /**
  * The operator's listener, on loopback: status, history, the text of a version, going back to one and letting
  * the control
- * service lead again. Few connections at a time; nothing of it is on the way of reqs.
+ * service lead again. Few connections at a time; nothing of it is on the way of requests.
  */
 public final class AdminServer {
     private static final int MOST = 8;
@@ -57,7 +57,7 @@
         this.subscription = subscription;
     }
 
-    /** Shows the list of units too. */
+    /** Shows the list of endpoints too. */
     public void shows(Supplier<DiscoveryClient.State> list) {
         this.list = list;
     }
--- a/src/main/java/gatelock/decision/IdleConnectionEstimate.java
+++ b/src/main/java/gatelock/decision/IdleConnectionEstimate.java
@@ -1,6 +1,6 @@
 package gatelock.decision;
 
-/** Connections to one unit that stand without a req, each kept for so long. */
+/** Connections to one endpoint that stand without a request, each kept for so long. */
 final class IdleConnectionEstimate {
     private int idle;
     private long leftUs = Long.MIN_VALUE / 2;
@@ -10,12 +10,12 @@
         return idle > 0 && nowUs - leftUs < keptUs;
     }
 
-    /** A req goes out, on one that stands if there is any. */
+    /** A request goes out, on one that stands if there is any. */
     void use(long nowUs, long keptUs) {
         idle = stands(nowUs, keptUs) ? idle - 1 : 0;
     }
 
-    /** A req has left one that stands on. */
+    /** A request has left one that stands on. */
     void leave(long nowUs, long keptUs) {
         idle = (stands(nowUs, keptUs) ? idle : 0) + 1;
         leftUs = nowUs;
--- a/src/main/java/gatelock/decision/LatencyByLoad.java
+++ b/src/main/java/gatelock/decision/LatencyByLoad.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Rows {slowness against the usual under like load, slice}, highest first, of units older than so long.
-     * Where the earlier build never had as many in flight there is none: a trial unit that the cap fills
+     * Rows {slowness against the usual under like load, slice}, highest first, of endpoints older than so long.
+     * Where the earlier build never had as many in flight there is none: a canary endpoint that the cap fills
      * fuller proves nothing by that.
      */
     double[][] against(List<OutcomeWindow> slices, long warmUs) {
--- a/src/main/java/gatelock/decision/OutcomeWindow.java
+++ b/src/main/java/gatelock/decision/OutcomeWindow.java
@@ -24,14 +24,14 @@
         return outcomes(slices).filter(AttemptOutcome::failed).count() / (double) Math.max(1, seen(slices));
     }
 
-    static List<OutcomeWindow> without(List<OutcomeWindow> slices, List<Object> units) {
-        return units.isEmpty() ? slices : slices.stream().map(s -> new OutcomeWindow(s.number,
-            s.outcomes.stream().filter(o -> !units.contains(o.unit())).toList())).toList();
+    static List<OutcomeWindow> without(List<OutcomeWindow> slices, List<Object> endpoints) {
+        return endpoints.isEmpty() ? slices : slices.stream().map(s -> new OutcomeWindow(s.number,
+            s.outcomes.stream().filter(o -> !endpoints.contains(o.endpoint())).toList())).toList();
     }
 
     /**
-     * Without a share of the units, one at least: those worst by a figure in every other slice, and in the
-     * rest those worst in these. So none is left out for the very outcomes that are looked at: of few a unit,
+     * Without a share of the endpoints, one at least: those worst by a figure in every other slice, and in the
+     * rest those worst in these. So none is left out for the very outcomes that are looked at: of few an endpoint,
      * that would leave out any outcome that is bad by chance.
      */
     static List<OutcomeWindow> withoutWorst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
@@ -50,18 +50,18 @@
             s.outcomes.stream().filter(AttemptOutcome::failed).count()}).toArray(long[][]::new);
     }
 
-    /** A share of the units with outcomes, one at least: those with the highest mean of a figure. */
+    /** A share of the endpoints with outcomes, one at least: those with the highest mean of a figure. */
     static List<Object> worst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
         List<Object> all = worst(slices, figure);
         return all.subList(0, Math.min(all.size(), Math.max(1, (int) (all.size() * share))));
     }
 
-    /** The units with outcomes, those first whose outcomes have the highest mean of a figure. */
+    /** The endpoints with outcomes, those first whose outcomes have the highest mean of a figure. */
     static List<Object> worst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure) {
         Map<Object, double[]> sums = new LinkedHashMap<>();
         for (OutcomeWindow s : slices) {
             for (AttemptOutcome o : s.outcomes) {
-                double[] sum = sums.computeIfAbsent(o.unit(), u -> new double[2]);
+                double[] sum = sums.computeIfAbsent(o.endpoint(), u -> new double[2]);
                 sum[0] += figure.applyAsDouble(o);
                 sum[1] += 1;
             }
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -10,30 +10,30 @@
  * THE module: every decision of one relay. It is called through {@link DecisionEngine} and {@link RequestHandle} and calls out
  * on {@link DecisionActions}; all three stand in gatelock.api. One thread calls it; its clock is the calls'.
  *
- * <p>Read {@link Rq#place} first, the ordinary path of a req, then {@link #weigh}, that of a vote. The rest
- * is what these two ask: what a build may get (Build), what a unit may (Unit), how outcomes are weighed.
+ * <p>Read {@link RequestState#place} first, the ordinary path of a request, then {@link #weigh}, that of a vote. The rest
+ * is what these two ask: what a build may get (Build), what an endpoint may (Endpoint), how outcomes are weighed.
  */
 public final class ReleaseGate implements DecisionEngine {
 
     private static final long SECOND = 1_000_000;
     private static final long BEAT_US = SECOND / 4; // overdue tries are looked for, a verdict is drawn
 
-    /** Page (what its page gives): outcomes in slices of this length; with fewer on trial no verdict. */
+    /** Page (what its page gives): outcomes in slices of this length; with fewer canary no verdict. */
     private static final long SLICE_US = SECOND;
     private static final int FEWEST = 20;
     private static final int MOST_HELD = 300; // outcomes a slice; of more, a fair sample keeps a look quick
-    /** Page: both bars. Ours: 1.5 between builds, as units of one kind differ by a fifth. */
+    /** Page: both bars. Ours: 1.5 between builds, as endpoints of one kind differ by a fifth. */
     private static final double PERCENTILE = 0.9;
     private static final double FLEET_MARGIN = 1.25;
     private static final double MORE_WORK = 1.2; // the fleet against itself only while no more work comes
     private static final double MARGIN = 1.5;
     private static final double ERROR_BAR = 0.02;
-    /** Page: latency counts from units older than this, or than the time in which they are surely warm. */
+    /** Page: latency counts from endpoints older than this, or than the time in which they are surely warm. */
     private static final long WARM_UP_US = 3 * SECOND;
     private static final long PATIENCE_US = SECOND; // a close call holds so long past the least time
-    private static final long LONG_PATIENCE_US = 3 * SECOND; // page, if few units fail or counts decide
+    private static final long LONG_PATIENCE_US = 3 * SECOND; // page, if few endpoints fail or counts decide
     private static final long HOLD_LEAD_US = SECOND; // where a clock moves stages: a hold, before time is up
-    private static final double COUNTS_MARGIN = 2; // where the desk's counts decide, as like load is unknown
+    private static final double COUNTS_MARGIN = 2; // where the release controller's counts decide, as like load is unknown
     private static final int DRAWS = 200; // of the interval, with this share left out at either end (95%)
     private static final double TAIL = 0.025;
     private static final double TAIL_WIDTH = 1.96;
@@ -44,9 +44,9 @@
     private static final int FEWEST_SLICES = 3; // for a confident fail: two can't show a spread
     private static final long CONFIRM_ERRORS_US = 3 * SECOND / 2; // one look in many fails by chance
     private static final long CONFIRM_SLOW_US = 3 * SECOND;
-    private static final int LOAD_STEPS = 24; // like load: steps of one req in flight
+    private static final int LOAD_STEPS = 24; // like load: steps of one request in flight
     private static final double PRIOR = 4; // few outcomes are drawn to what all show, which weighs as so many
-    /** Troubles strike at most this share of the units with errors, and of those with slowness. */
+    /** Troubles strike at most this share of the endpoints with errors, and of those with slowness. */
     private static final double SICK_PART = 0.25;
     private static final double SLOW_PART = 0.5;
     private static final long WATCH_US = 12 * SECOND; // how long a released build is watched
@@ -55,51 +55,51 @@
     /** Votes: renewed after this share of their life; the wait after one that was turned away. */
     private static final double RENEW_AT = 0.6;
     private static final long REVOTE_US = 400_000;
-    private static final double AT_ONCE = 1.5; // times its rate, of the 2 that the desk takes at once
-    private static final double DESK_PART = 0.9; // of the desk's rate, what renewals of all relays may use
+    private static final double AT_ONCE = 1.5; // times its rate, of the 2 that the release controller takes at once
+    private static final double DESK_PART = 0.9; // of the release controller's rate, what renewals of all relays may use
     private static final double TURN_STEP = 0.382; // of all relays, how far turns move on with each stage
     private static final int VOICES_LOGGED = 2; // of all relays, so many log a vote that is not back
 
-    /** Measures of a unit fade over this time, and longer the less of the reqs one relay of many sees. */
+    /** Measures of an endpoint fade over this time, and longer the less of the requests one relay of many sees. */
     private static final double SPEED_MEMORY_US = 4.0 * SECOND;
     private static final double FEW_RELAYS = 8;
     private static final double LONGEST = 4;
     private static final double RATE_MEMORY_US = 3.0 * SECOND;
     private static final double WORK_MEMORY_US = 6.0 * SECOND;
-    /** In flight: measured rate x share of the objective; floors at one unit, and for all relays a unit. */
+    /** In flight: measured rate x share of the objective; floors at one endpoint, and for all relays an endpoint. */
     private static final double OBJECTIVE_SHARE = 0.4;
     private static final double INFLIGHT_FLOOR = 2;
     private static final double FLEET_FLOOR = 6;
     private static final double QUICK_TIMES = 3; // at most, while answers take less of the objective than
     private static final double QUICK_SHARE = 0.55;
-    private static final double ROOM_FOR_LEAST = 0.5; // of that room, what the least valuable reqs may use
-    /** Work of one place that a trial unit may be sent; of a cold one's rule, by what it surely can do. */
+    private static final double ROOM_FOR_LEAST = 0.5; // of that room, what the least valuable requests may use
+    /** Work of one place that a canary endpoint may be sent; of a cold one's rule, by what it surely can do. */
     private static final double TRIAL_TIMES = 1.5;
     private static final double COLD_PART = 0.75;
-    private static final double TRIAL_WAIT = 2; // of the earlier build's time, in flight at a trial unit
+    private static final double TRIAL_WAIT = 2; // of the earlier build's time, in flight at a canary endpoint
     private static final double SAVED_US = SECOND / 4.0; // the most time's worth that such a budget saves up
     private static final double TAKEN_PART = 0.25; // of work taken, where less was completed of late
-    /** A try is overdue after this long plus a multiple of what its work usually takes. */
+    /** An attempt is overdue after this long plus a multiple of what its work usually takes. */
     private static final long OVERDUE_US = 300_000;
     private static final double OVERDUE_TIMES = 3;
     private static final long STOOD_US = 600_000; // the relay itself stood still: no call, for two beats
-    private static final double SICK_ERRORS = 0.35; // out of use: of a unit's late outcomes and one good one
+    private static final double SICK_ERRORS = 0.35; // out of use: of an endpoint's late outcomes and one good one
     private static final double ZONE_MEMORY_US = 2.0 * SECOND; // tries by zone, and how many tell of one
     private static final double FEWEST_OF_ZONE = 2.5;
-    private static final double TRY_BAD = 0.1; // of its retriable reqs, still sent to a unit out of use
-    private static final double MOST = 0.6; // if more units look bad, the units are not the cause
+    private static final double TRY_BAD = 0.1; // of its retriable requests, still sent to an endpoint out of use
+    private static final double MOST = 0.6; // if more endpoints look bad, the endpoints are not the cause
 
     /** A route is odd if it needs so many times what another does; its part of the room if it is late too. */
     private static final double ODD_TIMES = 2.5;
     private static final double HOPELESS_PART = 0.15;
-    /** Where a new connection has a price, units looked at for two to which one stands: a look has none. */
+    /** Where a new connection has a price, endpoints looked at for two to which one stands: a look has none. */
     private static final int LOOKS = 8;
     /** Connections are few if more than this share of connects fail; one stands if used this long ago. */
     private static final double REFUSED_SHARE = 0.05;
     private static final long OPEN_US = SECOND / 4;
 
     private static final double RETRY_SHARE = 0.1;
-    private static final double RECONNECT = RETRY_SHARE; // no unit has worked: each req may go on once
+    private static final double RECONNECT = RETRY_SHARE; // no endpoint has worked: each request may go on once
     private static final double RETRY_BURST = 5;
     private static final long SHED_PAUSE_US = 500_000;
     private static final long ASK_AGAIN_US = 300_000;
@@ -112,9 +112,9 @@
     private final RelaySettings charter;
     private final DecisionActions out;
     private final RandomGenerator chance;
-    private final Map<String, Unit> units = new LinkedHashMap<>();
+    private final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
     private final TreeMap<Integer, Build> builds = new TreeMap<>();
-    private final Map<Long, Rq> byToken = new HashMap<>();
+    private final Map<Long, RequestState> byToken = new HashMap<>();
     private final Map<Long, Integer> pinned = new HashMap<>();
     private final DecayingSum[] cost;
     private final DecayingSum[] tenantRate;
@@ -132,7 +132,7 @@
     private boolean someBad = true;
     private final DecayingSum refused = new DecayingSum(WORK_MEMORY_US);
     private final DecayingSum heard = new DecayingSum(WORK_MEMORY_US);
-    private final Set<Rq.Try> triesOut = new LinkedHashSet<>();
+    private final Set<RequestState.Attempt> attemptsOut = new LinkedHashSet<>();
     private long nowUs;
     private long stoodUs = Long.MIN_VALUE / 2;
     private long stoodForUs;
@@ -163,7 +163,7 @@
     private final double topValue;
     private final int number;
     private final boolean many;
-    private final double unitMemoryUs;
+    private final double endpointMemoryUs;
     private long leastUs; // when the stage's least time has passed: from then on all relays' turns count
     private long verdictUs;
     private Verdict verdict = Verdict.NONE;
@@ -182,11 +182,11 @@
             Math.max(1, charter.rollout().backVotes()));
         this.stretch = Math.max(1, Bootstrap.normalWidth(logLevel) / TAIL_WIDTH);
         this.many = charter.relays() > FEW_RELAYS;
-        this.unitMemoryUs = SPEED_MEMORY_US * Math.min(LONGEST, Math.max(1, charter.relays() / FEW_RELAYS));
+        this.endpointMemoryUs = SPEED_MEMORY_US * Math.min(LONGEST, Math.max(1, charter.relays() / FEW_RELAYS));
         this.number = charter.number() >= 0 ? charter.number() : chance.nextInt(charter.relays());
     }
 
-    /** Guards against this relay having stood still: what then waits came late through no unit's fault. */
+    /** Guards against this relay having stood still: what then waits came late through no endpoint's fault. */
     private void clock(long nowUs) {
         if (nowUs - this.nowUs > STOOD_US && this.nowUs > 0) {
             stoodUs = nowUs;
@@ -211,35 +211,35 @@
     public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
                        RequestConstraints bounds) {
         clock(nowUs);
-        Rq rq = new Rq(id, route, tenant, key, nowUs + leftUs, costUs, bounds);
+        RequestState request = new RequestState(id, route, tenant, key, nowUs + leftUs, costUs, bounds);
         builds.values().forEach(b -> b.room.earn(route, b.capNow()));
         retryTokens = Math.min(RETRY_BURST, retryTokens + RETRY_SHARE);
         if (tenant < tenantRate.length) {
             tenantRate[tenant].add(nowUs, 1);
         }
-        taken.add(nowUs, rq.costUs);
-        byToken.put(rq.token, rq);
-        out.timer(leftUs, rq.token);
-        rq.place();
-        return rq;
+        taken.add(nowUs, request.costUs);
+        byToken.put(request.token, request);
+        out.timer(leftUs, request.token);
+        request.place();
+        return request;
     }
 
-    /** Rules 3 and 5 for what is not placed: nothing to a unit that leaves, to the trial within its cap. */
+    /** Rules 3 and 5 for what is not placed: nothing to an endpoint that leaves, to the canary within its cap. */
     @Override
-    public Passing message(long nowUs, String unit, int route, boolean first) {
+    public Passing message(long nowUs, String endpoint, int route, boolean first) {
         clock(nowUs);
-        Unit u = units.get(unit);
+        EndpointState u = endpoints.get(endpoint);
         if (first) {
             builds.values().forEach(b -> b.room.earn(route, b.capNow()));
         }
         if (u == null || !u.mayGetNew()) {
             return Passing.NEVER;
         }
-        boolean trial = u.build.onTrial();
-        if (trial && !u.build.room.has(route)) {
+        boolean canary = u.build.onCanary();
+        if (canary && !u.build.room.has(route)) {
             return Passing.LATER;
         }
-        u.build.room.take(route, trial ? 1 : 0);
+        u.build.room.take(route, canary ? 1 : 0);
         return Passing.NOW;
     }
 
@@ -256,31 +256,31 @@
         }
         askWaitUs = ASK_AGAIN_US;
         if (form != ListForm.DELTA) {
-            units.values().forEach(u -> u.health = Endpoint.Health.GONE);
+            endpoints.values().forEach(u -> u.health = Endpoint.Health.GONE);
         }
         for (Endpoint l : entries) {
-            Unit u = units.get(l.unit());
+            EndpointState u = endpoints.get(l.endpoint());
             if (u == null || u.at.startUs() != l.startUs() || u.build.number != l.build()) {
-                // A restarted or re-used id is a new unit: nothing of its past holds.
+                // A restarted or re-used id is a new endpoint: nothing of its past holds.
                 if (!builds.containsKey(l.build())) {
                     builds.values().stream().flatMap(b -> Stream.of(b.own, b.counts)).forEach(OutcomeHistory::keep);
                     takenBefore = work(taken);
                 }
-                u = new Unit(l, builds.computeIfAbsent(l.build(), Build::new));
-                units.put(l.unit(), u);
+                u = new EndpointState(l, builds.computeIfAbsent(l.build(), Build::new));
+                endpoints.put(l.endpoint(), u);
                 bootUs = l.build() == newest && l.startUs() >= stageFromUs ? nowUs - stageFromUs : bootUs;
             }
             u.health = l.health();
         }
         builds.values().forEach(b -> b.ready.clear());
-        // Ids, builds and keys come and go: a unit that left is forgotten with its last try, a build with its
-        // units once it is before all that is compared, a key once no build is left that it may not go to.
-        units.values().removeIf(u -> u.health == Endpoint.Health.GONE && u.out.isEmpty());
+        // Ids, builds and keys come and go: an endpoint that left is forgotten with its last attempt, a build with its
+        // endpoints once it is before all that is compared, a key once no build is left that it may not go to.
+        endpoints.values().removeIf(u -> u.health == Endpoint.Health.GONE && u.out.isEmpty());
         Build earlier = earlierThan(newest);
         builds.keySet().removeIf(n -> earlier != null && n < earlier.number
-            && units.values().stream().noneMatch(u -> u.build.number == n));
+            && endpoints.values().stream().noneMatch(u -> u.build.number == n));
         pinned.values().removeIf(n -> builds.isEmpty() || n <= builds.firstKey());
-        units.values().stream().filter(u -> u.health == Endpoint.Health.READY)
+        endpoints.values().stream().filter(u -> u.health == Endpoint.Health.READY)
             .forEach(u -> u.build.ready.add(u));
         places = Math.max(1, builds.values().stream().mapToInt(b -> b.ready.size()).max().orElse(0));
     }
@@ -291,7 +291,7 @@
         clock(nowUs);
         answerDue &= answer == VoteAnswer.NOT_ASKED;
         if (answer != VoteAnswer.NOT_ASKED && answer != VoteAnswer.COUNTED) {
-            // Guards against hammering a desk that turns votes away or is silent, whatever its reason.
+            // Guards against hammering a release controller that turns votes away or is silent, whatever its reason.
             stands = Verdict.NONE;
             voteNotBeforeUs = nowUs + REVOTE_US + chance.nextLong(REVOTE_US);
             return;
@@ -321,9 +321,9 @@
     }
 
     @Override
-    public void complaint(long nowUs, String unit, int route, long agoUs) {
+    public void complaint(long nowUs, String endpoint, int route, long agoUs) {
         clock(nowUs);
-        Unit u = units.get(unit);
+        EndpointState u = endpoints.get(endpoint);
         if (u != null && nowUs - agoUs >= u.at.startUs()) {
             // A wrong answer is an error of the build; it looked like any other when it came.
             u.build.record(u, true, false, 0, 0);
@@ -338,8 +338,8 @@
             long endUs = nowUs - agoUs;
             long age = b.ready.stream().map(u -> endUs - u.at.startUs()).sorted().skip(b.ready.size() / 2)
                 .findFirst().orElse(0L);
-            // They stand as outcomes of one unit a route, each route a kind of its own.
-            // The desk tells no try without an answer or a connection from an error; own endings do.
+            // They stand as outcomes of one endpoint a route, each route a kind of its own.
+            // The release controller tells no attempt without an answer or a connection from an error; own endings do.
             b.counts.add(new OutcomeWindow(endUs / SLICE_US, IntStream.range(0, count)
                 .filter(i -> i >= failed || chance.nextDouble() < heard.mean(nowUs, 1))
                 .mapToObj(i -> new AttemptOutcome(route, DESK - route, i < failed, false, meanUs, 0, age))
@@ -350,18 +350,18 @@
     @Override
     public void due(long nowUs, long token) {
         clock(nowUs);
-        Rq rq = byToken.get(token);
-        if (rq != null) {
-            rq.turnAway();
+        RequestState request = byToken.get(token);
+        if (request != null) {
+            request.turnAway();
         } else if (token == BEAT) {
             out.timer(BEAT_US, BEAT);
-            List.copyOf(triesOut).forEach(t -> t.unit.lookForOverdue(t));
-            // Guards against a zone cut off or gone before the list says so: all its units would be tried.
-            // Could harm where its sick units had the few tries: a tenth still goes there.
+            List.copyOf(attemptsOut).forEach(t -> t.endpoint.lookForOverdue(t));
+            // Guards against a zone cut off or gone before the list says so: all its endpoints would be tried.
+            // Could harm where its sick endpoints had the few attempts: a tenth still goes there.
             zones.look(nowUs, FEWEST_OF_ZONE, MOST, SICK_ERRORS);
-            List<Unit> there = builds.values().stream().flatMap(b -> b.ready.stream())
+            List<EndpointState> there = builds.values().stream().flatMap(b -> b.ready.stream())
                 .filter(u -> !zones.lost().contains(u.at.zone())).toList();
-            someBad = there.stream().filter(Unit::looksBad).count() <= MOST * there.size();
+            someBad = there.stream().filter(EndpointState::looksBad).count() <= MOST * there.size();
             weigh();
         } else if (token == ASK_LIST) {
             askSet = false;
@@ -369,9 +369,9 @@
         }
     }
 
-    // ---- A req --------------------------------------------------------------------------------------------
+    // ---- A request --------------------------------------------------------------------------------------------
 
-    private final class Rq implements RequestHandle {
+    private final class RequestState implements RequestHandle {
         private final String id;
         private final RoutePolicy route;
         private final int routeNo;
@@ -383,11 +383,11 @@
         /** What was set for it beyond the charter; asked only for less than would be done without. */
         private final RequestConstraints bounds;
         private final long token = nextToken++;
-        private final List<Try> tries = new ArrayList<>(2);
+        private final List<Attempt> attempts = new ArrayList<>(2);
         private boolean over;
         private int outNow;
 
-        Rq(String id, int routeNo, int tenant, long key, long endUs, long hintUs, RequestConstraints bounds) {
+        RequestState(String id, int routeNo, int tenant, long key, long endUs, long hintUs, RequestConstraints bounds) {
             this.id = id;
             this.bounds = bounds;
             this.routeNo = routeNo;
@@ -400,60 +400,60 @@
                 : Math.max(1, (long) cost[routeNo].mean(nowUs, route.objectiveUs() / 8.0));
         }
 
-        /** The ordinary path, for a first try and for any further one. */
+        /** The ordinary path, for a first attempt and for any further one. */
         private void place() {
-            boolean first = tries.isEmpty();
+            boolean first = attempts.isEmpty();
             double most = claim() * mostInFlight(route);
             boolean room = inFlight + chance.nextDouble() < most && (!hopeless(routeNo)
                 || routeInFlight[routeNo] + chance.nextDouble() < most * HOPELESS_PART);
-            // 1. First sends fill the cap of the build on trial.
-            Unit unit = first && room ? choose(true) : null;
+            // 1. First sends fill the cap of the canary build.
+            EndpointState endpoint = first && room ? choose(true) : null;
             // 2. The rest goes to the released build, and what it has no room for to those before it.
-            unit = unit != null || !room ? unit : choose(false);
-            // 3. A further try goes to the trial only if nowhere else: first sends have the cap.
-            unit = unit != null || first || !room ? unit : choose(true);
-            if (unit == null || nowUs >= endUs) {
+            endpoint = endpoint != null || !room ? endpoint : choose(false);
+            // 3. A retry goes to the canary only if nowhere else: first sends have the cap.
+            endpoint = endpoint != null || first || !room ? endpoint : choose(true);
+            if (endpoint == null || nowUs >= endUs) {
                 turnAway();
                 return;
             }
-            unit.build.room.take(routeNo, unit.build.onTrial() ? 1 : 0);
-            Try t = new Try(unit);
-            tries.add(t);
-            triesOut.add(t);
+            endpoint.build.room.take(routeNo, endpoint.build.onCanary() ? 1 : 0);
+            Attempt t = new Attempt(endpoint);
+            attempts.add(t);
+            attemptsOut.add(t);
             outNow++;
             inFlight++;
             routeInFlight[routeNo]++;
-            unit.sent(t);
-            out.send(id, unit.at.unit(), bounds.tryUs());
+            endpoint.sent(t);
+            out.send(id, endpoint.at.endpoint(), bounds.attemptUs());
         }
 
-        private Unit choose(boolean trial) {
+        private EndpointState choose(boolean canary) {
             return builds.descendingMap().values().stream()
-                .filter(b -> b.onTrial() == trial && b.mayTake(this)).map(b -> b.pick(this))
+                .filter(b -> b.onCanary() == canary && b.mayTake(this)).map(b -> b.pick(this))
                 .filter(Objects::nonNull).findFirst().orElse(null);
         }
 
         private boolean neverRan() {
-            return tries.stream().allMatch(Try::neverRan);
+            return attempts.stream().allMatch(Attempt::neverRan);
         }
 
-        /** Rule 2: whether a further try may go to this unit, after its first n tries. */
-        private boolean mayRepeatAt(Unit unit, int n) {
-            return route.repeat() == RoutePolicy.Repeat.RETRIABLE || tries.stream().limit(n).allMatch(t ->
+        /** Rule 2: whether a retry may go to this endpoint, after its first n tries. */
+        private boolean mayRepeatAt(EndpointState endpoint, int n) {
+            return route.repeat() == RoutePolicy.Repeat.RETRIABLE || attempts.stream().limit(n).allMatch(t ->
                 t.neverRan() || route.repeat() == RoutePolicy.Repeat.DEDUPED
                 && nowUs - t.sentUs < route.rememberUs() * 8 / 10 && switch (route.group()) {
                     case ALL -> true;
-                    case ZONE -> t.unit.at.zone() == unit.at.zone();
-                    case CELL -> t.unit.at.cell() == unit.at.cell();
+                    case ZONE -> t.endpoint.at.zone() == endpoint.at.zone();
+                    case CELL -> t.endpoint.at.cell() == endpoint.at.cell();
                 });
         }
 
-        /** A try has failed: one more, within the budget, or the final answer at once. */
+        /** An attempt has failed: one more, within the budget, or the final answer at once. */
         private void again() {
             boolean may = nowUs < endUs && (neverRan() || route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE);
-            AttemptResult last = tries.get(tries.size() - 1).ending;
+            AttemptResult last = attempts.get(attempts.size() - 1).ending;
             double price = last == AttemptResult.NOT_CONNECTED || last == AttemptResult.NOT_SENT ? RECONNECT : 1;
-            if (may && retryTokens >= price && tries.size() < Math.min(charter.tryLimit(), bounds.mostTries())
+            if (may && retryTokens >= price && attempts.size() < Math.min(charter.attemptLimit(), bounds.mostAttempts())
                     && bounds.goesOn(nowUs, last)) {
                 retryTokens -= price;
                 place();
@@ -479,15 +479,15 @@
         }
 
         @Override
-        public void ended(long now, int tryNo, AttemptResult ending, long tookUs, boolean isOver, LoadReport load) {
+        public void ended(long now, int attemptNo, AttemptResult ending, long tookUs, boolean isOver, LoadReport load) {
             clock(now);
-            Try t = tries.get(tryNo);
+            Attempt t = attempts.get(attemptNo);
             t.ending = ending;
             outNow--;
             inFlight -= t.overdue ? 0 : 1;
-            triesOut.remove(t);
+            attemptsOut.remove(t);
             routeInFlight[routeNo]--;
-            t.unit.ended(t, ending, tookUs, load);
+            t.endpoint.ended(t, ending, tookUs, load);
             if (!over && (isOver || ending == AttemptResult.COMPLETED)) {
                 finish();
             } else if (!over && (nowUs >= endUs || outNow == 0)) {
@@ -496,9 +496,9 @@
         }
 
         @Override
-        public boolean mayGo(long now, int tryNo) {
+        public boolean mayGo(long now, int attemptNo) {
             clock(now);
-            return !over && tries.get(tryNo).unit.mayGetNew() && mayRepeatAt(tries.get(tryNo).unit, tryNo);
+            return !over && attempts.get(attemptNo).endpoint.mayGetNew() && mayRepeatAt(attempts.get(attemptNo).endpoint, attemptNo);
         }
 
         @Override
@@ -512,7 +512,7 @@
             return over && outNow == 0;
         }
 
-        /** How much of a unit's room this req may use: by its value beside the most valuable. */
+        /** How much of an endpoint's room this request may use: by its value beside the most valuable. */
         private double claim() {
             double value = topValue > 0 ? route.value() / topValue : 1;
             if (tenant < tenantRate.length) {
@@ -524,19 +524,19 @@
             return ROOM_FOR_LEAST + (1 - ROOM_FOR_LEAST) * value;
         }
 
-        private final class Try {
-            private final Rq rq = Rq.this;
-            private final int number = tries.size();
+        private final class Attempt {
+            private final RequestState request = RequestState.this;
+            private final int number = attempts.size();
             private final long sentUs = nowUs;
-            private final Unit unit;
+            private final EndpointState endpoint;
             private final int ahead;
             private AttemptResult ending;
             private boolean cancelled;
             private boolean overdue;
 
-            Try(Unit unit) {
-                this.unit = unit;
-                this.ahead = unit.out.size();
+            Attempt(EndpointState endpoint) {
+                this.endpoint = endpoint;
+                this.ahead = endpoint.out.size();
             }
 
             private boolean neverRan() {
@@ -547,10 +547,10 @@
 
     // ---- A build ------------------------------------------------------------------------------------------
 
-    /** One build: its units, what it may get, and what came back from it. */
+    /** One build: its endpoints, what it may get, and what came back from it. */
     private final class Build {
         private final int number;
-        private final List<Unit> ready = new ArrayList<>();
+        private final List<EndpointState> ready = new ArrayList<>();
         private final OutcomeHistory own = new OutcomeHistory(EARLIER_SLICES, MOST_HELD, chance);
         private final OutcomeHistory counts = new OutcomeHistory(EARLIER_SLICES * charter.routes().size(), 0, chance);
         private final ExposureBudget room; // rule 5, by what the cap has earned
@@ -563,7 +563,7 @@
             room = new ExposureBudget(slots, charter.rollout().free());
         }
 
-        private boolean onTrial() {
+        private boolean onCanary() {
             return number > newest || number == newest && phase != Phase.RELEASED;
         }
 
@@ -572,61 +572,61 @@
             return number == newest ? cap : caps.length == 0 ? 0 : caps[0];
         }
 
-        private boolean mayTake(Rq rq) {
+        private boolean mayTake(RequestState request) {
             boolean guarded = (number == newest ? stage : 0) < charter.rollout().guardedStages();
-            return isOpen() && keyAllows(rq) && (!onTrial() || room.has(rq.routeNo)
-                && (!guarded || rq.route.repeat() == RoutePolicy.Repeat.RETRIABLE));
+            return isOpen() && keyAllows(request) && (!onCanary() || room.has(request.routeNo)
+                && (!guarded || request.route.repeat() == RoutePolicy.Repeat.RETRIABLE));
         }
 
-        /** Rule 5: nothing new to a build that went back, or that is on trial without a cap. */
+        /** Rule 5: nothing new to a build that went back, or that is canary without a cap. */
         private boolean isOpen() {
-            return !withdrawn.contains(number) && (!onTrial() || capNow() > 0);
+            return !withdrawn.contains(number) && (!onCanary() || capNow() > 0);
         }
 
         /** One-way keys: what a build has answered goes to no build before it, unless that was taken back. */
-        private boolean keyAllows(Rq rq) {
-            int floor = pinned.getOrDefault(rq.key, number);
+        private boolean keyAllows(RequestState request) {
+            int floor = pinned.getOrDefault(request.key, number);
             return number >= floor || withdrawn.contains(floor);
         }
 
         /** Two random choices, the one with the shorter expected wait; more only where one is refused. */
-        private Unit pick(Rq rq) {
-            Unit best = null;
-            double claim = rq.claim();
+        private EndpointState pick(RequestState request) {
+            EndpointState best = null;
+            double claim = request.claim();
             boolean few = connectionsAreFew();
             for (int i = 0, found = 0; i < ready.size() && found < 2; i++) {
                 Collections.swap(ready, i, i + chance.nextInt(ready.size() - i));
-                Unit u = ready.get(i);
-                boolean tryBad = rq.route.repeat() == RoutePolicy.Repeat.RETRIABLE && rq.tries.isEmpty()
+                EndpointState u = ready.get(i);
+                boolean attemptBad = request.route.repeat() == RoutePolicy.Repeat.RETRIABLE && request.attempts.isEmpty()
                     && chance.nextDouble() < TRY_BAD;
-                if (rq.bounds.reaches(u.at.unit()) && u.hasRoom(rq, claim)
-                        && rq.mayRepeatAt(u, rq.tries.size()) && rq.tries.stream().noneMatch(t -> t.unit == u)
-                        && (!someBad || tryBad || !u.looksBad())) {
+                if (request.bounds.reaches(u.at.endpoint()) && u.hasRoom(request, claim)
+                        && request.mayRepeatAt(u, request.attempts.size()) && request.attempts.stream().noneMatch(t -> t.endpoint == u)
+                        && (!someBad || attemptBad || !u.looksBad())) {
                     boolean open = few && u.connected();
                     boolean better = best == null || (few && open != best.connected() ? open
-                        : u.expectedWait(rq) < best.expectedWait(rq));
+                        : u.expectedWait(request) < best.expectedWait(request));
                     best = better ? u : best;
-                    boolean stands = charter.openingPrice() == 0 || onTrial() || u.lineStands();
+                    boolean stands = charter.openingPrice() == 0 || onCanary() || u.lineStands();
                     found += (few ? open : stands || i >= LOOKS - 1) ? 1 : 0;
                 }
             }
             return best;
         }
 
-        private void record(Unit unit, boolean failed, boolean late, double slowness, double load) {
-            long ageUs = unit.at.startUs() > 0 ? nowUs - unit.at.startUs() : Long.MAX_VALUE;
-            own.add(nowUs / SLICE_US, new AttemptOutcome(unit, unit.at.kind(), failed, late, slowness, load, ageUs));
+        private void record(EndpointState endpoint, boolean failed, boolean late, double slowness, double load) {
+            long ageUs = endpoint.at.startUs() > 0 ? nowUs - endpoint.at.startUs() : Long.MAX_VALUE;
+            own.add(nowUs / SLICE_US, new AttemptOutcome(endpoint, endpoint.at.kind(), failed, late, slowness, load, ageUs));
         }
     }
 
-    // ---- A unit -------------------------------------------------------------------------------------------
+    // ---- An endpoint -------------------------------------------------------------------------------------------
 
-    private final class Unit {
+    private final class EndpointState {
         private final Endpoint at;
         private final Build build;
-        private final Set<Rq.Try> out = new LinkedHashSet<>();
-        private final DecayingSum slowness = new DecayingSum(unitMemoryUs);
-        private final DecayingSum failures = new DecayingSum(unitMemoryUs);
+        private final Set<RequestState.Attempt> out = new LinkedHashSet<>();
+        private final DecayingSum slowness = new DecayingSum(endpointMemoryUs);
+        private final DecayingSum failures = new DecayingSum(endpointMemoryUs);
         private final DecayingSum answers = new DecayingSum(RATE_MEMORY_US);
         private final DecayingSum ahead = new DecayingSum(RATE_MEMORY_US);
         private double budget = -chance.nextDouble() * meanCost();
@@ -637,20 +637,20 @@
         private long waitingAtUs = Long.MIN_VALUE / 2;
         private final IdleConnectionEstimate lines = new IdleConnectionEstimate();
 
-        Unit(Endpoint l, Build build) {
+        EndpointState(Endpoint l, Build build) {
             this.at = l;
             this.build = build;
         }
 
-        private void sent(Rq.Try t) {
+        private void sent(RequestState.Attempt t) {
             ahead.add(nowUs, out.size());
             build.ahead.add(nowUs, out.size());
             out.add(t);
             lines.use(nowUs, charter.keptUs());
-            budget -= t.rq.costUs * Math.max(1, build.slowness.mean(nowUs, 0) / usualSlowness(at.kind()));
+            budget -= t.request.costUs * Math.max(1, build.slowness.mean(nowUs, 0) / usualSlowness(at.kind()));
         }
 
-        private void ended(Rq.Try t, AttemptResult ending, long tookUs, LoadReport load) {
+        private void ended(RequestState.Attempt t, AttemptResult ending, long tookUs, LoadReport load) {
             out.remove(t);
             if (ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED || ending == AttemptResult.TURNED_AWAY) {
                 lines.leave(nowUs, charter.keptUs());
@@ -658,9 +658,9 @@
             if (ending == AttemptResult.NOT_SENT || ending == AttemptResult.CANCELLED && !t.cancelled) {
                 return;
             }
-            // What a route needs on any unit, more than others, says nothing of this one or its build.
-            double slow = (double) tookUs / t.rq.costUs / timesOthers(t.rq.routeNo);
-            if (!build.onTrial()) {
+            // What a route needs on any endpoint, more than others, says nothing of this one or its build.
+            double slow = (double) tookUs / t.request.costUs / timesOthers(t.request.routeNo);
+            if (!build.onCanary()) {
                 refused.add(nowUs, ending == AttemptResult.NOT_CONNECTED ? 1 : 0);
             }
             boolean silent = ending == AttemptResult.TIMED_OUT;
@@ -671,7 +671,7 @@
                 lastAnswerUs = nowUs;
                 answers.add(nowUs, 1);
                 ReleaseGate.this.answers.add(nowUs, 1);
-                done.add(nowUs, t.rq.costUs);
+                done.add(nowUs, t.request.costUs);
                 boolean tells = stoodUs != nowUs;
                 if (tells) {
                     slowness.add(nowUs, slow);
@@ -679,28 +679,28 @@
                 if (tells && !cold()) {
                     build.slowness.add(nowUs, slow);
                 }
-                if (tells && !build.onTrial()) {
+                if (tells && !build.onCanary()) {
                     slowByKind.add(nowUs, at.kind(), slow);
                 }
-                for (int i : new int[] {t.rq.routeNo, cost.length - 1}) {
-                    cost[i].add(nowUs, t.rq.hinted ? t.rq.costUs : tookUs);
+                for (int i : new int[] {t.request.routeNo, cost.length - 1}) {
+                    cost[i].add(nowUs, t.request.hinted ? t.request.costUs : tookUs);
                 }
-                if (build.number >= newest && charter.rollout().oneWay() && t.rq.key != NO_KEY) {
-                    pinned.merge(t.rq.key, build.number, Math::max);
+                if (build.number >= newest && charter.rollout().oneWay() && t.request.key != NO_KEY) {
+                    pinned.merge(t.request.key, build.number, Math::max);
                 }
             } else if (!t.overdue) {
                 failures.add(nowUs, 1);
             }
-            // A try without an answer counts as a very slow one, not as an error: load alone can cause it.
+            // An attempt without an answer counts as a very slow one, not as an error: load alone can cause it.
             boolean unheard = ending == AttemptResult.TIMED_OUT || ending == AttemptResult.CANCELLED;
             boolean noError = unheard || ending == AttemptResult.NOT_CONNECTED && connectionsAreFew();
             if (ending != AttemptResult.COMPLETED) {
                 heard.add(nowUs, noError ? 0 : 1);
             }
-            // A unit that is silent to all says nothing of one route: its tries would make it look hopeless.
+            // An endpoint that is silent to all says nothing of one route: its attempts would make it look hopeless.
             boolean spoke = ending == AttemptResult.COMPLETED || unheard && lastAnswerUs > t.sentUs;
-            if (!build.onTrial() && stoodUs != nowUs && spoke) {
-                routeSlow[t.rq.routeNo].add(nowUs, (double) tookUs / t.rq.costUs);
+            if (!build.onCanary() && stoodUs != nowUs && spoke) {
+                routeSlow[t.request.routeNo].add(nowUs, (double) tookUs / t.request.costUs);
             }
             if (!Double.isNaN(load.waiting())) {
                 waiting = load.waiting();
@@ -711,19 +711,19 @@
                 return;
             }
             double others = (charter.relays() - 1) * ahead.drawn(nowUs, build.ahead.mean(nowUs, 0), PRIOR);
-            build.record(this, ending != AttemptResult.COMPLETED && !unheard, tookUs > t.rq.route.objectiveUs(),
+            build.record(this, ending != AttemptResult.COMPLETED && !unheard, tookUs > t.request.route.objectiveUs(),
                 slow, (t.ahead + out.size()) / 2.0 + others);
         }
 
         /**
-         * Guards against a unit that stands still, has vanished, is slow, or loses this relay's tries, alone
-         * or not: a try that is long overdue. It holds no room any more and counts against the unit. If most
-         * units are well, what may run elsewhere is called off and goes on there; the rest waits.
+         * Guards against an endpoint that stands still, has vanished, is slow, or loses this relay's tries, alone
+         * or not: an attempt that is long overdue. It holds no room any more and counts against the endpoint. If most
+         * endpoints are well, what may run elsewhere is called off and goes on there; the rest waits.
          * Could harm where announced work says little of the time it takes.
          */
-        private void lookForOverdue(Rq.Try t) {
-            double usual = Math.max(slowness.mean(nowUs, 0), usualSlowness(at.kind())) * t.rq.costUs;
-            if (t.overdue || stoodUs == nowUs || hopeless(t.rq.routeNo)
+        private void lookForOverdue(RequestState.Attempt t) {
+            double usual = Math.max(slowness.mean(nowUs, 0), usualSlowness(at.kind())) * t.request.costUs;
+            if (t.overdue || stoodUs == nowUs || hopeless(t.request.routeNo)
                     || nowUs - t.sentUs <= OVERDUE_US + OVERDUE_TIMES * usual) {
                 return;
             }
@@ -731,14 +731,14 @@
             inFlight--;
             failures.add(nowUs, 1);
             zones.add(nowUs, at.zone(), true);
-            if (!t.rq.over && t.rq.route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE && charter.mayCancel()
+            if (!t.request.over && t.request.route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE && charter.mayCancel()
                     && someBad && retryTokens >= 1) {
                 t.cancelled = true;
-                ReleaseGate.this.out.cancel(t.rq.id, t.number);
+                ReleaseGate.this.out.cancel(t.request.id, t.number);
             }
         }
 
-        /** Guards against a unit that fails much or leaves tries overdue, whatever the cause. */
+        /** Guards against an endpoint that fails much or leaves tries overdue, whatever the cause. */
         private boolean looksBad() {
             double bad = failures.count(nowUs);
             return zones.lost().contains(at.zone()) && !cold()
@@ -747,7 +747,7 @@
 
         /** Rules 3 and 5: nothing new to what leaves or came back as another, nor to a build not open. */
         private boolean mayGetNew() {
-            return health == Endpoint.Health.READY && units.get(at.unit()) == this && build.isOpen();
+            return health == Endpoint.Health.READY && endpoints.get(at.endpoint()) == this && build.isOpen();
         }
 
         /** Whether a connection to it surely stands: it is in use, or was an instant ago. */
@@ -759,26 +759,26 @@
             return at.startUs() > 0 && nowUs - at.startUs() < charter.warmWithinUs();
         }
 
-        /** The part of its capacity that a unit of this age surely has. */
+        /** The part of its capacity that an endpoint of this age surely has. */
         private double able() {
             double warm = cold() ? Math.max(0.0, nowUs - at.startUs()) / charter.warmWithinUs() : 1;
             return charter.coldFrom() + (1 - charter.coldFrom()) * warm;
         }
 
-        /** In flight bounded by measured rate x time, on trial the earlier build's, and by its budget. */
-        private boolean hasRoom(Rq rq, double claim) {
+        /** In flight bounded by measured rate x time, canary the earlier build's, and by its budget. */
+        private boolean hasRoom(RequestState request, double claim) {
             double perUs = answers.count(nowUs) / RATE_MEMORY_US;
-            double most = (INFLIGHT_FLOOR + perUs * rq.route.objectiveUs() * OBJECTIVE_SHARE) * claim;
-            if (build.onTrial()) {
+            double most = (INFLIGHT_FLOOR + perUs * request.route.objectiveUs() * OBJECTIVE_SHARE) * claim;
+            if (build.onCanary()) {
                 most = Math.min(most, 1 + perUs * TRIAL_WAIT * usualSlowness(at.kind()) * meanCost());
             }
-            return out.size() < most && (!cold() && !build.onTrial() || inBudget());
+            return out.size() < most && (!cold() && !build.onCanary() || inBudget());
         }
 
         /**
          * Rule 4, for all relays together: each sends its part of the work that one place bears, times what
-         * the unit surely can do at its age. The parts add up to a multiple of what the fleet completes; one
-         * that is under a req waits, from a start drawn by chance. A slow build's reqs cost more.
+         * the endpoint surely can do at its age. The parts add up to a multiple of what the fleet completes; one
+         * that is under a request waits, from a start drawn by chance. A slow build's requests cost more.
          */
         private boolean inBudget() {
             double times = cold() ? Math.min(TRIAL_TIMES, COLD_PART * charter.coldMultiple()) : TRIAL_TIMES;
@@ -789,24 +789,24 @@
             return budget > 0;
         }
 
-        /** In announced work; not on trial a new connection counts as the wait that costs as much worth. */
-        private double expectedWait(Rq rq) {
+        /** In announced work; not canary a new connection counts as the wait that costs as much worth. */
+        private double expectedWait(RequestState request) {
             double queue = nowUs - waitingAtUs < SECOND ? waiting : 0;
-            double opening = lineStands() || build.onTrial() ? 0
-                : charter.openingPrice() * rq.route.objectiveUs() / rq.costUs;
+            double opening = lineStands() || build.onCanary() ? 0
+                : charter.openingPrice() * request.route.objectiveUs() / request.costUs;
             return slowness.drawn(nowUs, usualSlowness(at.kind()), 1) * (out.size() + 1 + queue) + opening;
         }
 
-        /** Whether a connection to it surely stands without a req. */
+        /** Whether a connection to it surely stands without a request. */
         private boolean lineStands() {
             return lines.stands(nowUs, charter.keptUs());
         }
     }
 
     /**
-     * Guards against units that take few connections, of whatever cause: connects fail also where no build is
-     * on trial. Then this relay keeps to connections that stand, failed connects say nothing of a build, and
-     * going on to another unit costs little. Could harm where a released build crashes: its failed connects
+     * Guards against endpoints that take few connections, of whatever cause: connects fail also where no build is
+     * canary. Then this relay keeps to connections that stand, failed connects say nothing of a build, and
+     * going on to another endpoint costs little. Could harm where a released build crashes: its failed connects
      * no longer call it back.
      */
     private boolean connectionsAreFew() {
@@ -814,15 +814,15 @@
     }
 
     /**
-     * Guards against one route that waits at every unit, whatever for: its reqs end too late, those of
+     * Guards against one route that waits at every endpoint, whatever for: its requests end too late, those of
      * another in time. It gets few places, as each holds one that others need. Could harm where a route's
-     * reqs are still of worth when late.
+     * requests are still of worth when late.
      */
     private boolean hopeless(int route) {
         return usualTook(route) > charter.routes().get(route).objectiveUs() && timesOthers(route) > 1;
     }
 
-    /** How many times the time per announced work of the quickest route this one needs, on any unit. */
+    /** How many times the time per announced work of the quickest route this one needs, on any endpoint. */
     private double timesOthers(int route) {
         double times = slownessOf(route)
             / IntStream.range(0, routeSlow.length).mapToDouble(this::slownessOf).min().orElse(1);
@@ -837,7 +837,7 @@
         return slownessOf(route) * cost[route].mean(nowUs, meanCost());
     }
 
-    /** What may be in flight over all units: measured rate x time, and this relay's share of a floor. */
+    /** What may be in flight over all endpoints: measured rate x time, and this relay's share of a floor. */
     private double mostInFlight(RoutePolicy route) {
         double perUs = answers.count(nowUs) / RATE_MEMORY_US;
         double took = IntStream.range(0, routeSlow.length)
@@ -848,7 +848,7 @@
         return quick * (FLEET_FLOOR * places / charter.relays() + inTime) + backlog;
     }
 
-    /** Time per announced work at the units not on trial: of one kind (-1: all), drawn to that of all. */
+    /** Time per announced work at the endpoints not canary: of one kind (-1: all), drawn to that of all. */
     private double usualSlowness(int kind) {
         return slowByKind.mean(nowUs, kind, 1.5);
     }
@@ -859,18 +859,18 @@
     }
 
     private double meanCost() {
-        return cost[cost.length - 1].mean(nowUs, SECOND / 5.0); // announced work of a req, of late
+        return cost[cost.length - 1].mean(nowUs, SECOND / 5.0); // announced work of a request, of late
     }
 
     // ---- The vote -----------------------------------------------------------------------------------------
 
     /** The ordinary path of a vote: what the outcomes say, what the stage's time allows, what to say. */
     private void weigh() {
-        Build trial = builds.get(newest);
-        if (trial == null || phase == Phase.REVERTING || phase == Phase.WITHDRAWN) {
+        Build canary = builds.get(newest);
+        if (canary == null || phase == Phase.REVERTING || phase == Phase.WITHDRAWN) {
             return;
         }
-        Assessment finding = find(trial, earlierThan(newest));
+        Assessment finding = find(canary, earlierThan(newest));
         long sinceUs = Math.min(BEAT_US, nowUs - weighedUs);
         long lastedUs = failedUs + (finding.fails() ? sinceUs : -sinceUs);
         failedUs = finding == Assessment.PASS ? 0 : Math.max(0, lastedUs);
@@ -883,16 +883,16 @@
             cast(bad ? Verdict.BACK : Verdict.NONE);
             return;
         }
-        leastUs = clockFromUs(trial) + charter.rollout().leastUs();
+        leastUs = clockFromUs(canary) + charter.rollout().leastUs();
         Verdict verdict;
         if (finding.fails()) {
             verdict = sure ? Verdict.BACK : Verdict.HOLD;
         } else if (finding == Assessment.PASS) {
             verdict = nowUs < leastUs ? Verdict.NONE : Verdict.ON;
         } else {
-            boolean late = few(trial) && charter.rollout().counts();
+            boolean late = few(canary) && charter.rollout().counts();
             // Where half the outcomes are missing, a little more time brings no verdict either.
-            int seen = OutcomeWindow.seen(trial.own.from(weighedFrom()));
+            int seen = OutcomeWindow.seen(canary.own.from(weighedFrom()));
             long shortUs = finding == Assessment.NO_VERDICT && seen < FEWEST / 2 ? 0 : PATIENCE_US;
             long waitUs = finding == Assessment.SUSPECT || late ? LONG_PATIENCE_US : shortUs;
             verdict = nowUs < leastUs + waitUs ? Verdict.HOLD : Verdict.ON;
@@ -914,17 +914,17 @@
      * When the stage's clock began to run, as far as can be told: its machines up, and a little. Those not
      * listed yet are waited for as long as the last took: some stages bring none.
      */
-    private long clockFromUs(Build trial) {
-        long startUs = trial.ready.stream().mapToLong(u -> u.at.startUs()).max().orElse(0);
+    private long clockFromUs(Build canary) {
+        long startUs = canary.ready.stream().mapToLong(u -> u.at.startUs()).max().orElse(0);
         long latestUs = stageFromUs + CLOCK_LATEST_US;
         long upUs = Math.min(latestUs, startUs >= stageFromUs ? startUs : stageFromUs + bootUs);
-        return trial.ready.isEmpty() ? latestUs : upUs + CLOCK_LAG_US;
+        return canary.ready.isEmpty() ? latestUs : upUs + CLOCK_LAG_US;
     }
 
     /**
-     * Guards against a fleet whose voices together are more than the desk takes, of any size: each waits for
+     * Guards against a fleet whose voices together are more than the release controller takes, of any size: each waits for
      * its place in a row that every relay knows, and that moves on with each stage. Could harm where those
-     * first in the row are cut off from the desk: the rest speak later than they could.
+     * first in the row are cut off from the release controller: the rest speak later than they could.
      */
     private long turnUs() {
         double perS = Math.max(0.1, charter.rollout().votesPerS());
@@ -933,7 +933,7 @@
         return (long) (Math.max(0, place - AT_ONCE * perS) / perS * SECOND);
     }
 
-    /** Votes of all relays are renewed no faster than the desk takes them; back is by its voices alone. */
+    /** Votes of all relays are renewed no faster than the release controller takes them; back is by its voices alone. */
     private long renewUs(Verdict verdict) {
         double allUs = charter.relays() * SECOND / (DESK_PART * Math.max(0.1, charter.rollout().votesPerS()));
         double soonUs = charter.rollout().voteLifeUs() * RENEW_AT;
@@ -960,9 +960,9 @@
         out.vote(newest, stage, verdict);
     }
 
-    /** Whether the desk's sample holds more of the trial than this relay's own outcomes. */
-    private boolean few(Build trial) {
-        return OutcomeWindow.seen(trial.counts.from(weighedFrom())) >= OutcomeWindow.seen(trial.own.from(weighedFrom()));
+    /** Whether the release controller's sample holds more of the canary than this relay's own outcomes. */
+    private boolean few(Build canary) {
+        return OutcomeWindow.seen(canary.counts.from(weighedFrom())) >= OutcomeWindow.seen(canary.own.from(weighedFrom()));
     }
 
     private long weighedFrom() {
@@ -970,63 +970,63 @@
     }
 
     /**
-     * The verdict, from own outcomes. Where many relays share the reqs and the desk's sampled counts hold
-     * more of the trial than these, counts decide unless own outcomes fail for sure: late, means for
+     * The verdict, from own outcomes. Where many relays share the requests and the release controller's sampled counts hold
+     * more of the canary than these, counts decide unless own outcomes fail for sure: late, means for
      * percentiles, and the same for every relay, so that one relay's chance does not add to another's.
      */
-    private Assessment find(Build trial, Build earlier) {
+    private Assessment find(Build canary, Build earlier) {
         if (earlier == null) {
-            return many ? oneOfMany(trial.own.from(weighedFrom()), List.of(), List.of()) : Assessment.NO_VERDICT;
+            return many ? oneOfMany(canary.own.from(weighedFrom()), List.of(), List.of()) : Assessment.NO_VERDICT;
         }
-        Assessment found = compare(trial, trial.own, earlier.own, earlier.own.all(), MARGIN, FLEET_MARGIN,
+        Assessment found = compare(canary, canary.own, earlier.own, earlier.own.all(), MARGIN, FLEET_MARGIN,
             stretch);
-        if (found.fails() || !few(trial)) {
+        if (found.fails() || !few(canary)) {
             return found;
         }
         // Set against the last that the earlier build had, as a trouble of both may have begun only then.
         List<OutcomeWindow> last = earlier.counts.from(earlier.counts.last() - TRIAL_SLICES + 1);
-        return compare(trial, trial.counts, earlier.counts, last, COUNTS_MARGIN, MARGIN, 1);
+        return compare(canary, canary.counts, earlier.counts, last, COUNTS_MARGIN, MARGIN, 1);
     }
 
-    /** Intervals of the trial's errors and percentile against the bars, and what else lies behind a fail. */
-    private Assessment compare(Build trial, OutcomeHistory its, OutcomeHistory earlier, List<OutcomeWindow> theirs, double margin,
+    /** Intervals of the canary's errors and percentile against the bars, and what else lies behind a fail. */
+    private Assessment compare(Build canary, OutcomeHistory its, OutcomeHistory earlier, List<OutcomeWindow> theirs, double margin,
                             double fleet, double stretch) {
         List<OutcomeWindow> mine = its.from(weighedFrom());
         Assessment found = compare(mine, theirs, margin, stretch, FEWEST);
         boolean slow = found == Assessment.SLOW;
         String said = ground;
-        if (!found.fails() && its == trial.own && many) {
+        if (!found.fails() && its == canary.own && many) {
             Assessment asOne = oneOfMany(mine, theirs, earlier.from(weighedFrom()));
             if (asOne != Assessment.NO_VERDICT) {
                 return asOne;
             }
             ground = said;
         }
-        if (found.fails() && its == trial.own) {
-            // Guards against sick, slow or ill-placed units taken for a bad build: without its worst units
-            // the build must fail all the same. Errors of its oldest units count alone: builds may turn bad
+        if (found.fails() && its == canary.own) {
+            // Guards against sick, slow or ill-placed endpoints taken for a bad build: without its worst endpoints
+            // the build must fail all the same. Errors of its oldest endpoints count alone: builds may turn bad
             // with age. Could harm where a build is bad on one kind of machine only.
             List<Object> odd = OutcomeWindow.worst(mine, AttemptOutcome::error, SICK_PART);
-            long asOldUs = SECOND + trial.ready.stream().filter(odd::contains)
+            long asOldUs = SECOND + canary.ready.stream().filter(odd::contains)
                 .mapToLong(u -> u.at.startUs()).max().orElse(0);
-            boolean alone = !slow && trial.ready.stream().filter(u -> !odd.contains(u))
+            boolean alone = !slow && canary.ready.stream().filter(u -> !odd.contains(u))
                 .noneMatch(u -> u.at.startUs() <= asOldUs);
             List<OutcomeWindow> well = slow ? OutcomeWindow.withoutWorst(mine, AttemptOutcome::slowness, SLOW_PART)
                 : OutcomeWindow.without(mine, odd);
             boolean rest = alone || compare(well, theirs, MARGIN, stretch, FEWEST / 2) == found;
             return rest ? found : Assessment.SUSPECT;
         }
-        // Guards against a build that slows old and new units alike, which the relative bar hides: all units
-        // are set against what the earlier build needed before the trial, without the worse half of them, as
+        // Guards against a build that slows old and new endpoints alike, which the relative bar hides: all endpoints
+        // are set against what the earlier build needed before the canary, without the worse half of them, as
         // other troubles spare some; with many relays, whose like load is a guess, only if no more work comes
-        // than then. Could harm when something else slows the whole fleet during a trial.
+        // than then. Could harm when something else slows the whole fleet during a canary.
         if (found.fails() || many && work(taken) > MORE_WORK * takenBefore) {
             return found;
         }
         List<OutcomeWindow> all = new ArrayList<>(mine);
         all.addAll(earlier.from(weighedFrom()));
-        List<Object> units = OutcomeWindow.worst(all, AttemptOutcome::slowness);
-        List<OutcomeWindow> best = OutcomeWindow.without(all, units.subList(0, (int) (units.size() * SLOW_PART)));
+        List<Object> endpoints = OutcomeWindow.worst(all, AttemptOutcome::slowness);
+        List<OutcomeWindow> best = OutcomeWindow.without(all, endpoints.subList(0, (int) (endpoints.size() * SLOW_PART)));
         boolean allSlow = compare(best, earlier.before(), fleet, stretch, FEWEST) == Assessment.SLOW;
         ground = allSlow ? ground : said;
         return allSlow ? Assessment.SLOW : found;
@@ -1039,9 +1039,9 @@
             return Assessment.NO_VERDICT;
         }
         int[] once = Bootstrap.once(theirs.size());
-        // What strikes both builds is not held against one; sick units of the earlier build are no excuse.
+        // What strikes both builds is not held against one; sick endpoints of the earlier build are no excuse.
         List<Object> sick = OutcomeWindow.worst(theirs, AttemptOutcome::error);
-        boolean known = !theirs.isEmpty() && sick.get(0) instanceof Unit
+        boolean known = !theirs.isEmpty() && sick.get(0) instanceof EndpointState
             && OutcomeWindow.seen(theirs) >= PRIOR * sick.size();
         sick = sick.subList(0, known ? (int) Math.ceil(sick.size() * SICK_PART) : 0);
         double least = margin > MARGIN ? margin * ERROR_BAR : ERROR_BAR;
@@ -1073,8 +1073,8 @@
 
     /**
      * Guards against bad builds of which each relay of many sees too little: an exact interval's lower end,
-     * at the level at which as many voices as send it back are not wrong together. Units are counted. Could
-     * harm where a trouble strikes mostly units on trial.
+     * at the level at which as many voices as send it back are not wrong together. Endpoints are counted. Could
+     * harm where a trouble strikes mostly canary endpoints.
      */
     private Assessment oneOfMany(List<OutcomeWindow> mine, List<OutcomeWindow> theirs, List<OutcomeWindow> lately) {
         double errorBar = Math.max(ERROR_BAR, MARGIN * Math.max(OutcomeWindow.errors(theirs), OutcomeWindow.errors(lately)));
@@ -1095,12 +1095,12 @@
         return slow == Assessment.NO_VERDICT ? errors : slow;
     }
 
-    /** What it means that so many units are past a bar: as given if it is rarer than one voice may err. */
+    /** What it means that so many endpoints are past a bar: as given if it is rarer than one voice may err. */
     private Assessment past(int seen, Stream<AttemptOutcome> past, double share, Assessment fail) {
-        int units = (int) past.map(AttemptOutcome::unit).distinct().count();
-        double chance = Bootstrap.tail(seen, units, share);
-        ground = seen + " outcomes, " + units + " units past the bar of " + String.format("%.3f", share);
+        int endpoints = (int) past.map(AttemptOutcome::endpoint).distinct().count();
+        double chance = Bootstrap.tail(seen, endpoints, share);
+        ground = seen + " outcomes, " + endpoints + " units past the bar of " + String.format("%.3f", share);
         Assessment doubt = chance < DOUBT ? Assessment.SUSPECT : Assessment.NO_VERDICT;
-        return units > 1 && chance < Math.exp(logLevel) ? fail : doubt;
+        return endpoints > 1 && chance < Math.exp(logLevel) ? fail : doubt;
     }
 }
--- a/src/main/java/gatelock/decision/TimeoutTracker.java
+++ b/src/main/java/gatelock/decision/TimeoutTracker.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Of late tries, how many had no answer, by the place where they went. */
+/** Of late attempts, how many had no answer, by the place where they went. */
 final class TimeoutTracker {
     private final double memoryUs;
     private final Map<Integer, DecayingSum> places = new TreeMap<>();
@@ -20,7 +20,7 @@
     }
 
     /**
-     * Looks for places with so many late tries of which more than {@code most} had no answer, if less than
+     * Looks for places with so many late attempts of which more than {@code most} had no answer, if less than
      * {@code less} had none at another place. One that was silent stays so until answers come from it or it
      * was not tried for long.
      */
--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -53,7 +53,7 @@
     private static final long PIECE_US = 1_000_000;
     private static final long WHOLE_US = 30_000_000;
     private static final long SCOPE_LOOK_US = 250_000;
-    /** Of a list's answer: 1,024 units and twice as many that leave, with names of usual length. */
+    /** Of a list's answer: 1,024 endpoints and twice as many that leave, with names of usual length. */
     public static final int MOST_LIST = 2 * 1024 * 1024;
     private static final String TOO_LONG = "too long";
 
@@ -61,7 +61,7 @@
     private final Counters counters;
     private final ConnectionPool lines;
     private final EndpointAddresses addresses;
-    private final ConnectionPool units;
+    private final ConnectionPool endpoints;
     private final EndpointEntryReader reader;
     private final Membership membership;
     private final boolean onRequest;
@@ -84,7 +84,7 @@
     private long tooLong;
 
     /**
-     * The units that this relay uses of those that are listed.
+     * The endpoints that this relay uses of those that are listed.
      *
      * @param mostListBytes that an answer with a list may have
      */
@@ -106,20 +106,20 @@
     }
 
     /**
-     * @param units connections to units, closed where a unit leaves or returns as another
+     * @param endpoints connections to endpoints, closed where an endpoint leaves or returns as another
      * @param onRequest whether the list is followed only when asked for, and a failure is told
-     * @param membership null: all units that are listed are used
+     * @param membership null: all endpoints that are listed are used
      */
     public DiscoveryClient(EventLoop turn, Counters counters, ConnectionPool lines, InetSocketAddress address,
         EndpointAddresses addresses,
-                     ConnectionPool units, List<String> zones, List<String> kinds, boolean onRequest,
+                     ConnectionPool endpoints, List<String> zones, List<String> kinds, boolean onRequest,
                      RandomGenerator chance, Membership membership) {
         this.turn = turn;
         this.counters = counters;
         this.lines = lines;
         this.address = address;
         this.addresses = addresses;
-        this.units = units;
+        this.endpoints = endpoints;
         this.reader = new EndpointEntryReader(zones, kinds, membership == null ? ServiceNameExtractor.ONE : membership.service);
         this.membership = membership;
         this.onRequest = onRequest;
@@ -290,7 +290,7 @@
         }
     }
 
-    /** Tells whoever chooses among units, pools before the decisions. */
+    /** Tells whoever chooses among endpoints, pools before the decisions. */
     private void listed(DecisionEngine.ListForm form, List<EndpointEntry> entries, boolean whole) {
         List<Endpoint> listed = entries.stream().map(EndpointEntry::listed).toList();
         List<InetSocketAddress> left = noted(entries, listed, whole);
@@ -302,7 +302,7 @@
         gate.listed(turn.nowUs(), form, listed);
         changedUs = turn.nowUs();
         // Only now: whoever waits for a connection to come up asks the decisions whether it may still go.
-        left.forEach(units::close);
+        left.forEach(endpoints::close);
     }
 
     /** The same of what this relay uses; nothing where that has not changed. */
@@ -312,17 +312,17 @@
         }
     }
 
-    /** The scope's turn has come: it may grow or shrink by what was heard of its units. */
+    /** The scope's turn has come: it may grow or shrink by what was heard of its endpoints. */
     private void look() {
         listed(membership.scope.due(turn.nowUs()));
         turn.in(SCOPE_LOOK_US, this::look);
     }
 
-    /** A try at a unit has ended. */
-    public void ended(String unit, AttemptResult ending) {
+    /** An attempt at an endpoint has ended. */
+    public void ended(String endpoint, AttemptResult ending) {
         if (membership != null && ending != AttemptResult.CANCELLED && ending != AttemptResult.NOT_SENT) {
             boolean heard = ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED || ending == AttemptResult.TURNED_AWAY;
-            membership.scope.ended(turn.nowUs(), unit, heard);
+            membership.scope.ended(turn.nowUs(), endpoint, heard);
         }
     }
 
@@ -347,7 +347,7 @@
         return entries;
     }
 
-    /** Notes where the units are; returns the addresses to which what stands serves no more. */
+    /** Notes where the endpoints are; returns the addresses to which what stands serves no more. */
     private List<InetSocketAddress> noted(List<EndpointEntry> entries, List<Endpoint> listed, boolean whole) {
         List<InetSocketAddress> left = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
--- a/src/main/java/gatelock/discovery/EndpointEntryReader.java
+++ b/src/main/java/gatelock/discovery/EndpointEntryReader.java
@@ -12,7 +12,7 @@
 /** What an entry of a list means; the one place where its form is checked. */
 final class EndpointEntryReader {
     private static final int MOST_LABELS = 32;
-    /** How far a unit's start may lie ahead of this relay's clock. */
+    /** How far an endpoint's start may lie ahead of this relay's clock. */
     private static final long AHEAD_US = 60_000_000;
     private static final Map<String, Endpoint.Health> HEALTH = Map.of("in_service", Endpoint.Health.READY,
         "terminating", Endpoint.Health.DRAINING, "terminated", Endpoint.Health.GONE);
@@ -29,17 +29,17 @@
 
     /** An entry whose address is of the right form, and not looked up yet. */
     EndpointEntry read(JsonObject e, long nowUs) throws IOException {
-        String unit = e.text("name");
+        String endpoint = e.text("name");
         Endpoint.Health health = HEALTH.get(e.text("status"));
         if (health == null) {
-            throw new IOException("expected a known status for " + unit);
+            throw new IOException("expected a known status for " + endpoint);
         }
         long startUs = e.wholeOr("since_ms", 0) * 1000;
         if (startUs > nowUs + AHEAD_US) {
-            throw new IOException("expected a start that has been for " + unit);
+            throw new IOException("expected a start that has been for " + endpoint);
         }
         Map<String, String> labels = labels(e);
-        return new EndpointEntry(unit, service.of(unit, e, labels), e.addressText("address"), number(zones, e, "zone"),
+        return new EndpointEntry(endpoint, service.of(endpoint, e, labels), e.addressText("address"), number(zones, e, "zone"),
             number(kinds, e, "type"), (int) e.wholeOr("group", 0), e.count("image_id"), health, startUs, labels);
     }
 
--- a/src/main/java/gatelock/discovery/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 
 /**
- * Reads a list of units from the pieces in which it comes and hands on entry by entry, so that no more than one
+ * Reads a list of endpoints from the pieces in which it comes and hands on entry by entry, so that no more than one
  * is held. It tells the same as {@link JsonObject#read} of the whole text would, and is stricter where that would cost
  * memory or a guess: bytes that are no UTF-8, entries of more than {@link #MOST_ENTRY} bytes,
  * values nested deeper than {@link #DEEPEST} and more fields than {@link #MOST_FIELDS} beside the entries are refused.
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -28,7 +28,7 @@
 import java.util.Map;
 
 /**
- * The listener: client connections, how many there may be and how long one may keep a req from being whole,
+ * The listener: client connections, how many there may be and how long one may keep a request from being whole,
  * readiness, and taking leave.
  */
 public final class ClientListener {
@@ -37,13 +37,13 @@
     private static final int BACKLOG = 256;
     private static final int SPARE = 8;
     private static final long LOOK_AGAIN_US = 50_000;
-    /** A refusal of a req that is not whole may be read for so long before the connection ends. */
+    /** A refusal of a request that is not whole may be read for so long before the connection ends. */
     private static final long READABLE_US = 500_000;
     /** After SIGTERM new connections go on coming for so long. */
     private static final long STILL_COMING_US = 600_000;
     /** A relay that leaves has its last answer out so long before it may be killed. */
     private static final long SPARE_US = 150_000;
-    /** The last reqs that a relay takes when it leaves have so long. */
+    /** The last requests that a relay takes when it leaves have so long. */
     private static final long LAST_REQS_US = 600_000;
 
     private final EventLoop turn;
@@ -59,7 +59,7 @@
 
     /**
      * @param withEase client connections held at a time; beyond that idle ones make room
-     * @param most beyond that all that wait for a first req do, and further ones are not accepted
+     * @param most beyond that all that wait for a first request do, and further ones are not accepted
      */
     public ClientListener(EventLoop turn, Counters counters, int withEase, int most) {
         this.turn = turn;
@@ -134,7 +134,7 @@
         return ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
 
-    /** Names who takes reqs in from now on. */
+    /** Names who takes requests in from now on. */
     public void admit(HttpHandler takeIn, boolean ready) {
         this.takeIn = takeIn;
         this.ready = ready;
@@ -150,19 +150,19 @@
             last(exchange);
             exchange.endExchange();
         } else {
-            // Read together with the req before it, it came without a read of its own.
+            // Read together with the request before it, it came without a read of its own.
             clients.bytes(turn.nowUs(), connection(exchange));
             takeIn.handleRequest(exchange);
         }
     }
 
-    /** A req is whole: until it is answered, its connection stays. */
+    /** A request is whole: until it is answered, its connection stays. */
     void whole(HttpServerExchange exchange) {
         clients.whole(connection(exchange));
     }
 
     /**
-     * An answer goes out, and the connection owes the next req once it has left; when leaving, it ends with
+     * An answer goes out, and the connection owes the next request once it has left; when leaving, it ends with
      * this.
      */
     void last(HttpServerExchange exchange) {
@@ -179,18 +179,18 @@
         }
     }
 
-    /** A connection carries a session from now on: its life is no more a matter of reqs. */
+    /** A connection carries a session from now on: its life is no more a matter of requests. */
     public void upgraded(HttpServerExchange exchange) {
         clients.gone(connection(exchange));
     }
 
-    /** The client has left, or broke off its own req. */
+    /** The client has left, or broke off its own request. */
     void left(HttpServerExchange exchange) {
         clients.end(turn.nowUs(), connection(exchange), ClientConnections.Why.LEFT);
     }
 
     /**
-     * Answers a req that is not whole and never will be read. Undertow would read the rest before it answers;
+     * Answers a request that is not whole and never will be read. Undertow would read the rest before it answers;
      * here the answer goes first, what is still sent is left unread, and soon the connection ends.
      */
     void refuseUnread(HttpServerExchange exchange) {
@@ -221,7 +221,7 @@
     /**
      * Takes leave. New connections are taken for a while, since the front in between hears late of it; those
      * that
-     * stand are served on for as long as a req can still be answered before the process is ended for good;
+     * stand are served on for as long as a request can still be answered before the process is ended for good;
      * then
      * answers end their connections, and it is over when none is left.
      *
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -39,7 +39,7 @@
 import java.util.function.Consumer;
 
 /**
- * First stage: a client's req is read whole and checked for its form; the fields that matter are taken out.
+ * First stage: a client's request is read whole and checked for its form; the fields that matter are taken out.
  */
 public final class RequestReader implements HttpHandler {
     private static final int FIRST_CHUNKS = 1024;
@@ -51,12 +51,12 @@
     private static final HttpString EXPIRES = new HttpString("X-Expires-In-Ms");
     private static final HttpString HINT = new HttpString("X-Size-Hint");
     private static final HttpString ONCE = new HttpString("Idempotency-Key");
-    /** Said of one connection only, or said anew to the unit. */
+    /** Said of one connection only, or said anew to the endpoint. */
     private static final Set<HttpString> NOT_PASSED_ON = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE,
         Headers.TRANSFER_ENCODING, Headers.CONTENT_LENGTH, Headers.TE, Headers.TRAILER, Headers.UPGRADE,
         Headers.EXPECT, EXPIRES);
 
-    /** The names that a req may bear, as the deployment numbers them. */
+    /** The names that a request may bear, as the deployment numbers them. */
     public record Names(Map<String, Integer> routes, Map<String, Integer> tenants, List<RoutePolicy> terms,
                         List<Long> deadlinesUs) {
     }
@@ -81,17 +81,17 @@
 
     /** Who opens sessions, where they are on. */
     public interface Upgrade {
-        /** Whether a req asks for a session; the form of the rest is checked already. */
+        /** Whether a request asks for a session; the form of the rest is checked already. */
         boolean asked(HttpServerExchange exchange);
 
         /** 0, or the status with which it is turned away. */
         int refusal(HttpServerExchange exchange);
 
         /**
-         * Makes a req one that opens a session; what is given takes the client's side over once a unit has
+         * Makes a request one that opens a session; what is given takes the client's side over once an endpoint has
          * opened.
          */
-        Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionPolicy terms,
+        Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms,
             int route);
     }
 
@@ -166,7 +166,7 @@
                 channel.suspendReads();
                 take(exchange, way, route, Arrays.copyOf(bytes.array(), bytes.position()));
             } catch (IOException e) {
-                // The client left or broke its own framing before the req was whole: it was never taken.
+                // The client left or broke its own framing before the request was whole: it was never taken.
                 counters.add("not taken, broken off");
                 front.left(exchange);
             }
@@ -174,7 +174,7 @@
     }
 
     /**
-     * 0, or the status for a req that can't be taken. Two lengths, or one that is negative or no number,
+     * 0, or the status for a request that can't be taken. Two lengths, or one that is negative or no number,
      * Undertow
      * itself turns away; one beyond what fits a long it would read as another.
      */
@@ -241,7 +241,7 @@
         return upgrade != null && way != null && way.sessions() != null && upgrade.asked(exchange);
     }
 
-    /** The host that a req names, without a port, or null. */
+    /** The host that a request names, without a port, or null. */
     private static String host(HttpServerExchange exchange) {
         String host = exchange.getRequestHeaders().getFirst(Headers.HOST);
         int colon = host == null || host.endsWith("]") ? -1 : host.lastIndexOf(':');
@@ -262,10 +262,10 @@
         long endUs = Math.min(turn.nowUs() + waitsUs, front.answeredByUs());
         Integer tenant = names.tenants.get(headers.getFirst(CUSTOMER));
         HttpCaller caller = new HttpCaller(exchange);
-        InFlightRequest req = new InFlightRequest(id, head(exchange, body.length), body, endUs, caller);
-        caller.req = req;
+        InFlightRequest request = new InFlightRequest(id, head(exchange, body.length), body, endUs, caller);
+        caller.request = request;
         if (opensSession(exchange, way)) {
-            caller.takesOver = upgrade.opens(exchange, req, way.sessions(), route);
+            caller.takesOver = upgrade.opens(exchange, request, way.sessions(), route);
         }
         int org = tenant == null ? names.tenants.size() : tenant;
         Cookie cookie = exchange.getRequestCookie("k");
@@ -273,12 +273,12 @@
         long costUs = hint(headers.getFirst(HINT));
         // Undertow ends an exchange whose handler returns without having dispatched it.
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            admit.admit(req, way, route, org, key, costUs);
+            admit.admit(request, way, route, org, key, costUs);
             caller.watch();
         });
     }
 
-    /** First line and headers for a unit, as they came but for those of this connection alone. */
+    /** First line and headers for an endpoint, as they came but for those of this connection alone. */
     private static byte[] head(HttpServerExchange exchange, int length) {
         StringBuilder head = new StringBuilder(256);
         head.append(exchange.getRequestMethod()).append(' ').append(exchange.getRequestURI());
@@ -315,7 +315,7 @@
         }
     }
 
-    /** A guess that a req may do without; an odd one counts as absent. */
+    /** A guess that a request may do without; an odd one counts as absent. */
     private static long hint(String text) {
         try {
             long us = text == null ? 0 : Long.parseLong(text.trim());
@@ -328,16 +328,16 @@
     /** A client on an HTTP connection, waiting for its answer. */
     private final class HttpCaller implements ResponseSink {
         private final HttpServerExchange exchange;
-        private InFlightRequest req;
+        private InFlightRequest request;
         private Consumer<HttpServerExchange> takesOver;
 
         HttpCaller(HttpServerExchange exchange) {
             this.exchange = exchange;
         }
 
-        /** Undertow does not read while a req is being answered, so it would not see a client leave. */
+        /** Undertow does not read while a request is being answered, so it would not see a client leave. */
         void watch() {
-            if (!(exchange.getConnection() instanceof HttpServerConnection connection) || req.over()
+            if (!(exchange.getConnection() instanceof HttpServerConnection connection) || request.over()
                     || connection.getExtraBytes() != null) {
                 return;
             }
@@ -348,14 +348,14 @@
 
         private void look(HttpServerConnection connection, StreamSourceConduit source) {
             source.suspendReads();
-            if (req.over()) {
+            if (request.over()) {
                 return;
             }
             PooledByteBuffer pooled = connection.getByteBufferPool().allocate();
             try {
                 int n = source.read(pooled.getBuffer());
                 if (n > 0) {
-                    // The next req, early: Undertow finds it when this one is answered.
+                    // The next request, early: Undertow finds it when this one is answered.
                     pooled.getBuffer().flip();
                     connection.setExtraBytes(pooled);
                     return;
@@ -368,7 +368,7 @@
             } catch (IOException e) {
                 pooled.close();
             }
-            admit.left(req);
+            admit.left(request);
             front.left(exchange);
         }
 
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * One unit as a list names it, with all that a relay needs to use it.
+ * One endpoint as a list names it, with all that a relay needs to use it.
  *
- * @param service whose reqs it serves; "" where the list tells none
+ * @param service whose requests it serves; "" where the list tells none
  * @param address as the list gives it; told back the same
  * @param startUs its latest start, 0 for long past
- * @param labels what plans may choose units by; each costs its bytes in the store
+ * @param labels what plans may choose endpoints by; each costs its bytes in the store
  */
 public record EndpointEntry(String name, String service, String address, int zone, int kind, int cell, int build,
                     Endpoint.Health health, long startUs, Map<String, String> labels) {
 
-    /** A unit without labels. */
+    /** An endpoint without labels. */
     public EndpointEntry(String name, String service, String address, int zone, int kind, int cell, int build,
                  Endpoint.Health health, long startUs) {
         this(name, service, address, zone, kind, cell, build, health, startUs, Map.of());
--- a/src/main/java/gatelock/membership/EndpointStore.java
+++ b/src/main/java/gatelock/membership/EndpointStore.java
@@ -16,9 +16,9 @@
 import java.util.TreeMap;
 
 /**
- * All that a list told of units, packed: some 60 bytes a unit, so that a relay can hold the whole list beside
- * its work and take any unit into scope without asking again. Units are found by name (open addressing; a
- * name is always compared, so that equal hashes are told apart) and by service (a ring of links). A unit is
+ * All that a list told of endpoints, packed: some 60 bytes an endpoint, so that a relay can hold the whole list beside
+ * its work and take any endpoint into scope without asking again. Endpoints are found by name (open addressing; a
+ * name is always compared, so that equal hashes are told apart) and by service (a ring of links). An endpoint is
  * meant by the place of its record, which holds until it is put anew or removed.
  */
 final class EndpointStore {
@@ -57,17 +57,17 @@
 
     private final Map<String, Integer> numbers = new HashMap<>();
     private final List<Ring> services = new ArrayList<>();
-    /** Numbers of services that have no unit left, for the next ones. */
+    /** Numbers of services that have no endpoint left, for the next ones. */
     private final Deque<Integer> spare = new ArrayDeque<>();
 
     private byte[] scratch = new byte[256];
     private int at;
 
-    /** The units of one service. */
+    /** The endpoints of one service. */
     private static final class Ring {
         private final String name;
         private int first = NONE;
-        private int units;
+        private int endpoints;
         private int ready;
 
         Ring(String name) {
@@ -109,10 +109,10 @@
         return known;
     }
 
-    /** Forgets a service if it has no unit left. */
+    /** Forgets a service if it has no endpoint left. */
     void forget(String service) {
         Integer known = numbers.get(service);
-        if (known != null && services.get(known).units == 0) {
+        if (known != null && services.get(known).endpoints == 0) {
             numbers.remove(service);
             spare.push(known);
         }
@@ -120,36 +120,36 @@
 
     /** The services that were named and not forgotten. */
     List<String> services() {
-        return services.stream().filter(r -> r.units > 0).map(r -> r.name).toList();
+        return services.stream().filter(r -> r.endpoints > 0).map(r -> r.name).toList();
     }
 
-    /** How many units of a service are ready. */
+    /** How many endpoints of a service are ready. */
     int ready(String service) {
         Integer known = numbers.get(service);
         return known == null ? 0 : services.get(known).ready;
     }
 
-    int units(String service) {
+    int endpoints(String service) {
         Integer known = numbers.get(service);
-        return known == null ? 0 : services.get(known).units;
+        return known == null ? 0 : services.get(known).endpoints;
     }
 
-    /** The first unit of a service, -1 for none. */
+    /** The first endpoint of a service, -1 for none. */
     int first(String service) {
         Integer known = numbers.get(service);
         return known == null ? NONE : services.get(known).first;
     }
 
-    /** The unit of the same service after this one, -1 for none. */
+    /** The endpoint of the same service after this one, -1 for none. */
     int next(int place) {
         return link(place, NEXT);
     }
 
-    // Units
+    // Endpoints
 
-    /** Where a unit is kept, -1 for nowhere. */
-    int find(String unit) {
-        byte[] name = unit.getBytes(StandardCharsets.UTF_8);
+    /** Where an endpoint is kept, -1 for nowhere. */
+    int find(String endpoint) {
+        byte[] name = endpoint.getBytes(StandardCharsets.UTF_8);
         int slot = slot(name, ranking.hash(name, 0, name.length));
         return table[slot] - 1;
     }
@@ -180,14 +180,14 @@
             link(ring.first, BEFORE, place);
         }
         ring.first = place;
-        ring.units++;
+        ring.endpoints++;
         ring.ready += e.health() == Endpoint.Health.READY ? 1 : 0;
         return place;
     }
 
-    /** Forgets a unit. */
-    boolean remove(String unit) {
-        byte[] name = unit.getBytes(StandardCharsets.UTF_8);
+    /** Forgets an endpoint. */
+    boolean remove(String endpoint) {
+        byte[] name = endpoint.getBytes(StandardCharsets.UTF_8);
         int slot = slot(name, ranking.hash(name, 0, name.length));
         if (table[slot] == 0) {
             return false;
@@ -216,7 +216,7 @@
         return (int) unzigzag(new Reader(place).number());
     }
 
-    /** The hash of a unit's name. */
+    /** The hash of an endpoint's name. */
     long hash(int place) {
         Reader in = new Reader(place);
         in.number();
@@ -224,13 +224,13 @@
         return ranking.hash(in.page, in.from, length);
     }
 
-    String unit(int place) {
+    String endpoint(int place) {
         Reader in = new Reader(place);
         in.number();
         return in.text();
     }
 
-    /** What was told of a unit. */
+    /** What was told of an endpoint. */
     EndpointEntry entry(int place) {
         Reader in = new Reader(place);
         int flags = in.page[in.from - 1];
@@ -255,14 +255,14 @@
     }
 
     interface Each {
-        void unit(int place);
+        void endpoint(int place);
     }
 
-    /** Each unit, in the order of their hashes. */
+    /** Each endpoint, in the order of their hashes. */
     void each(Each each) {
         for (int slot : table) {
             if (slot != 0) {
-                each.unit(slot - 1);
+                each.endpoint(slot - 1);
             }
         }
     }
@@ -325,7 +325,7 @@
         in.number();
         in.skip((int) in.number());
         Ring ring = services.get((int) in.number());
-        ring.units--;
+        ring.endpoints--;
         ring.ready -= health(place) == Endpoint.Health.READY ? 1 : 0;
         int next = link(place, NEXT);
         int before = link(place, BEFORE);
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -14,13 +14,13 @@
 import java.util.TreeSet;
 
 /**
- * The units that one relay uses of all that are listed. Of each service it aims at the first ready ones in
+ * The endpoints that one relay uses of all that are listed. Of each service it aims at the first ready ones in
  * its own ranking, some of them in other zones; where these are silent it goes on along the ranking, and back
  * when they have answered again and a settle time is over. Called from one thread with a clock that never
  * goes back.
  */
 public final class EndpointSubset {
-    /** So many tries in a row without an answer, and a unit is silent: one alone may be the load's. */
+    /** So many attempts in a row without an answer, and an endpoint is silent: one alone may be the load's. */
     private static final int SILENT_TRIES = 2;
     /**
      * A service grows to so many times what is aimed at, then the longest silent give way: one service that is
@@ -28,9 +28,9 @@
      */
     private static final int MOST_GROWN = 8;
     /**
-     * Of each unit, so many relays at least on the mean. Each relay aims at its part of what a cold unit bears, and
-     * leaves a quarter of it free (rule 4); the unit with the most holders has 1 + 3.5 / sqrt(mean) times the mean
-     * (docs/measurements/membership.md), which is 4/3 at so many. With fewer than one a unit is not used at all.
+     * Of each endpoint, so many relays at least on the mean. Each relay aims at its part of what a cold endpoint bears, and
+     * leaves a quarter of it free (rule 4); the endpoint with the most holders has 1 + 3.5 / sqrt(mean) times the mean
+     * (docs/measurements/membership.md), which is 4/3 at so many. With fewer than one an endpoint is not used at all.
      */
     public static final int LEAST_HOLDERS = 110;
     private static final long NEVER = Long.MAX_VALUE;
@@ -39,12 +39,12 @@
      * How a relay is to choose.
      *
      * @param relay its own number, or one drawn from its seed where the settings tell none
-     * @param zone its own, -1 for unknown: then all units count as in its own
-     * @param most units in scope over all services
-     * @param perService units aimed at for each service at least
-     * @param part of a service's ready units that is aimed at, where that is more: from 0 to 1
+     * @param zone its own, -1 for unknown: then all endpoints count as in its own
+     * @param most endpoints in scope over all services
+     * @param perService endpoints aimed at for each service at least
+     * @param part of a service's ready endpoints that is aimed at, where that is more: from 0 to 1
      * @param leastElsewhere of these in other zones, where there are any
-     * @param settleUs for how long a unit must not be needed before it leaves
+     * @param settleUs for how long an endpoint must not be needed before it leaves
      */
     public record Terms(long relay, int zone, int most, int perService, double part, int leastElsewhere,
                         long settleUs) {
@@ -58,13 +58,13 @@
             }
         }
 
-        /** Units aimed at of a service with so many ready ones, where the bound leaves room. */
+        /** Endpoints aimed at of a service with so many ready ones, where the bound leaves room. */
         public int aim(int ready) {
             return Math.min(most, Math.max(perService, (int) Math.ceil(part * ready)));
         }
     }
 
-    /** What to tell the decisions: all there is, or units that came into scope, changed in it or left it. */
+    /** What to tell the decisions: all there is, or endpoints that came into scope, changed in it or left it. */
     public record Change(boolean whole, List<EndpointEntry> entries) {
     }
 
@@ -78,14 +78,14 @@
     /** What may give way where {@code most} is reached, by class, those that are longest in it first. */
     private final List<Set<Held>> yielding = List.of(new LinkedHashSet<>(), new LinkedHashSet<>(),
         new LinkedHashSet<>());
-    /** How many services need so many units. */
+    /** How many services need so many endpoints. */
     private final int[] needs;
-    /** Units each service may have at most; 0: there are more services than units allowed. */
+    /** Endpoints each service may have at most; 0: there are more services than endpoints allowed. */
     private int level = Integer.MAX_VALUE;
     private long risesUs = NEVER;
-    /** Services without a place, where there are more of them than units allowed. */
+    /** Services without a place, where there are more of them than endpoints allowed. */
     private final TreeSet<Service> waiting = new TreeSet<>();
-    /** Services of which first units had to give way, by when they are asked for again. */
+    /** Services of which first endpoints had to give way, by when they are asked for again. */
     private final Set<Service> returning = new LinkedHashSet<>();
     private int admitted;
     private Map<String, EndpointEntry> told = new LinkedHashMap<>();
@@ -98,7 +98,7 @@
     private static final int SILENT = 2;
     private static final int STAYS = 3;
 
-    /** A unit in scope: the decisions were told of it. */
+    /** An endpoint in scope: the decisions were told of it. */
     private static final class Held implements Comparable<Held> {
         private final Service service;
         private final long rank;
@@ -135,14 +135,14 @@
     private static final class Service implements Comparable<Service> {
         private final String name;
         private final long rank;
-        private final List<Held> units = new ArrayList<>();
+        private final List<Held> endpoints = new ArrayList<>();
         private int need;
         private boolean admitted;
         /** The first of the ranking have to be looked for again. */
         private boolean anew = true;
-        /** How far the ranking was gone along while units are silent: in the own zone, and elsewhere. */
+        /** How far the ranking was gone along while endpoints are silent: in the own zone, and elsewhere. */
         private final Candidate[] gone = new Candidate[2];
-        /** It was gone along to its end: no more to be found while one unit answers. */
+        /** It was gone along to its end: no more to be found while one endpoint answers. */
         private boolean through;
         /** One of the first gave way while it was silent: such count as silent until they are heard. */
         private boolean doubted;
@@ -164,7 +164,7 @@
         }
     }
 
-    /** A ready unit that might come into scope. */
+    /** A ready endpoint that might come into scope. */
     private record Candidate(int place, long rank, String name, boolean own) {
         private static final Comparator<Candidate> ORDER = (a, b) -> order(a.rank, a.name, b.rank, b.name);
     }
@@ -202,8 +202,8 @@
         }
 
         /**
-         * One more entry; of a change the last one of a unit counts. Throws IllegalArgumentException for a
-         * unit that stands twice in a whole list and for an entry that is too large; the Reading is of no use
+         * One more entry; of a change the last one of an endpoint counts. Throws IllegalArgumentException for a
+         * endpoint that stands twice in a whole list and for an entry that is too large; the Reading is of no use
          * then.
          */
         public void add(EndpointEntry e) {
@@ -238,7 +238,7 @@
         List<String> gone = new ArrayList<>();
         its.each(place -> {
             if (its.health(place) == Endpoint.Health.GONE) {
-                gone.add(its.unit(place));
+                gone.add(its.endpoint(place));
             }
         });
         gone.forEach(its::remove);
@@ -304,13 +304,13 @@
         h.own = own(now.zone());
     }
 
-    /** Whether a unit that is not in scope would be among the first; true at times where it is not. */
+    /** Whether an endpoint that is not in scope would be among the first; true at times where it is not. */
     private boolean mayBeFirst(Service s, Candidate c) {
         int aim = aim(s);
         int alike = 0;
         int all = 0;
         boolean better = false;
-        for (Held h : s.units) {
+        for (Held h : s.endpoints) {
             if (h.first) {
                 all++;
                 alike += h.own == c.own ? 1 : 0;
@@ -321,12 +321,12 @@
     }
 
     /**
-     * A try at a unit in scope, or a connection to it, has ended.
+     * An attempt at an endpoint in scope, or a connection to it, has ended.
      *
-     * @param heard whether the unit answered anything at all
+     * @param heard whether the endpoint answered anything at all
      */
-    public void ended(long nowUs, String unit, boolean heard) {
-        Held h = held.get(unit);
+    public void ended(long nowUs, String endpoint, boolean heard) {
+        Held h = held.get(endpoint);
         if (h != null) {
             boolean usable = h.usable();
             boolean untried = h.untried;
@@ -339,7 +339,7 @@
     }
 
     /**
-     * To be called now and then, each 250 ms say: grows where units are silent, shrinks after the settle
+     * To be called now and then, each 250 ms say: grows where endpoints are silent, shrinks after the settle
      * time.
      */
     public Change due(long nowUs) {
@@ -358,29 +358,29 @@
 
     // What can be asked
 
-    /** Units listed. */
+    /** Endpoints listed. */
     public int listed() {
         return store.size();
     }
 
-    /** Units the decisions were told of: never more than {@code most}. */
+    /** Endpoints the decisions were told of: never more than {@code most}. */
     public int inScope() {
         return held.size();
     }
 
-    /** Services with a unit listed. */
+    /** Services with an endpoint listed. */
     public int services() {
         return services.size();
     }
 
     /**
-     * Services that have ready units and no place in scope, since there are more services than {@code most}.
+     * Services that have ready endpoints and no place in scope, since there are more services than {@code most}.
      */
     public int crowdedOut() {
         return waiting.size();
     }
 
-    /** Units aimed at for any service: less than the terms say where {@code most} does not suffice. */
+    /** Endpoints aimed at for any service: less than the terms say where {@code most} does not suffice. */
     public int aim() {
         return Math.min(level, terms.aim(0));
     }
@@ -436,7 +436,7 @@
         // First all that is not needed any more is known, so that there is room for what is.
         Map<Service, List<Candidate>> firsts = new LinkedHashMap<>();
         for (Service s : looked) {
-            if (s.anew || s.units.stream().filter(Held::ready).count() < wanted(s)) {
+            if (s.anew || s.endpoints.stream().filter(Held::ready).count() < wanted(s)) {
                 firsts.put(s, firsts(s));
             }
             weigh(s, nowUs);
@@ -447,12 +447,12 @@
         });
         for (Service s : looked) {
             int missing = weigh(s, nowUs);
-            boolean well = s.units.stream().allMatch(h -> !h.first || h.usable());
+            boolean well = s.endpoints.stream().allMatch(h -> !h.first || h.usable());
             if (missing > 0) {
                 grow(s, missing, nowUs);
             }
-            boolean gaveWay = s.units.stream().filter(h -> h.first).count() < wanted(s);
-            if (!gaveWay && s.units.stream().allMatch(h -> !h.first || h.usable() && !h.untried)) {
+            boolean gaveWay = s.endpoints.stream().filter(h -> h.first).count() < wanted(s);
+            if (!gaveWay && s.endpoints.stream().allMatch(h -> !h.first || h.usable() && !h.untried)) {
                 // Not before they were heard: only taken up again, they may be silent still.
                 Arrays.fill(s.gone, null);
                 s.through = false;
@@ -479,7 +479,7 @@
     }
 
     /**
-     * Counts the units needed and shares out the bound: the same for each service, less where it has less.
+     * Counts the endpoints needed and shares out the bound: the same for each service, less where it has less.
      */
     private void share(long nowUs) {
         for (Service s : List.copyOf(dirty)) {
@@ -492,7 +492,7 @@
                 s.admitted = false;
                 admitted--;
             }
-            if (store.units(s.name) == 0) {
+            if (store.endpoints(s.name) == 0) {
                 store.forget(s.name);
                 services.remove(s.name);
                 waiting.remove(s);
@@ -529,7 +529,7 @@
         }
     }
 
-    /** How many units each service may have so that all together stay within the bound, if there is one. */
+    /** How many endpoints each service may have so that all together stay within the bound, if there is one. */
     private int possible() {
         int least = 0;
         int full = 0;
@@ -551,7 +551,7 @@
     // Which ones
 
     private Candidate candidate(int place, long rank) {
-        return new Candidate(place, rank, store.unit(place), own(store.zone(place)));
+        return new Candidate(place, rank, store.endpoint(place), own(store.zone(place)));
     }
 
     /** Looks for the first of the ranking, marks those in scope; returns them. */
@@ -563,7 +563,7 @@
         int fromHere = Math.min(here.size(), Math.max(aim - elsewhere(aim), aim - there.size()));
         List<Candidate> firsts = new ArrayList<>(here.subList(0, fromHere));
         firsts.addAll(there.subList(0, Math.min(there.size(), aim - fromHere)));
-        s.units.forEach(h -> h.first = false);
+        s.endpoints.forEach(h -> h.first = false);
         for (Candidate c : firsts) {
             Held h = held.get(c.name);
             if (h != null) {
@@ -575,7 +575,7 @@
     }
 
     /**
-     * The first ready units of a service by rank, in the own zone and elsewhere.
+     * The first ready endpoints of a service by rank, in the own zone and elsewhere.
      *
      * @param after not in scope and behind these in the ranking, or null for all there are
      */
@@ -607,12 +607,12 @@
     }
 
     /**
-     * Says of each unit of a service whether it stays, leaves or may give way; returns how many are missing.
+     * Says of each endpoint of a service whether it stays, leaves or may give way; returns how many are missing.
      */
     private int weigh(Service s, long nowUs) {
         int wanted = wanted(s);
         int room = wanted;
-        List<Held> ready = s.units.stream().filter(Held::ready).sorted(Comparator
+        List<Held> ready = s.endpoints.stream().filter(Held::ready).sorted(Comparator
             .comparing((Held h) -> !h.usable()).thenComparing(h -> s.growing() && h.untried)
             .thenComparing(h -> !h.first)
             .thenComparing(Comparator.naturalOrder())).toList();
@@ -626,7 +626,7 @@
             h.leavesUs = !leaves ? NEVER : h.leavesUs == NEVER ? nowUs + terms.settleUs() : h.leavesUs;
             yields(h, leaves ? NOT_NEEDED : stays ? STAYS : SILENT);
         }
-        for (Held h : s.units) {
+        for (Held h : s.endpoints) {
             if (!h.ready()) {
                 h.first = false;
                 h.leavesUs = NEVER;
@@ -650,18 +650,18 @@
 
     /**
      * Goes on along the ranking, each time by as many as were silent so far: a service of which all but few
-     * are away is gone through in a few rounds. While a unit of the own zone is well it goes on there first.
+     * are away is gone through in a few rounds. While an endpoint of the own zone is well it goes on there first.
      */
     private void grow(Service s, int missing, long nowUs) {
-        boolean none = s.units.stream().noneMatch(Held::usable);
+        boolean none = s.endpoints.stream().noneMatch(Held::usable);
         if (s.through && !none) {
             return;
         }
-        int silent = (int) s.units.stream().filter(h -> h.ready() && !h.usable()).count();
+        int silent = (int) s.endpoints.stream().filter(h -> h.ready() && !h.usable()).count();
         int most = Math.max(1, MOST_GROWN * aim(s));
         int more = Math.min(most / 2, Math.max(missing, silent));
         List<List<Candidate>> best = best(s, more, s.gone);
-        int nearer = s.units.stream().anyMatch(h -> h.own && h.usable()) || s.units.isEmpty() ? 0 : 1;
+        int nearer = s.endpoints.stream().anyMatch(h -> h.own && h.usable()) || s.endpoints.isEmpty() ? 0 : 1;
         List<Candidate> next = new ArrayList<>(best.get(nearer));
         next.addAll(best.get(1 - nearer));
         next = next.subList(0, Math.min(more, next.size()));
@@ -674,11 +674,11 @@
             }
         }
         for (Candidate c : next) {
-            if (s.units.size() >= most) {
-                s.units.stream().filter(h -> h.yields == NOT_NEEDED).min(Comparator
+            if (s.endpoints.size() >= most) {
+                s.endpoints.stream().filter(h -> h.yields == NOT_NEEDED).min(Comparator
                     .comparingLong(h -> h.leavesUs)).ifPresent(h -> leave(h, h.entry.gone()));
             }
-            if (takeUp(s, c, false, s.units.stream().noneMatch(Held::usable))) {
+            if (takeUp(s, c, false, s.endpoints.stream().noneMatch(Held::usable))) {
                 s.gone[c.own ? 0 : 1] = c;
             }
         }
@@ -688,15 +688,15 @@
     // In and out
 
     /**
-     * Tells the decisions of a unit if there is room or something gives way.
+     * Tells the decisions of an endpoint if there is room or something gives way.
      *
-     * @param inPlace whether a silent unit of the same service has to give way if nothing else does
+     * @param inPlace whether a silent endpoint of the same service has to give way if nothing else does
      */
     private boolean takeUp(Service s, Candidate c, boolean first, boolean inPlace) {
         if (held.size() >= terms.most()) {
             Held gives = yielding.stream().flatMap(Set::stream).findFirst().orElse(null);
             if (gives == null && inPlace) {
-                gives = s.units.stream().filter(h -> !h.usable()).findFirst().orElse(null);
+                gives = s.endpoints.stream().filter(h -> !h.usable()).findFirst().orElse(null);
             }
             if (gives == null) {
                 return false;
@@ -714,17 +714,17 @@
         // Else what was found to answer would make room for it, and be lost if it is silent still.
         h.silent = first && s.doubted ? SILENT_TRIES : 0;
         h.untried = !first || s.growing();
-        s.units.add(h);
+        s.endpoints.add(h);
         held.put(e.name(), h);
         told.put(e.name(), e);
         return true;
     }
 
-    /** Takes a unit out of scope and tells so. */
+    /** Takes an endpoint out of scope and tells so. */
     private void leave(Held h, EndpointEntry last) {
         drop(h);
         told.put(last.name(), last);
-        if (h.service.units.stream().noneMatch(Held::usable)) {
+        if (h.service.endpoints.stream().noneMatch(Held::usable)) {
             // All that were in scope were silent, and gone through to the end: this one may answer again.
             touched(h.service);
         }
@@ -732,7 +732,7 @@
 
     private void drop(Held h) {
         yields(h, STAYS);
-        h.service.units.remove(h);
+        h.service.endpoints.remove(h);
         held.remove(h.entry.name());
     }
 }
--- a/src/main/java/gatelock/membership/RendezvousRanking.java
+++ b/src/main/java/gatelock/membership/RendezvousRanking.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Ranked (rendezvous) hashing: each relay has its own order of all units, by a hash of the unit's name and
- * the relay's number, and uses the first ones. A unit that comes or goes changes nobody's order of the
+ * Ranked (rendezvous) hashing: each relay has its own order of all endpoints, by a hash of the endpoint's name and
+ * the relay's number, and uses the first ones. An endpoint that comes or goes changes nobody's order of the
  * others, and no relay's order depends on how many relays there are. Options and figures:
  * docs/design/membership.md.
  */
--- a/src/main/java/gatelock/net/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -41,7 +41,7 @@
         this(turn, counters, openWithinUs, idleUs, restUs, most, ResponseReader.MOST_BODY);
     }
 
-    /** The same with answers of a size of their own, as the protocol's bound is only for reqs. */
+    /** The same with answers of a size of their own, as the protocol's bound is only for requests. */
     public ConnectionPool(EventLoop turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most,
         int mostBody) {
         this.mostBody = mostBody;
--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -20,7 +20,7 @@
 public final class OutboundConnection {
     /**
      * Guards against an answer of many megabytes that comes faster than it is read, and would hold the thread and
-     * with it all reqs for as long: after so many pieces others have their turn. Could harm nothing but the answer,
+     * with it all requests for as long: after so many pieces others have their turn. Could harm nothing but the answer,
      * which goes on with the thread's next round.
      */
     private static final int PIECES_A_TURN = 4;
--- a/src/main/java/gatelock/net/ResponseReader.java
+++ b/src/main/java/gatelock/net/ResponseReader.java
@@ -16,7 +16,7 @@
  *
  * <p>Guards against answers that are noise, cut, without end or of two lengths, and should hold against any
  * that
- * leave open where they end: what can't be proven whole is unreadable. Could harm where a unit ends its
+ * leave open where they end: what can't be proven whole is unreadable. Could harm where an endpoint ends its
  * answers
  * with their connection, or has heads beyond {@link #MOST_HEAD}.
  */
--- a/src/main/java/gatelock/pipeline/ActionExecutor.java
+++ b/src/main/java/gatelock/pipeline/ActionExecutor.java
@@ -23,7 +23,7 @@
     private EndpointResolver routeOut;
     private ResponseWriter relayBack;
     private OutcomeRecorder book;
-    private ReleaseControllerClient desk;
+    private ReleaseControllerClient controller;
     private DiscoveryClient discovery;
     private DecisionEngine gate;
     private boolean stopped;
@@ -42,8 +42,8 @@
     }
 
     /** Names the platform; without one, votes and wishes for the list go nowhere. */
-    public void bind(ReleaseControllerClient desk, DiscoveryClient discovery) {
-        this.desk = desk;
+    public void bind(ReleaseControllerClient controller, DiscoveryClient discovery) {
+        this.controller = controller;
         this.discovery = discovery;
     }
 
@@ -53,39 +53,39 @@
     }
 
     @Override
-    public void send(String id, String unit, long timeoutUs) {
-        InFlightRequest req = open.get(id);
-        turn.soon(() -> routeOut.send(req, unit, timeoutUs));
+    public void send(String id, String endpoint, long timeoutUs) {
+        InFlightRequest request = open.get(id);
+        turn.soon(() -> routeOut.send(request, endpoint, timeoutUs));
     }
 
     @Override
     public void shed(String id, long pauseUs) {
-        InFlightRequest req = open.get(id);
+        InFlightRequest request = open.get(id);
         turn.soon(() -> {
-            relayBack.shed(req, pauseUs);
-            book.settle(req);
+            relayBack.shed(request, pauseUs);
+            book.settle(request);
         });
     }
 
     @Override
     public void error(String id) {
-        InFlightRequest req = open.get(id);
+        InFlightRequest request = open.get(id);
         turn.soon(() -> {
-            relayBack.errored(req);
-            book.settle(req);
+            relayBack.errored(request);
+            book.settle(request);
         });
     }
 
     @Override
-    public void cancel(String id, int tryNo) {
-        InFlightRequest req = open.get(id);
-        turn.soon(() -> req.callOff(tryNo).run());
+    public void cancel(String id, int attemptNo) {
+        InFlightRequest request = open.get(id);
+        turn.soon(() -> request.callOff(attemptNo).run());
     }
 
     @Override
     public void vote(int build, int stage, Verdict verdict) {
-        if (desk != null) {
-            turn.soon(() -> desk.vote(build, stage, verdict));
+        if (controller != null) {
+            turn.soon(() -> controller.vote(build, stage, verdict));
         }
     }
 
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -12,14 +12,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
 
-/** Fourth stage: one try goes out on a connection of its own for the time, and its ending is found. */
+/** Fourth stage: one attempt goes out on a connection of its own for the time, and its ending is found. */
 public final class AttemptSender {
     private static final long SEEN_US = 2_000;
 
     private final EventLoop turn;
     private final ConnectionPool lines;
     private final OutcomeRecorder book;
-    private BiConsumer<String, AttemptResult> hears = (unit, ending) -> { };
+    private BiConsumer<String, AttemptResult> hears = (endpoint, ending) -> { };
 
     public AttemptSender(EventLoop turn, ConnectionPool lines, OutcomeRecorder book) {
         this.turn = turn;
@@ -27,15 +27,15 @@
         this.book = book;
     }
 
-    /** Tells the unit and the ending of each try from now on. */
+    /** Tells the endpoint and the ending of each attempt from now on. */
     public void whenEnded(BiConsumer<String, AttemptResult> hears) {
         this.hears = hears;
     }
 
-    /** Numbers and sends a try; without an address it can't come to be connected. */
-    void send(InFlightRequest req, String unit, InetSocketAddress address, long timeoutUs) {
-        Try rev = new Try(req, unit);
-        if (req.over() || turn.nowUs() >= req.endUs()) {
+    /** Numbers and sends an attempt; without an address it can't come to be connected. */
+    void send(InFlightRequest request, String endpoint, InetSocketAddress address, long timeoutUs) {
+        Attempt rev = new Attempt(request, endpoint);
+        if (request.over() || turn.nowUs() >= request.endUs()) {
             rev.end(AttemptResult.NOT_SENT, null);
         } else if (address == null) {
             rev.end(AttemptResult.NOT_CONNECTED, null);
@@ -45,36 +45,36 @@
     }
 
     /** One try. */
-    private final class Try implements OutboundConnection.User {
-        private final InFlightRequest req;
-        private final String unit;
+    private final class Attempt implements OutboundConnection.User {
+        private final InFlightRequest request;
+        private final String endpoint;
         private final int number;
         private final long sentUs = turn.nowUs();
         private OutboundConnection line;
         private boolean ended;
         private boolean stopped;
 
-        Try(InFlightRequest req, String unit) {
-            this.req = req;
-            this.unit = unit;
-            this.number = req.addTry(this::callOff);
+        Attempt(InFlightRequest request, String endpoint) {
+            this.request = request;
+            this.endpoint = endpoint;
+            this.number = request.addAttempt(this::callOff);
         }
 
         private void begin(InetSocketAddress address, long timeoutUs) {
-            long leftUs = req.endUs() - sentUs;
+            long leftUs = request.endUs() - sentUs;
             long waitUs = timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs;
             byte[] varying = ("X-Expires-In-Ms: " + Math.max(1, waitUs / 1000) + "\r\n\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
-            // One buffer, so that an ordinary req leaves in one write.
-            ByteBuffer call = ByteBuffer.allocate(req.head().length + varying.length + req.body().length);
-            call.put(req.head()).put(varying).put(req.body()).flip();
+            // One buffer, so that an ordinary request leaves in one write.
+            ByteBuffer call = ByteBuffer.allocate(request.head().length + varying.length + request.body().length);
+            call.put(request.head()).put(varying).put(request.body()).flip();
             line = lines.call(address, call, waitUs, this);
         }
 
         /**
-         * Closes the connection: that is how a unit learns that nobody waits any more. The ending is told an
-         * instant later. Guards against a further try that is read at another unit before this end is: two were
-         * seen out at once. Should hold for any two units; costs a called off req that instant.
+         * Closes the connection: that is how an endpoint learns that nobody waits any more. The ending is told an
+         * instant later. Guards against a retry that is read at another endpoint before this end is: two were
+         * seen out at once. Should hold for any two endpoints; costs a called off request that instant.
          */
         private void callOff() {
             if (!ended) {
@@ -86,7 +86,7 @@
 
         @Override
         public boolean mayGo() {
-            stopped = !req.handle().mayGo(turn.nowUs(), number);
+            stopped = !request.handle().mayGo(turn.nowUs(), number);
             return !stopped;
         }
 
@@ -110,8 +110,8 @@
 
         private void end(AttemptResult ending, UpstreamResponse answer) {
             ended = true;
-            hears.accept(unit, ending);
-            book.ended(req, number, ending, turn.nowUs() - sentUs, answer);
+            hears.accept(endpoint, ending);
+            book.ended(request, number, ending, turn.nowUs() - sentUs, answer);
         }
     }
 }
--- a/src/main/java/gatelock/pipeline/EndpointResolver.java
+++ b/src/main/java/gatelock/pipeline/EndpointResolver.java
@@ -5,7 +5,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Third stage: the unit that was decided on becomes an address. */
+/** Third stage: the endpoint that was decided on becomes an address. */
 public final class EndpointResolver {
     private final EndpointAddresses addresses;
     private final AttemptSender sendOff;
@@ -15,13 +15,13 @@
         this.sendOff = sendOff;
     }
 
-    void send(InFlightRequest req, String unit, long timeoutUs) {
-        EndpointAddresses.Place place = addresses.get(unit);
+    void send(InFlightRequest request, String endpoint, long timeoutUs) {
+        EndpointAddresses.Place place = addresses.get(endpoint);
         InetSocketAddress address = place == null ? null : place.address();
-        if (req.opening() != null) {
-            req.opening().send(address, unit, timeoutUs);
+        if (request.opening() != null) {
+            request.opening().send(address, endpoint, timeoutUs);
         } else {
-            sendOff.send(req, unit, address, timeoutUs);
+            sendOff.send(request, endpoint, address, timeoutUs);
         }
     }
 }
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -22,34 +22,34 @@
         this.relayBack = relayBack;
     }
 
-    /** A try has ended; the first that completed is the req's answer. */
-    public void ended(InFlightRequest req, int tryNo, AttemptResult ending, long tookUs, UpstreamResponse answer) {
+    /** An attempt has ended; the first that completed is the request's answer. */
+    public void ended(InFlightRequest request, int attemptNo, AttemptResult ending, long tookUs, UpstreamResponse answer) {
         counters.ended(ending);
-        if (ending == AttemptResult.COMPLETED && !req.over()) {
-            relayBack.completed(req, answer);
+        if (ending == AttemptResult.COMPLETED && !request.over()) {
+            relayBack.completed(request, answer);
         }
-        req.handle().ended(turn.nowUs(), tryNo, ending, tookUs, req.over(), LoadReport.NONE);
-        settle(req);
+        request.handle().ended(turn.nowUs(), attemptNo, ending, tookUs, request.over(), LoadReport.NONE);
+        settle(request);
     }
 
     /** The caller has left. */
-    void left(InFlightRequest req) {
-        if (!req.over()) {
+    void left(InFlightRequest request) {
+        if (!request.over()) {
             counters.add("callers left");
-            open.close(req);
-            if (req.taken()) {
-                req.handle().concluded(turn.nowUs());
+            open.close(request);
+            if (request.taken()) {
+                request.handle().concluded(turn.nowUs());
             }
-            settle(req);
+            settle(request);
         }
     }
 
     /**
-     * Forgets a req once it is answered and its last try has ended; an answer may still be on its way out.
+     * Forgets a request once it is answered and its last attempt has ended; an answer may still be on its way out.
      */
-    void settle(InFlightRequest req) {
-        if (req.over() && (!req.taken() || req.handle().settled())) {
-            open.forget(req);
+    void settle(InFlightRequest request) {
+        if (request.over() && (!request.taken() || request.handle().settled())) {
+            open.forget(request);
         }
     }
 }
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -11,7 +11,7 @@
 import gatelock.api.DecisionEngine;
 
 /**
- * Second stage: a req in good form asks the plan's limits, where there is a plan, and is handed to the
+ * Second stage: a request in good form asks the plan's limits, where there is a plan, and is handed to the
  * decisions. It is
  * owed an answer from then on.
  */
@@ -46,23 +46,23 @@
         this.longestPauseUs = longestPauseUs;
     }
 
-    /** Whether a req of this id is still open, so that another can't be told from it. */
+    /** Whether a request of this id is still open, so that another can't be told from it. */
     public boolean isOpen(String id) {
         return open.get(id) != null;
     }
 
     /** @param way where the plan leads it, or null: no plan, or none of its routes is for it */
-    public void admit(InFlightRequest req, Admission.Way way, int route, int tenant, long key, long costUs) {
+    public void admit(InFlightRequest request, Admission.Way way, int route, int tenant, long key, long costUs) {
         counters.add("taken");
-        open.add(req);
+        open.add(request);
         if (way == null) {
-            decide(req, route, tenant, key, costUs, RequestConstraints.NONE);
+            decide(request, route, tenant, key, costUs, RequestConstraints.NONE);
             return;
         }
-        Passage passage = new Passage(req, route, tenant, key, costUs);
-        Admission.Pass pass = admission.ask(turn.nowUs(), way, tenant, req.endUs(), passage);
+        Passage passage = new Passage(request, route, tenant, key, costUs);
+        Admission.Pass pass = admission.ask(turn.nowUs(), way, tenant, request.endUs(), passage);
         passage.pass = pass;
-        req.whenOver(() -> {
+        request.whenOver(() -> {
             pass.over(turn.nowUs());
             look();
         });
@@ -72,45 +72,45 @@
             counters.add("waited for limits");
             look();
         } else {
-            decide(req, route, tenant, key, costUs, pass);
+            decide(request, route, tenant, key, costUs, pass);
         }
     }
 
-    /** From now on the decisions know where reqs may go; those that came before go first. Tells how many. */
+    /** From now on the decisions know where requests may go; those that came before go first. Tells how many. */
     public int open() {
         return early.open();
     }
 
-    private void decide(InFlightRequest req, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
+    private void decide(InFlightRequest request, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
         if (!early.isOpen()) {
-            long waitsUs = early.come(turn.nowUs(), req.endUs(), req,
-                () -> decide(req, route, tenant, key, costUs, bounds));
+            long waitsUs = early.come(turn.nowUs(), request.endUs(), request,
+                () -> decide(request, route, tenant, key, costUs, bounds));
             turn.in(waitsUs, () -> {
-                if (early.leave(req)) {
+                if (early.leave(request)) {
                     counters.add("given up before listed");
-                    relayBack.shed(req, Math.min(longestPauseUs, waitsUs));
-                    book.settle(req);
+                    relayBack.shed(request, Math.min(longestPauseUs, waitsUs));
+                    book.settle(request);
                 }
             });
             return;
         }
         long nowUs = turn.nowUs();
-        req.taken(gate.take(nowUs, req.id(), route, tenant, key, Math.max(1, req.endUs() - nowUs), costUs,
+        request.taken(gate.take(nowUs, request.id(), route, tenant, key, Math.max(1, request.endUs() - nowUs), costUs,
             bounds));
-        book.settle(req);
+        book.settle(request);
     }
 
-    /** A req on its way past its limits. */
+    /** A request on its way past its limits. */
     private final class Passage implements QueuedRequest {
-        private final InFlightRequest req;
+        private final InFlightRequest request;
         private final int route;
         private final int tenant;
         private final long key;
         private final long costUs;
         private Admission.Pass pass;
 
-        Passage(InFlightRequest req, int route, int tenant, long key, long costUs) {
-            this.req = req;
+        Passage(InFlightRequest request, int route, int tenant, long key, long costUs) {
+            this.request = request;
             this.route = route;
             this.tenant = tenant;
             this.key = key;
@@ -121,8 +121,8 @@
         public void passes(long nowUs) {
             // Its turn may come while the decisions are at work on another.
             turn.soon(() -> {
-                if (!req.over()) {
-                    decide(req, route, tenant, key, costUs, pass);
+                if (!request.over()) {
+                    decide(request, route, tenant, key, costUs, pass);
                 }
             });
         }
@@ -131,8 +131,8 @@
         public void shed(long nowUs, long pauseUs) {
             counters.add("shed by limits");
             turn.soon(() -> {
-                relayBack.shed(req, Math.min(pauseUs, longestPauseUs));
-                book.settle(req);
+                relayBack.shed(request, Math.min(pauseUs, longestPauseUs));
+                book.settle(request);
             });
         }
     }
@@ -151,8 +151,8 @@
         }
     }
 
-    public void left(InFlightRequest req) {
-        early.leave(req);
-        book.left(req);
+    public void left(InFlightRequest request) {
+        early.leave(request);
+        book.left(request);
     }
 }
--- a/src/main/java/gatelock/pipeline/ResponseWriter.java
+++ b/src/main/java/gatelock/pipeline/ResponseWriter.java
@@ -18,25 +18,25 @@
         this.counters = counters;
     }
 
-    void completed(InFlightRequest req, UpstreamResponse answer) {
+    void completed(InFlightRequest request, UpstreamResponse answer) {
         counters.add("completed");
-        open.close(req);
-        req.caller().completed(answer);
+        open.close(request);
+        request.caller().completed(answer);
     }
 
-    void shed(InFlightRequest req, long pauseUs) {
-        if (!req.over()) {
+    void shed(InFlightRequest request, long pauseUs) {
+        if (!request.over()) {
             counters.add("shed");
-            open.close(req);
-            req.caller().shed(pauseUs);
+            open.close(request);
+            request.caller().shed(pauseUs);
         }
     }
 
-    void errored(InFlightRequest req) {
-        if (!req.over()) {
+    void errored(InFlightRequest request) {
+        if (!request.over()) {
             counters.add("errored");
-            open.close(req);
-            req.caller().errored(turn.nowUs() >= req.endUs());
+            open.close(request);
+            request.caller().errored(turn.nowUs() >= request.endUs());
         }
     }
 }
--- a/src/main/java/gatelock/release/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/release/ReleaseControllerClient.java
@@ -19,7 +19,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Speaks with the release desk: votes, each with its answer, and news on a connection of its own. */
+/** Speaks with the release controller: votes, each with its answer, and news on a connection of its own. */
 public final class ReleaseControllerClient {
     private static final System.Logger LOG = System.getLogger("gatelock.release");
     private static final Map<String, DecisionEngine.Phase> PHASES = Map.of("trial", DecisionEngine.Phase.TRIAL,
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Speaks with a desk at another address from now on. The news from there stand before the old ones go, and
+     * Speaks with a release controller at another address from now on. The news from there stand before the old ones go, and
      * votes under way get their ending.
      */
     public void move(InetSocketAddress to) {
@@ -190,8 +190,8 @@
         }
 
         /**
-         * Guards against a desk whose words can't be read: the connection is of no further use, and another
-         * takes its place. Should hold against anything but news; could harm where a desk says more than news.
+         * Guards against a release controller whose words can't be read: the connection is of no further use, and another
+         * takes its place. Should hold against anything but news; could harm where a release controller says more than news.
          */
         private void spoilt(String why) {
             counters.add("news unreadable");
--- a/src/main/java/gatelock/session/CloseReason.java
+++ b/src/main/java/gatelock/session/CloseReason.java
@@ -23,17 +23,17 @@
     UNIT_FAULT(1011, 1002, "unit broke the protocol");
 
     private final int toClient;
-    private final int toUnit;
+    private final int toEndpoint;
     private final String reason;
 
-    CloseReason(int toClient, int toUnit, String reason) {
+    CloseReason(int toClient, int toEndpoint, String reason) {
         this.toClient = toClient;
-        this.toUnit = toUnit;
+        this.toEndpoint = toEndpoint;
         this.reason = reason;
     }
 
     public int code(Session.Side side) {
-        return side == Session.Side.CLIENT ? toClient : toUnit;
+        return side == Session.Side.CLIENT ? toClient : toEndpoint;
     }
 
     public String reason() {
--- a/src/main/java/gatelock/session/Session.java
+++ b/src/main/java/gatelock/session/Session.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * The life of one session between a client and a unit. Whatever ends it, and in whatever order things happen,
+ * The life of one session between a client and an endpoint. Whatever ends it, and in whatever order things happen,
  * each side that
  * can still hear gets exactly one close; a side that does not answer its close in time is cut off.
  */
@@ -35,20 +35,20 @@
     private final Wires wires;
     private final Map<Side, End> ends = new EnumMap<>(Map.of(Side.CLIENT, End.OPEN, Side.UNIT, End.OPEN));
     private final int place;
-    private final String unit;
+    private final String endpoint;
     private final int route;
     private CloseReason cause;
     private long endedUs;
 
-    Session(int place, String unit, int route, Wires wires) {
+    Session(int place, String endpoint, int route, Wires wires) {
         this.place = place;
-        this.unit = unit;
+        this.endpoint = endpoint;
         this.route = route;
         this.wires = wires;
     }
 
-    public String unit() {
-        return unit;
+    public String endpoint() {
+        return endpoint;
     }
 
     public int route() {
