--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/Sessions.java
@@ -14,19 +14,19 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All sessions of a relay: how many there may be, and which must leave their unit and when. Closes that
+ * All sessions of a relay: how many there may be, and which must leave their endpoint and when. Closes that
  * clients come back
- * from are paced: so many a second as the units that stay can open, so that those who come back flood nobody.
+ * from are paced: so many a second as the endpoints that stay can open, so that those who come back flood nobody.
  */
 public final class Sessions {
-    /** So many opens a second each ready unit is taken to bear, when nothing else is said. */
-    private final double opensPerUnit;
+    /** So many opens a second each ready endpoint is taken to bear, when nothing else is said. */
+    private final double opensPerEndpoint;
     private final long drainUs;
     private final int most;
     private final RandomGenerator chance;
     private final Map<Integer, Session> all = new LinkedHashMap<>();
-    private final Map<String, Set<Session>> byUnit = new HashMap<>();
-    private final Map<String, Endpoint> units = new HashMap<>();
+    private final Map<String, Set<Session>> byEndpoint = new HashMap<>();
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
     /** Those that must leave, in turn, each with its cause and the time by which it goes at the latest. */
     private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
     private final Map<Session, Leaving> due = new HashMap<>();
@@ -42,12 +42,12 @@
 
     /**
      * @param most sessions at a time
-     * @param opensPerUnit opens a second that each ready unit bears
+     * @param opensPerEndpoint opens a second that each ready endpoint bears
      * @param drainUs how long a drain may take at the most
      */
-    public Sessions(int most, double opensPerUnit, long drainUs, RandomGenerator chance) {
+    public Sessions(int most, double opensPerEndpoint, long drainUs, RandomGenerator chance) {
         this.most = most;
-        this.opensPerUnit = opensPerUnit;
+        this.opensPerEndpoint = opensPerEndpoint;
         this.drainUs = drainUs;
         this.chance = chance;
     }
@@ -65,14 +65,14 @@
         return all.size() < most && !relayLeaves;
     }
 
-    /** One is open at a unit. */
-    public Session opened(long nowUs, String unit, int route, Session.Wires wires) {
-        Session session = new Session(nextPlace++, unit, route, wires);
+    /** One is open at an endpoint. */
+    public Session opened(long nowUs, String endpoint, int route, Session.Wires wires) {
+        Session session = new Session(nextPlace++, endpoint, route, wires);
         all.put(session.place(), session);
-        byUnit.computeIfAbsent(unit, u -> new LinkedHashSet<>()).add(session);
-        Endpoint at = units.get(unit);
+        byEndpoint.computeIfAbsent(endpoint, u -> new LinkedHashSet<>()).add(session);
+        Endpoint at = endpoints.get(endpoint);
         if (at == null || at.health() != Endpoint.Health.READY) {
-            // It was asked for before the unit was known to leave.
+            // It was asked for before the endpoint was known to leave.
             leaves(session, CloseReason.DRAIN, nowUs + drainUs);
         } else if (takenBack(at.build())) {
             session.end(nowUs, CloseReason.TRIAL_BACK, back());
@@ -81,7 +81,7 @@
     }
 
     /**
-     * The list of units, or a part of it: sessions at units that drain, are gone or came back as others must
+     * The list of endpoints, or a part of it: sessions at endpoints that drain, are gone or came back as others must
      * leave.
      */
     public void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries) {
@@ -90,23 +90,23 @@
         }
         if (form != DecisionEngine.ListForm.DELTA) {
             Set<String> named = new LinkedHashSet<>();
-            entries.forEach(l -> named.add(l.unit()));
-            List.copyOf(units.keySet()).stream().filter(u -> !named.contains(u)).forEach(u -> {
-                units.remove(u);
+            entries.forEach(l -> named.add(l.endpoint()));
+            List.copyOf(endpoints.keySet()).stream().filter(u -> !named.contains(u)).forEach(u -> {
+                endpoints.remove(u);
                 allLeave(nowUs, u);
             });
         }
         for (Endpoint l : entries) {
-            Endpoint was = l.health() == Endpoint.Health.GONE ? units.remove(l.unit()) : units.put(l.unit(), l);
+            Endpoint was = l.health() == Endpoint.Health.GONE ? endpoints.remove(l.endpoint()) : endpoints.put(l.endpoint(), l);
             boolean other = was != null && (was.startUs() != l.startUs() || was.build() != l.build());
             if (l.health() != Endpoint.Health.READY || other) {
-                allLeave(nowUs, l.unit());
+                allLeave(nowUs, l.endpoint());
             }
         }
     }
 
-    private void allLeave(long nowUs, String unit) {
-        byUnit.getOrDefault(unit, Set.of()).forEach(s -> leaves(s, CloseReason.DRAIN, nowUs + drainUs));
+    private void allLeave(long nowUs, String endpoint) {
+        byEndpoint.getOrDefault(endpoint, Set.of()).forEach(s -> leaves(s, CloseReason.DRAIN, nowUs + drainUs));
     }
 
     private void leaves(Session session, CloseReason cause, long byUs) {
@@ -126,7 +126,7 @@
         phase = now;
         if (now == DecisionEngine.Phase.REVERTING || now == DecisionEngine.Phase.WITHDRAWN) {
             for (Session s : List.copyOf(all.values())) {
-                Endpoint at = units.get(s.unit());
+                Endpoint at = endpoints.get(s.endpoint());
                 if (at != null && takenBack(at.build())) {
                     s.end(nowUs, CloseReason.TRIAL_BACK, back());
                 }
@@ -144,9 +144,9 @@
         all.values().forEach(s -> leaves(s, CloseReason.LEAVING, byUs));
     }
 
-    /** A message can't go to its unit any more, as that leaves: the session goes before its turn. */
+    /** A message can't go to its endpoint any more, as that leaves: the session goes before its turn. */
     public void unreachable(long nowUs, Session session) {
-        Endpoint at = units.get(session.unit());
+        Endpoint at = endpoints.get(session.endpoint());
         session.end(nowUs, at != null && takenBack(at.build()) ? CloseReason.TRIAL_BACK : CloseReason.DRAIN, back());
     }
 
@@ -156,8 +156,8 @@
      * leaves, the rest goes evenly until the time is up, since its clients go to other relays.
      */
     public void due(long nowUs) {
-        long ready = units.values().stream().filter(l -> l.health() == Endpoint.Health.READY).count();
-        double perUs = Math.max(1, ready) * opensPerUnit / 1e6;
+        long ready = endpoints.values().stream().filter(l -> l.health() == Endpoint.Health.READY).count();
+        double perUs = Math.max(1, ready) * opensPerEndpoint / 1e6;
         budget = Math.min(Math.max(1, perUs * 100_000), budget + Math.max(0, nowUs - budgetUs) * perUs);
         budgetUs = nowUs;
         while (!leaving.isEmpty()) {
@@ -186,7 +186,7 @@
     private void forget(Session s) {
         all.remove(s.place());
         due.remove(s);
-        byUnit.computeIfPresent(s.unit(), (u, some) -> {
+        byEndpoint.computeIfPresent(s.endpoint(), (u, some) -> {
             some.remove(s);
             return some.isEmpty() ? null : some;
         });
--- a/src/main/java/gatelock/simulator/SettingsDecoder.java
+++ b/src/main/java/gatelock/simulator/SettingsDecoder.java
@@ -14,7 +14,7 @@
  * the safe side.
  */
 public final class SettingsDecoder {
-    /** How long a connection is kept where nothing says when a unit closes it. */
+    /** How long a connection is kept where nothing says when an endpoint closes it. */
     private static final long FOR_GOOD_US = Long.MAX_VALUE / 4;
     private final Map<String, String> pairs;
 
--- a/src/main/java/gatelock/simulator/SimulatorHost.java
+++ b/src/main/java/gatelock/simulator/SimulatorHost.java
@@ -45,7 +45,7 @@
     private long nowUs;
     private int writingFor = -1;
 
-    /** One hosted relay: its decisions, the reqs it holds, and its voice on the wire. */
+    /** One hosted relay: its decisions, the requests it holds, and its voice on the wire. */
     private final class Relay implements DecisionActions {
         private final int number;
         private final Map<String, RequestHandle> held = new HashMap<>();
@@ -64,8 +64,8 @@
         }
 
         @Override
-        public void send(String id, String unit, long timeoutUs) {
-            line("RELAY ").append(id).append(' ').append(unit).append(' ').append(timeoutUs * 1000)
+        public void send(String id, String endpoint, long timeoutUs) {
+            line("RELAY ").append(id).append(' ').append(endpoint).append(' ').append(timeoutUs * 1000)
                 .append('\n');
         }
 
@@ -80,8 +80,8 @@
         }
 
         @Override
-        public void cancel(String id, int tryNo) {
-            line("RETRACT ").append(id).append(' ').append(tryNo).append('\n');
+        public void cancel(String id, int attemptNo) {
+            line("RETRACT ").append(id).append(' ').append(attemptNo).append('\n');
         }
 
         @Override
@@ -197,13 +197,13 @@
                 throw new MalformedLineException("expected M, found " + m.name());
             }
             int build = (int) m.number("ver");
-            String unit = m.text("unit");
+            String endpoint = m.text("unit");
             int zone = (int) m.numberOr(0);
             int kind = (int) m.numberOr(0);
             int cell = (int) m.numberOr(0);
             Endpoint.Health health = HEALTH[m.code("health", HEALTH.length)];
             m.realOr(1); // the weight, which steers nothing
-            entries.add(new Endpoint(unit, build, zone, kind, cell, health, m.numberOr(0) / 1000));
+            entries.add(new Endpoint(endpoint, build, zone, kind, cell, health, m.numberOr(0) / 1000));
         }
         lists.set(number, entries);
     }
@@ -246,9 +246,9 @@
                     asked || answer != DecisionEngine.VoteAnswer.COUNTED ? answer : DecisionEngine.VoteAnswer.NOT_ASKED);
             }
             case "COMPLAINT" -> {
-                String unit = f.text("unit");
+                String endpoint = f.text("unit");
                 int route = (int) f.number("service");
-                relay.gate.complaint(nowUs, unit, route, f.number("behindNs") / 1000);
+                relay.gate.complaint(nowUs, endpoint, route, f.number("behindNs") / 1000);
             }
             case "ABANDONED", "HEAD_RECEIVED" -> {
                 String id = f.text("msgId");
@@ -286,7 +286,7 @@
 
     private void reportBack(Relay relay, FieldReader f) {
         String id = f.text("msgId");
-        int tryNo = (int) f.number("hop");
+        int attemptNo = (int) f.number("hop");
         f.text("unit");
         AttemptResult ending = f.oneOf(ENDINGS, "result");
         long tookUs = f.number("durationNs") / 1000;
@@ -294,7 +294,7 @@
         LoadReport load = f.load();
         RequestHandle handle = relay.handle(id);
         if (handle != null) {
-            handle.ended(nowUs, tryNo, ending, tookUs, over, load);
+            handle.ended(nowUs, attemptNo, ending, tookUs, over, load);
             relay.forgetIfSettled(id, handle);
         }
     }
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -11,11 +11,11 @@
 
 /**
  * All client connections, each in one state, and the one place that says whether one of them may be ended. A
- * connection that owes its client an answer is never ended here, and one that stands without a req only after
+ * connection that owes its client an answer is never ended here, and one that stands without a request only after
  * a
  * look at what has come on it and was not read yet.
  *
- * <p>Guards against a relay that is late: a req may lie unread while the timer that ends its connection is
+ * <p>Guards against a relay that is late: a request may lie unread while the timer that ends its connection is
  * due.
  * Should hold for any order of arrivals, timers and answers. Costs a client that is really idle nothing, and
  * one that
@@ -27,14 +27,14 @@
     /**
      * Guards against clients that say nothing, or never come to the end of a head or body, and those that
      * don't
-     * read their answer: a connection has so long until its first req is whole, or a later one from its first
+     * read their answer: a connection has so long until its first request is whole, or a later one from its first
      * byte.
      * Should hold against any way of keeping a connection for nothing; could harm a client on a network so
      * slow
-     * that one req takes as long.
+     * that one request takes as long.
      */
     public static final long WHOLE_WITHIN_US = 2_500_000;
-    /** Between reqs: so long from an answer. Guards against clients that ask once and stay. */
+    /** Between requests: so long from an answer. Guards against clients that ask once and stay. */
     public static final long IDLE_US = 2_000_000;
     /** A usual client says something sooner than this. */
     static final long SOON_US = 300_000;
@@ -45,9 +45,9 @@
     public enum State {
         /** Nothing has come on it yet. */
         SILENT,
-        /** A req has begun to come: its head, or its body. */
+        /** A request has begun to come: its head, or its body. */
         COMING,
-        /** A req is whole and owed its answer. */
+        /** A request is whole and owed its answer. */
         OWED,
         /** An answer is on its way out, or a refusal. */
         ANSWERING,
@@ -86,7 +86,7 @@
     private static final class Standing {
         private State state = State.SILENT;
         private long byUs;
-        /** Bytes of a next req came before the last answer had left. */
+        /** Bytes of a next request came before the last answer had left. */
         private boolean early;
         /** Was overdue at the last look. */
         private boolean spared;
@@ -102,7 +102,7 @@
 
     /**
      * @param withEase connections held at a time; beyond that idle ones make room
-     * @param most beyond that all that wait for a first req do
+     * @param most beyond that all that wait for a first request do
      */
     public ClientConnections(Counters counters, Sockets<C> sockets, int withEase, int most) {
         this.counters = counters;
@@ -152,7 +152,7 @@
         }
     }
 
-    /** A req is whole: until it is answered, its connection stays. */
+    /** A request is whole: until it is answered, its connection stays. */
     public void whole(C connection) {
         Standing standing = all.get(connection);
         if (standing != null) {
@@ -162,7 +162,7 @@
         }
     }
 
-    /** An answer begins to go out, to a whole req or as a refusal. */
+    /** An answer begins to go out, to a whole request or as a refusal. */
     public void answering(long nowUs, C connection) {
         Standing standing = all.get(connection);
         if (standing != null) {
@@ -170,7 +170,7 @@
         }
     }
 
-    /** The last byte of an answer has left; {@code more}: bytes behind its req were read together with it. */
+    /** The last byte of an answer has left; {@code more}: bytes behind its request were read together with it. */
     public void answered(long nowUs, C connection, boolean more) {
         Standing standing = all.get(connection);
         if (standing != null && (standing.early || more)) {
@@ -222,7 +222,7 @@
     }
 
     /**
-     * Of a first req the time runs from accept, of a later one from its first byte: only these are not in
+     * Of a first request the time runs from accept, of a later one from its first byte: only these are not in
      * order.
      */
     private List<C> overdue(State state, long nowUs) {
@@ -240,10 +240,10 @@
     /**
      * Guards against connections that keep others from being accepted, or clients from opening one more.
      * Beyond
-     * what is held with ease, those that are silent for a while go first, then those between reqs; beyond the
+     * what is held with ease, those that are silent for a while go first, then those between requests; beyond the
      * most,
      * any that is silent; the longest waiting first. A connection that has just come is silent only until its
-     * req is read. Could harm a client whose first req is slow to come while very many others connect.
+     * request is read. Could harm a client whose first request is slow to come while very many others connect.
      */
     public void makeRoom(long nowUs) {
         if (all.size() > withEase
--- a/src/main/java/gatelock/state/EndpointAddresses.java
+++ b/src/main/java/gatelock/state/EndpointAddresses.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Where each unit is to be reached, as discovery last told. */
+/** Where each endpoint is to be reached, as discovery last told. */
 public final class EndpointAddresses {
 
-    /** What stands behind a unit's name: its address, and the process and state that were listed there. */
+    /** What stands behind an endpoint's name: its address, and the process and state that were listed there. */
     public record Place(InetSocketAddress address, Endpoint listed) {
     }
 
     private final Map<String, Place> places = new HashMap<>();
 
-    public Place get(String unit) {
-        return places.get(unit);
+    public Place get(String endpoint) {
+        return places.get(endpoint);
     }
 
-    /** How many units are known. */
+    /** How many endpoints are known. */
     public int size() {
         return places.size();
     }
@@ -29,8 +29,8 @@
     /** Notes an entry; returns the addresses to which standing connections serve no more. */
     public List<InetSocketAddress> put(InetSocketAddress address, Endpoint listed) {
         Place place = new Place(address, listed);
-        Place before = listed.health() == Endpoint.Health.GONE ? places.remove(listed.unit())
-            : places.put(listed.unit(), place);
+        Place before = listed.health() == Endpoint.Health.GONE ? places.remove(listed.endpoint())
+            : places.put(listed.endpoint(), place);
         if (before == null) {
             // An address may come back under another name: whoever stood there before is another process.
             return List.of(address);
@@ -40,11 +40,11 @@
         return same ? List.of() : List.of(before.address, address);
     }
 
-    /** Forgets all units but these; returns where those stood. */
-    public List<InetSocketAddress> keepOnly(Set<String> units) {
-        List<InetSocketAddress> left = places.entrySet().stream().filter(e -> !units.contains(e.getKey()))
+    /** Forgets all endpoints but these; returns where those stood. */
+    public List<InetSocketAddress> keepOnly(Set<String> endpoints) {
+        List<InetSocketAddress> left = places.entrySet().stream().filter(e -> !endpoints.contains(e.getKey()))
             .map(e -> e.getValue().address).toList();
-        places.keySet().retainAll(units);
+        places.keySet().retainAll(endpoints);
         return left;
     }
 }
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A req that was taken and is not settled yet. What goes on to a unit stays the bytes that came. */
+/** A request that was taken and is not settled yet. What goes on to an endpoint stays the bytes that came. */
 public final class InFlightRequest {
     private final String id;
     private final byte[] head;
@@ -20,7 +20,7 @@
     private Opening opening;
 
     /**
-     * @param head first line and headers as a unit gets them, all but those that change with each try
+     * @param head first line and headers as an endpoint gets them, all but those that change with each attempt
      * @param endUs until when the caller waits
      */
     public InFlightRequest(String id, byte[] head, byte[] body, long endUs, ResponseSink caller) {
@@ -72,13 +72,13 @@
         }
     }
 
-    /** How tries of a req go out that is no ordinary one. */
+    /** How tries of a request go out that is no ordinary one. */
     public interface Opening {
-        /** Makes one try at a unit; without an address it can't come to be connected. */
-        void send(InetSocketAddress address, String unit, long timeoutUs);
+        /** Makes one attempt at an endpoint; without an address it can't come to be connected. */
+        void send(InetSocketAddress address, String endpoint, long timeoutUs);
     }
 
-    /** Null for an ordinary req. */
+    /** Null for an ordinary request. */
     public Opening opening() {
         return opening;
     }
@@ -87,7 +87,7 @@
         this.opening = opening;
     }
 
-    /** Takes over what is to be done once it is over; the req does it no more. May be null. */
+    /** Takes over what is to be done once it is over; the request does it no more. May be null. */
     public Runnable takeWhenOver() {
         Runnable what = whenOver;
         whenOver = null;
@@ -99,18 +99,18 @@
         whenOver = what;
     }
 
-    /** Whether the decisions have it: a req that waits for its limits is not theirs yet. */
+    /** Whether the decisions have it: a request that waits for its limits is not theirs yet. */
     public boolean taken() {
         return handle != null;
     }
 
     /** Numbers a new try from 0 in the order sent; {@code callOff} gives it up. */
-    public int addTry(Runnable callOff) {
+    public int addAttempt(Runnable callOff) {
         calledOff.add(callOff);
         return calledOff.size() - 1;
     }
 
-    public Runnable callOff(int tryNo) {
-        return calledOff.get(tryNo);
+    public Runnable callOff(int attemptNo) {
+        return calledOff.get(attemptNo);
     }
 }
--- a/src/main/java/gatelock/state/InFlightRequests.java
+++ b/src/main/java/gatelock/state/InFlightRequests.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All reqs not settled yet, by id; a req whose caller has its answer stays until its last try has ended. */
+/** All requests not settled yet, by id; a request whose caller has its answer stays until its last attempt has ended. */
 public final class InFlightRequests {
     private final Map<String, InFlightRequest> byId = new HashMap<>();
     private final Counters counters;
@@ -20,17 +20,17 @@
         return byId.size();
     }
 
-    public void add(InFlightRequest req) {
-        byId.put(req.id(), req);
+    public void add(InFlightRequest request) {
+        byId.put(request.id(), request);
     }
 
-    /** Notes that a req has its final answer or its caller left. */
-    public void close(InFlightRequest req) {
-        counters.holds(!req.over(), "a second final answer");
-        req.close();
+    /** Notes that a request has its final answer or its caller left. */
+    public void close(InFlightRequest request) {
+        counters.holds(!request.over(), "a second final answer");
+        request.close();
     }
 
-    public void forget(InFlightRequest req) {
-        byId.remove(req.id());
+    public void forget(InFlightRequest request) {
+        byId.remove(request.id());
     }
 }
--- a/src/main/java/gatelock/state/ResponseSink.java
+++ b/src/main/java/gatelock/state/ResponseSink.java
@@ -1,9 +1,9 @@
 package gatelock.state;
 
-/** Whoever waits for a req's answer, in whatever protocol it came; gets exactly one. */
+/** Whoever waits for a request's answer, in whatever protocol it came; gets exactly one. */
 public interface ResponseSink {
 
-    /** Passes on what a unit answered. */
+    /** Passes on what an endpoint answered. */
     void completed(UpstreamResponse answer);
 
     /** Not done, trying again is harmless, best after {@code pauseUs} (0: no advice). */
--- a/src/main/java/gatelock/state/package-info.java
+++ b/src/main/java/gatelock/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a relay holds in memory: open reqs, unit addresses, idle connections, counters. Nothing here speaks
+ * What a relay holds in memory: open requests, endpoint addresses, idle connections, counters. Nothing here speaks
  * or decides.
  */
 package gatelock.state;
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -50,24 +50,24 @@
     private final SessionPolicy terms;
     private final Session session;
     private final Side client;
-    private final Side unit;
+    private final Side endpoint;
     private Runnable whenOver;
     private long messageUs;
     private long framesFromUs;
     private int frames;
 
-    WebSocketProxySession(EventLoop turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String unitName,
+    WebSocketProxySession(EventLoop turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String endpointName,
         int route,
-             WebSocketChannel client, WebSocketChannel unit, Runnable whenOver) {
+             WebSocketChannel client, WebSocketChannel endpoint, Runnable whenOver) {
         this.turn = turn;
         this.counters = counters;
         this.gate = gate;
         this.terms = terms;
         this.whenOver = whenOver;
         this.client = new Side(Session.Side.CLIENT, client);
-        this.unit = new Side(Session.Side.UNIT, unit);
+        this.endpoint = new Side(Session.Side.UNIT, endpoint);
         this.unreachable = s -> sessions.unreachable(turn.nowUs(), s);
-        this.session = sessions.opened(turn.nowUs(), unitName, route, this);
+        this.session = sessions.opened(turn.nowUs(), endpointName, route, this);
     }
 
     private final java.util.function.Consumer<Session> unreachable;
@@ -75,12 +75,12 @@
     void begin() {
         messageUs = turn.nowUs();
         client.begin();
-        unit.begin();
+        endpoint.begin();
         turn.in(lookUs(), this::look);
     }
 
     private Side side(Session.Side side) {
-        return side == Session.Side.CLIENT ? client : unit;
+        return side == Session.Side.CLIENT ? client : endpoint;
     }
 
     @Override
@@ -129,15 +129,15 @@
         long nowUs = turn.nowUs();
         if (terms.idleUs() > 0 && nowUs - messageUs >= terms.idleUs()) {
             session.end(nowUs, CloseReason.IDLE, 0);
-        } else if (client.stalled(nowUs) || unit.stalled(nowUs)) {
+        } else if (client.stalled(nowUs) || endpoint.stalled(nowUs)) {
             session.end(nowUs, CloseReason.STALLED, 0);
         } else if (nowUs - client.heardUs > 2 * terms.pingUs() + terms.pingUs() / 2) {
             session.end(nowUs, CloseReason.SILENT_CLIENT, 0);
-        } else if (nowUs - unit.heardUs > 2 * terms.pingUs() + terms.pingUs() / 2) {
+        } else if (nowUs - endpoint.heardUs > 2 * terms.pingUs() + terms.pingUs() / 2) {
             session.end(nowUs, CloseReason.SILENT_UNIT, 0);
         } else {
             client.ping(nowUs);
-            unit.ping(nowUs);
+            endpoint.ping(nowUs);
         }
         turn.in(lookUs(), this::look);
     }
@@ -181,7 +181,7 @@
         }
 
         private Side other() {
-            return side == Session.Side.CLIENT ? unit : client;
+            return side == Session.Side.CLIENT ? endpoint : client;
         }
 
         /** Counts a frame of a client's; whether that was one too many. */
@@ -317,7 +317,7 @@
                 return;
             }
             long nowUs = turn.nowUs();
-            switch (gate.message(nowUs, session.unit(), session.route(), first)) {
+            switch (gate.message(nowUs, session.endpoint(), session.route(), first)) {
                 case NOW -> pass(send);
                 case NEVER -> unreachable.accept(session);
                 case LATER -> {
--- a/src/main/java/gatelock/websocket/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/websocket/WebSocketUpgrader.java
@@ -42,11 +42,11 @@
 import java.util.function.Consumer;
 
 /**
- * Opens sessions: a req asks for one, the decisions choose a unit as for any req, a try is an opening
+ * Opens sessions: a request asks for one, the decisions choose an endpoint as for any request, an attempt is an opening
  * handshake with that
- * unit, and only once a unit has opened is the client's own handshake answered. Until then the client has an
+ * endpoint, and only once an endpoint has opened is the client's own handshake answered. Until then the client has an
  * ordinary
- * req, which may be shed with a time to come back.
+ * request, which may be shed with a time to come back.
  */
 public final class WebSocketUpgrader implements RequestReader.Upgrade {
     private static final System.Logger LOG = System.getLogger("gatelock.websocket");
@@ -54,7 +54,7 @@
     private static final HttpString PROTOCOL = new HttpString("Sec-WebSocket-Protocol");
     private static final HttpString KEY = new HttpString("Sec-WebSocket-Key");
     private static final HttpString VERSION = new HttpString("Sec-WebSocket-Version");
-    /** Passed on to a unit with its own opening handshake. */
+    /** Passed on to an endpoint with its own opening handshake. */
     private static final List<String> PASSED = List.of("X-Trace-Id", "X-Customer", "Cookie", "X-Size-Hint",
         "Origin");
 
@@ -101,10 +101,10 @@
     }
 
     @Override
-    public Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest req, SessionPolicy terms,
+    public Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms,
         int route) {
-        Opening opening = new Opening(exchange, req, terms, route);
-        req.opensBy(opening);
+        Opening opening = new Opening(exchange, request, terms, route);
+        request.opensBy(opening);
         return opening::takeOver;
     }
 
@@ -123,21 +123,21 @@
         return asked;
     }
 
-    /** One req that opens a session, through all of its tries. */
+    /** One request that opens a session, through all of its attempts. */
     private final class Opening implements InFlightRequest.Opening {
-        private final InFlightRequest req;
+        private final InFlightRequest request;
         private final SessionPolicy terms;
         private final int route;
         private final String path;
         private final List<String> subprotocols;
         private final Map<String, List<String>> headers = new java.util.LinkedHashMap<>();
-        private WebSocketChannel unit;
-        private String unitName;
+        private WebSocketChannel endpoint;
+        private String endpointName;
         private String subprotocol;
         private Runnable whenOver;
 
-        Opening(HttpServerExchange exchange, InFlightRequest req, SessionPolicy terms, int route) {
-            this.req = req;
+        Opening(HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms, int route) {
+            this.request = request;
             this.terms = terms;
             this.route = route;
             this.path = exchange.getRequestURI() + (exchange.getQueryString().isEmpty() ? "" : "?"
@@ -152,8 +152,8 @@
         }
 
         @Override
-        public void send(InetSocketAddress address, String unitName, long timeoutUs) {
-            new Try(unitName).begin(address, timeoutUs);
+        public void send(InetSocketAddress address, String endpointName, long timeoutUs) {
+            new Attempt(endpointName).begin(address, timeoutUs);
         }
 
         /** The client's side: its handshake is answered, and the two sides are one session from then on. */
@@ -162,12 +162,12 @@
                 false);
             try {
                 WebSocketConnectionCallback coupled = (facade, client) ->
-                    new WebSocketProxySession(turn, counters, gate, sessions, terms, unitName, route, client, unit,
+                    new WebSocketProxySession(turn, counters, gate, sessions, terms, endpointName, route, client, endpoint,
                     whenOver).begin();
                 new WebSocketProtocolHandshakeHandler(List.of(handshake), coupled).handleRequest(exchange);
             } catch (Exception e) {
                 LOG.log(Level.DEBUG, () -> "a client's upgrade failed: " + e);
-                IoUtils.safeClose(unit, exchange.getConnection());
+                IoUtils.safeClose(endpoint, exchange.getConnection());
                 over();
             }
         }
@@ -179,8 +179,8 @@
             }
         }
 
-        /** One opening handshake with a unit. */
-        private final class Try {
+        /** One opening handshake with an endpoint. */
+        private final class Attempt {
             private final String name;
             private final int number;
             private final long sentUs = turn.nowUs();
@@ -188,14 +188,14 @@
             private XnioExecutor.Key limit;
             private boolean ended;
 
-            Try(String name) {
+            Attempt(String name) {
                 this.name = name;
-                this.number = req.addTry(() -> end(AttemptResult.CANCELLED));
+                this.number = request.addAttempt(() -> end(AttemptResult.CANCELLED));
             }
 
             private void begin(InetSocketAddress address, long timeoutUs) {
-                long leftUs = req.endUs() - sentUs;
-                if (req.over() || leftUs <= 0) {
+                long leftUs = request.endUs() - sentUs;
+                if (request.over() || leftUs <= 0) {
                     end(AttemptResult.NOT_SENT);
                     return;
                 }
@@ -238,16 +238,16 @@
             }
 
             private void opened(WebSocketChannel channel, String agreed) {
-                if (ended || req.over()) {
+                if (ended || request.over()) {
                     IoUtils.safeClose(channel);
                     end(AttemptResult.CANCELLED);
                     return;
                 }
-                unit = channel;
-                unitName = name;
+                endpoint = channel;
+                endpointName = name;
                 subprotocol = agreed == null || agreed.isEmpty() ? null : agreed;
                 // What it holds of its limits it holds until the session is over.
-                whenOver = req.takeWhenOver();
+                whenOver = request.takeWhenOver();
                 counters.add("sessions opened");
                 end(AttemptResult.COMPLETED);
             }
@@ -263,7 +263,7 @@
                 if (opening != null && ending != AttemptResult.COMPLETED) {
                     opening.cancel();
                 }
-                book.ended(req, number, ending, turn.nowUs() - sentUs, ending == AttemptResult.COMPLETED
+                book.ended(request, number, ending, turn.nowUs() - sentUs, ending == AttemptResult.COMPLETED
                     ? new UpstreamResponse(101, List.of(), new byte[0]) : null);
             }
         }
--- a/src/test/java/gatelock/ControlTest.java
+++ b/src/test/java/gatelock/ControlTest.java
@@ -64,7 +64,7 @@
         all.start("--operator", operator.toString());
     }
 
-    /** Clients that ask all the time, units that answer at once; every req is to get just one answer. */
+    /** Clients that ask all the time, endpoints that answer at once; every request is to get just one answer. */
     private final class Traffic implements AutoCloseable {
         private final List<Thread> clients = new ArrayList<>();
         private final Map<String, Integer> answers = new ConcurrentHashMap<>();
@@ -74,7 +74,7 @@
         Traffic(int clients) {
             StandIns.go(() -> {
                 while (true) {
-                    all.unit.next().answer("200 OK", "", "done");
+                    all.endpoint.next().answer("200 OK", "", "done");
                 }
             });
             for (int i = 0; i < clients; i++) {
@@ -126,7 +126,7 @@
     private void served(String line, String id) throws Exception {
         try (Socket client = all.connect()) {
             ask(client, line, id, "", "x");
-            all.unit.next().answer("200 OK", "", "done");
+            all.endpoint.next().answer("200 OK", "", "done");
             assertThat(read(client).body()).isEqualTo("done");
         }
     }
@@ -154,7 +154,7 @@
     }
 
     @Test
-    void versionsInAnyOrderComeWhileReqsFlowAndEachIsAnswered() throws Exception {
+    void versionsInAnyOrderComeWhileRequestsFlowAndEachIsAnswered() throws Exception {
         control.offer(EPOCH, "a", 10, plan("first", 1_000_000));
         start();
         control.report(EPOCH + "/10");
@@ -238,7 +238,7 @@
     }
 
     @Test
-    void aSwarmOfVersionsIsFollowedWithoutHarmToReqs() throws Exception {
+    void aSwarmOfVersionsIsFollowedWithoutHarmToRequests() throws Exception {
         control.offer(EPOCH, "a", 1, plan("first", 1_000_000));
         start();
         control.report(EPOCH + "/1");
@@ -300,7 +300,7 @@
         control.offer(EPOCH, "a", 2, queued.replace("\"ratePerS\": 0.5", "\"ratePerS\": 1000"));
         assertThat(control.report(EPOCH + "/2")).containsEntry("accepted", true);
         for (int i = 0; i < 3; i++) {
-            all.unit.next().answer("200 OK", "", "done");
+            all.endpoint.next().answer("200 OK", "", "done");
         }
         for (Socket client : waiting) {
             if (client != shed.socket()) {
--- a/src/test/java/gatelock/EndingsTest.java
+++ b/src/test/java/gatelock/EndingsTest.java
@@ -52,7 +52,7 @@
     // ---- Clients ----
 
     @Test
-    void aReqWhoseClientLeftWhileAConnectionCameUpNeverGoesOut() throws Exception {
+    void aRequestWhoseClientLeftWhileAConnectionCameUpNeverGoesOut() throws Exception {
         Files.writeString(all.config, Files.readString(all.config).replace("\"dialTimeoutNs\": 250000000",
             "\"dialTimeoutNs\": 20000000000"));
         try (StandIns.Party late = StandIns.Party.thatAcceptsLater()) {
@@ -72,12 +72,12 @@
     }
 
     @Test
-    void aClientThatLeavesDuringItsTryOrItsAnswerIsOwedNothingMore() throws Exception {
+    void aClientThatLeavesDuringItsAttemptOrItsAnswerIsOwedNothingMore() throws Exception {
         all.start();
         for (boolean half : new boolean[] {false, true}) {
             Socket leaving = all.connect();
             ask(leaving, "POST /claim", "left" + half, "", "x");
-            StandIns.Came at = all.unit.next();
+            StandIns.Came at = all.endpoint.next();
             if (half) {
                 StandIns.write(at.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
             }
@@ -85,7 +85,7 @@
             relayHasTurned();
             StandIns.write(at.socket(), half ? "lf" : "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             try (Socket client = all.connect()) {
-                served(client, "POST /claim", "next" + half, all.unit);
+                served(client, "POST /claim", "next" + half, all.endpoint);
             }
         }
         assertThat(all.log()).doesNotContain("unexpected");
@@ -98,7 +98,7 @@
         List<Socket> flood = new ArrayList<>();
         try (Socket taken = all.connect()) {
             ask(taken, "POST /claim", "taken", "X-Expires-In-Ms: 10000\r\n", "x");
-            StandIns.Came at = all.unit.next();
+            StandIns.Came at = all.endpoint.next();
             for (int i = 0; i < 300; i++) {
                 Socket one = new Socket();
                 flood.add(one);
@@ -116,20 +116,20 @@
             }
         }
         try (Socket client = all.connect()) {
-            served(client, "POST /claim", "after", all.unit);
+            served(client, "POST /claim", "after", all.endpoint);
         }
         assertThat(all.log()).doesNotContain("unexpected");
     }
 
-    // ---- Units ----
+    // ---- Endpoints ----
 
     @Test
-    void anIdleConnectionThatAUnitClosedCarriesNoReq() throws Exception {
+    void anIdleConnectionThatAnEndpointClosedCarriesNoRequest() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
             for (int i = 0; i < 5; i++) {
-                served(client, "POST /claim", "once" + i, all.unit);
-                for (Socket s : all.unit.connections) {
+                served(client, "POST /claim", "once" + i, all.endpoint);
+                for (Socket s : all.endpoint.connections) {
                     s.close();
                 }
             }
@@ -137,49 +137,49 @@
     }
 
     @Test
-    void aSecondAnswerOnAnIdleConnectionIsNeverTheNextReqs() throws Exception {
+    void aSecondAnswerOnAnIdleConnectionIsNeverTheNextRequests() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
             for (int i = 0; i < 5; i++) {
                 ask(client, "POST /claim", "first" + i, "X-Expires-In-Ms: 10000\r\n", "x");
-                StandIns.Came at = all.unit.next();
+                StandIns.Came at = all.endpoint.next();
                 at.answer("200 OK", "", "first");
                 assertThat(read(client).body()).isEqualTo("first");
                 at.answer("200 OK", "", "again");
-                assertThat(all.unit.ended.poll(20, TimeUnit.SECONDS)).isSameAs(at.socket());
-                served(client, "POST /claim", "second" + i, all.unit);
+                assertThat(all.endpoint.ended.poll(20, TimeUnit.SECONDS)).isSameAs(at.socket());
+                served(client, "POST /claim", "second" + i, all.endpoint);
             }
         }
     }
 
     @Test
-    void aNonRetriableReqWhoseAnswerIsCutOrLateIsErroredOnceAndNeverRepeated() throws Exception {
+    void aNonRetriableRequestWhoseAnswerIsCutOrLateIsErroredOnceAndNeverRepeated() throws Exception {
         all.start();
         String whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
         for (String cut : new String[] {"", "HTTP/1.1 2", whole, whole + "ha"}) {
             try (Socket client = all.connect()) {
                 ask(client, "POST /claim", "cut", "", "x");
-                StandIns.Came at = all.unit.next();
+                StandIns.Came at = all.endpoint.next();
                 StandIns.write(at.socket(), cut);
                 at.socket().close();
                 assertThat(read(client).head()).as(cut).startsWith("HTTP/1.1 502");
                 for (int i = 0; i < 3; i++) {
-                    // Else the decisions would leave the unit out.
-                    served(client, "POST /claim", "good" + i, all.unit);
+                    // Else the decisions would leave the endpoint out.
+                    served(client, "POST /claim", "good" + i, all.endpoint);
                 }
                 ask(client, "POST /claim", "late", "X-Expires-In-Ms: 300\r\n", "x");
-                at = all.unit.next();
+                at = all.endpoint.next();
                 StandIns.write(at.socket(), cut);
                 assertThat(read(client).head()).as(cut).startsWith("HTTP/1.1 504");
-                assertThat(all.unit.ended.poll(20, TimeUnit.SECONDS)).isNotNull();
-                all.unit.ended.clear();
+                assertThat(all.endpoint.ended.poll(20, TimeUnit.SECONDS)).isNotNull();
+                all.endpoint.ended.clear();
                 for (int i = 0; i < 3; i++) {
-                    served(client, "POST /claim", "after" + i, all.unit);
+                    served(client, "POST /claim", "after" + i, all.endpoint);
                 }
             }
-            all.unit.ended.clear();
+            all.endpoint.ended.clear();
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
     }
 
     // ---- Leaving ----
@@ -190,7 +190,7 @@
         try (Socket reading = all.connect(); Socket answering = all.connect()) {
             StandIns.write(reading, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: reading\r\nContent-Length: 4\r\n\r\nha");
             ask(answering, "POST /claim", "answering", "", "x");
-            StandIns.Came half = all.unit.next();
+            StandIns.Came half = all.endpoint.next();
             StandIns.write(half.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
             all.process.destroy();
             all.signal("TERM");
@@ -199,13 +199,13 @@
             StandIns.write(reading, "lf");
             StandIns.write(half.socket(), "lf");
             assertThat(read(answering).body()).isEqualTo("half");
-            StandIns.Came at = all.unit.next();
+            StandIns.Came at = all.endpoint.next();
             assertThat(at.body()).isEqualTo("half");
             at.answer("200 OK", "", "whole");
             assertThat(read(reading).body()).isEqualTo("whole");
             // New connections go on coming for a while.
             try (Socket comes = all.connect()) {
-                served(comes, "POST /claim", "comes", all.unit);
+                served(comes, "POST /claim", "comes", all.endpoint);
             }
         }
         assertThat(all.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
@@ -247,7 +247,7 @@
     @Test
     void aWatchThatFallsSilentOrStopsHalfwayIsOpenedAnewFromWhereItStood() throws Exception {
         all.startUnlisted();
-        StandIns.tell(all.discovery.next(), 7, all.unit);
+        StandIns.tell(all.discovery.next(), 7, all.endpoint);
         for (String half : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\":9,"}) {
             StandIns.Came watch = all.discovery.next();
             assertThat(watch.head()).startsWith("GET /api/targets?from=7&");
@@ -262,13 +262,13 @@
         try (Socket client = all.connect()) {
             served(client, "POST /claim", "moved", all.other);
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
     }
 
     @Test
     void aMoveOfDiscoveryIsFoundWithoutSighupOnceTheOldOneIsSilent() throws Exception {
         all.startUnlisted();
-        StandIns.tell(all.discovery.next(), 7, all.unit);
+        StandIns.tell(all.discovery.next(), 7, all.endpoint);
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=7&");
         String first = Files.readString(all.config);
         try (StandIns.Party moved = new StandIns.Party()) {
@@ -282,14 +282,14 @@
                 served(client, "POST /claim", "moved", all.other);
             }
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
         assertThat(all.log()).contains("discovery failed, discovery at").doesNotContain("unexpected");
     }
 
     @Test
     void afterAMoveTheOldDiscoveryIsNotHeardAnyMore() throws Exception {
         all.startUnlisted();
-        StandIns.tell(all.discovery.next(), 7, all.unit);
+        StandIns.tell(all.discovery.next(), 7, all.endpoint);
         StandIns.Came watch = all.discovery.next();
         try (StandIns.Party moved = new StandIns.Party()) {
             Files.writeString(all.config, Files.readString(all.config).replace(all.discovery.address(), moved.address()));
@@ -302,6 +302,6 @@
                 served(client, "POST /claim", "moved", all.other);
             }
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
     }
 }
--- a/src/test/java/gatelock/LateConnectionsTest.java
+++ b/src/test/java/gatelock/LateConnectionsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Units to which a connection comes up only after something has changed; judged by the bytes that reach them. */
+/** Endpoints to which a connection comes up only after something has changed; judged by the bytes that reach them. */
 final class LateConnectionsTest {
     private StandIns all;
     private StandIns.Party late;
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void nothingGoesToAUnitThatLeftWhileAConnectionToItCameUp() throws Exception {
+    void nothingGoesToAnEndpointThatLeftWhileAConnectionToItCameUp() throws Exception {
         all.startUnlisted();
         StandIns.Came watch = tell(all.discovery.next(), 1, entry("x", late, "in_service", 1));
         for (String status : new String[] {"terminating", "terminated"}) {
@@ -78,14 +78,14 @@
     void nothingGoesToABuildThatWentBackWhileAConnectionToItCameUp() throws Exception {
         all.startUnlisted();
         tell(all.discovery.next(), 1, entry("x", late, "in_service", 2), entry("y", all.other, "in_service", 1));
-        StandIns.Came news = all.desk.next();
+        StandIns.Came news = all.controller.next();
         String state = "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\","
             + "\"exposure\":%s,\"old_ms\":0}}\n";
         var told = StandIns.chunked(news);
         StandIns.chunk(told, String.format(state, "trial", "1.0"));
         Thread.sleep(200);
         try (Socket client = all.connect()) {
-            // A unit on trial gets a part of what was completed; the first that nobody hears of went there.
+            // A canary endpoint gets a part of what was completed; the first that nobody hears of went there.
             StandIns.Came usual;
             int i = 0;
             do {
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -24,7 +24,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Units, builds, addresses, keys and reqs that come and go through a long day leave nothing behind. */
+/** Endpoints, builds, addresses, keys and requests that come and go through a long day leave nothing behind. */
 final class LongDayTest {
     private final List<String> sentTo = new ArrayList<>();
 
@@ -37,20 +37,20 @@
         long nowUs = 1_000_000;
         gate.start(nowUs);
         for (int build = 1; build <= 200; build++) {
-            List<Endpoint> units = new ArrayList<>();
+            List<Endpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                units.add(new Endpoint("u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Endpoint.Health.READY, 0));
+                endpoints.add(new Endpoint("u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Endpoint.Health.READY, 0));
             }
-            gate.listed(nowUs, DecisionEngine.ListForm.FULL, units);
+            gate.listed(nowUs, DecisionEngine.ListForm.FULL, endpoints);
             gate.news(nowUs, build, 1, DecisionEngine.Phase.RELEASED, 1, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
             for (int i = 0; i < 20; i++) {
                 sentTo.clear();
-                RequestHandle req = gate.take(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
+                RequestHandle request = gate.take(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
                 nowUs += 20_000;
                 for (int t = 0; t < sentTo.size(); t++) {
-                    req.ended(nowUs, t, AttemptResult.COMPLETED, 20_000, true, LoadReport.NONE);
+                    request.ended(nowUs, t, AttemptResult.COMPLETED, 20_000, true, LoadReport.NONE);
                 }
-                assertThat(req.settled()).isTrue();
+                assertThat(request.settled()).isTrue();
                 gate.due(nowUs, 0);
             }
         }
@@ -84,8 +84,8 @@
     /** Notes where tries go. */
     private final class Noting implements NoOpActions {
         @Override
-        public void send(String id, String unit, long timeoutUs) {
-            sentTo.add(unit);
+        public void send(String id, String endpoint, long timeoutUs) {
+            sentTo.add(endpoint);
         }
     }
 }
--- a/src/test/java/gatelock/LongListsTest.java
+++ b/src/test/java/gatelock/LongListsTest.java
@@ -58,7 +58,7 @@
             + "stays; name a scope (membership) in the operator's file, or have fewer units listed");
         all.awaitLog("discovery's list is too long, what the configuration lists serves");
         all.awaitLog("serves on");
-        passes("start", all.unit);
+        passes("start", all.endpoint);
         ends();
         assertThat(all.log()).doesNotContain("silent").containsPattern("lists too long=[1-9]")
             .doesNotContain("discovery failed");
@@ -96,9 +96,9 @@
         tooLong(whole);
         StandIns.Came again = all.discovery.next();
         passes("stays longer", all.other);
-        StandIns.tell(again, 9, all.unit);
+        StandIns.tell(again, 9, all.endpoint);
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=9&");
-        passes("comes", all.unit);
+        passes("comes", all.endpoint);
         ends();
         assertThat(all.log()).contains("lists too long=2").doesNotContain("silent");
         assertThat(all.log().split("is longer than", -1)).as("said once").hasSize(2);
--- a/src/test/java/gatelock/RelayTest.java
+++ b/src/test/java/gatelock/RelayTest.java
@@ -37,14 +37,14 @@
     }
 
     @Test
-    void anOrdinaryReqPassesUnchangedAndItsConnectionStays() throws Exception {
+    void anOrdinaryRequestPassesUnchangedAndItsConnectionStays() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
             for (int i = 0; i < 20; i++) {
                 String id = "id" + i;
                 ask(client, "POST /post/a%20b?x=1&y", id, "Idempotency-Key: 77\r\nX-Expires-In-Ms: 900\r\n",
                     "body");
-                StandIns.Came at = all.unit.next();
+                StandIns.Came at = all.endpoint.next();
                 assertThat(at.head()).startsWith("POST /post/a%20b?x=1&y HTTP/1.1\r\n");
                 assertThat(at.body()).isEqualTo("body");
                 assertThat(at.header("X-Trace-Id")).isEqualTo(id);
@@ -57,8 +57,8 @@
                 assertThat(answer.body()).isEqualTo("done");
             }
         }
-        // One rests for an instant between two reqs, so there may be some, but not one for each req.
-        assertThat(all.unit.connections).hasSizeLessThan(10);
+        // One rests for an instant between two requests, so there may be some, but not one for each request.
+        assertThat(all.endpoint.connections).hasSizeLessThan(10);
     }
 
     @Test
@@ -67,7 +67,7 @@
         try (Socket client = all.connect()) {
             String body = "0123456789abcdef".repeat(4096);
             ask(client, "POST /claim", "large", "", body);
-            StandIns.Came at = all.unit.next();
+            StandIns.Came at = all.endpoint.next();
             assertThat(at.body()).isEqualTo(body);
             at.answer("200 OK", "", body);
             assertThat(read(client).body()).isEqualTo(body);
@@ -75,34 +75,34 @@
     }
 
     @Test
-    void aNonRetriableReqThatMayHaveRunIsNotRepeated() throws Exception {
+    void aNonRetriableRequestThatMayHaveRunIsNotRepeated() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
             ask(client, "POST /claim", "once", "", "x");
-            all.unit.next().answer("500 Oops", "", "");
+            all.endpoint.next().answer("500 Oops", "", "");
             assertThat(read(client).head()).startsWith("HTTP/1.1 502");
-            assertThat(all.unit.calls).isEmpty();
+            assertThat(all.endpoint.calls).isEmpty();
         }
     }
 
     @Test
-    void aRetriableReqGoesOnAfterAReset() throws Exception {
+    void aRetriableRequestGoesOnAfterAReset() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
             ask(client, "GET /read", "again", "", "");
-            all.unit.next().socket().close();
-            all.unit.next().answer("200 OK", "", "second");
+            all.endpoint.next().socket().close();
+            all.endpoint.next().answer("200 OK", "", "second");
             assertThat(read(client).body()).isEqualTo("second");
         }
     }
 
     @Test
-    void aReqThatNeverRanGoesOnToAnotherUnitAndAResetAfterThatEndsIt() throws Exception {
+    void aRequestThatNeverRanGoesOnToAnotherEndpointAndAResetAfterThatEndsIt() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
             ask(client, "POST /claim", "never", "", "x");
-            all.unit.next().answer("503 Full", "X-Never-Ran: 1\r\n", "");
-            StandIns.Came second = all.unit.next();
+            all.endpoint.next().answer("503 Full", "X-Never-Ran: 1\r\n", "");
+            StandIns.Came second = all.endpoint.next();
             assertThat(second.header("X-Trace-Id")).isEqualTo("never");
             second.socket().close();
             assertThat(read(client).head()).startsWith("HTTP/1.1 502");
@@ -110,18 +110,18 @@
     }
 
     @Test
-    void aSilentUnitLeavesTheClientWithAnErrorInTime() throws Exception {
+    void aSilentEndpointLeavesTheClientWithAnErrorInTime() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
             ask(client, "POST /claim", "silent", "X-Expires-In-Ms: 300\r\n", "x");
-            all.unit.next();
+            all.endpoint.next();
             assertThat(read(client).head()).startsWith("HTTP/1.1 504");
         }
     }
 
     @Test
-    void aUnitThatCantBeReachedIsShed() throws Exception {
-        all.unit.listener.close();
+    void anEndpointThatCantBeReachedIsShed() throws Exception {
+        all.endpoint.listener.close();
         all.start();
         try (Socket client = all.connect()) {
             ask(client, "POST /claim", "nobody", "", "x");
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aReqOfNoUseIsToldSoAndHarmsNobody() throws Exception {
+    void aRequestOfNoUseIsToldSoAndHarmsNobody() throws Exception {
         all.start();
         String[][] odd = {{"GET /nothing", "a", "", "404"}, {"GET /claim", "b", "", "405"}, {"POST /post",
             "c", "", "400"},
@@ -150,7 +150,7 @@
         }
         try (Socket client = all.connect()) {
             ask(client, "GET /read", "e", "X-Size-Hint: much\r\nX-Props: \r\n", "");
-            all.unit.next().answer("200 OK", "", "fine");
+            all.endpoint.next().answer("200 OK", "", "fine");
             assertThat(read(client).body()).isEqualTo("fine");
         }
     }
@@ -160,7 +160,7 @@
         all.start();
         try (Socket open = all.connect(); Socket same = all.connect()) {
             ask(open, "POST /claim", "open", "", "x");
-            StandIns.Came at = all.unit.next();
+            StandIns.Came at = all.endpoint.next();
             ask(same, "POST /claim", "open", "", "y");
             assertThat(read(same).head()).startsWith("HTTP/1.1 400");
             at.answer("200 OK", "", "mine");
@@ -199,7 +199,7 @@
                 assertThat(turnedAway(client)).as(odd).isTrue();
             }
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
     }
 
     @Test
@@ -229,7 +229,7 @@
         }
         try (Socket client = all.connect(); Socket slow = all.connect()) {
             ask(client, "GET /read", "usual", "", "");
-            all.unit.next().answer("200 OK", "", "fine");
+            all.endpoint.next().answer("200 OK", "", "fine");
             assertThat(read(client).body()).isEqualTo("fine");
             StandIns.write(slow, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: "
                 + "9\r\n\r\nhalf");
@@ -252,13 +252,13 @@
             Socket client = all.connect();
             staying.add(client);
             ask(client, "GET /read", "stays" + i, "", "");
-            all.unit.next().answer("200 OK", "", "fine");
+            all.endpoint.next().answer("200 OK", "", "fine");
             assertThat(read(client).body()).isEqualTo("fine");
         }
         try (Socket first = all.connect(); Socket second = all.connect()) {
             for (Socket client : List.of(second, first)) {
                 ask(client, "GET /read", "comes", "", "");
-                all.unit.next().answer("200 OK", "", "mine");
+                all.endpoint.next().answer("200 OK", "", "mine");
                 assertThat(read(client).body()).isEqualTo("mine");
             }
         }
@@ -267,7 +267,7 @@
         }
     }
 
-    /** The answer to one more req, or null where the connection has ended. */
+    /** The answer to one more request, or null where the connection has ended. */
     private static StandIns.Came more(Socket client, int n) {
         try {
             ask(client, "GET /read", "more" + n, "", "");
@@ -298,13 +298,13 @@
     }
 
     @Test
-    void aListThatMovesAUnitSendsReqsToItsNewAddress() throws Exception {
+    void aListThatMovesAnEndpointSendsRequestsToItsNewAddress() throws Exception {
         all.startUnlisted();
         StandIns.Came whole = all.discovery.next();
         assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
         whole.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":["
             + String.format(ENTRY, "a", all.other.address(), "in_service") + ","
-            + String.format(ENTRY, "b", all.unit.address(), "terminating") + "]}");
+            + String.format(ENTRY, "b", all.endpoint.address(), "terminating") + "]}");
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=5&hold_ms=");
         try (Socket client = all.connect()) {
             for (int i = 0; i < 5; i++) {
@@ -313,11 +313,11 @@
                 assertThat(read(client).body()).isEqualTo("there");
             }
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
     }
 
     @Test
-    void aListOfAThousandUnitsIsReadWholeOrInPiecesAndAsOneChange() throws Exception {
+    void aListOfAThousandEndpointsIsReadWholeOrInPiecesAndAsOneChange() throws Exception {
         all.startUnlisted();
         String name = "unit-of-a-long-name-in-a-far-away-place-0123456789-0123456789-";
         String entry = "{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"z\",\"type\":\"m\",\"group\":3,"
@@ -339,10 +339,10 @@
         assertThat(watch.head()).startsWith("GET /api/targets?from=5&");
         passes("whole", all.other);
         // all of them as one change
-        watch.answer("200 OK", "", String.format(text, 6, false, String.format(entry, "a", all.unit.address(),
+        watch.answer("200 OK", "", String.format(text, 6, false, String.format(entry, "a", all.endpoint.address(),
             "in_service")));
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=6&");
-        passes("changed", all.unit);
+        passes("changed", all.endpoint);
         assertThat(all.log()).doesNotContain("unexpected").doesNotContain("discovery, ");
     }
 
@@ -370,22 +370,22 @@
         }
         all.discovery.next();
         assertThat(all.log().split("discovery, what was listed stays", -1)).hasSize(5);
-        passes("still", all.unit);
+        passes("still", all.endpoint);
     }
 
     @Test
     void newsComeOnAConnectionThatIsOpenedAgainWhenItEnds() throws Exception {
         all.start();
-        StandIns.Came first = all.desk.next();
+        StandIns.Came first = all.controller.next();
         assertThat(first.head()).startsWith("GET /v2/projects/main/changes");
         StandIns.chunk(StandIns.chunked(first), "{}\n{\"type\":\"news\",\"object\":" + StandIns.NEWS
             + "}\nnot json\n");
         first.socket().close();
-        assertThat(all.desk.next().head()).startsWith("GET /v2/projects/main/changes");
+        assertThat(all.controller.next().head()).startsWith("GET /v2/projects/main/changes");
     }
 
     @Test
-    void aSpoiltAnswerIsAFailedTryAndItsConnectionEnds() throws Exception {
+    void aSpoiltAnswerIsAFailedAttemptAndItsConnectionEnds() throws Exception {
         all.start();
         String ok = "HTTP/1.1 200 OK\r\n";
         String endless = "X-Pad: pppp\r\n".repeat(2000);
@@ -401,14 +401,14 @@
             ok + "no header\r\nContent-Length: 1\r\n\r\nx", ok + "\r\nno length"}) {
             try (Socket client = all.connect()) {
                 ask(client, "POST /claim", "spoilt", "", "x");
-                StandIns.Came at = all.unit.next();
+                StandIns.Came at = all.endpoint.next();
                 StandIns.write(at.socket(), spoilt);
                 assertThat(read(client).head()).as(spoilt).startsWith("HTTP/1.1 502");
-                assertThat(all.unit.ended.poll(20, TimeUnit.SECONDS)).as(spoilt).isSameAs(at.socket());
+                assertThat(all.endpoint.ended.poll(20, TimeUnit.SECONDS)).as(spoilt).isSameAs(at.socket());
                 for (int i = 0; i < 3; i++) {
-                    // Else the decisions would leave the unit out.
+                    // Else the decisions would leave the endpoint out.
                     ask(client, "POST /claim", "good", "", "x");
-                    all.unit.next().answer("200 OK", "", "good");
+                    all.endpoint.next().answer("200 OK", "", "good");
                     assertThat(read(client).body()).as(spoilt).isEqualTo("good");
                 }
             }
@@ -424,20 +424,20 @@
             good.replace("Content", "X-Load: \u0001\u00ff;;=\r\nX-L\u00f6ad: 1\r\nContent")}) {
             try (Socket client = all.connect()) {
                 ask(client, "POST /claim", "more", "", "x");
-                StandIns.write(all.unit.next().socket(), more);
+                StandIns.write(all.endpoint.next().socket(), more);
                 assertThat(read(client).body()).as(more).isEqualTo("good");
                 ask(client, "POST /claim", "next", "", "x");
-                all.unit.next().answer("200 OK", "", "mine");
+                all.endpoint.next().answer("200 OK", "", "mine");
                 assertThat(read(client).body()).as(more).isEqualTo("mine");
             }
         }
     }
 
     @Test
-    void onSighupDiscoveryAndDeskAreFollowedAtTheirNewAddresses() throws Exception {
+    void onSighupDiscoveryAndControllerAreFollowedAtTheirNewAddresses() throws Exception {
         all.startUnlisted();
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets HTTP/1.1");
-        StandIns.Came news = all.desk.next();
+        StandIns.Came news = all.controller.next();
         StandIns.chunk(StandIns.chunked(news), "{}\n");
         String sound = Files.readString(all.config);
         for (String odd : new String[] {sound.substring(0, sound.length() / 2), "{}", "noise"}) {
@@ -445,17 +445,17 @@
             all.hangUp();
             all.awaitLog("what was in force stays: configuration " + all.config);
         }
-        try (StandIns.Party discovery = new StandIns.Party(); StandIns.Party desk = new StandIns.Party()) {
+        try (StandIns.Party discovery = new StandIns.Party(); StandIns.Party controller = new StandIns.Party()) {
             Files.writeString(all.config, sound.replace(all.discovery.address(), discovery.address())
-                .replace(all.desk.address(), desk.address()));
+                .replace(all.controller.address(), controller.address()));
             all.hangUp();
             assertThat(discovery.next().head()).startsWith("GET /api/targets HTTP/1.1");
-            StandIns.Came moved = desk.next();
+            StandIns.Came moved = controller.next();
             assertThat(moved.head()).startsWith("GET /v2/projects/main/changes");
             // The old connection stands until the new one speaks.
-            assertThat(all.desk.ended).isEmpty();
+            assertThat(all.controller.ended).isEmpty();
             StandIns.chunk(StandIns.chunked(moved), "{}\n");
-            assertThat(all.desk.ended.poll(20, TimeUnit.SECONDS)).isSameAs(news.socket());
+            assertThat(all.controller.ended.poll(20, TimeUnit.SECONDS)).isSameAs(news.socket());
             all.hangUp();
             all.process.destroy();
             assertThat(all.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
@@ -487,11 +487,11 @@
     }
 
     @Test
-    void spoiltWordsOfDiscoveryAndDeskChangeNothingAndEndTheirConnections() throws Exception {
+    void spoiltWordsOfDiscoveryAndControllerChangeNothingAndEndTheirConnections() throws Exception {
         all.start();
-        StandIns.Came news = all.desk.next();
+        StandIns.Came news = all.controller.next();
         StandIns.chunk(StandIns.chunked(news), "{}\n{\"type\":\"news\",\"object\":{\"release\":-1}}\n");
-        assertThat(all.desk.next().head()).startsWith("GET /v2/projects/main/changes");
+        assertThat(all.controller.next().head()).startsWith("GET /v2/projects/main/changes");
         String entry = "{\"name\":\"a\",\"address\":\"" + all.other.address()
             + "\",\"status\":\"in_service\",\"since_ms\":0,\"image_id\":1}";
         String list = "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + entry + "," + entry + "]}";
@@ -507,7 +507,7 @@
         }
         try (Socket client = all.connect()) {
             ask(client, "GET /read", "still", "", "");
-            all.unit.next().answer("200 OK", "", "there");
+            all.endpoint.next().answer("200 OK", "", "there");
             assertThat(read(client).body()).isEqualTo("there");
         }
         assertThat(all.log()).doesNotContain("unexpected");
@@ -518,12 +518,12 @@
         all.start();
         Socket leaving = all.connect();
         ask(leaving, "POST /claim", "left", "", "x");
-        StandIns.Came at = all.unit.next();
+        StandIns.Came at = all.endpoint.next();
         leaving.close();
         at.answer("200 OK", "", "late");
         try (Socket client = all.connect()) {
             ask(client, "GET /read", "stays", "", "");
-            all.unit.next().answer("200 OK", "", "mine");
+            all.endpoint.next().answer("200 OK", "", "mine");
             assertThat(read(client).body()).isEqualTo("mine");
         }
     }
@@ -533,15 +533,15 @@
         all.start();
         try (Socket client = all.connect()) {
             ask(client, "POST /claim", "last", "", "x");
-            StandIns.Came at = all.unit.next();
+            StandIns.Came at = all.endpoint.next();
             all.process.destroy();
             at.answer("200 OK", "", "answered");
             assertThat(read(client).body()).isEqualTo("answered");
             // A connection that stands is served on for a while; then it ends, with an answer or between two
-            // reqs.
+            // requests.
             StandIns.go(() -> {
                 while (true) {
-                    all.unit.next().answer("200 OK", "", "more");
+                    all.endpoint.next().answer("200 OK", "", "more");
                 }
             });
             int served = 0;
@@ -562,24 +562,24 @@
         all.process = all.program(all.config.toString(), "serve");
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets HTTP/1.1");
         all.awaitLog("serves on");
-        // A try of the rehearsal that is read only now goes to no unit.
+        // An attempt of the rehearsal that is read only now goes to no endpoint.
         try (Socket client = all.connect()) {
             ask(client, "GET /read", "rehearsal-1f2e3d4c5b6a7988-7", "", "");
             assertThat(read(client)).isNull();
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
         assertThat(all.log()).contains("rehearsed").doesNotContain("unexpected");
     }
 
     @Test
-    void aReqThatComesDuringTheRehearsalIsAnsweredByAUnit() throws Exception {
+    void aRequestThatComesDuringTheRehearsalIsAnsweredByAnEndpoint() throws Exception {
         all.process = all.program(all.config.toString(), "serve");
-        StandIns.go(() -> StandIns.tell(all.discovery.next(), 5, all.unit));
+        StandIns.go(() -> StandIns.tell(all.discovery.next(), 5, all.endpoint));
         for (int i = 0; i < 4; i++) {
             try (Socket client = all.connectSoon()) {
                 boolean post = i % 2 == 1;
                 ask(client, post ? "POST /claim" : "GET /read", "early" + i, "", post ? "x" : "");
-                StandIns.Came at = all.unit.next();
+                StandIns.Came at = all.endpoint.next();
                 assertThat(at.header("X-Trace-Id")).isEqualTo("early" + i);
                 at.answer("200 OK", "", "from a unit");
                 assertThat(read(client).body()).isEqualTo("from a unit");
@@ -590,7 +590,7 @@
     }
 
     @Test
-    void aReqThatComesBeforeTheListGoesWhereTheListSays() throws Exception {
+    void aRequestThatComesBeforeTheListGoesWhereTheListSays() throws Exception {
         all.process = all.program(all.config.toString(), "serve", "cold");
         try (Socket client = all.connectSoon()) {
             ask(client, "GET /read", "before", "", "");
@@ -598,28 +598,28 @@
             all.other.next().answer("200 OK", "", "there");
             assertThat(read(client).body()).isEqualTo("there");
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
     }
 
     @Test
-    void aReqWaitsForAListThatIsLongInComing() throws Exception {
+    void aRequestWaitsForAListThatIsLongInComing() throws Exception {
         all.process = all.program(all.config.toString(), "serve", "cold");
         try (Socket client = all.connectSoon()) {
             ask(client, "POST /claim", "early", "X-Expires-In-Ms: 20000\r\n", "x");
             StandIns.Came unanswered = all.discovery.next();
-            // Asked again: the first call had all of its time, and the unit in the configuration heard nothing.
+            // Asked again: the first call had all of its time, and the endpoint in the configuration heard nothing.
             StandIns.Came again = all.discovery.next();
-            assertThat(all.unit.calls).isEmpty();
+            assertThat(all.endpoint.calls).isEmpty();
             StandIns.tell(again, 5, all.other);
             all.other.next().answer("200 OK", "", "there");
             assertThat(read(client).body()).isEqualTo("there");
             unanswered.socket().close();
         }
-        assertThat(all.unit.connections).isEmpty();
+        assertThat(all.endpoint.connections).isEmpty();
     }
 
     @Test
-    void aReqThatHasWaitedForHalfOfItsTimeIsGivenUpAndNeverGoesOut() throws Exception {
+    void aRequestThatHasWaitedForHalfOfItsTimeIsGivenUpAndNeverGoesOut() throws Exception {
         all.process = all.program(all.config.toString(), "serve", "cold");
         try (Socket client = all.connectSoon(); Socket leaving = all.connectSoon()) {
             ask(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
@@ -631,13 +631,13 @@
             leaving.close();
             ask(client, "POST /claim", "stays", "X-Expires-In-Ms: 20000\r\n", "x");
             whole.socket().close();
-            StandIns.tell(all.discovery.next(), 5, all.unit);
-            StandIns.Came at = all.unit.next();
+            StandIns.tell(all.discovery.next(), 5, all.endpoint);
+            StandIns.Came at = all.endpoint.next();
             assertThat(at.header("X-Trace-Id")).isEqualTo("stays");
             at.answer("200 OK", "", "served");
             assertThat(read(client).body()).isEqualTo("served");
         }
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
         assertThat(all.log()).doesNotContain("unexpected");
     }
 
@@ -650,7 +650,7 @@
                 all.discovery.next().socket().close();
             }
             StandIns.Came asked = all.discovery.next();
-            assertThat(all.unit.calls).isEmpty();
+            assertThat(all.endpoint.calls).isEmpty();
             StandIns.tell(asked, 5, all.other);
             all.other.next().answer("200 OK", "", "there");
             assertThat(read(client).body()).isEqualTo("there");
@@ -658,11 +658,11 @@
     }
 
     @Test
-    void aReqIsServedByWhatIsKnownOnceDiscoveryHasBeenSilentForLong() throws Exception {
+    void aRequestIsServedByWhatIsKnownOnceDiscoveryHasBeenSilentForLong() throws Exception {
         all.process = all.program(all.config.toString(), "serve", "cold");
         try (Socket client = all.connectSoon()) {
             ask(client, "GET /read", "unlisted", "X-Expires-In-Ms: 10000\r\n", "");
-            all.unit.next().answer("200 OK", "", "known");
+            all.endpoint.next().answer("200 OK", "", "known");
             assertThat(read(client).body()).isEqualTo("known");
         }
         // Two calls had all of their time before that.
@@ -677,7 +677,7 @@
         all.start();
         try (Socket client = all.connect()) {
             ask(client, "GET /read", "back", "", "");
-            all.unit.next().answer("200 OK", "", "again");
+            all.endpoint.next().answer("200 OK", "", "again");
             assertThat(read(client).body()).isEqualTo("again");
         }
     }
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -39,7 +39,7 @@
         }
     }
 
-    private record Sent(long atUs, String id, String unit, int tryNo) {
+    private record Sent(long atUs, String id, String endpoint, int attemptNo) {
     }
 
     private record Due(long atUs, long order, Runnable what) {
@@ -53,7 +53,7 @@
         private final Map<String, Map<String, String>> manners = new LinkedHashMap<>();
         private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.atUs != b.atUs
             ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
-        private final Map<String, RequestHandle> reqs = new HashMap<>();
+        private final Map<String, RequestHandle> requests = new HashMap<>();
         private final Map<String, String> answers = new LinkedHashMap<>();
         private final List<Sent> sends = new ArrayList<>();
         private final List<long[]> takes = new ArrayList<>();
@@ -84,8 +84,8 @@
             switch (w[0]) {
                 case "charter" -> terms.putAll(named);
                 case "at" -> runTo(startUs + us(w[1]));
-                case "list" -> gate().listed(nowUs, DecisionEngine.ListForm.FULL, units(w));
-                case "change" -> gate().listed(nowUs, DecisionEngine.ListForm.DELTA, units(w));
+                case "list" -> gate().listed(nowUs, DecisionEngine.ListForm.FULL, endpoints(w));
+                case "change" -> gate().listed(nowUs, DecisionEngine.ListForm.DELTA, endpoints(w));
                 case "list-failed" -> gate().listed(nowUs, DecisionEngine.ListForm.FAILED, List.of());
                 case "news" -> gate().news(nowUs, (int) num(named, "build", 2), (int) num(named, "stage", 0),
                     DecisionEngine.Phase.valueOf(named.getOrDefault("phase", "trial").toUpperCase()),
@@ -93,7 +93,7 @@
                 case "answer" -> gate().news(nowUs, 0, 0, DecisionEngine.Phase.TRIAL, 0, 0,
                     DecisionEngine.VoteAnswer.valueOf(w[1].toUpperCase()));
                 case "take" -> take(w[1], named);
-                case "leave" -> reqs.get(w[1]).concluded(nowUs);
+                case "leave" -> requests.get(w[1]).concluded(nowUs);
                 case "end" -> end(w[1], AttemptResult.valueOf(w[2].toUpperCase()), named);
                 case "unit" -> manners.computeIfAbsent(w[1], u -> new HashMap<>()).putAll(named);
                 case "flow" -> flow(named);
@@ -118,7 +118,7 @@
         private void expect(String[] w, Map<String, String> named, String where) {
             switch (w[1]) {
                 case "sent" -> assertThat(lastSend(w[2])).as(where).isNotNull()
-                    .extracting(Sent::unit).asString().startsWith(w.length > 3 ? w[3] : "");
+                    .extracting(Sent::endpoint).asString().startsWith(w.length > 3 ? w[3] : "");
                 case "tries" -> assertThat(sends.stream().filter(s -> s.id.equals(w[2])).count()).as(where)
                     .isEqualTo(Long.parseLong(w[3]));
                 case "answered" -> within(answers.values().stream().filter(w[2]::equals).count(), named, where);
@@ -133,7 +133,7 @@
                 case "cancels" -> within(cancels.size(), named, where);
                 case "follows" -> within(follows, named, where);
                 case "share" -> {
-                    double there = sends.stream().filter(s -> matches(s.unit, w[2])).count();
+                    double there = sends.stream().filter(s -> matches(s.endpoint, w[2])).count();
                     within(there / Math.max(1, sends.size()), named, where);
                 }
                 case "exposure" -> exposure(named, where);
@@ -141,32 +141,32 @@
             }
         }
 
-        /** Whether the last try of a req may still go, as it is asked when its connection has come up. */
+        /** Whether the last attempt of a request may still go, as it is asked when its connection has come up. */
         private boolean mayGo(String id) {
-            return reqs.get(id).mayGo(nowUs, lastSend(id).tryNo);
+            return requests.get(id).mayGo(nowUs, lastSend(id).attemptNo);
         }
 
         private static void within(double figure, Map<String, String> named, String where) {
             assertThat(figure).as(where).isBetween(num(named, "min", 0), num(named, "max", 1e9));
         }
 
-        /** In every window, the tries at a build stay within free + cap x reqs taken. */
+        /** In every window, the attempts at a build stay within free + cap x requests taken. */
         private void exposure(Map<String, String> named, String where) {
             long window = us(terms.getOrDefault("window", "2s"));
-            List<Sent> there = sends.stream().filter(s -> buildOf.get(s.unit) == (int) num(named, "build", 2)).toList();
+            List<Sent> there = sends.stream().filter(s -> buildOf.get(s.endpoint) == (int) num(named, "build", 2)).toList();
             for (Sent from : there) {
                 long end = from.atUs + window;
-                long tries = there.stream().filter(s -> s.atUs >= from.atUs && s.atUs < end).count();
+                long attempts = there.stream().filter(s -> s.atUs >= from.atUs && s.atUs < end).count();
                 long taken = takes.stream().filter(t -> t[0] >= from.atUs && t[0] < end).count();
-                assertThat((double) tries).as(where)
+                assertThat((double) attempts).as(where)
                     .isLessThanOrEqualTo(num(terms, "free", 2) + num(named, "cap", 0.2) * taken + 1e-9);
             }
         }
 
-        private boolean matches(String unit, String what) {
-            return what.startsWith("zone") ? zoneOf.get(unit) == Integer.parseInt(what.substring(4))
-                : what.startsWith("build") ? buildOf.get(unit) == Integer.parseInt(what.substring(5))
-                : unit.equals(what);
+        private boolean matches(String endpoint, String what) {
+            return what.startsWith("zone") ? zoneOf.get(endpoint) == Integer.parseInt(what.substring(4))
+                : what.startsWith("build") ? buildOf.get(endpoint) == Integer.parseInt(what.substring(5))
+                : endpoint.equals(what);
         }
 
         private void flow(Map<String, String> named) {
@@ -181,24 +181,24 @@
 
         private void take(String id, Map<String, String> named) {
             takes.add(new long[] {nowUs});
-            reqs.put(id, gate().take(nowUs, id, (int) num(named, "route", 0), (int) num(named, "tenant", 0),
+            requests.put(id, gate().take(nowUs, id, (int) num(named, "route", 0), (int) num(named, "tenant", 0),
                 (long) num(named, "key", -1), us(named.getOrDefault("left", "4s")), us(named.getOrDefault("cost", "100ms"))));
         }
 
-        /** A unit with manners answers by itself: after a time, every nth try with an error. */
+        /** An endpoint with manners answers by itself: after a time, every nth try with an error. */
         private void later(Sent s) {
-            Map<String, String> m = manners.getOrDefault(s.unit, manners.get("build" + buildOf.get(s.unit)));
+            Map<String, String> m = manners.getOrDefault(s.endpoint, manners.get("build" + buildOf.get(s.endpoint)));
             if (m != null && s.id.startsWith("f") && !m.containsKey("silent")) {
                 int nth = (int) num(m, "fails-each", 0);
-                boolean fails = nth > 0 && sends.stream().filter(x -> x.unit.equals(s.unit)).count() % nth == 0;
+                boolean fails = nth > 0 && sends.stream().filter(x -> x.endpoint.equals(s.endpoint)).count() % nth == 0;
                 long took = us(m.getOrDefault("takes", "100ms"));
                 dues.add(new Due(nowUs + took, order++, () -> {
-                    RequestHandle h = reqs.get(s.id);
+                    RequestHandle h = requests.get(s.id);
                     if (!fails) {
                         answers.putIfAbsent(s.id, "completed");
                     }
                     AttemptResult bad = AttemptResult.valueOf(m.getOrDefault("fails-as", "errored").toUpperCase());
-                    h.ended(nowUs, s.tryNo, fails ? bad : AttemptResult.COMPLETED, took, !fails, LoadReport.NONE);
+                    h.ended(nowUs, s.attemptNo, fails ? bad : AttemptResult.COMPLETED, took, !fails, LoadReport.NONE);
                 }));
             }
         }
@@ -209,15 +209,15 @@
             if (over) {
                 answers.putIfAbsent(id, "completed");
             }
-            reqs.get(id).ended(nowUs, s.tryNo, ending, nowUs - s.atUs, over, LoadReport.NONE);
+            requests.get(id).ended(nowUs, s.attemptNo, ending, nowUs - s.atUs, over, LoadReport.NONE);
         }
 
-        /** What silent units still hold has waited for nothing. */
+        /** What silent endpoints still hold has waited for nothing. */
         private void timeOut() {
             for (Sent s : List.copyOf(sends)) {
-                if (manners.getOrDefault(s.unit, Map.of()).containsKey("silent") && !answers.containsKey(s.id)
+                if (manners.getOrDefault(s.endpoint, Map.of()).containsKey("silent") && !answers.containsKey(s.id)
                         && lastSend(s.id) == s) {
-                    reqs.get(s.id).ended(nowUs, s.tryNo, AttemptResult.TIMED_OUT, nowUs - s.atUs, false, LoadReport.NONE);
+                    requests.get(s.id).ended(nowUs, s.attemptNo, AttemptResult.TIMED_OUT, nowUs - s.atUs, false, LoadReport.NONE);
                 }
             }
         }
@@ -262,8 +262,8 @@
             return gate;
         }
 
-        /** Units as id/build, with @start, !draining or !gone, and #kind where wanted. */
-        private List<Endpoint> units(String[] w) {
+        /** Endpoints as id/build, with @start, !draining or !gone, and #kind where wanted. */
+        private List<Endpoint> endpoints(String[] w) {
             List<Endpoint> found = new ArrayList<>();
             for (int i = 1; i < w.length; i++) {
                 String[] p = w[i].split("(?=[/@!#%$])");
@@ -289,10 +289,10 @@
         }
 
         @Override
-        public void send(String id, String unit, long timeoutUs) {
-            int tryNo = (int) sends.stream().filter(s -> s.id.equals(id)).count();
+        public void send(String id, String endpoint, long timeoutUs) {
+            int attemptNo = (int) sends.stream().filter(s -> s.id.equals(id)).count();
             assertThat(answers.get(id)).as("nothing is sent after the final answer of " + id).isNull();
-            sends.add(new Sent(nowUs, id, unit, tryNo));
+            sends.add(new Sent(nowUs, id, endpoint, attemptNo));
             later(sends.get(sends.size() - 1));
         }
 
@@ -307,7 +307,7 @@
         }
 
         @Override
-        public void cancel(String id, int tryNo) {
+        public void cancel(String id, int attemptNo) {
             cancels.add(id);
         }
 
--- a/src/test/java/gatelock/ScopeTest.java
+++ b/src/test/java/gatelock/ScopeTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A relay that uses some of the units of a list that is longer than it could take whole. */
+/** A relay that uses some of the endpoints of a list that is longer than it could take whole. */
 final class ScopeTest {
     private static final int UNITS = 14_000;
     private static final int IN_SCOPE = 4;
@@ -63,7 +63,7 @@
             + "\"group\":3,\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}";
     }
 
-    /** The units that come first for this relay, as its own decisions say. */
+    /** The endpoints that come first for this relay, as its own decisions say. */
     private static Set<Integer> firsts() {
         EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(NUMBER, -1, MOST, IN_SCOPE, 0, 0, 0));
         EndpointSubset.Reading reading = scope.read(true);
@@ -76,7 +76,7 @@
         return firsts;
     }
 
-    /** A list on which the units that come first stand at one party and all the rest at another. */
+    /** A list on which the endpoints that come first stand at one party and all the rest at another. */
     private String list(int index, StandIns.Party firsts, StandIns.Party rest) {
         Set<Integer> first = firsts();
         List<String> entries = new ArrayList<>();
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Units that took the place of others stay for a while; then only those that come first are used. */
+    /** Endpoints that took the place of others stay for a while; then only those that come first are used. */
     private void settles(StandIns.Party to, StandIns.Party before) throws Exception {
         long endNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
         int inARow = 0;
@@ -147,26 +147,26 @@
     @Test
     void aRelayStartsAndServesOnItsScopeAndFollowsADrainInIt() throws Exception {
         start("");
-        StandIns.Came watch = tell(all.discovery.next(), toldBehind(list(5, all.unit, all.other)), 5);
-        passes("first", all.unit);
+        StandIns.Came watch = tell(all.discovery.next(), toldBehind(list(5, all.endpoint, all.other)), 5);
+        passes("first", all.endpoint);
         assertThat(all.other.connections).isEmpty();
         // Of those in scope all leave: others of the list take their place, told by nobody anew.
         List<String> drained = new ArrayList<>();
-        firsts().forEach(i -> drained.add(entry(i, all.unit, "terminating")));
+        firsts().forEach(i -> drained.add(entry(i, all.endpoint, "terminating")));
         watch.answer("200 OK", "", "{\"index\":6,\"snapshot\":false,\"endpoints\":[" + String.join(",", drained) + "]}");
         StandIns.Came next = all.discovery.next();
         assertThat(next.head()).startsWith("GET /api/targets?from=6&");
         passes("drained", all.other);
-        assertThat(all.unit.calls).isEmpty();
+        assertThat(all.endpoint.calls).isEmpty();
         // An index that goes back, and a whole list in place of a change.
-        StandIns.Came anew = tell(next, list(2, all.other, all.unit), 2);
-        settles(all.other, all.unit);
+        StandIns.Came anew = tell(next, list(2, all.other, all.endpoint), 2);
+        settles(all.other, all.endpoint);
         // A watch is answered by what tells only behind it that it is whole: it is asked for as such.
-        anew.answer("200 OK", "", toldBehind(list(9, all.unit, all.other)));
+        anew.answer("200 OK", "", toldBehind(list(9, all.endpoint, all.other)));
         StandIns.Came whole = all.discovery.next();
         assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
-        tell(whole, toldBehind(list(9, all.unit, all.other)), 9);
-        passes("again", all.unit);
+        tell(whole, toldBehind(list(9, all.endpoint, all.other)), 9);
+        passes("again", all.endpoint);
         ends();
     }
 
@@ -174,11 +174,11 @@
     void aListThatIsBadAtItsEndOrPastTheBoundChangesNothing() throws Exception {
         mostListBytes = ", \"mostListBytes\": 3000000";
         start("");
-        String list = list(5, all.unit, all.other);
+        String list = list(5, all.endpoint, all.other);
         assertThat(list.length()).isBetween(2_500_000, 3_000_000);
         StandIns.Came watch = tell(all.discovery.next(), list, 5);
-        passes("first", all.unit);
-        String other = list(6, all.other, all.unit);
+        passes("first", all.endpoint);
+        String other = list(6, all.other, all.endpoint);
         for (String odd : new String[] {other.replaceFirst("\"in_service\"(?=[^}]*}\\s*])", "\"zz\""),
             other.substring(0, other.length() - 1) + "]", other.replace(name(UNITS - 1) + "\"", name(0) + "\"")}) {
             assertThat(odd).isNotEqualTo(other);
@@ -186,14 +186,14 @@
             watch = all.discovery.next();
             assertThat(watch.head()).startsWith("GET /api/targets?from=5&");
         }
-        passes("still", all.unit);
+        passes("still", all.endpoint);
         StandIns.Came last = watch;
         StandIns.go(() -> last.answer("200 OK", "", " ".repeat(3_000_001)));
         all.awaitLog("discovery's list is too long: body of 3000001 bytes is longer than 3000000, what was listed "
             + "stays; raise membership.mostListBytes in the operator's file, or have fewer units listed");
         StandIns.Came whole = all.discovery.next();
         assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
-        passes("still longer", all.unit);
+        passes("still longer", all.endpoint);
         tell(whole, other, 6);
         passes("then", all.other);
         ends();
@@ -201,14 +201,14 @@
     }
 
     @Test
-    void reqsAreServedWhileAListComes() throws Exception {
+    void requestsAreServedWhileAListComes() throws Exception {
         start("");
-        StandIns.Came watch = tell(all.discovery.next(), list(5, all.unit, all.other), 5);
-        String list = list(6, all.other, all.unit);
+        StandIns.Came watch = tell(all.discovery.next(), list(5, all.endpoint, all.other), 5);
+        String list = list(6, all.other, all.endpoint);
         OutputStream out = StandIns.chunked(watch);
         int cut = list.length() / 2;
         StandIns.chunk(out, list.substring(0, cut));
-        passes("meanwhile", all.unit);
+        passes("meanwhile", all.endpoint);
         StandIns.chunk(out, list.substring(cut));
         out.write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=6&");
@@ -223,14 +223,14 @@
                 + "\"read\"}]}");
             String at = "127.0.0.1:" + StandIns.freePort();
             start(", \"control\": {\"services\": [\"" + control.address() + "\"]}, \"listener\": \"" + at + "\"");
-            tell(all.discovery.next(), list(5, all.unit, all.other), 5);
+            tell(all.discovery.next(), list(5, all.endpoint, all.other), 5);
             control.report("1/1");
             Process status = StandIns.java("status", "--at", at).redirectErrorStream(true).start();
             String said = new String(status.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertThat(status.waitFor()).as(said).isZero();
             assertThat(said).contains("units=" + UNITS, "byScope=true", "inScope=" + IN_SCOPE, "services=1", "index=5",
                 "tooLong=0").containsPattern("lastChangeMs=[0-9]{13}").containsPattern("unchangedForS=[0-9]");
-            passes("seen", all.unit);
+            passes("seen", all.endpoint);
         }
         ends();
     }
--- a/src/test/java/gatelock/SessionsTest.java
+++ b/src/test/java/gatelock/SessionsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** WebSocket sessions through the program, with units and tablets that the test speaks for. */
+/** WebSocket sessions through the program, with endpoints and tablets that the test speaks for. */
 final class SessionsTest {
     private static final String PLAN = "{\"format\": 1, \"unmatched\": \"refuse\", \"limits\": {\"few\": "
         + "{\"inFlight\": 40}},"
@@ -37,7 +37,7 @@
         all = new StandIns();
         control = new ControlService();
         hive = new WebSocketEndpoint();
-        Files.writeString(all.config, Files.readString(all.config).replace(all.unit.address(), hive.address())
+        Files.writeString(all.config, Files.readString(all.config).replace(all.endpoint.address(), hive.address())
             .replace("\"deadlineNs\": 1000000000", "\"deadlineNs\": 2500000000"));
         control.offer(1, "s", 1, PLAN);
         Path operator = directory.resolve("operator.json");
@@ -75,7 +75,7 @@
             assertThat(close.code()).isEqualTo(4001);
             assertThat(tablet.frame().opcode()).isEqualTo(-1);
         }
-        // The unit's own thread notes the close at its own time.
+        // The endpoint's own thread notes the close at its own time.
         for (int i = 0; i < 200 && hive.log().stream().noneMatch(c -> c.what().equals("close 4001")); i++) {
             Thread.sleep(50);
         }
@@ -127,16 +127,16 @@
     }
 
     @Test
-    void aUnitThatIsLostAndAClientThatIsLostAreToldToTheOther() throws Exception {
+    void anEndpointThatIsLostAndAClientThatIsLostAreToldToTheOther() throws Exception {
         hive.stay();
         try (WebSocketPeer tablet = open("a")) {
             hive.next().close();
             assertThat(tablet.frame().code()).isEqualTo(1014);
         }
         WebSocketPeer leaving = open("b");
-        WebSocketPeer unit = hive.next();
+        WebSocketPeer endpoint = hive.next();
         leaving.close();
-        assertThat(unit.frame().code()).isEqualTo(1001);
+        assertThat(endpoint.frame().code()).isEqualTo(1001);
     }
 
     @Test
@@ -230,13 +230,13 @@
     void aSideThatGivesNoSignOfLifeEndsTheSession() throws Exception {
         hive.stay();
         try (WebSocketPeer tablet = WebSocketPeer.open(all.port, "/read/quick", "mute", "")) {
-            WebSocketPeer unit = hive.next();
+            WebSocketPeer endpoint = hive.next();
             WebSocketPeer.Frame frame = tablet.next();
             while (frame.opcode() == WebSocketPeer.PING) {
                 frame = tablet.next();
             }
             assertThat(frame.code()).isIn(1001, 1014);
-            assertThat(unit.frame().code()).isEqualTo(1001);
+            assertThat(endpoint.frame().code()).isEqualTo(1001);
         }
     }
 
@@ -260,25 +260,25 @@
     }
 
     @Test
-    void aTrialGetsNoMoreThanItsCapAndItsSessionsEndWhenItGoesBack() throws Exception {
+    void aCanaryGetsNoMoreThanItsCapAndItsSessionsEndWhenItGoesBack() throws Exception {
         StandIns.Came list = all.discovery.next();
-        java.io.OutputStream news = StandIns.chunked(all.desk.next());
-        try (WebSocketEndpoint trial = new WebSocketEndpoint()) {
+        java.io.OutputStream news = StandIns.chunked(all.controller.next());
+        try (WebSocketEndpoint canary = new WebSocketEndpoint()) {
             String state = "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\",\"exposure\":%s,\"old_ms\":1}}\n";
             StandIns.chunk(news, String.format(state, "trial", "0.2"));
             list.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + String.format(ENTRY,
                 "a", hive.address(),
-                "in_service", 1) + "," + String.format(ENTRY, "b", trial.address(), "in_service", 2) + "]}");
+                "in_service", 1) + "," + String.format(ENTRY, "b", canary.address(), "in_service", 2) + "]}");
             all.discovery.next();
             List<WebSocketPeer> tablets = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                // A trial unit's own budget fills with the work that is done, so it takes some time.
+                // A canary endpoint's own budget fills with the work that is done, so it takes some time.
                 tablets.add(WebSocketPeer.open(all.port, "/read/x", "t" + i, "X-Size-Hint: 100000\r\n"));
                 Thread.sleep(60);
             }
-            long opens = trial.log().stream().filter(c -> c.what().equals("open")).count();
+            long opens = canary.log().stream().filter(c -> c.what().equals("open")).count();
             assertThat(opens).isBetween(2L, 9L);
-            // All talk at once, those at the trial as much as the others: there messages wait for the cap.
+            // All talk at once, those at the canary as much as the others: there messages wait for the cap.
             List<Thread> talking = new ArrayList<>();
             java.util.concurrent.atomic.AtomicInteger said = new java.util.concurrent.atomic.AtomicInteger();
             List<Long> saidNs = java.util.Collections.synchronizedList(new ArrayList<>());
@@ -308,25 +308,25 @@
             StandIns.chunk(news, String.format(state, "rolling_back", "0"));
             Thread.sleep(1_500);
             over.set(true);
-            List<Long> atTrial = trial.log().stream().filter(c -> c.what().startsWith("m") || c.what()
+            List<Long> atCanary = canary.log().stream().filter(c -> c.what().startsWith("m") || c.what()
                 .equals("open"))
                 .map(WebSocketEndpoint.Came::ns).sorted().toList();
-            List<Long> taken = java.util.stream.Stream.of(hive.log(), trial.log()).flatMap(List::stream)
+            List<Long> taken = java.util.stream.Stream.of(hive.log(), canary.log()).flatMap(List::stream)
                 .filter(c -> c.what().equals("open")).map(WebSocketEndpoint.Came::ns)
                 .collect(java.util.stream.Collectors.toCollection(ArrayList::new));
             taken.addAll(saidNs);
-            for (long from : atTrial) {
+            for (long from : atCanary) {
                 for (long spanNs : new long[] {100_000_000L, 500_000_000L, 2_000_000_000L}) {
-                    long tries = atTrial.stream().filter(ns -> ns >= from && ns <= from + spanNs).count();
-                    long reqs = taken.stream().filter(ns -> ns >= from - 150_000_000L && ns <= from + spanNs)
+                    long attempts = atCanary.stream().filter(ns -> ns >= from && ns <= from + spanNs).count();
+                    long requests = taken.stream().filter(ns -> ns >= from - 150_000_000L && ns <= from + spanNs)
                         .count();
-                    assertThat((double) tries).as("%d reqs in %d ns", reqs, spanNs).isLessThanOrEqualTo(2 + 2
-                        + 0.24 * reqs);
+                    assertThat((double) attempts).as("%d reqs in %d ns", requests, spanNs).isLessThanOrEqualTo(2 + 2
+                        + 0.24 * requests);
                 }
             }
-            assertThat(atTrial.stream().filter(ns -> ns > backNs + 1_000_000_000L)).isEmpty();
-            assertThat(atTrial.size()).as("the cap is used").isGreaterThan(20);
-            assertThat(trial.log().stream().filter(c -> c.what().equals("close 1001")).count())
+            assertThat(atCanary.stream().filter(ns -> ns > backNs + 1_000_000_000L)).isEmpty();
+            assertThat(atCanary.size()).as("the cap is used").isGreaterThan(20);
+            assertThat(canary.log().stream().filter(c -> c.what().equals("close 1001")).count())
                 .isEqualTo(opens);
             for (WebSocketPeer tablet : tablets) {
                 tablet.close();
--- a/src/test/java/gatelock/StandIns.java
+++ b/src/test/java/gatelock/StandIns.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The program as a process, and what it speaks to: units, discovery, the release desk, clients. Loopback
+ * The program as a process, and what it speaks to: endpoints, discovery, the release controller, clients. Loopback
  * only.
  */
 final class StandIns implements AutoCloseable {
@@ -124,10 +124,10 @@
         void run() throws Exception;
     }
 
-    final Party unit = new Party();
+    final Party endpoint = new Party();
     final Party other = new Party();
     final Party discovery = new Party();
-    final Party desk = new Party();
+    final Party controller = new Party();
     final int port;
     final Path config;
     Process process;
@@ -139,8 +139,8 @@
         config = Files.createTempFile("gatelock", ".json");
         String text = Files.readString(Path.of("examples/relay.json"));
         for (Map.Entry<String, String> e : Map.of("127.0.0.1:8480", "127.0.0.1:" + port, "127.0.0.1:8481",
-                unit.address(), "127.0.0.1:8482", unit.address(), "127.0.0.1:8500", discovery.address(),
-                "127.0.0.1:8501", desk.address()).entrySet()) {
+                endpoint.address(), "127.0.0.1:8482", endpoint.address(), "127.0.0.1:8500", discovery.address(),
+                "127.0.0.1:8501", controller.address()).entrySet()) {
             text = text.replace(e.getKey(), e.getValue());
         }
         Files.writeString(config, text);
@@ -169,7 +169,7 @@
         throw new AssertionError("not ready: " + log());
     }
 
-    /** Starts the program without its rehearsal; nothing is told of units until discovery's call is answered. */
+    /** Starts the program without its rehearsal; nothing is told of endpoints until discovery's call is answered. */
     void startUnlisted(String... words) throws Exception {
         List<String> command = new ArrayList<>(List.of("serve", "cold"));
         command.addAll(List.of(words));
@@ -214,7 +214,7 @@
         return Files.readString(log);
     }
 
-    /** Answers a call for the list: one unit there is, at that party. */
+    /** Answers a call for the list: one endpoint there is, at that party. */
     static void tell(Came asked, int index, Party at) throws IOException {
         asked.answer("200 OK", "", String.format("{\"index\":%d,\"snapshot\":true,\"endpoints\":[{\"name\":\"u%d\","
             + "\"address\":\"%s\",\"status\":\"in_service\",\"since_ms\":0,\"image_id\":1}]}", index, index,
@@ -251,7 +251,7 @@
         return socket;
     }
 
-    /** A req of a route on a connection; its id and further headers as given. */
+    /** A request of a route on a connection; its id and further headers as given. */
     static void ask(Socket client, String line, String id, String headers, String body) throws IOException {
         write(client, line + " HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: " + id
             + "\r\nX-Customer: acme\r\n"
@@ -322,7 +322,7 @@
         if (process != null) {
             process.destroyForcibly();
         }
-        for (Party p : List.of(unit, other, discovery, desk)) {
+        for (Party p : List.of(endpoint, other, discovery, controller)) {
             p.close();
         }
         Files.delete(config);
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void diffAndExplainSpeakOfReqs() throws IOException {
+    void diffAndExplainSpeakOfRequests() throws IOException {
         String sound = file("sound.json", SOUND);
         String other = file("other.json", SOUND.replace("\"ratePerS\": 5", "\"ratePerS\": 6"));
         assertThat(run("diff", sound, sound, "--deployment", "examples/relay.json")).isZero();
--- a/src/test/java/gatelock/boot/SettingsValidatorTest.java
+++ b/src/test/java/gatelock/boot/SettingsValidatorTest.java
@@ -51,7 +51,7 @@
 
     @Test
     void whatMayBeLeftOutHarmsNothing() throws IOException {
-        // A connection may take as long to come up as the longest req, and is kept for as long as it stands.
+        // A connection may take as long to come up as the longest request, and is kept for as long as it stands.
         assertThat(read("\"dialTimeoutNs\": 250000000, ", "").openWithinUs()).isEqualTo(3_000_000);
         assertThat(read(",\\s*\"dialTimeoutNs\": 250000000, \"connIdleNs\": 30000000000", "").charter().keptUs())
             .isGreaterThan(1_000_000_000_000L);
--- a/src/test/java/gatelock/capacity/LadderTest.java
+++ b/src/test/java/gatelock/capacity/LadderTest.java
@@ -45,7 +45,7 @@
         assertThat(Ladder.step(STEPS, new double[] {2, 20, 200})).isEqualTo("1/100");
     }
 
-    /** 1,000 units of 20 bytes against 10,000 bytes: crossed at a half; with the mechanism 100 of them: never. */
+    /** 1,000 endpoints of 20 bytes against 10,000 bytes: crossed at a half; with the mechanism 100 of them: never. */
     private Capacity capacity() throws IOException {
         Path slopes = scratch.resolve("slopes.json");
         Files.writeString(slopes, "{\"run\": {\"id\": \"r\"}, \"slopes\": [{\"name\": \"heapPerUnit\", \"slope\": 20, "
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -41,7 +41,7 @@
     private final XnioWorker worker;
     private final EventLoop turn;
     private final ConnectionPool platform;
-    private final ConnectionPool units;
+    private final ConnectionPool endpoints;
     private final DiscoveryClient discovery;
     private final DecisionEngine gate;
     private final EndpointAddresses addresses = new EndpointAddresses();
@@ -56,10 +56,10 @@
         turn = new EventLoop(worker.getIoThread());
         Counters counters = new Counters();
         platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, NO_BOUND);
-        units = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
+        endpoints = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
         String[] at = list.address("r").split(":");
         discovery = new DiscoveryClient(turn, counters, platform, new InetSocketAddress(at[0], Integer.parseInt(at[1])),
-            addresses, units, List.of("east", "west"), List.of("small"), false, new SplittableRandom(17), null);
+            addresses, endpoints, List.of("east", "west"), List.of("small"), false, new SplittableRandom(17), null);
         gate = ModulePlay.gate(new Quiet(), List.of());
         long fromNs = cpuNs();
         turn.soon(() -> {
@@ -98,7 +98,7 @@
         return readUs;
     }
 
-    /** So many units restart, one after the other; the I/O thread's processor time for one, the median. */
+    /** So many endpoints restart, one after the other; the I/O thread's processor time for one, the median. */
     double changeUs(int changes) throws InterruptedException {
         List<Long> ns = new ArrayList<>();
         for (int i = 1; i <= changes; i++) {
@@ -113,17 +113,17 @@
     @Override
     public void close() throws InterruptedException {
         turn.soon(platform::stop);
-        turn.soon(units::stop);
+        turn.soon(endpoints::stop);
         list.close();
         worker.shutdownNow();
         worker.awaitTermination(5, TimeUnit.SECONDS);
         turn.thread().join(5_000);
     }
 
-    /** No req is taken, and no timer runs: what is measured is the list alone. */
+    /** No request is taken, and no timer runs: what is measured is the list alone. */
     private static final class Quiet implements NoOpActions {
         @Override
-        public void send(String id, String unit, long timeoutUs) {
+        public void send(String id, String endpoint, long timeoutUs) {
             throw new IllegalStateException("no req was taken");
         }
 
@@ -138,7 +138,7 @@
         }
 
         @Override
-        public void cancel(String id, int tryNo) {
+        public void cancel(String id, int attemptNo) {
             throw new IllegalStateException("no req was taken");
         }
     }
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -24,7 +24,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** The module alone, with so many units: reqs that all complete after 5 ms, 860 a second of its own time. */
+/** The module alone, with so many endpoints: requests that all complete after 5 ms, 860 a second of its own time. */
 final class ModulePlay implements NoOpActions {
     static final int UNITS_OF_A_SERVICE = 28;
     private static final long REQ_EVERY_US = 1_163;
@@ -49,11 +49,11 @@
     private long ids;
     private long sent;
 
-    ModulePlay(int units) {
+    ModulePlay(int endpoints) {
         gate = gate(this, List.of());
         gate.start(nowUs);
         List<Endpoint> list = new ArrayList<>();
-        for (int i = 0; i < units; i++) {
+        for (int i = 0; i < endpoints; i++) {
             if (i % UNITS_OF_A_SERVICE == 0) {
                 services.add(new HashSet<>());
             }
@@ -76,32 +76,32 @@
             2_000_000, false, 0.4, 3_000_000, 2.5, 1_000_000, 0, 22_500_000, rollout), out);
     }
 
-    /** Reqs, up to so many or a second of processor time; microseconds for one. Beats between don't count. */
-    double reqUs(boolean scoped, int most) {
+    /** Requests, up to so many or a second of processor time; microseconds for one. Beats between don't count. */
+    double requestUs(boolean scoped, int most) {
         long usedNs = 0;
-        long reqs = 0;
+        long requests = 0;
         long sentBefore = sent;
         long beatAtUs = nowUs + BEAT_US;
-        while (reqs < most && usedNs < 1_000_000_000) {
+        while (requests < most && usedNs < 1_000_000_000) {
             long fromNs = THREADS.getCurrentThreadCpuTime();
             for (int i = 0; i < BATCH; i++) {
                 nowUs += REQ_EVERY_US;
-                req(scoped);
+                request(scoped);
             }
-            reqs += BATCH;
+            requests += BATCH;
             usedNs += THREADS.getCurrentThreadCpuTime() - fromNs;
             if (nowUs >= beatAtUs) {
                 beat();
                 beatAtUs += BEAT_US;
             }
         }
-        if (sent - sentBefore < reqs * 0.99) {
-            throw new IllegalStateException("of " + reqs + " reqs only " + (sent - sentBefore) + " were sent");
+        if (sent - sentBefore < requests * 0.99) {
+            throw new IllegalStateException("of " + requests + " reqs only " + (sent - sentBefore) + " were sent");
         }
-        return usedNs / 1e3 / reqs;
+        return usedNs / 1e3 / requests;
     }
 
-    private void req(boolean scoped) {
+    private void request(boolean scoped) {
         Set<String> service = services.get(chance.nextInt(services.size()));
         EndpointRestriction within = service::contains;
         RequestConstraints bounds = scoped ? within : RequestConstraints.NONE;
@@ -131,11 +131,11 @@
     }
 
     @Override
-    public void send(String id, String unit, long timeoutUs) {
+    public void send(String id, String endpoint, long timeoutUs) {
         sent++;
     }
 
-    /** The first timer is the beat's; a req's is due only after its end, when it does nothing. */
+    /** The first timer is the beat's; a request's is due only after its end, when it does nothing. */
     @Override
     public void timer(long inUs, long token) {
         beatToken = beatToken < 0 ? token : beatToken;
--- a/src/test/java/gatelock/capacity/Questions.java
+++ b/src/test/java/gatelock/capacity/Questions.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 
-/** Four questions by arithmetic at the whole target: who serves what, how changes come, who can vote, who holds a unit. */
+/** Four questions by arithmetic at the whole target: who serves what, how changes come, who can vote, who holds an endpoint. */
 final class Questions {
     private static final int MOST_OUTCOMES = 2_000;
     private static final int[] RELAYS_A_ZONE = {100, 30, 10, 3};
@@ -32,13 +32,13 @@
 
     // ---- (a) Who serves what ------------------------------------------------------------------------------
 
-    /** One way to share out services: what a relay holds of it, and who meets at a unit. */
+    /** One way to share out services: what a relay holds of it, and who meets at an endpoint. */
     private void way(Table table, String way, double services, double relaysAService, double busiest) {
-        double units = services * of("units/services");
-        double kept = Math.min(units, services * of("unitsAService"));
-        table.row(way, services, units, of("heapPerUnit/1000000") * units, kept,
+        double endpoints = services * of("units/services");
+        double kept = Math.min(endpoints, services * of("unitsAService"));
+        table.row(way, services, endpoints, of("heapPerUnit/1000000") * endpoints, kept,
             of("heapPerUnit/1000000") * kept, relaysAService, of("peakPerS/services*firstCap*weighedS")
-                / relaysAService, relaysAService * kept / units, busiest);
+                / relaysAService, relaysAService * kept / endpoints, busiest);
     }
 
     Table scope() {
@@ -134,14 +134,14 @@
         return ExactIntervalTable.level(of("falseBacks"), relays, voices(relays));
     }
 
-    /** Outcomes a relay needs to find a bad build, by how many relays share its trial. */
+    /** Outcomes a relay needs to find a bad build, by how many relays share its canary. */
     Table needed() {
         List<String> head = new ArrayList<>(List.of("relays", "voices that send back", "one may be wrong in"));
         for (double errors : capacity.target().errors()) {
             String e = "errors " + Table.figure(errors * 100) + "%: ";
             head.add(e + "needed, each voice as likely as not");
             head.add(e + "needed, just so many voices");
-            head.add(e + "the same, trial on " + trialUnits() + " units");
+            head.add(e + "the same, trial on " + canaryEndpoints() + " units");
         }
         Table table = new Table(head.toArray(String[]::new));
         for (int relays : capacity.target().spreads()) {
@@ -150,14 +150,14 @@
             for (double errors : capacity.target().errors()) {
                 row.add(needs(MOST_OUTCOMES, errors, relays, EVEN_CHANCE));
                 row.add(needs(MOST_OUTCOMES, errors, relays, share(relays)));
-                row.add(needs(trialUnits(), errors, relays, share(relays)));
+                row.add(needs(canaryEndpoints(), errors, relays, share(relays)));
             }
             table.row(row.toArray());
         }
         return table;
     }
 
-    private int trialUnits() {
+    private int canaryEndpoints() {
         return Math.max(1, (int) Math.round(of("trialUnits")));
     }
 
@@ -165,8 +165,8 @@
         return Math.min(EVEN_CHANCE, (double) voices(relays) / relays);
     }
 
-    private Object needs(int units, double errors, int relays, double likely) {
-        int seen = ExactIntervalTable.outcomesNeeded(units, errors, of("errorBar"), level(relays), likely, MOST_OUTCOMES);
+    private Object needs(int endpoints, double errors, int relays, double likely) {
+        int seen = ExactIntervalTable.outcomesNeeded(endpoints, errors, of("errorBar"), level(relays), likely, MOST_OUTCOMES);
         return seen < 0 ? "none do" : (Object) (double) seen;
     }
 
@@ -238,7 +238,7 @@
         return widest;
     }
 
-    // ---- (d) Who holds a unit -----------------------------------------------------------------------------
+    // ---- (d) Who holds an endpoint -----------------------------------------------------------------------------
 
     Table holders() {
         double cold = of("coldReqsBound");
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -40,7 +40,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures what a relay costs by units, routes, tenants, connections, reqs, changes and versions, and how real
+ * Measures what a relay costs by endpoints, routes, tenants, connections, requests, changes and versions, and how real
  * relays fare on long lists. Not a test: run by {@code make measure-capacity}, which writes
  * docs/capacity/slopes.json. Named parts alone are measured where their names are given.
  */
@@ -95,8 +95,8 @@
         run.put("machine", Files.readString(Path.of("/proc/cpuinfo")).lines().filter(l -> l.startsWith("model name"))
             .findFirst().map(l -> l.replaceAll(".*: ", "")).orElse("not told"));
         Map<String, Part> parts = new LinkedHashMap<>();
-        parts.put("reqs", this::reqs);
-        parts.put("units", this::units);
+        parts.put("reqs", this::requests);
+        parts.put("units", this::endpoints);
         parts.put("module", this::module);
         parts.put("versions", this::versions);
         parts.put("bytes", this::bytes);
@@ -129,10 +129,10 @@
     }
 
     private void write() throws IOException {
-        Map<String, Object> perReq = slopes.get("cpuPerReqUs");
+        Map<String, Object> perRequest = slopes.get("cpuPerReqUs");
         for (Map<String, Object> slope : slopes.values()) {
-            if (perReq != null && "us".equals(slope.get("y"))) {
-                slope.put("ratioToReq", round((double) slope.get("slope") / (double) perReq.get("slope")));
+            if (perRequest != null && "us".equals(slope.get("y"))) {
+                slope.put("ratioToReq", round((double) slope.get("slope") / (double) perRequest.get("slope")));
             }
         }
         Map<String, Object> all = new LinkedHashMap<>();
@@ -190,7 +190,7 @@
             .replace("\"sockets\": 1024", "\"sockets\": 16000");
     }
 
-    /** Entries that all lead to the village's units. */
+    /** Entries that all lead to the village's endpoints. */
     private static LongListDiscovery list(FakeDeployment village, int size) {
         return new LongListDiscovery(size, i -> entry(village, i, 0));
     }
@@ -215,9 +215,9 @@
         return ms;
     }
 
-    // ---- Reqs ------------------------------------------------------------------------------------------------
+    // ---- Requests ------------------------------------------------------------------------------------------------
 
-    private void reqs() throws Exception {
+    private void requests() throws Exception {
         List<double[]> cpu = new ArrayList<>();
         try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 4);
                 RelayProcess relay = relay(village, list, "r", 1)) {
@@ -261,7 +261,7 @@
 
     // ---- The list, in this process ------------------------------------------------------------------------------
 
-    private void units() throws Exception {
+    private void endpoints() throws Exception {
         try (ListPlay warm = new ListPlay(2_000, null)) {
             warm.changeUs(300);
         }
@@ -299,7 +299,7 @@
         classes(least, most, UNITS[UNITS.length - 1] - UNITS[0]);
     }
 
-    /** What a relay holds of so many units: where each is, and the decisions' view of it. */
+    /** What a relay holds of so many endpoints: where each is, and the decisions' view of it. */
     private static Object state(int size) {
         EndpointAddresses addresses = new EndpointAddresses();
         DecisionEngine gate = ModulePlay.gate(new ModulePlay(1), List.of());
@@ -314,12 +314,12 @@
         return List.of(addresses, gate);
     }
 
-    private void classes(ClassHistogram least, ClassHistogram most, int units) {
+    private void classes(ClassHistogram least, ClassHistogram most, int endpoints) {
         Map<String, Long> more = most.since(least).bytes();
         more.entrySet().stream().sorted((a, b) -> Long.compare(b.getValue(), a.getValue())).limit(14).forEach(e -> {
             Map<String, Object> row = new LinkedHashMap<>();
             row.put("class", e.getKey());
-            row.put("perUnitBytes", round(e.getValue() / (double) units));
+            row.put("perUnitBytes", round(e.getValue() / (double) endpoints));
             classes.add(row);
         });
         System.out.println(classes);
@@ -329,17 +329,17 @@
 
     private void module() {
         ModulePlay warm = new ModulePlay(1_000);
-        warm.reqUs(false, 100_000);
-        warm.reqUs(true, 20_000);
+        warm.requestUs(false, 100_000);
+        warm.requestUs(true, 20_000);
         warm.beatUs(300);
         List<double[]> free = new ArrayList<>();
         List<double[]> scoped = new ArrayList<>();
         List<double[]> beat = new ArrayList<>();
         for (int size : new int[] {1_000, 10_000, 50_000, 100_000, 200_000}) {
             ModulePlay play = new ModulePlay(size);
-            free.add(point(size, play.reqUs(false, 8_000)));
+            free.add(point(size, play.requestUs(false, 8_000)));
             beat.add(point(size, play.beatUs(40)));
-            scoped.add(point(size, new ModulePlay(size).reqUs(true, 2_000)));
+            scoped.add(point(size, new ModulePlay(size).requestUs(true, 2_000)));
         }
         String how = "Slopes.module: thread CPU time, ReleaseGate alone, ";
         slope("cpuPerReqByUnitsUs", "processor time of the module alone for one req, take to end, any unit will do",
@@ -375,12 +375,12 @@
     private static double[] version(int routes, int times) {
         byte[] text = SampleConfigs.version(routes);
         ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.GROUNDS);
-        List<Endpoint> units = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < 1_000; i++) {
-            units.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
+            endpoints.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
         }
         Admission admission = new Admission(1);
-        admission.listed(1, DecisionEngine.ListForm.FULL, units, Map.of());
+        admission.listed(1, DecisionEngine.ListForm.FULL, endpoints, Map.of());
         List<Double> us = new ArrayList<>();
         for (int i = 1; i <= times; i++) {
             long fromNs = cpuNs();
--- a/src/test/java/gatelock/config/AdmissionTest.java
+++ b/src/test/java/gatelock/config/AdmissionTest.java
@@ -12,7 +12,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What plans mean for reqs: pools, fallbacks, budgets, and what one version is beside another. */
+/** What plans mean for requests: pools, fallbacks, budgets, and what one version is beside another. */
 final class AdmissionTest {
     private static final long SECOND = 1_000_000;
     private static final QueuedRequest NOBODY = new QueuedRequest() {
@@ -38,16 +38,16 @@
     private final Admission admission = new Admission(0.5);
     private long nowUs = SECOND;
 
-    private static Endpoint unit(String name, int zone, Endpoint.Health health) {
+    private static Endpoint endpoint(String name, int zone, Endpoint.Health health) {
         return new Endpoint(name, 1, zone, 0, 0, health, 0);
     }
 
     private void list(int east, int west) {
-        List<Endpoint> units = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < east + west; i++) {
-            units.add(unit((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Endpoint.Health.READY));
+            endpoints.add(endpoint((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Endpoint.Health.READY));
         }
-        admission.listed(nowUs, DecisionEngine.ListForm.FULL, units, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
+        admission.listed(nowUs, DecisionEngine.ListForm.FULL, endpoints, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
     }
 
     private Admission.Pass ask(String path) {
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aPoolReachesItsUnitsAndItsFallbackServesWhenTooFewAreLeft() {
+    void aPoolReachesItsEndpointsAndItsFallbackServesWhenTooFewAreLeft() {
         list(10, 5);
         admission.follow(nowUs, SampleConfigs.plan(POOLS));
         Admission.Pass pass = ask("/read/x");
@@ -81,18 +81,18 @@
         assertThat(ask("/read").reaches("e0")).isFalse();
         nowUs += 1_200 * SECOND;
         assertThat(ask("/read").reaches("e0")).isTrue();
-        admission.listed(nowUs, DecisionEngine.ListForm.DELTA, List.of(unit("e0", 0, Endpoint.Health.DRAINING),
-            unit("w0", 1, Endpoint.Health.GONE)), Map.of());
+        admission.listed(nowUs, DecisionEngine.ListForm.DELTA, List.of(endpoint("e0", 0, Endpoint.Health.DRAINING),
+            endpoint("w0", 1, Endpoint.Health.GONE)), Map.of());
         assertThat(ask("/read").reaches("w0")).isFalse();
     }
 
     @Test
-    void furtherTriesAreNarrowedByTheirPolicyAndBudget() {
+    void furtherAttemptsAreNarrowedByTheirPolicyAndBudget() {
         list(2, 2);
         admission.follow(nowUs, SampleConfigs.plan(POOLS));
         Admission.Pass pass = ask("/read");
-        assertThat(pass.mostTries()).isEqualTo(2);
-        assertThat(pass.tryUs()).isEqualTo(100_000);
+        assertThat(pass.mostAttempts()).isEqualTo(2);
+        assertThat(pass.attemptUs()).isEqualTo(100_000);
         assertThat(pass.goesOn(nowUs, AttemptResult.TIMED_OUT)).isFalse();
         int gone = 0;
         for (int i = 0; i < 1_000; i++) {
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aReqGoesOnUnderTheVersionThatTookIt() {
+    void aRequestGoesOnUnderTheVersionThatTookIt() {
         list(2, 2);
         admission.follow(nowUs, SampleConfigs.plan(POOLS));
         Admission.Pass pass = ask("/read");
@@ -121,7 +121,7 @@
             """));
         assertThat(pass.reaches("e0")).isTrue();
         assertThat(pass.reaches("w0")).isFalse();
-        assertThat(pass.mostTries()).isEqualTo(2);
+        assertThat(pass.mostAttempts()).isEqualTo(2);
         assertThat(ask("/read").reaches("w0")).isTrue();
     }
 
--- a/src/test/java/gatelock/config/ConfigBenchmark.java
+++ b/src/test/java/gatelock/config/ConfigBenchmark.java
@@ -106,11 +106,11 @@
             byte[] bytes = SampleConfigs.version(entries);
             ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.GROUNDS);
             Admission admission = new Admission(1);
-            List<Endpoint> units = new ArrayList<>();
+            List<Endpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
-                units.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
+                endpoints.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
             }
-            admission.listed(1, DecisionEngine.ListForm.FULL, units, Map.of());
+            admission.listed(1, DecisionEngine.ListForm.FULL, endpoints, Map.of());
             Histogram compile = new Histogram(3);
             Histogram swap = new Histogram(3);
             for (int i = 0; i < 12; i++) {
--- a/src/test/java/gatelock/config/RequestLimiterTest.java
+++ b/src/test/java/gatelock/config/RequestLimiterTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Limits under random reqs, ends and versions, against what they may never let happen. */
+/** Limits under random requests, ends and versions, against what they may never let happen. */
 final class RequestLimiterTest {
     private static final long SECOND = 1_000_000;
 
@@ -26,8 +26,8 @@
         return limit("l", LimitPolicy.Per.ALL, perS, burst, Integer.MAX_VALUE, 0, 0);
     }
 
-    /** One req and all that it is told. */
-    private static final class Req implements QueuedRequest {
+    /** One request and all that it is told. */
+    private static final class Request implements QueuedRequest {
         private final int tenant;
         private final long askedUs;
         private RequestLimiter.Told told;
@@ -35,7 +35,7 @@
         private int shed;
         private long toldUs;
 
-        Req(RequestLimiter limits, long nowUs, int tenant, LimitPolicy... its) {
+        Request(RequestLimiter limits, long nowUs, int tenant, LimitPolicy... its) {
             this.tenant = tenant;
             this.askedUs = nowUs;
             told = limits.ask(nowUs, List.of(its), "r", tenant, nowUs + 60 * SECOND, this);
@@ -67,10 +67,10 @@
         }
     }
 
-    private static int passes(RequestLimiter limits, long nowUs, int reqs, LimitPolicy limit) {
+    private static int passes(RequestLimiter limits, long nowUs, int requests, LimitPolicy limit) {
         int passed = 0;
-        for (int i = 0; i < reqs; i++) {
-            passed += new Req(limits, nowUs, 0, limit).passed;
+        for (int i = 0; i < requests; i++) {
+            passed += new Request(limits, nowUs, 0, limit).passed;
         }
         return passed;
     }
@@ -100,13 +100,13 @@
         RequestLimiter limits = new RequestLimiter();
         LimitPolicy five = limit("l", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 5, 0, 0);
         limits.follow(1, Map.of("l", five));
-        List<Req> out = new ArrayList<>();
+        List<Request> out = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            out.add(new Req(limits, 1, 0, five));
+            out.add(new Request(limits, 1, 0, five));
         }
         LimitPolicy three = limit("l", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 3, 1, SECOND);
         limits.follow(2, Map.of("l", three));
-        Req waits = new Req(limits, 2, 0, three);
+        Request waits = new Request(limits, 2, 0, three);
         assertThat(waits.waits()).isTrue();
         out.get(0).over(3);
         out.get(1).over(3);
@@ -120,11 +120,11 @@
         RequestLimiter limits = new RequestLimiter();
         LimitPolicy four = limit("l", LimitPolicy.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 4, SECOND);
         limits.follow(1, Map.of("l", four));
-        new Req(limits, 1, 0, four);
-        Req a1 = new Req(limits, 1, 1, four);
-        Req a2 = new Req(limits, 1, 1, four);
-        Req a3 = new Req(limits, 1, 1, four);
-        Req b1 = new Req(limits, 1, 2, four);
+        new Request(limits, 1, 0, four);
+        Request a1 = new Request(limits, 1, 1, four);
+        Request a2 = new Request(limits, 1, 1, four);
+        Request a3 = new Request(limits, 1, 1, four);
+        Request b1 = new Request(limits, 1, 2, four);
         LimitPolicy two = limit("l", LimitPolicy.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 2, SECOND);
         limits.follow(2, Map.of("l", two));
         assertThat(List.of(a1.shed, a2.shed, a3.shed, b1.shed)).containsExactly(0, 1, 1, 0);
@@ -136,12 +136,12 @@
         RequestLimiter limits = new RequestLimiter();
         LimitPolicy limit = limit("l", LimitPolicy.Per.ALL, 10, 1, Integer.MAX_VALUE, 10, 10 * SECOND);
         limits.follow(1, Map.of("l", limit));
-        List<Req> much = new ArrayList<>();
-        List<Req> little = new ArrayList<>();
+        List<Request> much = new ArrayList<>();
+        List<Request> little = new ArrayList<>();
         for (long us = 1; us < 10 * SECOND; us += 10_000) {
-            much.add(new Req(limits, us, 1, limit));
+            much.add(new Request(limits, us, 1, limit));
             if (us % 250_000 < 10_000) {
-                little.add(new Req(limits, us, 2, limit));
+                little.add(new Request(limits, us, 2, limit));
             }
             limits.due(us);
         }
@@ -154,9 +154,9 @@
         RequestLimiter limits = new RequestLimiter();
         LimitPolicy a = limit("a", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 5, 5 * SECOND);
         LimitPolicy b = limit("b", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 0, 0);
-        Req onA = new Req(limits, 1, 0, a);
-        Req onB = new Req(limits, 1, 0, b);
-        Req both = new Req(limits, 1, 0, a, b);
+        Request onA = new Request(limits, 1, 0, a);
+        Request onB = new Request(limits, 1, 0, b);
+        Request both = new Request(limits, 1, 0, a, b);
         assertThat(both.waits()).isTrue();
         onA.over(2);
         assertThat(both.waits()).as("b is full").isTrue();
@@ -165,12 +165,12 @@
     }
 
     @Property(tries = 300, seed = "17")
-    void boundsHoldAndEachReqIsToldOnce(@ForAll long seed) {
+    void boundsHoldAndEachRequestIsToldOnce(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         RequestLimiter limits = new RequestLimiter();
         LimitPolicy[] its = new LimitPolicy[3];
-        List<Req> all = new ArrayList<>();
-        List<Req> out = new ArrayList<>();
+        List<Request> all = new ArrayList<>();
+        List<Request> out = new ArrayList<>();
         long nowUs = 1;
         long fromUs = 1;
         double passed = 0;
@@ -199,10 +199,10 @@
             if (random.nextInt(3) == 0 && !out.isEmpty()) {
                 out.remove(random.nextInt(out.size())).over(nowUs);
             } else {
-                Req req = new Req(limits, nowUs, random.nextInt(3), its);
-                all.add(req);
-                if (req.shed == 0) {
-                    out.add(req);
+                Request request = new Request(limits, nowUs, random.nextInt(3), its);
+                all.add(request);
+                if (request.shed == 0) {
+                    out.add(request);
                 }
             }
             out.removeIf(r -> r.shed > 0);
@@ -216,9 +216,9 @@
             double newly = all.stream().mapToInt(r -> r.passed).sum() - passed;
             assertThat(newly).isLessThanOrEqualTo(its[0].burst() + 1e-6 + (nowUs - fromUs) * its[0].perUs());
             long late = nowUs;
-            assertThat(out.stream().filter(Req::waits)).allMatch(r -> late - r.askedUs <= 500_001);
+            assertThat(out.stream().filter(Request::waits)).allMatch(r -> late - r.askedUs <= 500_001);
         }
-        for (Req r : List.copyOf(out)) {
+        for (Request r : List.copyOf(out)) {
             r.over(nowUs);
         }
         limits.due(nowUs + 60 * SECOND);
@@ -227,7 +227,7 @@
             && r.passed == 1).count());
     }
 
-    private static long nowUs(List<Req> out) {
+    private static long nowUs(List<Request> out) {
         return out.stream().mapToLong(r -> Math.max(r.toldUs, r.askedUs)).max().orElse(0) + 3600 * SECOND;
     }
 }
--- a/src/test/java/gatelock/config/RouteTableTest.java
+++ b/src/test/java/gatelock/config/RouteTableTest.java
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aPathThatAUnitMayReadAsAnotherIsOdd() {
+    void aPathThatAnEndpointMayReadAsAnotherIsOdd() {
         for (String odd : new String[] {"a", "/a/../b", "/a/./b", "/..", "/a/%2e%2e/b", "/a/.%2E/b",
             "/a%2Fb", "/a%5cb", "//a",
             "/a//b", "/a\\b", "/a/..;x/b", "/a%00"}) {
--- a/src/test/java/gatelock/decision/ExactIntervalTable.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTable.java
@@ -2,7 +2,7 @@
 
 /**
  * What one relay's exact interval can find, as {@code ReleaseGate.past} asks it: so many outcomes, of which so many
- * units were past a bar. The arithmetic is that of {@link Bootstrap}.
+ * endpoints were past a bar. The arithmetic is that of {@link Bootstrap}.
  */
 public final class ExactIntervalTable {
 
@@ -19,7 +19,7 @@
         return Bootstrap.tail(among, cases, each);
     }
 
-    /** The fewest units past the bar, two at least, that among so many outcomes are rarer than the level. */
+    /** The fewest endpoints past the bar, two at least, that among so many outcomes are rarer than the level. */
     public static int fewestPast(int seen, double bar, double level) {
         int cases = 2;
         while (cases <= seen && Bootstrap.tail(seen, cases, bar) >= level) {
@@ -28,18 +28,18 @@
         return cases;
     }
 
-    /** How likely it is that a build with such a share of errors is found, outcomes lying evenly over its units. */
-    public static double found(int seen, int units, double errors, double bar, double level) {
-        int among = Math.min(seen, units);
+    /** How likely it is that a build with such a share of errors is found, outcomes lying evenly over its endpoints. */
+    public static double found(int seen, int endpoints, double errors, double bar, double level) {
+        int among = Math.min(seen, endpoints);
         int cases = fewestPast(seen, bar, level);
-        double each = 1 - Math.pow(1 - errors, Math.max(1, (double) seen / units));
+        double each = 1 - Math.pow(1 - errors, Math.max(1, (double) seen / endpoints));
         return cases > among ? 0 : Bootstrap.tail(among, cases, each);
     }
 
     /** The fewest outcomes with which it is found so likely; -1: not with up to so many. */
-    public static int outcomesNeeded(int units, double errors, double bar, double level, double likely, int most) {
+    public static int outcomesNeeded(int endpoints, double errors, double bar, double level, double likely, int most) {
         for (int seen = 2; seen <= most; seen++) {
-            if (found(seen, units, errors, bar, level) >= likely) {
+            if (found(seen, endpoints, errors, bar, level) >= likely) {
                 return seen;
             }
         }
--- a/src/test/java/gatelock/decision/ExactIntervalTableTest.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTableTest.java
@@ -19,7 +19,7 @@
 
     /** Of 20 at 2%: two or more in 0.060 of cases, three or more in 0.007. */
     @Test
-    void unitsPastTheBarAreCountedUntilTheyAreRare() {
+    void endpointsPastTheBarAreCountedUntilTheyAreRare() {
         assertThat(ExactIntervalTable.fewestPast(20, 0.02, 0.05)).isEqualTo(3);
         assertThat(ExactIntervalTable.fewestPast(20, 0.02, 0.07)).isEqualTo(2);
         assertThat(ExactIntervalTable.fewestPast(2, 0.02, 0.05)).isEqualTo(2);
@@ -27,14 +27,14 @@
 
     @Test
     void whatIsFoundIsTheTailOfItsErrors() {
-        // Both of two outcomes at two units, of which 0.3 fail.
+        // Both of two outcomes at two endpoints, of which 0.3 fail.
         assertThat(ExactIntervalTable.found(2, 100, 0.3, 0.02, 0.05)).isCloseTo(0.09, within(1e-12));
-        // Three are asked for, and there are two units.
+        // Three are asked for, and there are two endpoints.
         assertThat(ExactIntervalTable.found(20, 2, 0.3, 0.02, 0.05)).isZero();
     }
 
     @Test
-    void fewerOutcomesAreNeededOfAWorseBuildAndNoneAreEnoughOnOneUnit() {
+    void fewerOutcomesAreNeededOfAWorseBuildAndNoneAreEnoughOnOneEndpoint() {
         int bad = ExactIntervalTable.outcomesNeeded(100, 0.1, 0.02, 0.05, 0.5, 500);
         int worse = ExactIntervalTable.outcomesNeeded(100, 0.3, 0.02, 0.05, 0.5, 500);
         assertThat(worse).isBetween(2, bad - 1);
--- a/src/test/java/gatelock/decision/OutcomeWindowTest.java
+++ b/src/test/java/gatelock/decision/OutcomeWindowTest.java
@@ -11,21 +11,21 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Which units are left out when a build is judged without its worst ones. */
+/** Which endpoints are left out when a build is judged without its worst ones. */
 final class OutcomeWindowTest {
     private static final int SLICES = 8;
     private static final int UNITS = 60;
 
-    /** So many outcomes a slice, on units by chance; each is slow by its unit's share. */
+    /** So many outcomes a slice, on endpoints by chance; each is slow by its endpoint's share. */
     private static List<OutcomeWindow> slices(int perSlice, long seed, double[] slowShare) {
         SplittableRandom chance = new SplittableRandom(seed);
         List<OutcomeWindow> slices = new ArrayList<>();
         for (int i = 0; i < SLICES; i++) {
             List<AttemptOutcome> outcomes = new ArrayList<>();
             for (int j = 0; j < perSlice; j++) {
-                int unit = chance.nextInt(UNITS);
-                double slowness = chance.nextDouble() < slowShare[unit] ? 5 : 1;
-                outcomes.add(new AttemptOutcome(unit, 0, false, false, slowness, 0, 0));
+                int endpoint = chance.nextInt(UNITS);
+                double slowness = chance.nextDouble() < slowShare[endpoint] ? 5 : 1;
+                outcomes.add(new AttemptOutcome(endpoint, 0, false, false, slowness, 0, 0));
             }
             slices.add(new OutcomeWindow(1000 + i, outcomes));
         }
@@ -46,7 +46,7 @@
     }
 
     @Property(tries = 200)
-    void whatStrikesAllUnitsByChanceStaysVisibleHoweverFewOutcomesEachHas(@ForAll @IntRange(min = 10, max = 60)
+    void whatStrikesAllEndpointsByChanceStaysVisibleHoweverFewOutcomesEachHas(@ForAll @IntRange(min = 10, max = 60)
         int perSlice, @ForAll @DoubleRange(min = 0.2, max = 0.6) double share, @ForAll long seed) {
         List<OutcomeWindow> all = slices(perSlice, seed, shares(0, 0, share));
         List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
@@ -55,7 +55,7 @@
     }
 
     @Property(tries = 200)
-    void unitsThatAreSickThroughoutAreLeftOut(@ForAll @IntRange(min = 60, max = 120) int perSlice,
+    void endpointsThatAreSickThroughoutAreLeftOut(@ForAll @IntRange(min = 60, max = 120) int perSlice,
         @ForAll long seed) {
         List<OutcomeWindow> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
         assertThat(slow(all)).isGreaterThan(0.15);
--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -63,9 +63,9 @@
     /** Notes the lists; nothing else is told in this course. */
     private final class Noting implements DecisionEngine {
         @Override
-        public void listed(long nowUs, ListForm form, List<Endpoint> units) {
-            course.add(form + " " + units.stream().map(u -> u + " at " + (addresses.get(u.unit()) == null ? "none"
-                : addresses.get(u.unit()).address().getPort())).toList());
+        public void listed(long nowUs, ListForm form, List<Endpoint> endpoints) {
+            course.add(form + " " + endpoints.stream().map(u -> u + " at " + (addresses.get(u.endpoint()) == null ? "none"
+                : addresses.get(u.endpoint()).address().getPort())).toList());
         }
 
         @Override
@@ -85,7 +85,7 @@
         }
 
         @Override
-        public void complaint(long nowUs, String unit, int route, long agoUs) {
+        public void complaint(long nowUs, String endpoint, int route, long agoUs) {
             throw new AssertionError();
         }
 
@@ -113,9 +113,9 @@
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
         turn.soon(() -> {
             ConnectionPool platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
-            ConnectionPool units = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
+            ConnectionPool endpoints = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
             try {
-                new DiscoveryClient(turn, counters, platform, at, addresses, units, List.of("east", "west"), List.of("s", "m"),
+                new DiscoveryClient(turn, counters, platform, at, addresses, endpoints, List.of("east", "west"), List.of("s", "m"),
                     false, new SplittableRandom(1), membership).start(new Noting(), null,
                     JsonObject.read(KNOWN.getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
@@ -191,27 +191,27 @@
         play();
         String call = "GET /api/targets%s HTTP/1.1|Host: discovery||";
         String from = "?from=%d&hold_ms=2000";
-        String unit = "Listed[unit=%s, build=%d, zone=1, kind=1, cell=3, health=%s, startUs=%d] at %s";
+        String endpoint = "Listed[unit=%s, build=%d, zone=1, kind=1, cell=3, health=%s, startUs=%d] at %s";
         List<String> expected = new ArrayList<>();
-        expected.add("CACHED [" + String.format(unit, "a", 1, "READY", 0, "1") + "]");
+        expected.add("CACHED [" + String.format(endpoint, "a", 1, "READY", 0, "1") + "]");
         expected.add(String.format(call, ""));
-        expected.add("FULL [" + String.join(", ", String.format(unit, "a", 1, "READY", 7000, "11"),
-            String.format(unit, "b", 1, "READY", 0, "12"), String.format(unit, "c", 2, "DRAINING", 0, "13")) + "]");
+        expected.add("FULL [" + String.join(", ", String.format(endpoint, "a", 1, "READY", 7000, "11"),
+            String.format(endpoint, "b", 1, "READY", 0, "12"), String.format(endpoint, "c", 2, "DRAINING", 0, "13")) + "]");
         expected.add(String.format(call, String.format(from, 5)));
-        expected.add("DELTA [" + String.format(unit, "b", 1, "DRAINING", 0, "12") + "]");
+        expected.add("DELTA [" + String.format(endpoint, "b", 1, "DRAINING", 0, "12") + "]");
         expected.add(String.format(call, String.format(from, 6)));
         expected.add(String.format(call, String.format(from, 6)));
-        expected.add("DELTA [" + String.join(", ", String.format(unit, "b", 1, "GONE", 0, "none"),
-            String.format(unit, "d", 2, "READY", 0, "14"), String.format(unit, "a", 2, "READY", 9000, "11")) + "]");
+        expected.add("DELTA [" + String.join(", ", String.format(endpoint, "b", 1, "GONE", 0, "none"),
+            String.format(endpoint, "d", 2, "READY", 0, "14"), String.format(endpoint, "a", 2, "READY", 9000, "11")) + "]");
         for (int i = 0; i < 7; i++) {
             expected.add(String.format(call, String.format(from, 7)));
         }
-        expected.add("FULL [" + String.join(", ", String.format(unit, "d", 2, "READY", 0, "17"),
-            String.format(unit, "g", 3, "READY", 0, "18")) + "]");
+        expected.add("FULL [" + String.join(", ", String.format(endpoint, "d", 2, "READY", 0, "17"),
+            String.format(endpoint, "g", 3, "READY", 0, "18")) + "]");
         expected.add(String.format(call, String.format(from, 9)));
-        expected.add("FULL [" + String.format(unit, "g", 3, "READY", 0, "18") + "]");
+        expected.add("FULL [" + String.format(endpoint, "g", 3, "READY", 0, "18") + "]");
         expected.add(String.format(call, String.format(from, 2)));
-        expected.add("DELTA [" + String.format(unit, "g", 3, "READY", 0, "19") + "]");
+        expected.add("DELTA [" + String.format(endpoint, "g", 3, "READY", 0, "19") + "]");
         expected.add(String.format(call, String.format(from, 3)));
         assertThat(course).containsExactlyElementsOf(expected);
         assertThat(counters.toString()).contains("discovery failed=6").doesNotContain("lists too long");
@@ -235,7 +235,7 @@
             .toList());
     }
 
-    /** The units of one telling by name, as a list and a scope may have an order of their own. */
+    /** The endpoints of one telling by name, as a list and a scope may have an order of their own. */
     private static String inOrder(String told) {
         // One that drains when it is first listed never comes into scope: there is nothing for it to do.
         String[] parts = told.replaceAll("(, )?Listed\\[unit=c,[^\\]]*\\] at 13", "").replaceAll("[\\[\\]]+$", "").split("Listed\\[");
--- a/src/test/java/gatelock/fleet/FleetRecords.java
+++ b/src/test/java/gatelock/fleet/FleetRecords.java
@@ -19,7 +19,7 @@
 import java.util.stream.Collectors;
 
 /**
- * What units, clients, the list and the desk saw, and the five rules checked from that alone: nothing here
+ * What endpoints, clients, the list and the release controller saw, and the five rules checked from that alone: nothing here
  * asks a relay what it meant.
  */
 final class FleetRecords {
@@ -29,27 +29,27 @@
     record Answer(String id, long atUs, boolean completed) {
     }
 
-    record Sent(String id, int relay, String unit, int build, double workUs, long atUs) {
+    record Sent(String id, int relay, String endpoint, int build, double workUs, long atUs) {
     }
 
-    record Ran(String id, String unit, long atUs) {
+    record Ran(String id, String endpoint, long atUs) {
     }
 
-    record Told(int relay, String unit, long atUs) {
+    record Told(int relay, String endpoint, long atUs) {
     }
 
     record Cap(int relay, int build, double cap, long atUs) {
     }
 
-    record Start(String unit, double cores, long atUs) {
+    record Start(String endpoint, double cores, long atUs) {
     }
 
-    /** Since when discovery could tell of a unit that it is ready, or that it is not. */
-    record Known(String unit, long atUs) {
+    /** Since when discovery could tell of an endpoint that it is ready, or that it is not. */
+    record Known(String endpoint, long atUs) {
     }
 
-    /** Of a unit's service: how many of its units are ready, how many of the relays hold this one. */
-    record Held(String unit, int ready, int holders, int relays, int most) {
+    /** Of an endpoint's service: how many of its endpoints are ready, how many of the relays hold this one. */
+    record Held(String endpoint, int ready, int holders, int relays, int most) {
     }
 
     /** A change of the list or the whole of it: since when it could be told, who is owed it and who heard it. */
@@ -91,16 +91,16 @@
     final List<Told> leaves = new ArrayList<>();
     final List<Cap> caps = new ArrayList<>();
     final List<Start> starts = new ArrayList<>();
-    /** Relays heard that a unit is ready, again or for the first time. */
+    /** Relays heard that an endpoint is ready, again or for the first time. */
     final List<Told> backs = new ArrayList<>();
     final List<Known> downs = new ArrayList<>();
     final List<Known> ups = new ArrayList<>();
     final List<Message> messages = new ArrayList<>();
     final List<Held> held = new ArrayList<>();
     final List<Long> calls = new ArrayList<>();
-    /** Reqs whose relay was ended under them: they are owed nothing. */
+    /** Requests whose relay was ended under them: they are owed nothing. */
     final Map<String, Long> ended = new HashMap<>();
-    /** By relay: the units that it has heard to be leaving, and not to be back. */
+    /** By relay: the endpoints that it has heard to be leaving, and not to be back. */
     private final Map<Integer, Set<String>> gone = new HashMap<>();
     int opened;
     /** When the play ended; what was due later is no fault. */
@@ -112,7 +112,7 @@
         oneAnswer(found);
         noEffectTwice(found);
         nothingToLeaving(found);
-        coldUnits(found, terms);
+        coldEndpoints(found, terms);
         exposure(found, terms);
         heardByAll(found);
         toldLate(found, terms);
@@ -128,9 +128,9 @@
         }
         for (SimulatedDiscovery.Entry e : message.entries()) {
             boolean ready = e.listed().health() == Endpoint.Health.READY;
-            boolean news = ready ? its.remove(e.listed().unit()) : its.add(e.listed().unit());
+            boolean news = ready ? its.remove(e.listed().endpoint()) : its.add(e.listed().endpoint());
             if (news) {
-                (ready ? backs : leaves).add(new Told(relay, e.listed().unit(), atUs));
+                (ready ? backs : leaves).add(new Told(relay, e.listed().endpoint(), atUs));
             }
         }
     }
@@ -169,7 +169,7 @@
     }
 
     /**
-     * Rule 3 by discovery's own clock: once a relay should have been told that a unit leaves, and after the same
+     * Rule 3 by discovery's own clock: once a relay should have been told that an endpoint leaves, and after the same
      * grace, nothing goes there, whatever the relay itself heard.
      */
     private void toldLate(List<String> found, SimulatedFleet.Terms terms) {
@@ -177,11 +177,11 @@
             return;
         }
         Map<String, TreeMap<Long, Boolean>> known = new HashMap<>();
-        downs.forEach(k -> known.computeIfAbsent(k.unit, u -> new TreeMap<>()).put(k.atUs, false));
-        ups.forEach(k -> known.computeIfAbsent(k.unit, u -> new TreeMap<>()).put(k.atUs, true));
+        downs.forEach(k -> known.computeIfAbsent(k.endpoint, u -> new TreeMap<>()).put(k.atUs, false));
+        ups.forEach(k -> known.computeIfAbsent(k.endpoint, u -> new TreeMap<>()).put(k.atUs, true));
         Set<String> named = new HashSet<>();
         for (Sent s : sent) {
-            TreeMap<Long, Boolean> its = known.get(s.unit);
+            TreeMap<Long, Boolean> its = known.get(s.endpoint);
             Map.Entry<Long, Boolean> now = its == null ? null : its.floorEntry(s.atUs);
             if (now != null && !now.getValue()) {
                 long sinceUs = now.getKey();
@@ -190,19 +190,19 @@
                     sinceUs = e.getKey();
                 }
                 if (s.atUs > sinceUs + terms.toldWithinUs + GRACE_US + SLACK_US
-                        && named.add(s.relay + " " + s.unit)) {
-                    found.add("told late: relay " + s.relay + " sent to " + s.unit + " "
+                        && named.add(s.relay + " " + s.endpoint)) {
+                    found.add("told late: relay " + s.relay + " sent to " + s.endpoint + " "
                         + (s.atUs - sinceUs) / 1000 + " ms after it left");
                 }
             }
         }
     }
 
-    /** Where a service has more units than a relay is to hold, none of them is held by all or most relays. */
+    /** Where a service has more endpoints than a relay is to hold, none of them is held by all or most relays. */
     private void heldByMany(List<String> found) {
         for (Held h : held) {
             if (h.holders > mostHolders(h.ready, h.relays, h.most)) {
-                found.add("held: " + h.unit + " by " + h.holders + " of " + h.relays + " relays");
+                found.add("held: " + h.endpoint + " by " + h.holders + " of " + h.relays + " relays");
             }
         }
     }
@@ -242,12 +242,12 @@
     }
 
     private void nothingToLeaving(List<String> found) {
-        // By relay and unit: when it was told that the unit left, or came back.
+        // By relay and endpoint: when it was told that the endpoint left, or came back.
         Map<Integer, Map<String, TreeMap<Long, Boolean>>> told = new HashMap<>();
         leaves.forEach(l -> of(told, l).putIfAbsent(l.atUs, true));
         backs.forEach(b -> of(told, b).put(b.atUs, false));
         for (Sent s : sent) {
-            TreeMap<Long, Boolean> its = told.getOrDefault(s.relay, Map.of()).get(s.unit);
+            TreeMap<Long, Boolean> its = told.getOrDefault(s.relay, Map.of()).get(s.endpoint);
             Map.Entry<Long, Boolean> last = its == null ? null : its.floorEntry(s.atUs);
             if (last != null && last.getValue()) {
                 long sinceUs = last.getKey();
@@ -256,23 +256,23 @@
                     sinceUs = e.getKey();
                 }
                 if (s.atUs > sinceUs + GRACE_US + SLACK_US) {
-                    found.add("rule 3: " + s.id + " went to " + s.unit + " after it left");
+                    found.add("rule 3: " + s.id + " went to " + s.endpoint + " after it left");
                 }
             }
         }
     }
 
     private static TreeMap<Long, Boolean> of(Map<Integer, Map<String, TreeMap<Long, Boolean>>> told, Told one) {
-        return told.computeIfAbsent(one.relay, r -> new HashMap<>()).computeIfAbsent(one.unit,
+        return told.computeIfAbsent(one.relay, r -> new HashMap<>()).computeIfAbsent(one.endpoint,
             u -> new TreeMap<>());
     }
 
-    /** In every window that begins with a send, the work sent to a cold unit stays under its multiple. */
-    private void coldUnits(List<String> found, SimulatedFleet.Terms terms) {
-        Map<String, List<Sent>> byUnit = new HashMap<>();
-        sent.forEach(s -> byUnit.computeIfAbsent(s.unit, u -> new ArrayList<>()).add(s));
+    /** In every window that begins with a send, the work sent to a cold endpoint stays under its multiple. */
+    private void coldEndpoints(List<String> found, SimulatedFleet.Terms terms) {
+        Map<String, List<Sent>> byEndpoint = new HashMap<>();
+        sent.forEach(s -> byEndpoint.computeIfAbsent(s.endpoint, u -> new ArrayList<>()).add(s));
         for (Start start : starts) {
-            List<Sent> its = byUnit.getOrDefault(start.unit, List.of()).stream()
+            List<Sent> its = byEndpoint.getOrDefault(start.endpoint, List.of()).stream()
                 .filter(s -> s.atUs >= start.atUs && s.atUs < start.atUs + terms.warmUs).toList();
             for (int i = 0; i < its.size(); i++) {
                 double workUs = 0;
@@ -281,7 +281,7 @@
                 }
                 double able = terms.able(its.get(i).atUs - start.atUs) * start.cores * terms.windowUs;
                 if (workUs > terms.coldMultiple * able + 4 * terms.workUs) {
-                    found.add("rule 4: " + start.unit + " was sent " + Math.round(workUs / able)
+                    found.add("rule 4: " + start.endpoint + " was sent " + Math.round(workUs / able)
                         + " times its capacity");
                     break;
                 }
@@ -289,7 +289,7 @@
         }
     }
 
-    /** In every window, tries at the trial stay within free + cap x reqs taken; two and 4% above it pass. */
+    /** In every window, tries at the canary stay within free + cap x requests taken; two and 4% above it pass. */
     private void exposure(List<String> found, SimulatedFleet.Terms terms) {
         if (caps.stream().allMatch(c -> c.build < 0)) {
             return;
@@ -310,10 +310,10 @@
                 && s.atUs >= cap.atUs && s.atUs < untilUs).toList();
             for (Sent from : there) {
                 long endUs = from.atUs + terms.exposureUs;
-                long tries = there.stream().filter(s -> s.atUs >= from.atUs && s.atUs < endUs).count();
-                long reqs = in.stream().filter(t -> t.atUs >= from.atUs && t.atUs < endUs).count();
-                if (tries > terms.free + 2 + cap.cap * 1.04 * reqs) {
-                    found.add("rule 5: relay " + relay + " sent " + tries + " for " + reqs + " reqs");
+                long attempts = there.stream().filter(s -> s.atUs >= from.atUs && s.atUs < endUs).count();
+                long requests = in.stream().filter(t -> t.atUs >= from.atUs && t.atUs < endUs).count();
+                if (attempts > terms.free + 2 + cap.cap * 1.04 * requests) {
+                    found.add("rule 5: relay " + relay + " sent " + attempts + " for " + requests + " reqs");
                     break;
                 }
             }
@@ -339,7 +339,7 @@
         return answers.stream().filter(a -> !a.completed()).count();
     }
 
-    /** The most calls that came to the desk within a second. */
+    /** The most calls that came to the release controller within a second. */
     int mostCallsInASecond() {
         int most = 0;
         int from = 0;
@@ -352,7 +352,7 @@
         return most;
     }
 
-    /** The share of reqs taken in a span that were completed within their route's objective. */
+    /** The share of requests taken in a span that were completed within their route's objective. */
     double inTime(long fromUs, long toUs) {
         Map<String, Answer> byId = new HashMap<>();
         answers.forEach(a -> byId.put(a.id, a));
--- a/src/test/java/gatelock/fleet/FleetRecordsTest.java
+++ b/src/test/java/gatelock/fleet/FleetRecordsTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void reqWithoutAnAnswerOrWithTwoOrALateOne() {
+    void requestWithoutAnAnswerOrWithTwoOrALateOne() {
         served("a", S);
         served("b", S);
         served("c", S);
@@ -46,14 +46,14 @@
     }
 
     @Test
-    void sendToAUnitThatLeft() {
+    void sendToAnEndpointThatLeft() {
         served("a", 3 * S);
         records.leaves.add(new FleetRecords.Told(0, "u", S));
         assertThat(records.broken(terms)).singleElement().asString().startsWith("rule 3: a went to u");
     }
 
     @Test
-    void coldUnitUnderTheSumOfAll() {
+    void coldEndpointUnderTheSumOfAll() {
         records.starts.add(new FleetRecords.Start("u", terms.slots, S));
         for (int i = 0; i < 20; i++) {
             served("a" + i, S + i);
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void moreTriesAtTheTrialThanTheCap() {
+    void moreAttemptsAtTheCanaryThanTheCap() {
         records.caps.add(new FleetRecords.Cap(0, 1, 0.1, 0));
         for (int i = 0; i < 6; i++) {
             served("a" + i, S + i);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void sendToAUnitThatCameBackIsNone() {
+    void sendToAnEndpointThatCameBackIsNone() {
         served("a", 6 * S);
         records.leaves.add(new FleetRecords.Told(0, "u", S));
         records.backs.add(new FleetRecords.Told(0, "u", 5 * S));
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void secondNoticeOfAUnitThatLeftBringsNoGrace() {
+    void secondNoticeOfAnEndpointThatLeftBringsNoGrace() {
         terms.linkBytesPerS = 23_000;
         served("a", 12 * S);
         records.downs.add(new FleetRecords.Known("u", S));
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void unitThatAllRelaysHold() {
+    void endpointThatAllRelaysHold() {
         records.held.add(new FleetRecords.Held("u", 40, 6, 6, 8));
         records.held.add(new FleetRecords.Held("v", 40, 3, 6, 8));
         records.held.add(new FleetRecords.Held("w", 12, 6, 6, 8));
--- a/src/test/java/gatelock/fleet/FleetScenario.java
+++ b/src/test/java/gatelock/fleet/FleetScenario.java
@@ -4,7 +4,7 @@
 
 /** What is played at a step; each brings its own course of events, and ends with everything at rest. */
 enum FleetScenario {
-    /** Restarts and failures at the target's daily rates for all units, whatever the step's part of them. */
+    /** Restarts and failures at the target's daily rates for all endpoints, whatever the step's part of them. */
     DAY {
         @Override
         void events(SimulatedFleet fleet, ScaleStep step) {
@@ -27,15 +27,15 @@
             return 1 / step.part();
         }
     },
-    /** All units under a switch are lost, and back cold. */
+    /** All endpoints under a switch are lost, and back cold. */
     RACK {
         @Override
         void events(SimulatedFleet fleet, ScaleStep step) {
-            fleet.loseRack(0, step.rackUnits(), BACK_S * SimulatedFleet.S);
+            fleet.loseRack(0, step.rackEndpoints(), BACK_S * SimulatedFleet.S);
             fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
         }
     },
-    /** All units and relays of a zone are lost, and back cold. */
+    /** All endpoints and relays of a zone are lost, and back cold. */
     ZONE {
         @Override
         void events(SimulatedFleet fleet, ScaleStep step) {
@@ -43,7 +43,7 @@
             fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
         }
     },
-    /** Everything is started anew at once: relays are back after 3 s, units from 5 to 7 s. */
+    /** Everything is started anew at once: relays are back after 3 s, endpoints from 5 to 7 s. */
     RESTART {
         @Override
         void events(SimulatedFleet fleet, ScaleStep step) {
--- a/src/test/java/gatelock/fleet/ScaleRun.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -21,12 +21,12 @@
 /**
  * Plays one step of the ladder and puts what came out into docs/capacity/scale.json, each play in place of the last
  * one of its kind: {@code STEP [PLAY|every] [all|scope|both] [RELAYS] [COMMIT] [HOLDERS]}; HOLDERS: relays that a
- * scope wants to hold a unit.
+ * scope wants to hold an endpoint.
  */
 final class ScaleRun {
     private static final Path FILE = Path.of("docs/capacity/scale.json");
     private static final long SEED = 36;
-    /** What the decisions of one relay take for a unit that they hold, and a margin for all else. */
+    /** What the decisions of one relay take for an endpoint that they hold, and a margin for all else. */
     private static final long BYTES_PER_HELD = 450;
     private static final double HEAP_PART = 0.5;
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
@@ -62,8 +62,8 @@
     /** As many of the step's relays as were asked for, and no more than the heap bears. */
     private static SimulatedFleet.Terms terms(ScaleStep step, boolean scoped, int asked, int holders) {
         long inScope = Math.max((long) step.services() * new SimulatedFleet.Terms().perService,
-            (long) step.units() * Math.min(step.relays(), holders) / step.relays());
-        long held = scoped ? Math.min(step.units(), inScope) : step.units();
+            (long) step.endpoints() * Math.min(step.relays(), holders) / step.relays());
+        long held = scoped ? Math.min(step.endpoints(), inScope) : step.endpoints();
         long bears = (long) (Runtime.getRuntime().maxMemory() * HEAP_PART) / (held * BYTES_PER_HELD);
         int played = (int) Math.max(1, Math.min(asked > 0 ? asked : step.relays(), bears));
         SimulatedFleet.Terms terms = step.terms(played, SEED);
@@ -92,7 +92,7 @@
         ObjectNode out = JSON.createObjectNode();
         out.put("play", play.name().toLowerCase(Locale.ROOT)).put("scope", scope);
         out.put("run", runId(commit)).put("relaysPlayed", played).put("squeeze", round(squeeze));
-        out.put("reqsShare", step.reqsShare()).put("spanS", result.spanS()).put("wallS", round(result.wallS()));
+        out.put("reqsShare", step.requestsShare()).put("spanS", result.spanS()).put("wallS", round(result.wallS()));
         out.put("changes", records.messages.size()).put("told", told);
         out.put("reachedP50Ms", at(reached, 0.5)).put("reachedP99Ms", at(reached, 0.99));
         out.put("reachedLastMs", at(reached, 1)).put("onTheWayAtTheEnd", records.onTheWay());
@@ -162,7 +162,7 @@
                 continue;
             }
             its = its == null ? JSON.createObjectNode() : its;
-            its.put("step", s.name()).put("relays", s.relays()).put("units", s.units());
+            its.put("step", s.name()).put("relays", s.relays()).put("units", s.endpoints());
             its.put("services", s.services()).put("zones", s.zones());
             ArrayNode plays = JSON.createArrayNode();
             for (FleetScenario p : FleetScenario.values()) {
--- a/src/test/java/gatelock/fleet/ScaleRunTest.java
+++ b/src/test/java/gatelock/fleet/ScaleRunTest.java
@@ -20,7 +20,7 @@
         SimulatedFleet.Terms terms = SMALLEST.terms(0, 36);
         terms.fault = fault;
         terms.scoped = scoped;
-        // So few relays would use all units.
+        // So few relays would use all endpoints.
         terms.leastHolders = 0;
         return play.play(SMALLEST, terms, new CpuMeter(false));
     }
@@ -39,7 +39,7 @@
         assertThat(result.fleet().records.held).isNotEmpty();
     }
 
-    /** Of few relays each has to use more units than its least, or units stand idle beside full ones. */
+    /** Of few relays each has to use more endpoints than its least, or endpoints stand idle beside full ones. */
     @ParameterizedTest
     @EnumSource(FleetScenario.class)
     void fewRelaysRefuseNoMoreWithAScopeThanWithoutOne(FleetScenario play) {
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void unitThatAllRelaysHoldIsFound() {
+    void endpointThatAllRelaysHoldIsFound() {
         List<String> broken = play(FleetScenario.RACK, SimulatedFleet.Fault.HELD_BY_ALL, true).broken();
         assertThat(broken).filteredOn(b -> b.startsWith("held")).containsExactly("held: s1-u0 by 6 of 6 relays");
     }
--- a/src/test/java/gatelock/fleet/ScaleStep.java
+++ b/src/test/java/gatelock/fleet/ScaleStep.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * A step of the ladder to the target of docs/capacity/target.json: how many relays, units and services, in how many
- * zones; {@code reqsShare}: of the target's reqs for each unit, what is played, with four times the work each.
+ * A step of the ladder to the target of docs/capacity/target.json: how many relays, endpoints and services, in how many
+ * zones; {@code requestsShare}: of the target's requests for each endpoint, what is played, with four times the work each.
  */
-record ScaleStep(String name, double part, int relays, int units, int services, int zones, double reqsShare) {
+record ScaleStep(String name, double part, int relays, int endpoints, int services, int zones, double requestsShare) {
     static final List<ScaleStep> LADDER = List.of(
         new ScaleStep("1/1000", 0.001, 6, 200, 7, 3, 0.25),
         new ScaleStep("1/100", 0.01, 57, 2_000, 72, 19, 0.25),
@@ -22,10 +22,10 @@
     private static final double RESTARTS = 41_000;
     private static final double FAILURES = 1_200;
     private static final double DAY_S = 86_400;
-    /** Assumed: this many units under one switch, but never more than so much of all. */
+    /** Assumed: this many endpoints under one switch, but never more than so much of all. */
     private static final int RACK_UNITS = 40;
     private static final int LEAST_RACKS = 20;
-    /** Assumed: how units and reqs fall on services, as an exponent of Zipf. */
+    /** Assumed: how endpoints and requests fall on services, as an exponent of Zipf. */
     private static final double SKEW = 0.6;
 
     static ScaleStep of(String name) {
@@ -38,20 +38,20 @@
         SimulatedFleet.Terms t = new SimulatedFleet.Terms();
         t.relays = relays;
         t.relaysPlayed = played;
-        t.units = units;
+        t.endpoints = endpoints;
         t.services = services;
         t.serviceSkew = SKEW;
         t.zones = zones;
         t.seed = seed;
         t.uneven = 1.5;
         t.workUs = WORK_US;
-        t.reqsPerS = REQS_PER_UNIT_S * reqsShare * units * t.played() / relays;
+        t.requestsPerS = REQS_PER_UNIT_S * requestsShare * endpoints * t.played() / relays;
         t.linkBytesPerS = LINK_BYTES_PER_S;
         return t;
     }
 
-    int rackUnits() {
-        return Math.min(RACK_UNITS, units / LEAST_RACKS);
+    int rackEndpoints() {
+        return Math.min(RACK_UNITS, endpoints / LEAST_RACKS);
     }
 
     double restartsPerS() {
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -10,7 +10,7 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.Collectors;
 
-/** The list of units as discovery holds it, its changes by index, and what a relay is sent of them. */
+/** The list of endpoints as discovery holds it, its changes by index, and what a relay is sent of them. */
 final class SimulatedDiscovery {
     /** An entry as it was at one time, shared by all relays, and what the decisions take of it. */
     record Entry(gatelock.membership.EndpointEntry told, Endpoint listed) {
@@ -29,7 +29,7 @@
         String json() {
             return String.format("{\"name\":\"%s\",\"service\":\"%s\",\"address\":\"%s\",\"status\":\"%s\","
                 + "\"weight\":1.0,\"since_ms\":%d,\"image_id\":%d,\"zone\":\"zone-%02d\",\"type\":\"standard\","
-                + "\"group\":%d},", listed.unit(), service(), told.address(), STATUS.get(listed.health()),
+                + "\"group\":%d},", listed.endpoint(), service(), told.address(), STATUS.get(listed.health()),
                 listed.startUs() / 1000, listed.build(), listed.zone(), listed.cell());
         }
     }
@@ -61,8 +61,8 @@
     }
 
     private void put(Entry entry) {
-        Entry before = entry.listed.health() == Endpoint.Health.GONE ? list.remove(entry.listed.unit())
-            : list.put(entry.listed.unit(), entry);
+        Entry before = entry.listed.health() == Endpoint.Health.GONE ? list.remove(entry.listed.endpoint())
+            : list.put(entry.listed.endpoint(), entry);
         bytes += (entry.listed.health() == Endpoint.Health.GONE ? 0 : length(entry))
             - (before == null ? 0 : length(before));
     }
@@ -92,7 +92,7 @@
         whole = null;
         index++;
         entries.forEach(e -> (e.listed.health() == Endpoint.Health.READY ? records.ups : records.downs)
-            .add(new FleetRecords.Known(e.listed.unit(), nowUs)));
+            .add(new FleetRecords.Known(e.listed.endpoint(), nowUs)));
         long length = ANSWER_BYTES + entries.stream().mapToLong(this::length).sum();
         return new Message(index, false, entries, length, records.message(index, nowUs, length));
     }
@@ -107,15 +107,15 @@
         return bytes / (double) Math.max(1, list.size());
     }
 
-    /** One relay more or less holds this unit. */
-    void holders(int unit, int by) {
-        if (unit >= holders.length) {
-            holders = Arrays.copyOf(holders, Math.max(unit + 1, holders.length * 2));
+    /** One relay more or less holds this endpoint. */
+    void holders(int endpoint, int by) {
+        if (endpoint >= holders.length) {
+            holders = Arrays.copyOf(holders, Math.max(endpoint + 1, holders.length * 2));
         }
-        holders[unit] += by;
+        holders[endpoint] += by;
     }
 
-    /** Records how many relays hold each ready unit, where they hold less than all; {@code number}: by name. */
+    /** Records how many relays hold each ready endpoint, where they hold less than all; {@code number}: by name. */
     void countHolders(int relays, ToIntFunction<String> number) {
         if (!terms.scoped) {
             return;
@@ -123,10 +123,10 @@
         Map<String, Long> ready = list().stream().filter(e -> e.listed.health() == Endpoint.Health.READY)
             .collect(Collectors.groupingBy(Entry::service, Collectors.counting()));
         for (Entry e : list()) {
-            int unit = number.applyAsInt(e.listed.unit());
-            if (unit < holders.length && holders[unit] > 0) {
+            int endpoint = number.applyAsInt(e.listed.endpoint());
+            if (endpoint < holders.length && holders[endpoint] > 0) {
                 int its = ready.getOrDefault(e.service(), 0L).intValue();
-                records.held.add(new FleetRecords.Held(e.listed.unit(), its, holders[unit], relays,
+                records.held.add(new FleetRecords.Held(e.listed.endpoint(), its, holders[endpoint], relays,
                     terms.scope(0).aim(its)));
             }
         }
