--- a/src/test/java/gatelock/fleet/SimulatedFleet.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleet.java
@@ -30,8 +30,8 @@
 import java.util.stream.IntStream;
 
 /**
- * A fleet in simulated time: the real module of every relay, and a plain world of units, clients, a list that
- * comes late and a release desk that takes so many calls a second. One seed gives one course of events.
+ * A fleet in simulated time: the real module of every relay, and a plain world of endpoints, clients, a list that
+ * comes late and a release controller that takes so many calls a second. One seed gives one course of events.
  */
 final class SimulatedFleet {
     static final long MS = 1_000;
@@ -40,8 +40,8 @@
     /** What a fleet is made of; the figures are round ones of our own. */
     static final class Terms {
         int relays = 100;
-        int units = 60;
-        double reqsPerS = 280;
+        int endpoints = 60;
+        double requestsPerS = 280;
         long seed = 1;
         /** The busiest relays get so many times what the least busy do. */
         double uneven = 6;
@@ -65,13 +65,13 @@
         /** Of the build on offer: share of errors, and times the work that it needs. */
         double newFails;
         double newWork = 1;
-        /** It is bad only on units older than this, with more than this share of their places busy. */
+        /** It is bad only on endpoints older than this, with more than this share of their places busy. */
         long badFromUs;
         double badFromBusy;
 
-        /** Where there are several, each req is for one, and reaches only that one's units. */
+        /** Where there are several, each request is for one, and reaches only that one's endpoints. */
         int services = 1;
-        /** Units of a service, and so its reqs, go with its rank to minus this. */
+        /** Endpoints of a service, and so its requests, go with its rank to minus this. */
         double serviceSkew;
         /** Of all relays, so many are played, spread evenly over their numbers; 0: all. */
         int relaysPlayed;
@@ -84,10 +84,10 @@
         long lostSeenUs = 3 * S;
         /** Whether a relay holds what its scope says, and not the whole list. */
         boolean scoped;
-        /** Units of one service that a scope aims at, some of them in other zones, and when it lets go of one. */
+        /** Endpoints of one service that a scope aims at, some of them in other zones, and when it lets go of one. */
         int perService = 5;
         int leastElsewhere = 2;
-        /** Relays that a scope wants to hold each unit on the mean. */
+        /** Relays that a scope wants to hold each endpoint on the mean. */
         int leastHolders = EndpointSubset.LEAST_HOLDERS;
         long settleUs = 10 * S;
         Fault fault = Fault.NONE;
@@ -96,9 +96,9 @@
             return relaysPlayed > 0 ? Math.min(relays, relaysPlayed) : relays;
         }
 
-        /** Room for all units: what bounds a scope here is what it aims at. */
+        /** Room for all endpoints: what bounds a scope here is what it aims at. */
         EndpointSubset.Terms scope(int relay) {
-            return new EndpointSubset.Terms(relay, relay % zones, units, perService,
+            return new EndpointSubset.Terms(relay, relay % zones, endpoints, perService,
                 Math.min(1, leastHolders / (double) relays), leastElsewhere, settleUs);
         }
 
@@ -111,14 +111,14 @@
         }
     }
 
-    /** A fault planted for the checker to find; it strikes the first relay, or the first unit. */
+    /** A fault planted for the checker to find; it strikes the first relay, or the first endpoint. */
     enum Fault { NONE, CHANGE_MISSED, DRAIN_LATE, HELD_BY_ALL }
 
-    /** A service: its reqs reach its units alone, as a pool of a plan has it. */
+    /** A service: its requests reach its endpoints alone, as a pool of a plan has it. */
     private record Service(String name, Set<String> names, double upTo) implements EndpointRestriction {
         @Override
-        public boolean reaches(String unit) {
-            return names.contains(unit);
+        public boolean reaches(String endpoint) {
+            return names.contains(endpoint);
         }
     }
 
@@ -127,14 +127,14 @@
 
     final Terms terms;
     final FleetRecords records = new FleetRecords();
-    final Desk desk;
+    final Controller controller;
     final CpuMeter meter;
     private final SimulatedDiscovery discovery;
     private final List<Service> services = new ArrayList<>();
     private final SplittableRandom chance;
     private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.atUs != b.atUs
         ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
-    private final Map<String, Unit> units = new LinkedHashMap<>();
+    private final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
     private final List<Relay> relays = new ArrayList<>();
     private final List<RoutePolicy> routes = List.of(
         new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 10 * S, 2 * S, 2),
@@ -145,7 +145,7 @@
     private long order;
     private long ids;
     private boolean quiet;
-    private int unitsEver;
+    private int endpointsEver;
 
     SimulatedFleet(Terms terms) {
         this(terms, new CpuMeter(false));
@@ -156,13 +156,13 @@
         this.meter = meter;
         this.chance = new SplittableRandom(terms.seed);
         this.discovery = new SimulatedDiscovery(terms, records);
-        this.desk = new Desk();
+        this.controller = new Controller();
         nowUs = 100 * S;
         addServices();
-        for (int i = 0; i < terms.units; i++) {
-            unit(1, 0, serviceOf(i));
+        for (int i = 0; i < terms.endpoints; i++) {
+            endpoint(1, 0, serviceOf(i));
         }
-        discovery.holds(units.values().stream().map(Unit::entry).toList());
+        discovery.holds(endpoints.values().stream().map(EndpointState::entry).toList());
         for (int i = 0; i < terms.played(); i++) {
             double weight = Math.pow(terms.uneven, chance.nextDouble() * 2 - 1);
             relays.add(new Relay((int) ((long) i * terms.relays / terms.played()), weight));
@@ -170,12 +170,12 @@
         meter.heapBefore();
         double all = relays.stream().mapToDouble(r -> r.weight).sum();
         for (Relay r : relays) {
-            r.perS = terms.reqsPerS * r.weight / all;
+            r.perS = terms.requestsPerS * r.weight / all;
             r.start();
             r.arrive();
         }
         meter.heapAfter();
-        desk.look();
+        controller.look();
     }
 
     /** Services by rank: the last one's share ends at 1. */
@@ -192,10 +192,10 @@
         return Math.pow(rank, -terms.serviceSkew);
     }
 
-    /** The first units are one for each service, the rest go by the services' shares. */
-    private int serviceOf(int unit) {
-        return unit < terms.services ? unit : at((unit - terms.services + 0.5)
-            / (terms.units - terms.services));
+    /** The first endpoints are one for each service, the rest go by the services' shares. */
+    private int serviceOf(int endpoint) {
+        return endpoint < terms.services ? endpoint : at((endpoint - terms.services + 0.5)
+            / (terms.endpoints - terms.services));
     }
 
     private int at(double share) {
@@ -213,10 +213,10 @@
     }
 
     /** A new process; where there are several services its name tells which one is its own. */
-    private Unit unit(int build, long startUs, int service) {
-        String name = (terms.services > 1 ? services.get(service).name + "-" : "") + "u" + unitsEver;
-        Unit u = new Unit(name, unitsEver++, build, startUs, service);
-        units.put(name, u);
+    private EndpointState endpoint(int build, long startUs, int service) {
+        String name = (terms.services > 1 ? services.get(service).name + "-" : "") + "u" + endpointsEver;
+        EndpointState u = new EndpointState(name, endpointsEver++, build, startUs, service);
+        endpoints.put(name, u);
         services.get(service).names.add(name);
         return u;
     }
@@ -229,7 +229,7 @@
         return relays;
     }
 
-    /** Times the reqs of all relays from now on. */
+    /** Times the requests of all relays from now on. */
     void load(double times) {
         relays.forEach(r -> r.perS *= times);
     }
@@ -249,7 +249,7 @@
         quiet = true;
         run(20 * S);
         records.endUs = nowUs;
-        discovery.countHolders(relays.size(), name -> units.get(name).number);
+        discovery.countHolders(relays.size(), name -> endpoints.get(name).number);
         return records.broken(terms);
     }
 
@@ -257,21 +257,21 @@
         return discovery;
     }
 
-    /** Some of the units, chosen by chance, stand still again and again from now on. */
+    /** Some of the endpoints, chosen by chance, stand still again and again from now on. */
     void pauseSome(double share, long forUs, long everyUs) {
-        for (Unit u : List.copyOf(units.values())) {
+        for (EndpointState u : List.copyOf(endpoints.values())) {
             if (chance.nextDouble() < share) {
                 pauseAgain(u, forUs, everyUs);
             }
         }
     }
 
-    /** All units of a zone stand still for so long, and nothing tells of it. */
+    /** All endpoints of a zone stand still for so long, and nothing tells of it. */
     void pauseZone(int zone, long forUs) {
-        units.values().stream().filter(u -> u.zone == zone).forEach(u -> u.pause(forUs));
+        endpoints.values().stream().filter(u -> u.zone == zone).forEach(u -> u.pause(forUs));
     }
 
-    private void pauseAgain(Unit u, long forUs, long everyUs) {
+    private void pauseAgain(EndpointState u, long forUs, long everyUs) {
         in((long) (everyUs * exp()), () -> {
             u.pause(forUs);
             pauseAgain(u, forUs, everyUs);
@@ -286,20 +286,20 @@
         return -Math.log(1 - chance.nextDouble());
     }
 
-    /** Starts so many units of a build; they run at once, and every relay hears of them by itself. */
-    List<Unit> launch(int build, int count) {
-        List<Unit> fresh = new ArrayList<>();
+    /** Starts so many endpoints of a build; they run at once, and every relay hears of them by itself. */
+    List<EndpointState> launch(int build, int count) {
+        List<EndpointState> fresh = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            fresh.add(unit(build, nowUs, 0));
+            fresh.add(endpoint(build, nowUs, 0));
         }
-        fresh.forEach(Unit::begins);
+        fresh.forEach(EndpointState::begins);
         tell(fresh);
         return fresh;
     }
 
     /** Discovery's list has changed: every relay that is up is told, each when its link has carried it. */
-    private void tell(List<Unit> changed) {
-        SimulatedDiscovery.Message message = discovery.changed(nowUs, changed.stream().map(Unit::entry).toList());
+    private void tell(List<EndpointState> changed) {
+        SimulatedDiscovery.Message message = discovery.changed(nowUs, changed.stream().map(EndpointState::entry).toList());
         long lateUs = 200 * MS + chance.nextLong(600 * MS);
         for (Relay r : relays) {
             long readyUs = nowUs + lateUs + chance.nextLong(300 * MS);
@@ -316,15 +316,15 @@
 
     // ---- What happens to machines -------------------------------------------------------------------------
 
-    /** A ready unit by chance. */
-    private Unit someUnit() {
-        List<Unit> ready = units.values().stream().filter(u -> u.health == Endpoint.Health.READY).toList();
+    /** A ready endpoint by chance. */
+    private EndpointState someEndpoint() {
+        List<EndpointState> ready = endpoints.values().stream().filter(u -> u.health == Endpoint.Health.READY).toList();
         return ready.get(chance.nextInt(ready.size()));
     }
 
-    /** One unit is drained, ends, and another comes for it: three changes of the list. */
+    /** One endpoint is drained, ends, and another comes for it: three changes of the list. */
     void replaceOne() {
-        Unit u = someUnit();
+        EndpointState u = someEndpoint();
         u.health = Endpoint.Health.DRAINING;
         tell(List.of(u));
         in(terms.drainUs, () -> {
@@ -337,54 +337,54 @@
 
     /** One machine is lost, which discovery sees later, and another comes for it. */
     void loseOne() {
-        Unit u = someUnit();
+        EndpointState u = someEndpoint();
         lose(List.of(u));
         in(terms.lostSeenUs + 2 * S, () -> launchFor(u.service));
     }
 
     private void launchFor(int service) {
-        Unit fresh = unit(1, nowUs, service);
+        EndpointState fresh = endpoint(1, nowUs, service);
         fresh.begins();
         tell(List.of(fresh));
     }
 
-    private void lose(List<Unit> lost) {
-        lost.forEach(Unit::lost);
+    private void lose(List<EndpointState> lost) {
+        lost.forEach(EndpointState::lost);
         in(terms.lostSeenUs, () -> {
-            List<Unit> still = lost.stream().filter(u -> u.lost).toList();
+            List<EndpointState> still = lost.stream().filter(u -> u.lost).toList();
             still.forEach(u -> u.health = Endpoint.Health.GONE);
             tell(still);
         });
     }
 
-    /** Units under one switch, all in one zone, are lost and back cold. */
+    /** Endpoints under one switch, all in one zone, are lost and back cold. */
     void loseRack(int zone, int count, long backUs) {
-        List<Unit> rack = units.values().stream().filter(u -> u.zone == zone).limit(count).toList();
+        List<EndpointState> rack = endpoints.values().stream().filter(u -> u.zone == zone).limit(count).toList();
         lose(rack);
         in(backUs, () -> comeBack(rack));
     }
 
-    /** All units and relays of a zone are lost and back cold. */
+    /** All endpoints and relays of a zone are lost and back cold. */
     void loseZone(int zone, long backUs) {
-        List<Unit> there = units.values().stream().filter(u -> u.zone == zone).toList();
+        List<EndpointState> there = endpoints.values().stream().filter(u -> u.zone == zone).toList();
         relays.stream().filter(r -> r.zone() == zone).forEach(r -> r.kill(backUs));
         lose(there);
         in(backUs, () -> comeBack(there));
     }
 
-    /** All units and relays are started anew, relays first, from the list that they knew; units zone by zone. */
-    void restartAll(long relaysBackUs, long unitsBackUs) {
-        List<Unit> all = List.copyOf(units.values());
+    /** All endpoints and relays are started anew, relays first, from the list that they knew; endpoints zone by zone. */
+    void restartAll(long relaysBackUs, long endpointsBackUs) {
+        List<EndpointState> all = List.copyOf(endpoints.values());
         relays.forEach(r -> r.kill(relaysBackUs));
-        all.forEach(Unit::lost);
+        all.forEach(EndpointState::lost);
         for (int zone = 0; zone < terms.zones; zone++) {
             int of = zone;
-            in(unitsBackUs + zone * 2 * S / terms.zones,
+            in(endpointsBackUs + zone * 2 * S / terms.zones,
                 () -> comeBack(all.stream().filter(u -> u.zone == of).toList()));
         }
     }
 
-    private void comeBack(List<Unit> those) {
+    private void comeBack(List<EndpointState> those) {
         those.forEach(u -> {
             u.health = Endpoint.Health.READY;
             u.startUs = nowUs;
@@ -394,14 +394,14 @@
     }
 
     private void drain(int build) {
-        List<Unit> those = units.values().stream()
+        List<EndpointState> those = endpoints.values().stream()
             .filter(u -> u.build == build && u.health == Endpoint.Health.READY).toList();
         those.forEach(u -> u.health = Endpoint.Health.DRAINING);
         tell(those);
     }
 
-    /** A process with places to work in and a queue; a connection bears one req at a time. */
-    final class Unit {
+    /** A process with places to work in and a queue; a connection bears one request at a time. */
+    final class EndpointState {
         final String name;
         final int build;
         private final int service;
@@ -419,7 +419,7 @@
         /** Counts processes: what an earlier one had in work is gone. */
         private int life;
 
-        Unit(String name, int number, int build, long startUs, int service) {
+        EndpointState(String name, int number, int build, long startUs, int service) {
             this.name = name;
             this.number = number;
             this.zone = (number + 1) % terms.zones;
@@ -502,11 +502,11 @@
         private final int life;
         private final String id;
         private final int number;
-        private final Unit at;
+        private final EndpointState at;
         private final double workUs;
         private final long sentUs = nowUs;
 
-        Work(Relay from, String id, int number, Unit at, double workUs) {
+        Work(Relay from, String id, int number, EndpointState at, double workUs) {
             this.from = from;
             this.life = from.life;
             this.id = id;
@@ -525,7 +525,7 @@
         private final long endUs;
         private RequestHandle handle;
         private boolean over;
-        private int tries;
+        private int attempts;
 
         Open(long endUs) {
             this.endUs = endUs;
@@ -572,7 +572,7 @@
         }
 
         private void start() {
-            RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, terms.bakeUs, 6 * S, 2 * S, desk.caps(),
+            RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, terms.bakeUs, 6 * S, 2 * S, controller.caps(),
                 0, false, false, terms.free, terms.voices(terms.backShare), terms.callsPerS, false);
             RelaySettings charter = new RelaySettings(terms.seed * 1000 + number * 31L + life, terms.relays, number,
                 routes, List.of(), 1, 5, true, true, 2 * S, false, terms.coldFrom, terms.warmUs,
@@ -589,7 +589,7 @@
             if (scope != null) {
                 lookAgain(life);
             }
-            desk.tell(this, DecisionEngine.VoteAnswer.NOT_ASKED);
+            controller.tell(this, DecisionEngine.VoteAnswer.NOT_ASKED);
             if (cached) {
                 tellWhole(this);
             }
@@ -617,8 +617,8 @@
             List<EndpointEntry> those = change.entries();
             if (terms.fault == Fault.HELD_BY_ALL) {
                 those = new ArrayList<>(those);
-                those.removeIf(e -> units.get(e.name()).number == 0);
-                those.add(units.values().iterator().next().entry().told());
+                those.removeIf(e -> endpoints.get(e.name()).number == 0);
+                those.add(endpoints.values().iterator().next().entry().told());
             }
             if (!change.whole() && those.isEmpty()) {
                 return;
@@ -630,7 +630,7 @@
                 held.clear();
             }
             for (EndpointEntry e : those) {
-                int n = units.get(e.name()).number;
+                int n = endpoints.get(e.name()).number;
                 boolean holds = e.health() != Endpoint.Health.GONE;
                 if (held.get(n) != holds) {
                     held.set(n, holds);
@@ -688,14 +688,14 @@
             String id = Long.toHexString(ids++);
             int route = chance.nextInt(routes.size());
             RequestConstraints bounds = terms.services > 1 ? services.get(at(chance.nextDouble())) : RequestConstraints.NONE;
-            Open req = new Open(nowUs + waitsUs[route]);
-            open.put(id, req);
-            records.taken.add(new FleetRecords.Taken(id, number, routes.get(route), nowUs, req.endUs));
+            Open request = new Open(nowUs + waitsUs[route]);
+            open.put(id, request);
+            records.taken.add(new FleetRecords.Taken(id, number, routes.get(route), nowUs, request.endUs));
             CpuMeter.Role before = meter.in(CpuMeter.Role.REQS);
-            req.handle = gate.take(nowUs, id, route, 0, chance.nextLong(5000), waitsUs[route],
+            request.handle = gate.take(nowUs, id, route, 0, chance.nextLong(5000), waitsUs[route],
                 (long) terms.workUs, bounds);
             meter.in(before);
-            settle(id, req);
+            settle(id, request);
         }
 
         private void hears(SimulatedDiscovery.Message message) {
@@ -707,19 +707,19 @@
             meter.in(before);
         }
 
-        private void settle(String id, Open req) {
-            if (req.over && req.handle != null && req.handle.settled()) {
+        private void settle(String id, Open request) {
+            if (request.over && request.handle != null && request.handle.settled()) {
                 open.remove(id);
             }
         }
 
         private void ended(Work work, AttemptResult ending) {
-            Open req = open.get(work.id);
-            if (work.life != life || req == null || !out.remove(work)) {
+            Open request = open.get(work.id);
+            if (work.life != life || request == null || !out.remove(work)) {
                 return;
             }
-            if (ending == AttemptResult.COMPLETED && !req.over) {
-                req.over = true;
+            if (ending == AttemptResult.COMPLETED && !request.over) {
+                request.over = true;
                 records.answers.add(new FleetRecords.Answer(work.id, nowUs, true));
             }
             if (ending != AttemptResult.TIMED_OUT && ending != AttemptResult.CANCELLED) {
@@ -730,33 +730,33 @@
                 scope.ended(nowUs, work.at.name, ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED
                     || ending == AttemptResult.TURNED_AWAY);
             }
-            req.handle.ended(nowUs, work.number, ending, nowUs - work.sentUs, req.over, LoadReport.NONE);
+            request.handle.ended(nowUs, work.number, ending, nowUs - work.sentUs, request.over, LoadReport.NONE);
             meter.in(before);
-            settle(work.id, req);
+            settle(work.id, request);
         }
 
         @Override
-        public void send(String id, String unit, long timeoutUs) {
+        public void send(String id, String endpoint, long timeoutUs) {
             CpuMeter.Role before = meter.in(CpuMeter.Role.WORLD);
-            Open req = open.get(id);
-            Unit u = units.get(unit);
-            Work work = new Work(this, id, req.tries++, u, req.workUs);
+            Open request = open.get(id);
+            EndpointState u = endpoints.get(endpoint);
+            Work work = new Work(this, id, request.attempts++, u, request.workUs);
             out.add(work);
-            records.sent.add(new FleetRecords.Sent(id, number, unit, u.build, terms.workUs, nowUs));
-            ArrayDeque<Long> standing = idle.getOrDefault(unit, new ArrayDeque<>());
+            records.sent.add(new FleetRecords.Sent(id, number, endpoint, u.build, terms.workUs, nowUs));
+            ArrayDeque<Long> standing = idle.getOrDefault(endpoint, new ArrayDeque<>());
             standing.removeIf(since -> since < nowUs - 20 * S);
             boolean stands = standing.pollLast() != null;
             records.opened += stands ? 0 : 1;
             in(stands ? MS : 3 * MS, () -> u.take(work));
-            in(req.endUs - nowUs, () -> ended(work, AttemptResult.TIMED_OUT));
+            in(request.endUs - nowUs, () -> ended(work, AttemptResult.TIMED_OUT));
             meter.in(before);
         }
 
         private void answered(String id) {
             open.get(id).over = true;
             records.answers.add(new FleetRecords.Answer(id, nowUs, false));
-            Open req = open.get(id);
-            in(0, () -> settle(id, req));
+            Open request = open.get(id);
+            in(0, () -> settle(id, request));
         }
 
         @Override
@@ -770,8 +770,8 @@
         }
 
         @Override
-        public void cancel(String id, int tryNo) {
-            out.stream().filter(w -> w.id.equals(id) && w.number == tryNo).findFirst()
+        public void cancel(String id, int attemptNo) {
+            out.stream().filter(w -> w.id.equals(id) && w.number == attemptNo).findFirst()
                 .ifPresent(w -> in(MS, () -> ended(w, AttemptResult.CANCELLED)));
         }
 
@@ -779,10 +779,10 @@
         public void vote(int build, int stage, Verdict verdict) {
             int was = life;
             in(100 * MS, () -> {
-                DecisionEngine.VoteAnswer answer = desk.called(number, build, stage, verdict);
+                DecisionEngine.VoteAnswer answer = controller.called(number, build, stage, verdict);
                 in(50 * MS, () -> {
                     if (was == life && up) {
-                        desk.tell(this, answer);
+                        controller.tell(this, answer);
                     }
                 });
             });
@@ -793,7 +793,7 @@
             int was = life;
             in(inUs, () -> {
                 if (was == life && up) {
-                    // The gate's first two tokens are its own; every other is a req's.
+                    // The gate's first two tokens are its own; every other is a request's.
                     CpuMeter.Role before = meter.in(token > 1 ? CpuMeter.Role.REQS : CpuMeter.Role.BEAT);
                     gate.due(nowUs, token);
                     meter.in(before);
@@ -811,7 +811,7 @@
     }
 
     /** Takes votes at its rate and twice that at once, and brings the build on offer in by stages. */
-    final class Desk {
+    final class Controller {
         private record Voice(int build, int stage, Verdict verdict, long untilUs) {
         }
 
@@ -855,8 +855,8 @@
             sinceUs = nowUs;
             clockUs = Long.MAX_VALUE;
             voices.clear();
-            int has = (int) units.values().stream().filter(u -> u.build == build).count();
-            int more = (int) Math.ceil(terms.shares[stage] * terms.units) - has;
+            int has = (int) endpoints.values().stream().filter(u -> u.build == build).count();
+            int more = (int) Math.ceil(terms.shares[stage] * terms.endpoints) - has;
             in(2 * S, () -> {
                 launch(build, more);
                 clockUs = nowUs + S;
--- a/src/test/java/gatelock/fleet/SimulatedFleetTest.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleetTest.java
@@ -18,8 +18,8 @@
     private static SimulatedFleet.Terms of(int relays, long seed) {
         SimulatedFleet.Terms terms = new SimulatedFleet.Terms();
         terms.relays = relays;
-        terms.units = Math.max(10, Math.min(60, relays * 4));
-        terms.reqsPerS = terms.units * 4.7;
+        terms.endpoints = Math.max(10, Math.min(60, relays * 4));
+        terms.requestsPerS = terms.endpoints * 4.7;
         terms.seed = seed;
         return terms;
     }
@@ -27,7 +27,7 @@
     private static SimulatedFleet offered(SimulatedFleet.Terms terms) {
         SimulatedFleet fleet = new SimulatedFleet(terms);
         fleet.run(10 * S);
-        fleet.desk.offer();
+        fleet.controller.offer();
         return fleet;
     }
 
@@ -36,9 +36,9 @@
     void enoughVoicesStandForGoodBuildAndNoneIsTurnedAway(int relays) {
         SimulatedFleet fleet = offered(of(relays, 1));
         fleet.run(21 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
-        assertThat(fleet.desk.stageUs).allMatch(us -> us <= 7 * S);
-        assertThat(fleet.desk.turnedAway).isZero();
+        assertThat(fleet.controller.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
+        assertThat(fleet.controller.stageUs).allMatch(us -> us <= 7 * S);
+        assertThat(fleet.controller.turnedAway).isZero();
         assertThat(fleet.records.calls.size()).isLessThanOrEqualTo(4 * relays);
         assertThat(fleet.broken()).isEmpty();
     }
@@ -52,35 +52,35 @@
         terms.newWork = work;
         SimulatedFleet fleet = offered(terms);
         fleet.run(25 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
-        assertThat(fleet.desk.stageUs.size()).as("stages passed").isLessThan(terms.shares.length);
+        assertThat(fleet.controller.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
+        assertThat(fleet.controller.stageUs.size()).as("stages passed").isLessThan(terms.shares.length);
         assertThat(fleet.broken()).isEmpty();
     }
 
-    /** No unit stands out, and each relay has few outcomes of each. */
+    /** No endpoint stands out, and each relay has few outcomes of each. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void buildThatIsWorseAtAllOfItsUnitsGoesBackThoughEachHasFewOutcomes(long seed) {
+    void buildThatIsWorseAtAllOfItsEndpointsGoesBackThoughEachHasFewOutcomes(long seed) {
         SimulatedFleet.Terms terms = of(14, seed);
-        terms.units = 60;
-        terms.reqsPerS = 340;
+        terms.endpoints = 60;
+        terms.requestsPerS = 340;
         terms.newWork = 1.7;
         SimulatedFleet fleet = offered(terms);
         fleet.run(25 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
+        assertThat(fleet.controller.phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
         assertThat(fleet.broken()).isEmpty();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void goodBuildDoesNotGoBackWhileUnitsPause(long seed) {
+    void goodBuildDoesNotGoBackWhileEndpointsPause(long seed) {
         SimulatedFleet.Terms terms = of(100, seed);
         SimulatedFleet fleet = offered(terms);
         for (int i = 0; i < 5; i++) {
             fleet.run(5 * S);
             fleet.pauseSome(0.3, 500 * SimulatedFleet.MS, 2 * S);
         }
-        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
+        assertThat(fleet.controller.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
     }
 
     @Test
@@ -88,18 +88,18 @@
         SimulatedFleet fleet = new SimulatedFleet(of(100, 9));
         fleet.run(10 * S);
         fleet.pauseSome(0.3, 500 * SimulatedFleet.MS, 2 * S);
-        fleet.desk.offer();
+        fleet.controller.offer();
         for (int i = 0; i < 100; i += 10) {
             fleet.relays().subList(i, i + 10).forEach(r -> r.kill(S));
             fleet.run(8 * S / 5);
         }
         fleet.run(7 * S);
-        assertThat(fleet.desk.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
-        assertThat(fleet.desk.stageUs).allMatch(us -> us <= 9 * S);
+        assertThat(fleet.controller.phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
+        assertThat(fleet.controller.stageUs).allMatch(us -> us <= 9 * S);
     }
 
     @Test
-    void herdOfRestartsLeavesColdUnitsUnderTheirBound() {
+    void herdOfRestartsLeavesColdEndpointsUnderTheirBound() {
         SimulatedFleet.Terms terms = of(100, 5);
         SimulatedFleet fleet = new SimulatedFleet(terms);
         fleet.run(10 * S);
@@ -123,8 +123,8 @@
     @CsvSource({"14, 1", "14, 2", "100, 1", "100, 2"})
     void zoneThatFallsSilentIsLeftBeforeTheListSaysSo(int relays, long seed) {
         SimulatedFleet.Terms terms = of(relays, seed);
-        terms.units = 60;
-        terms.reqsPerS = 200;
+        terms.endpoints = 60;
+        terms.requestsPerS = 200;
         SimulatedFleet fleet = new SimulatedFleet(terms);
         fleet.run(15 * S);
         fleet.pauseZone(0, 8 * S);
--- a/src/test/java/gatelock/fleet/VerdictRates.java
+++ b/src/test/java/gatelock/fleet/VerdictRates.java
@@ -43,7 +43,7 @@
                 long gone = played.stream().filter(VerdictRates::isBack).count();
                 long late = played.stream().filter(f -> isBack(f) && wasReleased(f)).count();
                 long stays = played.stream().filter(f -> !isBack(f) && wasReleased(f)).count();
-                double us = played.stream().flatMap(f -> f.desk.stageUs.stream()).mapToLong(x -> x).average()
+                double us = played.stream().flatMap(f -> f.controller.stageUs.stream()).mapToLong(x -> x).average()
                     .orElse(0);
                 System.out.printf("| %d | %s | %d | %d | %d | %.2f |%n", relays, c.name, gone - late, late,
                     stays, us / S);
@@ -52,11 +52,11 @@
     }
 
     private static boolean isBack(SimulatedFleet f) {
-        return f.desk.phase() == DecisionEngine.Phase.REVERTING;
+        return f.controller.phase() == DecisionEngine.Phase.REVERTING;
     }
 
     private static boolean wasReleased(SimulatedFleet f) {
-        return f.desk.stageUs.size() == f.terms.shares.length;
+        return f.controller.stageUs.size() == f.terms.shares.length;
     }
 
     private static SimulatedFleet play(int relays, long seed, Case c) {
@@ -67,10 +67,10 @@
         t.newWork = c.work;
         t.badFromUs = c.badFromUs;
         t.badFromBusy = c.badFromBusy;
-        t.reqsPerS = 340;
+        t.requestsPerS = 340;
         SimulatedFleet f = new SimulatedFleet(t);
         f.run(10 * S);
-        f.desk.offer();
+        f.controller.offer();
         for (int i = 0; i < 6; i++) {
             f.run(5 * S);
             if (c.pauses) {
--- a/src/test/java/gatelock/http/ClientListenerTest.java
+++ b/src/test/java/gatelock/http/ClientListenerTest.java
@@ -28,7 +28,7 @@
     private static final String REQ = "GET /read HTTP/1.1\r\nHost: x\r\n\r\n";
 
     @Test
-    void aReqThatCameWhileTheThreadWasLateIsAnsweredThoughItsConnectionWasDueToEnd() throws Exception {
+    void aRequestThatCameWhileTheThreadWasLateIsAnsweredThoughItsConnectionWasDueToEnd() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         List<Socket> standing = new ArrayList<>();
         try {
--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -76,25 +76,25 @@
         model.forEach((name, e) -> {
             int place = store.find(name);
             assertThat(store.entry(place)).isEqualTo(e);
-            assertThat(store.unit(place)).isEqualTo(name);
+            assertThat(store.endpoint(place)).isEqualTo(name);
             assertThat(store.zone(place)).isEqualTo(e.zone());
             assertThat(store.health(place)).isEqualTo(e.health());
         });
         Map<String, EndpointEntry> each = new HashMap<>();
-        store.each(place -> each.put(store.unit(place), store.entry(place)));
+        store.each(place -> each.put(store.endpoint(place), store.entry(place)));
         assertThat(each).isEqualTo(model);
         Map<String, Map<String, EndpointEntry>> byService = new TreeMap<>();
         model.values().forEach(e -> byService.computeIfAbsent(e.service(),
             s -> new TreeMap<>()).put(e.name(), e));
         assertThat(store.services()).containsExactlyInAnyOrderElementsOf(byService.keySet());
-        byService.forEach((service, units) -> {
+        byService.forEach((service, endpoints) -> {
             Map<String, EndpointEntry> its = new TreeMap<>();
             for (int at = store.first(service); at >= 0; at = store.next(at)) {
-                its.put(store.unit(at), store.entry(at));
+                its.put(store.endpoint(at), store.entry(at));
             }
-            assertThat(its).isEqualTo(units);
-            assertThat(store.units(service)).isEqualTo(units.size());
-            assertThat(store.ready(service)).isEqualTo((int) units.values().stream()
+            assertThat(its).isEqualTo(endpoints);
+            assertThat(store.endpoints(service)).isEqualTo(endpoints.size());
+            assertThat(store.ready(service)).isEqualTo((int) endpoints.values().stream()
                 .filter(e -> e.health() == Endpoint.Health.READY).count());
         });
     }
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void bytesOfUnitsThatLeftAreUsedAgain() {
+    void bytesOfEndpointsThatLeftAreUsedAgain() {
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         for (int i = 0; i < 5_000; i++) {
             store.put(entry("unit-" + (10_000 + i), "s" + i % 100, "10.0.0.1:80"));
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -85,11 +85,11 @@
             entries.add(any());
         }
         if (random.nextInt(10) == 0) {
-            // A zone or a service's units, all at once.
+            // A zone or a service's endpoints, all at once.
             Predicate<EndpointEntry> lost = random.nextBoolean() ? e -> e.zone() == random.nextInt(3)
                 : e -> e.service().equals("s" + random.nextInt(SERVICES));
             list.values().stream().filter(lost).forEach(e -> entries.add(random.nextBoolean() ? e.gone()
-                : SubsetHarness.unit(e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
+                : SubsetHarness.endpoint(e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
         }
         entries.forEach(this::note);
         told.take(false, entries);
@@ -109,10 +109,10 @@
         assertThat(told.scope.listed()).isEqualTo(before);
     }
 
-    private void tries() {
-        for (String unit : told.ready()) {
+    private void attempts() {
+        for (String endpoint : told.ready()) {
             if (random.nextInt(3) > 0) {
-                told.ended(unit, !silent.contains(unit));
+                told.ended(endpoint, !silent.contains(endpoint));
             }
         }
     }
@@ -126,7 +126,7 @@
                 silent.clear();
                 random.ints(random.nextInt(UNITS), 0, UNITS).forEach(n -> silent.add("u" + n));
             }
-            case 6 -> tries();
+            case 6 -> attempts();
             default -> told.due(random.nextInt(1_500_000));
         }
     }
@@ -141,11 +141,11 @@
         assertThat(told.scope.listed()).isEqualTo(list.size());
         assertThat(told.scope.services()).isEqualTo((int) list.values().stream().map(EndpointEntry::service)
             .distinct().count());
-        assertThat(told.scope.inScope()).isEqualTo(told.units.size()).isLessThanOrEqualTo(terms.most());
+        assertThat(told.scope.inScope()).isEqualTo(told.endpoints.size()).isLessThanOrEqualTo(terms.most());
         // What was told is what is listed: drains, restarts and ends in scope at once.
-        told.units.forEach((name, e) -> assertThat(e).isEqualTo(list.get(name)));
+        told.endpoints.forEach((name, e) -> assertThat(e).isEqualTo(list.get(name)));
         Map<String, Set<String>> listed = readyByService(list.values());
-        Map<String, Set<String>> used = readyByService(told.units.values());
+        Map<String, Set<String>> used = readyByService(told.endpoints.values());
         int without = 0;
         for (String service : listed.keySet()) {
             int its = used.getOrDefault(service, Set.of()).size();
@@ -161,7 +161,7 @@
     }
 
     @Property(tries = 400)
-    void tellsWhatIsListedWithinTheBoundAndLeavesNoServiceWithoutAUnit(@ForAll long seed,
+    void tellsWhatIsListedWithinTheBoundAndLeavesNoServiceWithoutAnEndpoint(@ForAll long seed,
         @ForAll boolean roomy,
                                                                        @ForAll boolean colliding) {
         begin(seed, roomy, colliding);
@@ -200,7 +200,7 @@
     }
 
     @Property(tries = 300)
-    void findsAUnitThatAnswersWhereverItIsAndThenRests(@ForAll long seed, @ForAll boolean roomy) {
+    void findsAnEndpointThatAnswersWhereverItIsAndThenRests(@ForAll long seed, @ForAll boolean roomy) {
         begin(seed, roomy, false);
         for (int i = 0; i < 40; i++) {
             step();
@@ -235,7 +235,7 @@
     }
 
     @Property(tries = 200)
-    void aUnitThatComesOrGoesMovesOneOfARelaysUnitsAtMost(@ForAll long seed) {
+    void anEndpointThatComesOrGoesMovesOneOfARelaysEndpointsAtMost(@ForAll long seed) {
         begin(seed, true, false);
         terms = SubsetHarness.terms(terms.relay(), -1, terms.most(), terms.perService(), 0, 0);
         told = new SubsetHarness(fresh(false));
@@ -246,9 +246,9 @@
         told.whole(list.values());
         for (int i = 0; i < 60; i++) {
             Set<String> before = told.ready();
-            String unit = "u" + random.nextInt(UNITS);
-            boolean goes = list.containsKey(unit);
-            EndpointEntry e = SubsetHarness.ready(unit, "s", 0);
+            String endpoint = "u" + random.nextInt(UNITS);
+            boolean goes = list.containsKey(endpoint);
+            EndpointEntry e = SubsetHarness.ready(endpoint, "s", 0);
             note(goes ? e.gone() : e);
             told.change(goes ? e.gone() : e);
             told.due(LOOK_US);
@@ -256,9 +256,9 @@
             Set<String> came = new TreeSet<>(now);
             came.removeAll(before);
             if (goes) {
-                assertThat(came.size()).isEqualTo(before.contains(unit) ? 1 : 0);
+                assertThat(came.size()).isEqualTo(before.contains(endpoint) ? 1 : 0);
             } else {
-                assertThat(came).isSubsetOf(Set.of(unit));
+                assertThat(came).isSubsetOf(Set.of(endpoint));
             }
         }
     }
--- a/src/test/java/gatelock/membership/EndpointSubsetTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -23,25 +23,25 @@
 
     private final SubsetHarness told = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US)));
 
-    private static List<EndpointEntry> service(String name, int units, int zones) {
-        return IntStream.range(0, units).mapToObj(i -> SubsetHarness.ready(name + "-" + i, name, i % zones)).toList();
+    private static List<EndpointEntry> service(String name, int endpoints, int zones) {
+        return IntStream.range(0, endpoints).mapToObj(i -> SubsetHarness.ready(name + "-" + i, name, i % zones)).toList();
     }
 
     private static EndpointEntry[] all(List<EndpointEntry> entries, Set<String> names, Endpoint.Health health) {
-        return entries.stream().filter(e -> names.contains(e.name())).map(e -> SubsetHarness.unit(e.name(),
+        return entries.stream().filter(e -> names.contains(e.name())).map(e -> SubsetHarness.endpoint(e.name(),
             e.service(),
             e.zone(), health)).toArray(EndpointEntry[]::new);
     }
 
-    private void silent(Set<String> units, int tries) {
-        for (int i = 0; i < tries; i++) {
-            units.forEach(u -> told.ended(u, false));
+    private void silent(Set<String> endpoints, int attempts) {
+        for (int i = 0; i < attempts; i++) {
+            endpoints.forEach(u -> told.ended(u, false));
         }
         told.due(LOOK_US);
     }
 
-    private long zone(Set<String> units, int zone) {
-        return units.stream().filter(u -> told.units.get(u).zone() == zone).count();
+    private long zone(Set<String> endpoints, int zone) {
+        return endpoints.stream().filter(u -> told.endpoints.get(u).zone() == zone).count();
     }
 
     @Test
@@ -62,45 +62,45 @@
 
     @Test
     void aRackLostAtOnceIsReplacedInTheSameChange() {
-        List<EndpointEntry> units = service("a", 40, 4);
-        told.whole(units);
+        List<EndpointEntry> endpoints = service("a", 40, 4);
+        told.whole(endpoints);
         for (int i = 0; i < 12; i++) {
             Set<String> lost = told.ready();
-            told.change(all(units, lost, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING));
+            told.change(all(endpoints, lost, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING));
             assertThat(told.ready()).hasSize(3).doesNotContainAnyElementsOf(lost);
         }
         assertThat(told.scope.listed()).isEqualTo(40 - 18);
     }
 
     @Test
-    void aZoneLostLeavesUnitsElsewhere() {
-        List<EndpointEntry> units = service("a", 40, 4);
-        told.whole(units);
-        told.change(units.stream().filter(e -> e.zone() == 0).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
+    void aZoneLostLeavesEndpointsElsewhere() {
+        List<EndpointEntry> endpoints = service("a", 40, 4);
+        told.whole(endpoints);
+        told.change(endpoints.stream().filter(e -> e.zone() == 0).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
         assertThat(told.ready()).hasSize(3);
-        told.change(units.stream().filter(e -> e.zone() != 1).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
+        told.change(endpoints.stream().filter(e -> e.zone() != 1).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
         assertThat(told.ready()).hasSize(3);
         assertThat(zone(told.ready(), 1)).isEqualTo(3);
     }
 
     @Test
-    void drainingUnitsStayToldUntilTheyAreGone() {
-        List<EndpointEntry> units = service("a", 40, 4);
-        told.whole(units);
+    void drainingEndpointsStayToldUntilTheyAreGone() {
+        List<EndpointEntry> endpoints = service("a", 40, 4);
+        told.whole(endpoints);
         Set<String> first = told.ready();
-        told.change(all(units, first, Endpoint.Health.DRAINING));
-        assertThat(told.units).containsKeys(first.toArray(new String[0]));
+        told.change(all(endpoints, first, Endpoint.Health.DRAINING));
+        assertThat(told.endpoints).containsKeys(first.toArray(new String[0]));
         assertThat(told.last.entries()).extracting(EndpointEntry::health).containsOnly(Endpoint.Health.READY,
             Endpoint.Health.DRAINING).hasSize(6);
         told.due(10 * SETTLE_US);
-        assertThat(told.units).hasSize(6);
-        told.change(all(units, first, Endpoint.Health.GONE));
+        assertThat(told.endpoints).hasSize(6);
+        told.change(all(endpoints, first, Endpoint.Health.GONE));
         assertThat(told.last.entries()).hasSize(3);
-        assertThat(told.units).hasSize(3).doesNotContainKeys(first.toArray(new String[0]));
+        assertThat(told.endpoints).hasSize(3).doesNotContainKeys(first.toArray(new String[0]));
     }
 
     @Test
-    void growsWhereUnitsAreSilentAndShrinksBackOnceTheyWereHeardForTheSettleTime() {
+    void growsWhereEndpointsAreSilentAndShrinksBackOnceTheyWereHeardForTheSettleTime() {
         told.whole(service("a", 40, 4));
         Set<String> first = told.ready();
         silent(first, 1);
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void unitsThatComeAndGoWithinTheSettleTimeMoveNothing() {
+    void endpointsThatComeAndGoWithinTheSettleTimeMoveNothing() {
         told.whole(service("a", 40, 4));
         Set<String> first = told.ready();
         silent(first, 2);
@@ -154,14 +154,14 @@
 
     @Test
     void aZoneThatFallsSilentLeadsElsewhere() {
-        List<EndpointEntry> units = service("a", 400, 4);
-        told.whole(units);
+        List<EndpointEntry> endpoints = service("a", 400, 4);
+        told.whole(endpoints);
         for (int i = 0; i < 3; i++) {
-            silent(told.ready().stream().filter(u -> told.units.get(u).zone() == 0).collect(
+            silent(told.ready().stream().filter(u -> told.endpoints.get(u).zone() == 0).collect(
                 java.util.stream.Collectors.toSet()), 2);
         }
         Set<String> well = told.ready();
-        well.removeIf(u -> told.units.get(u).zone() == 0);
+        well.removeIf(u -> told.endpoints.get(u).zone() == 0);
         assertThat(well).hasSizeGreaterThanOrEqualTo(3);
     }
 
@@ -173,24 +173,24 @@
         String newcomer = null;
         for (int i = 0; newcomer == null; i++) {
             told.change(SubsetHarness.ready("new-" + i, "a", 0));
-            newcomer = told.units.containsKey("new-" + i) ? "new-" + i : null;
+            newcomer = told.endpoints.containsKey("new-" + i) ? "new-" + i : null;
         }
         assertThat(told.ready()).hasSize(4).containsAll(first);
         told.due(SETTLE_US - 1);
-        assertThat(told.units).hasSize(4);
+        assertThat(told.endpoints).hasSize(4);
         told.due(1);
         assertThat(told.ready()).hasSize(3).contains(newcomer);
         assertThat(told.last.entries()).hasSize(1).allMatch(e -> e.health() == Endpoint.Health.GONE);
     }
 
     @Test
-    void aUnitThatReturnsAsAnotherProcessIsToldAndNothingIsKnownOfIt() {
+    void anEndpointThatReturnsAsAnotherProcessIsToldAndNothingIsKnownOfIt() {
         told.whole(service("a", 40, 4));
         Set<String> first = told.ready();
-        String unit = first.iterator().next();
-        silent(Set.of(unit), 2);
+        String endpoint = first.iterator().next();
+        silent(Set.of(endpoint), 2);
         assertThat(told.ready()).hasSize(4);
-        EndpointEntry again = new EndpointEntry(unit, "a", "10.0.0.1:80", told.units.get(unit).zone(), 0, 0, 2,
+        EndpointEntry again = new EndpointEntry(endpoint, "a", "10.0.0.1:80", told.endpoints.get(endpoint).zone(), 0, 0, 2,
             Endpoint.Health.READY, 5 * SECOND);
         told.change(again);
         assertThat(told.last.entries()).containsExactly(again);
@@ -200,39 +200,39 @@
     }
 
     @Test
-    void aReleaseThatRestartsUnitsUnderTheirNamesMovesNoUnitOfTheScope() {
-        List<EndpointEntry> units = service("a", 40, 4);
-        told.whole(units);
+    void aReleaseThatRestartsEndpointsUnderTheirNamesMovesNoEndpointOfTheScope() {
+        List<EndpointEntry> endpoints = service("a", 40, 4);
+        told.whole(endpoints);
         Set<String> first = told.ready();
-        for (EndpointEntry e : units) {
-            told.change(SubsetHarness.unit(e.name(), "a", e.zone(), Endpoint.Health.DRAINING));
+        for (EndpointEntry e : endpoints) {
+            told.change(SubsetHarness.endpoint(e.name(), "a", e.zone(), Endpoint.Health.DRAINING));
             told.change(e.gone());
             told.change(new EndpointEntry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Endpoint.Health.READY,
                 SECOND));
         }
         told.due(SETTLE_US);
         assertThat(told.ready()).isEqualTo(first);
-        assertThat(told.units.values()).allMatch(e -> e.build() == 2);
+        assertThat(told.endpoints.values()).allMatch(e -> e.build() == 2);
     }
 
     @Test
-    void aUnitTwiceInAWholeListIsNamedAndNothingChanges() {
+    void anEndpointTwiceInAWholeListIsNamedAndNothingChanges() {
         told.whole(service("a", 40, 4));
         EndpointSubset.Reading reading = told.scope.read(true);
         reading.add(SubsetHarness.ready("x", "a", 0));
-        assertThatThrownBy(() -> reading.add(SubsetHarness.unit("x", "a", 0, Endpoint.Health.GONE)))
+        assertThatThrownBy(() -> reading.add(SubsetHarness.endpoint("x", "a", 0, Endpoint.Health.GONE)))
             .isInstanceOf(IllegalArgumentException.class).hasMessage("expected each unit once, found twice "
             + "x");
         assertThat(told.scope.listed()).isEqualTo(40);
     }
 
     @Test
-    void aUnitTwiceInAChangeCountsAsLastTold() {
+    void anEndpointTwiceInAChangeCountsAsLastTold() {
         told.whole(service("a", 3, 1));
-        told.change(SubsetHarness.unit("a-0", "a", 0, Endpoint.Health.GONE), SubsetHarness.ready("a-0", "a", 0));
+        told.change(SubsetHarness.endpoint("a-0", "a", 0, Endpoint.Health.GONE), SubsetHarness.ready("a-0", "a", 0));
         assertThat(told.ready()).contains("a-0");
-        told.change(SubsetHarness.ready("a-0", "a", 0), SubsetHarness.unit("a-0", "a", 0, Endpoint.Health.GONE));
-        assertThat(told.units).doesNotContainKey("a-0");
+        told.change(SubsetHarness.ready("a-0", "a", 0), SubsetHarness.endpoint("a-0", "a", 0, Endpoint.Health.GONE));
+        assertThat(told.endpoints).doesNotContainKey("a-0");
     }
 
     @Test
@@ -241,7 +241,7 @@
         Set<String> before = told.ready();
         told.scope.read(true).add(SubsetHarness.ready("x", "a", 0));
         EndpointSubset.Reading change = told.scope.read(false);
-        before.forEach(u -> change.add(SubsetHarness.unit(u, "a", 0, Endpoint.Health.GONE)));
+        before.forEach(u -> change.add(SubsetHarness.endpoint(u, "a", 0, Endpoint.Health.GONE)));
         told.due(SETTLE_US);
         assertThat(told.ready()).isEqualTo(before);
         assertThat(told.scope.listed()).isEqualTo(40);
@@ -265,7 +265,7 @@
         EndpointSubset.Reading change = told.scope.read(false);
         change.add(SubsetHarness.ready("late", "b", 0));
         told.whole(service("a", 20, 4));
-        change.add(SubsetHarness.unit("a-1", "a", 1, Endpoint.Health.GONE));
+        change.add(SubsetHarness.endpoint("a-1", "a", 1, Endpoint.Health.GONE));
         told.apply(change.take(told.nowUs, 9));
         assertThat(told.ready("b")).containsExactly("late");
         assertThat(told.scope.listed()).isEqualTo(20);
@@ -283,7 +283,7 @@
     }
 
     @Test
-    void aUnitThatMovesToAnotherServiceIsUsedThere() {
+    void anEndpointThatMovesToAnotherServiceIsUsedThere() {
         told.whole(service("a", 2, 1));
         told.change(SubsetHarness.ready("a-0", "b", 0));
         assertThat(told.ready("a")).containsExactly("a-1");
@@ -294,9 +294,9 @@
     @Test
     void theBoundIsSharedOutFairlyAndCountedWhereItDoesNotSuffice() {
         SubsetHarness bound = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 20, 5, 1, SETTLE_US)));
-        List<EndpointEntry> units = new ArrayList<>();
-        IntStream.range(0, 8).forEach(s -> units.addAll(service("s" + s, s == 0 ? 1 : 20, 4)));
-        bound.whole(units);
+        List<EndpointEntry> endpoints = new ArrayList<>();
+        IntStream.range(0, 8).forEach(s -> endpoints.addAll(service("s" + s, s == 0 ? 1 : 20, 4)));
+        bound.whole(endpoints);
         assertThat(bound.scope.aim()).isEqualTo(2);
         assertThat(bound.ready("s0")).hasSize(1);
         IntStream.range(1, 8).forEach(s -> assertThat(bound.ready("s" + s)).hasSize(2));
@@ -307,7 +307,7 @@
         assertThat(bound.scope.crowdedOut()).isEqualTo(10);
         // Those without a place come in as others leave.
         Set<String> in = new TreeSet<>();
-        bound.units.values().forEach(e -> in.add(e.service()));
+        bound.endpoints.values().forEach(e -> in.add(e.service()));
         assertThat(in).hasSize(20);
         in.stream().limit(4).forEach(s -> bound.change(service(s, 20, 4).stream().map(EndpointEntry::gone)
             .toArray(EndpointEntry[]::new)));
@@ -333,16 +333,16 @@
         assertThat(bound.scope.aim()).isEqualTo(2);
     }
 
-    /** A relay that aims at a quarter of a service, 5 units at least, before one of 81 and one of 12. */
+    /** A relay that aims at a quarter of a service, 5 endpoints at least, before one of 81 and one of 12. */
     private static SubsetHarness ofLargeAndSmall(int most) {
         SubsetHarness relay = new SubsetHarness(new EndpointSubset(new EndpointSubset.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
-        List<EndpointEntry> units = new ArrayList<>(service("large", 81, 3));
-        units.addAll(service("small", 12, 3));
-        relay.whole(units);
+        List<EndpointEntry> endpoints = new ArrayList<>(service("large", 81, 3));
+        endpoints.addAll(service("small", 12, 3));
+        relay.whole(endpoints);
         return relay;
     }
 
-    /** Of a fleet of few relays each uses a larger part, so that no unit stands idle; of many its least. */
+    /** Of a fleet of few relays each uses a larger part, so that no endpoint stands idle; of many its least. */
     @Test
     void aLargeServiceHasItsPartInScopeAndASmallOneItsLeast() {
         SubsetHarness relay = ofLargeAndSmall(100);
@@ -365,11 +365,11 @@
 
     /** All of a are silent and looked at; then b needs the place of one, which answers again out of scope. */
     @Test
-    void aServiceThatIsAllSilentComesBackToAUnitThatGaveWayToAnotherService() {
+    void aServiceThatIsAllSilentComesBackToAnEndpointThatGaveWayToAnotherService() {
         SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 3, 1, 0, SETTLE_US)));
-        List<EndpointEntry> units = new ArrayList<>(service("a", 2, 1));
-        units.addAll(service("b", 2, 1));
-        relay.whole(units);
+        List<EndpointEntry> endpoints = new ArrayList<>(service("a", 2, 1));
+        endpoints.addAll(service("b", 2, 1));
+        relay.whole(endpoints);
         Set<String> silent = new TreeSet<>(relay.ready("a"));
         for (int look = 0; look < 8; look++) {
             relay.ready().forEach(u -> relay.ended(u, !silent.contains(u)));
@@ -392,9 +392,9 @@
         assertThat(relay.ready("b")).anyMatch(u -> !silent.contains(u));
     }
 
-    /** As the units of a are all silent, one is let go when its time is over; it answers again out of scope. */
+    /** As the endpoints of a are all silent, one is let go when its time is over; it answers again out of scope. */
     @Test
-    void aServiceThatIsAllSilentComesBackToAUnitThatItLetGo() {
+    void aServiceThatIsAllSilentComesBackToAnEndpointThatItLetGo() {
         SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 8, 1, 0, SETTLE_US)));
         relay.whole(service("a", 2, 1));
         Set<String> silent = new TreeSet<>(Set.of("a-0", "a-1"));
@@ -428,35 +428,35 @@
     }
 
     /**
-     * Rule 4: a cold unit's budget at a relay is {@code times} this relay's work over the units in its scope
-     * (ReleaseGate, inBudget). Over all that hold the unit it is at most {@code times} the mean unit's work,
+     * Rule 4: a cold endpoint's budget at a relay is {@code times} this relay's work over the endpoints in its scope
+     * (ReleaseGate, inBudget). Over all that hold the endpoint it is at most {@code times} the mean endpoint's work,
      * times how many hold it over the mean; also where scopes have unequal sizes.
      */
     @Test
-    void aColdUnitsPartsAddUpToTheMeanUnitsWorkTimesTheUnevennessOfItsHolders() {
+    void aColdEndpointsPartsAddUpToTheMeanEndpointsWorkTimesTheUnevennessOfItsHolders() {
         int relays = 600;
-        int units = 28;
-        List<EndpointEntry> list = service("a", units, 1);
+        int endpoints = 28;
+        List<EndpointEntry> list = service("a", endpoints, 1);
         Map<String, Double> parts = new TreeMap<>();
         Map<String, Integer> holders = new TreeMap<>();
         int held = 0;
         for (int r = 0; r < relays; r++) {
             SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(r, -1, 100, r % 2 == 0 ? 5 : 8, 0, SETTLE_US)));
             relay.whole(list);
-            for (String unit : relay.ready()) {
-                parts.merge(unit, 1.0 / relay.ready().size(), Double::sum);
-                holders.merge(unit, 1, Integer::sum);
+            for (String endpoint : relay.ready()) {
+                parts.merge(endpoint, 1.0 / relay.ready().size(), Double::sum);
+                holders.merge(endpoint, 1, Integer::sum);
                 held++;
             }
         }
-        double mean = relays / (double) units;
+        double mean = relays / (double) endpoints;
         double most = parts.values().stream().mapToDouble(p -> p / mean).max().orElseThrow();
         double uneven = holders.values().stream().mapToInt(h -> h).max().orElseThrow() / (held
-            / (double) units);
-        assertThat(parts).hasSize(units);
+            / (double) endpoints);
+        assertThat(parts).hasSize(endpoints);
         assertThat(parts.values().stream().mapToDouble(p -> p).sum()).isBetween(relays - 1e-6, relays + 1e-6);
         // Five standard deviations of a binomial share, as the ranking is by independent hashes.
-        double five = 1 + 5 * Math.sqrt((1 - 6.5 / units) / (held / (double) units));
+        double five = 1 + 5 * Math.sqrt((1 - 6.5 / endpoints) / (held / (double) endpoints));
         assertThat(uneven).isLessThan(five);
         assertThat(most).isLessThan(five * 8 / 6.5);
     }
--- a/src/test/java/gatelock/membership/SubsetBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetBenchmark.java
@@ -18,7 +18,7 @@
 import java.util.stream.IntStream;
 
 /**
- * Sets options for a relay's units side by side and measures what a scope costs. Not a test: run by
+ * Sets options for a relay's endpoints side by side and measures what a scope costs. Not a test: run by
  * {@code make measure-membership}, which prints the tables of docs/measurements/membership.md.
  * {@code work FILE RUN} writes the slopes to that file, with that name of the run.
  */
@@ -51,28 +51,28 @@
 
     // The options
 
-    /** Which of some units each relay uses; units are known by the hashes of their names, in their order. */
+    /** Which of some endpoints each relay uses; endpoints are known by the hashes of their names, in their order. */
     private interface Option {
-        int[] units(long relay, long[] units, int most);
+        int[] endpoints(long relay, long[] endpoints, int most);
     }
 
     /** What the module does; checked against it in {@link #zones}. */
-    private static int[] ranked(long relay, long[] units, int most) {
+    private static int[] ranked(long relay, long[] endpoints, int most) {
         RendezvousRanking ranking = new RendezvousRanking(relay);
-        return least(units.length, most, i -> 0, i -> ranking.place(units[i]));
+        return least(endpoints.length, most, i -> 0, i -> ranking.place(endpoints[i]));
     }
 
     private interface Place {
-        long of(int unit);
+        long of(int endpoint);
     }
 
-    private static int[] least(int units, int most, IntToDoubleFunction first, Place place) {
-        int take = Math.min(most, units);
-        double[] firsts = IntStream.range(0, units).mapToDouble(first).toArray();
-        long[] places = IntStream.range(0, units).mapToLong(place::of).toArray();
+    private static int[] least(int endpoints, int most, IntToDoubleFunction first, Place place) {
+        int take = Math.min(most, endpoints);
+        double[] firsts = IntStream.range(0, endpoints).mapToDouble(first).toArray();
+        long[] places = IntStream.range(0, endpoints).mapToLong(place::of).toArray();
         int[] best = new int[take];
         int held = 0;
-        for (int i = 0; i < units; i++) {
+        for (int i = 0; i < endpoints; i++) {
             int at = held;
             while (at > 0 && (firsts[i] < firsts[best[at - 1]] || firsts[i] == firsts[best[at - 1]]
                 && places[i] < places[best[at - 1]])) {
@@ -87,11 +87,11 @@
         return best;
     }
 
-    /** Subsets in rounds: each round shuffles all units and gives each of its relays a part of its own. */
-    private static int[] rounds(long relay, long[] units, int most) {
-        int parts = Math.max(1, units.length / most);
+    /** Subsets in rounds: each round shuffles all endpoints and gives each of its relays a part of its own. */
+    private static int[] rounds(long relay, long[] endpoints, int most) {
+        int parts = Math.max(1, endpoints.length / most);
         long round = Math.floorDiv(relay, parts);
-        int[] order = IntStream.range(0, units.length).toArray();
+        int[] order = IntStream.range(0, endpoints.length).toArray();
         SplittableRandom random = new SplittableRandom(round);
         for (int i = order.length - 1; i > 0; i--) {
             int j = random.nextInt(i + 1);
@@ -100,24 +100,24 @@
             order[j] = was;
         }
         int from = (int) Math.floorMod(relay, (long) parts) * most;
-        return Arrays.copyOfRange(order, from, Math.min(units.length, from + most));
+        return Arrays.copyOfRange(order, from, Math.min(endpoints.length, from + most));
     }
 
-    /** A ring of units in the order of their hashes; relays stand on it by van der Corput's sequence. */
-    private static int[] ring(long relay, long[] units, int most) {
+    /** A ring of endpoints in the order of their hashes; relays stand on it by van der Corput's sequence. */
+    private static int[] ring(long relay, long[] endpoints, int most) {
         double at = (Long.reverse(relay) >>> 11) * 0x1.0p-53;
-        int first = (int) (at * units.length);
-        return IntStream.range(0, Math.min(most, units.length)).map(i -> (first
-            + i) % units.length).toArray();
+        int first = (int) (at * endpoints.length);
+        return IntStream.range(0, Math.min(most, endpoints.length)).map(i -> (first
+            + i) % endpoints.length).toArray();
     }
 
-    private static int[] all(long relay, long[] units, int most) {
-        return IntStream.range(0, units.length).toArray();
+    private static int[] all(long relay, long[] endpoints, int most) {
+        return IntStream.range(0, endpoints.length).toArray();
     }
 
-    private static long[] units(int units, int from) {
+    private static long[] endpoints(int endpoints, int from) {
         RendezvousRanking any = new RendezvousRanking(0);
-        return IntStream.range(from, from + units).mapToLong(i -> any.hash("unit-" + i)).sorted().toArray();
+        return IntStream.range(from, from + endpoints).mapToLong(i -> any.hash("unit-" + i)).sorted().toArray();
     }
 
     private static long[] numbers(boolean drawn) {
@@ -126,13 +126,13 @@
             i).toArray();
     }
 
-    /** {least, most} load of a unit over the mean; relays bear load, spread over their units by weight. */
-    private static double[] spread(Option option, boolean drawn, long[] units, int most, double[] weights,
+    /** {least, most} load of an endpoint over the mean; relays bear load, spread over their endpoints by weight. */
+    private static double[] spread(Option option, boolean drawn, long[] endpoints, int most, double[] weights,
                                    double[] loads) {
-        double[] load = new double[units.length];
+        double[] load = new double[endpoints.length];
         long[] numbers = numbers(drawn);
         for (int r = 0; r < RELAYS; r++) {
-            int[] its = option.units(numbers[r], units, most);
+            int[] its = option.endpoints(numbers[r], endpoints, most);
             double sum = Arrays.stream(its).mapToDouble(u -> weights[u]).sum();
             for (int u : its) {
                 load[u] += loads[r] / sum;
@@ -159,13 +159,13 @@
                 if (most > 5 && most >= n) {
                     continue;
                 }
-                long[] units = units(n, 0);
+                long[] endpoints = endpoints(n, 0);
                 StringBuilder row = new StringBuilder("| " + n + " | " + Math.min(n, most));
                 for (Object[] column : new Object[][] {{(Option) SubsetBenchmark::ranked, false},
                     {(Option) SubsetBenchmark::rounds, false}, {(Option) SubsetBenchmark::ring, false},
                     {(Option) SubsetBenchmark::rounds, true}, {(Option) SubsetBenchmark::ring, true},
                     {(Option) SubsetBenchmark::all, false}}) {
-                    double[] s = spread((Option) column[0], (boolean) column[1], units, most, ones(n),
+                    double[] s = spread((Option) column[0], (boolean) column[1], endpoints, most, ones(n),
                         ones(RELAYS));
                     row.append(String.format(" | %.2f, %.2f", s[0], s[1]));
                 }
@@ -190,7 +190,7 @@
         }
         for (int n : new int[] {28, 100, 1_000, 5_000}) {
             int most = 5;
-            long[] units = units(n, 0);
+            long[] endpoints = endpoints(n, 0);
             double[] weights = new double[n];
             for (int i = 0; i < n; i++) {
                 weights[i] = i % 4 < 2 ? 1 : i % 4 == 2 ? 2 : 4;
@@ -200,11 +200,11 @@
                 return least(its.length, m, i -> -Math.log(((ranking.place(its[i]) >>> 11) + 0.5) * 0x1.0p-53)
                     / weights[i], i -> 0);
             };
-            // A relay that chose by weight spreads evenly over its units: the weight was counted.
+            // A relay that chose by weight spreads evenly over its endpoints: the weight was counted.
             double even = 0;
             double[] load = new double[n];
             for (long r : numbers(false)) {
-                int[] its = weighted.units(r, units, most);
+                int[] its = weighted.endpoints(r, endpoints, most);
                 for (int u : its) {
                     load[u] += 1.0 / its.length;
                 }
@@ -214,11 +214,11 @@
                 even = Math.max(even, load[i] / weights[i] / mean);
             }
             System.out.printf("| %d | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |%n", n, most,
-                spread(SubsetBenchmark::ranked, false, units, most, weights, ones(RELAYS))[1], even,
-                spread(SubsetBenchmark::rounds, false, units, most, weights, ones(RELAYS))[1],
-                spread(SubsetBenchmark::ring, false, units, most, weights, ones(RELAYS))[1],
-                spread(SubsetBenchmark::ranked, false, units, most, ones(n), unequal)[1],
-                spread(SubsetBenchmark::ring, false, units, most, ones(n), unequal)[1]);
+                spread(SubsetBenchmark::ranked, false, endpoints, most, weights, ones(RELAYS))[1], even,
+                spread(SubsetBenchmark::rounds, false, endpoints, most, weights, ones(RELAYS))[1],
+                spread(SubsetBenchmark::ring, false, endpoints, most, weights, ones(RELAYS))[1],
+                spread(SubsetBenchmark::ranked, false, endpoints, most, ones(n), unequal)[1],
+                spread(SubsetBenchmark::ring, false, endpoints, most, ones(n), unequal)[1]);
         }
         System.out.println();
     }
@@ -227,9 +227,9 @@
     private static double moved(Option option, long[] before, long[] after, int most, long numberMoves) {
         long moved = 0;
         for (int r = 0; r < RELAYS; r++) {
-            long[] had = Arrays.stream(option.units(r, before,
+            long[] had = Arrays.stream(option.endpoints(r, before,
                 most)).mapToLong(i -> before[i]).sorted().toArray();
-            moved += Arrays.stream(option.units(r + numberMoves, after,
+            moved += Arrays.stream(option.endpoints(r + numberMoves, after,
                 most)).filter(i -> Arrays.binarySearch(
                 had, after[i]) < 0).count();
         }
@@ -249,7 +249,7 @@
                 Option[] options = {SubsetBenchmark::ranked, SubsetBenchmark::rounds, SubsetBenchmark::ring,
                     SubsetBenchmark::all};
                 for (int k = 0; k < 10; k++) {
-                    long[] full = units(n, 1_000 * k);
+                    long[] full = endpoints(n, 1_000 * k);
                     int out = k * n / 10;
                     long[] less = IntStream.range(0,
                         n).filter(i -> i != out).mapToLong(i -> full[i]).toArray();
@@ -270,18 +270,18 @@
 
     // The module itself
 
-    private static EndpointEntry unit(int n, int services, int zone, int starts) {
+    private static EndpointEntry endpoint(int n, int services, int zone, int starts) {
         return new EndpointEntry("unit-" + (1_000_000 + n), "service-" + n % services, "10." + (n >> 16) + "."
             + (n >> 8 & 255) + "." + (n & 255) + ":8443", zone, n % 4, n % 50, 804 + n % 2,
             Endpoint.Health.READY,
             1_780_000_000_000_000L + n * 1000L + starts * SECOND);
     }
 
-    private static EndpointEntry unit(int n, int services, int starts) {
-        return unit(n, services, n % 19, starts);
+    private static EndpointEntry endpoint(int n, int services, int starts) {
+        return endpoint(n, services, n % 19, starts);
     }
 
-    /** A service's units as one relay's scope has them. */
+    /** A service's endpoints as one relay's scope has them. */
     private static EndpointSubset.Change change(int relay, int zone, List<EndpointEntry> list, int perService, int elsewhere) {
         EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(relay, zone, 1_000, perService, 0, elsewhere, SECOND));
         EndpointSubset.Reading reading = scope.read(true);
@@ -301,7 +301,7 @@
                 SplittableRandom random = new SplittableRandom(n);
                 List<EndpointEntry> list = new ArrayList<>();
                 for (int i = 0; i < n; i++) {
-                    list.add(unit(i, 1, how.equals("drawn") ? random.nextInt(zones) : i % zones, 0));
+                    list.add(endpoint(i, 1, how.equals("drawn") ? random.nextInt(zones) : i % zones, 0));
                 }
                 int[] holders = new int[n];
                 int own = 0;
@@ -335,10 +335,10 @@
                 double worst = 1;
                 int services = n > 100 ? 2 : 10;
                 for (int s = 0; s < services; s++) {
-                    long[] units = units(n, 10_000 * s);
-                    // Units on the build are told by their names, as a release takes them in any order.
+                    long[] endpoints = endpoints(n, 10_000 * s);
+                    // Endpoints on the build are told by their names, as a release takes them in any order.
                     int[] order = IntStream.range(0, n).boxed().sorted(Comparator.comparingLong(i ->
-                        Long.rotateLeft(units[i], 20) * 0x9E3779B97F4A7C15L)).mapToInt(i -> i).toArray();
+                        Long.rotateLeft(endpoints[i], 20) * 0x9E3779B97F4A7C15L)).mapToInt(i -> i).toArray();
                     int[] place = new int[n];
                     for (int i = 0; i < n; i++) {
                         place[order[i]] = i;
@@ -346,7 +346,7 @@
                     double[] parts = {0.08, 0.6, 1};
                     int[] reach = new int[3];
                     for (int r = 0; r < RELAYS; r++) {
-                        int[] its = ranked(r, units, most);
+                        int[] its = ranked(r, endpoints, most);
                         for (int p = 0; p < 3; p++) {
                             int on = (int) Math.ceil(parts[p] * n - 1e-9);
                             reach[p] += Arrays.stream(its).anyMatch(u -> place[u] < on) ? 1 : 0;
@@ -379,22 +379,22 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    private static EndpointSubset.Reading read(EndpointSubset scope, int units, int services, int starts) {
+    private static EndpointSubset.Reading read(EndpointSubset scope, int endpoints, int services, int starts) {
         EndpointSubset.Reading reading = scope.read(true);
-        for (int i = 0; i < units; i++) {
-            reading.add(unit(i, services, starts));
+        for (int i = 0; i < endpoints; i++) {
+            reading.add(endpoint(i, services, starts));
         }
         return reading;
     }
 
-    /** CPU of a change, mean of three that a restart of one unit makes, us; median of some repeats. */
-    private static double perChangeUs(EndpointSubset scope, int[] units, int services) {
+    /** CPU of a change, mean of three that a restart of one endpoint makes, us; median of some repeats. */
+    private static double perChangeUs(EndpointSubset scope, int[] endpoints, int services) {
         double[] us = new double[REPEATS];
         long nowUs = 1;
         for (int k = 0; k < REPEATS; k++) {
             long from = cpuNs();
             for (int i = 0; i < CHANGES; i++) {
-                EndpointEntry e = unit(units[i % units.length], services, k + 1);
+                EndpointEntry e = endpoint(endpoints[i % endpoints.length], services, k + 1);
                 EndpointEntry drains = new EndpointEntry(e.name(), e.service(), e.address(), e.zone(), e.kind(), e.cell(),
                     e.build(),
                     Endpoint.Health.DRAINING, e.startUs());
@@ -412,12 +412,12 @@
         return us[REPEATS / 2];
     }
 
-    private static int[] some(EndpointSubset scope, int units, int services, boolean inScope) {
+    private static int[] some(EndpointSubset scope, int endpoints, int services, boolean inScope) {
         java.util.Set<String> in = new java.util.HashSet<>();
         scope.read(true);
-        EndpointSubset.Reading whole = read(scope, units, services, 0);
+        EndpointSubset.Reading whole = read(scope, endpoints, services, 0);
         whole.take(0, 1).entries().forEach(e -> in.add(e.name()));
-        return new SplittableRandom(5).ints(units * 4L, 0, units).filter(i -> in.contains("unit-"
+        return new SplittableRandom(5).ints(endpoints * 4L, 0, endpoints).filter(i -> in.contains("unit-"
             + (1_000_000 + i))
             == inScope).limit(CHANGES).toArray();
     }
@@ -511,7 +511,7 @@
         int plays = 0;
         long nowUs = 1_000_000_000L;
         for (; plays < 200; plays++) {
-            EndpointEntry e = unit(its[plays % its.length], 1, plays + 100);
+            EndpointEntry e = endpoint(its[plays % its.length], 1, plays + 100);
             for (EndpointEntry told : new EndpointEntry[] {e.gone(), e}) {
                 EndpointSubset.Reading reading = scope.read(false);
                 reading.add(told);
@@ -535,7 +535,7 @@
             fit.slope(), fit.intercept(), fit.residual(), how);
     }
 
-    /** 200,000 units in the memory that a relay has: says how it went, ten whole lists and 2,000 restarts. */
+    /** 200,000 endpoints in the memory that a relay has: says how it went, ten whole lists and 2,000 restarts. */
     private static void fit() {
         int n = 200_000;
         int services = 7_200;
--- a/src/test/java/gatelock/membership/SubsetHarness.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -12,7 +12,7 @@
 /** A scope with what the decisions know by its changes, and a clock. */
 final class SubsetHarness {
     final EndpointSubset scope;
-    final Map<String, EndpointEntry> units = new TreeMap<>();
+    final Map<String, EndpointEntry> endpoints = new TreeMap<>();
     long nowUs = 1_000_000;
     /** Entries told so far. */
     int told;
@@ -27,12 +27,12 @@
         return new EndpointSubset.Terms(relay, zone, most, perService, 0, leastElsewhere, settleUs);
     }
 
-    static EndpointEntry unit(String name, String service, int zone, Endpoint.Health health) {
+    static EndpointEntry endpoint(String name, String service, int zone, Endpoint.Health health) {
         return new EndpointEntry(name, service, "10.0.0.1:80", zone, 0, 0, 1, health, 0);
     }
 
     static EndpointEntry ready(String name, String service, int zone) {
-        return unit(name, service, zone, Endpoint.Health.READY);
+        return endpoint(name, service, zone, Endpoint.Health.READY);
     }
 
     void whole(Iterable<EndpointEntry> entries) {
@@ -54,8 +54,8 @@
         apply(scope.due(nowUs));
     }
 
-    void ended(String unit, boolean heard) {
-        scope.ended(nowUs, unit, heard);
+    void ended(String endpoint, boolean heard) {
+        scope.ended(nowUs, endpoint, heard);
     }
 
     /** As the decisions do. */
@@ -63,25 +63,25 @@
         last = change;
         told += change.entries().size();
         if (change.whole()) {
-            units.clear();
+            endpoints.clear();
         }
         for (EndpointEntry e : change.entries()) {
             if (e.health() == Endpoint.Health.GONE) {
-                units.remove(e.name());
+                endpoints.remove(e.name());
             } else {
-                units.put(e.name(), e);
+                endpoints.put(e.name(), e);
             }
         }
     }
 
     Set<String> ready(String service) {
-        return units.values().stream().filter(e -> e.service().equals(service)
+        return endpoints.values().stream().filter(e -> e.service().equals(service)
             && e.health() == Endpoint.Health.READY).map(EndpointEntry::name)
             .collect(Collectors.toCollection(TreeSet::new));
     }
 
     Set<String> ready() {
-        return units.values().stream().filter(e -> e.health() == Endpoint.Health.READY).map(EndpointEntry::name)
+        return endpoints.values().stream().filter(e -> e.health() == Endpoint.Health.READY).map(EndpointEntry::name)
             .collect(Collectors.toCollection(TreeSet::new));
     }
 }
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -82,23 +82,23 @@
         assertThat(session.due(nowUs + 2 * SECOND)).isTrue();
     }
 
-    private static Endpoint unit(String name, int build, Endpoint.Health health) {
+    private static Endpoint endpoint(String name, int build, Endpoint.Health health) {
         return new Endpoint(name, build, 0, 0, 0, health, 0);
     }
 
     @Test
     void aDrainIsPacedByWhatTheOthersBearAndEndsInTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Endpoint.Health.READY),
-            unit("b", 1, Endpoint.Health.READY),
-            unit("c", 1, Endpoint.Health.READY)));
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY),
+            endpoint("b", 1, Endpoint.Health.READY),
+            endpoint("c", 1, Endpoint.Health.READY)));
         List<Peers> at = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
             Peers peers = new Peers();
             at.add(peers);
             sessions.opened(2, "a", 0, peers);
         }
-        sessions.listed(SECOND, DecisionEngine.ListForm.DELTA, List.of(unit("a", 1, Endpoint.Health.DRAINING)));
+        sessions.listed(SECOND, DecisionEngine.ListForm.DELTA, List.of(endpoint("a", 1, Endpoint.Health.DRAINING)));
         long closedBefore = 0;
         for (long us = SECOND; us < 12 * SECOND; us += 100_000) {
             sessions.due(us);
@@ -108,7 +108,7 @@
             }
             closedBefore = closed;
         }
-        // Two units at 20 a second bear 400 in 10 s; what is left then goes all the same.
+        // Two endpoints at 20 a second bear 400 in 10 s; what is left then goes all the same.
         assertThat(closedBefore).isEqualTo(600);
         assertThat(at).allMatch(p -> p.closes.get(Session.Side.CLIENT) == 1012
             && p.reason.matches(".* after [0-9]+ ms"));
@@ -120,15 +120,15 @@
     @Test
     void aBuildThatGoesBackTakesItsSessionsAlongAtOnceAndNoOthers() {
         Sessions sessions = new Sessions(10, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Endpoint.Health.READY),
-            unit("b", 2, Endpoint.Health.READY)));
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY),
+            endpoint("b", 2, Endpoint.Health.READY)));
         sessions.news(1, 2, DecisionEngine.Phase.TRIAL);
         Peers old = new Peers();
-        Peers trial = new Peers();
+        Peers canary = new Peers();
         sessions.opened(2, "a", 0, old);
-        sessions.opened(2, "b", 0, trial);
+        sessions.opened(2, "b", 0, canary);
         sessions.news(3, 2, DecisionEngine.Phase.REVERTING);
-        assertThat(trial.closes).containsEntry(Session.Side.CLIENT, 1012);
+        assertThat(canary.closes).containsEntry(Session.Side.CLIENT, 1012);
         assertThat(old.closes).isEmpty();
         Peers late = new Peers();
         sessions.opened(4, "b", 0, late);
@@ -138,7 +138,7 @@
     @Test
     void aRelayThatLeavesClosesAllByItsTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(unit("a", 1, Endpoint.Health.READY)));
+        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY)));
         List<Peers> at = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             Peers peers = new Peers();
--- a/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -10,7 +10,7 @@
 
 /**
  * Measures service through a relay while 200 versions a second come, against none. Not a test: run by
- * {@code make measure-swarm}. Reqs are sent at set times, 400 a second, and timed from these, so that a stall
+ * {@code make measure-swarm}. Requests are sent at set times, 400 a second, and timed from these, so that a stall
  * counts for
  * all that should have been sent in it.
  */
@@ -90,7 +90,7 @@
         return text.append("]}").toString();
     }
 
-    /** Times of reqs from when each was due; one that got no 200 is told. */
+    /** Times of requests from when each was due; one that got no 200 is told. */
     static Histogram load(int port, int seconds) throws InterruptedException {
         OpenLoop.Result result = OpenLoop.run(new int[] {port}, CLIENTS, A_SECOND, seconds);
         if (result.other() > 0) {
--- a/src/test/java/gatelock/standin/Demo.java
+++ b/src/test/java/gatelock/standin/Demo.java
@@ -12,9 +12,9 @@
 import java.util.TreeMap;
 
 /**
- * Versions on their way to a relay that serves, to look at: stand-ins for units, discovery, desk and control
+ * Versions on their way to a relay that serves, to look at: stand-ins for endpoints, discovery, release controller and control
  * service, the
- * built program, reqs all the time. Run by {@code make demo}.
+ * built program, requests all the time. Run by {@code make demo}.
  */
 public final class Demo {
     private static final String SOUND = """
@@ -115,12 +115,12 @@
             answers.merge("" + status, 1, Integer::sum);
             sent++;
         }
-        StringBuilder units = new StringBuilder();
+        StringBuilder endpoints = new StringBuilder();
         for (int i = 0; i < 4; i++) {
-            units.append(units.length() == 0 ? "" : ", ").append((char) ('a' + i)).append(' ')
+            endpoints.append(endpoints.length() == 0 ? "" : ", ").append((char) ('a' + i)).append(' ')
                 .append(village.did(i) - before[i]);
         }
-        say("   100 reqs: answers " + now + "; units " + units);
+        say("   100 reqs: answers " + now + "; units " + endpoints);
     }
 
     private int ask(int port, String method, String path) {
--- a/src/test/java/gatelock/standin/EndpointListBenchmark.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -23,8 +23,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures one relay with the platform's flags before a list of 200,000 units, with and without a scope: time until
- * it is ready, memory, processor time at an ordinary day's changes of the list, and reqs at the end. Not a test: run
+ * Measures one relay with the platform's flags before a list of 200,000 endpoints, with and without a scope: time until
+ * it is ready, memory, processor time at an ordinary day's changes of the list, and requests at the end. Not a test: run
  * by {@code make measure-list}, from the directory of the project. Words: rows by number (all if none), then
  * {@code write COMMIT} to note them in docs/capacity/relay-scope.json.
  */
@@ -40,7 +40,7 @@
     private static final Pattern TAKEN = Pattern.compile("list \\d+ of (\\d+) units in (\\d+) services, (\\d+) in scope");
 
     /** What is played. */
-    private record Play(int units, String membership) {
+    private record Play(int endpoints, String membership) {
     }
 
     private static final List<Play> PLAYS = List.of(new Play(200_000, null), new Play(10_000, null),
@@ -149,12 +149,12 @@
         }
         try (FakeDeployment village = new FakeDeployment(4)) {
             String example = village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
-            List<String> units = new ArrayList<>();
+            List<String> endpoints = new ArrayList<>();
             Matcher at = Pattern.compile("\"name\":\"[a-d]\",\"address\":\"([^\"]*)\"").matcher(example);
             while (at.find()) {
-                units.add(at.group(1));
+                endpoints.add(at.group(1));
             }
-            try (LongListDiscovery list = new LongListDiscovery(play.units, i -> entry(i, units, "in_service", 0, 1))) {
+            try (LongListDiscovery list = new LongListDiscovery(play.endpoints, i -> entry(i, endpoints, "in_service", 0, 1))) {
                 String config = example.replaceFirst("\"discovery\": \"[^\"]*:[0-9]+\"", "\"discovery\": \""
                     + list.address("relay") + "\"");
                 List<String> more = new ArrayList<>();
@@ -176,7 +176,7 @@
                 builder.environment().put("PROXY_CONFIG", file.toString());
                 Relay relay = new Relay(builder.start(), port, log, System.nanoTime());
                 try {
-                    return measured(play, units, list, relay);
+                    return measured(play, endpoints, list, relay);
                 } finally {
                     relay.process.destroyForcibly().waitFor();
                 }
@@ -184,15 +184,15 @@
         }
     }
 
-    private static String entry(int i, List<String> units, String status, long sinceMs, int build) {
-        return LongListDiscovery.entry(i, units.get(i % units.size()), i % 3 == 0 ? "east" : "west", "service-" + i % SERVICES,
+    private static String entry(int i, List<String> endpoints, String status, long sinceMs, int build) {
+        return LongListDiscovery.entry(i, endpoints.get(i % endpoints.size()), i % 3 == 0 ? "east" : "west", "service-" + i % SERVICES,
             status, sinceMs, build);
     }
 
-    private static Map<String, Object> measured(Play play, List<String> units, LongListDiscovery list, Relay relay)
+    private static Map<String, Object> measured(Play play, List<String> endpoints, LongListDiscovery list, Relay relay)
             throws Exception {
         Map<String, Object> row = new LinkedHashMap<>();
-        row.put("units", play.units);
+        row.put("units", play.endpoints);
         row.put("membership", play.membership == null ? "off" : "{" + play.membership + "}");
         row.put("readyMs", relay.ready(60_000));
         row.put("readyCpuMs", relay.cpuUs() / 1_000);
@@ -208,7 +208,7 @@
         row.put("quietCorePercent", round(quiet * 100));
         long bytes = list.bytesOut();
         cpuUs = relay.cpuUs();
-        long index = changes(units, list, play.units);
+        long index = changes(endpoints, list, play.endpoints);
         double changing = (relay.cpuUs() - cpuUs) / 1e6 / CHANGES_S;
         row.put("changesCorePercent", round(changing * 100));
         row.put("changesBytesPerS", (list.bytesOut() - bytes) / CHANGES_S);
@@ -236,21 +236,21 @@
     }
 
     /** An ordinary day's changes for a while; returns the last one's index. */
-    private static long changes(List<String> units, LongListDiscovery list, int size) throws InterruptedException {
+    private static long changes(List<String> endpoints, LongListDiscovery list, int size) throws InterruptedException {
         long fromNs = System.nanoTime();
         long index = list.index();
         for (int i = 0; i * (long) STEP_MS < CHANGES_S * 1_000L; i++) {
             long dueNs = fromNs + TimeUnit.MILLISECONDS.toNanos(i * (long) STEP_MS);
             TimeUnit.NANOSECONDS.sleep(Math.max(0, dueNs - System.nanoTime()));
-            int unit = (int) (i / 3 * 7_919L % size);
+            int endpoint = (int) (i / 3 * 7_919L % size);
             long nowMs = System.currentTimeMillis();
             index = switch (i % 3) {
-                case 0 -> list.change(unit, entry(unit, units, "terminating", 0, 1));
-                case 1 -> list.leave(unit, entry(unit, units, "terminated", 0, 1));
-                default -> list.change(unit, entry(unit, units, "in_service", nowMs, 1));
+                case 0 -> list.change(endpoint, entry(endpoint, endpoints, "terminating", 0, 1));
+                case 1 -> list.leave(endpoint, entry(endpoint, endpoints, "terminated", 0, 1));
+                default -> list.change(endpoint, entry(endpoint, endpoints, "in_service", nowMs, 1));
             };
             if (i == 20) {
-                index = list.leave(size - 1, entry(size - 1, units, "terminated", 0, 1));
+                index = list.leave(size - 1, entry(size - 1, endpoints, "terminated", 0, 1));
             }
         }
         TimeUnit.NANOSECONDS.sleep(Math.max(0, fromNs + TimeUnit.SECONDS.toNanos(CHANGES_S) - System.nanoTime()));
--- a/src/test/java/gatelock/standin/EndpointRestriction.java
+++ b/src/test/java/gatelock/standin/EndpointRestriction.java
@@ -3,17 +3,17 @@
 import gatelock.api.RequestConstraints;
 import gatelock.api.AttemptResult;
 
-/** Bounds that name the units a req may reach, as a pool of a plan does, and nothing else. */
+/** Bounds that name the endpoints a request may reach, as a pool of a plan does, and nothing else. */
 @FunctionalInterface
 public interface EndpointRestriction extends RequestConstraints {
     @Override
-    default int mostTries() {
-        return NONE.mostTries();
+    default int mostAttempts() {
+        return NONE.mostAttempts();
     }
 
     @Override
-    default long tryUs() {
-        return NONE.tryUs();
+    default long attemptUs() {
+        return NONE.attemptUs();
     }
 
     @Override
--- a/src/test/java/gatelock/standin/FakeDeployment.java
+++ b/src/test/java/gatelock/standin/FakeDeployment.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All that a relay of examples/relay.json speaks to, on free ports: units that take 5 ms if nothing else is said,
- * discovery, the release desk.
+ * All that a relay of examples/relay.json speaks to, on free ports: endpoints that take 5 ms if nothing else is said,
+ * discovery, the release controller.
  */
 public final class FakeDeployment implements AutoCloseable {
     private static final String NEWS =
@@ -20,32 +20,32 @@
 
     private final ExecutorService threads = HttpStandIn.threads("village");
     private final List<HttpServer> servers = new ArrayList<>();
-    private final List<HttpServer> units = new ArrayList<>();
+    private final List<HttpServer> endpoints = new ArrayList<>();
     private final AtomicLong[] did;
     private final HttpServer discovery;
-    private final HttpServer desk;
+    private final HttpServer controller;
 
-    /** As many units, named a, b, c and so on, by turns in zone east and west. */
+    /** As many endpoints, named a, b, c and so on, by turns in zone east and west. */
     public FakeDeployment(int howMany) throws IOException {
         this(howMany, 5);
     }
 
-    /** The same with units that take so long; 0: as long as they need to answer. */
+    /** The same with endpoints that take so long; 0: as long as they need to answer. */
     public FakeDeployment(int howMany, long workMs) throws IOException {
         did = new AtomicLong[howMany];
         for (int i = 0; i < howMany; i++) {
             AtomicLong mine = new AtomicLong();
             did[i] = mine;
-            HttpServer unit = server();
+            HttpServer endpoint = server();
             String name = name(i);
-            unit.createContext("/", call -> {
+            endpoint.createContext("/", call -> {
                 call.getRequestBody().readAllBytes();
                 sleep(workMs);
                 mine.incrementAndGet();
                 HttpStandIn.answer(call, "unit " + name + " did " + call.getRequestMethod() + " " + call.getRequestURI()
                     + "\n");
             });
-            units.add(unit);
+            endpoints.add(endpoint);
         }
         discovery = server();
         discovery.createContext("/api/targets", call -> {
@@ -55,9 +55,9 @@
             }
             HttpStandIn.answer(call, query == null ? list() : "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
         });
-        desk = server();
-        desk.createContext("/v2/projects/main/judgements", call -> HttpStandIn.answer(call, NEWS));
-        desk.createContext("/v2/projects/main/changes", call -> {
+        controller = server();
+        controller.createContext("/v2/projects/main/judgements", call -> HttpStandIn.answer(call, NEWS));
+        controller.createContext("/v2/projects/main/changes", call -> {
             call.sendResponseHeaders(200, 0);
             try (OutputStream out = call.getResponseBody()) {
                 out.write(("{\"type\":\"news\",\"object\":" + NEWS + "}\n")
@@ -75,14 +75,14 @@
         return "" + (char) ('a' + i);
     }
 
-    /** Where a unit is to be reached. */
-    public String address(int unit) {
-        return HttpStandIn.at(units.get(unit));
+    /** Where an endpoint is to be reached. */
+    public String address(int endpoint) {
+        return HttpStandIn.at(endpoints.get(endpoint));
     }
 
-    /** How many reqs a unit has done. */
-    public long did(int unit) {
-        return did[unit].get();
+    /** How many requests an endpoint has done. */
+    public long did(int endpoint) {
+        return did[endpoint].get();
     }
 
     /** The example's configuration with this village's addresses, two zones, and the relay's own address. */
@@ -90,7 +90,7 @@
         String known = "{\"index\": 1, \"snapshot\": true, \"endpoints\": " + entries()
             + "},\n  \"settings\"";
         return example.replace("127.0.0.1:8480", listen).replace("127.0.0.1:8500", HttpStandIn.at(discovery))
-            .replace("127.0.0.1:8501", HttpStandIn.at(desk)).replace("\"zones\": [\"east\"]",
+            .replace("127.0.0.1:8501", HttpStandIn.at(controller)).replace("\"zones\": [\"east\"]",
             "\"zones\": [\"east\", \"west\"]")
             .replaceFirst("(?s)\\{\"index\".*?\\]\\},\\s*\"settings\"", known);
     }
@@ -101,10 +101,10 @@
 
     private String entries() {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < units.size(); i++) {
+        for (int i = 0; i < endpoints.size(); i++) {
             entries.add(String.format("{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"type\":\"small\",\"group\":0,"
                 + "\"status\":\"in_service\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}", name(i),
-                HttpStandIn.at(units.get(i)),
+                HttpStandIn.at(endpoints.get(i)),
                 i % 2 == 0 ? "east" : "west"));
         }
         return entries.toString();
--- a/src/test/java/gatelock/standin/NoOpActions.java
+++ b/src/test/java/gatelock/standin/NoOpActions.java
@@ -6,7 +6,7 @@
 /** A way out on which nothing is done; whoever looks at some of its calls says which. */
 public interface NoOpActions extends DecisionActions {
     @Override
-    default void send(String id, String unit, long timeoutUs) {
+    default void send(String id, String endpoint, long timeoutUs) {
     }
 
     @Override
@@ -18,7 +18,7 @@
     }
 
     @Override
-    default void cancel(String id, int tryNo) {
+    default void cancel(String id, int attemptNo) {
     }
 
     @Override
--- a/src/test/java/gatelock/standin/OpenLoop.java
+++ b/src/test/java/gatelock/standin/OpenLoop.java
@@ -15,14 +15,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that send reqs at set times, whatever has come back by then, as long as one of them is free. Each req is
+ * Clients that send requests at set times, whatever has come back by then, as long as one of them is free. Each request is
  * timed from when it was due, so that a stall counts for all that should have been sent in it.
  */
 public final class OpenLoop {
 
     /**
-     * @param us of the reqs answered with 200
-     * @param other reqs with another answer, or none
+     * @param us of the requests answered with 200
+     * @param other requests with another answer, or none
      */
     public record Result(Histogram us, long other) {
     }
@@ -30,7 +30,7 @@
     private OpenLoop() {
     }
 
-    /** So many reqs a second for so long, from clients that share the ports by turns. */
+    /** So many requests a second for so long, from clients that share the ports by turns. */
     public static Result run(int[] ports, int clients, int perS, int seconds) throws InterruptedException {
         Histogram us = new ConcurrentHistogram(3);
         LongAdder other = new LongAdder();
@@ -89,7 +89,7 @@
         return null;
     }
 
-    /** One req of the class 'read'; the status of its answer, which is read to its end. */
+    /** One request of the class 'read'; the status of its answer, which is read to its end. */
     public static int ask(Socket socket, String id) throws IOException {
         return call(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\n\r\n").status();
     }
--- a/src/test/java/gatelock/standin/SessionBenchmark.java
+++ b/src/test/java/gatelock/standin/SessionBenchmark.java
@@ -17,7 +17,7 @@
 /**
  * Measures sessions through one relay with the platform's flags: memory held by idle ones, added time of an
  * echo, and ordinary
- * reqs beside them. Not a test: run by {@code make measure-sessions}.
+ * requests beside them. Not a test: run by {@code make measure-sessions}.
  */
 public final class SessionBenchmark {
     private static final int SOCKETS = 20_000;
@@ -32,11 +32,11 @@
             port = free.getLocalPort();
         }
         try (FakeDeployment village = new FakeDeployment(1); WebSocketEndpoint hive = new WebSocketEndpoint(); ControlService control = new ControlService()) {
-            String unit = "127.0.0.1:" + hive.address().split(":")[1];
-            // No discovery: the list that the relay begins with names the one unit that speaks both.
+            String endpoint = "127.0.0.1:" + hive.address().split(":")[1];
+            // No discovery: the list that the relay begins with names the one endpoint that speaks both.
             String text = Files.readString(Path.of("examples/relay.json")).replace("127.0.0.1:8500", "127.0.0.1:1");
             String example = village.configuration(text, "127.0.0.1:" + port)
-                .replaceFirst("\"address\":\"[^\"]*\"", "\"address\":\"" + unit + "\"")
+                .replaceFirst("\"address\":\"[^\"]*\"", "\"address\":\"" + endpoint + "\"")
                 .replace("\"sockets\": 1024", "\"sockets\": " + SOCKETS);
             Path config = directory.resolve("relay.json");
             Files.writeString(config, example);
@@ -82,11 +82,11 @@
     }
 
     private static void open(List<WebSocketPeer> tablets, int target, int port) throws Exception {
-        for (int tries = 0; tablets.size() < target && tries < 10 * target; tries++) {
+        for (int attempts = 0; tablets.size() < target && attempts < 10 * target; attempts++) {
             try {
-                tablets.add(WebSocketPeer.open(port, "/read/x", "s" + tries + "-" + System.nanoTime(), ""));
+                tablets.add(WebSocketPeer.open(port, "/read/x", "s" + attempts + "-" + System.nanoTime(), ""));
             } catch (IOException e) {
-                if (tries % 500 == 0) {
+                if (attempts % 500 == 0) {
                     System.out.println("not opened: " + e.getMessage().lines().findFirst().orElse(""));
                 }
                 TimeUnit.MILLISECONDS.sleep(20);
--- a/src/test/java/gatelock/standin/WebSocketEndpoint.java
+++ b/src/test/java/gatelock/standin/WebSocketEndpoint.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A unit that speaks WebSocket: opens sessions, echoes texts, and notes with its time all that came. */
+/** An endpoint that speaks WebSocket: opens sessions, echoes texts, and notes with its time all that came. */
 public final class WebSocketEndpoint implements AutoCloseable {
     /** What came on one session, when. */
     public record Came(long ns, String what) {
@@ -71,7 +71,7 @@
         return log;
     }
 
-    /** This unit's end of the session that was opened next. */
+    /** This endpoint's end of the session that was opened next. */
     public WebSocketPeer next() throws InterruptedException {
         WebSocketPeer tablet = opened.poll(20, TimeUnit.SECONDS);
         if (tablet == null) {
@@ -108,7 +108,7 @@
                 return;
             }
             if (key == null) {
-                // An ordinary req.
+                // An ordinary request.
                 write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone\n");
             }
         }
--- a/src/test/java/gatelock/state/ClientConnectionsTest.java
+++ b/src/test/java/gatelock/state/ClientConnectionsTest.java
@@ -20,7 +20,7 @@
     /** One client's side of a connection, and what the kernel holds for the relay. */
     private static final class Client {
         private boolean open = true;
-        /** Parts of a req written and, of these, read; three make it whole. */
+        /** Parts of a request written and, of these, read; three make it whole. */
         private int written;
         private int read;
         private boolean answering;
@@ -109,7 +109,7 @@
     }
 
     @Property(tries = 300, seed = "16")
-    void noReqIsCutOffWhateverTheOrder(@ForAll long seed, @ForAll @DoubleRange(min = 0.01,
+    void noRequestIsCutOffWhateverTheOrder(@ForAll long seed, @ForAll @DoubleRange(min = 0.01,
         max = 0.4) double share) {
         World world = new World(seed, 20, 40);
         for (int i = 0; i < STEPS; i++) {
