--- a/src/main/java/gatelock/api/DecisionEngine.java
+++ b/src/main/java/gatelock/api/DecisionEngine.java
@@ -9,13 +9,30 @@
 public interface DecisionEngine {
 
     /** What a list of endpoints is: what changed, all there is, a remembered whole, or notice that none came. */
-    enum ListForm { DELTA, FULL, CACHED, FAILED }
+    enum ListForm {
+        DELTA,
+        FULL,
+        CACHED,
+        FAILED
+    }
 
     /** The state of the newest build at the release controller, in the order in which a build comes to them. */
-    enum Phase { TRIAL, RELEASED, REVERTING, WITHDRAWN }
+    enum Phase {
+        TRIAL,
+        RELEASED,
+        REVERTING,
+        WITHDRAWN
+    }
 
     /** How a vote was answered: {@code NOT_ASKED} marks news that answers no vote. */
-    enum VoteAnswer { NOT_ASKED, COUNTED, MOOT, BUSY, ERROR, TIMED_OUT }
+    enum VoteAnswer {
+        NOT_ASKED,
+        COUNTED,
+        MOOT,
+        BUSY,
+        ERROR,
+        TIMED_OUT
+    }
 
     /** Called once, before anything else. */
     void start(long nowUs);
@@ -32,14 +49,25 @@
     }
 
     /** The same of a request for which more was set than the charter's terms. */
-    RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-        RequestConstraints bounds);
+    RequestHandle take(
+            long nowUs,
+            String id,
+            int route,
+            int tenant,
+            long key,
+            long leftUs,
+            long costUs,
+            RequestConstraints bounds);
 
     /** Stands for a request without a key. */
     long NO_KEY = -1;
 
     /** When a message of an open session may go to its endpoint. */
-    enum Passing { NOW, LATER, NEVER }
+    enum Passing {
+        NOW,
+        LATER,
+        NEVER
+    }
 
     /**
      * A message of a session that stands at an endpoint is to go there. It counts as a request taken and, at a build
--- a/src/main/java/gatelock/api/Endpoint.java
+++ b/src/main/java/gatelock/api/Endpoint.java
@@ -4,5 +4,9 @@
 public record Endpoint(String endpoint, int build, int zone, int kind, int cell, Health health, long startUs) {
 
     /** What the list knows of the process. */
-    public enum Health { READY, DRAINING, GONE }
+    public enum Health {
+        READY,
+        DRAINING,
+        GONE
+    }
 }
--- a/src/main/java/gatelock/api/RoutePolicy.java
+++ b/src/main/java/gatelock/api/RoutePolicy.java
@@ -4,8 +4,16 @@
 public record RoutePolicy(Repeat repeat, Group group, long rememberUs, long objectiveUs, double value) {
 
     /** Whether a request may run again. */
-    public enum Repeat { RETRIABLE, DEDUPED, NON_RETRIABLE }
+    public enum Repeat {
+        RETRIABLE,
+        DEDUPED,
+        NON_RETRIABLE
+    }
 
     /** Which endpoints drop a repeat of a deduped request. */
-    public enum Group { ALL, ZONE, CELL }
+    public enum Group {
+        ALL,
+        ZONE,
+        CELL
+    }
 }
--- a/src/main/java/gatelock/api/Verdict.java
+++ b/src/main/java/gatelock/api/Verdict.java
@@ -1,4 +1,9 @@
 package gatelock.api;
 
 /** A vote on the canary build. */
-public enum Verdict { NONE, ON, HOLD, BACK }
+public enum Verdict {
+    NONE,
+    ON,
+    HOLD,
+    BACK
+}
--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -1,23 +1,16 @@
 package gatelock.boot;
 
-import gatelock.simulator.SimulatorHost;
-import gatelock.config.RequestAttributes;
+import com.fasterxml.jackson.jr.ob.JSON;
+import gatelock.config.CompiledConfig;
 import gatelock.config.ConfigCompiler;
 import gatelock.config.ConfigDiff;
-import gatelock.config.RouteExplainer;
+import gatelock.config.ConfigVersion;
+import gatelock.config.DeploymentContext;
 import gatelock.config.Diagnostic;
+import gatelock.config.RequestAttributes;
+import gatelock.config.RouteExplainer;
 import gatelock.config.SchemaValidator;
-import gatelock.config.DeploymentContext;
-import gatelock.config.CompiledConfig;
-import gatelock.config.ConfigVersion;
-
-import com.fasterxml.jackson.jr.ob.JSON;
-
-import picocli.CommandLine;
-import picocli.CommandLine.Command;
-import picocli.CommandLine.Option;
-import picocli.CommandLine.Parameters;
-
+import gatelock.simulator.SimulatorHost;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.URI;
@@ -35,33 +28,52 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
+import picocli.CommandLine;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
 
 /**
  * The command line. Each command ends with 0: good, 1: findings or a refusal, 2: input that can't be used.
  */
-@Command(name = "gatelock", mixinStandardHelpOptions = true, version = "gatelock 0.1.0",
-    description = "Routes reqs while builds are released in stages, and votes on them.",
-    exitCodeListHeading = "%nExit codes:%n", exitCodeList = {"0:good",
-    "1:findings, a difference, or a refusal",
-        "2:input that can't be used"},
-    subcommands = {Commands.Serve.class, Commands.Rehearse.class, Commands.Wire.class, Commands.Check.class,
-        Commands.Differ.class, Commands.Explains.class, Commands.Schema.class, Commands.Status.class,
-        Commands.History.class, Commands.Back.class, Commands.Release.class, CommandLine.HelpCommand.class})
+@Command(
+        name = "gatelock",
+        mixinStandardHelpOptions = true,
+        version = "gatelock 0.1.0",
+        description = "Routes reqs while builds are released in stages, and votes on them.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {"0:good", "1:findings, a difference, or a refusal", "2:input that can't be used"},
+        subcommands = {
+            Commands.Serve.class,
+            Commands.Rehearse.class,
+            Commands.Wire.class,
+            Commands.Check.class,
+            Commands.Differ.class,
+            Commands.Explains.class,
+            Commands.Schema.class,
+            Commands.Status.class,
+            Commands.History.class,
+            Commands.Back.class,
+            Commands.Release.class,
+            CommandLine.HelpCommand.class
+        })
 final class Commands {
     static final int GOOD = 0;
     static final int FINDINGS = 1;
     static final int UNUSABLE = 2;
 
-    private Commands() {
-    }
+    private Commands() {}
 
     /** Runs one command and gives its exit code, or a negative one where the program goes on running. */
     static int run(PrintWriter out, PrintWriter err, String... args) {
-        return new CommandLine(new Commands()).setOut(out).setErr(err)
-            .setExecutionExceptionHandler((e, line, parsed) -> {
-                line.getErr().println("gatelock: " + (e instanceof Unusable ? e.getMessage() : e.toString()));
-                return UNUSABLE;
-            }).execute(args);
+        return new CommandLine(new Commands())
+                .setOut(out)
+                .setErr(err)
+                .setExecutionExceptionHandler((e, line, parsed) -> {
+                    line.getErr().println("gatelock: " + (e instanceof Unusable ? e.getMessage() : e.toString()));
+                    return UNUSABLE;
+                })
+                .execute(args);
     }
 
     /** Input that can't be used; its message is all there is to say. */
@@ -81,7 +93,10 @@
         @Option(names = "--json", description = "answer as JSON")
         private boolean json;
 
-        @Option(names = {"-h", "--help"}, usageHelp = true, description = "show this help")
+        @Option(
+                names = {"-h", "--help"},
+                usageHelp = true,
+                description = "show this help")
         private boolean help;
 
         final boolean json() {
@@ -101,15 +116,18 @@
 
     /** What commands on files share: the deployment that a version is for. */
     abstract static class OnFiles extends Saying {
-        @Option(names = "--deployment", paramLabel = "CONFIG", defaultValue = "${env:PROXY_CONFIG}",
-            description = "the relay's configuration, for classes, tenants, zones and kinds (default: "
-                + "$PROXY_CONFIG)")
+        @Option(
+                names = "--deployment",
+                paramLabel = "CONFIG",
+                defaultValue = "${env:PROXY_CONFIG}",
+                description = "the relay's configuration, for classes, tenants, zones and kinds (default: "
+                        + "$PROXY_CONFIG)")
         private Path deployment;
 
         final DeploymentContext grounds() throws Unusable {
             if (deployment == null) {
-                throw new Unusable("no deployment: name a relay's configuration with --deployment or "
-                    + "PROXY_CONFIG");
+                throw new Unusable(
+                        "no deployment: name a relay's configuration with --deployment or " + "PROXY_CONFIG");
             }
             try {
                 return RelayConfig.read(deployment).grounds();
@@ -136,8 +154,10 @@
 
         static String lines(Path file, List<Diagnostic> findings) {
             StringBuilder lines = new StringBuilder();
-            findings.forEach(f -> lines.append(lines.length() == 0 ? "" : "\n").append(file).append(':')
-                .append(f));
+            findings.forEach(f -> lines.append(lines.length() == 0 ? "" : "\n")
+                    .append(file)
+                    .append(':')
+                    .append(f));
             return lines.toString();
         }
     }
@@ -150,9 +170,10 @@
         @Option(names = "--cold", description = "without a rehearsal")
         private boolean cold;
 
-        @Option(names = "--operator", paramLabel = "FILE",
-            description = "the operator's own file; without it all that it "
-            + "names is off")
+        @Option(
+                names = "--operator",
+                paramLabel = "FILE",
+                description = "the operator's own file; without it all that it " + "names is off")
         private Path operator;
 
         @Override
@@ -161,13 +182,16 @@
                 throw new Unusable("serve knows no " + word);
             }
             return Main.serve(cold || word != null ? RelayService.Start.COLD : RelayService.Start.REHEARSED, operator)
-                ? -1 : UNUSABLE;
+                    ? -1
+                    : UNUSABLE;
         }
     }
 
-    @Command(name = "rehearse", description = "Rehearses on a free port and ends; the build learns from "
-        + "it which classes a "
-        + "relay needs.")
+    @Command(
+            name = "rehearse",
+            description = "Rehearses on a free port and ends; the build learns from "
+                    + "it which classes a "
+                    + "relay needs.")
     static final class Rehearse extends Saying {
         @Override
         public Integer call() {
@@ -175,8 +199,9 @@
         }
     }
 
-    @Command(name = "wirehost", description = "The decisions on the simulator's wire, on standard input "
-        + "and output.")
+    @Command(
+            name = "wirehost",
+            description = "The decisions on the simulator's wire, on standard input " + "and output.")
     static final class Wire extends Saying {
         @Override
         public Integer call() throws IOException {
@@ -185,8 +210,9 @@
         }
     }
 
-    @Command(name = "check", description = "Checks a version for a deployment and tells all that is wrong "
-        + "with it.")
+    @Command(
+            name = "check",
+            description = "Checks a version for a deployment and tells all that is wrong " + "with it.")
     static final class Check extends OnFiles {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -196,16 +222,23 @@
             ConfigCompiler.Compiled compiled = compiled(file, grounds());
             Map<String, Object> said = new LinkedHashMap<>();
             said.put("good", compiled.good());
-            said.put("findings", compiled.findings().stream().map(Diagnostic::fields).toList());
+            said.put(
+                    "findings",
+                    compiled.findings().stream().map(Diagnostic::fields).toList());
             String lines = lines(file, compiled.findings());
-            say(said, (lines.isEmpty() ? "" : lines + "\n") + (compiled.good() ? file + ": good, "
-                + compiled.plan().routes() + " routes" : file + ": would be turned down"));
+            say(
+                    said,
+                    (lines.isEmpty() ? "" : lines + "\n")
+                            + (compiled.good()
+                                    ? file + ": good, " + compiled.plan().routes() + " routes"
+                                    : file + ": would be turned down"));
             return compiled.good() ? GOOD : FINDINGS;
         }
     }
 
-    @Command(name = "diff", description = "What changes for which reqs from one version to another; 1 "
-        + "where something does.")
+    @Command(
+            name = "diff",
+            description = "What changes for which reqs from one version to another; 1 " + "where something does.")
     static final class Differ extends OnFiles {
         @Parameters(index = "0", paramLabel = "OLD")
         private Path before;
@@ -217,8 +250,9 @@
         public Integer call() throws Exception {
             DeploymentContext grounds = grounds();
             List<String> lines = ConfigDiff.of(sound(before, grounds), sound(after, grounds), grounds);
-            say(Map.of("differences", lines), lines.isEmpty() ? "no req is treated otherwise"
-                : String.join("\n", lines));
+            say(
+                    Map.of("differences", lines),
+                    lines.isEmpty() ? "no req is treated otherwise" : String.join("\n", lines));
             return lines.isEmpty() ? GOOD : FINDINGS;
         }
     }
@@ -245,11 +279,15 @@
             DeploymentContext grounds = grounds();
             Map<String, String> lower = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
             lower.putAll(headers);
-            Map<String, Object> said = RouteExplainer.of(sound(file, grounds), grounds,
-                new RequestAttributes(method.toUpperCase(Locale.ROOT), host, path, lower::get));
+            Map<String, Object> said = RouteExplainer.of(
+                    sound(file, grounds),
+                    grounds,
+                    new RequestAttributes(method.toUpperCase(Locale.ROOT), host, path, lower::get));
             StringBuilder text = new StringBuilder();
-            said.forEach((k, v) -> text.append(text.length() == 0 ? "" : "\n").append(k).append(": ")
-                .append(v));
+            said.forEach((k, v) -> text.append(text.length() == 0 ? "" : "\n")
+                    .append(k)
+                    .append(": ")
+                    .append(v));
             say(said, text.toString());
             return said.containsKey("route") ? GOOD : FINDINGS;
         }
@@ -263,7 +301,8 @@
         @Override
         public Integer call() throws Unusable {
             try {
-                out().println(SchemaValidator.valueOf(which.toUpperCase(Locale.ROOT)).text());
+                out().println(SchemaValidator.valueOf(which.toUpperCase(Locale.ROOT))
+                        .text());
                 out().flush();
                 return GOOD;
             } catch (IllegalArgumentException e) {
@@ -274,8 +313,7 @@
 
     /** What commands to a running relay share. */
     abstract static class Asking extends Saying {
-        @Option(names = "--at", required = true, paramLabel = "ADDRESS",
-            description = "the relay's operator listener")
+        @Option(names = "--at", required = true, paramLabel = "ADDRESS", description = "the relay's operator listener")
         private String at;
 
         final int ask(String method, String what) throws Exception {
@@ -283,12 +321,14 @@
                 throw new Unusable("--at wants address:port, found " + at);
             }
             HttpRequest asked = HttpRequest.newBuilder(URI.create("http://" + at + what))
-                .timeout(Duration.ofSeconds(10))
-                .method(method, HttpRequest.BodyPublishers.noBody()).build();
+                    .timeout(Duration.ofSeconds(10))
+                    .method(method, HttpRequest.BodyPublishers.noBody())
+                    .build();
             try {
-                HttpResponse<String> answer = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-                    .build()
-                    .send(asked, HttpResponse.BodyHandlers.ofString());
+                HttpResponse<String> answer = HttpClient.newBuilder()
+                        .version(HttpClient.Version.HTTP_1_1)
+                        .build()
+                        .send(asked, HttpResponse.BodyHandlers.ofString());
                 Map<String, Object> said = JSON.std.mapFrom(answer.body());
                 StringBuilder text = new StringBuilder();
                 said.forEach((k, v) -> lines(text, k, v));
@@ -320,8 +360,9 @@
         }
     }
 
-    @Command(name = "history", description = "Which versions a running relay had in force, since when, "
-        + "whose and why.")
+    @Command(
+            name = "history",
+            description = "Which versions a running relay had in force, since when, " + "whose and why.")
     static final class History extends Asking {
         @Override
         public Integer call() throws Exception {
--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -1,18 +1,17 @@
 package gatelock.boot;
 
-import gatelock.discovery.DiscoveryClient;
-import gatelock.net.ConnectionPool;
-import gatelock.net.EventLoop;
-import gatelock.control.LastKnownGoodStore;
-import gatelock.control.ConfigUpdater;
-import gatelock.control.ConfigSubscription;
-import gatelock.control.AdminServer;
-import gatelock.state.Counters;
 import gatelock.config.Admission;
 import gatelock.config.Backoff;
 import gatelock.config.ConfigCompiler;
 import gatelock.config.VersionTracker;
-
+import gatelock.control.AdminServer;
+import gatelock.control.ConfigSubscription;
+import gatelock.control.ConfigUpdater;
+import gatelock.control.LastKnownGoodStore;
+import gatelock.discovery.DiscoveryClient;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.state.Counters;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -29,6 +28,7 @@
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
     /** A relay that has no version yet waits so long for its first one before it says that it is ready. */
     private static final long FIRST_WITHIN_US = 2_000_000;
+
     private static final long FIRST_WAIT_US = 200_000;
     private static final long LOOK_US = 20_000;
     /**
@@ -39,6 +39,7 @@
      * that would just have fitted.
      */
     private static final long HEAP_FOR_A_BYTE = 64;
+
     private static final long OPEN_US = 1_000_000;
     private static final long IDLE_US = 30_000_000;
 
@@ -56,21 +57,35 @@
         this.control = operator.control();
         this.listener = operator.listener();
         admission = new Admission(control.mostDropped());
-        int mostBytes = (int) Math.min(control.mostBytes(), Runtime.getRuntime()
-            .maxMemory() / HEAP_FOR_A_BYTE);
+        int mostBytes = (int) Math.min(control.mostBytes(), Runtime.getRuntime().maxMemory() / HEAP_FOR_A_BYTE);
         if (mostBytes < control.mostBytes()) {
-            LOG.log(Level.INFO, "versions of up to " + mostBytes + " bytes are taken, not "
-                + control.mostBytes()
-                + ": more could fill this relay's memory");
+            LOG.log(
+                    Level.INFO,
+                    "versions of up to " + mostBytes + " bytes are taken, not "
+                            + control.mostBytes()
+                            + ": more could fill this relay's memory");
         }
         keep = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), mostBytes);
-        steward = new ConfigUpdater(turn, counters, new VersionTracker(control.history()), admission,
-            new ConfigCompiler(told.grounds()), keep);
+        steward = new ConfigUpdater(
+                turn,
+                counters,
+                new VersionTracker(control.history()),
+                admission,
+                new ConfigCompiler(told.grounds()),
+                keep);
         ConnectionPool lines = new ConnectionPool(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
-        subscription = new ConfigSubscription(turn, counters, lines, steward, new Backoff(FIRST_WAIT_US,
-            control.mostWaitUs(),
-            new SplittableRandom(told.charter().seed() + 2)), told.name(), control.services(),
-            control.holdMs());
+        subscription = new ConfigSubscription(
+                turn,
+                counters,
+                lines,
+                steward,
+                new Backoff(
+                        FIRST_WAIT_US,
+                        control.mostWaitUs(),
+                        new SplittableRandom(told.charter().seed() + 2)),
+                told.name(),
+                control.services(),
+                control.holdMs());
         window = new AdminServer(turn, counters, steward, () -> subscription);
     }
 
@@ -109,8 +124,9 @@
     private void await(BooleanSupplier what, Runnable then) {
         if (what.getAsBoolean()) {
             if (admission.plan() == null) {
-                LOG.log(Level.WARNING, "no version came in time: reqs go by their class, without limits, "
-                    + "until one does");
+                LOG.log(
+                        Level.WARNING,
+                        "no version came in time: reqs go by their class, without limits, " + "until one does");
             }
             then.run();
         } else {
--- a/src/main/java/gatelock/boot/LogbackHandler.java
+++ b/src/main/java/gatelock/boot/LogbackHandler.java
@@ -1,7 +1,5 @@
 package gatelock.boot;
 
-import gatelock.state.LogField;
-
 import ch.qos.logback.classic.Level;
 import ch.qos.logback.classic.LoggerContext;
 import ch.qos.logback.classic.encoder.JsonEncoder;
@@ -9,15 +7,14 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.encoder.EncoderBase;
-
-import org.slf4j.LoggerFactory;
-import org.slf4j.spi.LoggingEventBuilder;
-
+import gatelock.state.LogField;
 import java.text.MessageFormat;
 import java.util.logging.Handler;
 import java.util.logging.LogManager;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
+import org.slf4j.LoggerFactory;
+import org.slf4j.spi.LoggingEventBuilder;
 
 /**
  * Log lines through logback, plain or as JSON, where the operator's file asks for it. System.Logger stays the
@@ -50,8 +47,7 @@
             all.removeHandler(before);
         }
         all.addHandler(new LogbackHandler(context));
-        OURS.setLevel(least.toInt() <= Level.DEBUG_INT ? java.util.logging.Level.FINE
-            : java.util.logging.Level.INFO);
+        OURS.setLevel(least.toInt() <= Level.DEBUG_INT ? java.util.logging.Level.FINE : java.util.logging.Level.INFO);
     }
 
     /** Held, as java.util.logging forgets a level that nobody holds. */
@@ -79,10 +75,13 @@
     @Override
     public void publish(LogRecord line) {
         int weight = line.getLevel().intValue();
-        org.slf4j.event.Level level = weight >= 1000 ? org.slf4j.event.Level.ERROR : weight >= 900
-            ? org.slf4j.event.Level.WARN : weight >= 800 ? org.slf4j.event.Level.INFO
-            : org.slf4j.event.Level.DEBUG;
-        LoggingEventBuilder out = context.getLogger(String.valueOf(line.getLoggerName())).atLevel(level);
+        org.slf4j.event.Level level = weight >= 1000
+                ? org.slf4j.event.Level.ERROR
+                : weight >= 900
+                        ? org.slf4j.event.Level.WARN
+                        : weight >= 800 ? org.slf4j.event.Level.INFO : org.slf4j.event.Level.DEBUG;
+        LoggingEventBuilder out =
+                context.getLogger(String.valueOf(line.getLoggerName())).atLevel(level);
         Object[] values = line.getParameters();
         String text = String.valueOf(line.getMessage());
         if (values != null && values.length > 0) {
--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -1,7 +1,6 @@
 package gatelock.boot;
 
 import gatelock.simulator.SimulatorHost;
-
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -18,8 +17,7 @@
         }
     }
 
-    private Main() {
-    }
+    private Main() {}
 
     /**
      * The words with which the platform starts a relay go past the command line's library, which costs a
@@ -35,8 +33,7 @@
             case "serve cold" -> end(serve(RelayService.Start.COLD, null) ? -1 : Commands.UNUSABLE);
             case "rehearse" -> end(serve(RelayService.Start.REHEARSAL_ONLY, null) ? -1 : Commands.UNUSABLE);
             case "wirehost" -> SimulatorHost.main(args);
-            default -> end(Commands.run(new PrintWriter(System.out, true), new PrintWriter(System.err, true),
-                args));
+            default -> end(Commands.run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args));
         }
     }
 
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -1,10 +1,9 @@
 package gatelock.boot;
 
+import gatelock.api.RelaySettings;
+import gatelock.config.DeploymentContext;
 import gatelock.net.JsonObject;
 import gatelock.simulator.SettingsDecoder;
-import gatelock.config.DeploymentContext;
-import gatelock.api.RelaySettings;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -16,10 +15,18 @@
 import java.util.Map;
 
 /** What a relay is told when it starts, read from one JSON file. */
-record RelayConfig(String name, InetSocketAddress listen, InetSocketAddress discovery,
-    InetSocketAddress controller,
-                     int sockets, JsonObject known, JsonObject news, RelaySettings charter, long openWithinUs,
-                     List<Long> deadlinesUs, Map<String, String> settings) {
+record RelayConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress controller,
+        int sockets,
+        JsonObject known,
+        JsonObject news,
+        RelaySettings charter,
+        long openWithinUs,
+        List<Long> deadlinesUs,
+        Map<String, String> settings) {
 
     /** Reads it whole; whatever is missing or odd is told in one line. */
     static RelayConfig read(Path file) throws IOException {
@@ -33,14 +40,26 @@
 
     /** This one with the addresses of another, the only things that change while a relay runs. */
     RelayConfig movedTo(RelayConfig to) {
-        return new RelayConfig(name, listen, to.discovery, to.controller, sockets, known, news, charter,
-            openWithinUs, deadlinesUs, settings);
+        return new RelayConfig(
+                name,
+                listen,
+                to.discovery,
+                to.controller,
+                sockets,
+                known,
+                news,
+                charter,
+                openWithinUs,
+                deadlinesUs,
+                settings);
     }
 
     /** Whether another one says the same but for addresses, what is listed and told, and the seed. */
     boolean sameTerms(RelayConfig other) {
-        return name.equals(other.name) && listen.equals(other.listen) && sockets == other.sockets
-            && settings.equals(other.settings);
+        return name.equals(other.name)
+                && listen.equals(other.listen)
+                && sockets == other.sockets
+                && settings.equals(other.settings);
     }
 
     private static RelayConfig readAll(Path file) throws IOException {
@@ -57,16 +76,24 @@
         // Where no time for a connection to come up is set, that of the longest request bounds it.
         long openUs = SettingsDecoder.us(settings, "limits.dialTimeoutNs");
         long longestUs = deadlinesUs.stream().mapToLong(Long::longValue).max().orElseThrow();
-        return new RelayConfig(all.text("name"), all.address("listen"), all.address("discovery"),
-            deployer.address("address"), all.object("limits").count("sockets"), all.object("known"),
-            deployer.object("news"), charter, openUs > 0 ? openUs : longestUs,
-            deadlinesUs, settings);
+        return new RelayConfig(
+                all.text("name"),
+                all.address("listen"),
+                all.address("discovery"),
+                deployer.address("address"),
+                all.object("limits").count("sockets"),
+                all.object("known"),
+                deployer.object("news"),
+                charter,
+                openUs > 0 ? openUs : longestUs,
+                deadlinesUs,
+                settings);
     }
 
     /** What a version is checked against. */
     DeploymentContext grounds() {
-        return new DeploymentContext(numbered("lanes"), charter.routes(), deadlinesUs, numbered("orgs"), plain("zones"),
-            plain("flavors"));
+        return new DeploymentContext(
+                numbered("lanes"), charter.routes(), deadlinesUs, numbered("orgs"), plain("zones"), plain("flavors"));
     }
 
     /** The names under a list of objects, by place. */
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -1,8 +1,12 @@
 package gatelock.boot;
 
+import gatelock.api.DecisionEngine;
+import gatelock.config.Admission;
+import gatelock.decision.ReleaseGate;
 import gatelock.discovery.DiscoveryClient;
 import gatelock.http.ClientListener;
 import gatelock.http.RequestReader;
+import gatelock.membership.EndpointSubset;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.pipeline.ActionExecutor;
@@ -12,16 +16,11 @@
 import gatelock.pipeline.RequestAdmitter;
 import gatelock.pipeline.ResponseWriter;
 import gatelock.release.ReleaseControllerClient;
-import gatelock.decision.ReleaseGate;
-import gatelock.state.EndpointAddresses;
+import gatelock.session.Sessions;
 import gatelock.state.Counters;
+import gatelock.state.EndpointAddresses;
 import gatelock.state.InFlightRequests;
-import gatelock.membership.EndpointSubset;
-import gatelock.config.Admission;
-import gatelock.api.DecisionEngine;
-import gatelock.session.Sessions;
 import gatelock.websocket.WebSocketUpgrader;
-
 import java.io.IOException;
 import java.util.SplittableRandom;
 
@@ -51,8 +50,14 @@
      * @param sessions null: none are opened
      * @param membership what endpoints are used of those that are listed; null: all
      */
-    RequestPipeline(RelayConfig told, EventLoop turn, Counters counters, ClientListener front, Admission admission,
-        Sessions sessions, OperatorConfig.Membership membership) {
+    RequestPipeline(
+            RelayConfig told,
+            EventLoop turn,
+            Counters counters,
+            ClientListener front,
+            Admission admission,
+            Sessions sessions,
+            OperatorConfig.Membership membership) {
         this.told = told;
         this.membership = membership;
         this.admission = admission;
@@ -61,8 +66,8 @@
         this.counters = counters;
         open = new InFlightRequests(counters);
         // An idle connection is closed well before the endpoint would, so that no request crosses its end.
-        endpoints = new ConnectionPool(turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets()
-            * 2 / 5);
+        endpoints = new ConnectionPool(
+                turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets() * 2 / 5);
         ResponseWriter relayBack = new ResponseWriter(turn, open, counters);
         OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
         sendOff = new AttemptSender(turn, endpoints, book);
@@ -70,10 +75,26 @@
         orders = new ActionExecutor(turn, open);
         gate = new ReleaseGate(told.charter(), orders);
         orders.bind(gate, routeOut, relayBack, book);
-        admit = new RequestAdmitter(turn, open, counters, book, relayBack, gate, admission,
-            told.charter().pausesHeard() ? told.charter().longestPauseUs() : 0);
-        takeIn = new RequestReader(counters, new RequestReader.Names(told.numbered("lanes"), told.numbered("orgs"),
-            told.charter().routes(), told.deadlinesUs()), turn, admit, front, admission);
+        admit = new RequestAdmitter(
+                turn,
+                open,
+                counters,
+                book,
+                relayBack,
+                gate,
+                admission,
+                told.charter().pausesHeard() ? told.charter().longestPauseUs() : 0);
+        takeIn = new RequestReader(
+                counters,
+                new RequestReader.Names(
+                        told.numbered("lanes"),
+                        told.numbered("orgs"),
+                        told.charter().routes(),
+                        told.deadlinesUs()),
+                turn,
+                admit,
+                front,
+                admission);
         if (sessions != null) {
             takeIn.opensBy(new WebSocketUpgrader(turn, counters, book, gate, sessions));
         }
@@ -81,13 +102,31 @@
 
     /** Begins from what the configuration holds, and follows discovery and the release controller from there. */
     void start() throws IOException {
-        ConnectionPool platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
-        controller = new ReleaseControllerClient(turn, counters, platform, told.controller(), told.charter().rollout().voteWaitUs());
-        discovery = new DiscoveryClient(turn, counters, platform, told.discovery(), addresses, endpoints,
-            told.plain("zones"), told.plain("flavors"), told.charter().mustAskForList(),
-            new SplittableRandom(told.charter().seed() + 1), membership == null ? null
-            : new DiscoveryClient.Membership(new EndpointSubset(membership.terms()), membership.service(),
-            membership.mostListBytes()));
+        ConnectionPool platform =
+                new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
+        controller = new ReleaseControllerClient(
+                turn,
+                counters,
+                platform,
+                told.controller(),
+                told.charter().rollout().voteWaitUs());
+        discovery = new DiscoveryClient(
+                turn,
+                counters,
+                platform,
+                told.discovery(),
+                addresses,
+                endpoints,
+                told.plain("zones"),
+                told.plain("flavors"),
+                told.charter().mustAskForList(),
+                new SplittableRandom(told.charter().seed() + 1),
+                membership == null
+                        ? null
+                        : new DiscoveryClient.Membership(
+                                new EndpointSubset(membership.terms()),
+                                membership.service(),
+                                membership.mostListBytes()));
         if (membership != null) {
             sendOff.whenEnded(discovery::ended);
         }
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -1,11 +1,10 @@
 package gatelock.boot;
 
-import gatelock.api.RequestConstraints;
 import gatelock.api.DecisionEngine;
-import gatelock.api.RequestHandle;
 import gatelock.api.Endpoint;
+import gatelock.api.RequestConstraints;
+import gatelock.api.RequestHandle;
 import gatelock.session.Sessions;
-
 import java.util.List;
 
 /** The decisions, with all that is told of endpoints and builds told to the sessions too. */
@@ -17,8 +16,15 @@
     }
 
     @Override
-    public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-        RequestConstraints bounds) {
+    public RequestHandle take(
+            long nowUs,
+            String id,
+            int route,
+            int tenant,
+            long key,
+            long leftUs,
+            long costUs,
+            RequestConstraints bounds) {
         return gate.take(nowUs, id, route, tenant, key, leftUs, costUs, bounds);
     }
 
@@ -34,8 +40,7 @@
     }
 
     @Override
-    public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs,
-        VoteAnswer answer) {
+    public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer) {
         gate.news(nowUs, build, stage, phase, cap, agoUs, answer);
         if (answer == VoteAnswer.NOT_ASKED || answer == VoteAnswer.COUNTED) {
             sessions.news(nowUs, build, phase);
--- a/src/main/java/gatelock/boot/SettingsValidator.java
+++ b/src/main/java/gatelock/boot/SettingsValidator.java
@@ -13,6 +13,7 @@
 final class SettingsValidator {
     /** No time is longer; sums of them still fit. */
     private static final double MOST_NS = 1e15;
+
     private static final double MOST = 1e12;
 
     private final Map<String, String> settings;
@@ -45,13 +46,29 @@
         }
         all.named("orgs", tenants);
         all.within("replicasOfMe", 1, MOST, false, "say how many relays there are");
-        for (String time : new String[] {"limits.dialTimeoutNs", "limits.connIdleNs", "limits.maxRetryAfterNs",
-            "safety.stopSendingWithinNs", "safety.warmWithinNs", "safety.fallNs", "familyInfo.bakeNs",
-            "familyInfo.voteLifeNs", "familyInfo.voteWaitNs", "familyInfo.countedOverNs"}) {
+        for (String time : new String[] {
+            "limits.dialTimeoutNs",
+            "limits.connIdleNs",
+            "limits.maxRetryAfterNs",
+            "safety.stopSendingWithinNs",
+            "safety.warmWithinNs",
+            "safety.fallNs",
+            "familyInfo.bakeNs",
+            "familyInfo.voteLifeNs",
+            "familyInfo.voteWaitNs",
+            "familyInfo.countedOverNs"
+        }) {
             all.within(time, 0, MOST_NS, false, "give a time in ns, or leave it out");
         }
-        for (String count : new String[] {"limits.tryLimit", "familyInfo.free", "familyInfo.apiRate",
-            "familyInfo.toAbort", "safety.overloadFactor", "costs.handshake", "overShareWorth"}) {
+        for (String count : new String[] {
+            "limits.tryLimit",
+            "familyInfo.free",
+            "familyInfo.apiRate",
+            "familyInfo.toAbort",
+            "safety.overloadFactor",
+            "costs.handshake",
+            "overShareWorth"
+        }) {
             all.within(count, 0, MOST, false, "give a number from 0 on, or leave it out");
         }
         all.within("safety.coldFrom", 0, 1, false, "give the part of its speed that a unit starts with");
@@ -97,7 +114,7 @@
     }
 
     private static IOException wrong(String at, String found, String expected, String mend) {
-        return new IOException("settings." + at.replaceAll("\\.(\\d+)\\.", "[$1].") + ": expected " + expected + ", found "
-            + (found == null ? "nothing" : found) + "; " + mend);
+        return new IOException("settings." + at.replaceAll("\\.(\\d+)\\.", "[$1].") + ": expected " + expected
+                + ", found " + (found == null ? "nothing" : found) + "; " + mend);
     }
 }
--- a/src/main/java/gatelock/boot/SighupHandler.java
+++ b/src/main/java/gatelock/boot/SighupHandler.java
@@ -11,8 +11,7 @@
     private Runnable what;
     private boolean came;
 
-    private SighupHandler() {
-    }
+    private SighupHandler() {}
 
     /** From now on SIGHUP does not end the program. */
     static SighupHandler taken() {
@@ -20,13 +19,13 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            Object does = Proxy.newProxyInstance(SighupHandler.class.getClassLoader(), new Class<?>[] {handler},
-                (proxy, method, args) -> {
-                    hangup.came();
-                    return null;
-                });
+            Object does = Proxy.newProxyInstance(
+                    SighupHandler.class.getClassLoader(), new Class<?>[] {handler}, (proxy, method, args) -> {
+                        hangup.came();
+                        return null;
+                    });
             signal.getMethod("handle", signal, handler)
-                .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), does);
+                    .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), does);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("SIGHUP can't be taken on this virtual machine", e);
         }
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -1,20 +1,16 @@
 package gatelock.boot;
 
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
+import gatelock.api.RoutePolicy;
 import gatelock.http.ClientListener;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.OutboundConnection;
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
-import gatelock.api.DecisionEngine;
-import gatelock.api.Endpoint;
-import gatelock.api.RoutePolicy;
-
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
-
-import org.xnio.IoUtils;
-
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -22,6 +18,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import org.xnio.IoUtils;
 
 /**
  * Before a relay says that it is ready it serves itself for a while: a chain of its own, with decisions that
@@ -55,8 +52,13 @@
      * @param at where this relay listens
      * @param clients takes the requests that are not the rehearsal's own
      */
-    StartupWarmUp(RelayConfig told, InetSocketAddress at, EventLoop turn, ClientListener front, HttpHandler clients,
-              Consumer<StartupWarmUp> then) {
+    StartupWarmUp(
+            RelayConfig told,
+            InetSocketAddress at,
+            EventLoop turn,
+            ClientListener front,
+            HttpHandler clients,
+            Consumer<StartupWarmUp> then) {
         this.clients = clients;
         this.told = told;
         this.at = at;
@@ -73,8 +75,8 @@
         chain.open();
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < UNITS; i++) {
-            endpoints.add(new Endpoint("rehearsal-" + i, i % 4 == 0 ? 1 : 0, i % 2, i % 2, 0, Endpoint.Health.READY,
-                0));
+            endpoints.add(
+                    new Endpoint("rehearsal-" + i, i % 4 == 0 ? 1 : 0, i % 2, i % 2, 0, Endpoint.Health.READY, 0));
             chain.addresses.put(at, endpoints.get(i));
         }
         chain.gate.listed(turn.nowUs(), DecisionEngine.ListForm.FULL, endpoints);
@@ -121,8 +123,8 @@
         } else if (chain.open.get(id) == null) {
             chain.takeIn.handleRequest(exchange);
         } else {
-            exchange.getRequestReceiver().receiveFullBytes((ex, body) ->
-                ex.getResponseSender().send(ByteBuffer.wrap(ANSWER)));
+            exchange.getRequestReceiver()
+                    .receiveFullBytes((ex, body) -> ex.getResponseSender().send(ByteBuffer.wrap(ANSWER)));
         }
     }
 
@@ -141,30 +143,29 @@
         String name = told.settings().get("lanes." + route + ".name");
         String body = get ? "" : "0".repeat(200);
         String text = (get ? "GET /" : "POST /") + name + " HTTP/1.1\r\nHost: rehearsal\r\nX-Trace-Id: "
-            + mark + n
-            + "\r\nX-Customer: none\r\nCookie: k=" + Integer.toHexString(n % 1000)
-            + "\r\nX-Expires-In-Ms: 500\r\n"
-            + "X-Size-Hint: 2000\r\n" + (get ? "" : "Idempotency-Key: " + n + "\r\nContent-Length: 200\r\n")
-            + "\r\n"
-            + body;
-        own.call(at, StandardCharsets.US_ASCII.encode(text), ONE_US,
-            new OutboundConnection.User() {
-                @Override
-                public boolean answered(UpstreamResponse answer) {
-                    turn.soon(StartupWarmUp.this::ask);
-                    return true;
-                }
+                + mark + n
+                + "\r\nX-Customer: none\r\nCookie: k=" + Integer.toHexString(n % 1000)
+                + "\r\nX-Expires-In-Ms: 500\r\n"
+                + "X-Size-Hint: 2000\r\n" + (get ? "" : "Idempotency-Key: " + n + "\r\nContent-Length: 200\r\n")
+                + "\r\n"
+                + body;
+        own.call(at, StandardCharsets.US_ASCII.encode(text), ONE_US, new OutboundConnection.User() {
+            @Override
+            public boolean answered(UpstreamResponse answer) {
+                turn.soon(StartupWarmUp.this::ask);
+                return true;
+            }
 
-                @Override
-                public void broken(boolean written) {
-                    turn.in(1_000, StartupWarmUp.this::ask);
-                }
+            @Override
+            public void broken(boolean written) {
+                turn.in(1_000, StartupWarmUp.this::ask);
+            }
 
-                @Override
-                public void late() {
-                    ask();
-                }
-            });
+            @Override
+            public void late() {
+                ask();
+            }
+        });
     }
 
     /** All that was asked has ended. */
--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -1,10 +1,9 @@
 package gatelock.config;
 
-import gatelock.api.RequestConstraints;
 import gatelock.api.AttemptResult;
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-
+import gatelock.api.RequestConstraints;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -26,6 +25,7 @@
     private static final double SOME_TRAFFIC = 0.3;
     /** retries are had at once, beyond the budget's share. */
     private static final double FREE_TRIES = 3;
+
     private static final double BUDGET_US = 10e6;
 
     private final RequestLimiter limits = new RequestLimiter();
@@ -33,6 +33,7 @@
     private final Map<String, Budget> budgets = new HashMap<>();
     /** By route; bounded by the routes of the plan in force and those left a minute ago. */
     private final Map<String, Rate> traffic = new HashMap<>();
+
     private final double mostDropped;
     private CompiledConfig plan;
     private long unmatched;
@@ -142,8 +143,10 @@
          */
         @Override
         public boolean reaches(String endpoint) {
-            return pool == null || (way.plan == plan ? muster.stands(pool, endpoint)
-                : muster.selects(way.plan.pools().get(pool), endpoint));
+            return pool == null
+                    || (way.plan == plan
+                            ? muster.stands(pool, endpoint)
+                            : muster.selects(way.plan.pools().get(pool), endpoint));
         }
 
         @Override
@@ -162,7 +165,7 @@
                 return false;
             }
             boolean within = budget.further.read(nowUs, BUDGET_US)
-                < FREE_TRIES + retries.budget() * budget.requests.read(nowUs, BUDGET_US);
+                    < FREE_TRIES + retries.budget() * budget.requests.read(nowUs, BUDGET_US);
             if (within) {
                 budget.further.add(nowUs, BUDGET_US);
             }
@@ -208,10 +211,12 @@
         if (way.plan == plan) {
             return way.entry.limits();
         }
-        return way.entry.limits().stream().map(l -> {
-            LimitPolicy now = plan.limits().get(l.name());
-            return now != null && now.per() == l.per() ? now : l;
-        }).toList();
+        return way.entry.limits().stream()
+                .map(l -> {
+                    LimitPolicy now = plan.limits().get(l.name());
+                    return now != null && now.per() == l.per() ? now : l;
+                })
+                .toList();
     }
 
     /** To be called when {@link #nextUs} says. */
@@ -225,8 +230,8 @@
     }
 
     /** The list of endpoints, or a part of it; {@code labels} that endpoints bear, by endpoint. */
-    public void listed(long nowUs,
-        DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
+    public void listed(
+            long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
         muster.listed(nowUs, form, entries, labels);
     }
 
@@ -243,18 +248,30 @@
             return findings;
         }
         for (Map.Entry<String, Rate> e : new TreeMap<>(traffic).entrySet()) {
-            if (plan.entries().containsKey(e.getKey()) && !next.entries().containsKey(e.getKey())
-                    && !next.removes().contains(e.getKey()) && e.getValue().read(nowUs,
-                    TRAFFIC_US) >= SOME_TRAFFIC) {
-                findings.add(new Diagnostic("B-TRAFFIC", true, "/routes", 0, 0, "route " + e.getKey()
-                    + " is gone, and had reqs in the last minute", "name it under removes, or put it back"));
+            if (plan.entries().containsKey(e.getKey())
+                    && !next.entries().containsKey(e.getKey())
+                    && !next.removes().contains(e.getKey())
+                    && e.getValue().read(nowUs, TRAFFIC_US) >= SOME_TRAFFIC) {
+                findings.add(new Diagnostic(
+                        "B-TRAFFIC",
+                        true,
+                        "/routes",
+                        0,
+                        0,
+                        "route " + e.getKey() + " is gone, and had reqs in the last minute",
+                        "name it under removes, or put it back"));
             }
         }
         int[] endpoints = muster.reachedAndNot(plan, next);
         if (endpoints[1] > mostDropped * endpoints[0]) {
-            findings.add(new Diagnostic("B-UNITS", true, "/pools", 0, 0, endpoints[1] + " of " + endpoints[0]
-                + " units that routes reach would get no reqs any more", "do it in steps of less than "
-                + Math.round(mostDropped * 100) + "%, or mend the pools"));
+            findings.add(new Diagnostic(
+                    "B-UNITS",
+                    true,
+                    "/pools",
+                    0,
+                    0,
+                    endpoints[1] + " of " + endpoints[0] + " units that routes reach would get no reqs any more",
+                    "do it in steps of less than " + Math.round(mostDropped * 100) + "%, or mend the pools"));
         }
         return findings;
     }
@@ -280,8 +297,10 @@
             plan.limits().keySet().forEach(n -> inFlight.put(n, limits.inFlight(n)));
             state.put("inFlight", inFlight);
             Map<String, Object> pools = new TreeMap<>();
-            plan.pools().keySet().forEach(n -> pools.put(n, Map.of("ready", muster.ready(n), "served by",
-                muster.serving(nowUs, n))));
+            plan.pools()
+                    .keySet()
+                    .forEach(
+                            n -> pools.put(n, Map.of("ready", muster.ready(n), "served by", muster.serving(nowUs, n))));
             state.put("pools", pools);
         }
         return state;
--- a/src/main/java/gatelock/config/CompiledConfig.java
+++ b/src/main/java/gatelock/config/CompiledConfig.java
@@ -26,14 +26,23 @@
     private final Map<String, List<String>> chains = new HashMap<>();
     /** Ways to choose endpoints that differ; many pools may share one. */
     private final List<Pool> selectors = new ArrayList<>();
+
     private final Map<String, Integer> selectorOf = new HashMap<>();
     private final List<Pool> reaching = new ArrayList<>();
     private final boolean reachesAll;
     private final Set<String> policies = new HashSet<>();
 
-    CompiledConfig(ConfigVersion stamp, String by, String note, boolean refusesUnmatched, List<RouteEntry> routes,
-         Map<String, Pool> pools, Map<String, RetryPolicy> poolRetries, RetryPolicy defaultRetries, Map<String, LimitPolicy> limits,
-         Collection<String> removes) {
+    CompiledConfig(
+            ConfigVersion stamp,
+            String by,
+            String note,
+            boolean refusesUnmatched,
+            List<RouteEntry> routes,
+            Map<String, Pool> pools,
+            Map<String, RetryPolicy> poolRetries,
+            RetryPolicy defaultRetries,
+            Map<String, LimitPolicy> limits,
+            Collection<String> removes) {
         this.stamp = stamp;
         this.by = by;
         this.note = note;
@@ -70,8 +79,11 @@
         }
         reachesAll = all;
         Set<Integer> seen = new HashSet<>();
-        reachingPools.stream().sorted().map(selectorOf::get).filter(seen::add)
-            .forEach(i -> reaching.add(selectors.get(i)));
+        reachingPools.stream()
+                .sorted()
+                .map(selectorOf::get)
+                .filter(seen::add)
+                .forEach(i -> reaching.add(selectors.get(i)));
     }
 
     public ConfigVersion stamp() {
@@ -160,8 +172,9 @@
 
     private List<String> chainFrom(String pool) {
         List<String> chain = new ArrayList<>();
-        for (String at = pool; at != null && pools.containsKey(at) && !chain.contains(at); at = pools.get(at)
-            .fallback()) {
+        for (String at = pool;
+                at != null && pools.containsKey(at) && !chain.contains(at);
+                at = pools.get(at).fallback()) {
             chain.add(at);
         }
         return chain;
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -38,9 +38,10 @@
 
     private void unmatched() {
         if (before.refusesUnmatched() != after.refusesUnmatched()) {
-            lines.add("reqs that no route is for: " + (after.refusesUnmatched()
-                ? "answered 404, went by their class before"
-                : "go by their class, were answered 404 before"));
+            lines.add("reqs that no route is for: "
+                    + (after.refusesUnmatched()
+                            ? "answered 404, went by their class before"
+                            : "go by their class, were answered 404 before"));
         }
     }
 
@@ -52,8 +53,8 @@
             RouteEntry is = after.entries().get(name);
             if (was == null) {
                 lines.add("route " + name + " is new: " + words(is.match()) + " to class "
-                    + grounds.className(is.classNo()) + ", pool "
-                    + pool(is) + landsNow(is, before));
+                        + grounds.className(is.classNo()) + ", pool "
+                        + pool(is) + landsNow(is, before));
             } else if (is == null) {
                 lines.add("route " + name + " is gone: " + words(was.match()) + landsNow(was, after));
             } else {
@@ -69,21 +70,30 @@
     }
 
     private static RequestAttributes example(RouteMatch m) {
-        String host = m.host().equals("*") ? null : m.host().startsWith("*.") ? "x" + m.host().substring(1)
-            : m.host();
-        return new RequestAttributes(m.methods().isEmpty() ? "GET" : m.methods().iterator().next(), host,
-            "/" + String.join("/", m.segments()), n -> "*".equals(m.headers().get(n)) ? "x" : m.headers()
-            .get(n));
+        String host = m.host().equals("*")
+                ? null
+                : m.host().startsWith("*.") ? "x" + m.host().substring(1) : m.host();
+        return new RequestAttributes(
+                m.methods().isEmpty() ? "GET" : m.methods().iterator().next(),
+                host,
+                "/" + String.join("/", m.segments()),
+                n -> "*".equals(m.headers().get(n)) ? "x" : m.headers().get(n));
     }
 
     private void changed(String name, RouteEntry was, RouteEntry is) {
         say(name, "is for", words(was.match()), words(is.match()));
         say(name, "class", grounds.className(was.classNo()), grounds.className(is.classNo()));
         say(name, "pool", pool(was), pool(is));
-        say(name, "limits", was.limits().stream().map(RouteExplainer::words).toList(),
-            is.limits().stream().map(RouteExplainer::words).toList());
-        say(name, "tries", RouteExplainer.words(before.retries(was, was.pool())),
-            RouteExplainer.words(after.retries(is, is.pool())));
+        say(
+                name,
+                "limits",
+                was.limits().stream().map(RouteExplainer::words).toList(),
+                is.limits().stream().map(RouteExplainer::words).toList());
+        say(
+                name,
+                "tries",
+                RouteExplainer.words(before.retries(was, was.pool())),
+                RouteExplainer.words(after.retries(is, is.pool())));
     }
 
     private void say(String route, String what, Object was, Object is) {
@@ -104,11 +114,10 @@
                 RequestAttributes both = example(is.match(), other.match());
                 RouteEntry meets = both == null ? null : after.entry(both);
                 RouteEntry met = both == null ? null : before.entry(both);
-                if (meets != null && met != null && !meets.name().equals(met.name()) && same(meets)
-                    && same(met)) {
+                if (meets != null && met != null && !meets.name().equals(met.name()) && same(meets) && same(met)) {
                     said.add("reqs for both " + is.name() + " and " + other.name() + " meet route "
-                        + meets.name() + ", met "
-                        + met.name());
+                            + meets.name() + ", met "
+                            + met.name());
                 }
             }
         }
@@ -132,9 +141,11 @@
         }
         Map<String, String> headers = new java.util.TreeMap<>(other.headers());
         headers.putAll(one.headers());
-        RouteMatch narrow = one.host().equals("*") || other.host().length() > one.host().length() && !other.host()
-            .equals("*")
-            ? other : one;
+        RouteMatch narrow = one.host().equals("*")
+                        || other.host().length() > one.host().length()
+                                && !other.host().equals("*")
+                ? other
+                : one;
         RouteMatch both = new RouteMatch(narrow.host(), one.segments(), methods, headers);
         RequestAttributes asked = example(both);
         return one.fitsBeside(asked) && other.fitsBeside(asked) ? asked : null;
@@ -158,21 +169,21 @@
 
     private static String words(RouteMatch m) {
         return (m.methods().isEmpty() ? "any method" : String.join("|", new TreeSet<>(m.methods()))) + " "
-            + m.host() + " /"
-            + String.join("/", m.segments()) + (m.headers().isEmpty() ? "" : " " + m.headers());
+                + m.host() + " /"
+                + String.join("/", m.segments()) + (m.headers().isEmpty() ? "" : " " + m.headers());
     }
 
     private String words(Pool p) {
         return "zones " + names(p.zones(), grounds.zones()) + ", kinds " + names(p.kinds(), grounds.kinds())
-            + ", labels "
-            + (p.labels().isEmpty() ? "any" : p.labels()) + (p.fallback() == null ? "" : ", fallback "
-            + p.fallback()
-            + " under " + p.leastShare());
+                + ", labels "
+                + (p.labels().isEmpty() ? "any" : p.labels())
+                + (p.fallback() == null ? "" : ", fallback " + p.fallback() + " under " + p.leastShare());
     }
 
     private static String names(java.util.Set<Integer> places, List<String> names) {
-        return places.isEmpty() ? "any" : new TreeSet<>(places).stream().filter(i -> i >= 0).map(names::get)
-            .toList()
-            .toString();
+        return places.isEmpty()
+                ? "any"
+                : new TreeSet<>(places)
+                        .stream().filter(i -> i >= 0).map(names::get).toList().toString();
     }
 }
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -10,7 +10,6 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -25,9 +24,12 @@
 public final class ConfigDocument {
     private static final int DEEPEST = 64;
     private static final JsonFactory JSON = JsonFactory.builder()
-        .streamReadConstraints(StreamReadConstraints.builder()
-        .maxNestingDepth(DEEPEST).maxNumberLength(30).build()).build()
-        .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(DEEPEST)
+                    .maxNumberLength(30)
+                    .build())
+            .build()
+            .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
 
     private final byte[] text;
     private final JsonNode root;
@@ -46,17 +48,32 @@
                 return new ConfigDocument(text, root);
             }
             JsonLocation at = parser.currentTokenLocation();
-            findings.add(new Diagnostic("G-FORM", true, "", at.getLineNr(), at.getColumnNr(),
-                "it is not one JSON object", "send one object and nothing behind it"));
+            findings.add(new Diagnostic(
+                    "G-FORM",
+                    true,
+                    "",
+                    at.getLineNr(),
+                    at.getColumnNr(),
+                    "it is not one JSON object",
+                    "send one object and nothing behind it"));
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
-            findings.add(new Diagnostic("G-JSON", true, "", at == null ? 0 : at.getLineNr(),
-                at == null ? 0 : at.getColumnNr(), "it can't be read: " + e.getOriginalMessage().lines()
-                .findFirst()
-                .orElse("").replaceAll(" \\(for .*", ""), "mend the text there"));
+            findings.add(new Diagnostic(
+                    "G-JSON",
+                    true,
+                    "",
+                    at == null ? 0 : at.getLineNr(),
+                    at == null ? 0 : at.getColumnNr(),
+                    "it can't be read: "
+                            + e.getOriginalMessage()
+                                    .lines()
+                                    .findFirst()
+                                    .orElse("")
+                                    .replaceAll(" \\(for .*", ""),
+                    "mend the text there"));
         } catch (IOException e) {
-            findings.add(new Diagnostic("G-JSON", true, "", 0, 0, "it can't be read: " + e.getMessage(),
-                "mend the text"));
+            findings.add(
+                    new Diagnostic("G-JSON", true, "", 0, 0, "it can't be read: " + e.getMessage(), "mend the text"));
         }
         return null;
     }
@@ -83,7 +100,8 @@
                 return JsonNodeFactory.instance.textNode(parser.getText());
             }
             case VALUE_NUMBER_INT -> {
-                return JsonNodeFactory.instance.numberNode(parser.getDecimalValue().toBigInteger());
+                return JsonNodeFactory.instance.numberNode(
+                        parser.getDecimalValue().toBigInteger());
             }
             case VALUE_NUMBER_FLOAT -> {
                 return JsonNodeFactory.instance.numberNode(parser.getDecimalValue());
@@ -136,19 +154,20 @@
         } catch (IOException e) {
             throw new IllegalStateException("it could be read before", e);
         }
-        return findings.stream().map(f -> {
-            String near = f.pointer();
-            while (wanted.get(near) == null) {
-                near = near.substring(0, near.lastIndexOf('/'));
-            }
-            int[] at = wanted.get(near);
-            return new Diagnostic(f.code(), f.grave(), f.pointer(), at[0], at[1], f.wrong(), f.mend());
-        }).toList();
+        return findings.stream()
+                .map(f -> {
+                    String near = f.pointer();
+                    while (wanted.get(near) == null) {
+                        near = near.substring(0, near.lastIndexOf('/'));
+                    }
+                    int[] at = wanted.get(near);
+                    return new Diagnostic(f.code(), f.grave(), f.pointer(), at[0], at[1], f.wrong(), f.mend());
+                })
+                .toList();
     }
 
     /** Notes where wanted values stand; whatever holds none of them is passed over. */
-    private static void look(JsonParser parser, String pointer, Map<String,
-        int[]> wanted) throws IOException {
+    private static void look(JsonParser parser, String pointer, Map<String, int[]> wanted) throws IOException {
         if (!wanted.containsKey(pointer)) {
             parser.skipChildren();
             return;
--- a/src/main/java/gatelock/config/DeploymentContext.java
+++ b/src/main/java/gatelock/config/DeploymentContext.java
@@ -1,7 +1,6 @@
 package gatelock.config;
 
 import gatelock.api.RoutePolicy;
-
 import java.util.List;
 import java.util.Map;
 
@@ -13,12 +12,20 @@
  * @param deadlinesUs of each class, by place; 0: none is stated
  * @param tenants place by name
  */
-public record DeploymentContext(Map<String, Integer> classes, List<RoutePolicy> terms, List<Long> deadlinesUs,
-                      Map<String, Integer> tenants, List<String> zones, List<String> kinds) {
+public record DeploymentContext(
+        Map<String, Integer> classes,
+        List<RoutePolicy> terms,
+        List<Long> deadlinesUs,
+        Map<String, Integer> tenants,
+        List<String> zones,
+        List<String> kinds) {
 
     /** A class's name by its place. */
     String className(int place) {
-        return classes.entrySet().stream().filter(e -> e.getValue() == place).map(Map.Entry::getKey).findFirst()
-            .orElse("?");
+        return classes.entrySet().stream()
+                .filter(e -> e.getValue() == place)
+                .map(Map.Entry::getKey)
+                .findFirst()
+                .orElse("?");
     }
 }
--- a/src/main/java/gatelock/config/Diagnostic.java
+++ b/src/main/java/gatelock/config/Diagnostic.java
@@ -14,8 +14,7 @@
  * @param wrong what is wrong
  * @param mend what would mend it
  */
-public record Diagnostic(String code, boolean grave, String pointer, int line, int column, String wrong,
-    String mend) {
+public record Diagnostic(String code, boolean grave, String pointer, int line, int column, String wrong, String mend) {
 
     /** By name, as it goes to a control service or into a JSON answer. */
     public Map<String, Object> fields() {
@@ -34,6 +33,6 @@
     @Override
     public String toString() {
         return line + ":" + column + " " + (pointer.isEmpty() ? "/" : pointer) + " " + code
-            + (grave ? " " : " (warning) ") + wrong + "; " + mend;
+                + (grave ? " " : " (warning) ") + wrong + "; " + mend;
     }
 }
--- a/src/main/java/gatelock/config/LimitPolicy.java
+++ b/src/main/java/gatelock/config/LimitPolicy.java
@@ -13,7 +13,10 @@
 
     /** What has a count of its own. */
     enum Per {
-        ALL, ROUTE, TENANT, ROUTE_AND_TENANT;
+        ALL,
+        ROUTE,
+        TENANT,
+        ROUTE_AND_TENANT;
 
         boolean byRoute() {
             return this == ROUTE || this == ROUTE_AND_TENANT;
--- a/src/main/java/gatelock/config/Pool.java
+++ b/src/main/java/gatelock/config/Pool.java
@@ -12,8 +12,13 @@
  * @param fallback serves when too few of these do; null: none
  * @param leastShare of the endpoints that this pool lately had
  */
-record Pool(String name, Set<Integer> zones, Set<Integer> kinds, Map<String, String> labels, String fallback,
-            double leastShare) {
+record Pool(
+        String name,
+        Set<Integer> zones,
+        Set<Integer> kinds,
+        Map<String, String> labels,
+        String fallback,
+        double leastShare) {
 
     /** What it chooses by, and nothing else. */
     Pool bare() {
@@ -21,7 +26,8 @@
     }
 
     boolean selects(int zone, int kind, Map<String, String> borne) {
-        return (zones.isEmpty() || zones.contains(zone)) && (kinds.isEmpty() || kinds.contains(kind))
-            && (labels.isEmpty() || borne.entrySet().containsAll(labels.entrySet()));
+        return (zones.isEmpty() || zones.contains(zone))
+                && (kinds.isEmpty() || kinds.contains(kind))
+                && (labels.isEmpty() || borne.entrySet().containsAll(labels.entrySet()));
     }
 }
--- a/src/main/java/gatelock/config/PoolMembership.java
+++ b/src/main/java/gatelock/config/PoolMembership.java
@@ -2,7 +2,6 @@
 
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -57,8 +56,7 @@
         }
     }
 
-    private record Member(Sort sort, boolean ready) {
-    }
+    private record Member(Sort sort, boolean ready) {}
 
     /** One pool now. */
     private static final class Stand {
@@ -66,6 +64,7 @@
         private final int selector;
         /** What it lately had, fading to what it has. */
         private double usual;
+
         private long usualAtUs;
         private boolean fallen;
 
@@ -84,8 +83,8 @@
     }
 
     /** The list of endpoints, or a part of it, has come in. */
-    void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries,
-                Map<String, Map<String, String>> borne) {
+    void listed(
+            long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> borne) {
         if (form == DecisionEngine.ListForm.FAILED) {
             return;
         }
@@ -174,7 +173,7 @@
             Stand s = stands.get(name);
             double least = s.pool.leastShare() * s.usual(nowUs, ready[s.selector]);
             s.fallen = ready[s.selector] == 0
-                || ready[s.selector] < (s.fallen ? Math.min(s.usual, least * BACK_AT) : least);
+                    || ready[s.selector] < (s.fallen ? Math.min(s.usual, least * BACK_AT) : least);
             if (!s.fallen) {
                 return name;
             }
--- a/src/main/java/gatelock/config/RequestAttributes.java
+++ b/src/main/java/gatelock/config/RequestAttributes.java
@@ -9,5 +9,4 @@
  * @param path as it came, without the query
  * @param headers the first value of a header by its name in any case, or null
  */
-public record RequestAttributes(String method, String host, String path, UnaryOperator<String> headers) {
-}
+public record RequestAttributes(String method, String host, String path, UnaryOperator<String> headers) {}
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -24,8 +24,7 @@
     /** So many counts at the most; beyond that the longest untouched go, or what they are for is shed. */
     private static final int MOST_COUNTS = 100_000;
 
-    private record Key(String limit, String route, int tenant) {
-    }
+    private record Key(String limit, String route, int tenant) {}
 
     /** One count: of one limit, for what it has counts of its own for. */
     private final class Count {
@@ -36,6 +35,7 @@
         private int inFlight;
         /** Who waits, by tenant, each in order; the tenants take turns. */
         private final LinkedHashMap<Integer, ArrayDeque<Ticket>> queue = new LinkedHashMap<>();
+
         private int queued;
         /** Counts in whose queue somebody waits who asks this one too, and how many do. */
         private final Map<Count, Integer> askedBy = new LinkedHashMap<>();
@@ -49,7 +49,9 @@
 
         /** The tenant's part of the queue that is the longest; somebody must wait. */
         private ArrayDeque<Ticket> longest() {
-            return queue.values().stream().max(Comparator.comparingInt(ArrayDeque::size)).orElseThrow();
+            return queue.values().stream()
+                    .max(Comparator.comparingInt(ArrayDeque::size))
+                    .orElseThrow();
         }
 
         /** Earns what came in since, at the rate that held. */
@@ -69,8 +71,9 @@
                 boolean wasFree = limit.perUs() == Double.POSITIVE_INFINITY;
                 limit = next;
                 // Where there was no rate before, there is nothing saved up either.
-                tokens = wasFree && next.perUs() < Double.POSITIVE_INFINITY ? Math.min(1, next.burst())
-                    : Math.min(tokens, next.burst());
+                tokens = wasFree && next.perUs() < Double.POSITIVE_INFINITY
+                        ? Math.min(1, next.burst())
+                        : Math.min(tokens, next.burst());
             }
         }
 
@@ -131,14 +134,18 @@
     private final Set<Count> busy = new LinkedHashSet<>();
     /** Limits that had a count for something else before: of these no count begins with a burst. */
     private final Map<String, LimitPolicy.Per> pers = new HashMap<>();
+
     private final Set<String> changed = new HashSet<>();
 
     /** What came of asking. */
-    enum Answer { PASSES, WAITS, SHED }
+    enum Answer {
+        PASSES,
+        WAITS,
+        SHED
+    }
 
     /** What a request was told, its ticket unless it was shed, and when it may come back if so. */
-    record Told(Answer answer, Ticket ticket, long pauseUs) {
-    }
+    record Told(Answer answer, Ticket ticket, long pauseUs) {}
 
     /** A request asks all its limits at once: of all or of none it takes its part. */
     Told ask(long nowUs, List<LimitPolicy> limits, String route, int tenant, long endUs, QueuedRequest waiting) {
@@ -187,12 +194,12 @@
     }
 
     private Count count(long nowUs, LimitPolicy limit, String route, int tenant) {
-        Key key = new Key(limit.name(), limit.per().byRoute() ? route : "", limit.per().byTenant() ? tenant
-            : -1);
+        Key key = new Key(
+                limit.name(), limit.per().byRoute() ? route : "", limit.per().byTenant() ? tenant : -1);
         Count count = counts.get(key);
         if (count == null) {
-            count = new Count(key, limit, nowUs, changed.contains(limit.name()) ? Math.min(1, limit.burst())
-                : limit.burst());
+            count = new Count(
+                    key, limit, nowUs, changed.contains(limit.name()) ? Math.min(1, limit.burst()) : limit.burst());
             counts.put(key, count);
             forgetOldest(nowUs);
         } else {
@@ -335,8 +342,7 @@
                 next = Math.min(next, first.waitsUntilUs);
                 long free = 0;
                 for (Count a : first.counts) {
-                    free = Math.max(free, a.inFlight < a.limit.inFlight() ? a.untilUs(nowUs)
-                        : Long.MAX_VALUE / 2);
+                    free = Math.max(free, a.inFlight < a.limit.inFlight() ? a.untilUs(nowUs) : Long.MAX_VALUE / 2);
                 }
                 next = Math.min(next, nowUs + Math.max(1, free));
             }
@@ -349,8 +355,10 @@
     }
 
     int inFlight(String limit) {
-        return counts.values().stream().filter(c -> c.key.limit().equals(limit)).mapToInt(c -> c.inFlight)
-            .sum();
+        return counts.values().stream()
+                .filter(c -> c.key.limit().equals(limit))
+                .mapToInt(c -> c.inFlight)
+                .sum();
     }
 
     int size() {
--- a/src/main/java/gatelock/config/ResolvedConfig.java
+++ b/src/main/java/gatelock/config/ResolvedConfig.java
@@ -1,7 +1,6 @@
 package gatelock.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -92,8 +91,7 @@
 
         private JsonNode said(String field) {
             Line line = sayer(field);
-            return line == null ? com.fasterxml.jackson.databind.node.MissingNode.getInstance()
-                : line.node.get(field);
+            return line == null ? com.fasterxml.jackson.databind.node.MissingNode.getInstance() : line.node.get(field);
         }
 
         String className() {
@@ -110,8 +108,7 @@
         }
 
         List<String> limits() {
-            JsonNode names = sayer("limits") == null ? root().path("defaults").path("limits")
-                : said("limits");
+            JsonNode names = sayer("limits") == null ? root().path("defaults").path("limits") : said("limits");
             List<String> limits = new ArrayList<>();
             names.forEach(n -> limits.add(n.asText()));
             return limits;
@@ -125,20 +122,24 @@
             }
             Set<String> subprotocols = new HashSet<>();
             node.path("subprotocols").forEach(n -> subprotocols.add(n.asText()));
-            return new SessionPolicy(node.path("messageBytes").asInt(65_536),
-                (long) (node.path("idleS").asDouble(300) * 1e6),
-                (long) (node.path("pingS").asDouble(20) * 1e6), node.path("framesPerS").asInt(200),
-                subprotocols);
+            return new SessionPolicy(
+                    node.path("messageBytes").asInt(65_536),
+                    (long) (node.path("idleS").asDouble(300) * 1e6),
+                    (long) (node.path("pingS").asDouble(20) * 1e6),
+                    node.path("framesPerS").asInt(200),
+                    subprotocols);
         }
 
         RouteMatch match() {
             Set<String> methods = new HashSet<>();
             said("methods").forEach(m -> methods.add(m.asText()));
             Map<String, String> headers = new TreeMap<>();
-            said("headers").properties().forEach(e -> headers.put(e.getKey().toLowerCase(Locale.ROOT),
-                e.getValue().asText()));
-            return new RouteMatch(said("host").asText("*"), RouteMatch.segments(said("path").asText("/")), methods,
-                headers);
+            said("headers")
+                    .properties()
+                    .forEach(e -> headers.put(
+                            e.getKey().toLowerCase(Locale.ROOT), e.getValue().asText()));
+            return new RouteMatch(
+                    said("host").asText("*"), RouteMatch.segments(said("path").asText("/")), methods, headers);
         }
     }
 }
--- a/src/main/java/gatelock/config/RetryPolicy.java
+++ b/src/main/java/gatelock/config/RetryPolicy.java
@@ -1,7 +1,6 @@
 package gatelock.config;
 
 import gatelock.api.AttemptResult;
-
 import java.util.Set;
 
 /**
--- a/src/main/java/gatelock/config/RouteEntry.java
+++ b/src/main/java/gatelock/config/RouteEntry.java
@@ -11,7 +11,12 @@
  * @param sessions what is agreed for WebSocket sessions; null: none are
  * @param retries that the entry itself leads to; null where its pool's or the default's hold
  */
-record RouteEntry(String name, int place, RouteMatch match, int classNo, String pool, List<LimitPolicy> limits,
-    RetryPolicy retries,
-             SessionPolicy sessions) {
-}
+record RouteEntry(
+        String name,
+        int place,
+        RouteMatch match,
+        int classNo,
+        String pool,
+        List<LimitPolicy> limits,
+        RetryPolicy retries,
+        SessionPolicy sessions) {}
--- a/src/main/java/gatelock/config/RouteExplainer.java
+++ b/src/main/java/gatelock/config/RouteExplainer.java
@@ -7,8 +7,7 @@
 
 /** What a plan does with a request, said before one comes. */
 public final class RouteExplainer {
-    private RouteExplainer() {
-    }
+    private RouteExplainer() {}
 
     /** Each point by its name: entry, class, pools in order, limits, retries. */
     public static Map<String, Object> of(CompiledConfig plan, DeploymentContext grounds, RequestAttributes asked) {
@@ -19,9 +18,12 @@
         }
         RouteEntry entry = plan.entry(asked);
         if (entry == null) {
-            said.put("answer", plan.refusesUnmatched() ? "404: no route is for it"
-                : "no route is for it: it goes by the "
-                + "first part of its path, to all units, without limits");
+            said.put(
+                    "answer",
+                    plan.refusesUnmatched()
+                            ? "404: no route is for it"
+                            : "no route is for it: it goes by the "
+                                    + "first part of its path, to all units, without limits");
             return said;
         }
         said.put("route", entry.name());
@@ -41,19 +43,23 @@
     }
 
     static String words(LimitPolicy l) {
-        StringBuilder words = new StringBuilder(l.name()).append(": per ").append(l.per().name().toLowerCase(
-            java.util.Locale.ROOT).replace('_', ' '));
+        StringBuilder words = new StringBuilder(l.name())
+                .append(": per ")
+                .append(l.per().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '));
         if (l.perUs() < Double.POSITIVE_INFINITY) {
-            words.append(", ").append(number(l.perUs() * 1e6)).append(" reqs a second, ")
-                .append(number(l.burst()))
-                .append(" at once");
+            words.append(", ")
+                    .append(number(l.perUs() * 1e6))
+                    .append(" reqs a second, ")
+                    .append(number(l.burst()))
+                    .append(" at once");
         }
         if (l.inFlight() < Integer.MAX_VALUE) {
             words.append(", ").append(l.inFlight()).append(" in flight");
         }
-        words.append(l.queueLength() > 0 ? ", " + l.queueLength() + " may wait for " + l.waitUs() / 1000
-            + " ms"
-            : ", none waits");
+        words.append(
+                l.queueLength() > 0
+                        ? ", " + l.queueLength() + " may wait for " + l.waitUs() / 1000 + " ms"
+                        : ", none waits");
         return words.toString();
     }
 
@@ -61,11 +67,19 @@
         if (r == RetryPolicy.FREE) {
             return "as the module decides";
         }
-        return r.name() + ": " + r.most() + " tries" + (r.most() == 1 ? "" : " after " + r.after().stream()
-            .filter(e -> e != gatelock.api.AttemptResult.NOT_SENT).map(e -> e.name()
-            .toLowerCase(java.util.Locale.ROOT)
-            .replace('_', '-')).sorted().toList() + ", further ones up to " + number(r.budget()) + " of reqs")
-            + (r.attemptUs() > 0 ? ", each for " + r.attemptUs() / 1000 + " ms" : "");
+        return r.name() + ": " + r.most() + " tries"
+                + (r.most() == 1
+                        ? ""
+                        : " after "
+                                + r.after().stream()
+                                        .filter(e -> e != gatelock.api.AttemptResult.NOT_SENT)
+                                        .map(e -> e.name()
+                                                .toLowerCase(java.util.Locale.ROOT)
+                                                .replace('_', '-'))
+                                        .sorted()
+                                        .toList()
+                                + ", further ones up to " + number(r.budget()) + " of reqs")
+                + (r.attemptUs() > 0 ? ", each for " + r.attemptUs() / 1000 + " ms" : "");
     }
 
     private static String number(double n) {
--- a/src/main/java/gatelock/config/RouteMatch.java
+++ b/src/main/java/gatelock/config/RouteMatch.java
@@ -33,12 +33,18 @@
         if (!path.startsWith("/")) {
             return true;
         }
-        if (path.indexOf('%') < 0 && !path.contains("/.") && !path.contains("//") && path.indexOf('\\') < 0
+        if (path.indexOf('%') < 0
+                && !path.contains("/.")
+                && !path.contains("//")
+                && path.indexOf('\\') < 0
                 && path.indexOf(';') < 0) {
             return false;
         }
         String plain = path.toLowerCase(Locale.ROOT).replace("%2e", ".");
-        if (plain.contains("%2f") || plain.contains("%5c") || plain.contains("%00") || plain.contains("\\")
+        if (plain.contains("%2f")
+                || plain.contains("%5c")
+                || plain.contains("%00")
+                || plain.contains("\\")
                 || plain.contains("//")) {
             return true;
         }
@@ -54,8 +60,7 @@
 
     /** Whether all but the path fits, which the table has looked up. */
     boolean fitsBeside(RequestAttributes asked) {
-        return hostFits(asked.host()) && (methods.isEmpty() || methods.contains(asked.method()))
-            && headersFit(asked);
+        return hostFits(asked.host()) && (methods.isEmpty() || methods.contains(asked.method())) && headersFit(asked);
     }
 
     private boolean hostFits(String asked) {
@@ -66,8 +71,9 @@
             return false;
         }
         String name = asked.toLowerCase(Locale.ROOT);
-        return host.startsWith("*.") ? name.endsWith(host.substring(1)) && name.length() > host.length() - 1
-            : name.equals(host);
+        return host.startsWith("*.")
+                ? name.endsWith(host.substring(1)) && name.length() > host.length() - 1
+                : name.equals(host);
     }
 
     private boolean headersFit(RequestAttributes asked) {
@@ -82,13 +88,17 @@
 
     /** Whether this is for all requests that the other is for. */
     boolean covers(RouteMatch other) {
-        boolean wholeHost = host.equals("*") || host.equals(other.host)
-            || host.startsWith("*.") && other.host.endsWith(host.substring(1))
-                && other.host.length() > host.length() - 1;
-        return wholeHost && segments.size() <= other.segments.size()
-            && segments.equals(other.segments.subList(0, segments.size()))
-            && (methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods))
-            && headers.entrySet().stream().allMatch(e -> other.headers.containsKey(e.getKey())
-                && (e.getValue().equals("*") || e.getValue().equals(other.headers.get(e.getKey()))));
+        boolean wholeHost = host.equals("*")
+                || host.equals(other.host)
+                || host.startsWith("*.")
+                        && other.host.endsWith(host.substring(1))
+                        && other.host.length() > host.length() - 1;
+        return wholeHost
+                && segments.size() <= other.segments.size()
+                && segments.equals(other.segments.subList(0, segments.size()))
+                && (methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods))
+                && headers.entrySet().stream()
+                        .allMatch(e -> other.headers.containsKey(e.getKey())
+                                && (e.getValue().equals("*") || e.getValue().equals(other.headers.get(e.getKey()))));
     }
 }
--- a/src/main/java/gatelock/config/RouteTable.java
+++ b/src/main/java/gatelock/config/RouteTable.java
@@ -19,12 +19,12 @@
     private final Node<T> root = new Node<>();
     private final int size;
 
-    private record Entry<T>(int place, RouteMatch match, T leadsTo) {
-    }
+    private record Entry<T>(int place, RouteMatch match, T leadsTo) {}
 
     private static final class Node<T> {
         /** By host as the entries name it, each in order. */
         private Map<String, List<Entry<T>>> byHost = Map.of();
+
         private Map<String, Edge<T>> edges = Map.of();
         private int least = Integer.MAX_VALUE;
     }
@@ -42,8 +42,9 @@
             if (node.byHost.isEmpty()) {
                 node.byHost = new HashMap<>(2);
             }
-            node.byHost.computeIfAbsent(matches.get(i).host(), h -> new ArrayList<>(1))
-                .add(new Entry<>(i, matches.get(i), leadTo.get(i)));
+            node.byHost
+                    .computeIfAbsent(matches.get(i).host(), h -> new ArrayList<>(1))
+                    .add(new Entry<>(i, matches.get(i), leadTo.get(i)));
         }
     }
 
@@ -101,8 +102,8 @@
 
     /** What the first entry that fits leads to, or null. */
     T first(RequestAttributes asked) {
-        Entry<T> found = search(RouteMatch.segments(asked.path()), asked.host(), (place,
-            match) -> match.fitsBeside(asked));
+        Entry<T> found =
+                search(RouteMatch.segments(asked.path()), asked.host(), (place, match) -> match.fitsBeside(asked));
         return found == null ? null : found.leadsTo;
     }
 
@@ -127,8 +128,7 @@
     }
 
     /** The first of the entries of one node that is chosen, if it stands before the best so far. */
-    private static <T> Entry<T> at(Node<T> node, String host, BiPredicate<Integer, RouteMatch> chosen,
-                                   Entry<T> best) {
+    private static <T> Entry<T> at(Node<T> node, String host, BiPredicate<Integer, RouteMatch> chosen, Entry<T> best) {
         Entry<T> found = best;
         if (host == null) {
             for (List<Entry<T>> some : node.byHost.values()) {
@@ -148,8 +148,7 @@
         return found;
     }
 
-    private static <T> Entry<T> before(List<Entry<T>> some, BiPredicate<Integer, RouteMatch> chosen,
-                                       Entry<T> best) {
+    private static <T> Entry<T> before(List<Entry<T>> some, BiPredicate<Integer, RouteMatch> chosen, Entry<T> best) {
         for (int i = 0; some != null && i < some.size(); i++) {
             Entry<T> entry = some.get(i);
             if (best != null && entry.place >= best.place) {
--- a/src/main/java/gatelock/config/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -5,7 +5,6 @@
 import com.networknt.schema.Schema;
 import com.networknt.schema.SchemaRegistry;
 import com.networknt.schema.SpecificationVersion;
-
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
@@ -14,7 +13,8 @@
 
 /** A published JSON Schema, and the check of a text against it. */
 public enum SchemaValidator {
-    PLAN("/gatelock/plan.schema.json"), OPERATOR("/gatelock/operator.schema.json");
+    PLAN("/gatelock/plan.schema.json"),
+    OPERATOR("/gatelock/operator.schema.json");
 
     private final String resource;
     private Schema schema;
@@ -38,26 +38,25 @@
             String pointer = error.getInstanceLocation().toString();
             String keyword = error.getKeyword();
             if (error.getProperty() != null) {
-                pointer = keyword.equals("additionalProperties") ? pointer + "/"
-                    + ConfigDocument.escaped(error.getProperty())
-                    : pointer;
+                pointer = keyword.equals("additionalProperties")
+                        ? pointer + "/" + ConfigDocument.escaped(error.getProperty())
+                        : pointer;
             }
-            findings.add(ConfigDocument.grave("S-" + keyword.toUpperCase(Locale.ROOT), pointer, error.getMessage(),
-                mend(keyword, error)));
+            findings.add(ConfigDocument.grave(
+                    "S-" + keyword.toUpperCase(Locale.ROOT), pointer, error.getMessage(), mend(keyword, error)));
         }
     }
 
     private synchronized Schema schema() {
         if (schema == null) {
             schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                .getSchema(text(), InputFormat.JSON);
+                    .getSchema(text(), InputFormat.JSON);
         }
         return schema;
     }
 
     private static String mend(String keyword, Error error) {
-        Object first = error.getArguments() == null || error.getArguments().length == 0 ? ""
-            : error.getArguments()[0];
+        Object first = error.getArguments() == null || error.getArguments().length == 0 ? "" : error.getArguments()[0];
         return switch (keyword) {
             case "required" -> "add " + error.getProperty();
             case "additionalProperties" -> "take it out, or mend its name: " + error.getProperty();
--- a/src/main/java/gatelock/config/SessionPolicy.java
+++ b/src/main/java/gatelock/config/SessionPolicy.java
@@ -11,6 +11,4 @@
  * @param framesPerS that a client may send before it counts as a flood
  * @param subprotocols that may be agreed on; empty: none is
  */
-public record SessionPolicy(int messageBytes, long idleUs, long pingUs, int framesPerS,
-                           Set<String> subprotocols) {
-}
+public record SessionPolicy(int messageBytes, long idleUs, long pingUs, int framesPerS, Set<String> subprotocols) {}
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -45,8 +45,7 @@
     }
 
     /** One version that was in force: since when, from where, whose it is and why it was made. */
-    public record Past(ConfigVersion stamp, long sinceUs, String why, String by, String note, byte[] text) {
-    }
+    public record Past(ConfigVersion stamp, long sinceUs, String why, String by, String note, byte[] text) {}
 
     private final Map<String, List<Diagnostic>> refused = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -61,6 +60,7 @@
     private long pastBytes;
     /** The latest that was good, whether in force or not: what the control service is told as held. */
     private ConfigVersion held;
+
     private ConfigVersion inForce;
     private boolean pinned;
     private long refusals;
@@ -105,8 +105,10 @@
      */
     public boolean good(long nowUs, CompiledConfig plan, String why, byte[] text) {
         ConfigVersion stamp = plan.stamp();
-        if (held != null && (stamp.epoch().compareTo(held.epoch()) < 0
-                || stamp.epoch().equals(held.epoch()) && stamp.number() <= held.number()) || pinned) {
+        if (held != null
+                        && (stamp.epoch().compareTo(held.epoch()) < 0
+                                || stamp.epoch().equals(held.epoch()) && stamp.number() <= held.number())
+                || pinned) {
             return false;
         }
         held = stamp;
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -1,28 +1,17 @@
 package gatelock.control;
 
+import com.fasterxml.jackson.jr.ob.JSON;
+import gatelock.config.CompiledConfig;
+import gatelock.config.VersionTracker;
 import gatelock.discovery.DiscoveryClient;
 import gatelock.net.EventLoop;
 import gatelock.state.Counters;
-import gatelock.config.CompiledConfig;
-import gatelock.config.ConfigVersion;
-import gatelock.config.VersionTracker;
-
-import com.fasterxml.jackson.jr.ob.JSON;
-
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.server.protocol.http.HttpOpenListener;
 import io.undertow.util.Headers;
 import io.undertow.util.SameThreadExecutor;
-
-import org.xnio.ChannelListeners;
-import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.StreamConnection;
-import org.xnio.channels.AcceptingChannel;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -33,6 +22,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
+import org.xnio.ChannelListeners;
+import org.xnio.IoUtils;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.StreamConnection;
+import org.xnio.channels.AcceptingChannel;
 
 /**
  * The operator's listener, on loopback: status, history, the text of a version, going back to one and letting
@@ -50,7 +45,8 @@
     private Supplier<DiscoveryClient.State> list;
     private AcceptingChannel<StreamConnection> listener;
 
-    public AdminServer(EventLoop turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
+    public AdminServer(
+            EventLoop turn, Counters counters, ConfigUpdater steward, Supplier<ConfigSubscription> subscription) {
         this.turn = turn;
         this.counters = counters;
         this.steward = steward;
@@ -64,15 +60,25 @@
 
     /** Listens, and tells where. */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        OptionMap http = OptionMap.builder().set(UndertowOptions.MAX_HEADER_SIZE, 8 * 1024)
-            .set(UndertowOptions.MAX_ENTITY_SIZE, 1024L).set(UndertowOptions.IDLE_TIMEOUT, IDLE_MS)
-            .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, IDLE_MS).getMap();
+        OptionMap http = OptionMap.builder()
+                .set(UndertowOptions.MAX_HEADER_SIZE, 8 * 1024)
+                .set(UndertowOptions.MAX_ENTITY_SIZE, 1024L)
+                .set(UndertowOptions.IDLE_TIMEOUT, IDLE_MS)
+                .set(UndertowOptions.REQUEST_PARSE_TIMEOUT, IDLE_MS)
+                .getMap();
         HttpOpenListener opened = new HttpOpenListener(new DefaultByteBufferPool(true, 4096, 16, 0, 0), http);
         opened.setRootHandler(this::handle);
-        listener = turn.thread().getWorker().createStreamConnectionServer(address,
-            ChannelListeners.openListenerAdapter(opened), OptionMap.builder().set(Options.TCP_NODELAY, true)
-                .set(Options.REUSE_ADDRESSES, true).set(Options.CONNECTION_HIGH_WATER, MOST)
-                .set(Options.CONNECTION_LOW_WATER, MOST - 1).getMap());
+        listener = turn.thread()
+                .getWorker()
+                .createStreamConnectionServer(
+                        address,
+                        ChannelListeners.openListenerAdapter(opened),
+                        OptionMap.builder()
+                                .set(Options.TCP_NODELAY, true)
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .set(Options.CONNECTION_HIGH_WATER, MOST)
+                                .set(Options.CONNECTION_LOW_WATER, MOST - 1)
+                                .getMap());
         listener.resumeAccepts();
         return listener.getLocalAddress(InetSocketAddress.class);
     }
@@ -94,8 +100,8 @@
                 }
                 answer(exchange, get ? 405 : 200, status());
             }
-            default -> answer(exchange, 404, Map.of("error",
-                "there is /status, /history, /version, /back and /release"));
+            default ->
+                answer(exchange, 404, Map.of("error", "there is /status, /history, /version, /back and /release"));
         }
     }
 
@@ -104,11 +110,14 @@
         Map<String, Object> status = new LinkedHashMap<>();
         CompiledConfig plan = steward.admission().plan();
         VersionTracker succession = steward.succession();
-        status.put("inForce", succession.inForce() == null ? null : succession.inForce().toString());
+        status.put(
+                "inForce",
+                succession.inForce() == null ? null : succession.inForce().toString());
         status.put("held", succession.held() == null ? null : succession.held().toString());
         List<VersionTracker.Past> past = succession.history();
-        status.put("inForceForS", past.isEmpty() ? null : (nowUs
-            - past.get(past.size() - 1).sinceUs()) / 1_000_000);
+        status.put(
+                "inForceForS",
+                past.isEmpty() ? null : (nowUs - past.get(past.size() - 1).sinceUs()) / 1_000_000);
         status.put("pinned", succession.pinned());
         status.put("routes", plan == null ? 0 : plan.routes());
         status.put("refusals", succession.refusals());
@@ -174,15 +183,15 @@
             return;
         }
         String why = first(exchange, "why");
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> steward.goBack(number(exchange), why == null
-            ? "" : why, wrong -> {
-            try {
-                answer(exchange, wrong == null ? 200 : 409, wrong == null ? status() : Map.of("error",
-                    wrong));
-            } catch (IOException e) {
-                turn.soon(exchange::endExchange);
-            }
-        }));
+        exchange.dispatch(
+                SameThreadExecutor.INSTANCE,
+                () -> steward.goBack(number(exchange), why == null ? "" : why, wrong -> {
+                    try {
+                        answer(exchange, wrong == null ? 200 : 409, wrong == null ? status() : Map.of("error", wrong));
+                    } catch (IOException e) {
+                        turn.soon(exchange::endExchange);
+                    }
+                }));
     }
 
     private static String first(HttpServerExchange exchange, String name) {
@@ -198,11 +207,10 @@
         }
     }
 
-    private static void answer(HttpServerExchange exchange, int status, Map<String, Object> said)
-            throws IOException {
+    private static void answer(HttpServerExchange exchange, int status, Map<String, Object> said) throws IOException {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-        exchange.getResponseSender().send(ByteBuffer.wrap((JSON.std.asString(said) + "\n")
-            .getBytes(StandardCharsets.UTF_8)));
+        exchange.getResponseSender()
+                .send(ByteBuffer.wrap((JSON.std.asString(said) + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 }
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -1,20 +1,15 @@
 package gatelock.control;
 
+import com.fasterxml.jackson.jr.ob.JSON;
+import gatelock.config.Backoff;
+import gatelock.config.ConfigVersion;
+import gatelock.config.Diagnostic;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.OutboundConnection;
 import gatelock.state.Counters;
 import gatelock.state.LogField;
 import gatelock.state.UpstreamResponse;
-import gatelock.config.Backoff;
-import gatelock.config.Diagnostic;
-import gatelock.config.ConfigVersion;
-import gatelock.config.VersionTracker;
-
-import com.fasterxml.jackson.jr.ob.JSON;
-
-import org.xnio.XnioExecutor;
-
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -23,6 +18,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.xnio.XnioExecutor;
 
 /**
  * The stream of versions from a control service: one call after the other, each of which tells what this
@@ -54,6 +50,7 @@
     private boolean stopped;
     /** What the next call tells of the version that came last. */
     private String nonce = "";
+
     private ConfigUpdater.Told told;
 
     /**
@@ -61,9 +58,15 @@
      * @param services in the order in which they are tried
      * @param holdMs how long a call may wait for a later version
      */
-    public ConfigSubscription(EventLoop turn, Counters counters, ConnectionPool lines, ConfigUpdater steward, Backoff backoff,
-        String relay,
-                        List<InetSocketAddress> services, long holdMs) {
+    public ConfigSubscription(
+            EventLoop turn,
+            Counters counters,
+            ConnectionPool lines,
+            ConfigUpdater steward,
+            Backoff backoff,
+            String relay,
+            List<InetSocketAddress> services,
+            long holdMs) {
         this.turn = turn;
         this.counters = counters;
         this.lines = lines;
@@ -135,10 +138,13 @@
         askedUs = turn.nowUs();
         byte[] body = bytes(says());
         String head = "POST /v1/plans HTTP/1.1\r\nHost: control\r\nContent-Type: "
-            + "application/json\r\nContent-Length: "
-            + body.length + "\r\n\r\n";
+                + "application/json\r\nContent-Length: "
+                + body.length + "\r\n\r\n";
         byte[] first = head.getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer call = ByteBuffer.allocate(first.length + body.length).put(first).put(body).flip();
+        ByteBuffer call = ByteBuffer.allocate(first.length + body.length)
+                .put(first)
+                .put(body)
+                .flip();
         InetSocketAddress to = service();
         line = lines.call(to, call, holdMs * 1000 + GRACE_US, new Asked(to));
     }
@@ -157,7 +163,9 @@
             says.put("accepted", told.accepted());
             says.put("answer", told.answer());
             if (!told.findings().isEmpty()) {
-                says.put("findings", told.findings().stream().map(Diagnostic::fields).toList());
+                says.put(
+                        "findings",
+                        told.findings().stream().map(Diagnostic::fields).toList());
             }
         }
         says.put("hold_ms", holdMs);
@@ -187,8 +195,7 @@
         }
         ConfigVersion stamp = stamp(answer);
         if (answer.status() != 200 || stamp == null) {
-            failed("answer " + answer.status() + (answer.status() == 200
-                ? " without epoch, version and nonce" : ""));
+            failed("answer " + answer.status() + (answer.status() == 200 ? " without epoch, version and nonce" : ""));
             return false;
         }
         nonce = answer.header("X-Plan-Nonce");
@@ -207,10 +214,15 @@
             long born = Long.parseLong(answer.header("X-Plan-Epoch-Born"));
             long number = Long.parseLong(answer.header("X-Plan-Version"));
             String nonce = answer.header("X-Plan-Nonce");
-            boolean odd = id == null || !id.matches("[A-Za-z0-9._-]{1,64}") || nonce == null
-                || nonce.length() > MOST_WORDS
-                || number < 1 || born < 0;
-            return odd ? null : new ConfigVersion(new ConfigVersion.Epoch(born, id), number, ConfigVersion.hash(answer.body()));
+            boolean odd = id == null
+                    || !id.matches("[A-Za-z0-9._-]{1,64}")
+                    || nonce == null
+                    || nonce.length() > MOST_WORDS
+                    || number < 1
+                    || born < 0;
+            return odd
+                    ? null
+                    : new ConfigVersion(new ConfigVersion.Epoch(born, id), number, ConfigVersion.hash(answer.body()));
         } catch (NumberFormatException e) {
             return null;
         }
@@ -232,9 +244,12 @@
     private void failed(String why) {
         counters.add("control failed");
         if (backoff.failures() == 0 || backoff.failures() == 4) {
-            LOG.log(Level.WARNING, "control service {0}: {1}; {2} stays in force", LogField.of("service",
-                service()),
-                LogField.of("reason", why), LogField.of("version", steward.succession().inForce()));
+            LOG.log(
+                    Level.WARNING,
+                    "control service {0}: {1}; {2} stays in force",
+                    LogField.of("service", service()),
+                    LogField.of("reason", why),
+                    LogField.of("version", steward.succession().inForce()));
         }
         at = (at + 1) % services.size();
         askIn(backoff.failed());
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -1,15 +1,14 @@
 package gatelock.control;
 
-import gatelock.net.EventLoop;
-import gatelock.state.Counters;
-import gatelock.state.LogField;
 import gatelock.config.Admission;
-import gatelock.config.ConfigCompiler;
-import gatelock.config.Diagnostic;
 import gatelock.config.CompiledConfig;
+import gatelock.config.ConfigCompiler;
 import gatelock.config.ConfigVersion;
+import gatelock.config.Diagnostic;
 import gatelock.config.VersionTracker;
-
+import gatelock.net.EventLoop;
+import gatelock.state.Counters;
+import gatelock.state.LogField;
 import java.lang.System.Logger.Level;
 import java.util.List;
 import java.util.function.Consumer;
@@ -39,13 +38,16 @@
      * @param answer one word for the control service
      * @param isNew whether the service could not know this before
      */
-    public record Told(boolean accepted, String answer, List<Diagnostic> findings, boolean isNew) {
-    }
+    public record Told(boolean accepted, String answer, List<Diagnostic> findings, boolean isNew) {}
 
     /** @param keep null: nothing is kept on disk */
-    public ConfigUpdater(EventLoop turn, Counters counters, VersionTracker succession, Admission admission,
-        ConfigCompiler compiler,
-                   LastKnownGoodStore keep) {
+    public ConfigUpdater(
+            EventLoop turn,
+            Counters counters,
+            VersionTracker succession,
+            Admission admission,
+            ConfigCompiler compiler,
+            LastKnownGoodStore keep) {
         this.turn = turn;
         this.counters = counters;
         this.succession = succession;
@@ -82,11 +84,15 @@
             }
             default -> {
                 counters.add("versions out of order");
-                String answer = meeting.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+                String answer =
+                        meeting.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
                 if (succession.met().get(meeting) == 1) {
-                    LOG.log(Level.WARNING, "version {0} is not applied, {1}: {2} stays in force",
-                        LogField.of("version", stamp),
-                        LogField.of("reason", answer), LogField.of("held", succession.held()));
+                    LOG.log(
+                            Level.WARNING,
+                            "version {0} is not applied, {1}: {2} stays in force",
+                            LogField.of("version", stamp),
+                            LogField.of("reason", answer),
+                            LogField.of("held", succession.held()));
                 }
                 then.accept(new Told(false, answer, List.of(), false));
             }
@@ -97,9 +103,10 @@
         long fromUs = turn.nowUs();
         turn.aside(() -> compiler.compile(stamp.epoch(), stamp.number(), text), ConfigCompiler.FAILED, compiled -> {
             latestCompileUs = turn.nowUs() - fromUs;
-            then.accept(compiled.good() ? beside(compiled.plan(), text, compiled.findings(),
-                "control service")
-                : refuse(stamp, compiled.findings(), true));
+            then.accept(
+                    compiled.good()
+                            ? beside(compiled.plan(), text, compiled.findings(), "control service")
+                            : refuse(stamp, compiled.findings(), true));
         });
     }
 
@@ -116,9 +123,11 @@
             turn.aside(() -> keep.keep(plan.stamp(), text), "it failed", failed -> {
                 if (failed != null) {
                     counters.add("versions not kept");
-                    LOG.log(Level.WARNING, "version {0} is in force and not kept on disk: {1}",
-                        LogField.of("version",
-                        plan.stamp()), LogField.of("reason", failed));
+                    LOG.log(
+                            Level.WARNING,
+                            "version {0} is in force and not kept on disk: {1}",
+                            LogField.of("version", plan.stamp()),
+                            LogField.of("reason", failed));
                 }
             });
         }
@@ -130,31 +139,44 @@
         admission.follow(fromUs, plan);
         longestSwapUs = Math.max(longestSwapUs, turn.nowUs() - fromUs);
         counters.add("versions applied");
-        LOG.log(Level.INFO, "version {0} in force, {1} routes, from {2}, by {3}: {4}", LogField.of("version",
-            plan.stamp()),
-            LogField.of("routes", plan.routes()), LogField.of("source", why), LogField.of("by", plan.by()),
-            LogField.of("note", plan.note()));
+        LOG.log(
+                Level.INFO,
+                "version {0} in force, {1} routes, from {2}, by {3}: {4}",
+                LogField.of("version", plan.stamp()),
+                LogField.of("routes", plan.routes()),
+                LogField.of("source", why),
+                LogField.of("by", plan.by()),
+                LogField.of("note", plan.note()));
     }
 
     private Told refuse(ConfigVersion stamp, List<Diagnostic> findings, boolean always) {
         succession.bad(stamp, findings, always);
         counters.add("versions refused");
-        LOG.log(Level.WARNING, "version {0} is turned down, {1} stays in force: {2}", LogField.of("version",
-            stamp),
-            LogField.of("held", succession.inForce()), LogField.of("reason",
-            findings.stream().filter(Diagnostic::grave)
-            .limit(LOGGED).map(Diagnostic::toString).collect(Collectors.joining(" | "))));
+        LOG.log(
+                Level.WARNING,
+                "version {0} is turned down, {1} stays in force: {2}",
+                LogField.of("version", stamp),
+                LogField.of("held", succession.inForce()),
+                LogField.of(
+                        "reason",
+                        findings.stream()
+                                .filter(Diagnostic::grave)
+                                .limit(LOGGED)
+                                .map(Diagnostic::toString)
+                                .collect(Collectors.joining(" | "))));
         return new Told(false, "refused", findings, true);
     }
 
     /** A version from disk, before the first one from a control service; tells whether it is in force now. */
     public boolean recovered(LastKnownGoodStore.Kept kept) {
-        ConfigCompiler.Compiled compiled = compiler.compile(kept.stamp().epoch(), kept.stamp().number(),
-            kept.text());
+        ConfigCompiler.Compiled compiled =
+                compiler.compile(kept.stamp().epoch(), kept.stamp().number(), kept.text());
         if (!compiled.good()) {
-            LOG.log(Level.WARNING, "version {0} from disk is not sound any more: {1}", LogField.of("version",
-                kept.stamp()),
-                LogField.of("reason", compiled.findings()));
+            LOG.log(
+                    Level.WARNING,
+                    "version {0} from disk is not sound any more: {1}",
+                    LogField.of("version", kept.stamp()),
+                    LogField.of("reason", compiled.findings()));
             return false;
         }
         if (succession.good(turn.nowUs(), compiled.plan(), "disk", kept.text())) {
@@ -171,22 +193,24 @@
             then.accept("no version " + number + " is remembered; see history");
             return;
         }
-        turn.aside(() -> compiler.compile(past.stamp().epoch(), number, past.text()), ConfigCompiler.FAILED,
-            compiled -> {
-            if (!compiled.good()) {
-                then.accept("version " + number + " is not sound any more: " + compiled.findings());
-                return;
-            }
-            succession.pin(turn.nowUs(), past, "operator: " + why);
-            swap(compiled.plan(), "operator: " + why);
-            then.accept(null);
-        });
+        turn.aside(
+                () -> compiler.compile(past.stamp().epoch(), number, past.text()), ConfigCompiler.FAILED, compiled -> {
+                    if (!compiled.good()) {
+                        then.accept("version " + number + " is not sound any more: " + compiled.findings());
+                        return;
+                    }
+                    succession.pin(turn.nowUs(), past, "operator: " + why);
+                    swap(compiled.plan(), "operator: " + why);
+                    then.accept(null);
+                });
     }
 
     /** The control service leads again. */
     public void release() {
         succession.release();
-        LOG.log(Level.INFO, "the control service leads again; {0} is in force", LogField.of("version",
-            succession.inForce()));
+        LOG.log(
+                Level.INFO,
+                "the control service leads again; {0} is in force",
+                LogField.of("version", succession.inForce()));
     }
 }
--- a/src/main/java/gatelock/control/LastKnownGoodStore.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -1,7 +1,6 @@
 package gatelock.control;
 
 import gatelock.config.ConfigVersion;
-
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
@@ -37,8 +36,7 @@
     }
 
     /** One version as it was kept. */
-    public record Kept(ConfigVersion stamp, byte[] text) {
-    }
+    public record Kept(ConfigVersion stamp, byte[] text) {}
 
     private Path latest() {
         return directory.resolve("last-good.plan");
@@ -53,14 +51,19 @@
         try {
             Files.createDirectories(directory);
             Path beside = directory.resolve("last-good.plan.new");
-            String head = MARK + " " + stamp.epoch().born() + " " + stamp.epoch().id() + " " + stamp.number()
-                + " "
-                + text.length + " " + stamp.hash() + "\n";
-            try (FileChannel file = FileChannel.open(beside, StandardOpenOption.CREATE,
-                StandardOpenOption.WRITE,
+            String head =
+                    MARK + " " + stamp.epoch().born() + " " + stamp.epoch().id() + " " + stamp.number()
+                            + " "
+                            + text.length + " " + stamp.hash() + "\n";
+            try (FileChannel file = FileChannel.open(
+                    beside,
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.WRITE,
                     StandardOpenOption.TRUNCATE_EXISTING)) {
                 ByteBuffer all = ByteBuffer.allocate(head.length() + text.length)
-                    .put(head.getBytes(StandardCharsets.US_ASCII)).put(text).flip();
+                        .put(head.getBytes(StandardCharsets.US_ASCII))
+                        .put(text)
+                        .flip();
                 while (all.hasRemaining()) {
                     file.write(all);
                 }
@@ -119,8 +122,10 @@
         if (text.length != Integer.parseInt(head[4])) {
             throw new IOException("it is cut or torn: " + text.length + " bytes of " + head[4]);
         }
-        ConfigVersion stamp = new ConfigVersion(new ConfigVersion.Epoch(Long.parseLong(head[1]), head[2]), Long.parseLong(head[3]),
-            ConfigVersion.hash(text));
+        ConfigVersion stamp = new ConfigVersion(
+                new ConfigVersion.Epoch(Long.parseLong(head[1]), head[2]),
+                Long.parseLong(head[3]),
+                ConfigVersion.hash(text));
         if (!stamp.hash().equals(head[5])) {
             throw new IOException("its text is not the one that was kept: the hash is another");
         }
--- a/src/main/java/gatelock/decision/Bootstrap.java
+++ b/src/main/java/gatelock/decision/Bootstrap.java
@@ -7,15 +7,19 @@
 /** Statistics over slices redrawn with repeats; a figure is given how often each slice was drawn. */
 final class Bootstrap {
 
-    private Bootstrap() {
-    }
+    private Bootstrap() {}
 
     /**
      * The lower and the upper end of a figure, with a share left out at either end, the lower one so many
      * times as far from the middle.
      */
-    static double[] interval(int slices, int draws, double tail, double stretch, RandomGenerator chance,
-                             ToDoubleFunction<int[]> figure) {
+    static double[] interval(
+            int slices,
+            int draws,
+            double tail,
+            double stretch,
+            RandomGenerator chance,
+            ToDoubleFunction<int[]> figure) {
         double[] found = new double[draws];
         for (int d = 0; d < draws; d++) {
             int[] times = new int[slices];
--- a/src/main/java/gatelock/decision/OutcomeWindow.java
+++ b/src/main/java/gatelock/decision/OutcomeWindow.java
@@ -25,8 +25,15 @@
     }
 
     static List<OutcomeWindow> without(List<OutcomeWindow> slices, List<Object> endpoints) {
-        return endpoints.isEmpty() ? slices : slices.stream().map(s -> new OutcomeWindow(s.number,
-            s.outcomes.stream().filter(o -> !endpoints.contains(o.endpoint())).toList())).toList();
+        return endpoints.isEmpty()
+                ? slices
+                : slices.stream()
+                        .map(s -> new OutcomeWindow(
+                                s.number,
+                                s.outcomes.stream()
+                                        .filter(o -> !endpoints.contains(o.endpoint()))
+                                        .toList()))
+                        .toList();
     }
 
     /**
@@ -34,20 +41,26 @@
      * rest those worst in these. So none is left out for the very outcomes that are looked at: of few an endpoint,
      * that would leave out any outcome that is bad by chance.
      */
-    static List<OutcomeWindow> withoutWorst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
+    static List<OutcomeWindow> withoutWorst(
+            List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
         List<OutcomeWindow> kept = new ArrayList<>();
         for (int half = 0; half < 2; half++) {
             int number = half;
-            kept.addAll(without(slices.stream().filter(s -> s.number % 2 != number).toList(),
-                worst(slices.stream().filter(s -> s.number % 2 == number).toList(), figure, share)));
+            kept.addAll(without(
+                    slices.stream().filter(s -> s.number % 2 != number).toList(),
+                    worst(slices.stream().filter(s -> s.number % 2 == number).toList(), figure, share)));
         }
         return kept;
     }
 
     /** Rows {outcomes, failed}, one a slice. */
     static long[][] counts(List<OutcomeWindow> slices) {
-        return slices.stream().map(s -> new long[] {s.outcomes.size(),
-            s.outcomes.stream().filter(AttemptOutcome::failed).count()}).toArray(long[][]::new);
+        return slices.stream()
+                .map(s -> new long[] {
+                    s.outcomes.size(),
+                    s.outcomes.stream().filter(AttemptOutcome::failed).count()
+                })
+                .toArray(long[][]::new);
     }
 
     /** A share of the endpoints with outcomes, one at least: those with the highest mean of a figure. */
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -1,7 +1,6 @@
 package gatelock.decision;
 
 import gatelock.api.*;
-
 import java.util.*;
 import java.util.random.RandomGenerator;
 import java.util.stream.*;
@@ -20,20 +19,24 @@
 
     /** Page (what its page gives): outcomes in slices of this length; with fewer canary no verdict. */
     private static final long SLICE_US = SECOND;
+
     private static final int FEWEST = 20;
     private static final int MOST_HELD = 300; // outcomes a slice; of more, a fair sample keeps a look quick
     /** Page: both bars. Ours: 1.5 between builds, as endpoints of one kind differ by a fifth. */
     private static final double PERCENTILE = 0.9;
+
     private static final double FLEET_MARGIN = 1.25;
     private static final double MORE_WORK = 1.2; // the fleet against itself only while no more work comes
     private static final double MARGIN = 1.5;
     private static final double ERROR_BAR = 0.02;
     /** Page: latency counts from endpoints older than this, or than the time in which they are surely warm. */
     private static final long WARM_UP_US = 3 * SECOND;
+
     private static final long PATIENCE_US = SECOND; // a close call holds so long past the least time
     private static final long LONG_PATIENCE_US = 3 * SECOND; // page, if few endpoints fail or counts decide
     private static final long HOLD_LEAD_US = SECOND; // where a clock moves stages: a hold, before time is up
-    private static final double COUNTS_MARGIN = 2; // where the release controller's counts decide, as like load is unknown
+    private static final double COUNTS_MARGIN =
+            2; // where the release controller's counts decide, as like load is unknown
     private static final int DRAWS = 200; // of the interval, with this share left out at either end (95%)
     private static final double TAIL = 0.025;
     private static final double TAIL_WIDTH = 1.96;
@@ -48,26 +51,31 @@
     private static final double PRIOR = 4; // few outcomes are drawn to what all show, which weighs as so many
     /** Troubles strike at most this share of the endpoints with errors, and of those with slowness. */
     private static final double SICK_PART = 0.25;
+
     private static final double SLOW_PART = 0.5;
     private static final long WATCH_US = 12 * SECOND; // how long a released build is watched
     private static final long CLOCK_LAG_US = SECOND; // a stage's clock after its machines, or its start
     private static final long CLOCK_LATEST_US = 8 * SECOND;
     /** Votes: renewed after this share of their life; the wait after one that was turned away. */
     private static final double RENEW_AT = 0.6;
+
     private static final long REVOTE_US = 400_000;
     private static final double AT_ONCE = 1.5; // times its rate, of the 2 that the release controller takes at once
-    private static final double DESK_PART = 0.9; // of the release controller's rate, what renewals of all relays may use
+    private static final double DESK_PART =
+            0.9; // of the release controller's rate, what renewals of all relays may use
     private static final double TURN_STEP = 0.382; // of all relays, how far turns move on with each stage
     private static final int VOICES_LOGGED = 2; // of all relays, so many log a vote that is not back
 
     /** Measures of an endpoint fade over this time, and longer the less of the requests one relay of many sees. */
     private static final double SPEED_MEMORY_US = 4.0 * SECOND;
+
     private static final double FEW_RELAYS = 8;
     private static final double LONGEST = 4;
     private static final double RATE_MEMORY_US = 3.0 * SECOND;
     private static final double WORK_MEMORY_US = 6.0 * SECOND;
     /** In flight: measured rate x share of the objective; floors at one endpoint, and for all relays an endpoint. */
     private static final double OBJECTIVE_SHARE = 0.4;
+
     private static final double INFLIGHT_FLOOR = 2;
     private static final double FLEET_FLOOR = 6;
     private static final double QUICK_TIMES = 3; // at most, while answers take less of the objective than
@@ -75,12 +83,14 @@
     private static final double ROOM_FOR_LEAST = 0.5; // of that room, what the least valuable requests may use
     /** Work of one place that a canary endpoint may be sent; of a cold one's rule, by what it surely can do. */
     private static final double TRIAL_TIMES = 1.5;
+
     private static final double COLD_PART = 0.75;
     private static final double TRIAL_WAIT = 2; // of the earlier build's time, in flight at a canary endpoint
     private static final double SAVED_US = SECOND / 4.0; // the most time's worth that such a budget saves up
     private static final double TAKEN_PART = 0.25; // of work taken, where less was completed of late
     /** An attempt is overdue after this long plus a multiple of what its work usually takes. */
     private static final long OVERDUE_US = 300_000;
+
     private static final double OVERDUE_TIMES = 3;
     private static final long STOOD_US = 600_000; // the relay itself stood still: no call, for two beats
     private static final double SICK_ERRORS = 0.35; // out of use: of an endpoint's late outcomes and one good one
@@ -91,11 +101,13 @@
 
     /** A route is odd if it needs so many times what another does; its part of the room if it is late too. */
     private static final double ODD_TIMES = 2.5;
+
     private static final double HOPELESS_PART = 0.15;
     /** Where a new connection has a price, endpoints looked at for two to which one stands: a look has none. */
     private static final int LOOKS = 8;
     /** Connections are few if more than this share of connects fail; one stands if used this long ago. */
     private static final double REFUSED_SHARE = 0.05;
+
     private static final long OPEN_US = SECOND / 4;
 
     private static final double RETRY_SHARE = 0.1;
@@ -177,9 +189,10 @@
         this.tenantRate = DecayingSum.of(charter.tenants().size(), RATE_MEMORY_US);
         this.routeInFlight = new int[charter.routes().size()];
         this.routeSlow = DecayingSum.of(charter.routes().size(), WORK_MEMORY_US);
-        this.topValue = charter.routes().stream().mapToDouble(RoutePolicy::value).max().orElse(1);
-        this.logLevel = Bootstrap.logLevel(FALSE_BACKS, charter.relays(),
-            Math.max(1, charter.rollout().backVotes()));
+        this.topValue =
+                charter.routes().stream().mapToDouble(RoutePolicy::value).max().orElse(1);
+        this.logLevel = Bootstrap.logLevel(
+                FALSE_BACKS, charter.relays(), Math.max(1, charter.rollout().backVotes()));
         this.stretch = Math.max(1, Bootstrap.normalWidth(logLevel) / TAIL_WIDTH);
         this.many = charter.relays() > FEW_RELAYS;
         this.endpointMemoryUs = SPEED_MEMORY_US * Math.min(LONGEST, Math.max(1, charter.relays() / FEW_RELAYS));
@@ -208,8 +221,15 @@
     }
 
     @Override
-    public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-                       RequestConstraints bounds) {
+    public RequestHandle take(
+            long nowUs,
+            String id,
+            int route,
+            int tenant,
+            long key,
+            long leftUs,
+            long costUs,
+            RequestConstraints bounds) {
         clock(nowUs);
         RequestState request = new RequestState(id, route, tenant, key, nowUs + leftUs, costUs, bounds);
         builds.values().forEach(b -> b.room.earn(route, b.capNow()));
@@ -263,7 +283,9 @@
             if (u == null || u.at.startUs() != l.startUs() || u.build.number != l.build()) {
                 // A restarted or re-used id is a new endpoint: nothing of its past holds.
                 if (!builds.containsKey(l.build())) {
-                    builds.values().stream().flatMap(b -> Stream.of(b.own, b.counts)).forEach(OutcomeHistory::keep);
+                    builds.values().stream()
+                            .flatMap(b -> Stream.of(b.own, b.counts))
+                            .forEach(OutcomeHistory::keep);
                     takenBefore = work(taken);
                 }
                 u = new EndpointState(l, builds.computeIfAbsent(l.build(), Build::new));
@@ -277,17 +299,20 @@
         // endpoints once it is before all that is compared, a key once no build is left that it may not go to.
         endpoints.values().removeIf(u -> u.health == Endpoint.Health.GONE && u.out.isEmpty());
         Build earlier = earlierThan(newest);
-        builds.keySet().removeIf(n -> earlier != null && n < earlier.number
-            && endpoints.values().stream().noneMatch(u -> u.build.number == n));
+        builds.keySet()
+                .removeIf(n -> earlier != null
+                        && n < earlier.number
+                        && endpoints.values().stream().noneMatch(u -> u.build.number == n));
         pinned.values().removeIf(n -> builds.isEmpty() || n <= builds.firstKey());
-        endpoints.values().stream().filter(u -> u.health == Endpoint.Health.READY)
-            .forEach(u -> u.build.ready.add(u));
-        places = Math.max(1, builds.values().stream().mapToInt(b -> b.ready.size()).max().orElse(0));
+        endpoints.values().stream()
+                .filter(u -> u.health == Endpoint.Health.READY)
+                .forEach(u -> u.build.ready.add(u));
+        places = Math.max(
+                1, builds.values().stream().mapToInt(b -> b.ready.size()).max().orElse(0));
     }
 
     @Override
-    public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs,
-                     VoteAnswer answer) {
+    public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer) {
         clock(nowUs);
         answerDue &= answer == VoteAnswer.NOT_ASKED;
         if (answer != VoteAnswer.NOT_ASKED && answer != VoteAnswer.COUNTED) {
@@ -296,8 +321,8 @@
             voteNotBeforeUs = nowUs + REVOTE_US + chance.nextLong(REVOTE_US);
             return;
         }
-        boolean before = build < newest || build == newest && (phase.compareTo(this.phase) < 0
-            || phase == this.phase && stage < this.stage);
+        boolean before = build < newest
+                || build == newest && (phase.compareTo(this.phase) < 0 || phase == this.phase && stage < this.stage);
         if (before && nowUs - agoUs <= stageFromUs) {
             // Guards against a vote's answer that newer news on their own connection have overtaken.
             return;
@@ -336,14 +361,20 @@
         Build b = builds.get(build);
         if (b != null && count > 0 && route >= 0 && route < charter.routes().size()) {
             long endUs = nowUs - agoUs;
-            long age = b.ready.stream().map(u -> endUs - u.at.startUs()).sorted().skip(b.ready.size() / 2)
-                .findFirst().orElse(0L);
+            long age = b.ready.stream()
+                    .map(u -> endUs - u.at.startUs())
+                    .sorted()
+                    .skip(b.ready.size() / 2)
+                    .findFirst()
+                    .orElse(0L);
             // They stand as outcomes of one endpoint a route, each route a kind of its own.
             // The release controller tells no attempt without an answer or a connection from an error; own endings do.
-            b.counts.add(new OutcomeWindow(endUs / SLICE_US, IntStream.range(0, count)
-                .filter(i -> i >= failed || chance.nextDouble() < heard.mean(nowUs, 1))
-                .mapToObj(i -> new AttemptOutcome(route, DESK - route, i < failed, false, meanUs, 0, age))
-                .toList()));
+            b.counts.add(new OutcomeWindow(
+                    endUs / SLICE_US,
+                    IntStream.range(0, count)
+                            .filter(i -> i >= failed || chance.nextDouble() < heard.mean(nowUs, 1))
+                            .mapToObj(i -> new AttemptOutcome(route, DESK - route, i < failed, false, meanUs, 0, age))
+                            .toList()));
         }
     }
 
@@ -359,8 +390,10 @@
             // Guards against a zone cut off or gone before the list says so: all its endpoints would be tried.
             // Could harm where its sick endpoints had the few attempts: a tenth still goes there.
             zones.look(nowUs, FEWEST_OF_ZONE, MOST, SICK_ERRORS);
-            List<EndpointState> there = builds.values().stream().flatMap(b -> b.ready.stream())
-                .filter(u -> !zones.lost().contains(u.at.zone())).toList();
+            List<EndpointState> there = builds.values().stream()
+                    .flatMap(b -> b.ready.stream())
+                    .filter(u -> !zones.lost().contains(u.at.zone()))
+                    .toList();
             someBad = there.stream().filter(EndpointState::looksBad).count() <= MOST * there.size();
             weigh();
         } else if (token == ASK_LIST) {
@@ -382,6 +415,7 @@
         private final boolean hinted;
         /** What was set for it beyond the charter; asked only for less than would be done without. */
         private final RequestConstraints bounds;
+
         private final long token = nextToken++;
         private final List<Attempt> attempts = new ArrayList<>(2);
         private boolean over;
@@ -396,16 +430,15 @@
             this.key = key;
             this.endUs = endUs;
             this.hinted = hintUs > 0;
-            this.costUs = hinted ? hintUs
-                : Math.max(1, (long) cost[routeNo].mean(nowUs, route.objectiveUs() / 8.0));
+            this.costUs = hinted ? hintUs : Math.max(1, (long) cost[routeNo].mean(nowUs, route.objectiveUs() / 8.0));
         }
 
         /** The ordinary path, for a first attempt and for any further one. */
         private void place() {
             boolean first = attempts.isEmpty();
             double most = claim() * mostInFlight(route);
-            boolean room = inFlight + chance.nextDouble() < most && (!hopeless(routeNo)
-                || routeInFlight[routeNo] + chance.nextDouble() < most * HOPELESS_PART);
+            boolean room = inFlight + chance.nextDouble() < most
+                    && (!hopeless(routeNo) || routeInFlight[routeNo] + chance.nextDouble() < most * HOPELESS_PART);
             // 1. First sends fill the cap of the canary build.
             EndpointState endpoint = first && room ? choose(true) : null;
             // 2. The rest goes to the released build, and what it has no room for to those before it.
@@ -429,8 +462,11 @@
 
         private EndpointState choose(boolean canary) {
             return builds.descendingMap().values().stream()
-                .filter(b -> b.onCanary() == canary && b.mayTake(this)).map(b -> b.pick(this))
-                .filter(Objects::nonNull).findFirst().orElse(null);
+                    .filter(b -> b.onCanary() == canary && b.mayTake(this))
+                    .map(b -> b.pick(this))
+                    .filter(Objects::nonNull)
+                    .findFirst()
+                    .orElse(null);
         }
 
         private boolean neverRan() {
@@ -439,13 +475,17 @@
 
         /** Rule 2: whether a retry may go to this endpoint, after its first n tries. */
         private boolean mayRepeatAt(EndpointState endpoint, int n) {
-            return route.repeat() == RoutePolicy.Repeat.RETRIABLE || attempts.stream().limit(n).allMatch(t ->
-                t.neverRan() || route.repeat() == RoutePolicy.Repeat.DEDUPED
-                && nowUs - t.sentUs < route.rememberUs() * 8 / 10 && switch (route.group()) {
-                    case ALL -> true;
-                    case ZONE -> t.endpoint.at.zone() == endpoint.at.zone();
-                    case CELL -> t.endpoint.at.cell() == endpoint.at.cell();
-                });
+            return route.repeat() == RoutePolicy.Repeat.RETRIABLE
+                    || attempts.stream()
+                            .limit(n)
+                            .allMatch(t -> t.neverRan()
+                                    || route.repeat() == RoutePolicy.Repeat.DEDUPED
+                                            && nowUs - t.sentUs < route.rememberUs() * 8 / 10
+                                            && switch (route.group()) {
+                                                case ALL -> true;
+                                                case ZONE -> t.endpoint.at.zone() == endpoint.at.zone();
+                                                case CELL -> t.endpoint.at.cell() == endpoint.at.cell();
+                                            });
         }
 
         /** An attempt has failed: one more, within the budget, or the final answer at once. */
@@ -453,7 +493,9 @@
             boolean may = nowUs < endUs && (neverRan() || route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE);
             AttemptResult last = attempts.get(attempts.size() - 1).ending;
             double price = last == AttemptResult.NOT_CONNECTED || last == AttemptResult.NOT_SENT ? RECONNECT : 1;
-            if (may && retryTokens >= price && attempts.size() < Math.min(charter.attemptLimit(), bounds.mostAttempts())
+            if (may
+                    && retryTokens >= price
+                    && attempts.size() < Math.min(charter.attemptLimit(), bounds.mostAttempts())
                     && bounds.goesOn(nowUs, last)) {
                 retryTokens -= price;
                 place();
@@ -463,8 +505,10 @@
         }
 
         private void turnAway() {
-            boolean harmless = nowUs < endUs && (neverRan() || route.repeat() == RoutePolicy.Repeat.RETRIABLE
-                || route.repeat() == RoutePolicy.Repeat.DEDUPED && route.group() == RoutePolicy.Group.ALL);
+            boolean harmless = nowUs < endUs
+                    && (neverRan()
+                            || route.repeat() == RoutePolicy.Repeat.RETRIABLE
+                            || route.repeat() == RoutePolicy.Repeat.DEDUPED && route.group() == RoutePolicy.Group.ALL);
             finish();
             if (harmless) {
                 out.shed(id, charter.pausesHeard() ? Math.min(charter.longestPauseUs(), SHED_PAUSE_US) : 0);
@@ -498,7 +542,9 @@
         @Override
         public boolean mayGo(long now, int attemptNo) {
             clock(now);
-            return !over && attempts.get(attemptNo).endpoint.mayGetNew() && mayRepeatAt(attempts.get(attemptNo).endpoint, attemptNo);
+            return !over
+                    && attempts.get(attemptNo).endpoint.mayGetNew()
+                    && mayRepeatAt(attempts.get(attemptNo).endpoint, attemptNo);
         }
 
         @Override
@@ -552,7 +598,8 @@
         private final int number;
         private final List<EndpointState> ready = new ArrayList<>();
         private final OutcomeHistory own = new OutcomeHistory(EARLIER_SLICES, MOST_HELD, chance);
-        private final OutcomeHistory counts = new OutcomeHistory(EARLIER_SLICES * charter.routes().size(), 0, chance);
+        private final OutcomeHistory counts =
+                new OutcomeHistory(EARLIER_SLICES * charter.routes().size(), 0, chance);
         private final ExposureBudget room; // rule 5, by what the cap has earned
         private final DecayingSum slowness = new DecayingSum(SPEED_MEMORY_US);
         private final DecayingSum ahead = new DecayingSum(RATE_MEMORY_US);
@@ -574,8 +621,11 @@
 
         private boolean mayTake(RequestState request) {
             boolean guarded = (number == newest ? stage : 0) < charter.rollout().guardedStages();
-            return isOpen() && keyAllows(request) && (!onCanary() || room.has(request.routeNo)
-                && (!guarded || request.route.repeat() == RoutePolicy.Repeat.RETRIABLE));
+            return isOpen()
+                    && keyAllows(request)
+                    && (!onCanary()
+                            || room.has(request.routeNo)
+                                    && (!guarded || request.route.repeat() == RoutePolicy.Repeat.RETRIABLE));
         }
 
         /** Rule 5: nothing new to a build that went back, or that is canary without a cap. */
@@ -597,14 +647,19 @@
             for (int i = 0, found = 0; i < ready.size() && found < 2; i++) {
                 Collections.swap(ready, i, i + chance.nextInt(ready.size() - i));
                 EndpointState u = ready.get(i);
-                boolean attemptBad = request.route.repeat() == RoutePolicy.Repeat.RETRIABLE && request.attempts.isEmpty()
-                    && chance.nextDouble() < TRY_BAD;
-                if (request.bounds.reaches(u.at.endpoint()) && u.hasRoom(request, claim)
-                        && request.mayRepeatAt(u, request.attempts.size()) && request.attempts.stream().noneMatch(t -> t.endpoint == u)
+                boolean attemptBad = request.route.repeat() == RoutePolicy.Repeat.RETRIABLE
+                        && request.attempts.isEmpty()
+                        && chance.nextDouble() < TRY_BAD;
+                if (request.bounds.reaches(u.at.endpoint())
+                        && u.hasRoom(request, claim)
+                        && request.mayRepeatAt(u, request.attempts.size())
+                        && request.attempts.stream().noneMatch(t -> t.endpoint == u)
                         && (!someBad || attemptBad || !u.looksBad())) {
                     boolean open = few && u.connected();
-                    boolean better = best == null || (few && open != best.connected() ? open
-                        : u.expectedWait(request) < best.expectedWait(request));
+                    boolean better = best == null
+                            || (few && open != best.connected()
+                                    ? open
+                                    : u.expectedWait(request) < best.expectedWait(request));
                     best = better ? u : best;
                     boolean stands = charter.openingPrice() == 0 || onCanary() || u.lineStands();
                     found += (few ? open : stands || i >= LOOKS - 1) ? 1 : 0;
@@ -615,7 +670,9 @@
 
         private void record(EndpointState endpoint, boolean failed, boolean late, double slowness, double load) {
             long ageUs = endpoint.at.startUs() > 0 ? nowUs - endpoint.at.startUs() : Long.MAX_VALUE;
-            own.add(nowUs / SLICE_US, new AttemptOutcome(endpoint, endpoint.at.kind(), failed, late, slowness, load, ageUs));
+            own.add(
+                    nowUs / SLICE_US,
+                    new AttemptOutcome(endpoint, endpoint.at.kind(), failed, late, slowness, load, ageUs));
         }
     }
 
@@ -652,7 +709,9 @@
 
         private void ended(RequestState.Attempt t, AttemptResult ending, long tookUs, LoadReport load) {
             out.remove(t);
-            if (ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED || ending == AttemptResult.TURNED_AWAY) {
+            if (ending == AttemptResult.COMPLETED
+                    || ending == AttemptResult.ERRORED
+                    || ending == AttemptResult.TURNED_AWAY) {
                 lines.leave(nowUs, charter.keptUs());
             }
             if (ending == AttemptResult.NOT_SENT || ending == AttemptResult.CANCELLED && !t.cancelled) {
@@ -711,8 +770,12 @@
                 return;
             }
             double others = (charter.relays() - 1) * ahead.drawn(nowUs, build.ahead.mean(nowUs, 0), PRIOR);
-            build.record(this, ending != AttemptResult.COMPLETED && !unheard, tookUs > t.request.route.objectiveUs(),
-                slow, (t.ahead + out.size()) / 2.0 + others);
+            build.record(
+                    this,
+                    ending != AttemptResult.COMPLETED && !unheard,
+                    tookUs > t.request.route.objectiveUs(),
+                    slow,
+                    (t.ahead + out.size()) / 2.0 + others);
         }
 
         /**
@@ -723,7 +786,9 @@
          */
         private void lookForOverdue(RequestState.Attempt t) {
             double usual = Math.max(slowness.mean(nowUs, 0), usualSlowness(at.kind())) * t.request.costUs;
-            if (t.overdue || stoodUs == nowUs || hopeless(t.request.routeNo)
+            if (t.overdue
+                    || stoodUs == nowUs
+                    || hopeless(t.request.routeNo)
                     || nowUs - t.sentUs <= OVERDUE_US + OVERDUE_TIMES * usual) {
                 return;
             }
@@ -731,8 +796,11 @@
             inFlight--;
             failures.add(nowUs, 1);
             zones.add(nowUs, at.zone(), true);
-            if (!t.request.over && t.request.route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE && charter.mayCancel()
-                    && someBad && retryTokens >= 1) {
+            if (!t.request.over
+                    && t.request.route.repeat() != RoutePolicy.Repeat.NON_RETRIABLE
+                    && charter.mayCancel()
+                    && someBad
+                    && retryTokens >= 1) {
                 t.cancelled = true;
                 ReleaseGate.this.out.cancel(t.request.id, t.number);
             }
@@ -741,8 +809,7 @@
         /** Guards against an endpoint that fails much or leaves tries overdue, whatever the cause. */
         private boolean looksBad() {
             double bad = failures.count(nowUs);
-            return zones.lost().contains(at.zone()) && !cold()
-                || bad / (bad + slowness.count(nowUs) + 1) > SICK_ERRORS;
+            return zones.lost().contains(at.zone()) && !cold() || bad / (bad + slowness.count(nowUs) + 1) > SICK_ERRORS;
         }
 
         /** Rules 3 and 5: nothing new to what leaves or came back as another, nor to a build not open. */
@@ -792,8 +859,9 @@
         /** In announced work; not canary a new connection counts as the wait that costs as much worth. */
         private double expectedWait(RequestState request) {
             double queue = nowUs - waitingAtUs < SECOND ? waiting : 0;
-            double opening = lineStands() || build.onCanary() ? 0
-                : charter.openingPrice() * request.route.objectiveUs() / request.costUs;
+            double opening = lineStands() || build.onCanary()
+                    ? 0
+                    : charter.openingPrice() * request.route.objectiveUs() / request.costUs;
             return slowness.drawn(nowUs, usualSlowness(at.kind()), 1) * (out.size() + 1 + queue) + opening;
         }
 
@@ -825,7 +893,10 @@
     /** How many times the time per announced work of the quickest route this one needs, on any endpoint. */
     private double timesOthers(int route) {
         double times = slownessOf(route)
-            / IntStream.range(0, routeSlow.length).mapToDouble(this::slownessOf).min().orElse(1);
+                / IntStream.range(0, routeSlow.length)
+                        .mapToDouble(this::slownessOf)
+                        .min()
+                        .orElse(1);
         return times > ODD_TIMES ? times : 1;
     }
 
@@ -841,7 +912,9 @@
     private double mostInFlight(RoutePolicy route) {
         double perUs = answers.count(nowUs) / RATE_MEMORY_US;
         double took = IntStream.range(0, routeSlow.length)
-            .mapToDouble(r -> usualTook(r) / charter.routes().get(r).objectiveUs()).min().orElse(0);
+                .mapToDouble(r -> usualTook(r) / charter.routes().get(r).objectiveUs())
+                .min()
+                .orElse(0);
         double quick = Math.max(1, Math.min(QUICK_TIMES, QUICK_SHARE / took));
         double backlog = nowUs - stoodUs < SECOND ? perUs * stoodForUs : 0;
         double inTime = perUs * route.objectiveUs() * OBJECTIVE_SHARE;
@@ -907,7 +980,9 @@
 
     private Build earlierThan(int number) {
         return builds.headMap(number, false).descendingMap().values().stream()
-            .filter(b -> !withdrawn.contains(b.number) && !b.own.isEmpty()).findFirst().orElse(null);
+                .filter(b -> !withdrawn.contains(b.number) && !b.own.isEmpty())
+                .findFirst()
+                .orElse(null);
     }
 
     /**
@@ -915,7 +990,8 @@
      * listed yet are waited for as long as the last took: some stages bring none.
      */
     private long clockFromUs(Build canary) {
-        long startUs = canary.ready.stream().mapToLong(u -> u.at.startUs()).max().orElse(0);
+        long startUs =
+                canary.ready.stream().mapToLong(u -> u.at.startUs()).max().orElse(0);
         long latestUs = stageFromUs + CLOCK_LATEST_US;
         long upUs = Math.min(latestUs, startUs >= stageFromUs ? startUs : stageFromUs + bootUs);
         return canary.ready.isEmpty() ? latestUs : upUs + CLOCK_LAG_US;
@@ -935,7 +1011,9 @@
 
     /** Votes of all relays are renewed no faster than the release controller takes them; back is by its voices alone. */
     private long renewUs(Verdict verdict) {
-        double allUs = charter.relays() * SECOND / (DESK_PART * Math.max(0.1, charter.rollout().votesPerS()));
+        double allUs = charter.relays()
+                * SECOND
+                / (DESK_PART * Math.max(0.1, charter.rollout().votesPerS()));
         double soonUs = charter.rollout().voteLifeUs() * RENEW_AT;
         return (long) (verdict == Verdict.BACK ? soonUs : Math.max(soonUs, allUs));
     }
@@ -962,7 +1040,8 @@
 
     /** Whether the release controller's sample holds more of the canary than this relay's own outcomes. */
     private boolean few(Build canary) {
-        return OutcomeWindow.seen(canary.counts.from(weighedFrom())) >= OutcomeWindow.seen(canary.own.from(weighedFrom()));
+        return OutcomeWindow.seen(canary.counts.from(weighedFrom()))
+                >= OutcomeWindow.seen(canary.own.from(weighedFrom()));
     }
 
     private long weighedFrom() {
@@ -978,8 +1057,7 @@
         if (earlier == null) {
             return many ? oneOfMany(canary.own.from(weighedFrom()), List.of(), List.of()) : Assessment.NO_VERDICT;
         }
-        Assessment found = compare(canary, canary.own, earlier.own, earlier.own.all(), MARGIN, FLEET_MARGIN,
-            stretch);
+        Assessment found = compare(canary, canary.own, earlier.own, earlier.own.all(), MARGIN, FLEET_MARGIN, stretch);
         if (found.fails() || !few(canary)) {
             return found;
         }
@@ -989,8 +1067,14 @@
     }
 
     /** Intervals of the canary's errors and percentile against the bars, and what else lies behind a fail. */
-    private Assessment compare(Build canary, OutcomeHistory its, OutcomeHistory earlier, List<OutcomeWindow> theirs, double margin,
-                            double fleet, double stretch) {
+    private Assessment compare(
+            Build canary,
+            OutcomeHistory its,
+            OutcomeHistory earlier,
+            List<OutcomeWindow> theirs,
+            double margin,
+            double fleet,
+            double stretch) {
         List<OutcomeWindow> mine = its.from(weighedFrom());
         Assessment found = compare(mine, theirs, margin, stretch, FEWEST);
         boolean slow = found == Assessment.SLOW;
@@ -1007,12 +1091,17 @@
             // the build must fail all the same. Errors of its oldest endpoints count alone: builds may turn bad
             // with age. Could harm where a build is bad on one kind of machine only.
             List<Object> odd = OutcomeWindow.worst(mine, AttemptOutcome::error, SICK_PART);
-            long asOldUs = SECOND + canary.ready.stream().filter(odd::contains)
-                .mapToLong(u -> u.at.startUs()).max().orElse(0);
-            boolean alone = !slow && canary.ready.stream().filter(u -> !odd.contains(u))
-                .noneMatch(u -> u.at.startUs() <= asOldUs);
-            List<OutcomeWindow> well = slow ? OutcomeWindow.withoutWorst(mine, AttemptOutcome::slowness, SLOW_PART)
-                : OutcomeWindow.without(mine, odd);
+            long asOldUs = SECOND
+                    + canary.ready.stream()
+                            .filter(odd::contains)
+                            .mapToLong(u -> u.at.startUs())
+                            .max()
+                            .orElse(0);
+            boolean alone = !slow
+                    && canary.ready.stream().filter(u -> !odd.contains(u)).noneMatch(u -> u.at.startUs() <= asOldUs);
+            List<OutcomeWindow> well = slow
+                    ? OutcomeWindow.withoutWorst(mine, AttemptOutcome::slowness, SLOW_PART)
+                    : OutcomeWindow.without(mine, odd);
             boolean rest = alone || compare(well, theirs, MARGIN, stretch, FEWEST / 2) == found;
             return rest ? found : Assessment.SUSPECT;
         }
@@ -1026,13 +1115,15 @@
         List<OutcomeWindow> all = new ArrayList<>(mine);
         all.addAll(earlier.from(weighedFrom()));
         List<Object> endpoints = OutcomeWindow.worst(all, AttemptOutcome::slowness);
-        List<OutcomeWindow> best = OutcomeWindow.without(all, endpoints.subList(0, (int) (endpoints.size() * SLOW_PART)));
+        List<OutcomeWindow> best =
+                OutcomeWindow.without(all, endpoints.subList(0, (int) (endpoints.size() * SLOW_PART)));
         boolean allSlow = compare(best, earlier.before(), fleet, stretch, FEWEST) == Assessment.SLOW;
         ground = allSlow ? ground : said;
         return allSlow ? Assessment.SLOW : found;
     }
 
-    private Assessment compare(List<OutcomeWindow> mine, List<OutcomeWindow> theirs, double margin, double stretch, int fewest) {
+    private Assessment compare(
+            List<OutcomeWindow> mine, List<OutcomeWindow> theirs, double margin, double stretch, int fewest) {
         int seen = OutcomeWindow.seen(mine);
         ground = seen + " outcomes";
         if (seen < fewest) {
@@ -1041,15 +1132,18 @@
         int[] once = Bootstrap.once(theirs.size());
         // What strikes both builds is not held against one; sick endpoints of the earlier build are no excuse.
         List<Object> sick = OutcomeWindow.worst(theirs, AttemptOutcome::error);
-        boolean known = !theirs.isEmpty() && sick.get(0) instanceof EndpointState
-            && OutcomeWindow.seen(theirs) >= PRIOR * sick.size();
+        boolean known = !theirs.isEmpty()
+                && sick.get(0) instanceof EndpointState
+                && OutcomeWindow.seen(theirs) >= PRIOR * sick.size();
         sick = sick.subList(0, known ? (int) Math.ceil(sick.size() * SICK_PART) : 0);
         double least = margin > MARGIN ? margin * ERROR_BAR : ERROR_BAR;
-        double errorBar = Math.max(least, Math.max(margin, MARGIN)
-            * Bootstrap.share(OutcomeWindow.counts(OutcomeWindow.without(theirs, sick)), once));
+        double errorBar = Math.max(
+                least,
+                Math.max(margin, MARGIN)
+                        * Bootstrap.share(OutcomeWindow.counts(OutcomeWindow.without(theirs, sick)), once));
         long[][] counts = OutcomeWindow.counts(mine);
-        double[] errors = Bootstrap.interval(mine.size(), DRAWS, TAIL, stretch, chance,
-            times -> Bootstrap.share(counts, times));
+        double[] errors =
+                Bootstrap.interval(mine.size(), DRAWS, TAIL, stretch, chance, times -> Bootstrap.share(counts, times));
         boolean enough = mine.size() >= FEWEST_SLICES;
         ground += String.format(", errors %.3f to %.3f, bar %.3f", errors[0], errors[1], errorBar);
         if (errors[0] > errorBar && enough) {
@@ -1062,8 +1156,8 @@
             return Assessment.NO_VERDICT;
         }
         double bar = margin * Bootstrap.percentile(there, once, PERCENTILE);
-        double[] slow = Bootstrap.interval(mine.size(), DRAWS, TAIL, stretch, chance,
-            times -> Bootstrap.percentile(here, times, PERCENTILE));
+        double[] slow = Bootstrap.interval(
+                mine.size(), DRAWS, TAIL, stretch, chance, times -> Bootstrap.percentile(here, times, PERCENTILE));
         ground += String.format(", slowness %.2f to %.2f, bar %.2f", slow[0], slow[1], bar);
         if (slow[0] > bar && enough) {
             return Assessment.SLOW;
@@ -1077,9 +1171,13 @@
      * harm where a trouble strikes mostly canary endpoints.
      */
     private Assessment oneOfMany(List<OutcomeWindow> mine, List<OutcomeWindow> theirs, List<OutcomeWindow> lately) {
-        double errorBar = Math.max(ERROR_BAR, MARGIN * Math.max(OutcomeWindow.errors(theirs), OutcomeWindow.errors(lately)));
-        Assessment errors = past(OutcomeWindow.seen(mine), OutcomeWindow.outcomes(mine).filter(AttemptOutcome::failed), errorBar,
-            Assessment.ERRORS);
+        double errorBar =
+                Math.max(ERROR_BAR, MARGIN * Math.max(OutcomeWindow.errors(theirs), OutcomeWindow.errors(lately)));
+        Assessment errors = past(
+                OutcomeWindow.seen(mine),
+                OutcomeWindow.outcomes(mine).filter(AttemptOutcome::failed),
+                errorBar,
+                Assessment.ERRORS);
         if (errors == Assessment.ERRORS) {
             return errors;
         }
@@ -1088,10 +1186,14 @@
         // A relay that has just started knows no earlier times: a route's objective stands for the bar.
         double bar = MARGIN * Bootstrap.percentile(there, Bootstrap.once(theirs.size()), PERCENTILE);
         long warmUs = Math.max(WARM_UP_US, charter.warmWithinUs());
-        List<AttemptOutcome> warm = OutcomeWindow.outcomes(mine).filter(o -> !o.failed() && o.ageUs() > warmUs
-            && !(there.length > 0 && Double.isNaN(like.usual(o)))).toList();
-        Assessment slow = past(warm.size(), warm.stream().filter(o -> there.length == 0 ? o.late()
-            : o.slowness() / like.usual(o) > bar), 1 - PERCENTILE, Assessment.SLOW);
+        List<AttemptOutcome> warm = OutcomeWindow.outcomes(mine)
+                .filter(o -> !o.failed() && o.ageUs() > warmUs && !(there.length > 0 && Double.isNaN(like.usual(o))))
+                .toList();
+        Assessment slow = past(
+                warm.size(),
+                warm.stream().filter(o -> there.length == 0 ? o.late() : o.slowness() / like.usual(o) > bar),
+                1 - PERCENTILE,
+                Assessment.SLOW);
         return slow == Assessment.NO_VERDICT ? errors : slow;
     }
 
--- a/src/main/java/gatelock/decision/TimeoutTracker.java
+++ b/src/main/java/gatelock/decision/TimeoutTracker.java
@@ -27,9 +27,12 @@
     void look(long nowUs, double fewest, double most, double less) {
         boolean another = places.values().stream().anyMatch(f -> f.mean(nowUs, 1) < less);
         Set<Integer> before = silent;
-        silent = places.entrySet().stream().filter(p -> another && p.getValue().mean(nowUs, 0) > most
-            && (before.contains(p.getKey()) || p.getValue().count(nowUs) >= fewest)).map(Map.Entry::getKey)
-            .collect(Collectors.toSet());
+        silent = places.entrySet().stream()
+                .filter(p -> another
+                        && p.getValue().mean(nowUs, 0) > most
+                        && (before.contains(p.getKey()) || p.getValue().count(nowUs) >= fewest))
+                .map(Map.Entry::getKey)
+                .collect(Collectors.toSet());
     }
 
     /** As found by the last look. */
--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -1,5 +1,11 @@
 package gatelock.discovery;
 
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
+import gatelock.config.Admission;
+import gatelock.membership.EndpointEntry;
+import gatelock.membership.EndpointSubset;
 import gatelock.net.BodyConsumer;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
@@ -7,18 +13,9 @@
 import gatelock.net.MalformedResponseException;
 import gatelock.net.OutboundConnection;
 import gatelock.net.ResponseTooLongException;
-import gatelock.state.EndpointAddresses;
 import gatelock.state.Counters;
+import gatelock.state.EndpointAddresses;
 import gatelock.state.UpstreamResponse;
-import gatelock.membership.EndpointEntry;
-import gatelock.membership.EndpointSubset;
-import gatelock.config.Admission;
-import gatelock.api.AttemptResult;
-import gatelock.api.DecisionEngine;
-import gatelock.api.Endpoint;
-
-import org.xnio.XnioExecutor;
-
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -32,12 +29,14 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
+import org.xnio.XnioExecutor;
 
 /** Speaks with discovery: the whole list, then a watch that is renewed as soon as it has answered. */
 public final class DiscoveryClient {
     private static final System.Logger LOG = System.getLogger("gatelock.discovery");
     /** A watch waits so long at most; short, so that a connection gone silent is found out. */
     private static final long HOLD_MS = 2_000;
+
     private static final long GRACE_US = 1_000_000;
     private static final long RETRY_US = 100_000;
     /**
@@ -51,10 +50,12 @@
      * in forever is none. Harms where a pause is longer and would have ended: the list is asked for again.
      */
     private static final long PIECE_US = 1_000_000;
+
     private static final long WHOLE_US = 30_000_000;
     private static final long SCOPE_LOOK_US = 250_000;
     /** Of a list's answer: 1,024 endpoints and twice as many that leave, with names of usual length. */
     public static final int MOST_LIST = 2 * 1024 * 1024;
+
     private static final String TOO_LONG = "too long";
 
     private final EventLoop turn;
@@ -77,9 +78,10 @@
     private long askedFirstUs = Long.MIN_VALUE;
     private long silentUs;
     private Runnable whenListed;
-    private Runnable whenFailed = () -> { };
+    private Runnable whenFailed = () -> {};
     /** Why the last answer was not taken in; null: it was. The same again is not said again. */
     private String unread;
+
     private long changedUs = -1;
     private long tooLong;
 
@@ -88,8 +90,7 @@
      *
      * @param mostListBytes that an answer with a list may have
      */
-    public record Membership(EndpointSubset scope, ServiceNameExtractor service, long mostListBytes) {
-    }
+    public record Membership(EndpointSubset scope, ServiceNameExtractor service, long mostListBytes) {}
 
     /**
      * For the operators; without a scope, all that is listed is in scope.
@@ -97,8 +98,8 @@
      * @param changedUs when the list or scope last changed, -1: never
      * @param tooLong lists that were too long to be taken
      */
-    public record State(boolean scoped, int listed, int inScope, int services, long index, long changedUs,
-                        long tooLong) {
+    public record State(
+            boolean scoped, int listed, int inScope, int services, long index, long changedUs, long tooLong) {
         @Override
         public String toString() {
             return "list " + index + " of " + listed + " units in " + services + " services, " + inScope + " in scope";
@@ -110,17 +111,26 @@
      * @param onRequest whether the list is followed only when asked for, and a failure is told
      * @param membership null: all endpoints that are listed are used
      */
-    public DiscoveryClient(EventLoop turn, Counters counters, ConnectionPool lines, InetSocketAddress address,
-        EndpointAddresses addresses,
-                     ConnectionPool endpoints, List<String> zones, List<String> kinds, boolean onRequest,
-                     RandomGenerator chance, Membership membership) {
+    public DiscoveryClient(
+            EventLoop turn,
+            Counters counters,
+            ConnectionPool lines,
+            InetSocketAddress address,
+            EndpointAddresses addresses,
+            ConnectionPool endpoints,
+            List<String> zones,
+            List<String> kinds,
+            boolean onRequest,
+            RandomGenerator chance,
+            Membership membership) {
         this.turn = turn;
         this.counters = counters;
         this.lines = lines;
         this.address = address;
         this.addresses = addresses;
         this.endpoints = endpoints;
-        this.reader = new EndpointEntryReader(zones, kinds, membership == null ? ServiceNameExtractor.ONE : membership.service);
+        this.reader = new EndpointEntryReader(
+                zones, kinds, membership == null ? ServiceNameExtractor.ONE : membership.service);
         this.membership = membership;
         this.onRequest = onRequest;
         this.chance = chance;
@@ -204,7 +214,8 @@
             line = lines.call(address, bytes, answerUs, new Asked());
         } else {
             AskedByScope asked = new AskedByScope(!watch);
-            line = lines.call(address, bytes, new OutboundConnection.Patience(answerUs, PIECE_US, WHOLE_US), asked, asked);
+            line = lines.call(
+                    address, bytes, new OutboundConnection.Patience(answerUs, PIECE_US, WHOLE_US), asked, asked);
         }
     }
 
@@ -218,8 +229,10 @@
             List<EndpointEntry> entries = entries(list);
             boolean whole = list.yes("snapshot");
             unread = null;
-            taken(list.whole("index"), whole || !entries.isEmpty(), () ->
-                listed(whole ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, entries, whole));
+            taken(
+                    list.whole("index"),
+                    whole || !entries.isEmpty(),
+                    () -> listed(whole ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, entries, whole));
             return true;
         } catch (IOException e) {
             bad(e.getMessage());
@@ -266,9 +279,13 @@
         counters.add("lists too long");
         tooLong++;
         if (!TOO_LONG.equals(unread)) {
-            LOG.log(Level.WARNING, "discovery's list is too long: " + why + ", what was listed stays; "
-                + (membership == null ? "name a scope (membership) in the operator's file"
-                : "raise membership.mostListBytes in the operator's file") + ", or have fewer units listed");
+            LOG.log(
+                    Level.WARNING,
+                    "discovery's list is too long: " + why + ", what was listed stays; "
+                            + (membership == null
+                                    ? "name a scope (membership) in the operator's file"
+                                    : "raise membership.mostListBytes in the operator's file")
+                            + ", or have fewer units listed");
             unread = TOO_LONG;
         }
         index = -1;
@@ -308,7 +325,10 @@
     /** The same of what this relay uses; nothing where that has not changed. */
     private void listed(EndpointSubset.Change change) {
         if (change.whole() || !change.entries().isEmpty()) {
-            listed(change.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, change.entries(), change.whole());
+            listed(
+                    change.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA,
+                    change.entries(),
+                    change.whole());
         }
     }
 
@@ -321,7 +341,9 @@
     /** An attempt at an endpoint has ended. */
     public void ended(String endpoint, AttemptResult ending) {
         if (membership != null && ending != AttemptResult.CANCELLED && ending != AttemptResult.NOT_SENT) {
-            boolean heard = ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED || ending == AttemptResult.TURNED_AWAY;
+            boolean heard = ending == AttemptResult.COMPLETED
+                    || ending == AttemptResult.ERRORED
+                    || ending == AttemptResult.TURNED_AWAY;
             membership.scope.ended(turn.nowUs(), endpoint, heard);
         }
     }
@@ -329,9 +351,14 @@
     public State state() {
         EndpointSubset scope = membership == null ? null : membership.scope;
         int used = addresses.size();
-        return new State(scope != null, scope == null ? used : scope.listed(), scope == null ? used : scope.inScope(),
-            scope == null ? 1 : scope.services(), index, scope == null ? changedUs
-            : Math.max(changedUs, scope.changedUs()), tooLong);
+        return new State(
+                scope != null,
+                scope == null ? used : scope.listed(),
+                scope == null ? used : scope.inScope(),
+                scope == null ? 1 : scope.services(),
+                index,
+                scope == null ? changedUs : Math.max(changedUs, scope.changedUs()),
+                tooLong);
     }
 
     private List<EndpointEntry> entries(JsonObject list) throws IOException {
@@ -354,7 +381,8 @@
             left.addAll(addresses.put(JsonObject.resolved(entries.get(i).address()), listed.get(i)));
         }
         if (whole) {
-            left.addAll(addresses.keepOnly(entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
+            left.addAll(
+                    addresses.keepOnly(entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
         }
         return left;
     }
@@ -485,7 +513,8 @@
             if (list == null) {
                 failed();
             } else {
-                bad("the list stopped for " + PIECE_US / 1_000 + " ms, or took longer than " + WHOLE_US / 1_000 + " ms");
+                bad("the list stopped for " + PIECE_US / 1_000 + " ms, or took longer than " + WHOLE_US / 1_000
+                        + " ms");
             }
         }
     }
--- a/src/main/java/gatelock/discovery/EndpointEntryReader.java
+++ b/src/main/java/gatelock/discovery/EndpointEntryReader.java
@@ -1,9 +1,8 @@
 package gatelock.discovery;
 
-import gatelock.net.JsonObject;
-import gatelock.membership.EndpointEntry;
 import gatelock.api.Endpoint;
-
+import gatelock.membership.EndpointEntry;
+import gatelock.net.JsonObject;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.List;
@@ -14,8 +13,14 @@
     private static final int MOST_LABELS = 32;
     /** How far an endpoint's start may lie ahead of this relay's clock. */
     private static final long AHEAD_US = 60_000_000;
-    private static final Map<String, Endpoint.Health> HEALTH = Map.of("in_service", Endpoint.Health.READY,
-        "terminating", Endpoint.Health.DRAINING, "terminated", Endpoint.Health.GONE);
+
+    private static final Map<String, Endpoint.Health> HEALTH = Map.of(
+            "in_service",
+            Endpoint.Health.READY,
+            "terminating",
+            Endpoint.Health.DRAINING,
+            "terminated",
+            Endpoint.Health.GONE);
 
     private final List<String> zones;
     private final List<String> kinds;
@@ -39,8 +44,17 @@
             throw new IOException("expected a start that has been for " + endpoint);
         }
         Map<String, String> labels = labels(e);
-        return new EndpointEntry(endpoint, service.of(endpoint, e, labels), e.addressText("address"), number(zones, e, "zone"),
-            number(kinds, e, "type"), (int) e.wholeOr("group", 0), e.count("image_id"), health, startUs, labels);
+        return new EndpointEntry(
+                endpoint,
+                service.of(endpoint, e, labels),
+                e.addressText("address"),
+                number(zones, e, "zone"),
+                number(kinds, e, "type"),
+                (int) e.wholeOr("group", 0),
+                e.count("image_id"),
+                health,
+                startUs,
+                labels);
     }
 
     /** Labels are our own addition to an entry; what is no text under them is left out. */
--- a/src/main/java/gatelock/discovery/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -1,12 +1,11 @@
 package gatelock.discovery;
 
-import gatelock.net.JsonObject;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
-
+import gatelock.net.JsonObject;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -28,14 +27,20 @@
     static final int MOST_ENTRY = 16 * 1024;
     /** Entries that are held while it is not told yet whether they are a whole list. */
     static final int MOST_HELD = 1_024;
+
     private static final int DEEPEST = 16;
     /** Beside the entries. */
     private static final int MOST_FIELDS = 100;
     // Names that are made up anew in each entry must not stay for good.
     private static final JsonFactory JSON = JsonFactory.builder()
-        .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(DEEPEST)
-            .maxStringLength(MOST_ENTRY).maxNameLength(MOST_ENTRY).maxNumberLength(100).build()).build();
+            .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+            .streamReadConstraints(StreamReadConstraints.builder()
+                    .maxNestingDepth(DEEPEST)
+                    .maxStringLength(MOST_ENTRY)
+                    .maxNameLength(MOST_ENTRY)
+                    .maxNumberLength(100)
+                    .build())
+            .build();
 
     /** Whoever takes the entries; nothing of them may count before the list has come to its good end. */
     interface Taker {
@@ -47,8 +52,7 @@
     }
 
     /** What stands beside the entries. */
-    record Frame(boolean whole, long index) {
-    }
+    record Frame(boolean whole, long index) {}
 
     private final Taker taker;
     private final boolean wholeAsked;
@@ -58,6 +62,7 @@
     private final Map<String, Object> frame = new LinkedHashMap<>();
     /** Objects and lists of an entry that are open, the entry itself first. */
     private final Deque<Object> open = new ArrayDeque<>();
+
     private final Deque<String> names = new ArrayDeque<>();
     private List<JsonObject> held = new ArrayList<>();
     private final Set<String> fields = new HashSet<>();
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -3,7 +3,6 @@
 import gatelock.net.EventLoop;
 import gatelock.state.ClientConnections;
 import gatelock.state.Counters;
-
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpHandler;
@@ -11,7 +10,11 @@
 import io.undertow.server.protocol.http.HttpOpenListener;
 import io.undertow.server.protocol.http.HttpServerConnection;
 import io.undertow.util.Headers;
-
+import java.io.IOException;
+import java.lang.System.Logger.Level;
+import java.net.InetSocketAddress;
+import java.util.HashMap;
+import java.util.Map;
 import org.xnio.ChannelListener;
 import org.xnio.ChannelListeners;
 import org.xnio.IoUtils;
@@ -21,12 +24,6 @@
 import org.xnio.channels.AcceptingChannel;
 import org.xnio.channels.StreamSinkChannel;
 
-import java.io.IOException;
-import java.lang.System.Logger.Level;
-import java.net.InetSocketAddress;
-import java.util.HashMap;
-import java.util.Map;
-
 /**
  * The listener: client connections, how many there may be and how long one may keep a request from being whole,
  * readiness, and taking leave.
@@ -64,37 +61,51 @@
     public ClientListener(EventLoop turn, Counters counters, int withEase, int most) {
         this.turn = turn;
         this.most = most;
-        this.clients = new ClientConnections<>(counters, new ClientConnections.Sockets<>() {
-            @Override
-            public boolean unread(StreamConnection connection) {
-                return inflows.get(connection).unread();
-            }
+        this.clients = new ClientConnections<>(
+                counters,
+                new ClientConnections.Sockets<>() {
+                    @Override
+                    public boolean unread(StreamConnection connection) {
+                        return inflows.get(connection).unread();
+                    }
 
-            @Override
-            public void end(StreamConnection connection, ClientConnections.State state, ClientConnections.Why why) {
-                LOG.log(Level.DEBUG, () -> "client " + connection.getPeerAddress() + " closed, " + state
-                    + ", " + why);
-                IoUtils.safeClose(connection);
-            }
-        }, withEase, most);
+                    @Override
+                    public void end(
+                            StreamConnection connection, ClientConnections.State state, ClientConnections.Why why) {
+                        LOG.log(
+                                Level.DEBUG,
+                                () -> "client " + connection.getPeerAddress() + " closed, " + state + ", " + why);
+                        IoUtils.safeClose(connection);
+                    }
+                },
+                withEase,
+                most);
     }
 
     /**
      * Listens, and tells where; until {@link #admit} says that it is ready, a relay is not ready for clients.
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        OptionMap http = OptionMap.builder().set(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
-            .set(UndertowOptions.ALWAYS_SET_DATE, false).set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
-            .getMap();
-        HttpOpenListener opened = new HttpOpenListener(
-            new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0), http);
+        OptionMap http = OptionMap.builder()
+                .set(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
+                .set(UndertowOptions.ALWAYS_SET_DATE, false)
+                .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
+                .getMap();
+        HttpOpenListener opened = new HttpOpenListener(new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0), http);
         opened.setRootHandler(this::handle);
-        OptionMap socket = OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES,
-            true)
-            .set(Options.BACKLOG, BACKLOG).set(Options.CONNECTION_HIGH_WATER, most + SPARE)
-            .set(Options.CONNECTION_LOW_WATER, most + SPARE - 1).getMap();
-        listener = turn.thread().getWorker().createStreamConnectionServer(address,
-            ChannelListeners.openListenerAdapter(connection -> accepted(connection, opened)), socket);
+        OptionMap socket = OptionMap.builder()
+                .set(Options.TCP_NODELAY, true)
+                .set(Options.REUSE_ADDRESSES, true)
+                .set(Options.BACKLOG, BACKLOG)
+                .set(Options.CONNECTION_HIGH_WATER, most + SPARE)
+                .set(Options.CONNECTION_LOW_WATER, most + SPARE - 1)
+                .getMap();
+        listener = turn.thread()
+                .getWorker()
+                .createStreamConnectionServer(
+                        address,
+                        ChannelListeners.openListenerAdapter(connection -> accepted(connection, opened)),
+                        socket);
         listener.resumeAccepts();
         turn.in(LOOK_AGAIN_US, this::closeOverdue);
         return listener.getLocalAddress(InetSocketAddress.class);
@@ -106,8 +117,8 @@
     }
 
     private void accepted(StreamConnection connection, HttpOpenListener opened) {
-        ClientReadConduit inflow = new ClientReadConduit(connection.getSourceChannel().getConduit(),
-            () -> clients.bytes(turn.nowUs(), connection));
+        ClientReadConduit inflow = new ClientReadConduit(
+                connection.getSourceChannel().getConduit(), () -> clients.bytes(turn.nowUs(), connection));
         connection.getSourceChannel().setConduit(inflow);
         inflows.put(connection, inflow);
         clients.came(turn.nowUs(), connection);
@@ -144,9 +155,8 @@
         String path = exchange.getRequestPath();
         if (path.startsWith("/-/")) {
             boolean isReady = path.equals("/-/ready");
-            exchange.setStatusCode(isReady && ready && !notReady || path.equals("/-/healthy") ? 200 : isReady
-                ? 503
-                : 404);
+            exchange.setStatusCode(
+                    isReady && ready && !notReady || path.equals("/-/healthy") ? 200 : isReady ? 503 : 404);
             last(exchange);
             exchange.endExchange();
         } else {
--- a/src/main/java/gatelock/http/ClientReadConduit.java
+++ b/src/main/java/gatelock/http/ClientReadConduit.java
@@ -1,12 +1,11 @@
 package gatelock.http;
 
-import org.xnio.channels.StreamSinkChannel;
-import org.xnio.conduits.AbstractStreamSourceConduit;
-import org.xnio.conduits.StreamSourceConduit;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
+import org.xnio.channels.StreamSinkChannel;
+import org.xnio.conduits.AbstractStreamSourceConduit;
+import org.xnio.conduits.StreamSourceConduit;
 
 /**
  * What comes from one client, under everything that Undertow puts on it: tells of each read that brought
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -1,18 +1,17 @@
 package gatelock.http;
 
+import gatelock.api.DecisionEngine;
+import gatelock.api.RoutePolicy;
+import gatelock.config.Admission;
+import gatelock.config.RequestAttributes;
+import gatelock.config.SessionPolicy;
 import gatelock.net.EventLoop;
 import gatelock.net.ResponseReader;
 import gatelock.pipeline.RequestAdmitter;
-import gatelock.state.ResponseSink;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
+import gatelock.state.ResponseSink;
 import gatelock.state.UpstreamResponse;
-import gatelock.config.Admission;
-import gatelock.config.RequestAttributes;
-import gatelock.config.SessionPolicy;
-import gatelock.api.DecisionEngine;
-import gatelock.api.RoutePolicy;
-
 import io.undertow.connector.PooledByteBuffer;
 import io.undertow.io.IoCallback;
 import io.undertow.server.HttpHandler;
@@ -24,11 +23,6 @@
 import io.undertow.util.Headers;
 import io.undertow.util.HttpString;
 import io.undertow.util.SameThreadExecutor;
-
-import org.xnio.ChannelListener;
-import org.xnio.channels.StreamSourceChannel;
-import org.xnio.conduits.StreamSourceConduit;
-
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -37,6 +31,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.xnio.ChannelListener;
+import org.xnio.channels.StreamSourceChannel;
+import org.xnio.conduits.StreamSourceConduit;
 
 /**
  * First stage: a client's request is read whole and checked for its form; the fields that matter are taken out.
@@ -52,14 +49,23 @@
     private static final HttpString HINT = new HttpString("X-Size-Hint");
     private static final HttpString ONCE = new HttpString("Idempotency-Key");
     /** Said of one connection only, or said anew to the endpoint. */
-    private static final Set<HttpString> NOT_PASSED_ON = Set.of(Headers.CONNECTION, Headers.KEEP_ALIVE,
-        Headers.TRANSFER_ENCODING, Headers.CONTENT_LENGTH, Headers.TE, Headers.TRAILER, Headers.UPGRADE,
-        Headers.EXPECT, EXPIRES);
+    private static final Set<HttpString> NOT_PASSED_ON = Set.of(
+            Headers.CONNECTION,
+            Headers.KEEP_ALIVE,
+            Headers.TRANSFER_ENCODING,
+            Headers.CONTENT_LENGTH,
+            Headers.TE,
+            Headers.TRAILER,
+            Headers.UPGRADE,
+            Headers.EXPECT,
+            EXPIRES);
 
     /** The names that a request may bear, as the deployment numbers them. */
-    public record Names(Map<String, Integer> routes, Map<String, Integer> tenants, List<RoutePolicy> terms,
-                        List<Long> deadlinesUs) {
-    }
+    public record Names(
+            Map<String, Integer> routes,
+            Map<String, Integer> tenants,
+            List<RoutePolicy> terms,
+            List<Long> deadlinesUs) {}
 
     private final EventLoop turn;
     private final Counters counters;
@@ -70,7 +76,13 @@
     private final ClientListener front;
 
     /** @param admission what the plan in force means; null: there never is one */
-    public RequestReader(Counters counters, Names names, EventLoop turn, RequestAdmitter admit, ClientListener front, Admission admission) {
+    public RequestReader(
+            Counters counters,
+            Names names,
+            EventLoop turn,
+            RequestAdmitter admit,
+            ClientListener front,
+            Admission admission) {
         this.admission = admission;
         this.turn = turn;
         this.counters = counters;
@@ -91,8 +103,8 @@
          * Makes a request one that opens a session; what is given takes the client's side over once an endpoint has
          * opened.
          */
-        Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms,
-            int route);
+        Consumer<HttpServerExchange> opens(
+                HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms, int route);
     }
 
     /** From now on sessions are opened by this. */
@@ -108,14 +120,18 @@
         int wrong = 0;
         Admission.Way way = null;
         if (admission != null && admission.plan() != null) {
-            RequestAttributes asked = new RequestAttributes(exchange.getRequestMethod().toString(), host(exchange), path,
-                exchange.getRequestHeaders()::getFirst);
+            RequestAttributes asked = new RequestAttributes(
+                    exchange.getRequestMethod().toString(),
+                    host(exchange),
+                    path,
+                    exchange.getRequestHeaders()::getFirst);
             way = admission.way(asked);
             wrong = admission.refusal(asked, way);
         }
         int slash = path.indexOf('/', 1);
-        Integer route = way != null ? (Integer) way.classNo() : path.startsWith("/")
-            ? names.routes.get(path.substring(1, slash < 0 ? path.length() : slash)) : null;
+        Integer route = way != null
+                ? (Integer) way.classNo()
+                : path.startsWith("/") ? names.routes.get(path.substring(1, slash < 0 ? path.length() : slash)) : null;
         wrong = wrong != 0 ? wrong : formOf(exchange, route, length);
         wrong = wrong == 0 && opensSession(exchange, way) ? upgrade.refusal(exchange) : wrong;
         if (wrong != 0) {
@@ -185,13 +201,12 @@
         }
         boolean get = exchange.getRequestMethod().equalToString("GET");
         RoutePolicy.Repeat repeat = names.terms.get(route).repeat();
-        if (get != (repeat == RoutePolicy.Repeat.RETRIABLE) || !get && !exchange.getRequestMethod()
-            .equalToString("POST")) {
+        if (get != (repeat == RoutePolicy.Repeat.RETRIABLE)
+                || !get && !exchange.getRequestMethod().equalToString("POST")) {
             return 405;
         }
         String coding = headers.getFirst(Headers.TRANSFER_ENCODING);
-        if (coding != null && !coding.trim().equalsIgnoreCase("chunked") || get && (coding != null || length
-            > 0)) {
+        if (coding != null && !coding.trim().equalsIgnoreCase("chunked") || get && (coding != null || length > 0)) {
             return 400;
         }
         if (!get && length < 0 && coding == null) {
@@ -289,7 +304,10 @@
         for (HeaderValues values : exchange.getRequestHeaders()) {
             if (!NOT_PASSED_ON.contains(values.getHeaderName())) {
                 for (String value : values) {
-                    head.append(values.getHeaderName()).append(": ").append(value).append("\r\n");
+                    head.append(values.getHeaderName())
+                            .append(": ")
+                            .append(value)
+                            .append("\r\n");
                 }
             }
         }
@@ -337,7 +355,8 @@
 
         /** Undertow does not read while a request is being answered, so it would not see a client leave. */
         void watch() {
-            if (!(exchange.getConnection() instanceof HttpServerConnection connection) || request.over()
+            if (!(exchange.getConnection() instanceof HttpServerConnection connection)
+                    || request.over()
                     || connection.getExtraBytes() != null) {
                 return;
             }
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -1,7 +1,6 @@
 package gatelock.membership;
 
 import gatelock.api.Endpoint;
-
 import java.util.Map;
 
 /**
@@ -12,12 +11,29 @@
  * @param startUs its latest start, 0 for long past
  * @param labels what plans may choose endpoints by; each costs its bytes in the store
  */
-public record EndpointEntry(String name, String service, String address, int zone, int kind, int cell, int build,
-                    Endpoint.Health health, long startUs, Map<String, String> labels) {
+public record EndpointEntry(
+        String name,
+        String service,
+        String address,
+        int zone,
+        int kind,
+        int cell,
+        int build,
+        Endpoint.Health health,
+        long startUs,
+        Map<String, String> labels) {
 
     /** An endpoint without labels. */
-    public EndpointEntry(String name, String service, String address, int zone, int kind, int cell, int build,
-                 Endpoint.Health health, long startUs) {
+    public EndpointEntry(
+            String name,
+            String service,
+            String address,
+            int zone,
+            int kind,
+            int cell,
+            int build,
+            Endpoint.Health health,
+            long startUs) {
         this(name, service, address, zone, kind, cell, build, health, startUs, Map.of());
     }
 
@@ -27,7 +43,7 @@
     }
 
     EndpointEntry gone() {
-        return new EndpointEntry(name, service, address, zone, kind, cell, build, Endpoint.Health.GONE, startUs,
-            labels);
+        return new EndpointEntry(
+                name, service, address, zone, kind, cell, build, Endpoint.Health.GONE, startUs, labels);
     }
 }
--- a/src/main/java/gatelock/membership/EndpointStore.java
+++ b/src/main/java/gatelock/membership/EndpointStore.java
@@ -1,7 +1,6 @@
 package gatelock.membership;
 
 import gatelock.api.Endpoint;
-
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
 import java.nio.ByteOrder;
@@ -22,17 +21,19 @@
  * meant by the place of its record, which holds until it is put anew or removed.
  */
 final class EndpointStore {
-    private static final VarHandle INT = MethodHandles.byteArrayViewVarHandle(int[].class,
-        ByteOrder.BIG_ENDIAN);
+    private static final VarHandle INT = MethodHandles.byteArrayViewVarHandle(int[].class, ByteOrder.BIG_ENDIAN);
     private static final int PAGE_BITS = 16;
     /** Of a page, which also bounds a record. */
     private static final int PAGE = 1 << PAGE_BITS;
+
     private static final int FIRST_PAGE = 1 << 10;
     /** Records start at multiples of 4 bytes; a place counts these. */
     private static final int GRAIN_BITS = 2;
+
     private static final int FIRST_TABLE = 16;
     /** The table doubles when it is fuller: a search looks at about three slots then. */
     private static final double FULLEST = 0.8;
+
     private static final int NONE = -1;
     private static final Endpoint.Health[] HEALTH = Endpoint.Health.values();
 
@@ -53,6 +54,7 @@
     private int[] free = new int[0];
     /** Places + 1 by hash of the name; 0: empty. */
     private int[] table = new int[FIRST_TABLE];
+
     private int size;
 
     private final Map<String, Integer> numbers = new HashMap<>();
@@ -249,9 +251,8 @@
                 labels.put(in.text(), in.text());
             }
         }
-        return new EndpointEntry(name, service, address, zone, kind, cell, build, HEALTH[flags & HEALTH_MASK],
-            startUs,
-            labels);
+        return new EndpointEntry(
+                name, service, address, zone, kind, cell, build, HEALTH[flags & HEALTH_MASK], startUs, labels);
     }
 
     interface Each {
@@ -384,8 +385,10 @@
     private void pack(EndpointEntry e, byte[] name, int service) {
         at = AFTER_FLAGS;
         int packed = packed(e.address());
-        scratch[FLAGS] = (byte) (e.health().ordinal() | (packed != NONE ? PACKED_ADDRESS : 0)
-            | (e.labels().isEmpty() ? 0 : LABELLED) | (e.startUs() % 1000 == 0 ? WHOLE_MS : 0));
+        scratch[FLAGS] = (byte) (e.health().ordinal()
+                | (packed != NONE ? PACKED_ADDRESS : 0)
+                | (e.labels().isEmpty() ? 0 : LABELLED)
+                | (e.startUs() % 1000 == 0 ? WHOLE_MS : 0));
         number(zigzag(e.zone()));
         text(name);
         number(service);
@@ -410,8 +413,8 @@
             });
         }
         if (at > PAGE) {
-            throw new IllegalArgumentException("a unit's entry takes at most " + PAGE + " bytes, got " + at
-                + " for " + e.name().substring(0, Math.min(64, e.name().length())));
+            throw new IllegalArgumentException("a unit's entry takes at most " + PAGE + " bytes, got " + at + " for "
+                    + e.name().substring(0, Math.min(64, e.name().length())));
         }
     }
 
@@ -453,7 +456,7 @@
     private static byte[] utf8(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         if (name.chars().anyMatch(c -> c >= Character.MIN_SURROGATE && c <= Character.MAX_SURROGATE)
-            && !name.equals(new String(bytes, StandardCharsets.UTF_8))) {
+                && !name.equals(new String(bytes, StandardCharsets.UTF_8))) {
             throw new IllegalArgumentException("a unit's name must be text, got half of a pair in " + name);
         }
         return bytes;
