--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -1,7 +1,6 @@
 package gatelock.membership;
 
 import gatelock.api.Endpoint;
-
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -33,6 +32,7 @@
      * (docs/measurements/membership.md), which is 4/3 at so many. With fewer than one an endpoint is not used at all.
      */
     public static final int LEAST_HOLDERS = 110;
+
     private static final long NEVER = Long.MAX_VALUE;
 
     /**
@@ -46,15 +46,15 @@
      * @param leastElsewhere of these in other zones, where there are any
      * @param settleUs for how long an endpoint must not be needed before it leaves
      */
-    public record Terms(long relay, int zone, int most, int perService, double part, int leastElsewhere,
-                        long settleUs) {
+    public record Terms(
+            long relay, int zone, int most, int perService, double part, int leastElsewhere, long settleUs) {
 
         /** Throws where a bound makes no sense. */
         public Terms {
             if (most < 1 || perService < 1 || !(part >= 0 && part <= 1) || leastElsewhere < 0 || settleUs < 0) {
                 throw new IllegalArgumentException("expected at least one unit in scope and a service, a part from"
-                    + " 0 to 1, none or more elsewhere and no negative time, got " + most + ", " + perService + ", "
-                    + part + ", " + leastElsewhere + ", " + settleUs);
+                        + " 0 to 1, none or more elsewhere and no negative time, got " + most + ", " + perService + ", "
+                        + part + ", " + leastElsewhere + ", " + settleUs);
             }
         }
 
@@ -65,8 +65,7 @@
     }
 
     /** What to tell the decisions: all there is, or endpoints that came into scope, changed in it or left it. */
-    public record Change(boolean whole, List<EndpointEntry> entries) {
-    }
+    public record Change(boolean whole, List<EndpointEntry> entries) {}
 
     private final Terms terms;
     private final RendezvousRanking ranking;
@@ -76,17 +75,19 @@
     /** Services whose part in the scope has to be looked at. */
     private final Set<Service> dirty = new LinkedHashSet<>();
     /** What may give way where {@code most} is reached, by class, those that are longest in it first. */
-    private final List<Set<Held>> yielding = List.of(new LinkedHashSet<>(), new LinkedHashSet<>(),
-        new LinkedHashSet<>());
+    private final List<Set<Held>> yielding =
+            List.of(new LinkedHashSet<>(), new LinkedHashSet<>(), new LinkedHashSet<>());
     /** How many services need so many endpoints. */
     private final int[] needs;
     /** Endpoints each service may have at most; 0: there are more services than endpoints allowed. */
     private int level = Integer.MAX_VALUE;
+
     private long risesUs = NEVER;
     /** Services without a place, where there are more of them than endpoints allowed. */
     private final TreeSet<Service> waiting = new TreeSet<>();
     /** Services of which first endpoints had to give way, by when they are asked for again. */
     private final Set<Service> returning = new LinkedHashSet<>();
+
     private int admitted;
     private Map<String, EndpointEntry> told = new LinkedHashMap<>();
     private long changedUs;
@@ -94,6 +95,7 @@
 
     /** Classes of what may give way, in this order. */
     private static final int NOT_NEEDED = 0;
+
     private static final int DRAINING = 1;
     private static final int SILENT = 2;
     private static final int STAYS = 3;
@@ -106,9 +108,11 @@
         private boolean own;
         /** Among the first of the ranking, as aimed at. */
         private boolean first;
+
         private int silent;
         /** Taken up while others are silent, and not heard since. */
         private boolean untried;
+
         private long leavesUs = NEVER;
         private int yields = STAYS;
 
@@ -580,8 +584,8 @@
      * @param after not in scope and behind these in the ranking, or null for all there are
      */
     private List<List<Candidate>> best(Service s, int most, Candidate[] after) {
-        List<PriorityQueue<Candidate>> best = List.of(new PriorityQueue<>(Candidate.ORDER.reversed()),
-            new PriorityQueue<>(Candidate.ORDER.reversed()));
+        List<PriorityQueue<Candidate>> best = List.of(
+                new PriorityQueue<>(Candidate.ORDER.reversed()), new PriorityQueue<>(Candidate.ORDER.reversed()));
         for (int at = most > 0 ? store.first(s.name) : -1; at >= 0; at = store.next(at)) {
             if (store.health(at) != Endpoint.Health.READY) {
                 continue;
@@ -590,12 +594,13 @@
             PriorityQueue<Candidate> its = best.get(where);
             long rank = ranking.place(store.hash(at));
             if (its.size() == most && rank > its.peek().rank
-                || after != null && after[where] != null && rank < after[where].rank) {
+                    || after != null && after[where] != null && rank < after[where].rank) {
                 continue;
             }
             Candidate c = candidate(at, rank);
-            if (after != null && (held.containsKey(c.name)
-                || after[where] != null && Candidate.ORDER.compare(c, after[where]) <= 0)) {
+            if (after != null
+                    && (held.containsKey(c.name)
+                            || after[where] != null && Candidate.ORDER.compare(c, after[where]) <= 0)) {
                 continue;
             }
             its.add(c);
@@ -603,7 +608,9 @@
                 its.poll();
             }
         }
-        return best.stream().map(b -> b.stream().sorted(Candidate.ORDER).toList()).toList();
+        return best.stream()
+                .map(b -> b.stream().sorted(Candidate.ORDER).toList())
+                .toList();
     }
 
     /**
@@ -612,10 +619,13 @@
     private int weigh(Service s, long nowUs) {
         int wanted = wanted(s);
         int room = wanted;
-        List<Held> ready = s.endpoints.stream().filter(Held::ready).sorted(Comparator
-            .comparing((Held h) -> !h.usable()).thenComparing(h -> s.growing() && h.untried)
-            .thenComparing(h -> !h.first)
-            .thenComparing(Comparator.naturalOrder())).toList();
+        List<Held> ready = s.endpoints.stream()
+                .filter(Held::ready)
+                .sorted(Comparator.comparing((Held h) -> !h.usable())
+                        .thenComparing(h -> s.growing() && h.untried)
+                        .thenComparing(h -> !h.first)
+                        .thenComparing(Comparator.naturalOrder()))
+                .toList();
         int missing = wanted;
         for (Held h : ready) {
             missing -= h.usable() ? 1 : 0;
@@ -657,7 +667,8 @@
         if (s.through && !none) {
             return;
         }
-        int silent = (int) s.endpoints.stream().filter(h -> h.ready() && !h.usable()).count();
+        int silent =
+                (int) s.endpoints.stream().filter(h -> h.ready() && !h.usable()).count();
         int most = Math.max(1, MOST_GROWN * aim(s));
         int more = Math.min(most / 2, Math.max(missing, silent));
         List<List<Candidate>> best = best(s, more, s.gone);
@@ -675,8 +686,10 @@
         }
         for (Candidate c : next) {
             if (s.endpoints.size() >= most) {
-                s.endpoints.stream().filter(h -> h.yields == NOT_NEEDED).min(Comparator
-                    .comparingLong(h -> h.leavesUs)).ifPresent(h -> leave(h, h.entry.gone()));
+                s.endpoints.stream()
+                        .filter(h -> h.yields == NOT_NEEDED)
+                        .min(Comparator.comparingLong(h -> h.leavesUs))
+                        .ifPresent(h -> leave(h, h.entry.gone()));
             }
             if (takeUp(s, c, false, s.endpoints.stream().noneMatch(Held::usable))) {
                 s.gone[c.own ? 0 : 1] = c;
@@ -696,7 +709,10 @@
         if (held.size() >= terms.most()) {
             Held gives = yielding.stream().flatMap(Set::stream).findFirst().orElse(null);
             if (gives == null && inPlace) {
-                gives = s.endpoints.stream().filter(h -> !h.usable()).findFirst().orElse(null);
+                gives = s.endpoints.stream()
+                        .filter(h -> !h.usable())
+                        .findFirst()
+                        .orElse(null);
             }
             if (gives == null) {
                 return false;
--- a/src/main/java/gatelock/membership/RendezvousRanking.java
+++ b/src/main/java/gatelock/membership/RendezvousRanking.java
@@ -2,7 +2,6 @@
 
 import com.dynatrace.hash4j.hashing.Hasher64;
 import com.dynatrace.hash4j.hashing.Hashing;
-
 import java.nio.charset.StandardCharsets;
 
 /**
--- a/src/main/java/gatelock/net/BodyConsumer.java
+++ b/src/main/java/gatelock/net/BodyConsumer.java
@@ -4,8 +4,7 @@
 public interface BodyConsumer {
 
     /** The head has come; {@code bytes}: of the body, -1 where that is not told. */
-    default void begins(int status, long bytes) throws MalformedResponseException {
-    }
+    default void begins(int status, long bytes) throws MalformedResponseException {}
 
     /** The next piece, never empty. */
     void take(byte[] some) throws MalformedResponseException;
--- a/src/main/java/gatelock/net/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -2,7 +2,6 @@
 
 import gatelock.state.Counters;
 import gatelock.state.IdleConnections;
-
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
@@ -42,8 +41,8 @@
     }
 
     /** The same with answers of a size of their own, as the protocol's bound is only for requests. */
-    public ConnectionPool(EventLoop turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most,
-        int mostBody) {
+    public ConnectionPool(
+            EventLoop turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most, int mostBody) {
         this.mostBody = mostBody;
         this.turn = turn;
         this.counters = counters;
@@ -73,14 +72,22 @@
     }
 
     /** Makes one call, on a connection that stands or on a new one; it is given up after {@code callUs}. */
-    public OutboundConnection call(InetSocketAddress address, ByteBuffer call, long callUs, OutboundConnection.User user) {
+    public OutboundConnection call(
+            InetSocketAddress address, ByteBuffer call, long callUs, OutboundConnection.User user) {
         return call(address, call, OutboundConnection.Patience.of(callUs), null, user);
     }
 
     /** The same of an answer whose body {@code parts} takes as it comes, and which may take its time. */
-    public OutboundConnection call(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, BodyConsumer parts, OutboundConnection.User user) {
+    public OutboundConnection call(
+            InetSocketAddress address,
+            ByteBuffer call,
+            OutboundConnection.Patience patience,
+            BodyConsumer parts,
+            OutboundConnection.User user) {
         long restedUs = turn.nowUs() - restUs;
-        for (OutboundConnection line = idle.take(address, restedUs); line != null; line = idle.take(address, restedUs)) {
+        for (OutboundConnection line = idle.take(address, restedUs);
+                line != null;
+                line = idle.take(address, restedUs)) {
             if (line.stands()) {
                 line.call(call, patience, parts, user);
                 return line;
@@ -91,12 +98,17 @@
     }
 
     /** Makes one call of any length on a connection of its own; {@code parts} takes its body as it comes. */
-    public OutboundConnection stream(InetSocketAddress address, ByteBuffer call, BodyConsumer parts, OutboundConnection.User user) {
+    public OutboundConnection stream(
+            InetSocketAddress address, ByteBuffer call, BodyConsumer parts, OutboundConnection.User user) {
         return open(address, call, OutboundConnection.Patience.of(0), parts, user);
     }
 
-    private OutboundConnection open(InetSocketAddress address, ByteBuffer call, OutboundConnection.Patience patience, BodyConsumer parts,
-                      OutboundConnection.User user) {
+    private OutboundConnection open(
+            InetSocketAddress address,
+            ByteBuffer call,
+            OutboundConnection.Patience patience,
+            BodyConsumer parts,
+            OutboundConnection.User user) {
         counters.add("connections opened");
         if (open >= most) {
             idle.closeOldest();
--- a/src/main/java/gatelock/net/EventLoop.java
+++ b/src/main/java/gatelock/net/EventLoop.java
@@ -1,13 +1,12 @@
 package gatelock.net;
 
-import org.xnio.XnioExecutor;
-import org.xnio.XnioIoThread;
-
 import java.lang.System.Logger.Level;
 import java.nio.ByteBuffer;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.xnio.XnioExecutor;
+import org.xnio.XnioIoThread;
 
 /** The one thread that does everything: its clock, its timers, and its queue of what is to be done next. */
 public final class EventLoop {
--- a/src/main/java/gatelock/net/JsonObject.java
+++ b/src/main/java/gatelock/net/JsonObject.java
@@ -2,7 +2,6 @@
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.jr.ob.JSON;
-
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -69,8 +68,8 @@
         int colon = text.lastIndexOf(':');
         try {
             if (colon > 0) {
-                InetSocketAddress.createUnresolved(text.substring(0, colon),
-                    Integer.parseInt(text.substring(colon + 1)));
+                InetSocketAddress.createUnresolved(
+                        text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
                 return text;
             }
         } catch (IllegalArgumentException e) {
--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -1,7 +1,9 @@
 package gatelock.net;
 
 import gatelock.state.UpstreamResponse;
-
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
 import org.xnio.IoFuture;
 import org.xnio.IoUtils;
 import org.xnio.OptionMap;
@@ -9,10 +11,6 @@
 import org.xnio.StreamConnection;
 import org.xnio.XnioExecutor;
 
-import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-
 /**
  * A connection that this relay opens, with one call on it at a time. It sends nothing twice, and it sees
  * whether a call's last byte was written: what ended before that has never run.
@@ -24,6 +22,7 @@
      * which goes on with the thread's next round.
      */
     private static final int PIECES_A_TURN = 4;
+
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     /** Whoever made a call; hears once how it ended, never while the call is being made. */
@@ -40,16 +39,13 @@
         void broken(boolean written);
 
         /** The answer can't be read, for this reason; {@link #broken} follows. */
-        default void unreadable(String why) {
-        }
+        default void unreadable(String why) {}
 
         /** The answer is longer than is taken, as told; {@link #broken} follows. */
-        default void tooLong(String why) {
-        }
+        default void tooLong(String why) {}
 
         /** The time for the call was over first, and it was given up. */
-        default void late() {
-        }
+        default void late() {}
     }
 
     /**
@@ -99,12 +95,14 @@
             }
         });
         opening = turn.thread().openStreamConnection(address, this::up, OPTIONS);
-        opening.addNotifier(new IoFuture.HandlingNotifier<StreamConnection, Void>() {
-            @Override
-            public void handleFailed(IOException e, Void nothing) {
-                turn.soon(OutboundConnection.this::end);
-            }
-        }, null);
+        opening.addNotifier(
+                new IoFuture.HandlingNotifier<StreamConnection, Void>() {
+                    @Override
+                    public void handleFailed(IOException e, Void nothing) {
+                        turn.soon(OutboundConnection.this::end);
+                    }
+                },
+                null);
     }
 
     /** Makes one more call on a connection that stands idle. */
@@ -139,8 +137,7 @@
         if (user != caller) {
             return;
         }
-        long leftUs = cameUs == 0 ? 0
-            : Math.min(cameUs + patience.pieceUs, beganUs + patience.wholeUs) - turn.nowUs();
+        long leftUs = cameUs == 0 ? 0 : Math.min(cameUs + patience.pieceUs, beganUs + patience.wholeUs) - turn.nowUs();
         if (leftUs > 0) {
             callLimit = turn.in(leftUs, () -> overdue(caller));
         } else {
--- a/src/main/java/gatelock/net/ResponseReader.java
+++ b/src/main/java/gatelock/net/ResponseReader.java
@@ -1,7 +1,6 @@
 package gatelock.net;
 
 import gatelock.state.UpstreamResponse;
-
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -26,10 +25,18 @@
     /** The most that any body may hold, in the protocol. */
     public static final int MOST_BODY = 64 * 1024;
 
-    private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?",
-        Pattern.DOTALL);
-
-    private enum Part { STATUS, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, WHOLE }
+    private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?", Pattern.DOTALL);
+
+    private enum Part {
+        STATUS,
+        HEADERS,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILERS,
+        WHOLE
+    }
 
     private final BodyConsumer parts;
     private final int mostBody;
@@ -146,8 +153,7 @@
         }
         String name = text.substring(0, colon);
         String value = text.substring(colon + 1).trim();
-        if (name.chars().allMatch(c -> c > ' ' && c < 127) && value.chars().allMatch(c -> c >= ' '
-            && c != 127)) {
+        if (name.chars().allMatch(c -> c > ' ' && c < 127) && value.chars().allMatch(c -> c >= ' ' && c != 127)) {
             headers.add(name);
             headers.add(value);
         }
@@ -203,8 +209,9 @@
 
     /** A length: digits only, and of a body held whole no more than it may have. */
     private long number(String text, int radix) throws MalformedResponseException {
-        boolean form = text.length() <= 12 && !text.isEmpty()
-            && text.chars().allMatch(c -> c < 128 && Character.digit(c, radix) >= 0);
+        boolean form = text.length() <= 12
+                && !text.isEmpty()
+                && text.chars().allMatch(c -> c < 128 && Character.digit(c, radix) >= 0);
         long found = form ? Long.parseLong(text, radix) : -1;
         if (parts == null && found > mostBody) {
             throw new ResponseTooLongException((part == Part.CHUNK_SIZE ? "at least " : "") + found, mostBody);
--- a/src/main/java/gatelock/pipeline/ActionExecutor.java
+++ b/src/main/java/gatelock/pipeline/ActionExecutor.java
@@ -1,14 +1,13 @@
 package gatelock.pipeline;
 
+import gatelock.api.DecisionActions;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Verdict;
 import gatelock.discovery.DiscoveryClient;
 import gatelock.net.EventLoop;
 import gatelock.release.ReleaseControllerClient;
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
-import gatelock.api.DecisionEngine;
-import gatelock.api.DecisionActions;
-import gatelock.api.Verdict;
-
 import java.lang.System.Logger.Level;
 
 /**
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -1,12 +1,11 @@
 package gatelock.pipeline;
 
+import gatelock.api.AttemptResult;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.OutboundConnection;
 import gatelock.state.InFlightRequest;
 import gatelock.state.UpstreamResponse;
-import gatelock.api.AttemptResult;
-
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +18,7 @@
     private final EventLoop turn;
     private final ConnectionPool lines;
     private final OutcomeRecorder book;
-    private BiConsumer<String, AttemptResult> hears = (endpoint, ending) -> { };
+    private BiConsumer<String, AttemptResult> hears = (endpoint, ending) -> {};
 
     public AttemptSender(EventLoop turn, ConnectionPool lines, OutcomeRecorder book) {
         this.turn = turn;
@@ -64,7 +63,7 @@
             long leftUs = request.endUs() - sentUs;
             long waitUs = timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs;
             byte[] varying = ("X-Expires-In-Ms: " + Math.max(1, waitUs / 1000) + "\r\n\r\n")
-                .getBytes(StandardCharsets.ISO_8859_1);
+                    .getBytes(StandardCharsets.ISO_8859_1);
             // One buffer, so that an ordinary request leaves in one write.
             ByteBuffer call = ByteBuffer.allocate(request.head().length + varying.length + request.body().length);
             call.put(request.head()).put(varying).put(request.body()).flip();
@@ -97,15 +96,21 @@
 
         @Override
         public boolean answered(UpstreamResponse answer) {
-            boolean never = (answer.status() == 503 || answer.status() == 504)
-                && "1".equals(answer.header("X-Never-Ran"));
-            end(answer.status() == 200 ? AttemptResult.COMPLETED : never ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED, answer);
+            boolean never =
+                    (answer.status() == 503 || answer.status() == 504) && "1".equals(answer.header("X-Never-Ran"));
+            end(
+                    answer.status() == 200
+                            ? AttemptResult.COMPLETED
+                            : never ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED,
+                    answer);
             return true;
         }
 
         @Override
         public void broken(boolean written) {
-            end(written ? AttemptResult.BROKEN_OFF : stopped ? AttemptResult.NOT_SENT : AttemptResult.NOT_CONNECTED, null);
+            end(
+                    written ? AttemptResult.BROKEN_OFF : stopped ? AttemptResult.NOT_SENT : AttemptResult.NOT_CONNECTED,
+                    null);
         }
 
         private void end(AttemptResult ending, UpstreamResponse answer) {
--- a/src/main/java/gatelock/pipeline/EndpointResolver.java
+++ b/src/main/java/gatelock/pipeline/EndpointResolver.java
@@ -2,7 +2,6 @@
 
 import gatelock.state.EndpointAddresses;
 import gatelock.state.InFlightRequest;
-
 import java.net.InetSocketAddress;
 
 /** Third stage: the endpoint that was decided on becomes an address. */
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -1,12 +1,12 @@
 package gatelock.pipeline;
 
+import gatelock.api.AttemptResult;
+import gatelock.api.LoadReport;
 import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
 import gatelock.state.UpstreamResponse;
-import gatelock.api.AttemptResult;
-import gatelock.api.LoadReport;
 
 /** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
 public final class OutcomeRecorder {
@@ -23,7 +23,8 @@
     }
 
     /** An attempt has ended; the first that completed is the request's answer. */
-    public void ended(InFlightRequest request, int attemptNo, AttemptResult ending, long tookUs, UpstreamResponse answer) {
+    public void ended(
+            InFlightRequest request, int attemptNo, AttemptResult ending, long tookUs, UpstreamResponse answer) {
         counters.ended(ending);
         if (ending == AttemptResult.COMPLETED && !request.over()) {
             relayBack.completed(request, answer);
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -1,14 +1,14 @@
 package gatelock.pipeline;
 
+import gatelock.api.DecisionEngine;
+import gatelock.api.RequestConstraints;
+import gatelock.config.Admission;
+import gatelock.config.QueuedRequest;
+import gatelock.config.StartupQueue;
 import gatelock.net.EventLoop;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.InFlightRequests;
-import gatelock.config.Admission;
-import gatelock.config.StartupQueue;
-import gatelock.config.QueuedRequest;
-import gatelock.api.RequestConstraints;
-import gatelock.api.DecisionEngine;
 
 /**
  * Second stage: a request in good form asks the plan's limits, where there is a plan, and is handed to the
@@ -34,8 +34,15 @@
      * @param admission what the plan in force means; null: there never is one
      * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
      */
-    public RequestAdmitter(EventLoop turn, InFlightRequests open, Counters counters, OutcomeRecorder book, ResponseWriter relayBack, DecisionEngine gate,
-                 Admission admission, long longestPauseUs) {
+    public RequestAdmitter(
+            EventLoop turn,
+            InFlightRequests open,
+            Counters counters,
+            OutcomeRecorder book,
+            ResponseWriter relayBack,
+            DecisionEngine gate,
+            Admission admission,
+            long longestPauseUs) {
         this.turn = turn;
         this.open = open;
         this.counters = counters;
@@ -81,10 +88,11 @@
         return early.open();
     }
 
-    private void decide(InFlightRequest request, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
+    private void decide(
+            InFlightRequest request, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
         if (!early.isOpen()) {
-            long waitsUs = early.come(turn.nowUs(), request.endUs(), request,
-                () -> decide(request, route, tenant, key, costUs, bounds));
+            long waitsUs = early.come(
+                    turn.nowUs(), request.endUs(), request, () -> decide(request, route, tenant, key, costUs, bounds));
             turn.in(waitsUs, () -> {
                 if (early.leave(request)) {
                     counters.add("given up before listed");
@@ -95,8 +103,8 @@
             return;
         }
         long nowUs = turn.nowUs();
-        request.taken(gate.take(nowUs, request.id(), route, tenant, key, Math.max(1, request.endUs() - nowUs), costUs,
-            bounds));
+        request.taken(gate.take(
+                nowUs, request.id(), route, tenant, key, Math.max(1, request.endUs() - nowUs), costUs, bounds));
         book.settle(request);
     }
 
--- a/src/main/java/gatelock/release/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/release/ReleaseControllerClient.java
@@ -1,16 +1,13 @@
 package gatelock.release;
 
+import gatelock.api.DecisionEngine;
+import gatelock.api.Verdict;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.JsonObject;
 import gatelock.net.OutboundConnection;
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
-import gatelock.api.DecisionEngine;
-import gatelock.api.Verdict;
-
-import org.xnio.XnioExecutor;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -18,15 +15,24 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import java.util.Map;
+import org.xnio.XnioExecutor;
 
 /** Speaks with the release controller: votes, each with its answer, and news on a connection of its own. */
 public final class ReleaseControllerClient {
     private static final System.Logger LOG = System.getLogger("gatelock.release");
-    private static final Map<String, DecisionEngine.Phase> PHASES = Map.of("trial", DecisionEngine.Phase.TRIAL,
-        "rolling_back", DecisionEngine.Phase.REVERTING, "released", DecisionEngine.Phase.RELEASED, "withdrawn", DecisionEngine.Phase.WITHDRAWN);
+    private static final Map<String, DecisionEngine.Phase> PHASES = Map.of(
+            "trial",
+            DecisionEngine.Phase.TRIAL,
+            "rolling_back",
+            DecisionEngine.Phase.REVERTING,
+            "released",
+            DecisionEngine.Phase.RELEASED,
+            "withdrawn",
+            DecisionEngine.Phase.WITHDRAWN);
     private static final String BASE = "/v2/projects/main/";
     /** Signs of life come every second; without any for so long another connection is opened beside. */
     private static final long QUIET_US = 2_500_000;
+
     private static final long REOPEN_US = 200_000;
     private static final int MOST_LINE = 256 * 1024;
 
@@ -39,7 +45,8 @@
     private Stream standing;
     private Stream second;
 
-    public ReleaseControllerClient(EventLoop turn, Counters counters, ConnectionPool lines, InetSocketAddress address, long voteWaitUs) {
+    public ReleaseControllerClient(
+            EventLoop turn, Counters counters, ConnectionPool lines, InetSocketAddress address, long voteWaitUs) {
         this.turn = turn;
         this.counters = counters;
         this.lines = lines;
@@ -73,9 +80,9 @@
     public void vote(int build, int stage, Verdict verdict) {
         counters.add("votes");
         String body = "{\"release\":" + build + ",\"tranche\":" + stage + ",\"ruling\":\""
-            + verdict.name().toLowerCase(Locale.ROOT) + "\"}";
+                + verdict.name().toLowerCase(Locale.ROOT) + "\"}";
         String call = "POST " + BASE + "judgements HTTP/1.1\r\nHost: desk\r\nContent-Type: application/json\r\n"
-            + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
         lines.call(address, StandardCharsets.US_ASCII.encode(call), voteWaitUs, new Vote());
     }
 
--- a/src/main/java/gatelock/session/Session.java
+++ b/src/main/java/gatelock/session/Session.java
@@ -14,7 +14,8 @@
 
     /** The two ends. */
     public enum Side {
-        CLIENT, UNIT;
+        CLIENT,
+        UNIT;
 
         public Side other() {
             return this == CLIENT ? UNIT : CLIENT;
@@ -30,7 +31,11 @@
         void cut(Side side);
     }
 
-    private enum End { OPEN, TOLD, GONE }
+    private enum End {
+        OPEN,
+        TOLD,
+        GONE
+    }
 
     private final Wires wires;
     private final Map<Side, End> ends = new EnumMap<>(Map.of(Side.CLIENT, End.OPEN, Side.UNIT, End.OPEN));
@@ -79,8 +84,10 @@
         if (cause == null) {
             cause = why;
             endedUs = nowUs;
-            tell(Side.CLIENT, why.code(Side.CLIENT), afterMs > 0 ? why.reason() + " after " + afterMs + " ms"
-                : why.reason());
+            tell(
+                    Side.CLIENT,
+                    why.code(Side.CLIENT),
+                    afterMs > 0 ? why.reason() + " after " + afterMs + " ms" : why.reason());
             tell(Side.UNIT, why.code(Side.UNIT), why.reason());
         }
     }
--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/Sessions.java
@@ -2,7 +2,6 @@
 
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -21,6 +20,7 @@
 public final class Sessions {
     /** So many opens a second each ready endpoint is taken to bear, when nothing else is said. */
     private final double opensPerEndpoint;
+
     private final long drainUs;
     private final int most;
     private final RandomGenerator chance;
@@ -29,6 +29,7 @@
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     /** Those that must leave, in turn, each with its cause and the time by which it goes at the latest. */
     private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
+
     private final Map<Session, Leaving> due = new HashMap<>();
     private double budget;
     private long budgetUs;
@@ -37,8 +38,7 @@
     private int newest = -1;
     private DecisionEngine.Phase phase = DecisionEngine.Phase.RELEASED;
 
-    private record Leaving(Session session, CloseReason cause, long byUs) {
-    }
+    private record Leaving(Session session, CloseReason cause, long byUs) {}
 
     /**
      * @param most sessions at a time
@@ -91,13 +91,17 @@
         if (form != DecisionEngine.ListForm.DELTA) {
             Set<String> named = new LinkedHashSet<>();
             entries.forEach(l -> named.add(l.endpoint()));
-            List.copyOf(endpoints.keySet()).stream().filter(u -> !named.contains(u)).forEach(u -> {
-                endpoints.remove(u);
-                allLeave(nowUs, u);
-            });
+            List.copyOf(endpoints.keySet()).stream()
+                    .filter(u -> !named.contains(u))
+                    .forEach(u -> {
+                        endpoints.remove(u);
+                        allLeave(nowUs, u);
+                    });
         }
         for (Endpoint l : entries) {
-            Endpoint was = l.health() == Endpoint.Health.GONE ? endpoints.remove(l.endpoint()) : endpoints.put(l.endpoint(), l);
+            Endpoint was = l.health() == Endpoint.Health.GONE
+                    ? endpoints.remove(l.endpoint())
+                    : endpoints.put(l.endpoint(), l);
             boolean other = was != null && (was.startUs() != l.startUs() || was.build() != l.build());
             if (l.health() != Endpoint.Health.READY || other) {
                 allLeave(nowUs, l.endpoint());
@@ -156,7 +160,9 @@
      * leaves, the rest goes evenly until the time is up, since its clients go to other relays.
      */
     public void due(long nowUs) {
-        long ready = endpoints.values().stream().filter(l -> l.health() == Endpoint.Health.READY).count();
+        long ready = endpoints.values().stream()
+                .filter(l -> l.health() == Endpoint.Health.READY)
+                .count();
         double perUs = Math.max(1, ready) * opensPerEndpoint / 1e6;
         budget = Math.min(Math.max(1, perUs * 100_000), budget + Math.max(0, nowUs - budgetUs) * perUs);
         budgetUs = nowUs;
@@ -164,8 +170,8 @@
             Leaving next = leaving.peek();
             // Evenly over what time is left, where the pace alone would not be done by then.
             boolean pressed = leaving.size() > (next.byUs - nowUs) * perUs;
-            boolean lastCall = nowUs >= next.byUs || pressed && relayLeaves
-                && chance.nextDouble() < 100_000.0 / Math.max(100_000, next.byUs - nowUs);
+            boolean lastCall = nowUs >= next.byUs
+                    || pressed && relayLeaves && chance.nextDouble() < 100_000.0 / Math.max(100_000, next.byUs - nowUs);
             if (next.session.open() && budget < 1 && !lastCall) {
                 break;
             }
--- a/src/main/java/gatelock/simulator/FieldReader.java
+++ b/src/main/java/gatelock/simulator/FieldReader.java
@@ -1,7 +1,6 @@
 package gatelock.simulator;
 
 import gatelock.api.LoadReport;
-
 import java.util.Map;
 
 /** The fields of one line, read in order. */
@@ -65,8 +64,8 @@
 
     private int below(int codes, long value, String what) {
         if (value < 0 || value >= codes) {
-            throw new MalformedLineException("expected " + what + " below " + codes + " in " + name + ", found "
-                + value);
+            throw new MalformedLineException(
+                    "expected " + what + " below " + codes + " in " + name + ", found " + value);
         }
         return (int) value;
     }
--- a/src/main/java/gatelock/simulator/SettingsDecoder.java
+++ b/src/main/java/gatelock/simulator/SettingsDecoder.java
@@ -3,7 +3,6 @@
 import gatelock.api.RelaySettings;
 import gatelock.api.RolloutPolicy;
 import gatelock.api.RoutePolicy;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -16,6 +15,7 @@
 public final class SettingsDecoder {
     /** How long a connection is kept where nothing says when an endpoint closes it. */
     private static final long FOR_GOOD_US = Long.MAX_VALUE / 4;
+
     private final Map<String, String> pairs;
 
     private SettingsDecoder(Map<String, String> pairs) {
@@ -43,35 +43,78 @@
         List<RoutePolicy> routes = new ArrayList<>();
         for (int i = 0; i < t.whole("lanes.count", 0); i++) {
             String p = "lanes." + i + ".";
-            routes.add(new RoutePolicy(t.word(p + "effect", Map.of("repeatable", RoutePolicy.Repeat.RETRIABLE,
-                    "by_key", RoutePolicy.Repeat.DEDUPED, "once", RoutePolicy.Repeat.NON_RETRIABLE),
-                RoutePolicy.Repeat.NON_RETRIABLE),
-                t.word(p + "dedupScope", Map.of("all", RoutePolicy.Group.ALL, "zone", RoutePolicy.Group.ZONE,
-                    "cell", RoutePolicy.Group.CELL), RoutePolicy.Group.CELL),
-                t.us(p + "keyTtlNs"), t.us(p + "targetNs"), t.real(p + "worth", 1)));
+            routes.add(new RoutePolicy(
+                    t.word(
+                            p + "effect",
+                            Map.of(
+                                    "repeatable",
+                                    RoutePolicy.Repeat.RETRIABLE,
+                                    "by_key",
+                                    RoutePolicy.Repeat.DEDUPED,
+                                    "once",
+                                    RoutePolicy.Repeat.NON_RETRIABLE),
+                            RoutePolicy.Repeat.NON_RETRIABLE),
+                    t.word(
+                            p + "dedupScope",
+                            Map.of(
+                                    "all",
+                                    RoutePolicy.Group.ALL,
+                                    "zone",
+                                    RoutePolicy.Group.ZONE,
+                                    "cell",
+                                    RoutePolicy.Group.CELL),
+                            RoutePolicy.Group.CELL),
+                    t.us(p + "keyTtlNs"),
+                    t.us(p + "targetNs"),
+                    t.real(p + "worth", 1)));
         }
         List<RelaySettings.Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < t.whole("orgs.count", 0); i++) {
             tenants.add(new RelaySettings.Tenant(t.real("orgs." + i + ".quotaPerS", 0)));
         }
         RolloutPolicy rollout = new RolloutPolicy(
-            t.word("familyInfo.gateMode", Map.of("first_voice", RolloutPolicy.Gatekeeping.FIRST_VOICE,
-                "by_count", RolloutPolicy.Gatekeeping.COUNT, "automatic", RolloutPolicy.Gatekeeping.CLOCK),
-                RolloutPolicy.Gatekeeping.COUNT),
-            Math.max(t.us("familyInfo.bakeNs"), t.us("familyInfo.autoAfterNs")),
-            t.us("familyInfo.voteLifeNs"), t.us("familyInfo.voteWaitNs"),
-            t.reals("familyInfo.exposureCaps"), (int) t.whole("familyInfo.guardedStages", 0),
-            "each_class".equals(t.pairs.get("familyInfo.capScope")), t.yes("familyInfo.forwardOnly"),
-            t.real("familyInfo.free", 0), (int) t.whole("familyInfo.toAbort", 1),
-            t.real("familyInfo.apiRate", 1), t.whole("familyInfo.tallyNs", 0) > 0);
+                t.word(
+                        "familyInfo.gateMode",
+                        Map.of(
+                                "first_voice",
+                                RolloutPolicy.Gatekeeping.FIRST_VOICE,
+                                "by_count",
+                                RolloutPolicy.Gatekeeping.COUNT,
+                                "automatic",
+                                RolloutPolicy.Gatekeeping.CLOCK),
+                        RolloutPolicy.Gatekeeping.COUNT),
+                Math.max(t.us("familyInfo.bakeNs"), t.us("familyInfo.autoAfterNs")),
+                t.us("familyInfo.voteLifeNs"),
+                t.us("familyInfo.voteWaitNs"),
+                t.reals("familyInfo.exposureCaps"),
+                (int) t.whole("familyInfo.guardedStages", 0),
+                "each_class".equals(t.pairs.get("familyInfo.capScope")),
+                t.yes("familyInfo.forwardOnly"),
+                t.real("familyInfo.free", 0),
+                (int) t.whole("familyInfo.toAbort", 1),
+                t.real("familyInfo.apiRate", 1),
+                t.whole("familyInfo.tallyNs", 0) > 0);
         long idleUs = t.us("limits.connIdleNs");
         long warmNs = t.whole("safety.warmWithinNs", 0);
-        return new RelaySettings(seed, (int) t.whole("replicasOfMe", 1), (int) t.whole("me", -1), routes, tenants,
-            t.real("overShareWorth", 1), (int) t.whole("limits.tryLimit", 1), t.yes("limits.mayCancel"),
-            t.yes("limits.retryAfter"), t.us("limits.maxRetryAfterNs"),
-            "on_request".equals(t.pairs.get("discovery")), t.real("safety.coldFrom", 1),
-            (warmNs + 999) / 1000, t.real("safety.overloadFactor", 1), t.us("safety.fallNs"),
-            t.real("costs.handshake", 0), idleUs > 0 ? idleUs * 3 / 4 : FOR_GOOD_US, rollout);
+        return new RelaySettings(
+                seed,
+                (int) t.whole("replicasOfMe", 1),
+                (int) t.whole("me", -1),
+                routes,
+                tenants,
+                t.real("overShareWorth", 1),
+                (int) t.whole("limits.tryLimit", 1),
+                t.yes("limits.mayCancel"),
+                t.yes("limits.retryAfter"),
+                t.us("limits.maxRetryAfterNs"),
+                "on_request".equals(t.pairs.get("discovery")),
+                t.real("safety.coldFrom", 1),
+                (warmNs + 999) / 1000,
+                t.real("safety.overloadFactor", 1),
+                t.us("safety.fallNs"),
+                t.real("costs.handshake", 0),
+                idleUs > 0 ? idleUs * 3 / 4 : FOR_GOOD_US,
+                rollout);
     }
 
     /** One time, in microseconds; 0 where it is absent. */
--- a/src/main/java/gatelock/simulator/SimulatorHost.java
+++ b/src/main/java/gatelock/simulator/SimulatorHost.java
@@ -1,14 +1,13 @@
 package gatelock.simulator;
 
-import gatelock.decision.ReleaseGate;
 import gatelock.api.AttemptResult;
+import gatelock.api.DecisionActions;
 import gatelock.api.DecisionEngine;
-import gatelock.api.RequestHandle;
 import gatelock.api.Endpoint;
 import gatelock.api.LoadReport;
-import gatelock.api.DecisionActions;
+import gatelock.api.RequestHandle;
 import gatelock.api.Verdict;
-
+import gatelock.decision.ReleaseGate;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -23,18 +22,49 @@
 /** Hosts many relays on the simulator's lines: standard input to standard output, a reply for each batch. */
 public final class SimulatorHost {
 
-    private static final Map<String, AttemptResult> ENDINGS = Map.of("done", AttemptResult.COMPLETED, "err", AttemptResult.ERRORED,
-            "busy", AttemptResult.TURNED_AWAY, "etimedout", AttemptResult.TIMED_OUT, "econnrefused", AttemptResult.NOT_CONNECTED,
-            "econnreset", AttemptResult.BROKEN_OFF, "ecanceled", AttemptResult.CANCELLED, "skipped", AttemptResult.NOT_SENT);
-    private static final Map<String, DecisionEngine.VoteAnswer> ANSWERS = Map.of("done", DecisionEngine.VoteAnswer.COUNTED,
-            "skipped", DecisionEngine.VoteAnswer.MOOT, "busy", DecisionEngine.VoteAnswer.BUSY, "err", DecisionEngine.VoteAnswer.ERROR,
-            "etimedout", DecisionEngine.VoteAnswer.TIMED_OUT);
-    private static final DecisionEngine.Phase[] PHASES = {DecisionEngine.Phase.TRIAL, DecisionEngine.Phase.REVERTING, DecisionEngine.Phase.RELEASED,
-        DecisionEngine.Phase.WITHDRAWN};
-    private static final Endpoint.Health[] HEALTH = {Endpoint.Health.GONE, Endpoint.Health.READY,
-        Endpoint.Health.DRAINING};
-    private static final DecisionEngine.ListForm[] FORMS = {DecisionEngine.ListForm.FAILED, DecisionEngine.ListForm.FULL,
-        DecisionEngine.ListForm.CACHED, DecisionEngine.ListForm.DELTA};
+    private static final Map<String, AttemptResult> ENDINGS = Map.of(
+            "done",
+            AttemptResult.COMPLETED,
+            "err",
+            AttemptResult.ERRORED,
+            "busy",
+            AttemptResult.TURNED_AWAY,
+            "etimedout",
+            AttemptResult.TIMED_OUT,
+            "econnrefused",
+            AttemptResult.NOT_CONNECTED,
+            "econnreset",
+            AttemptResult.BROKEN_OFF,
+            "ecanceled",
+            AttemptResult.CANCELLED,
+            "skipped",
+            AttemptResult.NOT_SENT);
+    private static final Map<String, DecisionEngine.VoteAnswer> ANSWERS = Map.of(
+            "done",
+            DecisionEngine.VoteAnswer.COUNTED,
+            "skipped",
+            DecisionEngine.VoteAnswer.MOOT,
+            "busy",
+            DecisionEngine.VoteAnswer.BUSY,
+            "err",
+            DecisionEngine.VoteAnswer.ERROR,
+            "etimedout",
+            DecisionEngine.VoteAnswer.TIMED_OUT);
+    private static final DecisionEngine.Phase[] PHASES = {
+        DecisionEngine.Phase.TRIAL,
+        DecisionEngine.Phase.REVERTING,
+        DecisionEngine.Phase.RELEASED,
+        DecisionEngine.Phase.WITHDRAWN
+    };
+    private static final Endpoint.Health[] HEALTH = {
+        Endpoint.Health.GONE, Endpoint.Health.READY, Endpoint.Health.DRAINING
+    };
+    private static final DecisionEngine.ListForm[] FORMS = {
+        DecisionEngine.ListForm.FAILED,
+        DecisionEngine.ListForm.FULL,
+        DecisionEngine.ListForm.CACHED,
+        DecisionEngine.ListForm.DELTA
+    };
 
     private final BufferedReader in;
     private final OutputStream out;
@@ -65,8 +95,13 @@
 
         @Override
         public void send(String id, String endpoint, long timeoutUs) {
-            line("RELAY ").append(id).append(' ').append(endpoint).append(' ').append(timeoutUs * 1000)
-                .append('\n');
+            line("RELAY ")
+                    .append(id)
+                    .append(' ')
+                    .append(endpoint)
+                    .append(' ')
+                    .append(timeoutUs * 1000)
+                    .append('\n');
         }
 
         @Override
@@ -86,8 +121,13 @@
 
         @Override
         public void vote(int build, int stage, Verdict verdict) {
-            line("BALLOT ").append(build).append(' ').append(stage).append(' ').append(verdict.ordinal())
-                .append('\n');
+            line("BALLOT ")
+                    .append(build)
+                    .append(' ')
+                    .append(stage)
+                    .append(' ')
+                    .append(verdict.ordinal())
+                    .append('\n');
         }
 
         @Override
@@ -134,7 +174,7 @@
             System.exit(2);
         } catch (IndexOutOfBoundsException e) {
             System.err.println("gatelock: line " + host.lineNo
-                + ": expected a number that the settings or earlier lines name, " + e.getMessage());
+                    + ": expected a number that the settings or earlier lines name, " + e.getMessage());
             System.exit(2);
         }
     }
@@ -231,8 +271,8 @@
             case "SYNC" -> {
                 f.number("seqNo");
                 DecisionEngine.ListForm form = FORMS[f.code("form", FORMS.length)];
-                List<Endpoint> entries = form == DecisionEngine.ListForm.FAILED ? List.of()
-                    : lists.get(f.code("list", lists.size()));
+                List<Endpoint> entries =
+                        form == DecisionEngine.ListForm.FAILED ? List.of() : lists.get(f.code("list", lists.size()));
                 relay.gate.listed(nowUs, form, entries);
             }
             case "STAGE" -> {
@@ -242,8 +282,16 @@
                 boolean asked = f.numberOr(0) == 1;
                 DecisionEngine.Phase phase = PHASES[f.codeOr(0, "phase", PHASES.length)];
                 DecisionEngine.VoteAnswer answer = f.oneOf(ANSWERS, "result");
-                relay.gate.news(nowUs, (int) f.numberOr(0), stage, phase, cap, agoUs,
-                    asked || answer != DecisionEngine.VoteAnswer.COUNTED ? answer : DecisionEngine.VoteAnswer.NOT_ASKED);
+                relay.gate.news(
+                        nowUs,
+                        (int) f.numberOr(0),
+                        stage,
+                        phase,
+                        cap,
+                        agoUs,
+                        asked || answer != DecisionEngine.VoteAnswer.COUNTED
+                                ? answer
+                                : DecisionEngine.VoteAnswer.NOT_ASKED);
             }
             case "COMPLAINT" -> {
                 String endpoint = f.text("unit");
@@ -266,7 +314,7 @@
                 int count = (int) f.numberOr(0);
                 relay.gate.counted(nowUs, build, (int) f.number("service"), count, failed, meanUs, agoUs);
             }
-            case "MAIL", "CHECKED" -> { }
+            case "MAIL", "CHECKED" -> {}
             default -> throw new MalformedLineException("expected an event, found " + f.name());
         }
     }
@@ -279,8 +327,10 @@
         long leftUs = SettingsDecoder.atLeastOne(f.number("expiresInNs"));
         long costNs = f.numberOr(0);
         boolean costHolds = (f.numberOr(0) & 1) != 0;
-        relay.held.put(id, relay.gate.take(nowUs, id, route, tenant, key, leftUs,
-            costHolds ? SettingsDecoder.atLeastOne(costNs) : 0));
+        relay.held.put(
+                id,
+                relay.gate.take(
+                        nowUs, id, route, tenant, key, leftUs, costHolds ? SettingsDecoder.atLeastOne(costNs) : 0));
         relay.forgetIfSettled(id, relay.held.get(id));
     }
 
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -148,7 +148,7 @@
             case SILENT -> move(connection, standing, State.COMING, standing.byUs);
             case BETWEEN -> move(connection, standing, State.COMING, nowUs + WHOLE_WITHIN_US);
             case OWED, ANSWERING -> standing.early = true;
-            case COMING -> { }
+            case COMING -> {}
         }
     }
 
@@ -156,8 +156,7 @@
     public void whole(C connection) {
         Standing standing = all.get(connection);
         if (standing != null) {
-            counters.holds(standing.state == State.COMING,
-                "a req whole on a connection on which none was coming");
+            counters.holds(standing.state == State.COMING, "a req whole on a connection on which none was coming");
             move(connection, standing, State.OWED, Long.MAX_VALUE);
         }
     }
@@ -210,12 +209,15 @@
                 if (midway && !standing.spared) {
                     standing.spared = true;
                 } else {
-                    end(nowUs, connection, switch (state) {
-                        case SILENT -> Why.SILENT;
-                        case COMING -> Why.UNFINISHED;
-                        case ANSWERING -> Why.ANSWER_UNREAD;
-                        default -> Why.IDLE;
-                    });
+                    end(
+                            nowUs,
+                            connection,
+                            switch (state) {
+                                case SILENT -> Why.SILENT;
+                                case COMING -> Why.UNFINISHED;
+                                case ANSWERING -> Why.ANSWER_UNREAD;
+                                default -> Why.IDLE;
+                            });
                 }
             }
         }
@@ -248,7 +250,8 @@
     public void makeRoom(long nowUs) {
         if (all.size() > withEase
                 && !endFirst(nowUs, State.SILENT, nowUs + WHOLE_WITHIN_US - SOON_US, Why.ROOM_SILENT)
-                && !endFirst(nowUs, State.BETWEEN, Long.MAX_VALUE, Why.ROOM_IDLE) && all.size() > most) {
+                && !endFirst(nowUs, State.BETWEEN, Long.MAX_VALUE, Why.ROOM_IDLE)
+                && all.size() > most) {
             endFirst(nowUs, State.SILENT, Long.MAX_VALUE, Why.ROOM_SILENT);
         }
     }
--- a/src/main/java/gatelock/state/Counters.java
+++ b/src/main/java/gatelock/state/Counters.java
@@ -1,7 +1,6 @@
 package gatelock.state;
 
 import gatelock.api.AttemptResult;
-
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.TreeMap;
--- a/src/main/java/gatelock/state/EndpointAddresses.java
+++ b/src/main/java/gatelock/state/EndpointAddresses.java
@@ -1,7 +1,6 @@
 package gatelock.state;
 
 import gatelock.api.Endpoint;
-
 import java.net.InetSocketAddress;
 import java.util.HashMap;
 import java.util.List;
@@ -12,8 +11,7 @@
 public final class EndpointAddresses {
 
     /** What stands behind an endpoint's name: its address, and the process and state that were listed there. */
-    public record Place(InetSocketAddress address, Endpoint listed) {
-    }
+    public record Place(InetSocketAddress address, Endpoint listed) {}
 
     private final Map<String, Place> places = new HashMap<>();
 
@@ -29,21 +27,26 @@
     /** Notes an entry; returns the addresses to which standing connections serve no more. */
     public List<InetSocketAddress> put(InetSocketAddress address, Endpoint listed) {
         Place place = new Place(address, listed);
-        Place before = listed.health() == Endpoint.Health.GONE ? places.remove(listed.endpoint())
-            : places.put(listed.endpoint(), place);
+        Place before = listed.health() == Endpoint.Health.GONE
+                ? places.remove(listed.endpoint())
+                : places.put(listed.endpoint(), place);
         if (before == null) {
             // An address may come back under another name: whoever stood there before is another process.
             return List.of(address);
         }
-        boolean same = listed.health() == Endpoint.Health.READY && before.address.equals(address)
-            && before.listed.startUs() == listed.startUs() && before.listed.build() == listed.build();
+        boolean same = listed.health() == Endpoint.Health.READY
+                && before.address.equals(address)
+                && before.listed.startUs() == listed.startUs()
+                && before.listed.build() == listed.build();
         return same ? List.of() : List.of(before.address, address);
     }
 
     /** Forgets all endpoints but these; returns where those stood. */
     public List<InetSocketAddress> keepOnly(Set<String> endpoints) {
-        List<InetSocketAddress> left = places.entrySet().stream().filter(e -> !endpoints.contains(e.getKey()))
-            .map(e -> e.getValue().address).toList();
+        List<InetSocketAddress> left = places.entrySet().stream()
+                .filter(e -> !endpoints.contains(e.getKey()))
+                .map(e -> e.getValue().address)
+                .toList();
         places.keySet().retainAll(endpoints);
         return left;
     }
--- a/src/main/java/gatelock/state/IdleConnections.java
+++ b/src/main/java/gatelock/state/IdleConnections.java
@@ -15,8 +15,7 @@
     private final Consumer<C> close;
     private final int most;
 
-    private record Since(InetSocketAddress address, long us) {
-    }
+    private record Since(InetSocketAddress address, long us) {}
 
     /**
      * @param most how many are kept at all; beyond that the longest idle goes
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -1,7 +1,6 @@
 package gatelock.state;
 
 import gatelock.api.RequestHandle;
-
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -1,13 +1,12 @@
 package gatelock.websocket;
 
-import gatelock.net.EventLoop;
-import gatelock.state.Counters;
-import gatelock.config.SessionPolicy;
 import gatelock.api.DecisionEngine;
+import gatelock.config.SessionPolicy;
+import gatelock.net.EventLoop;
 import gatelock.session.CloseReason;
 import gatelock.session.Session;
 import gatelock.session.Sessions;
-
+import gatelock.state.Counters;
 import io.undertow.websockets.core.AbstractReceiveListener;
 import io.undertow.websockets.core.BufferedBinaryMessage;
 import io.undertow.websockets.core.CloseMessage;
@@ -16,10 +15,6 @@
 import io.undertow.websockets.core.WebSocketChannel;
 import io.undertow.websockets.core.WebSocketException;
 import io.undertow.websockets.core.WebSockets;
-
-import org.xnio.ChannelListener;
-import org.xnio.IoUtils;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
@@ -27,6 +22,8 @@
 import java.nio.channels.ClosedChannelException;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
+import org.xnio.ChannelListener;
+import org.xnio.IoUtils;
 
 /**
  * The two sides of one session. A message is taken in whole, passed on, and only then is the next one of that
@@ -40,6 +37,7 @@
     private static final long HELD_US = 2_000_000;
     /** A side that has not read one message by then stalls the session for good. */
     private static final long STALLED_US = 30_000_000;
+
     private static final long SECOND = 1_000_000;
     private static final int CONTROL_BYTES = 125;
     private static final int READ_BYTES = 4_096;
@@ -56,9 +54,17 @@
     private long framesFromUs;
     private int frames;
 
-    WebSocketProxySession(EventLoop turn, Counters counters, DecisionEngine gate, Sessions sessions, SessionPolicy terms, String endpointName,
-        int route,
-             WebSocketChannel client, WebSocketChannel endpoint, Runnable whenOver) {
+    WebSocketProxySession(
+            EventLoop turn,
+            Counters counters,
+            DecisionEngine gate,
+            Sessions sessions,
+            SessionPolicy terms,
+            String endpointName,
+            int route,
+            WebSocketChannel client,
+            WebSocketChannel endpoint,
+            Runnable whenOver) {
         this.turn = turn;
         this.counters = counters;
         this.gate = gate;
@@ -87,7 +93,10 @@
     public void close(Session.Side side, int code, String reason) {
         counters.add("session closes " + code);
         byte[] words = reason.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer body = ByteBuffer.allocate(2 + words.length).putShort((short) code).put(words).flip();
+        ByteBuffer body = ByteBuffer.allocate(2 + words.length)
+                .putShort((short) code)
+                .put(words)
+                .flip();
         WebSocketChannel channel = side(side).channel;
         // From bytes, as Undertow's close refuses codes over 1011, registered since, when given as a number.
         WebSockets.sendClose(new CloseMessage(body), channel, new WebSocketCallback<>() {
@@ -267,8 +276,10 @@
             private void add(ByteBuffer some) {
                 if (whole.size() + some.remaining() > terms.messageBytes()) {
                     if (!tooBig) {
-                        session.end(turn.nowUs(), side == Session.Side.UNIT ? CloseReason.UNIT_FAULT
-                            : CloseReason.TOO_BIG, 0);
+                        session.end(
+                                turn.nowUs(),
+                                side == Session.Side.UNIT ? CloseReason.UNIT_FAULT : CloseReason.TOO_BIG,
+                                0);
                     }
                     tooBig = true;
                     whole.reset();
@@ -284,8 +295,7 @@
             } else if (text) {
                 came(() -> WebSockets.sendText(ByteBuffer.wrap(whole), other().channel, other().sent(this)));
             } else {
-                came(() -> WebSockets.sendBinary(ByteBuffer.wrap(whole), other().channel, other()
-                    .sent(this)));
+                came(() -> WebSockets.sendBinary(ByteBuffer.wrap(whole), other().channel, other().sent(this)));
             }
         }
 
@@ -353,8 +363,7 @@
         }
 
         @Override
-        protected void onFullPingMessage(WebSocketChannel from,
-            BufferedBinaryMessage message) throws IOException {
+        protected void onFullPingMessage(WebSocketChannel from, BufferedBinaryMessage message) throws IOException {
             if (flood()) {
                 message.getData().close();
             } else {
@@ -363,8 +372,7 @@
         }
 
         @Override
-        protected void onFullPongMessage(WebSocketChannel from,
-            BufferedBinaryMessage message) throws IOException {
+        protected void onFullPongMessage(WebSocketChannel from, BufferedBinaryMessage message) throws IOException {
             flood();
             super.onFullPongMessage(from, message);
         }
@@ -376,8 +384,8 @@
             int code = body.remaining() >= 2 ? body.getShort() & 0xffff : body.remaining() == 0 ? 1005 : 1002;
             String reason = StandardCharsets.UTF_8.decode(body).toString();
             pooled.close();
-            session.closed(turn.nowUs(), side, code, reason.getBytes(StandardCharsets.UTF_8).length > 120
-                ? "" : reason);
+            session.closed(
+                    turn.nowUs(), side, code, reason.getBytes(StandardCharsets.UTF_8).length > 120 ? "" : reason);
             over();
         }
 
@@ -385,13 +393,18 @@
         protected void onError(WebSocketChannel from, Throwable e) {
             LOG.log(Level.DEBUG, () -> "session, " + side + ": " + e);
             long nowUs = turn.nowUs();
-            if (e instanceof ClosedChannelException || !(e instanceof WebSocketException)
-                    && !String.valueOf(e.getMessage()).startsWith("UT")) {
+            if (e instanceof ClosedChannelException
+                    || !(e instanceof WebSocketException)
+                            && !String.valueOf(e.getMessage()).startsWith("UT")) {
                 session.lost(nowUs, side);
             } else {
                 boolean utf = String.valueOf(e.getMessage()).contains("UTF");
-                session.end(nowUs, side == Session.Side.UNIT ? CloseReason.UNIT_FAULT : utf ? CloseReason.INVALID
-                    : CloseReason.PROTOCOL, 0);
+                session.end(
+                        nowUs,
+                        side == Session.Side.UNIT
+                                ? CloseReason.UNIT_FAULT
+                                : utf ? CloseReason.INVALID : CloseReason.PROTOCOL,
+                        0);
             }
         }
     }
--- a/src/main/java/gatelock/websocket/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/websocket/WebSocketUpgrader.java
@@ -1,16 +1,15 @@
 package gatelock.websocket;
 
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionEngine;
+import gatelock.config.SessionPolicy;
 import gatelock.http.RequestReader;
 import gatelock.net.EventLoop;
 import gatelock.pipeline.OutcomeRecorder;
+import gatelock.session.Sessions;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import gatelock.state.UpstreamResponse;
-import gatelock.config.SessionPolicy;
-import gatelock.api.AttemptResult;
-import gatelock.api.DecisionEngine;
-import gatelock.session.Sessions;
-
 import io.undertow.connector.ByteBufferPool;
 import io.undertow.server.DefaultByteBufferPool;
 import io.undertow.server.HttpServerExchange;
@@ -24,13 +23,6 @@
 import io.undertow.websockets.core.WebSocketChannel;
 import io.undertow.websockets.core.protocol.Handshake;
 import io.undertow.websockets.core.protocol.version13.Hybi13Handshake;
-
-import org.xnio.IoFuture;
-import org.xnio.IoUtils;
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.XnioExecutor;
-
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
 import java.net.URI;
@@ -40,6 +32,11 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.xnio.IoFuture;
+import org.xnio.IoUtils;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.XnioExecutor;
 
 /**
  * Opens sessions: a request asks for one, the decisions choose an endpoint as for any request, an attempt is an opening
@@ -55,8 +52,7 @@
     private static final HttpString KEY = new HttpString("Sec-WebSocket-Key");
     private static final HttpString VERSION = new HttpString("Sec-WebSocket-Version");
     /** Passed on to an endpoint with its own opening handshake. */
-    private static final List<String> PASSED = List.of("X-Trace-Id", "X-Customer", "Cookie", "X-Size-Hint",
-        "Origin");
+    private static final List<String> PASSED = List.of("X-Trace-Id", "X-Customer", "Cookie", "X-Size-Hint", "Origin");
 
     private final EventLoop turn;
     private final Counters counters;
@@ -65,7 +61,8 @@
     private final Sessions sessions;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0);
 
-    public WebSocketUpgrader(EventLoop turn, Counters counters, OutcomeRecorder book, DecisionEngine gate, Sessions sessions) {
+    public WebSocketUpgrader(
+            EventLoop turn, Counters counters, OutcomeRecorder book, DecisionEngine gate, Sessions sessions) {
         this.turn = turn;
         this.counters = counters;
         this.book = book;
@@ -82,9 +79,11 @@
     public int refusal(HttpServerExchange exchange) {
         String connection = exchange.getRequestHeaders().getFirst(Headers.CONNECTION);
         String key = exchange.getRequestHeaders().getFirst(KEY);
-        boolean form = connection != null && connection.toLowerCase(java.util.Locale.ROOT).contains("upgrade")
-            && key != null && key.matches("[A-Za-z0-9+/]{22}==") && exchange.getRequestHeaders().count(KEY)
-            == 1;
+        boolean form = connection != null
+                && connection.toLowerCase(java.util.Locale.ROOT).contains("upgrade")
+                && key != null
+                && key.matches("[A-Za-z0-9+/]{22}==")
+                && exchange.getRequestHeaders().count(KEY) == 1;
         if (!form) {
             return 400;
         }
@@ -101,8 +100,8 @@
     }
 
     @Override
-    public Consumer<HttpServerExchange> opens(HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms,
-        int route) {
+    public Consumer<HttpServerExchange> opens(
+            HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms, int route) {
         Opening opening = new Opening(exchange, request, terms, route);
         request.opensBy(opening);
         return opening::takeOver;
@@ -140,8 +139,8 @@
             this.request = request;
             this.terms = terms;
             this.route = route;
-            this.path = exchange.getRequestURI() + (exchange.getQueryString().isEmpty() ? "" : "?"
-                + exchange.getQueryString());
+            this.path = exchange.getRequestURI()
+                    + (exchange.getQueryString().isEmpty() ? "" : "?" + exchange.getQueryString());
             this.subprotocols = subprotocols(exchange, terms.subprotocols());
             for (String name : PASSED) {
                 String value = exchange.getRequestHeaders().getFirst(name);
@@ -158,12 +157,11 @@
 
         /** The client's side: its handshake is answered, and the two sides are one session from then on. */
         private void takeOver(HttpServerExchange exchange) {
-            Handshake handshake = new Hybi13Handshake(subprotocol == null ? Set.of() : Set.of(subprotocol),
-                false);
+            Handshake handshake = new Hybi13Handshake(subprotocol == null ? Set.of() : Set.of(subprotocol), false);
             try {
-                WebSocketConnectionCallback coupled = (facade, client) ->
-                    new WebSocketProxySession(turn, counters, gate, sessions, terms, endpointName, route, client, endpoint,
-                    whenOver).begin();
+                WebSocketConnectionCallback coupled = (facade, client) -> new WebSocketProxySession(
+                                turn, counters, gate, sessions, terms, endpointName, route, client, endpoint, whenOver)
+                        .begin();
                 new WebSocketProtocolHandshakeHandler(List.of(handshake), coupled).handleRequest(exchange);
             } catch (Exception e) {
                 LOG.log(Level.DEBUG, () -> "a client's upgrade failed: " + e);
@@ -205,36 +203,39 @@
                 }
                 URI uri;
                 try {
-                    uri = new URI("ws://" + address.getAddress().getHostAddress() + ":" + address.getPort()
-                        + path);
+                    uri = new URI("ws://" + address.getAddress().getHostAddress() + ":" + address.getPort() + path);
                 } catch (URISyntaxException e) {
                     end(AttemptResult.NOT_SENT);
                     return;
                 }
-                limit = turn.in(timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs,
-                    () -> end(AttemptResult.TIMED_OUT));
-                WebSocketClientNegotiation negotiation = new WebSocketClientNegotiation(subprotocols,
-                    List.of()) {
+                limit = turn.in(
+                        timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs, () -> end(AttemptResult.TIMED_OUT));
+                WebSocketClientNegotiation negotiation = new WebSocketClientNegotiation(subprotocols, List.of()) {
                     @Override
                     public void beforeRequest(Map<String, List<String>> out) {
                         out.putAll(headers);
                     }
                 };
                 opening = WebSocketClient.connectionBuilder(turn.thread().getWorker(), buffers, uri)
-                    .setOptionMap(OptionMap.create(Options.TCP_NODELAY, true))
-                    .setClientNegotiation(negotiation).connect();
-                opening.addNotifier(new IoFuture.HandlingNotifier<WebSocketChannel, Void>() {
-                    @Override
-                    public void handleDone(WebSocketChannel channel, Void nothing) {
-                        turn.soon(() -> opened(channel, negotiation.getSelectedSubProtocol()));
-                    }
+                        .setOptionMap(OptionMap.create(Options.TCP_NODELAY, true))
+                        .setClientNegotiation(negotiation)
+                        .connect();
+                opening.addNotifier(
+                        new IoFuture.HandlingNotifier<WebSocketChannel, Void>() {
+                            @Override
+                            public void handleDone(WebSocketChannel channel, Void nothing) {
+                                turn.soon(() -> opened(channel, negotiation.getSelectedSubProtocol()));
+                            }
 
-                    @Override
-                    public void handleFailed(java.io.IOException e, Void nothing) {
-                        turn.soon(() -> end(e instanceof java.net.ConnectException ? AttemptResult.NOT_CONNECTED
-                            : AttemptResult.ERRORED));
-                    }
-                }, null);
+                            @Override
+                            public void handleFailed(java.io.IOException e, Void nothing) {
+                                turn.soon(() -> end(
+                                        e instanceof java.net.ConnectException
+                                                ? AttemptResult.NOT_CONNECTED
+                                                : AttemptResult.ERRORED));
+                            }
+                        },
+                        null);
             }
 
             private void opened(WebSocketChannel channel, String agreed) {
@@ -263,8 +264,12 @@
                 if (opening != null && ending != AttemptResult.COMPLETED) {
                     opening.cancel();
                 }
-                book.ended(request, number, ending, turn.nowUs() - sentUs, ending == AttemptResult.COMPLETED
-                    ? new UpstreamResponse(101, List.of(), new byte[0]) : null);
+                book.ended(
+                        request,
+                        number,
+                        ending,
+                        turn.nowUs() - sentUs,
+                        ending == AttemptResult.COMPLETED ? new UpstreamResponse(101, List.of(), new byte[0]) : null);
             }
         }
     }
--- a/src/test/java/gatelock/ControlTest.java
+++ b/src/test/java/gatelock/ControlTest.java
@@ -5,7 +5,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.standin.ControlService;
-
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,7 +16,6 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -27,14 +25,15 @@
 final class ControlTest {
     private static final long EPOCH = 1_700_000_000_000L;
     private static final String PLAN = "{\"format\": 1, \"by\": \"test\", \"note\": \"%s\", "
-        + "\"unmatched\": \"refuse\",\n"
-        + " \"limits\": {\"few\": {\"ratePerS\": 0.5, \"burst\": %d}},\n"
-        + " \"routes\": [{\"name\": \"reads\", \"path\": \"/read\", \"class\": \"read\", \"limits\": "
-        + "[\"few\"]},\n"
-        + "  {\"name\": \"claims\", \"path\": \"/claim\", \"class\": \"claim\"}]}";
+            + "\"unmatched\": \"refuse\",\n"
+            + " \"limits\": {\"few\": {\"ratePerS\": 0.5, \"burst\": %d}},\n"
+            + " \"routes\": [{\"name\": \"reads\", \"path\": \"/read\", \"class\": \"read\", \"limits\": "
+            + "[\"few\"]},\n"
+            + "  {\"name\": \"claims\", \"path\": \"/claim\", \"class\": \"claim\"}]}";
 
     @TempDir
     private Path directory;
+
     private StandIns all;
     private ControlService control;
     private String services = "";
@@ -58,9 +57,11 @@
 
     private void start() throws Exception {
         Path operator = directory.resolve("operator.json");
-        Files.writeString(operator, "{\"control\": {\"services\": [\"" + control.address() + services
-            + "\"], \"holdMs\": 500,"
-            + " \"mostWaitMs\": 400, \"directory\": \"" + directory.resolve("kept") + "\"}" + more + "}");
+        Files.writeString(
+                operator,
+                "{\"control\": {\"services\": [\"" + control.address() + services
+                        + "\"], \"holdMs\": 500,"
+                        + " \"mostWaitMs\": 400, \"directory\": \"" + directory.resolve("kept") + "\"}" + more + "}");
         all.start("--operator", operator.toString());
     }
 
@@ -89,8 +90,7 @@
         private void asks(int n) {
             try (Socket client = all.connect()) {
                 for (int i = 0; !over; i++) {
-                    ask(client, i % 2 == 0 ? "GET /read" : "POST /claim", "t" + n + "-" + i, "", i % 2 == 0
-                        ? "" : "x");
+                    ask(client, i % 2 == 0 ? "GET /read" : "POST /claim", "t" + n + "-" + i, "", i % 2 == 0 ? "" : "x");
                     StandIns.Came answer = read(client);
                     answers.merge(answer.head().substring(9, 12), 1, Integer::sum);
                 }
@@ -142,8 +142,7 @@
         assertThat(status("GET /read", "r3")).isEqualTo("503");
         assertThat(status("POST /post", "p1")).isEqualTo("404");
         served("POST /claim", "c1");
-        control.offer(EPOCH, "a", 2, plan("broken", 2).replace("\"class\": \"claim\"",
-            "\"class\": \"clam\""));
+        control.offer(EPOCH, "a", 2, plan("broken", 2).replace("\"class\": \"claim\"", "\"class\": \"clam\""));
         Map<String, Object> second = control.report(EPOCH + "/2");
         assertThat(second).containsEntry("accepted", false).containsEntry("version", 1);
         assertThat(second.get("findings").toString()).contains("M-CLASS", "/routes/1/class", "clam");
@@ -161,8 +160,9 @@
         try (Traffic traffic = new Traffic(4)) {
             control.manner(ControlService.Manner.STUBBORN);
             control.offer(EPOCH, "a", 9, plan("older", 1));
-            assertThat(control.report(EPOCH + "/9")).containsEntry("answer", "older")
-                .containsEntry("version", 10);
+            assertThat(control.report(EPOCH + "/9"))
+                    .containsEntry("answer", "older")
+                    .containsEntry("version", 10);
             control.offer(EPOCH, "a", 10, plan("a fork", 1));
             assertThat(forked()).containsEntry("version", 10);
             control.offer(EPOCH - 5, "a", 50, plan("an old copy", 1));
@@ -172,9 +172,12 @@
             assertThat(control.report(EPOCH + "/20")).containsEntry("accepted", true);
             StringBuilder huge = new StringBuilder("{\"format\": 1, \"routes\": [");
             for (int i = 0; i < 8_000; i++) {
-                huge.append(i == 0 ? "" : ",\n").append("{\"name\": \"r").append(i)
-                    .append("\", \"path\": \"/x/").append(i)
-                    .append("\", \"class\": \"read\"}");
+                huge.append(i == 0 ? "" : ",\n")
+                        .append("{\"name\": \"r")
+                        .append(i)
+                        .append("\", \"path\": \"/x/")
+                        .append(i)
+                        .append("\", \"class\": \"read\"}");
             }
             control.offer(EPOCH, "a", 21, huge + "], \"removes\": [\"reads\", \"claims\"]}");
             assertThat(control.report(EPOCH + "/21")).containsEntry("accepted", true);
@@ -203,8 +206,11 @@
         start();
         control.report(EPOCH + "/1");
         int number = 1;
-        for (ControlService.Manner manner : List.of(ControlService.Manner.CUT, ControlService.Manner.DAMAGED,
-                ControlService.Manner.FAILING, ControlService.Manner.SILENT)) {
+        for (ControlService.Manner manner : List.of(
+                ControlService.Manner.CUT,
+                ControlService.Manner.DAMAGED,
+                ControlService.Manner.FAILING,
+                ControlService.Manner.SILENT)) {
             control.manner(manner);
             control.offer(EPOCH, "a", ++number, plan("later", 1_000_000));
             int calls = control.calls();
@@ -282,8 +288,8 @@
 
     @Test
     void aLimitThatChangesWhileItsQueueIsFullLetsThoseGoThatMay() throws Exception {
-        String queued = plan("queue", 1).replace("\"burst\": 1",
-            "\"burst\": 1, \"queue\": {\"length\": 3, \"waitMs\": 900}");
+        String queued =
+                plan("queue", 1).replace("\"burst\": 1", "\"burst\": 1, \"queue\": {\"length\": 3, \"waitMs\": 900}");
         control.offer(EPOCH, "a", 1, queued);
         start();
         control.report(EPOCH + "/1");
@@ -326,8 +332,9 @@
         byte[] latest = Files.readAllBytes(kept.resolve("last-good.plan"));
         Files.write(kept.resolve("last-good.plan"), Arrays.copyOf(latest, latest.length - 7));
         start();
-        assertThat(all.log()).contains("last-good.plan is passed over: it is cut or torn")
-            .contains("-a:1 in force, 2 routes, from disk");
+        assertThat(all.log())
+                .contains("last-good.plan is passed over: it is cut or torn")
+                .contains("-a:1 in force, 2 routes, from disk");
         assertThat(status("POST /post", "p1")).isEqualTo("404");
         served("POST /claim", "c1");
         control.manner(ControlService.Manner.USUAL);
@@ -347,8 +354,9 @@
             control.manner(ControlService.Manner.STUBBORN);
             other.manner(ControlService.Manner.FAILING);
             for (int i = 0; i < 3; i++) {
-                assertThat(control.report(EPOCH + "/7")).containsEntry("answer", "old-epoch")
-                    .containsEntry("version", 1);
+                assertThat(control.report(EPOCH + "/7"))
+                        .containsEntry("answer", "old-epoch")
+                        .containsEntry("version", 1);
             }
             served("POST /claim", "c1");
             assertThat(all.log().split("is not applied, old-epoch", -1)).hasSize(2);
@@ -362,19 +370,21 @@
         more = ", \"listener\": \"" + at + "\", \"log\": {\"form\": \"json\"}";
         start();
         control.report(EPOCH + "/1");
-        control.offer(EPOCH, "a", 2, plan("second", 1_000_000).replace("claims", "CLAIMS").replace("}]}",
-            "}], \"removes\": [\"claims\"]}"));
+        control.offer(
+                EPOCH,
+                "a",
+                2,
+                plan("second", 1_000_000).replace("claims", "CLAIMS").replace("}]}", "}], \"removes\": [\"claims\"]}"));
         control.report(EPOCH + "/2");
         assertThat(command(0, "status", "--at", at)).contains("inForce: " + EPOCH + "-a:2");
-        assertThat(command(0, "back", "1", "--why", "second is odd", "--at", at)).contains("inForce: "
-            + EPOCH + "-a:1", "pinned: true");
+        assertThat(command(0, "back", "1", "--why", "second is odd", "--at", at))
+                .contains("inForce: " + EPOCH + "-a:1", "pinned: true");
         control.offer(EPOCH, "a", 3, plan("third", 1_000_000));
-        assertThat(control.report(EPOCH + "/3")).containsEntry("answer", "pinned").containsEntry("accepted",
-            false);
-        assertThat(command(0, "history", "--at", at)).contains("by=test", "note=first",
-            "from=operator: second is odd");
-        assertThat(command(1, "back", "77", "--why", "none", "--at", at))
-            .contains("no version 77 is remembered");
+        assertThat(control.report(EPOCH + "/3"))
+                .containsEntry("answer", "pinned")
+                .containsEntry("accepted", false);
+        assertThat(command(0, "history", "--at", at)).contains("by=test", "note=first", "from=operator: second is odd");
+        assertThat(command(1, "back", "77", "--why", "none", "--at", at)).contains("no version 77 is remembered");
         assertThat(command(0, "release", "--at", at)).contains("pinned: false");
         Map<String, Object> report = control.report(EPOCH + "/3");
         while (!Boolean.TRUE.equals(report.get("accepted"))) {
@@ -383,13 +393,13 @@
         served("POST /claim", "c1");
         // Each line of the control path has its version as a field of its own.
         assertThat(all.log().lines().filter(l -> l.startsWith("{") && l.contains("in force, ")))
-            .hasSizeGreaterThanOrEqualTo(4).allMatch(l -> l.contains("\"version\""));
+                .hasSizeGreaterThanOrEqualTo(4)
+                .allMatch(l -> l.contains("\"version\""));
     }
 
     private String command(int code, String... words) throws Exception {
         Process process = StandIns.java(words).redirectErrorStream(true).start();
-        String said = new String(process.getInputStream().readAllBytes(),
-            java.nio.charset.StandardCharsets.UTF_8);
+        String said = new String(process.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
         assertThat(process.waitFor()).as(said).isEqualTo(code);
         return said;
     }
--- a/src/test/java/gatelock/EndingsTest.java
+++ b/src/test/java/gatelock/EndingsTest.java
@@ -53,8 +53,9 @@
 
     @Test
     void aRequestWhoseClientLeftWhileAConnectionCameUpNeverGoesOut() throws Exception {
-        Files.writeString(all.config, Files.readString(all.config).replace("\"dialTimeoutNs\": 250000000",
-            "\"dialTimeoutNs\": 20000000000"));
+        Files.writeString(
+                all.config,
+                Files.readString(all.config).replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000"));
         try (StandIns.Party late = StandIns.Party.thatAcceptsLater()) {
             all.startUnlisted();
             StandIns.tell(all.discovery.next(), 1, late);
@@ -187,8 +188,10 @@
     @Test
     void onSigtermWhatIsHalfReadOrHasItsAnswerHalfWrittenIsAnsweredWhole() throws Exception {
         all.start();
-        try (Socket reading = all.connect(); Socket answering = all.connect()) {
-            StandIns.write(reading, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: reading\r\nContent-Length: 4\r\n\r\nha");
+        try (Socket reading = all.connect();
+                Socket answering = all.connect()) {
+            StandIns.write(
+                    reading, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: reading\r\nContent-Length: 4\r\n\r\nha");
             ask(answering, "POST /claim", "answering", "", "x");
             StandIns.Came half = all.endpoint.next();
             StandIns.write(half.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
@@ -214,9 +217,11 @@
 
     @Test
     void onSigtermWhatWaitsForItsConnectionOrItsListIsStillAnswered() throws Exception {
-        Files.writeString(all.config, Files.readString(all.config).replace("\"dialTimeoutNs\": 250000000",
-            "\"dialTimeoutNs\": 20000000000"));
-        try (StandIns.Party late = StandIns.Party.thatAcceptsLater(); Socket held = connectUnlisted();
+        Files.writeString(
+                all.config,
+                Files.readString(all.config).replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000"));
+        try (StandIns.Party late = StandIns.Party.thatAcceptsLater();
+                Socket held = connectUnlisted();
                 Socket dials = all.connect()) {
             StandIns.Came asked = all.discovery.next();
             for (Socket client : List.of(held, dials)) {
@@ -292,7 +297,8 @@
         StandIns.tell(all.discovery.next(), 7, all.endpoint);
         StandIns.Came watch = all.discovery.next();
         try (StandIns.Party moved = new StandIns.Party()) {
-            Files.writeString(all.config, Files.readString(all.config).replace(all.discovery.address(), moved.address()));
+            Files.writeString(
+                    all.config, Files.readString(all.config).replace(all.discovery.address(), moved.address()));
             all.hangUp();
             StandIns.Came asked = moved.next();
             assertThat(all.discovery.ended.poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
--- a/src/test/java/gatelock/LateConnectionsTest.java
+++ b/src/test/java/gatelock/LateConnectionsTest.java
@@ -20,9 +20,11 @@
     void stand() throws Exception {
         all = new StandIns();
         late = StandIns.Party.thatAcceptsLater();
-        Files.writeString(all.config, Files.readString(all.config)
-            .replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000")
-            .replaceAll("\"deadlineNs\": \\d+", "\"deadlineNs\": 20000000000"));
+        Files.writeString(
+                all.config,
+                Files.readString(all.config)
+                        .replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000")
+                        .replaceAll("\"deadlineNs\": \\d+", "\"deadlineNs\": 20000000000"));
     }
 
     @AfterEach
@@ -32,14 +34,18 @@
     }
 
     private String entry(String name, StandIns.Party at, String status, int build) {
-        return String.format("{\"name\":\"%s\",\"address\":\"%s\",\"status\":\"%s\",\"since_ms\":0,"
-            + "\"image_id\":%d}", name, at.address(), status, build);
+        return String.format(
+                "{\"name\":\"%s\",\"address\":\"%s\",\"status\":\"%s\",\"since_ms\":0," + "\"image_id\":%d}",
+                name, at.address(), status, build);
     }
 
     /** Answers what discovery was asked last; returns the next watch, sent once the answer was taken in. */
     private StandIns.Came tell(StandIns.Came asked, int index, String... entries) throws Exception {
-        asked.answer("200 OK", "", "{\"index\":" + index + ",\"snapshot\":" + (index == 1) + ",\"endpoints\":["
-            + String.join(",", entries) + "]}");
+        asked.answer(
+                "200 OK",
+                "",
+                "{\"index\":" + index + ",\"snapshot\":" + (index == 1) + ",\"endpoints\":[" + String.join(",", entries)
+                        + "]}");
         StandIns.Came watch = all.discovery.next();
         assertThat(watch.head()).startsWith("GET /api/targets?from=" + index + "&");
         return watch;
@@ -80,7 +86,7 @@
         tell(all.discovery.next(), 1, entry("x", late, "in_service", 2), entry("y", all.other, "in_service", 1));
         StandIns.Came news = all.controller.next();
         String state = "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\","
-            + "\"exposure\":%s,\"old_ms\":0}}\n";
+                + "\"exposure\":%s,\"old_ms\":0}}\n";
         var told = StandIns.chunked(news);
         StandIns.chunk(told, String.format(state, "trial", "1.0"));
         Thread.sleep(200);
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -2,19 +2,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.decision.ReleaseGate;
-import gatelock.state.EndpointAddresses;
-import gatelock.state.IdleConnections;
-import gatelock.api.RelaySettings;
 import gatelock.api.AttemptResult;
 import gatelock.api.DecisionEngine;
-import gatelock.api.RequestHandle;
 import gatelock.api.Endpoint;
 import gatelock.api.LoadReport;
+import gatelock.api.RelaySettings;
+import gatelock.api.RequestHandle;
 import gatelock.api.RolloutPolicy;
 import gatelock.api.RoutePolicy;
+import gatelock.decision.ReleaseGate;
 import gatelock.standin.NoOpActions;
-
+import gatelock.state.EndpointAddresses;
+import gatelock.state.IdleConnections;
 import java.lang.reflect.Field;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -30,16 +29,47 @@
 
     @Test
     void theDecisionsForgetWhatLeft() throws Exception {
-        RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000, new double[] {0.2, 1}, 0,
-            false, true, 2, 1, 10, false);
-        DecisionEngine gate = new ReleaseGate(new RelaySettings(7, 1, 0, List.of(new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1)),
-            List.of(), 1, 3, true, true, 1_000_000, false, 0.5, 3_000_000, 2.5, 1_000_000, 0, 0, rollout), new Noting());
+        RolloutPolicy rollout = new RolloutPolicy(
+                RolloutPolicy.Gatekeeping.COUNT,
+                1_000_000,
+                6_000_000,
+                2_000_000,
+                new double[] {0.2, 1},
+                0,
+                false,
+                true,
+                2,
+                1,
+                10,
+                false);
+        DecisionEngine gate = new ReleaseGate(
+                new RelaySettings(
+                        7,
+                        1,
+                        0,
+                        List.of(new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1)),
+                        List.of(),
+                        1,
+                        3,
+                        true,
+                        true,
+                        1_000_000,
+                        false,
+                        0.5,
+                        3_000_000,
+                        2.5,
+                        1_000_000,
+                        0,
+                        0,
+                        rollout),
+                new Noting());
         long nowUs = 1_000_000;
         gate.start(nowUs);
         for (int build = 1; build <= 200; build++) {
             List<Endpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                endpoints.add(new Endpoint("u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Endpoint.Health.READY, 0));
+                endpoints.add(new Endpoint(
+                        "u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Endpoint.Health.READY, 0));
             }
             gate.listed(nowUs, DecisionEngine.ListForm.FULL, endpoints);
             gate.news(nowUs, build, 1, DecisionEngine.Phase.RELEASED, 1, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
@@ -60,11 +90,13 @@
     @Test
     void addressesAndIdleConnectionsAreForgotten() throws Exception {
         EndpointAddresses addresses = new EndpointAddresses();
-        IdleConnections<Object> idle = new IdleConnections<>(50, c -> { });
+        IdleConnections<Object> idle = new IdleConnections<>(50, c -> {});
         for (int i = 0; i < 1000; i++) {
             InetSocketAddress at = new InetSocketAddress("127.0.0.1", 1 + i);
             addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, Endpoint.Health.READY, 0));
-            addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING, 0));
+            addresses.put(
+                    at,
+                    new Endpoint("a" + i, 1, 0, 0, 0, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING, 0));
             idle.put(i, at, "connection" + i);
         }
         addresses.keepOnly(Set.of("a1"));
--- a/src/test/java/gatelock/LongListsTest.java
+++ b/src/test/java/gatelock/LongListsTest.java
@@ -7,7 +7,6 @@
 import java.io.OutputStream;
 import java.net.Socket;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -55,13 +54,15 @@
             }
         });
         all.awaitLog("discovery's list is too long: body of 3000000 bytes is longer than 2097152, what was listed "
-            + "stays; name a scope (membership) in the operator's file, or have fewer units listed");
+                + "stays; name a scope (membership) in the operator's file, or have fewer units listed");
         all.awaitLog("discovery's list is too long, what the configuration lists serves");
         all.awaitLog("serves on");
         passes("start", all.endpoint);
         ends();
-        assertThat(all.log()).doesNotContain("silent").containsPattern("lists too long=[1-9]")
-            .doesNotContain("discovery failed");
+        assertThat(all.log())
+                .doesNotContain("silent")
+                .containsPattern("lists too long=[1-9]")
+                .doesNotContain("discovery failed");
         assertThat(all.log().split("is longer than", -1)).as("said once").hasSize(2);
     }
 
--- a/src/test/java/gatelock/RelayTest.java
+++ b/src/test/java/gatelock/RelayTest.java
@@ -22,7 +22,7 @@
 /** The program as a process, spoken to over sockets. */
 final class RelayTest {
     private static final String ENTRY =
-        "{\"name\":\"%s\",\"address\":\"%s\",\"status\":\"%s\",\"since_ms\":0,\"image_id\":1}";
+            "{\"name\":\"%s\",\"address\":\"%s\",\"status\":\"%s\",\"since_ms\":0,\"image_id\":1}";
 
     private StandIns all;
 
@@ -42,8 +42,7 @@
         try (Socket client = all.connect()) {
             for (int i = 0; i < 20; i++) {
                 String id = "id" + i;
-                ask(client, "POST /post/a%20b?x=1&y", id, "Idempotency-Key: 77\r\nX-Expires-In-Ms: 900\r\n",
-                    "body");
+                ask(client, "POST /post/a%20b?x=1&y", id, "Idempotency-Key: 77\r\nX-Expires-In-Ms: 900\r\n", "body");
                 StandIns.Came at = all.endpoint.next();
                 assertThat(at.head()).startsWith("POST /post/a%20b?x=1&y HTTP/1.1\r\n");
                 assertThat(at.body()).isEqualTo("body");
@@ -134,9 +133,12 @@
     @Test
     void aRequestOfNoUseIsToldSoAndHarmsNobody() throws Exception {
         all.start();
-        String[][] odd = {{"GET /nothing", "a", "", "404"}, {"GET /claim", "b", "", "405"}, {"POST /post",
-            "c", "", "400"},
-            {"GET /read", "", "", "400"}};
+        String[][] odd = {
+            {"GET /nothing", "a", "", "404"},
+            {"GET /claim", "b", "", "405"},
+            {"POST /post", "c", "", "400"},
+            {"GET /read", "", "", "400"}
+        };
         for (String[] o : odd) {
             try (Socket client = all.connect()) {
                 ask(client, o[0], o[1], o[2], "x");
@@ -144,8 +146,8 @@
             }
         }
         try (Socket client = all.connect()) {
-            StandIns.write(client, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: "
-                + "70000\r\n\r\n");
+            StandIns.write(
+                    client, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: " + "70000\r\n\r\n");
             assertThat(read(client).head()).startsWith("HTTP/1.1 413");
         }
         try (Socket client = all.connect()) {
@@ -158,7 +160,8 @@
     @Test
     void whatNoUsualClientSendsIsTurnedAwayAndNeverPassedOn() throws Exception {
         all.start();
-        try (Socket open = all.connect(); Socket same = all.connect()) {
+        try (Socket open = all.connect();
+                Socket same = all.connect()) {
             ask(open, "POST /claim", "open", "", "x");
             StandIns.Came at = all.endpoint.next();
             ask(same, "POST /claim", "open", "", "y");
@@ -169,26 +172,35 @@
         String post = "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: odd\r\n";
         String get = "GET /read HTTP/1.1\r\nHost: x\r\n";
         String hidden = get + "X-Trace-Id: hidden\r\n\r\n";
-        for (String odd : new String[] {"noise\r\n\r\n", "\u0000\u0001\u0002",
-            get + "X-Pad: p\r\n".repeat(5000), get,
-            get + "\r\n", get + "X-Trace-Id: a\r\nX-Trace-Id: b\r\n\r\n", get
-            + "X-Trace-Id: odd\r\nContent-Length: 1\r\n\r\nx",
-            get.replace("read", "%72ead") + "X-Trace-Id: odd\r\n\r\n", hidden.replace("GET", "HEAD"),
+        for (String odd : new String[] {
+            "noise\r\n\r\n",
+            "\u0000\u0001\u0002",
+            get + "X-Pad: p\r\n".repeat(5000),
+            get,
+            get + "\r\n",
+            get + "X-Trace-Id: a\r\nX-Trace-Id: b\r\n\r\n",
+            get + "X-Trace-Id: odd\r\nContent-Length: 1\r\n\r\nx",
+            get.replace("read", "%72ead") + "X-Trace-Id: odd\r\n\r\n",
+            hidden.replace("GET", "HEAD"),
             get.replace("/read", "http://x/read") + "X-Trace-Id: odd\r\n\r\n",
             post + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-            post + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nx", post + "Content-Length: -1\r\n\r\nx",
-            post + "Content-Length: one\r\n\r\nx", post + "Content-Length: 18446744073709551617\r\n\r\nx",
-            post + "Transfer-Encoding: gzip\r\n\r\n1\r\nx\r\n0\r\n\r\n", post
-            + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
-            post + "Transfer-Encoding: chunked\r\n\r\n5\r\nab", post + "Content-Length: 9\r\n\r\nhalf", post
-            + "\r\n",
-            post + "X-Expires-In-Ms: soon\r\nContent-Length: 1\r\n\r\nx", post
-            + "X-Expires-In-Ms: -5\r\nContent-Length: 1\r\n\r\nx",
-            post + "X-Expires-In-Ms: 0\r\nContent-Length: 1\r\n\r\nx", post
-            + "X-Expires-In-Ms: \r\nContent-Length: 1\r\n\r\nx",
+            post + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nx",
+            post + "Content-Length: -1\r\n\r\nx",
+            post + "Content-Length: one\r\n\r\nx",
+            post + "Content-Length: 18446744073709551617\r\n\r\nx",
+            post + "Transfer-Encoding: gzip\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+            post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+            post + "Transfer-Encoding: chunked\r\n\r\n5\r\nab",
+            post + "Content-Length: 9\r\n\r\nhalf",
+            post + "\r\n",
+            post + "X-Expires-In-Ms: soon\r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: -5\r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: 0\r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: \r\nContent-Length: 1\r\n\r\nx",
             post + "X-Expires-In-Ms: 99999999999999999999\r\nContent-Length: 1\r\n\r\nx",
             post + "X-Expires-In-Ms: 999999999\r\nContent-Length: 1\r\n\r\nx",
-            post + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\n"}) {
+            post + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\n"
+        }) {
             try (Socket client = all.connect()) {
                 StandIns.write(client, odd);
                 assertThat(turnedAway(client)).as(odd).isTrue();
@@ -206,8 +218,9 @@
     void aBodyOfManyMegabytesIsRefusedWhileItComes() throws Exception {
         all.start();
         try (Socket client = all.connect()) {
-            StandIns.write(client, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: "
-                + "62914560\r\n\r\n");
+            StandIns.write(
+                    client,
+                    "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: " + "62914560\r\n\r\n");
             StandIns.go(() -> {
                 for (int i = 0; i < 60; i++) {
                     client.getOutputStream().write(new byte[1024 * 1024]);
@@ -220,19 +233,19 @@
 
     @Test
     void clientsThatSayNothingMakeRoomAndAreClosed() throws Exception {
-        Files.writeString(all.config, Files.readString(all.config).replace("\"sockets\": 1024",
-            "\"sockets\": 128"));
+        Files.writeString(all.config, Files.readString(all.config).replace("\"sockets\": 1024", "\"sockets\": 128"));
         all.start();
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
             silent.add(all.connect());
         }
-        try (Socket client = all.connect(); Socket slow = all.connect()) {
+        try (Socket client = all.connect();
+                Socket slow = all.connect()) {
             ask(client, "GET /read", "usual", "", "");
             all.endpoint.next().answer("200 OK", "", "fine");
             assertThat(read(client).body()).isEqualTo("fine");
-            StandIns.write(slow, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: "
-                + "9\r\n\r\nhalf");
+            StandIns.write(
+                    slow, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: " + "9\r\n\r\nhalf");
             assertThat(ends(slow)).isTrue();
             assertThat(ends(client)).isTrue();
         }
@@ -244,8 +257,7 @@
 
     @Test
     void clientsThatAskOnceAndStayMakeRoomForThoseThatHaveJustCome() throws Exception {
-        Files.writeString(all.config, Files.readString(all.config).replace("\"sockets\": 1024",
-            "\"sockets\": 128"));
+        Files.writeString(all.config, Files.readString(all.config).replace("\"sockets\": 1024", "\"sockets\": 128"));
         all.start();
         List<Socket> staying = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
@@ -255,7 +267,8 @@
             all.endpoint.next().answer("200 OK", "", "fine");
             assertThat(read(client).body()).isEqualTo("fine");
         }
-        try (Socket first = all.connect(); Socket second = all.connect()) {
+        try (Socket first = all.connect();
+                Socket second = all.connect()) {
             for (Socket client : List.of(second, first)) {
                 ask(client, "GET /read", "comes", "", "");
                 all.endpoint.next().answer("200 OK", "", "mine");
@@ -302,9 +315,12 @@
         all.startUnlisted();
         StandIns.Came whole = all.discovery.next();
         assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
-        whole.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":["
-            + String.format(ENTRY, "a", all.other.address(), "in_service") + ","
-            + String.format(ENTRY, "b", all.endpoint.address(), "terminating") + "]}");
+        whole.answer(
+                "200 OK",
+                "",
+                "{\"index\":5,\"snapshot\":true,\"endpoints\":["
+                        + String.format(ENTRY, "a", all.other.address(), "in_service") + ","
+                        + String.format(ENTRY, "b", all.endpoint.address(), "terminating") + "]}");
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=5&hold_ms=");
         try (Socket client = all.connect()) {
             for (int i = 0; i < 5; i++) {
@@ -321,7 +337,7 @@
         all.startUnlisted();
         String name = "unit-of-a-long-name-in-a-far-away-place-0123456789-0123456789-";
         String entry = "{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"z\",\"type\":\"m\",\"group\":3,"
-            + "\"status\":\"%s\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}";
+                + "\"status\":\"%s\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}";
         List<String> rest = new ArrayList<>();
         for (int i = 0; i < 1023; i++) {
             rest.add(String.format(entry, name + i, "127.0.0.1:1", "terminating"));
@@ -339,8 +355,10 @@
         assertThat(watch.head()).startsWith("GET /api/targets?from=5&");
         passes("whole", all.other);
         // all of them as one change
-        watch.answer("200 OK", "", String.format(text, 6, false, String.format(entry, "a", all.endpoint.address(),
-            "in_service")));
+        watch.answer(
+                "200 OK",
+                "",
+                String.format(text, 6, false, String.format(entry, "a", all.endpoint.address(), "in_service")));
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=6&");
         passes("changed", all.endpoint);
         assertThat(all.log()).doesNotContain("unexpected").doesNotContain("discovery, ");
@@ -358,12 +376,15 @@
     void aListThatIsBadInOneEntryIsSaidOnceAndChangesNothing() throws Exception {
         all.start();
         String entry = "{\"name\":\"%s\",\"address\":\"" + all.other.address()
-            + "\",\"status\":\"in_service\",\"since_ms\":%s,\"image_id\":1}";
+                + "\",\"status\":\"in_service\",\"since_ms\":%s,\"image_id\":1}";
         String text = "{\"index\":5,\"snapshot\":true,\"endpoints\":[%s,%s]}";
         String good = String.format(entry, "x", "0");
-        for (String odd : new String[] {good, String.format(entry, "y", "-5"),
+        for (String odd : new String[] {
+            good,
+            String.format(entry, "y", "-5"),
             String.format(entry, "y", "9999999999999"),
-            String.format(entry, "y", "0").replace("\"image_id\":1", "\"image_id\":\"one\"")}) {
+            String.format(entry, "y", "0").replace("\"image_id\":1", "\"image_id\":\"one\"")
+        }) {
             for (int i = 0; i < 3; i++) {
                 all.discovery.next().answer("200 OK", "", String.format(text, good, odd));
             }
@@ -378,8 +399,7 @@
         all.start();
         StandIns.Came first = all.controller.next();
         assertThat(first.head()).startsWith("GET /v2/projects/main/changes");
-        StandIns.chunk(StandIns.chunked(first), "{}\n{\"type\":\"news\",\"object\":" + StandIns.NEWS
-            + "}\nnot json\n");
+        StandIns.chunk(StandIns.chunked(first), "{}\n{\"type\":\"news\",\"object\":" + StandIns.NEWS + "}\nnot json\n");
         first.socket().close();
         assertThat(all.controller.next().head()).startsWith("GET /v2/projects/main/changes");
     }
@@ -389,22 +409,31 @@
         all.start();
         String ok = "HTTP/1.1 200 OK\r\n";
         String endless = "X-Pad: pppp\r\n".repeat(2000);
-        for (String spoilt : new String[] {"noise\r\n\r\nnoise",
+        for (String spoilt : new String[] {
+            "noise\r\n\r\nnoise",
             "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\nx",
-            "HTTP/1.1 OK 200\r\n\r\n", ok + endless, "HTTP/1.1 100 Continue\r\n\r\n".repeat(1000),
-            ok + "Content-Length: -1\r\n\r\nx", ok + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
+            "HTTP/1.1 OK 200\r\n\r\n",
+            ok + endless,
+            "HTTP/1.1 100 Continue\r\n\r\n".repeat(1000),
+            ok + "Content-Length: -1\r\n\r\nx",
+            ok + "Content-Length: 3\r\nContent-Length: 5\r\n\r\nabcde",
             ok + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
-            ok + "Content-Length: 3000000000\r\n\r\nxxxx", ok
-            + "Content-Length: 99999999999999999999\r\n\r\nx",
+            ok + "Content-Length: 3000000000\r\n\r\nxxxx",
+            ok + "Content-Length: 99999999999999999999\r\n\r\nx",
             ok + "Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\nabcde\r\n0\r\n\r\n",
-            ok + "Transfer-Encoding: chunked\r\n\r\n-5\r\nabcde", ok + "Transfer-Encoding: gzip\r\n\r\nx",
-            ok + "no header\r\nContent-Length: 1\r\n\r\nx", ok + "\r\nno length"}) {
+            ok + "Transfer-Encoding: chunked\r\n\r\n-5\r\nabcde",
+            ok + "Transfer-Encoding: gzip\r\n\r\nx",
+            ok + "no header\r\nContent-Length: 1\r\n\r\nx",
+            ok + "\r\nno length"
+        }) {
             try (Socket client = all.connect()) {
                 ask(client, "POST /claim", "spoilt", "", "x");
                 StandIns.Came at = all.endpoint.next();
                 StandIns.write(at.socket(), spoilt);
                 assertThat(read(client).head()).as(spoilt).startsWith("HTTP/1.1 502");
-                assertThat(all.endpoint.ended.poll(20, TimeUnit.SECONDS)).as(spoilt).isSameAs(at.socket());
+                assertThat(all.endpoint.ended.poll(20, TimeUnit.SECONDS))
+                        .as(spoilt)
+                        .isSameAs(at.socket());
                 for (int i = 0; i < 3; i++) {
                     // Else the decisions would leave the endpoint out.
                     ask(client, "POST /claim", "good", "", "x");
@@ -419,9 +448,13 @@
     void aGoodAnswerWithMoreThanBelongsToItServesAndNothingBehindItIsEverServed() throws Exception {
         all.start();
         String good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
-        for (String more : new String[] {good + good, good + "noise", "HTTP/1.1 100 Continue\r\n\r\n" + good,
+        for (String more : new String[] {
+            good + good,
+            good + "noise",
+            "HTTP/1.1 100 Continue\r\n\r\n" + good,
             "HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n" + good,
-            good.replace("Content", "X-Load: \u0001\u00ff;;=\r\nX-L\u00f6ad: 1\r\nContent")}) {
+            good.replace("Content", "X-Load: \u0001\u00ff;;=\r\nX-L\u00f6ad: 1\r\nContent")
+        }) {
             try (Socket client = all.connect()) {
                 ask(client, "POST /claim", "more", "", "x");
                 StandIns.write(all.endpoint.next().socket(), more);
@@ -445,9 +478,12 @@
             all.hangUp();
             all.awaitLog("what was in force stays: configuration " + all.config);
         }
-        try (StandIns.Party discovery = new StandIns.Party(); StandIns.Party controller = new StandIns.Party()) {
-            Files.writeString(all.config, sound.replace(all.discovery.address(), discovery.address())
-                .replace(all.controller.address(), controller.address()));
+        try (StandIns.Party discovery = new StandIns.Party();
+                StandIns.Party controller = new StandIns.Party()) {
+            Files.writeString(
+                    all.config,
+                    sound.replace(all.discovery.address(), discovery.address())
+                            .replace(all.controller.address(), controller.address()));
             all.hangUp();
             assertThat(discovery.next().head()).startsWith("GET /api/targets HTTP/1.1");
             StandIns.Came moved = controller.next();
@@ -470,7 +506,10 @@
             // The program reads a pipe, and so waits in the middle of its start for as long as is wanted.
             Path pipe = Files.createTempDirectory("gatelock").resolve("configuration");
             Path next = pipe.resolveSibling("next");
-            assertThat(new ProcessBuilder("mkfifo", pipe.toString(), next.toString()).start().waitFor()).isZero();
+            assertThat(new ProcessBuilder("mkfifo", pipe.toString(), next.toString())
+                            .start()
+                            .waitFor())
+                    .isZero();
             all.process = all.program(pipe.toString(), "serve", "cold");
             try (OutputStream starts = Files.newOutputStream(pipe)) {
                 all.hangUp();
@@ -493,17 +532,24 @@
         StandIns.chunk(StandIns.chunked(news), "{}\n{\"type\":\"news\",\"object\":{\"release\":-1}}\n");
         assertThat(all.controller.next().head()).startsWith("GET /v2/projects/main/changes");
         String entry = "{\"name\":\"a\",\"address\":\"" + all.other.address()
-            + "\",\"status\":\"in_service\",\"since_ms\":0,\"image_id\":1}";
+                + "\",\"status\":\"in_service\",\"since_ms\":0,\"image_id\":1}";
         String list = "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + entry + "," + entry + "]}";
-        for (String spoilt : new String[] {list.substring(0, list.length() - 9), list + "x", "[]",
+        for (String spoilt : new String[] {
+            list.substring(0, list.length() - 9),
+            list + "x",
+            "[]",
             "\u0000\u0001",
-            list.replace("\"image_id\":1}]", "\"image_id\":1e99}]"), list.replace("0,\"image_id\":1}]",
-            "-7}]"),
-            list.replace("in_service", "zz_zzzzzzz"), list.replace("\"index\":5", "\"index\":\"5\"")}) {
+            list.replace("\"image_id\":1}]", "\"image_id\":1e99}]"),
+            list.replace("0,\"image_id\":1}]", "-7}]"),
+            list.replace("in_service", "zz_zzzzzzz"),
+            list.replace("\"index\":5", "\"index\":\"5\"")
+        }) {
             StandIns.Came asked = all.discovery.next();
             assertThat(asked.head()).startsWith("GET /api/targets?from=1&");
             asked.answer("200 OK", "", spoilt);
-            assertThat(all.discovery.ended.poll(20, TimeUnit.SECONDS)).as(spoilt).isSameAs(asked.socket());
+            assertThat(all.discovery.ended.poll(20, TimeUnit.SECONDS))
+                    .as(spoilt)
+                    .isSameAs(asked.socket());
         }
         try (Socket client = all.connect()) {
             ask(client, "GET /read", "still", "", "");
@@ -621,7 +667,8 @@
     @Test
     void aRequestThatHasWaitedForHalfOfItsTimeIsGivenUpAndNeverGoesOut() throws Exception {
         all.process = all.program(all.config.toString(), "serve", "cold");
-        try (Socket client = all.connectSoon(); Socket leaving = all.connectSoon()) {
+        try (Socket client = all.connectSoon();
+                Socket leaving = all.connectSoon()) {
             ask(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
             ask(client, "POST /claim", "short", "X-Expires-In-Ms: 600\r\n", "x");
             StandIns.Came whole = all.discovery.next();
@@ -685,9 +732,14 @@
     @Test
     void anOddConfigurationEndsTheProgramWithOneLine() throws Exception {
         String sound = Files.readString(all.config);
-        for (String text : new String[] {"", "[]", "{\"name\":\"x\"}", "{",
+        for (String text : new String[] {
+            "",
+            "[]",
+            "{\"name\":\"x\"}",
+            "{",
             sound.replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": \"soon\""),
-            sound.replaceFirst("\"listen\": \"[^\"]*\"", "\"listen\": \"nowhere\"")}) {
+            sound.replaceFirst("\"listen\": \"[^\"]*\"", "\"listen\": \"nowhere\"")
+        }) {
             Files.writeString(all.config, text);
             all.process = all.program(all.config.toString(), "serve", "cold");
             assertThat(all.process.waitFor()).isEqualTo(2);
--- a/src/test/java/gatelock/ScopeTest.java
+++ b/src/test/java/gatelock/ScopeTest.java
@@ -4,11 +4,10 @@
 import static gatelock.StandIns.read;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gatelock.api.Endpoint;
 import gatelock.membership.EndpointEntry;
 import gatelock.membership.EndpointSubset;
-import gatelock.api.Endpoint;
 import gatelock.standin.ControlService;
-
 import java.io.OutputStream;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +18,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -34,6 +32,7 @@
 
     @TempDir
     private Path directory;
+
     private StandIns all;
     private String mostListBytes = "";
 
@@ -49,8 +48,11 @@
 
     private void start(String more) throws Exception {
         Path operator = directory.resolve("operator.json");
-        Files.writeString(operator, "{\"membership\": {\"most\": " + MOST + ", \"leastHolders\": 0, \"perService\": " + IN_SCOPE
-            + ", \"leastElsewhere\": 0, \"settleS\": 0.2, \"number\": " + NUMBER + mostListBytes + "}" + more + "}");
+        Files.writeString(
+                operator,
+                "{\"membership\": {\"most\": " + MOST + ", \"leastHolders\": 0, \"perService\": " + IN_SCOPE
+                        + ", \"leastElsewhere\": 0, \"settleS\": 0.2, \"number\": " + NUMBER + mostListBytes + "}"
+                        + more + "}");
         all.startUnlisted("--operator", operator.toString());
     }
 
@@ -59,8 +61,9 @@
     }
 
     private static String entry(int i, StandIns.Party at, String status) {
-        return "{\"name\":\"" + name(i) + "\",\"address\":\"" + at.address() + "\",\"zone\":\"east\",\"type\":\"small\","
-            + "\"group\":3,\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}";
+        return "{\"name\":\"" + name(i) + "\",\"address\":\"" + at.address()
+                + "\",\"zone\":\"east\",\"type\":\"small\"," + "\"group\":3,\"status\":\"" + status
+                + "\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}";
     }
 
     /** The endpoints that come first for this relay, as its own decisions say. */
@@ -71,7 +74,9 @@
             reading.add(new EndpointEntry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Endpoint.Health.READY, 0));
         }
         Set<Integer> firsts = new HashSet<>();
-        reading.take(0, 5).entries().forEach(e -> firsts.add(Integer.parseInt(e.name().replaceAll(".*-", ""))));
+        reading.take(0, 5)
+                .entries()
+                .forEach(e -> firsts.add(Integer.parseInt(e.name().replaceAll(".*-", ""))));
         assertThat(firsts).hasSize(IN_SCOPE);
         return firsts;
     }
@@ -84,7 +89,7 @@
             entries.add(entry(i, first.contains(i) ? firsts : rest, "in_service"));
         }
         return "{\"snapshot\": true, \"endpoints\": [\n  " + String.join(",\n  ", entries) + "\n], \"index\": " + index
-            + "}";
+                + "}";
     }
 
     /** The same list, and that it is whole is told behind it. */
@@ -153,7 +158,8 @@
         // Of those in scope all leave: others of the list take their place, told by nobody anew.
         List<String> drained = new ArrayList<>();
         firsts().forEach(i -> drained.add(entry(i, all.endpoint, "terminating")));
-        watch.answer("200 OK", "", "{\"index\":6,\"snapshot\":false,\"endpoints\":[" + String.join(",", drained) + "]}");
+        watch.answer(
+                "200 OK", "", "{\"index\":6,\"snapshot\":false,\"endpoints\":[" + String.join(",", drained) + "]}");
         StandIns.Came next = all.discovery.next();
         assertThat(next.head()).startsWith("GET /api/targets?from=6&");
         passes("drained", all.other);
@@ -179,8 +185,11 @@
         StandIns.Came watch = tell(all.discovery.next(), list, 5);
         passes("first", all.endpoint);
         String other = list(6, all.other, all.endpoint);
-        for (String odd : new String[] {other.replaceFirst("\"in_service\"(?=[^}]*}\\s*])", "\"zz\""),
-            other.substring(0, other.length() - 1) + "]", other.replace(name(UNITS - 1) + "\"", name(0) + "\"")}) {
+        for (String odd : new String[] {
+            other.replaceFirst("\"in_service\"(?=[^}]*}\\s*])", "\"zz\""),
+            other.substring(0, other.length() - 1) + "]",
+            other.replace(name(UNITS - 1) + "\"", name(0) + "\"")
+        }) {
             assertThat(odd).isNotEqualTo(other);
             watch.answer("200 OK", "", odd);
             watch = all.discovery.next();
@@ -190,7 +199,7 @@
         StandIns.Came last = watch;
         StandIns.go(() -> last.answer("200 OK", "", " ".repeat(3_000_001)));
         all.awaitLog("discovery's list is too long: body of 3000001 bytes is longer than 3000000, what was listed "
-            + "stays; raise membership.mostListBytes in the operator's file, or have fewer units listed");
+                + "stays; raise membership.mostListBytes in the operator's file, or have fewer units listed");
         StandIns.Came whole = all.discovery.next();
         assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
         passes("still longer", all.endpoint);
@@ -219,17 +228,30 @@
     @Test
     void theOperatorSeesTheListAndTheScope() throws Exception {
         try (ControlService control = new ControlService()) {
-            control.offer(1, "a", 1, "{\"format\": 1, \"routes\": [{\"name\": \"r\", \"path\": \"/read\", \"class\": "
-                + "\"read\"}]}");
+            control.offer(
+                    1,
+                    "a",
+                    1,
+                    "{\"format\": 1, \"routes\": [{\"name\": \"r\", \"path\": \"/read\", \"class\": " + "\"read\"}]}");
             String at = "127.0.0.1:" + StandIns.freePort();
             start(", \"control\": {\"services\": [\"" + control.address() + "\"]}, \"listener\": \"" + at + "\"");
             tell(all.discovery.next(), list(5, all.endpoint, all.other), 5);
             control.report("1/1");
-            Process status = StandIns.java("status", "--at", at).redirectErrorStream(true).start();
+            Process status = StandIns.java("status", "--at", at)
+                    .redirectErrorStream(true)
+                    .start();
             String said = new String(status.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             assertThat(status.waitFor()).as(said).isZero();
-            assertThat(said).contains("units=" + UNITS, "byScope=true", "inScope=" + IN_SCOPE, "services=1", "index=5",
-                "tooLong=0").containsPattern("lastChangeMs=[0-9]{13}").containsPattern("unchangedForS=[0-9]");
+            assertThat(said)
+                    .contains(
+                            "units=" + UNITS,
+                            "byScope=true",
+                            "inScope=" + IN_SCOPE,
+                            "services=1",
+                            "index=5",
+                            "tooLong=0")
+                    .containsPattern("lastChangeMs=[0-9]{13}")
+                    .containsPattern("unchangedForS=[0-9]");
             passes("seen", all.endpoint);
         }
         ends();
--- a/src/test/java/gatelock/SessionsTest.java
+++ b/src/test/java/gatelock/SessionsTest.java
@@ -5,12 +5,10 @@
 import gatelock.standin.ControlService;
 import gatelock.standin.WebSocketEndpoint;
 import gatelock.standin.WebSocketPeer;
-
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -19,15 +17,17 @@
 /** WebSocket sessions through the program, with endpoints and tablets that the test speaks for. */
 final class SessionsTest {
     private static final String PLAN = "{\"format\": 1, \"unmatched\": \"refuse\", \"limits\": {\"few\": "
-        + "{\"inFlight\": 40}},"
-        + " \"routes\": [{\"name\": \"quick\", \"path\": \"/read/quick\", \"class\": \"read\", "
-        + "\"sessions\": {\"pingS\": 0.5}},"
-        + " {\"name\": \"watch\", \"path\": \"/read\", \"class\": \"read\", \"limits\": [\"few\"],"
-        + " \"sessions\": {\"messageBytes\": 1000, \"pingS\": 10, \"idleS\": 30, \"framesPerS\": 300}}]}";
-    private static final String ENTRY = "{\"name\":\"%s\",\"address\":\"%s\",\"status\":\"%s\",\"since_ms\":0,\"image_id\":%d}";
+            + "{\"inFlight\": 40}},"
+            + " \"routes\": [{\"name\": \"quick\", \"path\": \"/read/quick\", \"class\": \"read\", "
+            + "\"sessions\": {\"pingS\": 0.5}},"
+            + " {\"name\": \"watch\", \"path\": \"/read\", \"class\": \"read\", \"limits\": [\"few\"],"
+            + " \"sessions\": {\"messageBytes\": 1000, \"pingS\": 10, \"idleS\": 30, \"framesPerS\": 300}}]}";
+    private static final String ENTRY =
+            "{\"name\":\"%s\",\"address\":\"%s\",\"status\":\"%s\",\"since_ms\":0,\"image_id\":%d}";
 
     @TempDir
     private Path directory;
+
     private StandIns all;
     private ControlService control;
     private WebSocketEndpoint hive;
@@ -37,13 +37,18 @@
         all = new StandIns();
         control = new ControlService();
         hive = new WebSocketEndpoint();
-        Files.writeString(all.config, Files.readString(all.config).replace(all.endpoint.address(), hive.address())
-            .replace("\"deadlineNs\": 1000000000", "\"deadlineNs\": 2500000000"));
+        Files.writeString(
+                all.config,
+                Files.readString(all.config)
+                        .replace(all.endpoint.address(), hive.address())
+                        .replace("\"deadlineNs\": 1000000000", "\"deadlineNs\": 2500000000"));
         control.offer(1, "s", 1, PLAN);
         Path operator = directory.resolve("operator.json");
-        Files.writeString(operator, "{\"control\": {\"services\": [\"" + control.address()
-            + "\"], \"holdMs\": 500},"
-            + " \"sessions\": {\"drainS\": 2, \"opensPerUnitS\": 5}}");
+        Files.writeString(
+                operator,
+                "{\"control\": {\"services\": [\"" + control.address()
+                        + "\"], \"holdMs\": 500},"
+                        + " \"sessions\": {\"drainS\": 2, \"opensPerUnitS\": 5}}");
         all.start("--operator", operator.toString());
         control.report("1/1");
     }
@@ -105,7 +110,8 @@
 
     @Test
     void aFloodOfFramesEndsThatSessionOnly() throws Exception {
-        try (WebSocketPeer tablet = open("flood"); WebSocketPeer other = open("other")) {
+        try (WebSocketPeer tablet = open("flood");
+                WebSocketPeer other = open("other")) {
             StandIns.go(() -> {
                 for (int i = 0; i < 5_000; i++) {
                     tablet.frame(0x80 | WebSocketPeer.PING, new byte[0]);
@@ -143,15 +149,18 @@
     void whatIsAgainstTheProtocolEndsThatSessionWithItsCode() throws Exception {
         byte[] body = "x".getBytes();
         Object[][] cases = {
-            {"5.2 reserved bit", 0xC1, body, 1002}, {"5.2 unknown opcode", 0x83, body, 1002},
-                {"5.2 unknown control", 0x8B, body, 1002},
-            {"5.4 continuation of nothing", 0x80, body, 1002}, {"5.5 control over 125 bytes", 0x89,
-            new byte[126], 1002},
-            {"5.5 control in fragments", 0x09, body, 1002}, {"8.1 no UTF-8", 0x81,
-            new byte[] {(byte) 0xc3, (byte) 0x28}, 1007},
-            {"10.4 too big", 0x81, "y".repeat(2000).getBytes(), 1009}};
+            {"5.2 reserved bit", 0xC1, body, 1002},
+            {"5.2 unknown opcode", 0x83, body, 1002},
+            {"5.2 unknown control", 0x8B, body, 1002},
+            {"5.4 continuation of nothing", 0x80, body, 1002},
+            {"5.5 control over 125 bytes", 0x89, new byte[126], 1002},
+            {"5.5 control in fragments", 0x09, body, 1002},
+            {"8.1 no UTF-8", 0x81, new byte[] {(byte) 0xc3, (byte) 0x28}, 1007},
+            {"10.4 too big", 0x81, "y".repeat(2000).getBytes(), 1009}
+        };
         for (Object[] c : cases) {
-            try (WebSocketPeer tablet = open("c" + c[0]); WebSocketPeer other = open("o" + c[0])) {
+            try (WebSocketPeer tablet = open("c" + c[0]);
+                    WebSocketPeer other = open("o" + c[0])) {
                 tablet.frame((Integer) c[1], (byte[]) c[2]);
                 assertThat(tablet.frame().code()).as("%s", c[0]).isEqualTo(c[3]);
                 echoes(other, "unharmed");
@@ -165,19 +174,25 @@
         StandIns.Came asked = all.discovery.next();
         try (WebSocketEndpoint other = new WebSocketEndpoint()) {
             String both = String.format(ENTRY, "a", hive.address(), "in_service", 1) + ","
-                + String.format(ENTRY, "b", other.address(), "%s", 1);
-            asked.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + String.format(both,
-                "in_service") + "]}");
+                    + String.format(ENTRY, "b", other.address(), "%s", 1);
+            asked.answer(
+                    "200 OK",
+                    "",
+                    "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + String.format(both, "in_service") + "]}");
             StandIns.Came watch = all.discovery.next();
             List<WebSocketPeer> tablets = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
                 tablets.add(open("d" + i));
                 echoes(tablets.get(i), "first");
             }
-            long there = other.log().stream().filter(c -> c.what().equals("open")).count();
+            long there =
+                    other.log().stream().filter(c -> c.what().equals("open")).count();
             assertThat(there).isPositive();
-            watch.answer("200 OK", "", "{\"index\":6,\"snapshot\":false,\"endpoints\":["
-                + String.format(ENTRY, "b", other.address(), "terminating", 1) + "]}");
+            watch.answer(
+                    "200 OK",
+                    "",
+                    "{\"index\":6,\"snapshot\":false,\"endpoints\":["
+                            + String.format(ENTRY, "b", other.address(), "terminating", 1) + "]}");
             long toldNs = System.nanoTime();
             all.discovery.next();
             int closed = 0;
@@ -194,8 +209,10 @@
             }
             assertThat(closed).isEqualTo((int) there);
             assertThat(open("new")).isNotNull();
-            assertThat(other.log()).noneMatch(c -> c.ns() > toldNs + 1_000_000_000L
-                && !c.what().startsWith("close") && !c.what().equals("ended"));
+            assertThat(other.log())
+                    .noneMatch(c -> c.ns() > toldNs + 1_000_000_000L
+                            && !c.what().startsWith("close")
+                            && !c.what().equals("ended"));
             for (WebSocketPeer tablet : tablets) {
                 tablet.close();
             }
@@ -255,7 +272,8 @@
             tablet.frame(0x88, frame.body());
             tablet.close();
         }
-        assertThat(all.process.waitFor(20, java.util.concurrent.TimeUnit.SECONDS)).isTrue();
+        assertThat(all.process.waitFor(20, java.util.concurrent.TimeUnit.SECONDS))
+                .isTrue();
         assertThat(all.log()).contains("ends:").doesNotContain("unexpected");
     }
 
@@ -264,11 +282,15 @@
         StandIns.Came list = all.discovery.next();
         java.io.OutputStream news = StandIns.chunked(all.controller.next());
         try (WebSocketEndpoint canary = new WebSocketEndpoint()) {
-            String state = "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\",\"exposure\":%s,\"old_ms\":1}}\n";
+            String state =
+                    "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\",\"exposure\":%s,\"old_ms\":1}}\n";
             StandIns.chunk(news, String.format(state, "trial", "0.2"));
-            list.answer("200 OK", "", "{\"index\":5,\"snapshot\":true,\"endpoints\":[" + String.format(ENTRY,
-                "a", hive.address(),
-                "in_service", 1) + "," + String.format(ENTRY, "b", canary.address(), "in_service", 2) + "]}");
+            list.answer(
+                    "200 OK",
+                    "",
+                    "{\"index\":5,\"snapshot\":true,\"endpoints\":["
+                            + String.format(ENTRY, "a", hive.address(), "in_service", 1) + ","
+                            + String.format(ENTRY, "b", canary.address(), "in_service", 2) + "]}");
             all.discovery.next();
             List<WebSocketPeer> tablets = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
@@ -276,7 +298,8 @@
                 tablets.add(WebSocketPeer.open(all.port, "/read/x", "t" + i, "X-Size-Hint: 100000\r\n"));
                 Thread.sleep(60);
             }
-            long opens = canary.log().stream().filter(c -> c.what().equals("open")).count();
+            long opens =
+                    canary.log().stream().filter(c -> c.what().equals("open")).count();
             assertThat(opens).isBetween(2L, 9L);
             // All talk at once, those at the canary as much as the others: there messages wait for the cap.
             List<Thread> talking = new ArrayList<>();
@@ -287,7 +310,9 @@
             for (WebSocketPeer tablet : tablets) {
                 Thread thread = new Thread(() -> {
                     try {
-                        for (WebSocketPeer.Frame f = null; !over.get() && (f == null || f.opcode() == WebSocketPeer.TEXT); f = tablet.frame()) {
+                        for (WebSocketPeer.Frame f = null;
+                                !over.get() && (f == null || f.opcode() == WebSocketPeer.TEXT);
+                                f = tablet.frame()) {
                             if (f != null) {
                                 Thread.sleep(20);
                             }
@@ -308,26 +333,37 @@
             StandIns.chunk(news, String.format(state, "rolling_back", "0"));
             Thread.sleep(1_500);
             over.set(true);
-            List<Long> atCanary = canary.log().stream().filter(c -> c.what().startsWith("m") || c.what()
-                .equals("open"))
-                .map(WebSocketEndpoint.Came::ns).sorted().toList();
-            List<Long> taken = java.util.stream.Stream.of(hive.log(), canary.log()).flatMap(List::stream)
-                .filter(c -> c.what().equals("open")).map(WebSocketEndpoint.Came::ns)
-                .collect(java.util.stream.Collectors.toCollection(ArrayList::new));
+            List<Long> atCanary = canary.log().stream()
+                    .filter(c -> c.what().startsWith("m") || c.what().equals("open"))
+                    .map(WebSocketEndpoint.Came::ns)
+                    .sorted()
+                    .toList();
+            List<Long> taken = java.util.stream.Stream.of(hive.log(), canary.log())
+                    .flatMap(List::stream)
+                    .filter(c -> c.what().equals("open"))
+                    .map(WebSocketEndpoint.Came::ns)
+                    .collect(java.util.stream.Collectors.toCollection(ArrayList::new));
             taken.addAll(saidNs);
             for (long from : atCanary) {
                 for (long spanNs : new long[] {100_000_000L, 500_000_000L, 2_000_000_000L}) {
-                    long attempts = atCanary.stream().filter(ns -> ns >= from && ns <= from + spanNs).count();
-                    long requests = taken.stream().filter(ns -> ns >= from - 150_000_000L && ns <= from + spanNs)
-                        .count();
-                    assertThat((double) attempts).as("%d reqs in %d ns", requests, spanNs).isLessThanOrEqualTo(2 + 2
-                        + 0.24 * requests);
+                    long attempts = atCanary.stream()
+                            .filter(ns -> ns >= from && ns <= from + spanNs)
+                            .count();
+                    long requests = taken.stream()
+                            .filter(ns -> ns >= from - 150_000_000L && ns <= from + spanNs)
+                            .count();
+                    assertThat((double) attempts)
+                            .as("%d reqs in %d ns", requests, spanNs)
+                            .isLessThanOrEqualTo(2 + 2 + 0.24 * requests);
                 }
             }
-            assertThat(atCanary.stream().filter(ns -> ns > backNs + 1_000_000_000L)).isEmpty();
+            assertThat(atCanary.stream().filter(ns -> ns > backNs + 1_000_000_000L))
+                    .isEmpty();
             assertThat(atCanary.size()).as("the cap is used").isGreaterThan(20);
-            assertThat(canary.log().stream().filter(c -> c.what().equals("close 1001")).count())
-                .isEqualTo(opens);
+            assertThat(canary.log().stream()
+                            .filter(c -> c.what().equals("close 1001"))
+                            .count())
+                    .isEqualTo(opens);
             for (WebSocketPeer tablet : tablets) {
                 tablet.close();
             }
--- a/src/test/java/gatelock/StandIns.java
+++ b/src/test/java/gatelock/StandIns.java
@@ -1,7 +1,6 @@
 package gatelock;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -26,20 +25,22 @@
  * only.
  */
 final class StandIns implements AutoCloseable {
-    static final String NEWS =
-        "{\"release\":1,\"tranche\":0,\"mode\":\"released\",\"exposure\":1.0,\"old_ms\":60000}";
+    static final String NEWS = "{\"release\":1,\"tranche\":0,\"mode\":\"released\",\"exposure\":1.0,\"old_ms\":60000}";
 
     /** What came on one connection, whole: first line and headers, then the body. */
     record Came(Socket socket, String head, String body) {
         void answer(String status, String headers, String body) throws IOException {
-            write(socket, "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length()
-                + "\r\n\r\n"
-                + body);
+            write(
+                    socket,
+                    "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body);
         }
 
         String header(String name) {
-            return head.lines().filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
-                .map(l -> l.substring(name.length() + 1).trim()).findFirst().orElse(null);
+            return head.lines()
+                    .filter(l -> l.toLowerCase().startsWith(name.toLowerCase() + ":"))
+                    .map(l -> l.substring(name.length() + 1).trim())
+                    .findFirst()
+                    .orElse(null);
         }
     }
 
@@ -48,6 +49,7 @@
         final BlockingQueue<Came> calls = new LinkedBlockingQueue<>();
         /** Connections that the program ended. */
         final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
+
         final List<Socket> connections = new CopyOnWriteArrayList<>();
         final ServerSocket listener;
         private final List<Socket> filling = new ArrayList<>();
@@ -138,9 +140,18 @@
         port = freePort();
         config = Files.createTempFile("gatelock", ".json");
         String text = Files.readString(Path.of("examples/relay.json"));
-        for (Map.Entry<String, String> e : Map.of("127.0.0.1:8480", "127.0.0.1:" + port, "127.0.0.1:8481",
-                endpoint.address(), "127.0.0.1:8482", endpoint.address(), "127.0.0.1:8500", discovery.address(),
-                "127.0.0.1:8501", controller.address()).entrySet()) {
+        for (Map.Entry<String, String> e : Map.of(
+                        "127.0.0.1:8480",
+                        "127.0.0.1:" + port,
+                        "127.0.0.1:8481",
+                        endpoint.address(),
+                        "127.0.0.1:8482",
+                        endpoint.address(),
+                        "127.0.0.1:8500",
+                        discovery.address(),
+                        "127.0.0.1:8501",
+                        controller.address())
+                .entrySet()) {
             text = text.replace(e.getKey(), e.getValue());
         }
         Files.writeString(config, text);
@@ -153,7 +164,10 @@
         while (!asked.head().startsWith("GET /api/targets HTTP/1.1")) {
             asked = discovery.next();
         }
-        asked.answer("200 OK", "", JSON.std.asString(JSON.std.mapFrom(Files.readString(config)).get("known")));
+        asked.answer(
+                "200 OK",
+                "",
+                JSON.std.asString(JSON.std.mapFrom(Files.readString(config)).get("known")));
         for (int i = 0; i < 600 && process.isAlive(); i++) {
             try (Socket s = connect()) {
                 write(s, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -202,10 +216,14 @@
 
     /** The program with these words, not started yet. */
     static ProcessBuilder java(String... words) {
-        List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin",
-            "java").toString(),
-            "-ea", "-Xmx64m", "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"),
-            "gatelock.boot.Main"));
+        List<String> command = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-ea",
+                "-Xmx64m",
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "gatelock.boot.Main"));
         command.addAll(List.of(words));
         return new ProcessBuilder(command);
     }
@@ -216,9 +234,13 @@
 
     /** Answers a call for the list: one endpoint there is, at that party. */
     static void tell(Came asked, int index, Party at) throws IOException {
-        asked.answer("200 OK", "", String.format("{\"index\":%d,\"snapshot\":true,\"endpoints\":[{\"name\":\"u%d\","
-            + "\"address\":\"%s\",\"status\":\"in_service\",\"since_ms\":0,\"image_id\":1}]}", index, index,
-            at.address()));
+        asked.answer(
+                "200 OK",
+                "",
+                String.format(
+                        "{\"index\":%d,\"snapshot\":true,\"endpoints\":[{\"name\":\"u%d\","
+                                + "\"address\":\"%s\",\"status\":\"in_service\",\"since_ms\":0,\"image_id\":1}]}",
+                        index, index, at.address()));
     }
 
     /** Sends SIGHUP to the program. */
@@ -253,10 +275,12 @@
 
     /** A request of a route on a connection; its id and further headers as given. */
     static void ask(Socket client, String line, String id, String headers, String body) throws IOException {
-        write(client, line + " HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: " + id
-            + "\r\nX-Customer: acme\r\n"
-            + "Cookie: k=7f3a9c21e0b4d655\r\n" + headers
-            + (line.startsWith("GET") ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n" + body);
+        write(
+                client,
+                line + " HTTP/1.1\r\nHost: api.internal\r\nX-Trace-Id: " + id
+                        + "\r\nX-Customer: acme\r\n"
+                        + "Cookie: k=7f3a9c21e0b4d655\r\n" + headers
+                        + (line.startsWith("GET") ? "" : "Content-Length: " + body.length() + "\r\n") + "\r\n" + body);
     }
 
     static void write(Socket socket, String text) throws IOException {
@@ -312,8 +336,7 @@
     }
 
     static void chunk(OutputStream out, String text) throws IOException {
-        out.write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n")
-            .getBytes(StandardCharsets.US_ASCII));
+        out.write((Integer.toHexString(text.length()) + "\r\n" + text + "\r\n").getBytes(StandardCharsets.US_ASCII));
         out.flush();
     }
 
--- a/src/test/java/gatelock/boot/SettingsValidatorTest.java
+++ b/src/test/java/gatelock/boot/SettingsValidatorTest.java
@@ -22,9 +22,12 @@
     }
 
     private void refused(String from, String to, String place, String... parts) {
-        assertThatThrownBy(() -> read(from, to)).as(from).isInstanceOf(IOException.class)
-            .hasMessageStartingWith("configuration " + directory.resolve("relay.json") + ": settings." + place
-                + ": expected ").hasMessageContainingAll(parts);
+        assertThatThrownBy(() -> read(from, to))
+                .as(from)
+                .isInstanceOf(IOException.class)
+                .hasMessageStartingWith(
+                        "configuration " + directory.resolve("relay.json") + ": settings." + place + ": expected ")
+                .hasMessageContainingAll(parts);
     }
 
     @Test
@@ -53,8 +56,10 @@
     void whatMayBeLeftOutHarmsNothing() throws IOException {
         // A connection may take as long to come up as the longest request, and is kept for as long as it stands.
         assertThat(read("\"dialTimeoutNs\": 250000000, ", "").openWithinUs()).isEqualTo(3_000_000);
-        assertThat(read(",\\s*\"dialTimeoutNs\": 250000000, \"connIdleNs\": 30000000000", "").charter().keptUs())
-            .isGreaterThan(1_000_000_000_000L);
+        assertThat(read(",\\s*\"dialTimeoutNs\": 250000000, \"connIdleNs\": 30000000000", "")
+                        .charter()
+                        .keptUs())
+                .isGreaterThan(1_000_000_000_000L);
         assertThat(read("\"zones\": \\[\"east\"\\],", "").plain("zones")).hasSize(1);
         assertThat(read("", "").charter().routes()).hasSize(3);
     }
--- a/src/test/java/gatelock/capacity/Capacity.java
+++ b/src/test/java/gatelock/capacity/Capacity.java
@@ -51,8 +51,9 @@
     private Map<String, Double> anew(double share, String load) {
         Map<String, Double> names = new LinkedHashMap<>(target.at(share));
         names.putAll(slopes.values());
-        target.bounds().forEach((name, b) -> names.put(name + "Bound",
-            b.formula() == null ? b.value() : formulas.value(b.formula(), names)));
+        target.bounds()
+                .forEach((name, b) -> names.put(
+                        name + "Bound", b.formula() == null ? b.value() : formulas.value(b.formula(), names)));
         lines.derived().forEach((name, formula) -> names.put(name, formulas.value(formula, names)));
         lines.loads().get(load).set().forEach((name, formula) -> names.put(name, formulas.value(formula, names)));
         names.put("addedP99Ms", slopes.addedP99Ms(names.get("reqs")));
@@ -85,8 +86,11 @@
 
     /** The worst factor of a line over its loads at the whole target; NaN: none. */
     double worst(Lines.Line line) {
-        return loads(line).mapToDouble(load -> figure(line, 1, load).factor()).filter(f -> !Double.isNaN(f)).max()
-            .orElse(Double.NaN);
+        return loads(line)
+                .mapToDouble(load -> figure(line, 1, load).factor())
+                .filter(f -> !Double.isNaN(f))
+                .max()
+                .orElse(Double.NaN);
     }
 
     /** Lines that pass their bound under some load at the whole target. */
--- a/src/test/java/gatelock/capacity/CapacityPageTest.java
+++ b/src/test/java/gatelock/capacity/CapacityPageTest.java
@@ -3,17 +3,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import org.junit.jupiter.api.BeforeAll;
-import org.junit.jupiter.api.BeforeEach;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
 import java.io.IOException;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.HashSet;
 import java.util.Set;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** docs/CAPACITY.md holds what its files give, and every way in which it might not is seen. */
 class CapacityPageTest {
@@ -23,8 +22,10 @@
 
     @TempDir
     private static Path agreed;
+
     @TempDir
     private Path scratch;
+
     private Page page;
 
     /** A copy of the page on invented runs, written out and agreeing. */
@@ -79,15 +80,18 @@
     @Test
     void aFigureChangedInTheTargetIsSeen() throws IOException {
         change("target.json", "\"value\": 200000", "\"value\": 200001");
-        assertThat(page.problems()).anyMatch(p -> p.contains("table inputs"))
-            .anyMatch(p -> p.contains("table role-relay"));
+        assertThat(page.problems())
+                .anyMatch(p -> p.contains("table inputs"))
+                .anyMatch(p -> p.contains("table role-relay"));
     }
 
     @Test
     void aSlopeChangedInItsFileIsSeen() throws IOException {
         change("slopes.json", "\"slope\": 2000", "\"slope\": 2100");
-        assertThat(page.problems()).anyMatch(p -> p.contains("table slopes"))
-            .anyMatch(p -> p.contains("table ladder")).anyMatch(p -> p.contains("chart"));
+        assertThat(page.problems())
+                .anyMatch(p -> p.contains("table slopes"))
+                .anyMatch(p -> p.contains("table ladder"))
+                .anyMatch(p -> p.contains("chart"));
     }
 
     @Test
@@ -105,8 +109,8 @@
     @Test
     void slopesOfAScopeOfAnotherRunOrChangedAreSeen() throws IOException {
         change("membership.json", "fixture-3", "fixture-9");
-        assertThat(page.problems()).contains(
-            "the page names run fixture-3 for membership, the file is of run fixture-9");
+        assertThat(page.problems())
+                .contains("the page names run fixture-3 for membership, the file is of run fixture-9");
         change("membership.json", "fixture-9", "fixture-3");
         assertThat(page.problems()).isEmpty();
         change("membership.json", "\"slope\": 60", "\"slope\": 66");
@@ -149,8 +153,10 @@
 
     @Test
     void whatIsOverItsBoundNeedsAMechanismAndAMechanismItsText() throws IOException {
-        change("lines.json", "\"mechanism\": \"membership by scope\", \"ladder\": \"anew\", \"after\": "
-            + "\"entryBytes/1000000\"", "\"ladder\": \"anew\", \"after\": \"entryBytes/1000000\"");
+        change(
+                "lines.json",
+                "\"mechanism\": \"membership by scope\", \"ladder\": \"anew\", \"after\": " + "\"entryBytes/1000000\"",
+                "\"ladder\": \"anew\", \"after\": \"entryBytes/1000000\"");
         assertThat(page.problems()).contains("line list is over its bound and names no mechanism");
         change("CAPACITY.md", "\n### Tenants by demand\n", "\n### Tenants\n");
         assertThat(page.problems()).contains("mechanism 'tenants by demand' has no heading");
@@ -170,8 +176,12 @@
         for (Lines.Line line : lines.lines()) {
             assertThat(known).as(line.id()).containsAll(Formulas.names(line.formula()));
             assertThat(known).as(line.id()).containsAll(line.after() == null ? Set.of() : Formulas.names(line.after()));
-            assertThat(line.bound() == null || target.bounds().containsKey(line.bound())).as(line.id()).isTrue();
-            assertThat(line.ladder() == null || line.bound() != null && line.lost() != null).as(line.id()).isTrue();
+            assertThat(line.bound() == null || target.bounds().containsKey(line.bound()))
+                    .as(line.id())
+                    .isTrue();
+            assertThat(line.ladder() == null || line.bound() != null && line.lost() != null)
+                    .as(line.id())
+                    .isTrue();
         }
         assertThat(lines.lines().stream().map(Lines.Line::id)).doesNotHaveDuplicates();
         Measured.KNOWN.forEach(k -> assertThat(target.inputs()).doesNotContainKey(k));
@@ -180,9 +190,11 @@
     @Test
     void everyInputHasASourceAndAnAssumedOneSaysSo() throws IOException {
         Target target = Target.read(DATA.resolve("target.json"));
-        assertThat(target.inputs().values()).allSatisfy(i -> assertThat(i.source()).isNotBlank());
-        assertThat(target.inputs().values()).filteredOn(i -> i.source().startsWith("ours")
-            || i.source().startsWith("hive-scale-lk")).allMatch(Target.Input::assumed);
+        assertThat(target.inputs().values())
+                .allSatisfy(i -> assertThat(i.source()).isNotBlank());
+        assertThat(target.inputs().values())
+                .filteredOn(i -> i.source().startsWith("ours") || i.source().startsWith("hive-scale-lk"))
+                .allMatch(Target.Input::assumed);
         assertThat(target.bounds().values()).allSatisfy(b -> {
             assertThat(b.source()).isNotBlank();
             assertThat(b.value() == null).isNotEqualTo(b.formula() == null);
--- a/src/test/java/gatelock/capacity/ClassHistogram.java
+++ b/src/test/java/gatelock/capacity/ClassHistogram.java
@@ -5,7 +5,6 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-
 import javax.management.JMException;
 import javax.management.ObjectName;
 
@@ -25,9 +24,12 @@
     /** Of this process. */
     static ClassHistogram here() {
         try {
-            return read((String) ManagementFactory.getPlatformMBeanServer().invoke(
-                new ObjectName("com.sun.management:type=DiagnosticCommand"), "gcClassHistogram",
-                new Object[] {new String[0]}, new String[] {String[].class.getName()}));
+            return read((String) ManagementFactory.getPlatformMBeanServer()
+                    .invoke(
+                            new ObjectName("com.sun.management:type=DiagnosticCommand"),
+                            "gcClassHistogram",
+                            new Object[] {new String[0]},
+                            new String[] {String[].class.getName()}));
         } catch (JMException e) {
             throw new IllegalStateException("this JVM tells no class histogram", e);
         }
--- a/src/test/java/gatelock/capacity/ClassHistogramTest.java
+++ b/src/test/java/gatelock/capacity/ClassHistogramTest.java
@@ -2,9 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.junit.jupiter.api.Test;
-
 import java.lang.ref.Reference;
+import org.junit.jupiter.api.Test;
 
 class ClassHistogramTest {
     private static final String TEXT = """
--- a/src/test/java/gatelock/capacity/FitTest.java
+++ b/src/test/java/gatelock/capacity/FitTest.java
@@ -4,14 +4,12 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 import static org.assertj.core.api.Assertions.within;
 
+import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
-
 import org.junit.jupiter.api.Test;
 
-import java.util.List;
-
 /** The line through known points. */
 class FitTest {
     private static double[] point(double x, double y) {
@@ -43,14 +41,15 @@
     @Test
     void oneValueOfXGivesNoLine() {
         assertThatThrownBy(() -> Fit.of(List.of(point(1, 4), point(1, 5))))
-            .isInstanceOf(IllegalArgumentException.class);
+                .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Property
-    void anyLineIsFoundAgain(@ForAll @DoubleRange(min = -1e6, max = 1e6) double slope,
-                             @ForAll @DoubleRange(min = -1e6, max = 1e6) double intercept) {
-        Fit fit = Fit.of(List.of(point(1, intercept + slope), point(3, intercept + 3 * slope),
-            point(10, intercept + 10 * slope)));
+    void anyLineIsFoundAgain(
+            @ForAll @DoubleRange(min = -1e6, max = 1e6) double slope,
+            @ForAll @DoubleRange(min = -1e6, max = 1e6) double intercept) {
+        Fit fit = Fit.of(List.of(
+                point(1, intercept + slope), point(3, intercept + 3 * slope), point(10, intercept + 10 * slope)));
         assertThat(fit.slope()).isCloseTo(slope, within(1e-6));
         assertThat(fit.intercept()).isCloseTo(intercept, within(1e-5));
     }
--- a/src/test/java/gatelock/capacity/Formulas.java
+++ b/src/test/java/gatelock/capacity/Formulas.java
@@ -4,7 +4,6 @@
 import com.ezylang.evalex.Expression;
 import com.ezylang.evalex.config.ExpressionConfiguration;
 import com.ezylang.evalex.parser.ParseException;
-
 import java.math.MathContext;
 import java.util.HashMap;
 import java.util.Map;
@@ -12,13 +11,12 @@
 
 /** Formulas as the page shows them, and their values; each is parsed once. */
 final class Formulas {
-    private static final ExpressionConfiguration FORM = ExpressionConfiguration.builder()
-        .mathContext(MathContext.DECIMAL64).build();
+    private static final ExpressionConfiguration FORM =
+            ExpressionConfiguration.builder().mathContext(MathContext.DECIMAL64).build();
 
     private final Map<String, Parsed> parsed = new HashMap<>();
 
-    private record Parsed(Expression expression, Set<String> names) {
-    }
+    private record Parsed(Expression expression, Set<String> names) {}
 
     private Parsed parsed(String formula) {
         return parsed.computeIfAbsent(formula, f -> new Parsed(new Expression(f, FORM), names(f)));
--- a/src/test/java/gatelock/capacity/Ladder.java
+++ b/src/test/java/gatelock/capacity/Ladder.java
@@ -8,31 +8,42 @@
 final class Ladder {
     /** No share is looked at below this: it is a fleet of half a relay. */
     static final double LEAST = 1e-4;
+
     private static final int LOOKS = 80;
     private static final int HALVINGS = 24;
 
-    private Ladder() {
-    }
+    private Ladder() {}
 
     /**
      * A bound on the ladder: its factor at each step; {@code crossed}: the share of the target at which it is first
      * crossed, infinite: not up to all of it, NaN: not measured.
      */
-    record Rung(Lines.Line line, double[] before, double[] after, double crossed, double crossedAfter) {
-    }
+    record Rung(Lines.Line line, double[] before, double[] after, double crossed, double crossedAfter) {}
 
     /** All bounds, the one crossed first in front; those not crossed after them, those not measured last. */
     static List<Rung> climb(Capacity capacity) {
-        return capacity.lines().lines().stream().filter(l -> l.ladder() != null).map(l -> {
-            DoubleUnaryOperator before = share -> capacity.figure(l, share, l.ladder()).factor();
-            DoubleUnaryOperator after = share -> capacity.after(l, share, l.ladder()).factor();
-            return new Rung(l, at(capacity.target(), before), at(capacity.target(), after), crossing(before),
-                crossing(after));
-        }).sorted(Comparator.comparingDouble(Rung::crossed)).toList();
+        return capacity.lines().lines().stream()
+                .filter(l -> l.ladder() != null)
+                .map(l -> {
+                    DoubleUnaryOperator before =
+                            share -> capacity.figure(l, share, l.ladder()).factor();
+                    DoubleUnaryOperator after =
+                            share -> capacity.after(l, share, l.ladder()).factor();
+                    return new Rung(
+                            l,
+                            at(capacity.target(), before),
+                            at(capacity.target(), after),
+                            crossing(before),
+                            crossing(after));
+                })
+                .sorted(Comparator.comparingDouble(Rung::crossed))
+                .toList();
     }
 
     private static double[] at(Target target, DoubleUnaryOperator factor) {
-        return target.steps().stream().mapToDouble(s -> factor.applyAsDouble(s.share())).toArray();
+        return target.steps().stream()
+                .mapToDouble(s -> factor.applyAsDouble(s.share()))
+                .toArray();
     }
 
     /** The least share at which the factor passes 1; infinite: none up to 1; NaN: it is not known. */
--- a/src/test/java/gatelock/capacity/LadderTest.java
+++ b/src/test/java/gatelock/capacity/LadderTest.java
@@ -3,20 +3,19 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 
 /** Where bounds are crossed, with inputs small enough to see it by eye. */
 class LadderTest {
-    private static final List<Target.Step> STEPS = List.of(new Target.Step("1/100", 0.01),
-        new Target.Step("1/10", 0.1), new Target.Step("1", 1));
+    private static final List<Target.Step> STEPS =
+            List.of(new Target.Step("1/100", 0.01), new Target.Step("1/10", 0.1), new Target.Step("1", 1));
 
     @TempDir
     private Path scratch;
@@ -48,20 +47,33 @@
     /** 1,000 endpoints of 20 bytes against 10,000 bytes: crossed at a half; with the mechanism 100 of them: never. */
     private Capacity capacity() throws IOException {
         Path slopes = scratch.resolve("slopes.json");
-        Files.writeString(slopes, "{\"run\": {\"id\": \"r\"}, \"slopes\": [{\"name\": \"heapPerUnit\", \"slope\": 20, "
-            + "\"intercept\": 5}]}");
-        Target target = new Target(Map.of("units", new Target.Input(1000, "units", true, false, "test")),
-            Map.of("heap", new Target.Bound(10_000.0, null, "bytes", "heap", false, false, "test"),
-                "few", new Target.Bound(100.0, null, "units", "units", true, false, "test")), STEPS, List.of(),
-            List.of());
-        return new Capacity(target, Measured.read(slopes), new Lines(new LinkedHashMap<>(Map.of("inScope",
-            "min(units,100)")), new LinkedHashMap<>(Map.of("day", new Lines.Load("a day",
-            new LinkedHashMap<>(Map.of("reqs", "units/10"))))), List.of(
-                line("late", "units*cpuPerBeatUs", "heap", null),
-                line("never", "units", "heap", null),
-                line("heap", "units*heapPerUnit", "heap", "inScope*heapPerUnit"),
-                line("early", "units*heapPerUnit0*10+0*reqs", "heap", "units*heapPerUnitOutOfScope"),
-                line("few", "units", "few", null))));
+        Files.writeString(
+                slopes,
+                "{\"run\": {\"id\": \"r\"}, \"slopes\": [{\"name\": \"heapPerUnit\", \"slope\": 20, "
+                        + "\"intercept\": 5}]}");
+        Target target = new Target(
+                Map.of("units", new Target.Input(1000, "units", true, false, "test")),
+                Map.of(
+                        "heap",
+                        new Target.Bound(10_000.0, null, "bytes", "heap", false, false, "test"),
+                        "few",
+                        new Target.Bound(100.0, null, "units", "units", true, false, "test")),
+                STEPS,
+                List.of(),
+                List.of());
+        return new Capacity(
+                target,
+                Measured.read(slopes),
+                new Lines(
+                        new LinkedHashMap<>(Map.of("inScope", "min(units,100)")),
+                        new LinkedHashMap<>(Map.of(
+                                "day", new Lines.Load("a day", new LinkedHashMap<>(Map.of("reqs", "units/10"))))),
+                        List.of(
+                                line("late", "units*cpuPerBeatUs", "heap", null),
+                                line("never", "units", "heap", null),
+                                line("heap", "units*heapPerUnit", "heap", "inScope*heapPerUnit"),
+                                line("early", "units*heapPerUnit0*10+0*reqs", "heap", "units*heapPerUnitOutOfScope"),
+                                line("few", "units", "few", null))));
     }
 
     private static Lines.Line line(String id, String formula, String bound, String after) {
@@ -94,8 +106,10 @@
     @Test
     void timeAddedLiesBetweenTheRatesMeasuredAndIsNotKnownOutside() throws IOException {
         Path slopes = scratch.resolve("latency.json");
-        Files.writeString(slopes, "{\"run\": {\"id\": \"r\"}, \"latency\": [{\"perS\": 100, \"p99Us\": 1000}, "
-            + "{\"perS\": 300, \"p99Us\": 3000}]}");
+        Files.writeString(
+                slopes,
+                "{\"run\": {\"id\": \"r\"}, \"latency\": [{\"perS\": 100, \"p99Us\": 1000}, "
+                        + "{\"perS\": 300, \"p99Us\": 3000}]}");
         Measured measured = Measured.read(slopes);
         assertThat(measured.addedP99Ms(100)).isEqualTo(1);
         assertThat(measured.addedP99Ms(200)).isEqualTo(2);
--- a/src/test/java/gatelock/capacity/ListPlay.java
+++ b/src/test/java/gatelock/capacity/ListPlay.java
@@ -1,21 +1,15 @@
 package gatelock.capacity;
 
+import gatelock.api.DecisionEngine;
+import gatelock.config.Admission;
 import gatelock.discovery.DiscoveryClient;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.JsonObject;
-import gatelock.state.EndpointAddresses;
-import gatelock.state.Counters;
-import gatelock.config.Admission;
-import gatelock.api.DecisionEngine;
 import gatelock.standin.LongListDiscovery;
 import gatelock.standin.NoOpActions;
-
-import org.xnio.OptionMap;
-import org.xnio.Options;
-import org.xnio.Xnio;
-import org.xnio.XnioWorker;
-
+import gatelock.state.Counters;
+import gatelock.state.EndpointAddresses;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.lang.management.ManagementFactory;
@@ -26,6 +20,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
 
 /**
  * A relay's part that follows the list, in this process and on real sockets, with no bound on the list's size: its
@@ -51,22 +49,44 @@
     ListPlay(int size, Admission admission) throws IOException, InterruptedException {
         this.size = size;
         list = new LongListDiscovery(size, i -> entry(i, 0));
-        worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-            .set(Options.WORKER_TASK_CORE_THREADS, 1).set(Options.WORKER_TASK_MAX_THREADS, 1).getMap());
+        worker = Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .getMap());
         turn = new EventLoop(worker.getIoThread());
         Counters counters = new Counters();
         platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, NO_BOUND);
         endpoints = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
         String[] at = list.address("r").split(":");
-        discovery = new DiscoveryClient(turn, counters, platform, new InetSocketAddress(at[0], Integer.parseInt(at[1])),
-            addresses, endpoints, List.of("east", "west"), List.of("small"), false, new SplittableRandom(17), null);
+        discovery = new DiscoveryClient(
+                turn,
+                counters,
+                platform,
+                new InetSocketAddress(at[0], Integer.parseInt(at[1])),
+                addresses,
+                endpoints,
+                List.of("east", "west"),
+                List.of("small"),
+                false,
+                new SplittableRandom(17),
+                null);
         gate = ModulePlay.gate(new Quiet(), List.of());
         long fromNs = cpuNs();
         turn.soon(() -> {
             try {
                 gate.start(turn.nowUs());
-                discovery.start(gate, admission, JsonObject.read("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
-                gate.news(turn.nowUs(), 1, 0, DecisionEngine.Phase.RELEASED, 1, 60_000_000, DecisionEngine.VoteAnswer.NOT_ASKED);
+                discovery.start(
+                        gate, admission, JsonObject.read("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
+                gate.news(
+                        turn.nowUs(),
+                        1,
+                        0,
+                        DecisionEngine.Phase.RELEASED,
+                        1,
+                        60_000_000,
+                        DecisionEngine.VoteAnswer.NOT_ASKED);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -77,9 +97,14 @@
 
     /** About 190 bytes, as the target names them. */
     static String entry(int number, int change) {
-        return LongListDiscovery.entry(number, "10." + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":8443",
-            number % 2 == 0 ? "east" : "west", "svc-" + number / ModulePlay.UNITS_OF_A_SERVICE, "in_service",
-            1_764_000_000_000L + change, 1);
+        return LongListDiscovery.entry(
+                number,
+                "10." + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":8443",
+                number % 2 == 0 ? "east" : "west",
+                "svc-" + number / ModulePlay.UNITS_OF_A_SERVICE,
+                "in_service",
+                1_764_000_000_000L + change,
+                1);
     }
 
     private long cpuNs() {
@@ -89,7 +114,7 @@
     private void held(long index) throws InterruptedException {
         if (list.await(index, 1, WITHIN_MS).isEmpty()) {
             throw new IllegalStateException("a list of " + size + " entries is not held up to " + index + " after "
-                + WITHIN_MS + " ms; whole lists asked for: " + list.wholes());
+                    + WITHIN_MS + " ms; whole lists asked for: " + list.wholes());
         }
     }
 
--- a/src/test/java/gatelock/capacity/Measured.java
+++ b/src/test/java/gatelock/capacity/Measured.java
@@ -5,7 +5,6 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.MissingNode;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -23,12 +22,29 @@
 final class Measured {
     static final String NO_RUN = "not run";
     /** Names that formulas may use whether or not a run has given them; with a 0 behind: the intercept. */
-    static final Set<String> KNOWN = Set.of("heapPerUnit", "heapPerRoute", "heapPerTenant", "heapPerConnection",
-        "cpuPerReqUs", "cpuPerListChangeUs", "cpuPerBeatUs", "cpuPerReqByUnitsUs", "cpuPerReqScopedPoolUs",
-        "cpuPerVersionUs", "bytesPerEntry", "bytesPerChange", "bytesPerVersion", "startPerEntry",
-        "cpuPerEntryReadUs", "heapPerUnitOutOfScope",
-        "cpuPerChangeOutOfScopeUs", "addedP99Ms", "agentCpuPerChangeUs",
-        "distributorCpuPerMessageUs", "deskCpuPerVoteUs", "operatorCpuPerScrapeUs");
+    static final Set<String> KNOWN = Set.of(
+            "heapPerUnit",
+            "heapPerRoute",
+            "heapPerTenant",
+            "heapPerConnection",
+            "cpuPerReqUs",
+            "cpuPerListChangeUs",
+            "cpuPerBeatUs",
+            "cpuPerReqByUnitsUs",
+            "cpuPerReqScopedPoolUs",
+            "cpuPerVersionUs",
+            "bytesPerEntry",
+            "bytesPerChange",
+            "bytesPerVersion",
+            "startPerEntry",
+            "cpuPerEntryReadUs",
+            "heapPerUnitOutOfScope",
+            "cpuPerChangeOutOfScopeUs",
+            "addedP99Ms",
+            "agentCpuPerChangeUs",
+            "distributorCpuPerMessageUs",
+            "deskCpuPerVoteUs",
+            "operatorCpuPerScrapeUs");
 
     private final JsonNode file;
     /** Of this run, and of others whose slopes stand beside. */
@@ -103,7 +119,9 @@
     /** Milliseconds added for 99 in 100 at a rate, between the two rates measured beside it; NaN outside. */
     double addedP99Ms(double perS) {
         TreeMap<Double, Double> byRate = new TreeMap<>();
-        file.path("latency").forEach(l -> byRate.put(l.path("perS").asDouble(), l.path("p99Us").asDouble() / 1000));
+        file.path("latency")
+                .forEach(l ->
+                        byRate.put(l.path("perS").asDouble(), l.path("p99Us").asDouble() / 1000));
         Map.Entry<Double, Double> below = byRate.floorEntry(perS);
         Map.Entry<Double, Double> above = byRate.ceilingEntry(perS);
         if (below == null || above == null) {
@@ -117,9 +135,13 @@
     /** The points of a slope as {x, y}; given as pairs or as objects. */
     static List<double[]> points(JsonNode slope) {
         List<double[]> points = new ArrayList<>();
-        slope.path("points").forEach(p -> points.add(p.isArray()
-            ? new double[] {p.path(0).asDouble(), p.path(1).asDouble()}
-            : new double[] {p.path("x").asDouble(), p.path("y").asDouble()}));
+        slope.path("points")
+                .forEach(p -> points.add(
+                        p.isArray()
+                                ? new double[] {p.path(0).asDouble(), p.path(1).asDouble()}
+                                : new double[] {
+                                    p.path("x").asDouble(), p.path("y").asDouble()
+                                }));
         return points;
     }
 }
--- a/src/test/java/gatelock/capacity/ModulePlay.java
+++ b/src/test/java/gatelock/capacity/ModulePlay.java
@@ -1,20 +1,19 @@
 package gatelock.capacity;
 
-import gatelock.decision.ReleaseGate;
-import gatelock.api.RequestConstraints;
-import gatelock.api.RelaySettings;
 import gatelock.api.AttemptResult;
+import gatelock.api.DecisionActions;
 import gatelock.api.DecisionEngine;
-import gatelock.api.RequestHandle;
 import gatelock.api.Endpoint;
 import gatelock.api.LoadReport;
-import gatelock.api.DecisionActions;
+import gatelock.api.RelaySettings;
+import gatelock.api.RequestConstraints;
+import gatelock.api.RequestHandle;
 import gatelock.api.RolloutPolicy;
 import gatelock.api.RoutePolicy;
-import gatelock.standin.LongListDiscovery;
+import gatelock.decision.ReleaseGate;
 import gatelock.standin.EndpointRestriction;
+import gatelock.standin.LongListDiscovery;
 import gatelock.standin.NoOpActions;
-
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 import java.util.ArrayDeque;
@@ -35,10 +34,10 @@
     private static final long COST_US = 5_000;
     /** More than a few, so that a verdict is weighed as in a fleet. */
     private static final int RELAYS = 100;
+
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    private record Out(RequestHandle handle, long sentUs) {
-    }
+    private record Out(RequestHandle handle, long sentUs) {}
 
     private final DecisionEngine gate;
     private final List<Set<String>> services = new ArrayList<>();
@@ -67,13 +66,45 @@
 
     /** Decisions on the terms of examples/relay.json. */
     static DecisionEngine gate(DecisionActions out, List<RelaySettings.Tenant> tenants) {
-        RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, 1_000_000, 6_000_000, 2_000_000,
-            new double[] {0.2, 0.6, 1}, 0, false, false, 2, 1, 10, false);
-        return new ReleaseGate(new RelaySettings(17, RELAYS, 0, List.of(
-            new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
-            new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 5_000_000, 400_000, 3),
-            new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3)), tenants, 0.5, 3, true, true,
-            2_000_000, false, 0.4, 3_000_000, 2.5, 1_000_000, 0, 22_500_000, rollout), out);
+        RolloutPolicy rollout = new RolloutPolicy(
+                RolloutPolicy.Gatekeeping.COUNT,
+                1_000_000,
+                6_000_000,
+                2_000_000,
+                new double[] {0.2, 0.6, 1},
+                0,
+                false,
+                false,
+                2,
+                1,
+                10,
+                false);
+        return new ReleaseGate(
+                new RelaySettings(
+                        17,
+                        RELAYS,
+                        0,
+                        List.of(
+                                new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
+                                new RoutePolicy(
+                                        RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 5_000_000, 400_000, 3),
+                                new RoutePolicy(
+                                        RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3)),
+                        tenants,
+                        0.5,
+                        3,
+                        true,
+                        true,
+                        2_000_000,
+                        false,
+                        0.4,
+                        3_000_000,
+                        2.5,
+                        1_000_000,
+                        0,
+                        22_500_000,
+                        rollout),
+                out);
     }
 
     /** Requests, up to so many or a second of processor time; microseconds for one. Beats between don't count. */
--- a/src/test/java/gatelock/capacity/Page.java
+++ b/src/test/java/gatelock/capacity/Page.java
@@ -1,7 +1,6 @@
 package gatelock.capacity;
 
 import com.fasterxml.jackson.databind.JsonNode;
-
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -49,8 +48,9 @@
 
     /** Writes tables and chart; the page and the directory of its data may be named. */
     public static void main(String[] args) throws IOException {
-        Page page = args.length > 1 ? new Page(Path.of(args[0]), Path.of(args[1]))
-            : new Page(Path.of("docs/CAPACITY.md"), Path.of("docs/capacity"));
+        Page page = args.length > 1
+                ? new Page(Path.of(args[0]), Path.of(args[1]))
+                : new Page(Path.of("docs/CAPACITY.md"), Path.of("docs/capacity"));
         page.write();
         page.problems().forEach(System.err::println);
     }
@@ -66,23 +66,25 @@
     }
 
     /** What the files give. */
-    private record Made(Map<String, String> tables, String chart, Map<String, Measured> runs, Capacity capacity) {
-    }
+    private record Made(Map<String, String> tables, String chart, Map<String, Measured> runs, Capacity capacity) {}
 
     private Made made() throws IOException {
         Map<String, Measured> runs = new LinkedHashMap<>();
         for (String file : List.of("slopes", "membership", "scale")) {
             runs.put(file, Measured.read(data.resolve(file + ".json")));
         }
-        Capacity capacity = new Capacity(Target.read(data.resolve("target.json")),
-            runs.get("slopes").with(runs.get("membership")), Lines.read(data.resolve("lines.json")));
+        Capacity capacity = new Capacity(
+                Target.read(data.resolve("target.json")),
+                runs.get("slopes").with(runs.get("membership")),
+                Lines.read(data.resolve("lines.json")));
         List<Ladder.Rung> rungs = Ladder.climb(capacity);
         return new Made(tables(capacity, runs, rungs), Chart.svg(capacity.target(), rungs), runs, capacity);
     }
 
     private static String filled(String text, Map<String, String> tables) {
-        return PART.matcher(text).replaceAll(m -> Matcher.quoteReplacement("<!-- table:" + m.group(1) + " -->\n"
-            + tables.getOrDefault(m.group(1), "no such table") + "\n<!-- end -->"));
+        return PART.matcher(text)
+                .replaceAll(m -> Matcher.quoteReplacement("<!-- table:" + m.group(1) + " -->\n"
+                        + tables.getOrDefault(m.group(1), "no such table") + "\n<!-- end -->"));
     }
 
     /** Where page and files differ, each told in a line; none: they agree. */
@@ -103,8 +105,9 @@
                 problems.add("table " + name + " stands there twice");
             }
         }
-        made.tables.keySet().stream().filter(name -> !seen.contains(name)).forEach(name ->
-            problems.add("table " + name + " is missing"));
+        made.tables.keySet().stream()
+                .filter(name -> !seen.contains(name))
+                .forEach(name -> problems.add("table " + name + " is missing"));
         runs(text, made.runs, problems);
         if (!Files.exists(chart()) || !Files.readString(chart()).equals(made.chart)) {
             problems.add("the chart is not what the files give: run make capacity");
@@ -135,15 +138,17 @@
                 problems.add("line " + line.id() + " is over its bound and names no mechanism");
             }
         }
-        capacity.lines().lines().stream().map(Lines.Line::mechanism).filter(m -> m != null).distinct()
-            .filter(m -> !low.contains("\n### " + m + "\n")).forEach(m ->
-                problems.add("mechanism '" + m + "' has no heading"));
+        capacity.lines().lines().stream()
+                .map(Lines.Line::mechanism)
+                .filter(m -> m != null)
+                .distinct()
+                .filter(m -> !low.contains("\n### " + m + "\n"))
+                .forEach(m -> problems.add("mechanism '" + m + "' has no heading"));
     }
 
     // ---- Tables --------------------------------------------------------------------------------------------
 
-    private static Map<String, String> tables(Capacity capacity, Map<String, Measured> runs,
-        List<Ladder.Rung> rungs) {
+    private static Map<String, String> tables(Capacity capacity, Map<String, Measured> runs, List<Ladder.Rung> rungs) {
         Map<String, String> tables = new LinkedHashMap<>();
         tables.put("runs", runs(runs));
         tables.put("notes", notes(runs));
@@ -177,9 +182,15 @@
         Table table = new Table("file", "run", "date", "commit", "cores", "machine", "Java", "flags of a relay");
         for (Map.Entry<String, Measured> file : runs.entrySet()) {
             JsonNode run = file.getValue().run();
-            table.row(file.getKey(), "`" + file.getValue().runId() + "`", run.path("date").asText(),
-                run.path("commit").asText(), run.path("cores").asText(), run.path("machine").asText(),
-                run.path("java").asText(), flags(run.path("flags").asText()));
+            table.row(
+                    file.getKey(),
+                    "`" + file.getValue().runId() + "`",
+                    run.path("date").asText(),
+                    run.path("commit").asText(),
+                    run.path("cores").asText(),
+                    run.path("machine").asText(),
+                    run.path("java").asText(),
+                    flags(run.path("flags").asText()));
         }
         return table.toString();
     }
@@ -188,8 +199,10 @@
     private static String notes(Map<String, Measured> runs) {
         Table table = new Table("file", "part", "note");
         for (Map.Entry<String, Measured> file : runs.entrySet()) {
-            file.getValue().rows("notes").fields().forEachRemaining(n -> table.row(file.getKey(), n.getKey(),
-                cell(n.getValue())));
+            file.getValue()
+                    .rows("notes")
+                    .fields()
+                    .forEachRemaining(n -> table.row(file.getKey(), n.getKey(), cell(n.getValue())));
         }
         return table.size() == 0 ? "The runs note nothing." : table.toString();
     }
@@ -200,44 +213,78 @@
 
     private static String inputs(Capacity capacity) {
         Table table = new Table("input", "value", "unit", "given or assumed", "source");
-        capacity.target().inputs().forEach((name, i) -> table.row(name, i.value(), i.unit(),
-            i.assumed() ? "**assumed**" : "given", i.source()));
+        capacity.target()
+                .inputs()
+                .forEach((name, i) ->
+                        table.row(name, i.value(), i.unit(), i.assumed() ? "**assumed**" : "given", i.source()));
         return table.toString();
     }
 
     private static String bounds(Capacity capacity) {
         Map<String, Double> names = capacity.names(1, "target");
         Table table = new Table("bound", "value", "unit", "of what", "given or assumed", "source");
-        capacity.target().bounds().forEach((name, b) -> table.row(name, (b.least() ? "at least " : "at most ")
-            + Table.figure(names.get(name + "Bound")), b.unit(), b.what(), b.assumed() ? "**assumed**" : "given",
-            b.source()));
+        capacity.target()
+                .bounds()
+                .forEach((name, b) -> table.row(
+                        name,
+                        (b.least() ? "at least " : "at most ") + Table.figure(names.get(name + "Bound")),
+                        b.unit(),
+                        b.what(),
+                        b.assumed() ? "**assumed**" : "given",
+                        b.source()));
         return table.toString();
     }
 
     private static String loads(Capacity capacity) {
-        Table table = new Table("load", "what", "reqs/s a relay", "changes of the list/s", "changes of configuration/s",
-            "units in one answer");
+        Table table = new Table(
+                "load",
+                "what",
+                "reqs/s a relay",
+                "changes of the list/s",
+                "changes of configuration/s",
+                "units in one answer");
         capacity.lines().loads().forEach((name, load) -> {
             Map<String, Double> names = capacity.names(1, name);
-            table.row(name, load.what(), names.get("reqs"), names.get("changes"), names.get("configs"),
-                names.get("burst"));
+            table.row(
+                    name,
+                    load.what(),
+                    names.get("reqs"),
+                    names.get("changes"),
+                    names.get("configs"),
+                    names.get("burst"));
         });
         return table.toString();
     }
 
     private static String slopes(Measured slopes) {
-        Table table = new Table("slope", "what", "a", "points", "slope", "from", "residual, largest", "last to first",
-            "to a req's time", "how");
+        Table table = new Table(
+                "slope",
+                "what",
+                "a",
+                "points",
+                "slope",
+                "from",
+                "residual, largest",
+                "last to first",
+                "to a req's time",
+                "how");
         slopes.rows("slopes").forEach(s -> {
             List<double[]> points = Measured.points(s);
             double[] first = points.get(0);
             double[] last = points.get(points.size() - 1);
-            table.row(s.path("name").asText(), s.path("what").asText(), s.path("x").asText(), points.stream()
-                .map(p -> Table.figure(p[0]) + ": " + Table.figure(p[1])).collect(Collectors.joining("; ")),
-                Table.figure(s.path("slope").asDouble()) + " " + s.path("y").asText(),
-                s.path("intercept").asDouble(), percent(s.path("residual").asDouble()),
-                "x " + Table.figure(last[1] / first[1]) + " for x " + Table.figure(last[0] / first[0]),
-                s.has("ratioToReq") ? Table.figure(s.path("ratioToReq").asDouble()) : "", s.path("how").asText());
+            table.row(
+                    s.path("name").asText(),
+                    s.path("what").asText(),
+                    s.path("x").asText(),
+                    points.stream()
+                            .map(p -> Table.figure(p[0]) + ": " + Table.figure(p[1]))
+                            .collect(Collectors.joining("; ")),
+                    Table.figure(s.path("slope").asDouble()) + " " + s.path("y").asText(),
+                    s.path("intercept").asDouble(),
+                    percent(s.path("residual").asDouble()),
+                    "x " + Table.figure(last[1] / first[1]) + " for x " + Table.figure(last[0] / first[0]),
+                    s.has("ratioToReq") ? Table.figure(s.path("ratioToReq").asDouble()) : "",
+                    s.path("how").asText());
         });
         return table.toString();
     }
@@ -248,9 +295,13 @@
 
     private static String latency(Measured slopes) {
         Table table = new Table("reqs/s", "p50 added, ms", "p99 added, ms", "p99.9 added, ms", "p99 to p50");
-        slopes.rows("latency").forEach(l -> table.row(l.path("perS").asDouble(), l.path("p50Us").asDouble() / 1000,
-            l.path("p99Us").asDouble() / 1000, l.path("p999Us").asDouble() / 1000,
-            l.path("p99Us").asDouble() / l.path("p50Us").asDouble()));
+        slopes.rows("latency")
+                .forEach(l -> table.row(
+                        l.path("perS").asDouble(),
+                        l.path("p50Us").asDouble() / 1000,
+                        l.path("p99Us").asDouble() / 1000,
+                        l.path("p999Us").asDouble() / 1000,
+                        l.path("p99Us").asDouble() / l.path("p50Us").asDouble()));
         return table.toString();
     }
 
@@ -266,7 +317,8 @@
             return "Not measured.";
         }
         Table table = new Table(fields.toArray(String[]::new));
-        rows.forEach(row -> table.row(fields.stream().map(f -> cell(row.path(f))).toArray()));
+        rows.forEach(
+                row -> table.row(fields.stream().map(f -> cell(row.path(f))).toArray()));
         return table.toString();
     }
 
@@ -280,8 +332,9 @@
     }
 
     private static Object cell(JsonNode value) {
-        return value.isNumber() ? (Object) value.asDouble() : value.isNull() || value.isMissingNode() ? "-"
-            : value.asText().replace("|", "\\|");
+        return value.isNumber()
+                ? (Object) value.asDouble()
+                : value.isNull() || value.isMissingNode() ? "-" : value.asText().replace("|", "\\|");
     }
 
     private static String role(Capacity capacity, String role) {
@@ -292,10 +345,15 @@
             if (!line.role().equals(role)) {
                 continue;
             }
-            List<Object> row = new ArrayList<>(List.of(line.line() + ", " + line.unit(), "`" + line.formula() + "`",
-                slopesOf(capacity, line.formula()), bound(capacity, line)));
-            capacity.lines().loads().keySet().forEach(load -> row.add(line.under(load)
-                ? figure(capacity.figure(line, 1, load)) : "-"));
+            List<Object> row = new ArrayList<>(List.of(
+                    line.line() + ", " + line.unit(),
+                    "`" + line.formula() + "`",
+                    slopesOf(capacity, line.formula()),
+                    bound(capacity, line)));
+            capacity.lines()
+                    .loads()
+                    .keySet()
+                    .forEach(load -> row.add(line.under(load) ? figure(capacity.figure(line, 1, load)) : "-"));
             table.row(row.toArray());
         }
         return table.toString();
@@ -327,8 +385,10 @@
     }
 
     private static String bound(Capacity capacity, Lines.Line line) {
-        return line.bound() == null ? "" : (capacity.target().bounds().get(line.bound()).least() ? "least " : "")
-            + Table.figure(capacity.names(1, "target").get(line.bound() + "Bound"));
+        return line.bound() == null
+                ? ""
+                : (capacity.target().bounds().get(line.bound()).least() ? "least " : "")
+                        + Table.figure(capacity.names(1, "target").get(line.bound() + "Bound"));
     }
 
     private static String figure(Capacity.Figure figure) {
@@ -342,8 +402,9 @@
 
     private static String over(Capacity capacity) {
         Table table = new Table("role", "line", "worst factor", "mechanism");
-        capacity.over().stream().sorted((a, b) -> Double.compare(capacity.worst(b), capacity.worst(a))).forEach(l ->
-            table.row(l.role(), l.line(), capacity.worst(l), l.mechanism()));
+        capacity.over().stream()
+                .sorted((a, b) -> Double.compare(capacity.worst(b), capacity.worst(a)))
+                .forEach(l -> table.row(l.role(), l.line(), capacity.worst(l), l.mechanism()));
         return table.toString();
     }
 
@@ -351,12 +412,12 @@
         List<Target.Step> steps = capacity.target().steps();
         List<String> head = new ArrayList<>(List.of("bound", "figure to bound, under load"));
         steps.forEach(s -> head.add("at " + s.name()));
-        head.addAll(List.of("crossed at", "over from step", "with membership by scope: at 1", "crossed at ",
-            "over from step "));
+        head.addAll(List.of(
+                "crossed at", "over from step", "with membership by scope: at 1", "crossed at ", "over from step "));
         Table table = new Table(head.stream().map(String::strip).toArray(String[]::new));
         for (Ladder.Rung rung : rungs) {
-            List<Object> row = new ArrayList<>(List.of(rung.line().id(), rung.line().line() + "; "
-                + rung.line().ladder()));
+            List<Object> row = new ArrayList<>(List.of(
+                    rung.line().id(), rung.line().line() + "; " + rung.line().ladder()));
             for (double factor : rung.before()) {
                 row.add(factor > 1 ? "**" + Table.figure(factor) + "**" : Table.figure(factor));
             }
@@ -365,8 +426,10 @@
             if (rung.line().after() == null) {
                 row.addAll(List.of("as before", "", ""));
             } else {
-                row.addAll(List.of(rung.after()[rung.after().length - 1], Table.share(rung.crossedAfter()),
-                    step(steps, rung.after())));
+                row.addAll(List.of(
+                        rung.after()[rung.after().length - 1],
+                        Table.share(rung.crossedAfter()),
+                        step(steps, rung.after())));
             }
             table.row(row.toArray());
         }
@@ -383,8 +446,13 @@
 
     private static String lost(List<Ladder.Rung> rungs) {
         Table table = new Table("bound", "crossed at", "what is lost there", "mechanism");
-        rungs.stream().filter(r -> r.crossed() <= 1).forEach(r -> table.row(r.line().id(),
-            Table.share(r.crossed()), r.line().lost(), r.line().mechanism()));
+        rungs.stream()
+                .filter(r -> r.crossed() <= 1)
+                .forEach(r -> table.row(
+                        r.line().id(),
+                        Table.share(r.crossed()),
+                        r.line().lost(),
+                        r.line().mechanism()));
         return table.toString();
     }
 
@@ -392,16 +460,46 @@
         if (scale.rows("steps").isEmpty()) {
             return "Not run.";
         }
-        Table table = new Table("step", "relays", "units", "services", "play", "scope", "has a change: p50, p99, last, ms",
-            "bytes/s a relay", "cores a relay", "heap a relay, MB", "reqs taken", "refused", "lost", "rule 3", "rule 4",
-            "wall s");
-        scale.rows("steps").forEach(step -> step.path("plays").forEach(p -> table.row(step.path("step").asText(),
-            cell(step.path("relays")), cell(step.path("units")), cell(step.path("services")), p.path("play").asText(),
-            p.path("scope").asText(), some(p, "reachedP50Ms") + ", " + some(p, "reachedP99Ms") + ", "
-                + some(p, "reachedLastMs"), some(p, "bytesPerRelayS"), some(p, "cpuPerRelayShare"),
-            p.path("heapPerRelayBytes").isNumber() ? Table.figure(p.path("heapPerRelayBytes").asDouble() / 1e6) : "-",
-            some(p, "taken"), some(p, "refused"), some(p, "lost"), some(p, "rule3"), some(p, "rule4"),
-            some(p, "wallS"))));
+        Table table = new Table(
+                "step",
+                "relays",
+                "units",
+                "services",
+                "play",
+                "scope",
+                "has a change: p50, p99, last, ms",
+                "bytes/s a relay",
+                "cores a relay",
+                "heap a relay, MB",
+                "reqs taken",
+                "refused",
+                "lost",
+                "rule 3",
+                "rule 4",
+                "wall s");
+        scale.rows("steps")
+                .forEach(step -> step.path("plays")
+                        .forEach(p -> table.row(
+                                step.path("step").asText(),
+                                cell(step.path("relays")),
+                                cell(step.path("units")),
+                                cell(step.path("services")),
+                                p.path("play").asText(),
+                                p.path("scope").asText(),
+                                some(p, "reachedP50Ms") + ", " + some(p, "reachedP99Ms") + ", "
+                                        + some(p, "reachedLastMs"),
+                                some(p, "bytesPerRelayS"),
+                                some(p, "cpuPerRelayShare"),
+                                p.path("heapPerRelayBytes").isNumber()
+                                        ? Table.figure(
+                                                p.path("heapPerRelayBytes").asDouble() / 1e6)
+                                        : "-",
+                                some(p, "taken"),
+                                some(p, "refused"),
+                                some(p, "lost"),
+                                some(p, "rule3"),
+                                some(p, "rule4"),
+                                some(p, "wallS"))));
         return table.toString();
     }
 
