--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -1,21 +1,19 @@
 package gatelock.capacity;
 
-import gatelock.state.EndpointAddresses;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.SerializationFeature;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
 import gatelock.config.Admission;
 import gatelock.config.ConfigCompiler;
-import gatelock.config.SampleConfigs;
 import gatelock.config.ConfigVersion;
+import gatelock.config.SampleConfigs;
 import gatelock.config.VersionTracker;
-import gatelock.api.DecisionEngine;
-import gatelock.api.Endpoint;
+import gatelock.standin.FakeDeployment;
 import gatelock.standin.LongListDiscovery;
 import gatelock.standin.OpenLoop;
 import gatelock.standin.RelayProcess;
-import gatelock.standin.FakeDeployment;
-
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.SerializationFeature;
-
+import gatelock.state.EndpointAddresses;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.lang.ref.Reference;
@@ -36,7 +34,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-
 import org.HdrHistogram.Histogram;
 
 /**
@@ -47,6 +44,7 @@
 public final class Slopes {
     /** Doubled each time, so that hash tables are as full at each. */
     private static final int[] UNITS = {25_000, 50_000, 100_000, 200_000};
+
     private static final int[] ROUTES = {2_875, 11_500, 23_000, 46_000};
     private static final int[] REAL_ENTRIES = {1_000, 10_000, 100_000, 200_000};
     private static final int MANY = 40;
@@ -91,9 +89,17 @@
         run.put("cores", Runtime.getRuntime().availableProcessors());
         run.put("java", System.getProperty("java.version"));
         run.put("flags", String.join(" ", RelayProcess.flags()));
-        run.put("flagsHere", String.join(" ", ManagementFactory.getRuntimeMXBean().getInputArguments()));
-        run.put("machine", Files.readString(Path.of("/proc/cpuinfo")).lines().filter(l -> l.startsWith("model name"))
-            .findFirst().map(l -> l.replaceAll(".*: ", "")).orElse("not told"));
+        run.put(
+                "flagsHere",
+                String.join(" ", ManagementFactory.getRuntimeMXBean().getInputArguments()));
+        run.put(
+                "machine",
+                Files.readString(Path.of("/proc/cpuinfo"))
+                        .lines()
+                        .filter(l -> l.startsWith("model name"))
+                        .findFirst()
+                        .map(l -> l.replaceAll(".*: ", ""))
+                        .orElse("not told"));
         Map<String, Part> parts = new LinkedHashMap<>();
         parts.put("reqs", this::requests);
         parts.put("units", this::endpoints);
@@ -144,14 +150,18 @@
         all.put("many", many);
         all.put("notes", notes);
         Files.createDirectories(out.toAbsolutePath().getParent());
-        Files.writeString(out, new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT)
-            .writeValueAsString(all) + "\n");
+        Files.writeString(
+                out,
+                new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(all) + "\n");
     }
 
     /** Five digits, as no figure here is surer than that. */
     private static double round(double value) {
-        return value == 0 || !Double.isFinite(value) ? value : new java.math.BigDecimal(value)
-            .round(new java.math.MathContext(5)).doubleValue();
+        return value == 0 || !Double.isFinite(value)
+                ? value
+                : new java.math.BigDecimal(value)
+                        .round(new java.math.MathContext(5))
+                        .doubleValue();
     }
 
     private void slope(String name, String what, String x, String y, List<double[]> points, String how) {
@@ -161,14 +171,17 @@
         slope.put("what", what);
         slope.put("x", x);
         slope.put("y", y);
-        slope.put("points", points.stream().map(p -> List.of((long) p[0], round(p[1]))).toList());
+        slope.put(
+                "points",
+                points.stream().map(p -> List.of((long) p[0], round(p[1]))).toList());
         slope.put("slope", round(fit.slope()));
         slope.put("intercept", round(fit.intercept()));
         slope.put("residual", round(fit.residual()));
         slope.put("how", how);
         slopes.put(name, slope);
-        System.out.printf("%s: %.5g a %s, from %.5g; residual %.3f; %s%n", name, fit.slope(), x, fit.intercept(),
-            fit.residual(), slope.get("points"));
+        System.out.printf(
+                "%s: %.5g a %s, from %.5g; residual %.3f; %s%n",
+                name, fit.slope(), x, fit.intercept(), fit.residual(), slope.get("points"));
     }
 
     private static double[] point(double x, double y) {
@@ -185,9 +198,9 @@
             orgs.append(String.format(", {\"name\": \"tenant-%06d\", \"quotaPerS\": %d}", i, 10 + i % 90));
         }
         return village.configuration(Files.readString(Path.of("examples/relay.json")), listen)
-            .replaceFirst("\"discovery\": \"127[^\"]*\"", "\"discovery\": \"" + discovery + "\"")
-            .replaceFirst("\"orgs\": \\[\\{[^\\]]*", orgs.toString())
-            .replace("\"sockets\": 1024", "\"sockets\": 16000");
+                .replaceFirst("\"discovery\": \"127[^\"]*\"", "\"discovery\": \"" + discovery + "\"")
+                .replaceFirst("\"orgs\": \\[\\{[^\\]]*", orgs.toString())
+                .replace("\"sockets\": 1024", "\"sockets\": 16000");
     }
 
     /** Entries that all lead to the village's endpoints. */
@@ -196,15 +209,21 @@
     }
 
     private static String entry(FakeDeployment village, int number, int change) {
-        return LongListDiscovery.entry(number, village.address(number % 4), number % 2 == 0 ? "east" : "west",
-            "svc-" + number / ModulePlay.UNITS_OF_A_SERVICE, "in_service",
-            change == 0 ? 0 : 1_764_000_000_000L + change, 1);
+        return LongListDiscovery.entry(
+                number,
+                village.address(number % 4),
+                number % 2 == 0 ? "east" : "west",
+                "svc-" + number / ModulePlay.UNITS_OF_A_SERVICE,
+                "in_service",
+                change == 0 ? 0 : 1_764_000_000_000L + change,
+                1);
     }
 
-    private RelayProcess relay(FakeDeployment village, LongListDiscovery list, String name, int tenants) throws IOException {
+    private RelayProcess relay(FakeDeployment village, LongListDiscovery list, String name, int tenants)
+            throws IOException {
         int port = RelayProcess.freePorts(1)[0];
-        return RelayProcess.start(directory, port, configuration(village, "127.0.0.1:" + port, list.address(name),
-            tenants));
+        return RelayProcess.start(
+                directory, port, configuration(village, "127.0.0.1:" + port, list.address(name), tenants));
     }
 
     private static long ready(RelayProcess relay) throws IOException, InterruptedException {
@@ -219,7 +238,8 @@
 
     private void requests() throws Exception {
         List<double[]> cpu = new ArrayList<>();
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 4);
+        try (FakeDeployment village = new FakeDeployment(4, 0);
+                LongListDiscovery list = list(village, 4);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             ready(relay);
             int[] direct = new int[4];
@@ -245,9 +265,14 @@
                 System.out.println(row);
             }
         }
-        slope("cpuPerReqUs", "processor time of the relay's process for one req served, on real sockets; the "
-            + "intercept is what a second without reqs costs", "reqs a second", "us", cpu,
-            "Slopes.reqs: open loop, /proc CPU time of a process with the platform's flags, 4 units listed");
+        slope(
+                "cpuPerReqUs",
+                "processor time of the relay's process for one req served, on real sockets; the "
+                        + "intercept is what a second without reqs costs",
+                "reqs a second",
+                "us",
+                cpu,
+                "Slopes.reqs: open loop, /proc CPU time of a process with the platform's flags, 4 units listed");
     }
 
     /** Quantiles of one less those of another. */
@@ -288,14 +313,30 @@
                 }
             }
         }
-        slope("heapPerUnit", "live heap of what a relay holds of its list, addresses and decisions; no req has gone to "
-            + "a unit yet, and no connection stands", "units", "bytes", heap,
-            "Slopes.units: class histogram, Addresses and ReleaseGate");
-        slope("cpuPerListChangeUs", "processor time of the I/O thread for one change of one entry: a watch's answer "
-            + "read, addresses and decisions told, the next watch asked for; collection of garbage not counted",
-            "units", "us", change, "Slopes.units: thread CPU time, real sockets, the bound on lists lifted, one restart after the other, the median");
-        slope("cpuPerEntryReadUs", "processor time of the I/O thread to read and take in a whole list; collection of "
-            + "garbage not counted", "units", "us", read, "Slopes.units: thread CPU time, real sockets, the bound on lists lifted");
+        slope(
+                "heapPerUnit",
+                "live heap of what a relay holds of its list, addresses and decisions; no req has gone to "
+                        + "a unit yet, and no connection stands",
+                "units",
+                "bytes",
+                heap,
+                "Slopes.units: class histogram, Addresses and ReleaseGate");
+        slope(
+                "cpuPerListChangeUs",
+                "processor time of the I/O thread for one change of one entry: a watch's answer "
+                        + "read, addresses and decisions told, the next watch asked for; collection of garbage not counted",
+                "units",
+                "us",
+                change,
+                "Slopes.units: thread CPU time, real sockets, the bound on lists lifted, one restart after the other, the median");
+        slope(
+                "cpuPerEntryReadUs",
+                "processor time of the I/O thread to read and take in a whole list; collection of "
+                        + "garbage not counted",
+                "units",
+                "us",
+                read,
+                "Slopes.units: thread CPU time, real sockets, the bound on lists lifted");
         classes(least, most, UNITS[UNITS.length - 1] - UNITS[0]);
     }
 
@@ -316,12 +357,15 @@
 
     private void classes(ClassHistogram least, ClassHistogram most, int endpoints) {
         Map<String, Long> more = most.since(least).bytes();
-        more.entrySet().stream().sorted((a, b) -> Long.compare(b.getValue(), a.getValue())).limit(14).forEach(e -> {
-            Map<String, Object> row = new LinkedHashMap<>();
-            row.put("class", e.getKey());
-            row.put("perUnitBytes", round(e.getValue() / (double) endpoints));
-            classes.add(row);
-        });
+        more.entrySet().stream()
+                .sorted((a, b) -> Long.compare(b.getValue(), a.getValue()))
+                .limit(14)
+                .forEach(e -> {
+                    Map<String, Object> row = new LinkedHashMap<>();
+                    row.put("class", e.getKey());
+                    row.put("perUnitBytes", round(e.getValue() / (double) endpoints));
+                    classes.add(row);
+                });
         System.out.println(classes);
     }
 
@@ -342,12 +386,27 @@
             scoped.add(point(size, new ModulePlay(size).requestUs(true, 2_000)));
         }
         String how = "Slopes.module: thread CPU time, ReleaseGate alone, ";
-        slope("cpuPerReqByUnitsUs", "processor time of the module alone for one req, take to end, any unit will do",
-            "units", "us", free, how + "4 in flight, 860 a second of its time");
-        slope("cpuPerReqScopedPoolUs", "the same where Bounds.reaches restricts each req to the 28 units of a service",
-            "units", "us", scoped, how + "4 in flight, 860 a second of its time");
-        slope("cpuPerBeatUs", "processor time of one due(BEAT), four a second, after reqs have gone to units",
-            "units", "us", beat, how + "40 beats");
+        slope(
+                "cpuPerReqByUnitsUs",
+                "processor time of the module alone for one req, take to end, any unit will do",
+                "units",
+                "us",
+                free,
+                how + "4 in flight, 860 a second of its time");
+        slope(
+                "cpuPerReqScopedPoolUs",
+                "the same where Bounds.reaches restricts each req to the 28 units of a service",
+                "units",
+                "us",
+                scoped,
+                how + "4 in flight, 860 a second of its time");
+        slope(
+                "cpuPerBeatUs",
+                "processor time of one due(BEAT), four a second, after reqs have gone to units",
+                "units",
+                "us",
+                beat,
+                how + "40 beats");
     }
 
     // ---- Versions of the configuration, in this process ---------------------------------------------------------
@@ -363,12 +422,28 @@
             heap.add(point(routes, row[1]));
             cpu.add(point(routes, row[2]));
         }
-        slope("heapPerRoute", "live heap of a version in force and its text; up to 10 earlier texts or 16 MiB of them "
-            + "are kept beside it", "routes", "bytes", heap, "Slopes.versions: class histogram, Admission, Succession");
-        slope("cpuPerVersionUs", "processor time to read, check, compile and swap one version; collection of garbage "
-            + "not counted", "routes", "us", cpu, "Slopes.versions: thread CPU time, 1,000 units listed");
-        slope("bytesPerVersion", "text of a version as a relay is sent it today, one text for all routes", "routes",
-            "bytes", bytes, "Slopes.versions: Samples.version");
+        slope(
+                "heapPerRoute",
+                "live heap of a version in force and its text; up to 10 earlier texts or 16 MiB of them "
+                        + "are kept beside it",
+                "routes",
+                "bytes",
+                heap,
+                "Slopes.versions: class histogram, Admission, Succession");
+        slope(
+                "cpuPerVersionUs",
+                "processor time to read, check, compile and swap one version; collection of garbage " + "not counted",
+                "routes",
+                "us",
+                cpu,
+                "Slopes.versions: thread CPU time, 1,000 units listed");
+        slope(
+                "bytesPerVersion",
+                "text of a version as a relay is sent it today, one text for all routes",
+                "routes",
+                "bytes",
+                bytes,
+                "Slopes.versions: Samples.version");
     }
 
     /** Bytes of text, bytes of heap, and processor time in microseconds of one version, the median of some. */
@@ -398,7 +473,9 @@
         succession.good(1, compiled.plan(), "measured", own);
         long bytes = ClassHistogram.here().since(before).total();
         Reference.reachabilityFence(List.of(admission, held, succession, text));
-        return new double[] {text.length, bytes, us.stream().sorted().skip(times / 2).findFirst().orElseThrow()};
+        return new double[] {
+            text.length, bytes, us.stream().sorted().skip(times / 2).findFirst().orElseThrow()
+        };
     }
 
     private static long cpuNs() {
@@ -410,13 +487,15 @@
     private void bytes() throws Exception {
         List<double[]> whole = new ArrayList<>();
         for (int size : REAL_ENTRIES) {
-            try (LongListDiscovery list = new LongListDiscovery(size, i -> ListPlay.entry(i, 0)); Socket socket = connect(list)) {
+            try (LongListDiscovery list = new LongListDiscovery(size, i -> ListPlay.entry(i, 0));
+                    Socket socket = connect(list)) {
                 whole.add(point(size, call(socket, "")));
             }
         }
         List<double[]> changes = new ArrayList<>();
         List<double[]> holds = new ArrayList<>();
-        try (LongListDiscovery list = new LongListDiscovery(10_000, i -> ListPlay.entry(i, 0)); Socket socket = connect(list)) {
+        try (LongListDiscovery list = new LongListDiscovery(10_000, i -> ListPlay.entry(i, 0));
+                Socket socket = connect(list)) {
             for (int howMany : new int[] {1, 10, 100}) {
                 long changed = 0;
                 long empty = 0;
@@ -433,8 +512,13 @@
         String how = "Slopes.bytes: bodies and heads of call and answer on a socket, as the stand-in writes them";
         slope("bytesPerEntry", "a whole list, the call for it included", "units", "bytes", whole, how);
         slope("bytesPerChange", "a watch answered with one entry, its call included", "changes", "bytes", changes, how);
-        slope("bytesPerEmptyWatch", "a watch answered with none after its hold of 2 s, its call included", "watches",
-            "bytes", holds, how);
+        slope(
+                "bytesPerEmptyWatch",
+                "a watch answered with none after its hold of 2 s, its call included",
+                "watches",
+                "bytes",
+                holds,
+                how);
     }
 
     private static Socket connect(LongListDiscovery list) throws IOException {
@@ -451,21 +535,30 @@
     private void tenants() throws Exception {
         List<double[]> heap = new ArrayList<>();
         for (int tenants : new int[] {1_000, 5_000, 10_000, 20_000}) {
-            try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 4);
+            try (FakeDeployment village = new FakeDeployment(4, 0);
+                    LongListDiscovery list = list(village, 4);
                     RelayProcess relay = relay(village, list, "r", tenants)) {
                 ready(relay);
-                heap.add(point(tenants, ClassHistogram.read(relay.jcmd("GC.class_histogram")).total()));
+                heap.add(point(
+                        tenants,
+                        ClassHistogram.read(relay.jcmd("GC.class_histogram")).total()));
             }
         }
-        slope("heapPerTenant", "live heap of a relay's process by tenants in its settings, idle", "tenants", "bytes",
-            heap, "Slopes.tenants: jcmd GC.class_histogram, a process with the platform's flags each");
+        slope(
+                "heapPerTenant",
+                "live heap of a relay's process by tenants in its settings, idle",
+                "tenants",
+                "bytes",
+                heap,
+                "Slopes.tenants: jcmd GC.class_histogram, a process with the platform's flags each");
     }
 
     private void connections() throws Exception {
         List<double[]> heap = new ArrayList<>();
         List<double[]> resident = new ArrayList<>();
         List<Socket> sockets = new ArrayList<>();
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 4);
+        try (FakeDeployment village = new FakeDeployment(4, 0);
+                LongListDiscovery list = list(village, 4);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             ready(relay);
             for (int target : new int[] {100, 500, 1_000, 2_000}) {
@@ -476,7 +569,9 @@
                         throw new IOException("a req got no 200 on connection " + sockets.size());
                     }
                 }
-                heap.add(point(target, ClassHistogram.read(relay.jcmd("GC.class_histogram")).total()));
+                heap.add(point(
+                        target,
+                        ClassHistogram.read(relay.jcmd("GC.class_histogram")).total()));
                 resident.add(point(target, relay.residentMb() * MB));
             }
         } finally {
@@ -484,10 +579,20 @@
                 socket.close();
             }
         }
-        slope("heapPerConnection", "live heap of a client's connection that stands idle after a req", "connections",
-            "bytes", heap, "Slopes.connections: jcmd GC.class_histogram, one process with the platform's flags");
-        slope("residentPerConnection", "resident memory of the process by the same; the young generation fills "
-            + "beside it", "connections", "bytes", resident, "Slopes.connections: VmRSS");
+        slope(
+                "heapPerConnection",
+                "live heap of a client's connection that stands idle after a req",
+                "connections",
+                "bytes",
+                heap,
+                "Slopes.connections: jcmd GC.class_histogram, one process with the platform's flags");
+        slope(
+                "residentPerConnection",
+                "resident memory of the process by the same; the young generation fills " + "beside it",
+                "connections",
+                "bytes",
+                resident,
+                "Slopes.connections: VmRSS");
     }
 
     // ---- Real relays on long lists ------------------------------------------------------------------------------
@@ -496,7 +601,8 @@
         List<double[]> starts = new ArrayList<>();
         for (int size : new int[] {1_000, 2_500, 5_000, 10_000}) {
             List<Long> ms = new ArrayList<>();
-            try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, size)) {
+            try (FakeDeployment village = new FakeDeployment(4, 0);
+                    LongListDiscovery list = list(village, size)) {
                 for (int i = 0; i < 3; i++) {
                     try (RelayProcess relay = relay(village, list, "r" + i, 1)) {
                         ms.add(ready(relay));
@@ -508,8 +614,13 @@
             }
             starts.add(point(size, ms.stream().sorted().skip(1).findFirst().orElseThrow()));
         }
-        slope("startPerEntry", "from a process's start to its first 200 on /-/ready, the median of three", "units",
-            "ms", starts, "Slopes.real: processes with the platform's flags, rehearsal included");
+        slope(
+                "startPerEntry",
+                "from a process's start to its first 200 on /-/ready, the median of three",
+                "units",
+                "ms",
+                starts,
+                "Slopes.real: processes with the platform's flags, rehearsal included");
         for (int size : REAL_ENTRIES) {
             real.add(real(size));
             System.out.println(real.get(real.size() - 1));
@@ -519,7 +630,8 @@
     private Map<String, Object> real(int size) throws Exception {
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("entries", size);
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, size);
+        try (FakeDeployment village = new FakeDeployment(4, 0);
+                LongListDiscovery list = list(village, size);
                 RelayProcess relay = relay(village, list, "r", 1)) {
             long readyMs = relay.ready(30_000);
             boolean taken = !list.await(1, 1, 1_000).isEmpty();
@@ -539,12 +651,19 @@
             row.put("idleCpuShare", round((relay.cpuUs() - beforeUs) / 3e6));
             row.put("residentMb", round(relay.residentMb()));
             row.put("cpuS", round(relay.cpuUs() / 1e6));
-            row.put("liveHeapMb", round(ClassHistogram.read(relay.jcmd("GC.class_histogram")).total()
-                / (double) MB));
+            row.put(
+                    "liveHeapMb",
+                    round(ClassHistogram.read(relay.jcmd("GC.class_histogram")).total() / (double) MB));
             row.put("oldHeapMb", round(relay.oldHeapMb()));
             row.put("wholeLists", list.wholes());
             row.put("brokenOff", list.brokenOff());
-            row.put("log", relay.log().lines().filter(l -> l.contains("discovery")).findFirst().orElse(""));
+            row.put(
+                    "log",
+                    relay.log()
+                            .lines()
+                            .filter(l -> l.contains("discovery"))
+                            .findFirst()
+                            .orElse(""));
         }
         return row;
     }
@@ -552,7 +671,8 @@
     /** Some tens of relays on one list: how long until each has a change, and what each holds. */
     private void many() throws Exception {
         List<RelayProcess> relays = new ArrayList<>();
-        try (FakeDeployment village = new FakeDeployment(4, 0); LongListDiscovery list = list(village, 1_000)) {
+        try (FakeDeployment village = new FakeDeployment(4, 0);
+                LongListDiscovery list = list(village, 1_000)) {
             for (int i = 0; i < MANY; i++) {
                 relays.add(relay(village, list, "r" + i, 1));
                 if (i % 8 == 7) {
@@ -580,8 +700,8 @@
                     notes.put("many", "change " + i + " reached " + held.size() + " of " + MANY + " relays in 10 s");
                 }
                 held.values().forEach(ns -> each.recordValue((ns - fromNs) / 1_000));
-                last.recordValue((held.values().stream().mapToLong(Long::longValue).max().orElseThrow() - fromNs)
-                    / 1_000);
+                last.recordValue(
+                        (held.values().stream().mapToLong(Long::longValue).max().orElseThrow() - fromNs) / 1_000);
                 TimeUnit.MILLISECONDS.sleep(100);
             }
             TreeMap<Double, Integer> resident = new TreeMap<>();
--- a/src/test/java/gatelock/capacity/Table.java
+++ b/src/test/java/gatelock/capacity/Table.java
@@ -20,7 +20,9 @@
         StringBuilder row = new StringBuilder("|");
         for (Object cell : cells) {
             String text = cell instanceof Number n ? figure(n.doubleValue()) : String.valueOf(cell);
-            row.append(text.isEmpty() ? "" : " ").append(text.replace("\n", " ")).append(" |");
+            row.append(text.isEmpty() ? "" : " ")
+                    .append(text.replace("\n", " "))
+                    .append(" |");
         }
         rows.add(row.toString());
         return this;
@@ -65,7 +67,11 @@
             return "not crossed";
         }
         double parts = 1 / share;
-        return share <= Ladder.LEAST ? "below 1/10000" : "1/" + (parts < 9.95
-            ? String.format(Locale.ROOT, "%.1f", parts) : String.format(Locale.ROOT, "%.0f", parts));
+        return share <= Ladder.LEAST
+                ? "below 1/10000"
+                : "1/"
+                        + (parts < 9.95
+                                ? String.format(Locale.ROOT, "%.1f", parts)
+                                : String.format(Locale.ROOT, "%.0f", parts));
     }
 }
--- a/src/test/java/gatelock/capacity/Zipf.java
+++ b/src/test/java/gatelock/capacity/Zipf.java
@@ -7,7 +7,9 @@
     private final double[] shares;
 
     Zipf(int count, double exponent) {
-        shares = IntStream.rangeClosed(1, count).mapToDouble(n -> Math.pow(n, -exponent)).toArray();
+        shares = IntStream.rangeClosed(1, count)
+                .mapToDouble(n -> Math.pow(n, -exponent))
+                .toArray();
         double all = IntStream.range(0, count).mapToDouble(i -> shares[i]).sum();
         for (int i = 0; i < count; i++) {
             shares[i] /= all;
--- a/src/test/java/gatelock/capacity/ZipfTest.java
+++ b/src/test/java/gatelock/capacity/ZipfTest.java
@@ -3,14 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.within;
 
+import java.util.stream.IntStream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-import java.util.stream.IntStream;
-
 /** Shares by rank, and how many are met. */
 class ZipfTest {
 
@@ -23,11 +22,13 @@
     }
 
     @Property(tries = 200)
-    void allSharesAreOneAndNoMoreAreMetThanDrawnOrThere(@ForAll @IntRange(min = 1, max = 500) int count,
-                                                        @ForAll @DoubleRange(max = 2) double exponent,
-                                                        @ForAll @DoubleRange(max = 5000) double drawn) {
+    void allSharesAreOneAndNoMoreAreMetThanDrawnOrThere(
+            @ForAll @IntRange(min = 1, max = 500) int count,
+            @ForAll @DoubleRange(max = 2) double exponent,
+            @ForAll @DoubleRange(max = 5000) double drawn) {
         Zipf zipf = new Zipf(count, exponent);
-        assertThat(IntStream.rangeClosed(1, count).mapToDouble(zipf::share).sum()).isCloseTo(1, within(1e-9));
+        assertThat(IntStream.rangeClosed(1, count).mapToDouble(zipf::share).sum())
+                .isCloseTo(1, within(1e-9));
         assertThat(zipf.distinct(drawn)).isLessThanOrEqualTo(Math.min(drawn, count) + 1e-9);
     }
 
--- a/src/test/java/gatelock/ci/KnownRed.java
+++ b/src/test/java/gatelock/ci/KnownRed.java
@@ -26,8 +26,7 @@
     /** How a test ended: whether it failed, over all its runs. */
     private final Map<String, Boolean> failed = new LinkedHashMap<>();
 
-    private KnownRed() {
-    }
+    private KnownRed() {}
 
     public static void main(String[] args) throws Exception {
         List<String> wrong = new ArrayList<>();
@@ -45,8 +44,9 @@
         if (run.failed.isEmpty()) {
             wrong.add("no test ran");
         }
-        List<String> lines = Files.exists(list) ? Files.readAllLines(list).stream().filter(l -> !l.isBlank()).toList()
-            : List.of();
+        List<String> lines = Files.exists(list)
+                ? Files.readAllLines(list).stream().filter(l -> !l.isBlank()).toList()
+                : List.of();
         if (lines.size() > MOST) {
             wrong.add(lines.size() + " lines in " + list.getFileName() + ", " + MOST + " at most");
         }
@@ -76,10 +76,12 @@
                 for (int i = 0; i < cases.getLength(); i++) {
                     Element test = (Element) cases.item(i);
                     boolean red = test.getElementsByTagName("failure").getLength() > 0
-                        || test.getElementsByTagName("error").getLength() > 0;
+                            || test.getElementsByTagName("error").getLength() > 0;
                     if (test.getElementsByTagName("skipped").getLength() == 0) {
-                        failed.merge(test.getAttribute("classname") + "." + test.getAttribute("name"), red,
-                            Boolean::logicalOr);
+                        failed.merge(
+                                test.getAttribute("classname") + "." + test.getAttribute("name"),
+                                red,
+                                Boolean::logicalOr);
                     }
                 }
             }
--- a/src/test/java/gatelock/ci/KnownRedTest.java
+++ b/src/test/java/gatelock/ci/KnownRedTest.java
@@ -13,20 +13,24 @@
 /** Which runs CI lets pass, told from reports of the form that Surefire writes. */
 final class KnownRedTest {
     private static final String LINE = "a.OneTest.fails | the list is read late | issue 32\n";
+
     @TempDir
     private Path dir;
+
     private Path list;
 
     @BeforeEach
     void aRunWithOneFailure() throws Exception {
         list = dir.resolve("KNOWN-RED.txt");
-        report("a.OneTest", "<testcase name='fails' classname='a.OneTest'><failure type='x'>no</failure></testcase>"
-            + "<testcase name='holds' classname='a.OneTest'/>");
+        report(
+                "a.OneTest",
+                "<testcase name='fails' classname='a.OneTest'><failure type='x'>no</failure></testcase>"
+                        + "<testcase name='holds' classname='a.OneTest'/>");
     }
 
     private void report(String type, String cases) throws Exception {
-        Files.writeString(dir.resolve("TEST-" + type + ".xml"), "<?xml version='1.0'?><testsuite>" + cases
-            + "</testsuite>");
+        Files.writeString(
+                dir.resolve("TEST-" + type + ".xml"), "<?xml version='1.0'?><testsuite>" + cases + "</testsuite>");
     }
 
     private List<String> wrong() throws Exception {
@@ -54,7 +58,8 @@
     @Test
     void aLineForNoTestThatRanFails() throws Exception {
         Files.writeString(list, LINE + LINE.replace("fails", "gone"));
-        assertThat(wrong()).containsExactly("names no test that ran: " + LINE.trim().replace("fails", "gone"));
+        assertThat(wrong())
+                .containsExactly("names no test that ran: " + LINE.trim().replace("fails", "gone"));
         report("a.TwoTest", "<testcase name='left' classname='a.TwoTest'><skipped/></testcase>");
         Files.writeString(list, LINE + LINE.replace("OneTest.fails", "TwoTest.left"));
         assertThat(wrong()).singleElement().asString().startsWith("names no test that ran: a.TwoTest.left");
@@ -70,7 +75,8 @@
 
     @Test
     void aLineWithoutItsCauseOrIssueFails() throws Exception {
-        for (String line : new String[] {"a.OneTest.fails", "a.OneTest.fails | cause", "a.OneTest.fails | | issue 32"}) {
+        for (String line :
+                new String[] {"a.OneTest.fails", "a.OneTest.fails | cause", "a.OneTest.fails | | issue 32"}) {
             Files.writeString(list, line);
             assertThat(wrong()).containsExactly("not of the form test | cause | issue: " + line);
         }
--- a/src/test/java/gatelock/config/AdmissionTest.java
+++ b/src/test/java/gatelock/config/AdmissionTest.java
@@ -5,11 +5,9 @@
 import gatelock.api.AttemptResult;
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-
 import org.junit.jupiter.api.Test;
 
 /** What plans mean for requests: pools, fallbacks, budgets, and what one version is beside another. */
@@ -47,7 +45,8 @@
         for (int i = 0; i < east + west; i++) {
             endpoints.add(endpoint((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Endpoint.Health.READY));
         }
-        admission.listed(nowUs, DecisionEngine.ListForm.FULL, endpoints, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
+        admission.listed(
+                nowUs, DecisionEngine.ListForm.FULL, endpoints, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
     }
 
     private Admission.Pass ask(String path) {
@@ -71,7 +70,9 @@
         assertThat(fallen.reaches("e0")).isFalse();
         assertThat(fallen.reaches("w0")).as("bears the label").isTrue();
         assertThat(fallen.reaches("w1")).isFalse();
-        assertThat(pass.reaches("e0")).as("one that was taken before stays with its pool").isTrue();
+        assertThat(pass.reaches("e0"))
+                .as("one that was taken before stays with its pool")
+                .isTrue();
         list(5, 5);
         assertThat(ask("/read").reaches("e0")).as("no swinging at the bound").isFalse();
         list(6, 5);
@@ -81,8 +82,11 @@
         assertThat(ask("/read").reaches("e0")).isFalse();
         nowUs += 1_200 * SECOND;
         assertThat(ask("/read").reaches("e0")).isTrue();
-        admission.listed(nowUs, DecisionEngine.ListForm.DELTA, List.of(endpoint("e0", 0, Endpoint.Health.DRAINING),
-            endpoint("w0", 1, Endpoint.Health.GONE)), Map.of());
+        admission.listed(
+                nowUs,
+                DecisionEngine.ListForm.DELTA,
+                List.of(endpoint("e0", 0, Endpoint.Health.DRAINING), endpoint("w0", 1, Endpoint.Health.GONE)),
+                Map.of());
         assertThat(ask("/read").reaches("w0")).isFalse();
     }
 
@@ -107,7 +111,9 @@
             gone += ask("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
         assertThat(gone).isLessThan(4);
-        assertThat(ask("/west").goesOn(nowUs, AttemptResult.TIMED_OUT)).as("nothing was set there").isTrue();
+        assertThat(ask("/west").goesOn(nowUs, AttemptResult.TIMED_OUT))
+                .as("nothing was set there")
+                .isTrue();
     }
 
     @Test
@@ -129,21 +135,29 @@
     void aVersionThatIsADangerBesideTheOneInForceIsTurnedDown() {
         list(6, 4);
         admission.follow(nowUs, SampleConfigs.plan(POOLS));
-        CompiledConfig without = SampleConfigs.plan(POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', "
-            + "'pool': 'west'}", ""));
-        assertThat(admission.beside(nowUs, without)).extracting(Diagnostic::code).doesNotContain("B-TRAFFIC");
+        CompiledConfig without = SampleConfigs.plan(
+                POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', " + "'pool': 'west'}", ""));
+        assertThat(admission.beside(nowUs, without))
+                .extracting(Diagnostic::code)
+                .doesNotContain("B-TRAFFIC");
         ask("/west");
-        assertThat(admission.beside(nowUs, without)).extracting(Diagnostic::code).contains("B-TRAFFIC");
+        assertThat(admission.beside(nowUs, without))
+                .extracting(Diagnostic::code)
+                .contains("B-TRAFFIC");
         nowUs += 61 * SECOND;
         ask("/read");
         nowUs += 20 * SECOND;
-        assertThat(admission.beside(nowUs, without)).extracting(Diagnostic::code).doesNotContain("B-TRAFFIC");
+        assertThat(admission.beside(nowUs, without))
+                .extracting(Diagnostic::code)
+                .doesNotContain("B-TRAFFIC");
         ask("/west");
         String said = "{'format': 1, 'unmatched': 'refuse', 'removes': ['w'], 'pools': {'p': {'zones': "
-            + "['%s']}},"
-            + " 'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'p'}]}";
-        assertThat(admission.beside(nowUs, SampleConfigs.plan(String.format(said, "east")))).isEmpty();
+                + "['%s']}},"
+                + " 'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'p'}]}";
+        assertThat(admission.beside(nowUs, SampleConfigs.plan(String.format(said, "east"))))
+                .isEmpty();
         assertThat(admission.beside(nowUs, SampleConfigs.plan(String.format(said, "west"))))
-            .extracting(Diagnostic::code).containsExactly("B-UNITS");
+                .extracting(Diagnostic::code)
+                .containsExactly("B-UNITS");
     }
 }
--- a/src/test/java/gatelock/config/BackoffTest.java
+++ b/src/test/java/gatelock/config/BackoffTest.java
@@ -4,7 +4,6 @@
 
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-
 import org.junit.jupiter.api.Test;
 
 /** A thousand relays that lose their control service in the same instant, in simulated time. */
@@ -12,8 +11,7 @@
     private static final int RELAYS = 1_000;
     private static final long SECOND = 1_000_000;
 
-    private record Next(long atUs, int relay) {
-    }
+    private record Next(long atUs, int relay) {}
 
     @Test
     void aThousandRelaysDoNotComeBackTogetherInAnHourOfSilence() {
--- a/src/test/java/gatelock/config/ConfigBenchmark.java
+++ b/src/test/java/gatelock/config/ConfigBenchmark.java
@@ -2,13 +2,11 @@
 
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-
 import org.HdrHistogram.Histogram;
 
 /**
@@ -20,8 +18,7 @@
     private static final int BATCH = 100;
     private static int sink;
 
-    private ConfigBenchmark() {
-    }
+    private ConfigBenchmark() {}
 
     public static void main(String[] args) {
         lookups();
@@ -30,7 +27,7 @@
 
     private static String path(SplittableRandom random, int entries) {
         return "/s" + random.nextInt(Math.max(1, entries / 100)) + "/t" + random.nextInt(10) + "/u"
-            + random.nextInt(10);
+                + random.nextInt(10);
     }
 
     private static void lookups() {
@@ -41,8 +38,11 @@
             List<RouteMatch> matches = new ArrayList<>();
             List<Integer> places = new ArrayList<>();
             for (int i = 0; i < entries; i++) {
-                matches.add(new RouteMatch(i % 7 == 0 ? "one.lk" : "*", RouteMatch.segments(path(random, entries)),
-                    i % 5 == 0 ? Set.of("GET") : Set.of(), i % 11 == 0 ? Map.of("x-a", "1") : Map.of()));
+                matches.add(new RouteMatch(
+                        i % 7 == 0 ? "one.lk" : "*",
+                        RouteMatch.segments(path(random, entries)),
+                        i % 5 == 0 ? Set.of("GET") : Set.of(),
+                        i % 11 == 0 ? Map.of("x-a", "1") : Map.of()));
                 places.add(i);
             }
             long before = used();
@@ -61,8 +61,8 @@
         List<String> path = RouteMatch.segments(asked.path());
         for (int i = 0; i < matches.size(); i++) {
             RouteMatch m = matches.get(i);
-            if (path.size() >= m.segments().size() && path.subList(0, m.segments().size())
-                .equals(m.segments())
+            if (path.size() >= m.segments().size()
+                    && path.subList(0, m.segments().size()).equals(m.segments())
                     && m.fitsBeside(asked)) {
                 return i;
             }
@@ -87,9 +87,9 @@
                 ns.recordValue((System.nanoTime() - fromNs) / BATCH);
             }
         }
-        System.out.printf("| %d | %s | %d | %d | %s |%n", entries, way, ns.getValueAtPercentile(50),
-            ns.getValueAtPercentile(99),
-            bytes == 0 ? "" : "" + bytes);
+        System.out.printf(
+                "| %d | %s | %d | %d | %s |%n",
+                entries, way, ns.getValueAtPercentile(50), ns.getValueAtPercentile(99), bytes == 0 ? "" : "" + bytes);
     }
 
     private static long used() {
@@ -100,7 +100,7 @@
     private static void applies() {
         System.out.println();
         System.out.println("| entries | bytes of text | ms to read, check and compile | us of the I/O "
-            + "thread to swap, p50 | most |");
+                + "thread to swap, p50 | most |");
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int entries : new int[] {10, 1_000, 100_000}) {
             byte[] bytes = SampleConfigs.version(entries);
@@ -124,9 +124,13 @@
                     swap.recordValue((System.nanoTime() - readyNs) / 1_000);
                 }
             }
-            System.out.printf("| %d | %d | %d | %d | %d |%n", entries, bytes.length,
-                compile.getValueAtPercentile(50),
-                swap.getValueAtPercentile(50), swap.getMaxValue());
+            System.out.printf(
+                    "| %d | %d | %d | %d | %d |%n",
+                    entries,
+                    bytes.length,
+                    compile.getValueAtPercentile(50),
+                    swap.getValueAtPercentile(50),
+                    swap.getMaxValue());
         }
     }
 }
--- a/src/test/java/gatelock/config/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/config/ConfigCompilerTest.java
@@ -7,7 +7,6 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
@@ -23,21 +22,25 @@
     Stream<DynamicTest> eachVersionBringsJustItsFindings() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/plans"))) {
             return files.sorted().toList().stream()
-                .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
-                List<String> lines = Files.readAllLines(f);
-                List<String> expected = lines.stream().takeWhile(l -> l.startsWith("# "))
-                    .map(l -> l.substring(2)).toList();
-                String text = String.join("\n", lines.subList(expected.size(), lines.size()));
-                ConfigCompiler.Compiled compiled = SampleConfigs.compiled(text);
-                assertThat(compiled.findings()).as("%s", compiled.findings())
-                    .extracting(x -> x.line() + ":" + x.column() + " " + x.pointer() + " " + x.code())
-                    .containsExactlyInAnyOrderElementsOf(expected);
-                assertThat(compiled.findings()).allSatisfy(x -> {
-                    assertThat(x.wrong()).isNotBlank();
-                    assertThat(x.mend()).isNotBlank();
-                });
-                assertThat(compiled.good()).isEqualTo(compiled.findings().stream().noneMatch(Diagnostic::grave));
-            }));
+                    .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
+                        List<String> lines = Files.readAllLines(f);
+                        List<String> expected = lines.stream()
+                                .takeWhile(l -> l.startsWith("# "))
+                                .map(l -> l.substring(2))
+                                .toList();
+                        String text = String.join("\n", lines.subList(expected.size(), lines.size()));
+                        ConfigCompiler.Compiled compiled = SampleConfigs.compiled(text);
+                        assertThat(compiled.findings())
+                                .as("%s", compiled.findings())
+                                .extracting(x -> x.line() + ":" + x.column() + " " + x.pointer() + " " + x.code())
+                                .containsExactlyInAnyOrderElementsOf(expected);
+                        assertThat(compiled.findings()).allSatisfy(x -> {
+                            assertThat(x.wrong()).isNotBlank();
+                            assertThat(x.mend()).isNotBlank();
+                        });
+                        assertThat(compiled.good())
+                                .isEqualTo(compiled.findings().stream().noneMatch(Diagnostic::grave));
+                    }));
         }
     }
 
@@ -80,14 +83,23 @@
               {'name': 'x', 'limits': ['a'], 'path': '/x', 'class': 'read', 'host': '*'}],
              'limits': {'a': {'per': 'all', 'ratePerS': 5.0, 'burst': 5}}, 'note': 'moved', 'format': 1}
             """;
-        assertThat(ConfigDiff.of(SampleConfigs.plan(text), SampleConfigs.plan(moved), SampleConfigs.GROUNDS)).isEmpty();
-        assertThat(ConfigDiff.of(SampleConfigs.plan(text), SampleConfigs.plan(text.replace("5}", "6}").replace("'/y'", "'/z'")),
-            SampleConfigs.GROUNDS)).hasSize(2).anyMatch(l -> l.contains("limits") && l.contains("6 reqs a second"))
-            .anyMatch(l -> l.startsWith("route y: is for"));
+        assertThat(ConfigDiff.of(SampleConfigs.plan(text), SampleConfigs.plan(moved), SampleConfigs.GROUNDS))
+                .isEmpty();
+        assertThat(ConfigDiff.of(
+                        SampleConfigs.plan(text),
+                        SampleConfigs.plan(text.replace("5}", "6}").replace("'/y'", "'/z'")),
+                        SampleConfigs.GROUNDS))
+                .hasSize(2)
+                .anyMatch(l -> l.contains("limits") && l.contains("6 reqs a second"))
+                .anyMatch(l -> l.startsWith("route y: is for"));
         String one = "{'name': 'one', 'path': '/p', 'headers': {'x-a': '1'}, 'class': 'read'}";
         String two = "{'name': 'two', 'path': '/p/q', 'class': 'read'}";
-        assertThat(ConfigDiff.of(SampleConfigs.plan("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
-            SampleConfigs.plan("{'format': 1, 'routes': [" + two + ", " + one + "]}"), SampleConfigs.GROUNDS))
-            .singleElement().asString().contains("meet route two, met one");
+        assertThat(ConfigDiff.of(
+                        SampleConfigs.plan("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
+                        SampleConfigs.plan("{'format': 1, 'routes': [" + two + ", " + one + "]}"),
+                        SampleConfigs.GROUNDS))
+                .singleElement()
+                .asString()
+                .contains("meet route two, met one");
     }
 }
--- a/src/test/java/gatelock/config/RequestLimiterTest.java
+++ b/src/test/java/gatelock/config/RequestLimiterTest.java
@@ -8,7 +8,6 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -17,8 +16,8 @@
 final class RequestLimiterTest {
     private static final long SECOND = 1_000_000;
 
-    private static LimitPolicy limit(String name, LimitPolicy.Per per, double perS, double burst, int inFlight,
-        int length, long waitUs) {
+    private static LimitPolicy limit(
+            String name, LimitPolicy.Per per, double perS, double burst, int inFlight, int length, long waitUs) {
         return new LimitPolicy(name, per, perS / 1e6, burst, inFlight, length, waitUs);
     }
 
@@ -86,9 +85,11 @@
         assertThat(passes(limits, 2 + SECOND / 10, 30, more)).isEqualTo(10);
         LimitPolicy byTenant = limit("l", LimitPolicy.Per.TENANT, 100, 200, Integer.MAX_VALUE, 0, 0);
         limits.follow(SECOND, Map.of("l", byTenant));
-        assertThat(passes(limits, SECOND, 30, byTenant)).as("counted for something else now").isEqualTo(1);
-        LimitPolicy free = limit("l", LimitPolicy.Per.TENANT, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1_000,
-            0, 0);
+        assertThat(passes(limits, SECOND, 30, byTenant))
+                .as("counted for something else now")
+                .isEqualTo(1);
+        LimitPolicy free =
+                limit("l", LimitPolicy.Per.TENANT, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1_000, 0, 0);
         limits.follow(SECOND, Map.of("l", free));
         assertThat(passes(limits, SECOND, 30, free)).isEqualTo(30);
         limits.follow(SECOND, Map.of("l", byTenant));
@@ -179,10 +180,14 @@
                 LimitPolicy.Per[] pers = LimitPolicy.Per.values();
                 Map<String, LimitPolicy> next = new HashMap<>();
                 for (int j = 0; j < its.length; j++) {
-                    its[j] = limit("l" + j, j == 0 ? LimitPolicy.Per.ALL : pers[random.nextInt(4)], 1
-                        + random.nextInt(50),
-                        1 + random.nextInt(5), 1 + random.nextInt(6), random.nextInt(4), 1
-                        + random.nextInt(500_000));
+                    its[j] = limit(
+                            "l" + j,
+                            j == 0 ? LimitPolicy.Per.ALL : pers[random.nextInt(4)],
+                            1 + random.nextInt(50),
+                            1 + random.nextInt(5),
+                            1 + random.nextInt(6),
+                            random.nextInt(4),
+                            1 + random.nextInt(500_000));
                     next.put(its[j].name(), its[j]);
                 }
                 limits.follow(nowUs, next);
@@ -223,8 +228,8 @@
         }
         limits.due(nowUs + 60 * SECOND);
         assertThat(limits.waiting()).isZero();
-        assertThat(limits.inFlight("l0")).isEqualTo((int) all.stream().filter(r -> r.toldUs > nowUs(out)
-            && r.passed == 1).count());
+        assertThat(limits.inFlight("l0")).isEqualTo((int)
+                all.stream().filter(r -> r.toldUs > nowUs(out) && r.passed == 1).count());
     }
 
     private static long nowUs(List<Request> out) {
--- a/src/test/java/gatelock/config/RouteTableTest.java
+++ b/src/test/java/gatelock/config/RouteTableTest.java
@@ -10,7 +10,6 @@
 import java.util.Set;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -20,8 +19,7 @@
 final class RouteTableTest {
     private static final String[] SEGMENTS = {"a", "b", "c", "aa", "x%20y", ""};
     private static final String[] HOSTS = {"*", "one.lk", "*.lk", "*.one.lk", "two.one.lk"};
-    private static final String[] ASKED_HOSTS = {"one.lk", "two.one.lk", "lk", "One.LK", "three.two.one.lk",
-        "other"};
+    private static final String[] ASKED_HOSTS = {"one.lk", "two.one.lk", "lk", "One.LK", "three.two.one.lk", "other"};
 
     /** What a table means, word by word, with no regard to time. */
     private static Integer plain(List<RouteMatch> matches, RequestAttributes asked) {
@@ -29,7 +27,7 @@
             RouteMatch m = matches.get(i);
             List<String> path = RouteMatch.segments(asked.path());
             boolean start = path.size() >= m.segments().size()
-                && path.subList(0, m.segments().size()).equals(m.segments());
+                    && path.subList(0, m.segments().size()).equals(m.segments());
             if (start && m.fitsBeside(asked)) {
                 return i;
             }
@@ -55,10 +53,12 @@
     }
 
     private static RequestAttributes asked(RandomGenerator random) {
-        Map<String, String> headers = random.nextBoolean() ? Map.of() : Map.of("x-a", random.nextBoolean()
-            ? "1" : "2");
-        return new RequestAttributes(random.nextBoolean() ? "GET" : "POST", random.nextInt(9) == 0 ? null
-            : ASKED_HOSTS[random.nextInt(ASKED_HOSTS.length)], path(random), headers::get);
+        Map<String, String> headers = random.nextBoolean() ? Map.of() : Map.of("x-a", random.nextBoolean() ? "1" : "2");
+        return new RequestAttributes(
+                random.nextBoolean() ? "GET" : "POST",
+                random.nextInt(9) == 0 ? null : ASKED_HOSTS[random.nextInt(ASKED_HOSTS.length)],
+                path(random),
+                headers::get);
     }
 
     @Property(tries = 500, seed = "17")
@@ -86,8 +86,9 @@
             for (int j = 0; j < 40 && some.covers(other); j++) {
                 RequestAttributes asked = asked(random);
                 if (plain(List.of(other), asked) != null) {
-                    assertThat(plain(List.of(some), asked)).as("%s covers %s, %s", some, other, asked)
-                        .isNotNull();
+                    assertThat(plain(List.of(some), asked))
+                            .as("%s covers %s, %s", some, other, asked)
+                            .isNotNull();
                 }
             }
         }
@@ -95,13 +96,24 @@
 
     @Test
     void aPathThatAnEndpointMayReadAsAnotherIsOdd() {
-        for (String odd : new String[] {"a", "/a/../b", "/a/./b", "/..", "/a/%2e%2e/b", "/a/.%2E/b",
-            "/a%2Fb", "/a%5cb", "//a",
-            "/a//b", "/a\\b", "/a/..;x/b", "/a%00"}) {
+        for (String odd : new String[] {
+            "a",
+            "/a/../b",
+            "/a/./b",
+            "/..",
+            "/a/%2e%2e/b",
+            "/a/.%2E/b",
+            "/a%2Fb",
+            "/a%5cb",
+            "//a",
+            "/a//b",
+            "/a\\b",
+            "/a/..;x/b",
+            "/a%00"
+        }) {
             assertThat(RouteMatch.odd(odd)).as(odd).isTrue();
         }
-        for (String usual : new String[] {"/", "/a", "/a/", "/a.b/..c", "/a%20b", "/a;v=1",
-            "/.well-known/x"}) {
+        for (String usual : new String[] {"/", "/a", "/a/", "/a.b/..c", "/a%20b", "/a;v=1", "/.well-known/x"}) {
             assertThat(RouteMatch.odd(usual)).as(usual).isFalse();
         }
     }
--- a/src/test/java/gatelock/config/VersionTrackerTest.java
+++ b/src/test/java/gatelock/config/VersionTrackerTest.java
@@ -8,7 +8,6 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -20,8 +19,8 @@
     private static final ConfigVersion.Epoch NEW = new ConfigVersion.Epoch(2, "a");
 
     private static CompiledConfig plan(ConfigVersion stamp) {
-        return new CompiledConfig(stamp, "me", "why", false, List.of(), Map.of(), Map.of(), RetryPolicy.FREE, Map.of(),
-            List.of());
+        return new CompiledConfig(
+                stamp, "me", "why", false, List.of(), Map.of(), Map.of(), RetryPolicy.FREE, Map.of(), List.of());
     }
 
     private static ConfigVersion stamp(ConfigVersion.Epoch epoch, long number) {
@@ -47,8 +46,8 @@
         s.bad(stamp(NEW, 2), List.of(), true);
         assertThat(s.offered(stamp(NEW, 2))).isEqualTo(VersionTracker.Meeting.REFUSED_BEFORE);
         assertThat(s.offered(new ConfigVersion(NEW, 3, stamp(NEW, 2).hash())))
-            .as("the same text under another number")
-            .isEqualTo(VersionTracker.Meeting.REFUSED_BEFORE);
+                .as("the same text under another number")
+                .isEqualTo(VersionTracker.Meeting.REFUSED_BEFORE);
     }
 
     @Test
@@ -64,8 +63,9 @@
         assertThat(s.offered(stamp(OLD, 6))).isEqualTo(VersionTracker.Meeting.PINNED);
         assertThat(good(s, stamp(OLD, 6))).as("compiled meanwhile").isFalse();
         s.release();
-        assertThat(s.offered(stamp(OLD, 5))).as("the one that was gone back from")
-            .isEqualTo(VersionTracker.Meeting.COMPILE);
+        assertThat(s.offered(stamp(OLD, 5)))
+                .as("the one that was gone back from")
+                .isEqualTo(VersionTracker.Meeting.COMPILE);
         assertThat(good(s, stamp(OLD, 5))).isTrue();
         assertThat(s.inForce()).isEqualTo(stamp(OLD, 5));
     }
@@ -77,8 +77,10 @@
         List<ConfigVersion> compiling = new ArrayList<>();
         ConfigVersion held = null;
         for (int i = 0; i < 300; i++) {
-            ConfigVersion some = new ConfigVersion(new ConfigVersion.Epoch(random.nextInt(3), "" + (char) ('a' + random.nextInt(2))),
-                1 + random.nextInt(12), "" + random.nextInt(30));
+            ConfigVersion some = new ConfigVersion(
+                    new ConfigVersion.Epoch(random.nextInt(3), "" + (char) ('a' + random.nextInt(2))),
+                    1 + random.nextInt(12),
+                    "" + random.nextInt(30));
             if (s.offered(some) == VersionTracker.Meeting.COMPILE) {
                 compiling.add(some);
             }
@@ -89,7 +91,8 @@
                     s.bad(done, List.of(), random.nextBoolean());
                 } else if (good(s, done)) {
                     int epoch = held == null ? 1 : done.epoch().compareTo(held.epoch());
-                    assertThat(epoch > 0 || epoch == 0 && done.number() > held.number()).isTrue();
+                    assertThat(epoch > 0 || epoch == 0 && done.number() > held.number())
+                            .isTrue();
                     held = done;
                 }
                 assertThat(s.held()).isEqualTo(held);
--- a/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
+++ b/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.config.ConfigVersion;
-
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -11,7 +10,6 @@
 import java.util.Arrays;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -63,7 +61,8 @@
             Files.write(latest, spoilt);
             for (LastKnownGoodStore.Kept kept : keep.read()) {
                 assertThat(kept.text()).as("spoilt %d", i).isIn(text(1), text(2));
-                assertThat(ConfigVersion.hash(kept.text())).isEqualTo(kept.stamp().hash());
+                assertThat(ConfigVersion.hash(kept.text()))
+                        .isEqualTo(kept.stamp().hash());
             }
             assertThat(keep.read()).anyMatch(k -> k.stamp().equals(stamp(1)));
         }
--- a/src/test/java/gatelock/decision/ExactIntervalTable.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTable.java
@@ -6,8 +6,7 @@
  */
 public final class ExactIntervalTable {
 
-    private ExactIntervalTable() {
-    }
+    private ExactIntervalTable() {}
 
     /** How often one relay of some may be wrong, so that as many voices as asked for are together wrong so rarely. */
     public static double level(double together, int relays, int voices) {
--- a/src/test/java/gatelock/decision/ExactIntervalTableTest.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTableTest.java
@@ -40,6 +40,7 @@
         assertThat(worse).isBetween(2, bad - 1);
         assertThat(ExactIntervalTable.found(worse, 100, 0.3, 0.02, 0.05)).isGreaterThanOrEqualTo(0.5);
         assertThat(ExactIntervalTable.found(worse - 1, 100, 0.3, 0.02, 0.05)).isLessThan(0.5);
-        assertThat(ExactIntervalTable.outcomesNeeded(1, 0.3, 0.02, 0.05, 0.5, 500)).isEqualTo(-1);
+        assertThat(ExactIntervalTable.outcomesNeeded(1, 0.3, 0.02, 0.05, 0.5, 500))
+                .isEqualTo(-1);
     }
 }
--- a/src/test/java/gatelock/decision/OutcomeWindowTest.java
+++ b/src/test/java/gatelock/decision/OutcomeWindowTest.java
@@ -2,15 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.SplittableRandom;
-
 /** Which endpoints are left out when a build is judged without its worst ones. */
 final class OutcomeWindowTest {
     private static final int SLICES = 8;
@@ -42,12 +41,14 @@
 
     private static double slow(List<OutcomeWindow> slices) {
         return OutcomeWindow.outcomes(slices).filter(o -> o.slowness() > 1).count()
-            / (double) Math.max(1, OutcomeWindow.seen(slices));
+                / (double) Math.max(1, OutcomeWindow.seen(slices));
     }
 
     @Property(tries = 200)
-    void whatStrikesAllEndpointsByChanceStaysVisibleHoweverFewOutcomesEachHas(@ForAll @IntRange(min = 10, max = 60)
-        int perSlice, @ForAll @DoubleRange(min = 0.2, max = 0.6) double share, @ForAll long seed) {
+    void whatStrikesAllEndpointsByChanceStaysVisibleHoweverFewOutcomesEachHas(
+            @ForAll @IntRange(min = 10, max = 60) int perSlice,
+            @ForAll @DoubleRange(min = 0.2, max = 0.6) double share,
+            @ForAll long seed) {
         List<OutcomeWindow> all = slices(perSlice, seed, shares(0, 0, share));
         List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
         double chance = Math.sqrt(share * (1 - share) / Math.max(1, OutcomeWindow.seen(rest)));
@@ -55,11 +56,12 @@
     }
 
     @Property(tries = 200)
-    void endpointsThatAreSickThroughoutAreLeftOut(@ForAll @IntRange(min = 60, max = 120) int perSlice,
-        @ForAll long seed) {
+    void endpointsThatAreSickThroughoutAreLeftOut(
+            @ForAll @IntRange(min = 60, max = 120) int perSlice, @ForAll long seed) {
         List<OutcomeWindow> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
         assertThat(slow(all)).isGreaterThan(0.15);
-        assertThat(slow(OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5))).isLessThan(0.08);
+        assertThat(slow(OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5)))
+                .isLessThan(0.08);
     }
 
     @Property(tries = 50)
@@ -67,7 +69,7 @@
         List<OutcomeWindow> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
         List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
         assertThat(all.stream().flatMap(s -> s.outcomes().stream()).toList())
-            .containsAll(OutcomeWindow.outcomes(rest).toList());
+                .containsAll(OutcomeWindow.outcomes(rest).toList());
         assertThat(OutcomeWindow.seen(rest)).isLessThanOrEqualTo(OutcomeWindow.seen(all));
     }
 }
--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -1,18 +1,17 @@
 package gatelock.discovery;
 
-import gatelock.net.ConnectionPool;
-import gatelock.net.EventLoop;
-import gatelock.net.JsonObject;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.state.EndpointAddresses;
-import gatelock.state.Counters;
-import gatelock.membership.EndpointSubset;
-import gatelock.api.RequestConstraints;
 import gatelock.api.DecisionEngine;
-import gatelock.api.RequestHandle;
 import gatelock.api.Endpoint;
-
+import gatelock.api.RequestConstraints;
+import gatelock.api.RequestHandle;
+import gatelock.membership.EndpointSubset;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.JsonObject;
+import gatelock.state.Counters;
+import gatelock.state.EndpointAddresses;
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -27,7 +26,6 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.xnio.OptionMap;
@@ -37,11 +35,12 @@
 
 /** A course of lists over a socket, and all that the decisions hear of it. */
 final class DiscoveryClientTest {
-    private static final String KNOWN = "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entry("a", 1, "in_service", 0, 1)
-        + "]}";
+    private static final String KNOWN =
+            "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entry("a", 1, "in_service", 0, 1) + "]}";
 
     /** What was asked, and what the decisions were told, in the order in which it was. */
     private final BlockingQueue<String> course = new LinkedBlockingQueue<>();
+
     private final XnioWorker worker;
     private final EventLoop turn;
     private final EndpointAddresses addresses = new EndpointAddresses();
@@ -64,8 +63,16 @@
     private final class Noting implements DecisionEngine {
         @Override
         public void listed(long nowUs, ListForm form, List<Endpoint> endpoints) {
-            course.add(form + " " + endpoints.stream().map(u -> u + " at " + (addresses.get(u.endpoint()) == null ? "none"
-                : addresses.get(u.endpoint()).address().getPort())).toList());
+            course.add(form + " "
+                    + endpoints.stream()
+                            .map(u -> u + " at "
+                                    + (addresses.get(u.endpoint()) == null
+                                            ? "none"
+                                            : addresses
+                                                    .get(u.endpoint())
+                                                    .address()
+                                                    .getPort()))
+                            .toList());
         }
 
         @Override
@@ -74,8 +81,15 @@
         }
 
         @Override
-        public RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs,
-                           RequestConstraints bounds) {
+        public RequestHandle take(
+                long nowUs,
+                String id,
+                int route,
+                int tenant,
+                long key,
+                long leftUs,
+                long costUs,
+                RequestConstraints bounds) {
             throw new AssertionError();
         }
 
@@ -101,8 +115,9 @@
     }
 
     private static String entry(String name, int port, String status, long sinceMs, int build) {
-        return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + port + "\",\"zone\":\"west\",\"type\":\"m\",\"group\":3,"
-            + "\"status\":\"" + status + "\",\"weight\":1.0,\"since_ms\":" + sinceMs + ",\"image_id\":" + build + "}";
+        return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + port
+                + "\",\"zone\":\"west\",\"type\":\"m\",\"group\":3," + "\"status\":\"" + status
+                + "\",\"weight\":1.0,\"since_ms\":" + sinceMs + ",\"image_id\":" + build + "}";
     }
 
     private static String list(int index, boolean whole, String... entries) {
@@ -112,12 +127,23 @@
     private void start(DiscoveryClient.Membership membership) {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
         turn.soon(() -> {
-            ConnectionPool platform = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
+            ConnectionPool platform =
+                    new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
             ConnectionPool endpoints = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
             try {
-                new DiscoveryClient(turn, counters, platform, at, addresses, endpoints, List.of("east", "west"), List.of("s", "m"),
-                    false, new SplittableRandom(1), membership).start(new Noting(), null,
-                    JsonObject.read(KNOWN.getBytes(StandardCharsets.UTF_8)));
+                new DiscoveryClient(
+                                turn,
+                                counters,
+                                platform,
+                                at,
+                                addresses,
+                                endpoints,
+                                List.of("east", "west"),
+                                List.of("s", "m"),
+                                false,
+                                new SplittableRandom(1),
+                                membership)
+                        .start(new Noting(), null, JsonObject.read(KNOWN.getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -126,7 +152,7 @@
 
     /** Reads one call, from a new connection where the last one has ended. */
     private String asked() throws IOException {
-        for (;;) {
+        for (; ; ) {
             if (socket == null) {
                 socket = listener.accept();
                 socket.setSoTimeout(20_000);
@@ -146,8 +172,9 @@
     }
 
     private void answer(String status, String body) throws IOException {
-        socket.getOutputStream().write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-            .getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
+                        .getBytes(StandardCharsets.US_ASCII));
     }
 
     /** Answers the next call and notes it; what it led to is told by the time of the one after. */
@@ -158,15 +185,26 @@
     }
 
     private void play() throws Exception {
-        turn(list(5, true, entry("a", 11, "in_service", 7, 1), entry("b", 12, "in_service", 0, 1),
-            entry("c", 13, "terminating", 0, 2)));
+        turn(list(
+                5,
+                true,
+                entry("a", 11, "in_service", 7, 1),
+                entry("b", 12, "in_service", 0, 1),
+                entry("c", 13, "terminating", 0, 2)));
         turn(list(6, false, entry("b", 12, "terminating", 0, 1)));
         turn(list(6, false));
-        turn(list(7, false, entry("b", 12, "terminated", 0, 1), entry("d", 14, "in_service", 0, 2),
-            entry("a", 11, "in_service", 9, 2)));
+        turn(list(
+                7,
+                false,
+                entry("b", 12, "terminated", 0, 1),
+                entry("d", 14, "in_service", 0, 2),
+                entry("a", 11, "in_service", 9, 2)));
         // bad ones: each changes nothing and is asked for again
-        turn(list(8, false, entry("e", 15, "in_service", 0, 1), entry("f", 16, "in_service", 0, 1)
-            .replace("in_service", "zz")));
+        turn(list(
+                8,
+                false,
+                entry("e", 15, "in_service", 0, 1),
+                entry("f", 16, "in_service", 0, 1).replace("in_service", "zz")));
         turn(list(8, false, entry("e", 15, "in_service", -1, 1)));
         turn(list(8, true, entry("e", 15, "in_service", 0, 1)) + "x");
         turn(list(8, true, entry("e", 15, "in_service", 0, 1), entry("e", 15, "in_service", 0, 1)));
@@ -195,19 +233,33 @@
         List<String> expected = new ArrayList<>();
         expected.add("CACHED [" + String.format(endpoint, "a", 1, "READY", 0, "1") + "]");
         expected.add(String.format(call, ""));
-        expected.add("FULL [" + String.join(", ", String.format(endpoint, "a", 1, "READY", 7000, "11"),
-            String.format(endpoint, "b", 1, "READY", 0, "12"), String.format(endpoint, "c", 2, "DRAINING", 0, "13")) + "]");
+        expected.add("FULL ["
+                + String.join(
+                        ", ",
+                        String.format(endpoint, "a", 1, "READY", 7000, "11"),
+                        String.format(endpoint, "b", 1, "READY", 0, "12"),
+                        String.format(endpoint, "c", 2, "DRAINING", 0, "13"))
+                + "]");
         expected.add(String.format(call, String.format(from, 5)));
         expected.add("DELTA [" + String.format(endpoint, "b", 1, "DRAINING", 0, "12") + "]");
         expected.add(String.format(call, String.format(from, 6)));
         expected.add(String.format(call, String.format(from, 6)));
-        expected.add("DELTA [" + String.join(", ", String.format(endpoint, "b", 1, "GONE", 0, "none"),
-            String.format(endpoint, "d", 2, "READY", 0, "14"), String.format(endpoint, "a", 2, "READY", 9000, "11")) + "]");
+        expected.add("DELTA ["
+                + String.join(
+                        ", ",
+                        String.format(endpoint, "b", 1, "GONE", 0, "none"),
+                        String.format(endpoint, "d", 2, "READY", 0, "14"),
+                        String.format(endpoint, "a", 2, "READY", 9000, "11"))
+                + "]");
         for (int i = 0; i < 7; i++) {
             expected.add(String.format(call, String.format(from, 7)));
         }
-        expected.add("FULL [" + String.join(", ", String.format(endpoint, "d", 2, "READY", 0, "17"),
-            String.format(endpoint, "g", 3, "READY", 0, "18")) + "]");
+        expected.add("FULL ["
+                + String.join(
+                        ", ",
+                        String.format(endpoint, "d", 2, "READY", 0, "17"),
+                        String.format(endpoint, "g", 3, "READY", 0, "18"))
+                + "]");
         expected.add(String.format(call, String.format(from, 9)));
         expected.add("FULL [" + String.format(endpoint, "g", 3, "READY", 0, "18") + "]");
         expected.add(String.format(call, String.format(from, 2)));
@@ -219,10 +271,16 @@
 
     @Test
     void aScopeThatHoldsAllTellsTheSameAndAsksTheSame() throws Exception {
-        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceNameExtractor.ONE, 1 << 20));
+        start(new DiscoveryClient.Membership(
+                new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)),
+                ServiceNameExtractor.ONE,
+                1 << 20));
         play();
         List<String> calls = taken("GET");
-        List<String> told = course.stream().filter(c -> !c.startsWith("GET")).map(DiscoveryClientTest::inOrder).toList();
+        List<String> told = course.stream()
+                .filter(c -> !c.startsWith("GET"))
+                .map(DiscoveryClientTest::inOrder)
+                .toList();
         DiscoveryClientTest without = new DiscoveryClientTest();
         try {
             without.start(null);
@@ -231,25 +289,37 @@
             without.stop();
         }
         assertThat(calls).isEqualTo(without.taken("GET"));
-        assertThat(told).isEqualTo(without.course.stream().filter(c -> !c.startsWith("GET")).map(DiscoveryClientTest::inOrder)
-            .toList());
+        assertThat(told)
+                .isEqualTo(without.course.stream()
+                        .filter(c -> !c.startsWith("GET"))
+                        .map(DiscoveryClientTest::inOrder)
+                        .toList());
     }
 
     /** The endpoints of one telling by name, as a list and a scope may have an order of their own. */
     private static String inOrder(String told) {
         // One that drains when it is first listed never comes into scope: there is nothing for it to do.
-        String[] parts = told.replaceAll("(, )?Listed\\[unit=c,[^\\]]*\\] at 13", "").replaceAll("[\\[\\]]+$", "").split("Listed\\[");
+        String[] parts = told.replaceAll("(, )?Listed\\[unit=c,[^\\]]*\\] at 13", "")
+                .replaceAll("[\\[\\]]+$", "")
+                .split("Listed\\[");
         Arrays.sort(parts, 1, parts.length, Comparator.naturalOrder());
-        return String.join(" ", parts).replace(", ", " ").replaceAll("\\s+", " ").strip();
+        return String.join(" ", parts)
+                .replace(", ", " ")
+                .replaceAll("\\s+", " ")
+                .strip();
     }
 
     @Test
     void aListThatTricklesInIsReadAndOneThatStopsIsAskedForAgain() throws Exception {
-        start(new DiscoveryClient.Membership(new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)), ServiceNameExtractor.ONE, 1 << 20));
+        start(new DiscoveryClient.Membership(
+                new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)),
+                ServiceNameExtractor.ONE,
+                1 << 20));
         asked();
         String body = list(5, true, entry("a", 11, "in_service", 7, 1), entry("b", 12, "in_service", 0, 1));
-        socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n")
-            .getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
         // Longer in all than an answer that is held whole may take; by the relay's own timers, so that a machine that
         // is late makes both late.
         for (int i = 0; i < 10; i++) {
@@ -263,8 +333,9 @@
             });
         }
         assertThat(asked()).startsWith("GET /api/targets?from=5&");
-        socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"index\":6,")
-            .getBytes(StandardCharsets.US_ASCII));
+        socket.getOutputStream()
+                .write(("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"index\":6,")
+                        .getBytes(StandardCharsets.US_ASCII));
         assertThat(asked()).startsWith("GET /api/targets?from=5&");
         assertThat(course).hasSize(2);
         assertThat(counters.toString()).contains("discovery failed=1");
--- a/src/test/java/gatelock/discovery/EndpointListReaderTest.java
+++ b/src/test/java/gatelock/discovery/EndpointListReaderTest.java
@@ -1,16 +1,15 @@
 package gatelock.discovery;
 
-import gatelock.net.JsonObject;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import gatelock.net.JsonObject;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -84,8 +83,8 @@
     @Test
     void cutAtEveryByteAListSaysTheSame() {
         String list = " {\"more\": {\"a\": [1, {\"endpoints\": []}]},\r\n \"index\" : 17, \"endpoints\": [ {\"name\":"
-            + " \"\u00e4\\u00e4\\\"\ud83d\ude00\", \"since_ms\": 1.5e3, \"labels\": {\"x\": [null, true, \"y\"], \"y\": \"z\"}},"
-            + " {} ,\n" + String.format(ENTRY, "b") + "], \"snapshot\": true, \"z\": null}\n ";
+                + " \"\u00e4\\u00e4\\\"\ud83d\ude00\", \"since_ms\": 1.5e3, \"labels\": {\"x\": [null, true, \"y\"], \"y\": \"z\"}},"
+                + " {} ,\n" + String.format(ENTRY, "b") + "], \"snapshot\": true, \"z\": null}\n ";
         byte[] text = bytes(list);
         Said whole = atOnce(text);
         assertThat(whole.entries).hasSize(3);
@@ -104,13 +103,17 @@
     void whatIsCutShortAnywhereIsNoList() {
         byte[] text = bytes("{\"snapshot\":true,\"endpoints\":[" + String.format(ENTRY, "a") + "],\"index\":5}");
         for (int length = 0; length < text.length; length++) {
-            assertThat(inPieces(Arrays.copyOf(text, length), true, List.of(length / 2))).as("" + length).isEqualTo(Said.BAD);
+            assertThat(inPieces(Arrays.copyOf(text, length), true, List.of(length / 2)))
+                    .as("" + length)
+                    .isEqualTo(Said.BAD);
         }
     }
 
     @Property(tries = 400)
-    void ofAnyListInAnyPiecesTheSameIsRead(@ForAll("lists") String list, @ForAll boolean wholeAsked,
-                                           @ForAll List<@net.jqwik.api.constraints.IntRange(max = 600) Integer> cuts) {
+    void ofAnyListInAnyPiecesTheSameIsRead(
+            @ForAll("lists") String list,
+            @ForAll boolean wholeAsked,
+            @ForAll List<@net.jqwik.api.constraints.IntRange(max = 600) Integer> cuts) {
         List<Integer> sorted = cuts.stream().sorted().toList();
         assertThat(inPieces(bytes(list), wholeAsked, sorted)).as(list).isEqualTo(atOnce(bytes(list)));
     }
@@ -118,23 +121,53 @@
     /** Lists with their fields in any order, some spoilt in one place. */
     @Provide
     Arbitrary<String> lists() {
-        Arbitrary<String> entry = Arbitraries.of(String.format(ENTRY, "a"), String.format(ENTRY, "\\u00e9\u00e9"),
-            "{}", "{\"labels\":{\"s\":\"x\"},\"n\":[1,2,[3]]}", " {\"name\": null, \"since_ms\": -1.25}", "7",
-            "null", "[]", "{\"a\":1,\"a\":2}", "{\"a\":null,\"b\":{\"c\":{},\"c\":1}}").edgeCases(c -> c.none());
+        Arbitrary<String> entry = Arbitraries.of(
+                        String.format(ENTRY, "a"),
+                        String.format(ENTRY, "\\u00e9\u00e9"),
+                        "{}",
+                        "{\"labels\":{\"s\":\"x\"},\"n\":[1,2,[3]]}",
+                        " {\"name\": null, \"since_ms\": -1.25}",
+                        "7",
+                        "null",
+                        "[]",
+                        "{\"a\":1,\"a\":2}",
+                        "{\"a\":null,\"b\":{\"c\":{},\"c\":1}}")
+                .edgeCases(c -> c.none());
         Arbitrary<String> good = Arbitraries.of(String.format(ENTRY, "a"), "{\"name\":\"b\",\"zone\":\"z\"}", "{}");
-        Arbitrary<String> entries = Arbitraries.frequencyOf(net.jqwik.api.Tuple.of(6, good), net.jqwik.api.Tuple.of(1, entry))
-            .list().ofMaxSize(6).map(all -> "\"endpoints\":[" + String.join(" ,\n", all) + "]");
-        Arbitrary<String> index = Arbitraries.of("\"index\":5", "\"index\":0", "\"index\":7", "\"index\":-1",
-            "\"index\":\"5\"", "\"index\":{}", "\"x\":1", "\"index\": 12.0");
-        Arbitrary<String> snapshot = Arbitraries.of("\"snapshot\":true", "\"snapshot\":false", "\"snapshot\":null",
-            "\"y\":[{\"index\":3}]", "\"snapshot\":[true]");
-        Arbitrary<String> more = Arbitraries.of("\"m\":1", "\"m\":{\"endpoints\":[],\"snapshot\":true}", "\"m\":[[[]]]");
-        return Combinators.combine(entries, index, snapshot, more, Arbitraries.randomValue(r -> r.nextInt()),
-            Arbitraries.of("", "", "", "", " ", "x", "{}", "]", ",")).as((e, i, s, m, order, tail) -> {
-                List<String> fields = new ArrayList<>(List.of(e, i, s, m));
-                java.util.Collections.shuffle(fields, new java.util.Random(order));
-                return "{" + String.join(",", fields) + "}" + tail;
-            });
+        Arbitrary<String> entries = Arbitraries.frequencyOf(
+                        net.jqwik.api.Tuple.of(6, good), net.jqwik.api.Tuple.of(1, entry))
+                .list()
+                .ofMaxSize(6)
+                .map(all -> "\"endpoints\":[" + String.join(" ,\n", all) + "]");
+        Arbitrary<String> index = Arbitraries.of(
+                "\"index\":5",
+                "\"index\":0",
+                "\"index\":7",
+                "\"index\":-1",
+                "\"index\":\"5\"",
+                "\"index\":{}",
+                "\"x\":1",
+                "\"index\": 12.0");
+        Arbitrary<String> snapshot = Arbitraries.of(
+                "\"snapshot\":true",
+                "\"snapshot\":false",
+                "\"snapshot\":null",
+                "\"y\":[{\"index\":3}]",
+                "\"snapshot\":[true]");
+        Arbitrary<String> more =
+                Arbitraries.of("\"m\":1", "\"m\":{\"endpoints\":[],\"snapshot\":true}", "\"m\":[[[]]]");
+        return Combinators.combine(
+                        entries,
+                        index,
+                        snapshot,
+                        more,
+                        Arbitraries.randomValue(r -> r.nextInt()),
+                        Arbitraries.of("", "", "", "", " ", "x", "{}", "]", ","))
+                .as((e, i, s, m, order, tail) -> {
+                    List<String> fields = new ArrayList<>(List.of(e, i, s, m));
+                    java.util.Collections.shuffle(fields, new java.util.Random(order));
+                    return "{" + String.join(",", fields) + "}" + tail;
+                });
     }
 
     @Test
@@ -155,10 +188,17 @@
     void whatWouldFillTheMemoryOrIsNoTextIsRefusedWhileItComes() throws Exception {
         String head = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
         String pad = "p".repeat(EndpointListReader.MOST_ENTRY / 2);
-        for (String odd : new String[] {head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + pad,
-            head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + "\"}", head + "{\"a\":" + "[".repeat(100),
-            "[".repeat(100), "{\"x\":" + "[".repeat(100), head + "{\"" + pad + pad + pad, "{\"index\":" + "1".repeat(200),
-            head + "],\"endpoints\":[]}", head + "{\"a\":\"\u00e4\"}]}"}) {
+        for (String odd : new String[] {
+            head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + pad,
+            head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + "\"}",
+            head + "{\"a\":" + "[".repeat(100),
+            "[".repeat(100),
+            "{\"x\":" + "[".repeat(100),
+            head + "{\"" + pad + pad + pad,
+            "{\"index\":" + "1".repeat(200),
+            head + "],\"endpoints\":[]}",
+            head + "{\"a\":\"\u00e4\"}]}"
+        }) {
             byte[] text = odd.contains("\u00e4") ? odd.getBytes(StandardCharsets.ISO_8859_1) : bytes(odd);
             EndpointListReader reader = new EndpointListReader(true, new EndpointListReader.Taker() {
                 @Override
@@ -172,10 +212,12 @@
                 }
             });
             assertThatThrownBy(() -> {
-                for (byte b : text) {
-                    reader.read(new byte[] {b});
-                }
-            }).as(odd.substring(0, Math.min(60, odd.length()))).isInstanceOf(IOException.class);
+                        for (byte b : text) {
+                            reader.read(new byte[] {b});
+                        }
+                    })
+                    .as(odd.substring(0, Math.min(60, odd.length())))
+                    .isInstanceOf(IOException.class);
         }
     }
 }
--- a/src/test/java/gatelock/fleet/CpuMeter.java
+++ b/src/test/java/gatelock/fleet/CpuMeter.java
@@ -9,7 +9,13 @@
  */
 final class CpuMeter {
     /** Whose work it is: the world's around the relays, or one of a relay's own. */
-    enum Role { WORLD, LIST, SCOPE, BEAT, REQS }
+    enum Role {
+        WORLD,
+        LIST,
+        SCOPE,
+        BEAT,
+        REQS
+    }
 
     private final boolean on;
     private final ThreadMXBean thread = ManagementFactory.getThreadMXBean();
--- a/src/test/java/gatelock/fleet/FleetRecords.java
+++ b/src/test/java/gatelock/fleet/FleetRecords.java
@@ -2,7 +2,6 @@
 
 import gatelock.api.Endpoint;
 import gatelock.api.RoutePolicy;
-
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -23,34 +22,25 @@
  * asks a relay what it meant.
  */
 final class FleetRecords {
-    record Taken(String id, int relay, RoutePolicy route, long atUs, long endUs) {
-    }
+    record Taken(String id, int relay, RoutePolicy route, long atUs, long endUs) {}
 
-    record Answer(String id, long atUs, boolean completed) {
-    }
+    record Answer(String id, long atUs, boolean completed) {}
 
-    record Sent(String id, int relay, String endpoint, int build, double workUs, long atUs) {
-    }
+    record Sent(String id, int relay, String endpoint, int build, double workUs, long atUs) {}
 
-    record Ran(String id, String endpoint, long atUs) {
-    }
+    record Ran(String id, String endpoint, long atUs) {}
 
-    record Told(int relay, String endpoint, long atUs) {
-    }
+    record Told(int relay, String endpoint, long atUs) {}
 
-    record Cap(int relay, int build, double cap, long atUs) {
-    }
+    record Cap(int relay, int build, double cap, long atUs) {}
 
-    record Start(String endpoint, double cores, long atUs) {
-    }
+    record Start(String endpoint, double cores, long atUs) {}
 
     /** Since when discovery could tell of an endpoint that it is ready, or that it is not. */
-    record Known(String endpoint, long atUs) {
-    }
+    record Known(String endpoint, long atUs) {}
 
     /** Of an endpoint's service: how many of its endpoints are ready, how many of the relays hold this one. */
-    record Held(String endpoint, int ready, int holders, int relays, int most) {
-    }
+    record Held(String endpoint, int ready, int holders, int relays, int most) {}
 
     /** A change of the list or the whole of it: since when it could be told, who is owed it and who heard it. */
     static final class Message {
@@ -93,6 +83,7 @@
     final List<Start> starts = new ArrayList<>();
     /** Relays heard that an endpoint is ready, again or for the first time. */
     final List<Told> backs = new ArrayList<>();
+
     final List<Known> downs = new ArrayList<>();
     final List<Known> ups = new ArrayList<>();
     final List<Message> messages = new ArrayList<>();
@@ -102,6 +93,7 @@
     final Map<String, Long> ended = new HashMap<>();
     /** By relay: the endpoints that it has heard to be leaving, and not to be back. */
     private final Map<Integer, Set<String>> gone = new HashMap<>();
+
     int opened;
     /** When the play ended; what was due later is no fault. */
     long endUs = Long.MAX_VALUE;
@@ -128,7 +120,9 @@
         }
         for (SimulatedDiscovery.Entry e : message.entries()) {
             boolean ready = e.listed().health() == Endpoint.Health.READY;
-            boolean news = ready ? its.remove(e.listed().endpoint()) : its.add(e.listed().endpoint());
+            boolean news = ready
+                    ? its.remove(e.listed().endpoint())
+                    : its.add(e.listed().endpoint());
             if (news) {
                 (ready ? backs : leaves).add(new Told(relay, e.listed().endpoint(), atUs));
             }
@@ -159,13 +153,18 @@
 
     /** How long after it could be told each relay has each change, in order; also what is still on a link. */
     long[] reachedUs() {
-        return messages.stream().flatMapToLong(m -> m.dueUs.values().stream().mapToLong(us -> us - m.atUs))
-            .sorted().toArray();
+        return messages.stream()
+                .flatMapToLong(m -> m.dueUs.values().stream().mapToLong(us -> us - m.atUs))
+                .sorted()
+                .toArray();
     }
 
     /** What links still carry at the end. */
     long onTheWay() {
-        return messages.stream().flatMap(m -> m.dueUs.values().stream()).filter(us -> us > endUs).count();
+        return messages.stream()
+                .flatMap(m -> m.dueUs.values().stream())
+                .filter(us -> us > endUs)
+                .count();
     }
 
     /**
@@ -177,7 +176,8 @@
             return;
         }
         Map<String, TreeMap<Long, Boolean>> known = new HashMap<>();
-        downs.forEach(k -> known.computeIfAbsent(k.endpoint, u -> new TreeMap<>()).put(k.atUs, false));
+        downs.forEach(
+                k -> known.computeIfAbsent(k.endpoint, u -> new TreeMap<>()).put(k.atUs, false));
         ups.forEach(k -> known.computeIfAbsent(k.endpoint, u -> new TreeMap<>()).put(k.atUs, true));
         Set<String> named = new HashSet<>();
         for (Sent s : sent) {
@@ -185,14 +185,15 @@
             Map.Entry<Long, Boolean> now = its == null ? null : its.floorEntry(s.atUs);
             if (now != null && !now.getValue()) {
                 long sinceUs = now.getKey();
-                for (Map.Entry<Long, Boolean> e = its.lowerEntry(sinceUs); e != null && !e.getValue();
+                for (Map.Entry<Long, Boolean> e = its.lowerEntry(sinceUs);
+                        e != null && !e.getValue();
                         e = its.lowerEntry(sinceUs)) {
                     sinceUs = e.getKey();
                 }
                 if (s.atUs > sinceUs + terms.toldWithinUs + GRACE_US + SLACK_US
                         && named.add(s.relay + " " + s.endpoint)) {
-                    found.add("told late: relay " + s.relay + " sent to " + s.endpoint + " "
-                        + (s.atUs - sinceUs) / 1000 + " ms after it left");
+                    found.add("told late: relay " + s.relay + " sent to " + s.endpoint + " " + (s.atUs - sinceUs) / 1000
+                            + " ms after it left");
                 }
             }
         }
@@ -251,7 +252,8 @@
             Map.Entry<Long, Boolean> last = its == null ? null : its.floorEntry(s.atUs);
             if (last != null && last.getValue()) {
                 long sinceUs = last.getKey();
-                for (Map.Entry<Long, Boolean> e = its.lowerEntry(sinceUs); e != null && e.getValue();
+                for (Map.Entry<Long, Boolean> e = its.lowerEntry(sinceUs);
+                        e != null && e.getValue();
                         e = its.lowerEntry(sinceUs)) {
                     sinceUs = e.getKey();
                 }
@@ -263,17 +265,19 @@
     }
 
     private static TreeMap<Long, Boolean> of(Map<Integer, Map<String, TreeMap<Long, Boolean>>> told, Told one) {
-        return told.computeIfAbsent(one.relay, r -> new HashMap<>()).computeIfAbsent(one.endpoint,
-            u -> new TreeMap<>());
+        return told.computeIfAbsent(one.relay, r -> new HashMap<>())
+                .computeIfAbsent(one.endpoint, u -> new TreeMap<>());
     }
 
     /** In every window that begins with a send, the work sent to a cold endpoint stays under its multiple. */
     private void coldEndpoints(List<String> found, SimulatedFleet.Terms terms) {
         Map<String, List<Sent>> byEndpoint = new HashMap<>();
-        sent.forEach(s -> byEndpoint.computeIfAbsent(s.endpoint, u -> new ArrayList<>()).add(s));
+        sent.forEach(s ->
+                byEndpoint.computeIfAbsent(s.endpoint, u -> new ArrayList<>()).add(s));
         for (Start start : starts) {
             List<Sent> its = byEndpoint.getOrDefault(start.endpoint, List.of()).stream()
-                .filter(s -> s.atUs >= start.atUs && s.atUs < start.atUs + terms.warmUs).toList();
+                    .filter(s -> s.atUs >= start.atUs && s.atUs < start.atUs + terms.warmUs)
+                    .toList();
             for (int i = 0; i < its.size(); i++) {
                 double workUs = 0;
                 for (int j = i; j < its.size() && its.get(j).atUs < its.get(i).atUs + terms.windowUs; j++) {
@@ -282,7 +286,7 @@
                 double able = terms.able(its.get(i).atUs - start.atUs) * start.cores * terms.windowUs;
                 if (workUs > terms.coldMultiple * able + 4 * terms.workUs) {
                     found.add("rule 4: " + start.endpoint + " was sent " + Math.round(workUs / able)
-                        + " times its capacity");
+                            + " times its capacity");
                     break;
                 }
             }
@@ -297,21 +301,31 @@
         Map<Integer, List<Taken>> takenBy = taken.stream().collect(Collectors.groupingBy(t -> t.relay));
         Map<Integer, List<Sent>> sentBy = sent.stream().collect(Collectors.groupingBy(s -> s.relay));
         Map<Integer, List<Cap>> told = caps.stream().collect(Collectors.groupingBy(c -> c.relay));
-        told.forEach((relay, its) -> exposure(found, terms, relay, its, takenBy.getOrDefault(relay, List.of()),
-            sentBy.getOrDefault(relay, List.of())));
+        told.forEach((relay, its) -> exposure(
+                found,
+                terms,
+                relay,
+                its,
+                takenBy.getOrDefault(relay, List.of()),
+                sentBy.getOrDefault(relay, List.of())));
     }
 
-    private static void exposure(List<String> found, SimulatedFleet.Terms terms, int relay, List<Cap> told, List<Taken> in,
-                                 List<Sent> out) {
+    private static void exposure(
+            List<String> found, SimulatedFleet.Terms terms, int relay, List<Cap> told, List<Taken> in, List<Sent> out) {
         for (int i = 0; i < told.size(); i++) {
             Cap cap = told.get(i);
             long untilUs = i + 1 < told.size() ? told.get(i + 1).atUs : Long.MAX_VALUE;
-            List<Sent> there = out.stream().filter(s -> s.build == cap.build
-                && s.atUs >= cap.atUs && s.atUs < untilUs).toList();
+            List<Sent> there = out.stream()
+                    .filter(s -> s.build == cap.build && s.atUs >= cap.atUs && s.atUs < untilUs)
+                    .toList();
             for (Sent from : there) {
                 long endUs = from.atUs + terms.exposureUs;
-                long attempts = there.stream().filter(s -> s.atUs >= from.atUs && s.atUs < endUs).count();
-                long requests = in.stream().filter(t -> t.atUs >= from.atUs && t.atUs < endUs).count();
+                long attempts = there.stream()
+                        .filter(s -> s.atUs >= from.atUs && s.atUs < endUs)
+                        .count();
+                long requests = in.stream()
+                        .filter(t -> t.atUs >= from.atUs && t.atUs < endUs)
+                        .count();
                 if (attempts > terms.free + 2 + cap.cap * 1.04 * requests) {
                     found.add("rule 5: relay " + relay + " sent " + attempts + " for " + requests + " reqs");
                     break;
@@ -327,8 +341,8 @@
             for (List<?> list : List.of(taken, sent, ran, answers, leaves, backs, caps, starts, held)) {
                 list.forEach(r -> sha.update(r.toString().getBytes(StandardCharsets.UTF_8)));
             }
-            messages.forEach(m -> sha.update((m.index + " " + m.atUs + " " + m.bytes + m.dueUs + m.heard)
-                .getBytes(StandardCharsets.UTF_8)));
+            messages.forEach(m -> sha.update(
+                    (m.index + " " + m.atUs + " " + m.bytes + m.dueUs + m.heard).getBytes(StandardCharsets.UTF_8)));
             return HexFormat.of().formatHex(sha.digest(), 0, 8);
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
@@ -356,9 +370,13 @@
     double inTime(long fromUs, long toUs) {
         Map<String, Answer> byId = new HashMap<>();
         answers.forEach(a -> byId.put(a.id, a));
-        List<Taken> some = taken.stream().filter(t -> t.atUs >= fromUs && t.atUs < toUs).toList();
-        long good = some.stream().filter(t -> byId.containsKey(t.id) && byId.get(t.id).completed
-            && byId.get(t.id).atUs - t.atUs <= t.route.objectiveUs()).count();
+        List<Taken> some =
+                taken.stream().filter(t -> t.atUs >= fromUs && t.atUs < toUs).toList();
+        long good = some.stream()
+                .filter(t -> byId.containsKey(t.id)
+                        && byId.get(t.id).completed
+                        && byId.get(t.id).atUs - t.atUs <= t.route.objectiveUs())
+                .count();
         return good / (double) Math.max(1, some.size());
     }
 }
--- a/src/test/java/gatelock/fleet/FleetRecordsTest.java
+++ b/src/test/java/gatelock/fleet/FleetRecordsTest.java
@@ -3,13 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.api.RoutePolicy;
-
 import org.junit.jupiter.api.Test;
 
 /** The checker names each rule that is broken, and nothing where none is. */
 final class FleetRecordsTest {
     private static final long S = SimulatedFleet.S;
-    private static final RoutePolicy ONCE = new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, S, S, 1);
+    private static final RoutePolicy ONCE =
+            new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, S, S, 1);
     private final SimulatedFleet.Terms terms = new SimulatedFleet.Terms();
     private final FleetRecords records = new FleetRecords();
 
--- a/src/test/java/gatelock/fleet/ScaleRun.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -1,13 +1,11 @@
 package gatelock.fleet;
 
-import gatelock.membership.EndpointSubset;
-
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.SerializationFeature;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-
+import gatelock.membership.EndpointSubset;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
@@ -28,11 +26,11 @@
     private static final long SEED = 36;
     /** What the decisions of one relay take for an endpoint that they hold, and a margin for all else. */
     private static final long BYTES_PER_HELD = 450;
+
     private static final double HEAP_PART = 0.5;
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
-    private ScaleRun() {
-    }
+    private ScaleRun() {}
 
     public static void main(String[] args) throws IOException {
         if (Runtime.getRuntime().maxMemory() > machineMemory() / 2 * 1.05) {
@@ -44,8 +42,9 @@
         int asked = args.length > 3 ? Integer.parseInt(args[3]) : 0;
         String commit = args.length > 4 ? args[4] : "unknown";
         int holders = args.length > 5 ? Integer.parseInt(args[5]) : EndpointSubset.LEAST_HOLDERS;
-        List<FleetScenario> plays = which.equals("every") ? List.of(FleetScenario.values())
-            : List.of(FleetScenario.valueOf(which.toUpperCase(Locale.ROOT)));
+        List<FleetScenario> plays = which.equals("every")
+                ? List.of(FleetScenario.values())
+                : List.of(FleetScenario.valueOf(which.toUpperCase(Locale.ROOT)));
         List<String> modes = mode.equals("both") ? List.of("all", "scope") : List.of(mode);
         for (FleetScenario play : plays) {
             for (String scope : modes) {
@@ -61,8 +60,9 @@
 
     /** As many of the step's relays as were asked for, and no more than the heap bears. */
     private static SimulatedFleet.Terms terms(ScaleStep step, boolean scoped, int asked, int holders) {
-        long inScope = Math.max((long) step.services() * new SimulatedFleet.Terms().perService,
-            (long) step.endpoints() * Math.min(step.relays(), holders) / step.relays());
+        long inScope = Math.max(
+                (long) step.services() * new SimulatedFleet.Terms().perService,
+                (long) step.endpoints() * Math.min(step.relays(), holders) / step.relays());
         long held = scoped ? Math.min(step.endpoints(), inScope) : step.endpoints();
         long bears = (long) (Runtime.getRuntime().maxMemory() * HEAP_PART) / (held * BYTES_PER_HELD);
         int played = (int) Math.max(1, Math.min(asked > 0 ? asked : step.relays(), bears));
@@ -74,10 +74,11 @@
 
     private static long machineMemory() {
         return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
-            .getTotalMemorySize();
+                .getTotalMemorySize();
     }
 
-    private static ObjectNode out(ScaleStep step, FleetScenario play, String scope, FleetScenario.Result result, String commit) {
+    private static ObjectNode out(
+            ScaleStep step, FleetScenario play, String scope, FleetScenario.Result result, String commit) {
         SimulatedFleet fleet = result.fleet();
         FleetRecords records = fleet.records;
         SimulatedFleet.Terms terms = fleet.terms;
@@ -86,7 +87,8 @@
         double squeeze = play.squeeze(step);
         long[] reached = records.reachedUs();
         long told = records.messages.stream().mapToLong(m -> m.owed()).sum();
-        long bytes = records.messages.stream().mapToLong(m -> m.bytes * m.owed()).sum();
+        long bytes =
+                records.messages.stream().mapToLong(m -> m.bytes * m.owed()).sum();
         CpuMeter meter = result.meter();
         double spanUs = result.spanS() * SimulatedFleet.S;
         ObjectNode out = JSON.createObjectNode();
@@ -126,8 +128,9 @@
     }
 
     private static double at(long[] sortedUs, double share) {
-        return sortedUs.length == 0 ? 0
-            : round(sortedUs[(int) Math.min(sortedUs.length - 1, Math.floor(share * sortedUs.length))] / 1000.0);
+        return sortedUs.length == 0
+                ? 0
+                : round(sortedUs[(int) Math.min(sortedUs.length - 1, Math.floor(share * sortedUs.length))] / 1000.0);
     }
 
     private static double round(double value) {
@@ -139,15 +142,18 @@
     }
 
     private static String runId(String commit) {
-        return DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss'Z'").withZone(ZoneOffset.UTC).format(Instant.now())
-            + "-" + commit;
+        return DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss'Z'")
+                        .withZone(ZoneOffset.UTC)
+                        .format(Instant.now()) + "-" + commit;
     }
 
     /** One play takes the place of an earlier one of the same step, play and scope; steps stay in their order. */
     private static void merge(ScaleStep step, ObjectNode play, String commit) throws IOException {
         ObjectNode file = Files.exists(FILE) ? (ObjectNode) JSON.readTree(FILE.toFile()) : JSON.createObjectNode();
         ObjectNode run = file.putObject("run");
-        run.put("id", play.get("run").asText()).put("date", Instant.now().toString()).put("commit", commit);
+        run.put("id", play.get("run").asText())
+                .put("date", Instant.now().toString())
+                .put("commit", commit);
         run.put("cores", Runtime.getRuntime().availableProcessors());
         run.put("java", System.getProperty("java.version"));
         ArrayNode before = file.path("steps").isArray() ? (ArrayNode) file.get("steps") : JSON.createArrayNode();
@@ -193,6 +199,7 @@
     }
 
     private static boolean is(JsonNode node, FleetScenario play, String scope) {
-        return node.get("play").asText().equalsIgnoreCase(play.name()) && node.get("scope").asText().equals(scope);
+        return node.get("play").asText().equalsIgnoreCase(play.name())
+                && node.get("scope").asText().equals(scope);
     }
 }
--- a/src/test/java/gatelock/fleet/ScaleRunTest.java
+++ b/src/test/java/gatelock/fleet/ScaleRunTest.java
@@ -2,12 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-import java.util.List;
-
 /** The smallest step of the ladder: the same verdict each time, and each planted fault is found. */
 final class ScaleRunTest {
     private static final ScaleStep SMALLEST = ScaleStep.LADDER.get(0);
@@ -64,25 +63,34 @@
 
     @Test
     void oneSeedIsOneDigest() {
-        assertThat(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE).fleet().records.digest())
-            .isEqualTo(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE).fleet().records.digest());
+        assertThat(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE)
+                        .fleet()
+                        .records
+                        .digest())
+                .isEqualTo(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE)
+                        .fleet()
+                        .records
+                        .digest());
     }
 
     @Test
     void changeThatOneRelayNeverGetsIsFound() {
-        List<String> broken = play(FleetScenario.DAY, SimulatedFleet.Fault.CHANGE_MISSED).broken();
+        List<String> broken =
+                play(FleetScenario.DAY, SimulatedFleet.Fault.CHANGE_MISSED).broken();
         assertThat(broken).filteredOn(b -> b.startsWith("change")).containsExactly("change 3: relay 0 never had it");
     }
 
     @Test
     void drainThatIsToldLateIsFound() {
-        List<String> broken = play(FleetScenario.DAY, SimulatedFleet.Fault.DRAIN_LATE).broken();
+        List<String> broken =
+                play(FleetScenario.DAY, SimulatedFleet.Fault.DRAIN_LATE).broken();
         assertThat(broken).isNotEmpty().allMatch(b -> b.startsWith("told late: relay 0 sent to"));
     }
 
     @Test
     void endpointThatAllRelaysHoldIsFound() {
-        List<String> broken = play(FleetScenario.RACK, SimulatedFleet.Fault.HELD_BY_ALL, true).broken();
+        List<String> broken =
+                play(FleetScenario.RACK, SimulatedFleet.Fault.HELD_BY_ALL, true).broken();
         assertThat(broken).filteredOn(b -> b.startsWith("held")).containsExactly("held: s1-u0 by 6 of 6 relays");
     }
 }
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -1,7 +1,6 @@
 package gatelock.fleet;
 
 import gatelock.api.Endpoint;
-
 import java.util.AbstractList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -14,8 +13,13 @@
 final class SimulatedDiscovery {
     /** An entry as it was at one time, shared by all relays, and what the decisions take of it. */
     record Entry(gatelock.membership.EndpointEntry told, Endpoint listed) {
-        private static final Map<Endpoint.Health, String> STATUS = Map.of(Endpoint.Health.READY, "in_service",
-            Endpoint.Health.DRAINING, "terminating", Endpoint.Health.GONE, "terminated");
+        private static final Map<Endpoint.Health, String> STATUS = Map.of(
+                Endpoint.Health.READY,
+                "in_service",
+                Endpoint.Health.DRAINING,
+                "terminating",
+                Endpoint.Health.GONE,
+                "terminated");
 
         Entry(gatelock.membership.EndpointEntry told) {
             this(told, told.listed());
@@ -27,16 +31,23 @@
 
         /** As it stands in a list on the wire. */
         String json() {
-            return String.format("{\"name\":\"%s\",\"service\":\"%s\",\"address\":\"%s\",\"status\":\"%s\","
-                + "\"weight\":1.0,\"since_ms\":%d,\"image_id\":%d,\"zone\":\"zone-%02d\",\"type\":\"standard\","
-                + "\"group\":%d},", listed.endpoint(), service(), told.address(), STATUS.get(listed.health()),
-                listed.startUs() / 1000, listed.build(), listed.zone(), listed.cell());
+            return String.format(
+                    "{\"name\":\"%s\",\"service\":\"%s\",\"address\":\"%s\",\"status\":\"%s\","
+                            + "\"weight\":1.0,\"since_ms\":%d,\"image_id\":%d,\"zone\":\"zone-%02d\",\"type\":\"standard\","
+                            + "\"group\":%d},",
+                    listed.endpoint(),
+                    service(),
+                    told.address(),
+                    STATUS.get(listed.health()),
+                    listed.startUs() / 1000,
+                    listed.build(),
+                    listed.zone(),
+                    listed.cell());
         }
     }
 
     /** An answer to a relay's watch: what changed, or the whole list as of an index. */
-    record Message(long index, boolean whole, List<Entry> entries, long bytes, FleetRecords.Message record) {
-    }
+    record Message(long index, boolean whole, List<Entry> entries, long bytes, FleetRecords.Message record) {}
 
     /** Around the entries of an answer: its head, its index and whether it is the whole. */
     private static final int ANSWER_BYTES = 160;
@@ -61,10 +72,11 @@
     }
 
     private void put(Entry entry) {
-        Entry before = entry.listed.health() == Endpoint.Health.GONE ? list.remove(entry.listed.endpoint())
-            : list.put(entry.listed.endpoint(), entry);
+        Entry before = entry.listed.health() == Endpoint.Health.GONE
+                ? list.remove(entry.listed.endpoint())
+                : list.put(entry.listed.endpoint(), entry);
         bytes += (entry.listed.health() == Endpoint.Health.GONE ? 0 : length(entry))
-            - (before == null ? 0 : length(before));
+                - (before == null ? 0 : length(before));
     }
 
     private long length(Entry entry) {
@@ -92,7 +104,7 @@
         whole = null;
         index++;
         entries.forEach(e -> (e.listed.health() == Endpoint.Health.READY ? records.ups : records.downs)
-            .add(new FleetRecords.Known(e.listed.endpoint(), nowUs)));
+                .add(new FleetRecords.Known(e.listed.endpoint(), nowUs)));
         long length = ANSWER_BYTES + entries.stream().mapToLong(this::length).sum();
         return new Message(index, false, entries, length, records.message(index, nowUs, length));
     }
@@ -120,14 +132,19 @@
         if (!terms.scoped) {
             return;
         }
-        Map<String, Long> ready = list().stream().filter(e -> e.listed.health() == Endpoint.Health.READY)
-            .collect(Collectors.groupingBy(Entry::service, Collectors.counting()));
+        Map<String, Long> ready = list().stream()
+                .filter(e -> e.listed.health() == Endpoint.Health.READY)
+                .collect(Collectors.groupingBy(Entry::service, Collectors.counting()));
         for (Entry e : list()) {
             int endpoint = number.applyAsInt(e.listed.endpoint());
             if (endpoint < holders.length && holders[endpoint] > 0) {
                 int its = ready.getOrDefault(e.service(), 0L).intValue();
-                records.held.add(new FleetRecords.Held(e.listed.endpoint(), its, holders[endpoint], relays,
-                    terms.scope(0).aim(its)));
+                records.held.add(new FleetRecords.Held(
+                        e.listed.endpoint(),
+                        its,
+                        holders[endpoint],
+                        relays,
+                        terms.scope(0).aim(its)));
             }
         }
     }
--- a/src/test/java/gatelock/fleet/SimulatedFleet.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleet.java
@@ -1,21 +1,20 @@
 package gatelock.fleet;
 
-import gatelock.decision.ReleaseGate;
-import gatelock.membership.EndpointEntry;
-import gatelock.membership.EndpointSubset;
-import gatelock.api.RequestConstraints;
-import gatelock.api.RelaySettings;
 import gatelock.api.AttemptResult;
+import gatelock.api.DecisionActions;
 import gatelock.api.DecisionEngine;
-import gatelock.api.RequestHandle;
 import gatelock.api.Endpoint;
 import gatelock.api.LoadReport;
-import gatelock.api.DecisionActions;
+import gatelock.api.RelaySettings;
+import gatelock.api.RequestConstraints;
+import gatelock.api.RequestHandle;
 import gatelock.api.RolloutPolicy;
 import gatelock.api.RoutePolicy;
 import gatelock.api.Verdict;
+import gatelock.decision.ReleaseGate;
+import gatelock.membership.EndpointEntry;
+import gatelock.membership.EndpointSubset;
 import gatelock.standin.EndpointRestriction;
-
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -45,6 +44,7 @@
         long seed = 1;
         /** The busiest relays get so many times what the least busy do. */
         double uneven = 6;
+
         double workUs = 360 * MS;
         int slots = 4;
         int zones = 2;
@@ -64,9 +64,11 @@
         double openingPrice = 0.08;
         /** Of the build on offer: share of errors, and times the work that it needs. */
         double newFails;
+
         double newWork = 1;
         /** It is bad only on endpoints older than this, with more than this share of their places busy. */
         long badFromUs;
+
         double badFromBusy;
 
         /** Where there are several, each request is for one, and reaches only that one's endpoints. */
@@ -81,14 +83,17 @@
         long toldWithinUs = 7 * S;
         /** From a drain until its process ends, and from a loss until discovery knows of it. */
         long drainUs = 10 * S;
+
         long lostSeenUs = 3 * S;
         /** Whether a relay holds what its scope says, and not the whole list. */
         boolean scoped;
         /** Endpoints of one service that a scope aims at, some of them in other zones, and when it lets go of one. */
         int perService = 5;
+
         int leastElsewhere = 2;
         /** Relays that a scope wants to hold each endpoint on the mean. */
         int leastHolders = EndpointSubset.LEAST_HOLDERS;
+
         long settleUs = 10 * S;
         Fault fault = Fault.NONE;
 
@@ -98,8 +103,14 @@
 
         /** Room for all endpoints: what bounds a scope here is what it aims at. */
         EndpointSubset.Terms scope(int relay) {
-            return new EndpointSubset.Terms(relay, relay % zones, endpoints, perService,
-                Math.min(1, leastHolders / (double) relays), leastElsewhere, settleUs);
+            return new EndpointSubset.Terms(
+                    relay,
+                    relay % zones,
+                    endpoints,
+                    perService,
+                    Math.min(1, leastHolders / (double) relays),
+                    leastElsewhere,
+                    settleUs);
         }
 
         double able(long ageUs) {
@@ -112,7 +123,12 @@
     }
 
     /** A fault planted for the checker to find; it strikes the first relay, or the first endpoint. */
-    enum Fault { NONE, CHANGE_MISSED, DRAIN_LATE, HELD_BY_ALL }
+    enum Fault {
+        NONE,
+        CHANGE_MISSED,
+        DRAIN_LATE,
+        HELD_BY_ALL
+    }
 
     /** A service: its requests reach its endpoints alone, as a pool of a plan has it. */
     private record Service(String name, Set<String> names, double upTo) implements EndpointRestriction {
@@ -122,8 +138,7 @@
         }
     }
 
-    private record Due(long atUs, long order, Runnable what) {
-    }
+    private record Due(long atUs, long order, Runnable what) {}
 
     final Terms terms;
     final FleetRecords records = new FleetRecords();
@@ -132,14 +147,14 @@
     private final SimulatedDiscovery discovery;
     private final List<Service> services = new ArrayList<>();
     private final SplittableRandom chance;
-    private final PriorityQueue<Due> dues = new PriorityQueue<>((a, b) -> a.atUs != b.atUs
-        ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Due> dues = new PriorityQueue<>(
+            (a, b) -> a.atUs != b.atUs ? Long.compare(a.atUs, b.atUs) : Long.compare(a.order, b.order));
     private final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
     private final List<Relay> relays = new ArrayList<>();
     private final List<RoutePolicy> routes = List.of(
-        new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 10 * S, 2 * S, 2),
-        new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 12 * S, 3 * S, 5),
-        new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 10 * S, 4 * S, 5));
+            new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 10 * S, 2 * S, 2),
+            new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 12 * S, 3 * S, 5),
+            new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 10 * S, 4 * S, 5));
     private final long[] waitsUs = {5 * S, 12 * S, 16 * S};
     private long nowUs;
     private long order;
@@ -180,7 +195,9 @@
 
     /** Services by rank: the last one's share ends at 1. */
     private void addServices() {
-        double all = IntStream.rangeClosed(1, terms.services).mapToDouble(this::weight).sum();
+        double all = IntStream.rangeClosed(1, terms.services)
+                .mapToDouble(this::weight)
+                .sum();
         double upTo = 0;
         for (int i = 1; i <= terms.services; i++) {
             upTo += weight(i) / all;
@@ -194,8 +211,9 @@
 
     /** The first endpoints are one for each service, the rest go by the services' shares. */
     private int serviceOf(int endpoint) {
-        return endpoint < terms.services ? endpoint : at((endpoint - terms.services + 0.5)
-            / (terms.endpoints - terms.services));
+        return endpoint < terms.services
+                ? endpoint
+                : at((endpoint - terms.services + 0.5) / (terms.endpoints - terms.services));
     }
 
     private int at(double share) {
@@ -299,7 +317,8 @@
 
     /** Discovery's list has changed: every relay that is up is told, each when its link has carried it. */
     private void tell(List<EndpointState> changed) {
-        SimulatedDiscovery.Message message = discovery.changed(nowUs, changed.stream().map(EndpointState::entry).toList());
+        SimulatedDiscovery.Message message = discovery.changed(
+                nowUs, changed.stream().map(EndpointState::entry).toList());
         long lateUs = 200 * MS + chance.nextLong(600 * MS);
         for (Relay r : relays) {
             long readyUs = nowUs + lateUs + chance.nextLong(300 * MS);
@@ -318,7 +337,9 @@
 
     /** A ready endpoint by chance. */
     private EndpointState someEndpoint() {
-        List<EndpointState> ready = endpoints.values().stream().filter(u -> u.health == Endpoint.Health.READY).toList();
+        List<EndpointState> ready = endpoints.values().stream()
+                .filter(u -> u.health == Endpoint.Health.READY)
+                .toList();
         return ready.get(chance.nextInt(ready.size()));
     }
 
@@ -359,14 +380,18 @@
 
     /** Endpoints under one switch, all in one zone, are lost and back cold. */
     void loseRack(int zone, int count, long backUs) {
-        List<EndpointState> rack = endpoints.values().stream().filter(u -> u.zone == zone).limit(count).toList();
+        List<EndpointState> rack = endpoints.values().stream()
+                .filter(u -> u.zone == zone)
+                .limit(count)
+                .toList();
         lose(rack);
         in(backUs, () -> comeBack(rack));
     }
 
     /** All endpoints and relays of a zone are lost and back cold. */
     void loseZone(int zone, long backUs) {
-        List<EndpointState> there = endpoints.values().stream().filter(u -> u.zone == zone).toList();
+        List<EndpointState> there =
+                endpoints.values().stream().filter(u -> u.zone == zone).toList();
         relays.stream().filter(r -> r.zone() == zone).forEach(r -> r.kill(backUs));
         lose(there);
         in(backUs, () -> comeBack(there));
@@ -379,8 +404,9 @@
         all.forEach(EndpointState::lost);
         for (int zone = 0; zone < terms.zones; zone++) {
             int of = zone;
-            in(endpointsBackUs + zone * 2 * S / terms.zones,
-                () -> comeBack(all.stream().filter(u -> u.zone == of).toList()));
+            in(
+                    endpointsBackUs + zone * 2 * S / terms.zones,
+                    () -> comeBack(all.stream().filter(u -> u.zone == of).toList()));
         }
     }
 
@@ -395,7 +421,8 @@
 
     private void drain(int build) {
         List<EndpointState> those = endpoints.values().stream()
-            .filter(u -> u.build == build && u.health == Endpoint.Health.READY).toList();
+                .filter(u -> u.build == build && u.health == Endpoint.Health.READY)
+                .toList();
         those.forEach(u -> u.health = Endpoint.Health.DRAINING);
         tell(those);
     }
@@ -415,6 +442,7 @@
         private int busy;
         /** Nothing that is sent there has an answer, or no connection comes up. */
         private boolean lost;
+
         private boolean ended;
         /** Counts processes: what an earlier one had in work is gone. */
         private int life;
@@ -429,8 +457,16 @@
         }
 
         SimulatedDiscovery.Entry entry() {
-            return new SimulatedDiscovery.Entry(new EndpointEntry(name, services.get(service).name,
-                SimulatedDiscovery.address(number), zone, 0, 0, build, health, startUs));
+            return new SimulatedDiscovery.Entry(new EndpointEntry(
+                    name,
+                    services.get(service).name,
+                    SimulatedDiscovery.address(number),
+                    zone,
+                    0,
+                    0,
+                    build,
+                    health,
+                    startUs));
         }
 
         private void begins() {
@@ -481,14 +517,17 @@
                 busy++;
                 records.ran.add(new FleetRecords.Ran(work.id, name, nowUs));
                 double able = speed * (startUs == 0 ? 1 : terms.able(nowUs - startUs));
-                boolean isBad = build > 1 && nowUs - startUs >= terms.badFromUs
-                    && busy > terms.badFromBusy * terms.slots;
+                boolean isBad =
+                        build > 1 && nowUs - startUs >= terms.badFromUs && busy > terms.badFromBusy * terms.slots;
                 boolean fails = isBad && chance.nextDouble() < terms.newFails;
                 int was = life;
                 in((long) (work.workUs * (isBad ? terms.newWork : 1) / able), () -> {
                     if (was == life) {
                         busy--;
-                        work.answer(ended ? AttemptResult.BROKEN_OFF : fails ? AttemptResult.ERRORED : AttemptResult.COMPLETED);
+                        work.answer(
+                                ended
+                                        ? AttemptResult.BROKEN_OFF
+                                        : fails ? AttemptResult.ERRORED : AttemptResult.COMPLETED);
                         next();
                     }
                 });
@@ -547,6 +586,7 @@
         private EndpointSubset scope;
         /** When its link has carried all that it was given so far, and when the last of it is heard. */
         private long linkFreeUs;
+
         private long heardLastUs;
         /** The list that it left behind on its disk when it ended. */
         private List<SimulatedDiscovery.Entry> kept;
@@ -572,11 +612,38 @@
         }
 
         private void start() {
-            RolloutPolicy rollout = new RolloutPolicy(RolloutPolicy.Gatekeeping.COUNT, terms.bakeUs, 6 * S, 2 * S, controller.caps(),
-                0, false, false, terms.free, terms.voices(terms.backShare), terms.callsPerS, false);
-            RelaySettings charter = new RelaySettings(terms.seed * 1000 + number * 31L + life, terms.relays, number,
-                routes, List.of(), 1, 5, true, true, 2 * S, false, terms.coldFrom, terms.warmUs,
-                terms.coldMultiple, terms.windowUs, terms.openingPrice, 20 * S, rollout);
+            RolloutPolicy rollout = new RolloutPolicy(
+                    RolloutPolicy.Gatekeeping.COUNT,
+                    terms.bakeUs,
+                    6 * S,
+                    2 * S,
+                    controller.caps(),
+                    0,
+                    false,
+                    false,
+                    terms.free,
+                    terms.voices(terms.backShare),
+                    terms.callsPerS,
+                    false);
+            RelaySettings charter = new RelaySettings(
+                    terms.seed * 1000 + number * 31L + life,
+                    terms.relays,
+                    number,
+                    routes,
+                    List.of(),
+                    1,
+                    5,
+                    true,
+                    true,
+                    2 * S,
+                    false,
+                    terms.coldFrom,
+                    terms.warmUs,
+                    terms.coldMultiple,
+                    terms.windowUs,
+                    terms.openingPrice,
+                    20 * S,
+                    rollout);
             boolean cached = terms.linkBytesPerS > 0 && kept != null;
             CpuMeter.Role before = meter.in(CpuMeter.Role.LIST);
             gate = new ReleaseGate(charter, this);
@@ -656,12 +723,11 @@
         /** What discovery sends is on its way here, after all that was sent before. */
         private void told(SimulatedDiscovery.Message message, long readyUs) {
             boolean first = number == 0;
-            boolean drain = !message.whole() && message.entries().stream()
-                .anyMatch(e -> e.listed().health() == Endpoint.Health.DRAINING);
-            long fromUs = Math.max(readyUs + (terms.fault == Fault.DRAIN_LATE && first && drain ? 9 * S : 0),
-                linkFreeUs);
-            linkFreeUs = terms.linkBytesPerS == 0 ? fromUs
-                : fromUs + message.bytes() * S / terms.linkBytesPerS;
+            boolean drain = !message.whole()
+                    && message.entries().stream().anyMatch(e -> e.listed().health() == Endpoint.Health.DRAINING);
+            long fromUs =
+                    Math.max(readyUs + (terms.fault == Fault.DRAIN_LATE && first && drain ? 9 * S : 0), linkFreeUs);
+            linkFreeUs = terms.linkBytesPerS == 0 ? fromUs : fromUs + message.bytes() * S / terms.linkBytesPerS;
             heardLastUs = Math.max(heardLastUs, linkFreeUs);
             message.record().owed(number, heardLastUs);
             if (terms.fault == Fault.CHANGE_MISSED && first && message.index() == 3) {
@@ -687,13 +753,14 @@
         private void take() {
             String id = Long.toHexString(ids++);
             int route = chance.nextInt(routes.size());
-            RequestConstraints bounds = terms.services > 1 ? services.get(at(chance.nextDouble())) : RequestConstraints.NONE;
+            RequestConstraints bounds =
+                    terms.services > 1 ? services.get(at(chance.nextDouble())) : RequestConstraints.NONE;
             Open request = new Open(nowUs + waitsUs[route]);
             open.put(id, request);
             records.taken.add(new FleetRecords.Taken(id, number, routes.get(route), nowUs, request.endUs));
             CpuMeter.Role before = meter.in(CpuMeter.Role.REQS);
-            request.handle = gate.take(nowUs, id, route, 0, chance.nextLong(5000), waitsUs[route],
-                (long) terms.workUs, bounds);
+            request.handle =
+                    gate.take(nowUs, id, route, 0, chance.nextLong(5000), waitsUs[route], (long) terms.workUs, bounds);
             meter.in(before);
             settle(id, request);
         }
@@ -702,8 +769,10 @@
             message.record().heard(number);
             records.told(number, message, nowUs);
             CpuMeter.Role before = meter.in(CpuMeter.Role.LIST);
-            takesIn(message.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, message.entries(),
-                message.index());
+            takesIn(
+                    message.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA,
+                    message.entries(),
+                    message.index());
             meter.in(before);
         }
 
@@ -727,8 +796,12 @@
             }
             CpuMeter.Role before = meter.in(CpuMeter.Role.REQS);
             if (scope != null && ending != AttemptResult.NOT_SENT) {
-                scope.ended(nowUs, work.at.name, ending == AttemptResult.COMPLETED || ending == AttemptResult.ERRORED
-                    || ending == AttemptResult.TURNED_AWAY);
+                scope.ended(
+                        nowUs,
+                        work.at.name,
+                        ending == AttemptResult.COMPLETED
+                                || ending == AttemptResult.ERRORED
+                                || ending == AttemptResult.TURNED_AWAY);
             }
             request.handle.ended(nowUs, work.number, ending, nowUs - work.sentUs, request.over, LoadReport.NONE);
             meter.in(before);
@@ -771,8 +844,10 @@
 
         @Override
         public void cancel(String id, int attemptNo) {
-            out.stream().filter(w -> w.id.equals(id) && w.number == attemptNo).findFirst()
-                .ifPresent(w -> in(MS, () -> ended(w, AttemptResult.CANCELLED)));
+            out.stream()
+                    .filter(w -> w.id.equals(id) && w.number == attemptNo)
+                    .findFirst()
+                    .ifPresent(w -> in(MS, () -> ended(w, AttemptResult.CANCELLED)));
         }
 
         @Override
@@ -802,18 +877,15 @@
         }
 
         @Override
-        public void followList() {
-        }
+        public void followList() {}
 
         @Override
-        public void say(String line) {
-        }
+        public void say(String line) {}
     }
 
     /** Takes votes at its rate and twice that at once, and brings the build on offer in by stages. */
     final class Controller {
-        private record Voice(int build, int stage, Verdict verdict, long untilUs) {
-        }
+        private record Voice(int build, int stage, Verdict verdict, long untilUs) {}
 
         private final Map<Integer, Voice> voices = new HashMap<>();
         private double tokens = 2 * terms.callsPerS;
@@ -825,6 +897,7 @@
         private long clockUs;
         /** When each stage was left, and how it ended. */
         final List<Long> stageUs = new ArrayList<>();
+
         int turnedAway;
 
         DecisionEngine.Phase phase() {
@@ -855,7 +928,8 @@
             sinceUs = nowUs;
             clockUs = Long.MAX_VALUE;
             voices.clear();
-            int has = (int) endpoints.values().stream().filter(u -> u.build == build).count();
+            int has = (int)
+                    endpoints.values().stream().filter(u -> u.build == build).count();
             int more = (int) Math.ceil(terms.shares[stage] * terms.endpoints) - has;
             in(2 * S, () -> {
                 launch(build, more);
@@ -875,9 +949,12 @@
         }
 
         private void tell(Relay r, DecisionEngine.VoteAnswer answer) {
-            boolean isNews = answer == DecisionEngine.VoteAnswer.NOT_ASKED || answer == DecisionEngine.VoteAnswer.COUNTED;
+            boolean isNews =
+                    answer == DecisionEngine.VoteAnswer.NOT_ASKED || answer == DecisionEngine.VoteAnswer.COUNTED;
             if (isNews) {
-                double cap = phase == DecisionEngine.Phase.TRIAL ? caps()[stage] : phase == DecisionEngine.Phase.RELEASED ? 1 : 0;
+                double cap = phase == DecisionEngine.Phase.TRIAL
+                        ? caps()[stage]
+                        : phase == DecisionEngine.Phase.RELEASED ? 1 : 0;
                 if (phase == DecisionEngine.Phase.TRIAL) {
                     records.caps.add(new FleetRecords.Cap(r.number, build, cap, nowUs));
                 } else {
@@ -907,8 +984,12 @@
         }
 
         int standing(Verdict verdict) {
-            return (int) voices.values().stream().filter(v -> v.verdict == verdict && v.build == build
-                && v.untilUs > nowUs && (verdict == Verdict.BACK || v.stage == stage)).count();
+            return (int) voices.values().stream()
+                    .filter(v -> v.verdict == verdict
+                            && v.build == build
+                            && v.untilUs > nowUs
+                            && (verdict == Verdict.BACK || v.stage == stage))
+                    .count();
         }
 
         private void look() {
@@ -921,7 +1002,8 @@
                 sinceUs = nowUs;
                 drain(build);
                 tellAll();
-            } else if (phase == DecisionEngine.Phase.TRIAL && clockUs < nowUs - terms.bakeUs
+            } else if (phase == DecisionEngine.Phase.TRIAL
+                    && clockUs < nowUs - terms.bakeUs
                     && standing(Verdict.ON) >= terms.voices(terms.onShare)) {
                 stageUs.add(nowUs - sinceUs);
                 stage++;
--- a/src/test/java/gatelock/fleet/SimulatedFleetTest.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleetTest.java
@@ -3,14 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.api.DecisionEngine;
-
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-import java.util.List;
-
 /** What holds for many relays together, whatever one of them does alone. */
 final class SimulatedFleetTest {
     private static final long S = SimulatedFleet.S;
@@ -44,8 +42,18 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"1, 0.1, 1", "3, 0.1, 1", "14, 0.2, 1", "50, 0.2, 1", "120, 0.2, 1", "14, 0.3, 1",
-        "50, 0.3, 1", "120, 0.3, 1", "50, 0, 3", "120, 0, 3"})
+    @CsvSource({
+        "1, 0.1, 1",
+        "3, 0.1, 1",
+        "14, 0.2, 1",
+        "50, 0.2, 1",
+        "120, 0.2, 1",
+        "14, 0.3, 1",
+        "50, 0.3, 1",
+        "120, 0.3, 1",
+        "50, 0, 3",
+        "120, 0, 3"
+    })
     void badBuildGoesBackThoughEachRelaySeesLittleOfIt(int relays, double fails, double work) {
         SimulatedFleet.Terms terms = of(relays, 1);
         terms.newFails = fails;
@@ -116,7 +124,8 @@
         fleet.run(15 * S);
         fleet.load(1.4);
         fleet.run(5 * S);
-        assertThat(fleet.records.inTime(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S)).isGreaterThan(0.95);
+        assertThat(fleet.records.inTime(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S))
+                .isGreaterThan(0.95);
     }
 
     @ParameterizedTest
@@ -130,9 +139,10 @@
         fleet.pauseZone(0, 8 * S);
         fleet.run(8 * S);
         assertThat(fleet.records.inTime(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S))
-            .isGreaterThan(relays < 50 ? 0.93 : 0.84);
+                .isGreaterThan(relays < 50 ? 0.93 : 0.84);
         fleet.run(15 * S);
-        assertThat(fleet.records.inTime(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S)).isGreaterThan(0.97);
+        assertThat(fleet.records.inTime(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S))
+                .isGreaterThan(0.97);
         assertThat(fleet.broken()).isEmpty();
     }
 
@@ -146,15 +156,17 @@
         with.run(40 * S);
         assertThat(with.records.opened).isLessThan(without.records.opened / 2);
         assertThat(with.records.inTime(0, with.nowUs() - 5 * S))
-            .isGreaterThan(without.records.inTime(0, without.nowUs() - 5 * S) - 0.005);
+                .isGreaterThan(without.records.inTime(0, without.nowUs() - 5 * S) - 0.005);
     }
 
     @Test
     void oneSeedIsOneCourseOfEvents() {
-        List<FleetRecords> two = List.of(new SimulatedFleet(of(50, 8)), new SimulatedFleet(of(50, 8))).stream().map(f -> {
-            f.run(8 * S);
-            return f.records;
-        }).toList();
+        List<FleetRecords> two = List.of(new SimulatedFleet(of(50, 8)), new SimulatedFleet(of(50, 8))).stream()
+                .map(f -> {
+                    f.run(8 * S);
+                    return f.records;
+                })
+                .toList();
         assertThat(two.get(0).sent).isEqualTo(two.get(1).sent);
         assertThat(two.get(0).answers).isEqualTo(two.get(1).answers);
     }
--- a/src/test/java/gatelock/http/ClientListenerTest.java
+++ b/src/test/java/gatelock/http/ClientListenerTest.java
@@ -1,11 +1,10 @@
 package gatelock.http;
 
-import gatelock.net.DelayedIoThread;
-import gatelock.net.EventLoop;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gatelock.net.DelayedIoThread;
+import gatelock.net.EventLoop;
 import gatelock.state.Counters;
-
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.InetAddress;
@@ -16,7 +15,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-
 import org.junit.jupiter.api.Test;
 import org.xnio.OptionMap;
 import org.xnio.Options;
@@ -35,11 +33,13 @@
             EventLoop turn = new EventLoop(worker.getIoThread());
             ClientListener front = new ClientListener(turn, new Counters(), 200, 300);
             InetSocketAddress at = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            front.admit(exchange -> {
-                front.whole(exchange);
-                front.last(exchange);
-                exchange.getResponseSender().send("fine");
-            }, true);
+            front.admit(
+                    exchange -> {
+                        front.whole(exchange);
+                        front.last(exchange);
+                        exchange.getResponseSender().send("fine");
+                    },
+                    true);
             for (int i = 0; i < 60; i++) {
                 standing.add(new Socket(at.getAddress(), at.getPort()));
                 standing.get(i).getOutputStream().write(REQ.getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -4,14 +4,12 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import gatelock.api.Endpoint;
-
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import java.util.stream.Collectors;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -40,27 +38,50 @@
     }
 
     private static EndpointEntry any(RandomGenerator random, int names) {
-        String[] addresses = {"10.0.0." + random.nextInt(256) + ":" + random.nextInt(65_536), "unit:80",
-            "1.2.3:4", "01.2.3.4:5", "1.2.3.4:05", "1.2.3.4:70000", "1.2.3.400:5", "1.2.3.4:", "",
+        String[] addresses = {
+            "10.0.0." + random.nextInt(256) + ":" + random.nextInt(65_536),
+            "unit:80",
+            "1.2.3:4",
+            "01.2.3.4:5",
+            "1.2.3.4:05",
+            "1.2.3.4:70000",
+            "1.2.3.400:5",
+            "1.2.3.4:",
+            "",
             "0.0.0.0:0",
-            "255.255.255.255:65535", "[::1]:80", "1.2.3.4.5:6", "1.2.3.4:5:6"};
-        long[] starts = {0, 1, -1, 1_780_000_000_000_000L, 1_780_000_000_000_001L, Long.MAX_VALUE,
-            Long.MIN_VALUE,
-            -3_000};
-        Map<String, String> labels = random.nextInt(3) > 0 ? Map.of() : random.ints(random.nextInt(4), 0, 9)
-            .boxed().distinct().collect(Collectors.toMap(i -> "label" + i, i -> "v\u00e4lue".repeat(i)));
-        return new EndpointEntry("n" + "ame".repeat(random.nextInt(2)) + random.nextInt(names), "s"
-            + random.nextInt(4),
-            addresses[random.nextInt(addresses.length)], random.nextInt(20) - 1, random.nextInt(300),
-            random.nextInt(), random.nextInt(1000) - 1, HEALTH[random.nextInt(HEALTH.length)],
-            starts[random.nextInt(starts.length)], labels);
+            "255.255.255.255:65535",
+            "[::1]:80",
+            "1.2.3.4.5:6",
+            "1.2.3.4:5:6"
+        };
+        long[] starts = {
+            0, 1, -1, 1_780_000_000_000_000L, 1_780_000_000_000_001L, Long.MAX_VALUE, Long.MIN_VALUE, -3_000
+        };
+        Map<String, String> labels = random.nextInt(3) > 0
+                ? Map.of()
+                : random.ints(random.nextInt(4), 0, 9)
+                        .boxed()
+                        .distinct()
+                        .collect(Collectors.toMap(i -> "label" + i, i -> "v\u00e4lue".repeat(i)));
+        return new EndpointEntry(
+                "n" + "ame".repeat(random.nextInt(2)) + random.nextInt(names),
+                "s" + random.nextInt(4),
+                addresses[random.nextInt(addresses.length)],
+                random.nextInt(20) - 1,
+                random.nextInt(300),
+                random.nextInt(),
+                random.nextInt(1000) - 1,
+                HEALTH[random.nextInt(HEALTH.length)],
+                starts[random.nextInt(starts.length)],
+                labels);
     }
 
     @Property(tries = 300)
     void keepsWhatAMapKeeps(@ForAll long seed, @ForAll boolean colliding) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         int names = 1 + random.nextInt(120);
-        EndpointStore store = new EndpointStore(colliding ? new Colliding(7, 1 + random.nextInt(3)) : new RendezvousRanking(7));
+        EndpointStore store =
+                new EndpointStore(colliding ? new Colliding(7, 1 + random.nextInt(3)) : new RendezvousRanking(7));
         Map<String, EndpointEntry> model = new TreeMap<>();
         for (int i = 0; i < 600; i++) {
             EndpointEntry e = any(random, names);
@@ -84,8 +105,10 @@
         store.each(place -> each.put(store.endpoint(place), store.entry(place)));
         assertThat(each).isEqualTo(model);
         Map<String, Map<String, EndpointEntry>> byService = new TreeMap<>();
-        model.values().forEach(e -> byService.computeIfAbsent(e.service(),
-            s -> new TreeMap<>()).put(e.name(), e));
+        model.values()
+                .forEach(e -> byService
+                        .computeIfAbsent(e.service(), s -> new TreeMap<>())
+                        .put(e.name(), e));
         assertThat(store.services()).containsExactlyInAnyOrderElementsOf(byService.keySet());
         byService.forEach((service, endpoints) -> {
             Map<String, EndpointEntry> its = new TreeMap<>();
@@ -95,7 +118,8 @@
             assertThat(its).isEqualTo(endpoints);
             assertThat(store.endpoints(service)).isEqualTo(endpoints.size());
             assertThat(store.ready(service)).isEqualTo((int) endpoints.values().stream()
-                .filter(e -> e.health() == Endpoint.Health.READY).count());
+                    .filter(e -> e.health() == Endpoint.Health.READY)
+                    .count());
         });
     }
 
@@ -147,11 +171,14 @@
     void entriesThatCannotBeKeptAreRefusedAndChangeNothing() {
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         store.put(entry("a", "s", "10.0.0.1:80"));
-        assertThatThrownBy(() -> store.put(new EndpointEntry("a", "s", "x", 0, 0, 0, 1, Endpoint.Health.READY, 0,
-            Map.of("l", "v".repeat(70_000))))).isInstanceOf(IllegalArgumentException.class)
-            .hasMessageContaining("65536 bytes").hasMessageEndingWith("for a");
+        assertThatThrownBy(() -> store.put(new EndpointEntry(
+                        "a", "s", "x", 0, 0, 0, 1, Endpoint.Health.READY, 0, Map.of("l", "v".repeat(70_000)))))
+                .isInstanceOf(IllegalArgumentException.class)
+                .hasMessageContaining("65536 bytes")
+                .hasMessageEndingWith("for a");
         assertThatThrownBy(() -> store.put(entry("half\ud83d", "s", "x")))
-            .isInstanceOf(IllegalArgumentException.class).hasMessageContaining("must be text");
+                .isInstanceOf(IllegalArgumentException.class)
+                .hasMessageContaining("must be text");
         store.put(entry("whole\ud83d\ude00", "s", "x"));
         assertThat(store.size()).isEqualTo(2);
         assertThat(store.entry(store.find("a"))).isEqualTo(entry("a", "s", "10.0.0.1:80"));
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -3,7 +3,6 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gatelock.api.Endpoint;
-
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashSet;
@@ -16,7 +15,6 @@
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
 import java.util.stream.Collectors;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
@@ -37,26 +35,40 @@
         int perService = 1 + random.nextInt(4);
         int most = roomy ? UNITS * 2 : 1 + random.nextInt(2 * SERVICES);
         double part = Math.max(0, random.nextInt(5) - 1) / 3.0;
-        terms = new EndpointSubset.Terms(random.nextInt(5_700), random.nextInt(4) - 1, most, perService, part,
-            random.nextInt(3), random.nextInt(3_000_000));
+        terms = new EndpointSubset.Terms(
+                random.nextInt(5_700),
+                random.nextInt(4) - 1,
+                most,
+                perService,
+                part,
+                random.nextInt(3),
+                random.nextInt(3_000_000));
         told = new SubsetHarness(fresh(colliding));
         list.clear();
         silent.clear();
     }
 
     private EndpointSubset fresh(boolean colliding) {
-        return new EndpointSubset(terms, colliding ? new EndpointStoreTest.Colliding(terms.relay(), 3) :
-            new RendezvousRanking(terms.relay()));
+        return new EndpointSubset(
+                terms,
+                colliding ? new EndpointStoreTest.Colliding(terms.relay(), 3) : new RendezvousRanking(terms.relay()));
     }
 
     private EndpointEntry any() {
         int n = random.nextInt(UNITS);
-        Endpoint.Health health = random.nextInt(4) > 0 ? Endpoint.Health.READY :
-            Endpoint.Health.values()[random.nextInt(3)];
+        Endpoint.Health health =
+                random.nextInt(4) > 0 ? Endpoint.Health.READY : Endpoint.Health.values()[random.nextInt(3)];
         String service = "s" + (random.nextInt(20) > 0 ? n % SERVICES : random.nextInt(SERVICES));
-        return new EndpointEntry("u" + n, service, "10.0.0." + n + ":80", random.nextInt(20) > 0 ? n % 3 :
-            random.nextInt(3),
-            n % 2, 0, 1 + random.nextInt(2), health, random.nextInt(3) * 1000L);
+        return new EndpointEntry(
+                "u" + n,
+                service,
+                "10.0.0." + n + ":80",
+                random.nextInt(20) > 0 ? n % 3 : random.nextInt(3),
+                n % 2,
+                0,
+                1 + random.nextInt(2),
+                health,
+                random.nextInt(3) * 1000L);
     }
 
     private void note(EndpointEntry e) {
@@ -86,10 +98,16 @@
         }
         if (random.nextInt(10) == 0) {
             // A zone or a service's endpoints, all at once.
-            Predicate<EndpointEntry> lost = random.nextBoolean() ? e -> e.zone() == random.nextInt(3)
-                : e -> e.service().equals("s" + random.nextInt(SERVICES));
-            list.values().stream().filter(lost).forEach(e -> entries.add(random.nextBoolean() ? e.gone()
-                : SubsetHarness.endpoint(e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
+            Predicate<EndpointEntry> lost = random.nextBoolean()
+                    ? e -> e.zone() == random.nextInt(3)
+                    : e -> e.service().equals("s" + random.nextInt(SERVICES));
+            list.values().stream()
+                    .filter(lost)
+                    .forEach(e -> entries.add(
+                            random.nextBoolean()
+                                    ? e.gone()
+                                    : SubsetHarness.endpoint(
+                                            e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
         }
         entries.forEach(this::note);
         told.take(false, entries);
@@ -132,15 +150,18 @@
     }
 
     private Map<String, Set<String>> readyByService(Collection<EndpointEntry> entries) {
-        return entries.stream().filter(e -> e.health() == Endpoint.Health.READY).collect(Collectors.groupingBy(
-            EndpointEntry::service, TreeMap::new, Collectors.mapping(EndpointEntry::name,
-            Collectors.toCollection(TreeSet::new))));
+        return entries.stream()
+                .filter(e -> e.health() == Endpoint.Health.READY)
+                .collect(Collectors.groupingBy(
+                        EndpointEntry::service,
+                        TreeMap::new,
+                        Collectors.mapping(EndpointEntry::name, Collectors.toCollection(TreeSet::new))));
     }
 
     private void check() {
         assertThat(told.scope.listed()).isEqualTo(list.size());
-        assertThat(told.scope.services()).isEqualTo((int) list.values().stream().map(EndpointEntry::service)
-            .distinct().count());
+        assertThat(told.scope.services()).isEqualTo((int)
+                list.values().stream().map(EndpointEntry::service).distinct().count());
         assertThat(told.scope.inScope()).isEqualTo(told.endpoints.size()).isLessThanOrEqualTo(terms.most());
         // What was told is what is listed: drains, restarts and ends in scope at once.
         told.endpoints.forEach((name, e) -> assertThat(e).isEqualTo(list.get(name)));
@@ -161,9 +182,8 @@
     }
 
     @Property(tries = 400)
-    void tellsWhatIsListedWithinTheBoundAndLeavesNoServiceWithoutAnEndpoint(@ForAll long seed,
-        @ForAll boolean roomy,
-                                                                       @ForAll boolean colliding) {
+    void tellsWhatIsListedWithinTheBoundAndLeavesNoServiceWithoutAnEndpoint(
+            @ForAll long seed, @ForAll boolean roomy, @ForAll boolean colliding) {
         begin(seed, roomy, colliding);
         for (int i = 0; i < 120; i++) {
             step();
@@ -220,8 +240,8 @@
             told.due(LOOK_US);
             check();
         }
-        ready.forEach((service, its) -> assertThat(told.ready(service)).as(service)
-            .anyMatch(u -> !silent.contains(u)));
+        ready.forEach(
+                (service, its) -> assertThat(told.ready(service)).as(service).anyMatch(u -> !silent.contains(u)));
         if (roomy) {
             told.due(2 * terms.settleUs());
             told.due(LOOK_US);
--- a/src/test/java/gatelock/membership/EndpointSubsetTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -4,7 +4,6 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import gatelock.api.Endpoint;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -12,7 +11,6 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
-
 import org.junit.jupiter.api.Test;
 
 /** Each failure that a scope has to bear, provoked. */
@@ -21,16 +19,20 @@
     private static final long LOOK_US = 250_000;
     private static final long SETTLE_US = 5 * SECOND;
 
-    private final SubsetHarness told = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US)));
+    private final SubsetHarness told =
+            new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US)));
 
     private static List<EndpointEntry> service(String name, int endpoints, int zones) {
-        return IntStream.range(0, endpoints).mapToObj(i -> SubsetHarness.ready(name + "-" + i, name, i % zones)).toList();
+        return IntStream.range(0, endpoints)
+                .mapToObj(i -> SubsetHarness.ready(name + "-" + i, name, i % zones))
+                .toList();
     }
 
     private static EndpointEntry[] all(List<EndpointEntry> entries, Set<String> names, Endpoint.Health health) {
-        return entries.stream().filter(e -> names.contains(e.name())).map(e -> SubsetHarness.endpoint(e.name(),
-            e.service(),
-            e.zone(), health)).toArray(EndpointEntry[]::new);
+        return entries.stream()
+                .filter(e -> names.contains(e.name()))
+                .map(e -> SubsetHarness.endpoint(e.name(), e.service(), e.zone(), health))
+                .toArray(EndpointEntry[]::new);
     }
 
     private void silent(Set<String> endpoints, int attempts) {
@@ -41,7 +43,9 @@
     }
 
     private long zone(Set<String> endpoints, int zone) {
-        return endpoints.stream().filter(u -> told.endpoints.get(u).zone() == zone).count();
+        return endpoints.stream()
+                .filter(u -> told.endpoints.get(u).zone() == zone)
+                .count();
     }
 
     @Test
@@ -53,8 +57,11 @@
 
     @Test
     void goesElsewhereWhereTheOwnZoneHasFewerAndStaysWhereNoneIsElsewhere() {
-        told.whole(List.of(SubsetHarness.ready("here", "a", 0), SubsetHarness.ready("b1", "a", 1), SubsetHarness.ready("b2", "a", 2),
-            SubsetHarness.ready("b3", "a", 1)));
+        told.whole(List.of(
+                SubsetHarness.ready("here", "a", 0),
+                SubsetHarness.ready("b1", "a", 1),
+                SubsetHarness.ready("b2", "a", 2),
+                SubsetHarness.ready("b3", "a", 1)));
         assertThat(told.ready()).hasSize(3).contains("here");
         told.whole(service("a", 40, 1));
         assertThat(told.ready()).hasSize(3);
@@ -76,9 +83,15 @@
     void aZoneLostLeavesEndpointsElsewhere() {
         List<EndpointEntry> endpoints = service("a", 40, 4);
         told.whole(endpoints);
-        told.change(endpoints.stream().filter(e -> e.zone() == 0).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
+        told.change(endpoints.stream()
+                .filter(e -> e.zone() == 0)
+                .map(EndpointEntry::gone)
+                .toArray(EndpointEntry[]::new));
         assertThat(told.ready()).hasSize(3);
-        told.change(endpoints.stream().filter(e -> e.zone() != 1).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
+        told.change(endpoints.stream()
+                .filter(e -> e.zone() != 1)
+                .map(EndpointEntry::gone)
+                .toArray(EndpointEntry[]::new));
         assertThat(told.ready()).hasSize(3);
         assertThat(zone(told.ready(), 1)).isEqualTo(3);
     }
@@ -90,8 +103,10 @@
         Set<String> first = told.ready();
         told.change(all(endpoints, first, Endpoint.Health.DRAINING));
         assertThat(told.endpoints).containsKeys(first.toArray(new String[0]));
-        assertThat(told.last.entries()).extracting(EndpointEntry::health).containsOnly(Endpoint.Health.READY,
-            Endpoint.Health.DRAINING).hasSize(6);
+        assertThat(told.last.entries())
+                .extracting(EndpointEntry::health)
+                .containsOnly(Endpoint.Health.READY, Endpoint.Health.DRAINING)
+                .hasSize(6);
         told.due(10 * SETTLE_US);
         assertThat(told.endpoints).hasSize(6);
         told.change(all(endpoints, first, Endpoint.Health.GONE));
@@ -157,8 +172,11 @@
         List<EndpointEntry> endpoints = service("a", 400, 4);
         told.whole(endpoints);
         for (int i = 0; i < 3; i++) {
-            silent(told.ready().stream().filter(u -> told.endpoints.get(u).zone() == 0).collect(
-                java.util.stream.Collectors.toSet()), 2);
+            silent(
+                    told.ready().stream()
+                            .filter(u -> told.endpoints.get(u).zone() == 0)
+                            .collect(java.util.stream.Collectors.toSet()),
+                    2);
         }
         Set<String> well = told.ready();
         well.removeIf(u -> told.endpoints.get(u).zone() == 0);
@@ -190,8 +208,16 @@
         String endpoint = first.iterator().next();
         silent(Set.of(endpoint), 2);
         assertThat(told.ready()).hasSize(4);
-        EndpointEntry again = new EndpointEntry(endpoint, "a", "10.0.0.1:80", told.endpoints.get(endpoint).zone(), 0, 0, 2,
-            Endpoint.Health.READY, 5 * SECOND);
+        EndpointEntry again = new EndpointEntry(
+                endpoint,
+                "a",
+                "10.0.0.1:80",
+                told.endpoints.get(endpoint).zone(),
+                0,
+                0,
+                2,
+                Endpoint.Health.READY,
+                5 * SECOND);
         told.change(again);
         assertThat(told.last.entries()).containsExactly(again);
         told.due(SETTLE_US);
@@ -207,8 +233,8 @@
         for (EndpointEntry e : endpoints) {
             told.change(SubsetHarness.endpoint(e.name(), "a", e.zone(), Endpoint.Health.DRAINING));
             told.change(e.gone());
-            told.change(new EndpointEntry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Endpoint.Health.READY,
-                SECOND));
+            told.change(
+                    new EndpointEntry(e.name(), "a", e.address(), e.zone(), 0, 0, 2, Endpoint.Health.READY, SECOND));
         }
         told.due(SETTLE_US);
         assertThat(told.ready()).isEqualTo(first);
@@ -221,8 +247,8 @@
         EndpointSubset.Reading reading = told.scope.read(true);
         reading.add(SubsetHarness.ready("x", "a", 0));
         assertThatThrownBy(() -> reading.add(SubsetHarness.endpoint("x", "a", 0, Endpoint.Health.GONE)))
-            .isInstanceOf(IllegalArgumentException.class).hasMessage("expected each unit once, found twice "
-            + "x");
+                .isInstanceOf(IllegalArgumentException.class)
+                .hasMessage("expected each unit once, found twice " + "x");
         assertThat(told.scope.listed()).isEqualTo(40);
     }
 
@@ -309,8 +335,10 @@
         Set<String> in = new TreeSet<>();
         bound.endpoints.values().forEach(e -> in.add(e.service()));
         assertThat(in).hasSize(20);
-        in.stream().limit(4).forEach(s -> bound.change(service(s, 20, 4).stream().map(EndpointEntry::gone)
-            .toArray(EndpointEntry[]::new)));
+        in.stream()
+                .limit(4)
+                .forEach(s -> bound.change(
+                        service(s, 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new)));
         assertThat(bound.scope.crowdedOut()).isEqualTo(6);
         assertThat(bound.scope.inScope()).isEqualTo(20);
     }
@@ -320,8 +348,10 @@
         SubsetHarness bound = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 20, 5, 1, SETTLE_US)));
         IntStream.range(0, 8).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(EndpointEntry[]::new)));
         assertThat(bound.scope.aim()).isEqualTo(2);
-        EndpointEntry[] gone = service("s0", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
-        EndpointEntry[] last = service("s1", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
+        EndpointEntry[] gone =
+                service("s0", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
+        EndpointEntry[] last =
+                service("s1", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
         bound.change(gone);
         bound.change(last);
         assertThat(bound.scope.aim()).isEqualTo(2);
@@ -335,7 +365,8 @@
 
     /** A relay that aims at a quarter of a service, 5 endpoints at least, before one of 81 and one of 12. */
     private static SubsetHarness ofLargeAndSmall(int most) {
-        SubsetHarness relay = new SubsetHarness(new EndpointSubset(new EndpointSubset.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
+        SubsetHarness relay =
+                new SubsetHarness(new EndpointSubset(new EndpointSubset.Terms(7, 0, most, 5, 0.25, 1, SETTLE_US)));
         List<EndpointEntry> endpoints = new ArrayList<>(service("large", 81, 3));
         endpoints.addAll(service("small", 12, 3));
         relay.whole(endpoints);
@@ -349,7 +380,10 @@
         assertThat(relay.ready("large")).hasSize(21);
         assertThat(relay.ready("small")).hasSize(5);
         // It follows the service's size, and gives up what it has too much after the settle time.
-        relay.change(service("large", 81, 3).stream().skip(40).map(EndpointEntry::gone).toArray(EndpointEntry[]::new));
+        relay.change(service("large", 81, 3).stream()
+                .skip(40)
+                .map(EndpointEntry::gone)
+                .toArray(EndpointEntry[]::new));
         relay.due(SETTLE_US);
         assertThat(relay.ready("large")).hasSize(10);
     }
@@ -418,13 +452,15 @@
     void termsWithoutSenseAreRefused() {
         for (double part : new double[] {-0.1, 1.1, Double.NaN}) {
             assertThatThrownBy(() -> new EndpointSubset.Terms(1, 0, 1, 1, part, 0, 0))
-                .isInstanceOf(IllegalArgumentException.class).hasMessageContaining("part");
+                    .isInstanceOf(IllegalArgumentException.class)
+                    .hasMessageContaining("part");
         }
         assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 0, 1, 0, 0)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 0, 0, 0)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 1, -1, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 1, 0, -1)).isInstanceOf(IllegalArgumentException.class)
-            .hasMessageContaining("-1");
+        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 1, 0, -1))
+                .isInstanceOf(IllegalArgumentException.class)
+                .hasMessageContaining("-1");
     }
 
     /**
@@ -441,7 +477,8 @@
         Map<String, Integer> holders = new TreeMap<>();
         int held = 0;
         for (int r = 0; r < relays; r++) {
-            SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(r, -1, 100, r % 2 == 0 ? 5 : 8, 0, SETTLE_US)));
+            SubsetHarness relay = new SubsetHarness(
+                    new EndpointSubset(SubsetHarness.terms(r, -1, 100, r % 2 == 0 ? 5 : 8, 0, SETTLE_US)));
             relay.whole(list);
             for (String endpoint : relay.ready()) {
                 parts.merge(endpoint, 1.0 / relay.ready().size(), Double::sum);
@@ -451,8 +488,7 @@
         }
         double mean = relays / (double) endpoints;
         double most = parts.values().stream().mapToDouble(p -> p / mean).max().orElseThrow();
-        double uneven = holders.values().stream().mapToInt(h -> h).max().orElseThrow() / (held
-            / (double) endpoints);
+        double uneven = holders.values().stream().mapToInt(h -> h).max().orElseThrow() / (held / (double) endpoints);
         assertThat(parts).hasSize(endpoints);
         assertThat(parts.values().stream().mapToDouble(p -> p).sum()).isBetween(relays - 1e-6, relays + 1e-6);
         // Five standard deviations of a binomial share, as the ranking is by independent hashes.
@@ -466,9 +502,16 @@
         EndpointSubset scope = new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US));
         EndpointSubset.Reading reading = scope.read(true);
         for (int i = 0; i < 200_000; i++) {
-            reading.add(new EndpointEntry("unit-" + (1_000_000 + i), "service-" + i % 7_200, "10." + (i >> 16) + "."
-                + (i >> 8 & 255) + "." + (i & 255) + ":8443", i % 19, i % 4, i % 50, 800 + i % 5,
-                Endpoint.Health.READY, 1_780_000_000_000_000L + i * 1000L));
+            reading.add(new EndpointEntry(
+                    "unit-" + (1_000_000 + i),
+                    "service-" + i % 7_200,
+                    "10." + (i >> 16) + "." + (i >> 8 & 255) + "." + (i & 255) + ":8443",
+                    i % 19,
+                    i % 4,
+                    i % 50,
+                    800 + i % 5,
+                    Endpoint.Health.READY,
+                    1_780_000_000_000_000L + i * 1000L));
         }
         reading.take(0, 1);
         assertThat(scope.listed()).isEqualTo(200_000);
--- a/src/test/java/gatelock/membership/SubsetBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetBenchmark.java
@@ -1,8 +1,7 @@
 package gatelock.membership;
 
-import gatelock.capacity.Fit;
 import gatelock.api.Endpoint;
-
+import gatelock.capacity.Fit;
 import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.nio.file.Files;
@@ -29,8 +28,7 @@
     private static final int REPEATS = 5;
     private static final long SECOND = 1_000_000;
 
-    private SubsetBenchmark() {
-    }
+    private SubsetBenchmark() {}
 
     public static void main(String[] args) throws IOException {
         Locale.setDefault(Locale.ROOT);
@@ -74,8 +72,9 @@
         int held = 0;
         for (int i = 0; i < endpoints; i++) {
             int at = held;
-            while (at > 0 && (firsts[i] < firsts[best[at - 1]] || firsts[i] == firsts[best[at - 1]]
-                && places[i] < places[best[at - 1]])) {
+            while (at > 0
+                    && (firsts[i] < firsts[best[at - 1]]
+                            || firsts[i] == firsts[best[at - 1]] && places[i] < places[best[at - 1]])) {
                 at--;
             }
             if (at < take) {
@@ -107,8 +106,9 @@
     private static int[] ring(long relay, long[] endpoints, int most) {
         double at = (Long.reverse(relay) >>> 11) * 0x1.0p-53;
         int first = (int) (at * endpoints.length);
-        return IntStream.range(0, Math.min(most, endpoints.length)).map(i -> (first
-            + i) % endpoints.length).toArray();
+        return IntStream.range(0, Math.min(most, endpoints.length))
+                .map(i -> (first + i) % endpoints.length)
+                .toArray();
     }
 
     private static int[] all(long relay, long[] endpoints, int most) {
@@ -117,18 +117,22 @@
 
     private static long[] endpoints(int endpoints, int from) {
         RendezvousRanking any = new RendezvousRanking(0);
-        return IntStream.range(from, from + endpoints).mapToLong(i -> any.hash("unit-" + i)).sorted().toArray();
+        return IntStream.range(from, from + endpoints)
+                .mapToLong(i -> any.hash("unit-" + i))
+                .sorted()
+                .toArray();
     }
 
     private static long[] numbers(boolean drawn) {
         SplittableRandom random = new SplittableRandom(17);
-        return IntStream.range(0, RELAYS).mapToLong(i -> drawn ? random.nextLong(Long.MAX_VALUE) :
-            i).toArray();
+        return IntStream.range(0, RELAYS)
+                .mapToLong(i -> drawn ? random.nextLong(Long.MAX_VALUE) : i)
+                .toArray();
     }
 
     /** {least, most} load of an endpoint over the mean; relays bear load, spread over their endpoints by weight. */
-    private static double[] spread(Option option, boolean drawn, long[] endpoints, int most, double[] weights,
-                                   double[] loads) {
+    private static double[] spread(
+            Option option, boolean drawn, long[] endpoints, int most, double[] weights, double[] loads) {
         double[] load = new double[endpoints.length];
         long[] numbers = numbers(drawn);
         for (int r = 0; r < RELAYS; r++) {
@@ -139,8 +143,10 @@
             }
         }
         double mean = Arrays.stream(loads).sum() / Arrays.stream(weights).sum();
-        return new double[] {Arrays.stream(load).min().orElse(0) / mean,
-            Arrays.stream(load).max().orElse(0) / mean};
+        return new double[] {
+            Arrays.stream(load).min().orElse(0) / mean,
+            Arrays.stream(load).max().orElse(0) / mean
+        };
     }
 
     private static double[] ones(int n) {
@@ -152,7 +158,7 @@
     private static void evenness() {
         System.out.println("Least to mean and max to mean load of a unit, " + RELAYS + " relays:\n");
         System.out.println("| units | in scope | ranked | rounds, numbered | ring, numbered | rounds, drawn "
-            + "| ring, drawn | all |");
+                + "| ring, drawn | all |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int n : new int[] {2, 10, 28, 100, 1_000, 5_000}) {
             for (int most : new int[] {5, 20, 100}) {
@@ -161,12 +167,16 @@
                 }
                 long[] endpoints = endpoints(n, 0);
                 StringBuilder row = new StringBuilder("| " + n + " | " + Math.min(n, most));
-                for (Object[] column : new Object[][] {{(Option) SubsetBenchmark::ranked, false},
-                    {(Option) SubsetBenchmark::rounds, false}, {(Option) SubsetBenchmark::ring, false},
-                    {(Option) SubsetBenchmark::rounds, true}, {(Option) SubsetBenchmark::ring, true},
-                    {(Option) SubsetBenchmark::all, false}}) {
-                    double[] s = spread((Option) column[0], (boolean) column[1], endpoints, most, ones(n),
-                        ones(RELAYS));
+                for (Object[] column : new Object[][] {
+                    {(Option) SubsetBenchmark::ranked, false},
+                    {(Option) SubsetBenchmark::rounds, false},
+                    {(Option) SubsetBenchmark::ring, false},
+                    {(Option) SubsetBenchmark::rounds, true},
+                    {(Option) SubsetBenchmark::ring, true},
+                    {(Option) SubsetBenchmark::all, false}
+                }) {
+                    double[] s =
+                            spread((Option) column[0], (boolean) column[1], endpoints, most, ones(n), ones(RELAYS));
                     row.append(String.format(" | %.2f, %.2f", s[0], s[1]));
                 }
                 System.out.println(row + " |");
@@ -177,11 +187,11 @@
 
     private static void weights() {
         System.out.println("Max to mean load by weight (half of the units 1, a quarter 2, a quarter 4), and "
-            + "with "
-            + "equal weights where relays' loads differ (drawn, exponential):\n");
+                + "with "
+                + "equal weights where relays' loads differ (drawn, exponential):\n");
         System.out.println("| units | in scope | ranked | ranked by weight | rounds, numbered | ring, "
-            + "numbered "
-            + "| ranked, unequal relays | ring, unequal relays |");
+                + "numbered "
+                + "| ranked, unequal relays | ring, unequal relays |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         SplittableRandom random = new SplittableRandom(3);
         double[] unequal = new double[RELAYS];
@@ -197,8 +207,11 @@
             }
             Option weighted = (relay, its, m) -> {
                 RendezvousRanking ranking = new RendezvousRanking(relay);
-                return least(its.length, m, i -> -Math.log(((ranking.place(its[i]) >>> 11) + 0.5) * 0x1.0p-53)
-                    / weights[i], i -> 0);
+                return least(
+                        its.length,
+                        m,
+                        i -> -Math.log(((ranking.place(its[i]) >>> 11) + 0.5) * 0x1.0p-53) / weights[i],
+                        i -> 0);
             };
             // A relay that chose by weight spreads evenly over its endpoints: the weight was counted.
             double even = 0;
@@ -213,12 +226,16 @@
             for (int i = 0; i < n; i++) {
                 even = Math.max(even, load[i] / weights[i] / mean);
             }
-            System.out.printf("| %d | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |%n", n, most,
-                spread(SubsetBenchmark::ranked, false, endpoints, most, weights, ones(RELAYS))[1], even,
-                spread(SubsetBenchmark::rounds, false, endpoints, most, weights, ones(RELAYS))[1],
-                spread(SubsetBenchmark::ring, false, endpoints, most, weights, ones(RELAYS))[1],
-                spread(SubsetBenchmark::ranked, false, endpoints, most, ones(n), unequal)[1],
-                spread(SubsetBenchmark::ring, false, endpoints, most, ones(n), unequal)[1]);
+            System.out.printf(
+                    "| %d | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |%n",
+                    n,
+                    most,
+                    spread(SubsetBenchmark::ranked, false, endpoints, most, weights, ones(RELAYS))[1],
+                    even,
+                    spread(SubsetBenchmark::rounds, false, endpoints, most, weights, ones(RELAYS))[1],
+                    spread(SubsetBenchmark::ring, false, endpoints, most, weights, ones(RELAYS))[1],
+                    spread(SubsetBenchmark::ranked, false, endpoints, most, ones(n), unequal)[1],
+                    spread(SubsetBenchmark::ring, false, endpoints, most, ones(n), unequal)[1]);
         }
         System.out.println();
     }
@@ -227,42 +244,49 @@
     private static double moved(Option option, long[] before, long[] after, int most, long numberMoves) {
         long moved = 0;
         for (int r = 0; r < RELAYS; r++) {
-            long[] had = Arrays.stream(option.endpoints(r, before,
-                most)).mapToLong(i -> before[i]).sorted().toArray();
-            moved += Arrays.stream(option.endpoints(r + numberMoves, after,
-                most)).filter(i -> Arrays.binarySearch(
-                had, after[i]) < 0).count();
+            long[] had = Arrays.stream(option.endpoints(r, before, most))
+                    .mapToLong(i -> before[i])
+                    .sorted()
+                    .toArray();
+            moved += Arrays.stream(option.endpoints(r + numberMoves, after, most))
+                    .filter(i -> Arrays.binarySearch(had, after[i]) < 0)
+                    .count();
         }
         return moved / (double) RELAYS;
     }
 
     private static void moves() {
         System.out.println("New connections a relay (mean over " + RELAYS + " relays and 10 units), 5 in "
-            + "scope. "
-            + "Least: each relay that held the unit needs one other.\n");
+                + "scope. "
+                + "Least: each relay that held the unit needs one other.\n");
         System.out.println("| units | what | least | ranked | rounds | ring | all |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         int most = 5;
         for (int n : new int[] {28, 100, 1_000}) {
             for (String what : new String[] {"a unit goes", "a unit comes", "relays' numbers move by one"}) {
                 double[] sums = new double[4];
-                Option[] options = {SubsetBenchmark::ranked, SubsetBenchmark::rounds, SubsetBenchmark::ring,
-                    SubsetBenchmark::all};
+                Option[] options = {
+                    SubsetBenchmark::ranked, SubsetBenchmark::rounds, SubsetBenchmark::ring, SubsetBenchmark::all
+                };
                 for (int k = 0; k < 10; k++) {
                     long[] full = endpoints(n, 1_000 * k);
                     int out = k * n / 10;
-                    long[] less = IntStream.range(0,
-                        n).filter(i -> i != out).mapToLong(i -> full[i]).toArray();
+                    long[] less = IntStream.range(0, n)
+                            .filter(i -> i != out)
+                            .mapToLong(i -> full[i])
+                            .toArray();
                     for (int o = 0; o < options.length; o++) {
-                        sums[o] += what.endsWith("goes") ? moved(options[o], full, less, most, 0)
-                            : what.endsWith("comes") ? moved(options[o], less, full, most, 0)
-                            : moved(options[o], full, full, most, 1);
+                        sums[o] += what.endsWith("goes")
+                                ? moved(options[o], full, less, most, 0)
+                                : what.endsWith("comes")
+                                        ? moved(options[o], less, full, most, 0)
+                                        : moved(options[o], full, full, most, 1);
                     }
                 }
                 String least = what.startsWith("a unit") ? String.format("%.3f", most / (double) n) : "0";
-                System.out.printf("| %d | %s | %s | %.3f | %.3f | %.3f | %.3f |%n", n, what, least, sums[0]
-                    / 10,
-                    sums[1] / 10, sums[2] / 10, sums[3] / 10);
+                System.out.printf(
+                        "| %d | %s | %s | %.3f | %.3f | %.3f | %.3f |%n",
+                        n, what, least, sums[0] / 10, sums[1] / 10, sums[2] / 10, sums[3] / 10);
             }
         }
         System.out.println();
@@ -271,10 +295,16 @@
     // The module itself
 
     private static EndpointEntry endpoint(int n, int services, int zone, int starts) {
-        return new EndpointEntry("unit-" + (1_000_000 + n), "service-" + n % services, "10." + (n >> 16) + "."
-            + (n >> 8 & 255) + "." + (n & 255) + ":8443", zone, n % 4, n % 50, 804 + n % 2,
-            Endpoint.Health.READY,
-            1_780_000_000_000_000L + n * 1000L + starts * SECOND);
+        return new EndpointEntry(
+                "unit-" + (1_000_000 + n),
+                "service-" + n % services,
+                "10." + (n >> 16) + "." + (n >> 8 & 255) + "." + (n & 255) + ":8443",
+                zone,
+                n % 4,
+                n % 50,
+                804 + n % 2,
+                Endpoint.Health.READY,
+                1_780_000_000_000_000L + n * 1000L + starts * SECOND);
     }
 
     private static EndpointEntry endpoint(int n, int services, int starts) {
@@ -282,8 +312,10 @@
     }
 
     /** A service's endpoints as one relay's scope has them. */
-    private static EndpointSubset.Change change(int relay, int zone, List<EndpointEntry> list, int perService, int elsewhere) {
-        EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(relay, zone, 1_000, perService, 0, elsewhere, SECOND));
+    private static EndpointSubset.Change change(
+            int relay, int zone, List<EndpointEntry> list, int perService, int elsewhere) {
+        EndpointSubset scope =
+                new EndpointSubset(new EndpointSubset.Terms(relay, zone, 1_000, perService, 0, elsewhere, SECOND));
         EndpointSubset.Reading reading = scope.read(true);
         list.forEach(reading::add);
         return reading.take(0, 1);
@@ -293,7 +325,7 @@
         int zones = 19;
         int perZone = 100;
         System.out.println("Zones: " + zones + ", each with " + perZone + " relays; 5 in scope, 1 of them "
-            + "elsewhere; the module itself (ranked). Units a zone: even, or drawn.\n");
+                + "elsewhere; the module itself (ranked). Units a zone: even, or drawn.\n");
         System.out.println("| units | zones | of connections in the own zone | least to mean, max to mean |");
         System.out.println("| --- | --- | --- | --- |");
         for (int n : new int[] {28, 190, 1_000}) {
@@ -315,9 +347,13 @@
                     }
                 }
                 double mean = held / (double) n;
-                System.out.printf("| %d | %s | %.2f | %.2f, %.2f |%n", n, how, own / (double) held,
-                    Arrays.stream(holders).min().orElse(0) / mean, Arrays.stream(holders).max().orElse(0)
-                    / mean);
+                System.out.printf(
+                        "| %d | %s | %.2f | %.2f, %.2f |%n",
+                        n,
+                        how,
+                        own / (double) held,
+                        Arrays.stream(holders).min().orElse(0) / mean,
+                        Arrays.stream(holders).max().orElse(0) / mean);
             }
         }
         System.out.println();
@@ -325,8 +361,8 @@
 
     private static void stages() {
         System.out.println("Share of " + RELAYS + " relays that hold at least one unit of a build, by the "
-            + "part of "
-            + "a service's units that run it (ranked; mean of 10 services):\n");
+                + "part of "
+                + "a service's units that run it (ranked; mean of 10 services):\n");
         System.out.println("| units | in scope | 8% | 60% | 100% | 8%, worst service |");
         System.out.println("| --- | --- | --- | --- | --- | --- |");
         for (int n : new int[] {28, 100, 1_000}) {
@@ -337,8 +373,12 @@
                 for (int s = 0; s < services; s++) {
                     long[] endpoints = endpoints(n, 10_000 * s);
                     // Endpoints on the build are told by their names, as a release takes them in any order.
-                    int[] order = IntStream.range(0, n).boxed().sorted(Comparator.comparingLong(i ->
-                        Long.rotateLeft(endpoints[i], 20) * 0x9E3779B97F4A7C15L)).mapToInt(i -> i).toArray();
+                    int[] order = IntStream.range(0, n)
+                            .boxed()
+                            .sorted(Comparator.comparingLong(
+                                    i -> Long.rotateLeft(endpoints[i], 20) * 0x9E3779B97F4A7C15L))
+                            .mapToInt(i -> i)
+                            .toArray();
                     int[] place = new int[n];
                     for (int i = 0; i < n; i++) {
                         place[order[i]] = i;
@@ -357,8 +397,8 @@
                     }
                     worst = Math.min(worst, reach[0] / (double) RELAYS);
                 }
-                System.out.printf("| %d | %d | %.3f | %.3f | %.3f | %.3f |%n", n, most, sums[0], sums[1],
-                    sums[2], worst);
+                System.out.printf(
+                        "| %d | %d | %.3f | %.3f | %.3f | %.3f |%n", n, most, sums[0], sums[1], sums[2], worst);
             }
         }
         System.out.println();
@@ -370,7 +410,9 @@
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 3; i++) {
             System.gc();
-            least = Math.min(least, ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
+            least = Math.min(
+                    least,
+                    ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
         }
         return least;
     }
@@ -395,9 +437,16 @@
             long from = cpuNs();
             for (int i = 0; i < CHANGES; i++) {
                 EndpointEntry e = endpoint(endpoints[i % endpoints.length], services, k + 1);
-                EndpointEntry drains = new EndpointEntry(e.name(), e.service(), e.address(), e.zone(), e.kind(), e.cell(),
-                    e.build(),
-                    Endpoint.Health.DRAINING, e.startUs());
+                EndpointEntry drains = new EndpointEntry(
+                        e.name(),
+                        e.service(),
+                        e.address(),
+                        e.zone(),
+                        e.kind(),
+                        e.cell(),
+                        e.build(),
+                        Endpoint.Health.DRAINING,
+                        e.startUs());
                 for (EndpointEntry told : new EndpointEntry[] {drains, e.gone(), e}) {
                     EndpointSubset.Reading reading = scope.read(false);
                     reading.add(told);
@@ -417,9 +466,11 @@
         scope.read(true);
         EndpointSubset.Reading whole = read(scope, endpoints, services, 0);
         whole.take(0, 1).entries().forEach(e -> in.add(e.name()));
-        return new SplittableRandom(5).ints(endpoints * 4L, 0, endpoints).filter(i -> in.contains("unit-"
-            + (1_000_000 + i))
-            == inScope).limit(CHANGES).toArray();
+        return new SplittableRandom(5)
+                .ints(endpoints * 4L, 0, endpoints)
+                .filter(i -> in.contains("unit-" + (1_000_000 + i)) == inScope)
+                .limit(CHANGES)
+                .toArray();
     }
 
     private static void work(Path slopes, String run) throws IOException {
@@ -427,16 +478,15 @@
         double[] heap = new double[sizes.length];
         double[] out = new double[sizes.length];
         System.out.println("Work and memory of the module; 28 units a service, 256 in scope over all, so "
-            + "that what is "
-            + "out of scope shows. A change is one entry with its due; three make a restart.\n");
+                + "that what is "
+                + "out of scope shows. A change is one entry with its due; three make a restart.\n");
         System.out.println("| units | heap, KB | bytes a unit out of scope | of these packed | peak while a "
-            + "whole list "
-            + "comes, KB | whole list, CPU ms | change out of scope, CPU us | in scope, CPU us |");
+                + "whole list "
+                + "comes, KB | whole list, CPU ms | change out of scope, CPU us | in scope, CPU us |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         for (int warm = 0; warm < 3; warm++) {
             EndpointSubset scope = new EndpointSubset(new EndpointSubset.Terms(7, 0, 256, 5, 0, 1, SECOND));
-            perChangeUs(scope, some(scope, 10_000, 10_000 / UNITS_A_SERVICE, false), 10_000
-                / UNITS_A_SERVICE);
+            perChangeUs(scope, some(scope, 10_000, 10_000 / UNITS_A_SERVICE, false), 10_000 / UNITS_A_SERVICE);
         }
         for (int s = 0; s < sizes.length; s++) {
             int n = sizes[s];
@@ -461,15 +511,22 @@
             out[s] = perChangeUs(scope, some(scope, n, services, false), services);
             double in = perChangeUs(scope, some(scope, n, services, true), services);
             heap[s] = held;
-            System.out.printf("| %,d | %,d | %.1f | %.1f | %,d | %.1f | %.2f | %.2f |%n", n, held / 1024,
-                held / (double) n, scope.bytes() / (double) n, peak / 1024, ms[REPEATS / 2], out[s], in);
+            System.out.printf(
+                    "| %,d | %,d | %.1f | %.1f | %,d | %.1f | %.2f | %.2f |%n",
+                    n,
+                    held / 1024,
+                    held / (double) n,
+                    scope.bytes() / (double) n,
+                    peak / 1024,
+                    ms[REPEATS / 2],
+                    out[s],
+                    in);
         }
         System.out.println();
-        System.out.println("The same with 5 of each service in scope (bound 40,000), and with one "
-            + "service:\n");
+        System.out.println("The same with 5 of each service in scope (bound 40,000), and with one " + "service:\n");
         System.out.println("| units | services | in scope | heap, KB | whole list, CPU ms | change out of "
-            + "scope, CPU us "
-            + "| in scope, CPU us |");
+                + "scope, CPU us "
+                + "| in scope, CPU us |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int n : sizes) {
             for (int services : new int[] {n / UNITS_A_SERVICE, 1}) {
@@ -482,25 +539,44 @@
                 double ms = (cpuNs() - from) / 1e6;
                 int[] outside = some(scope, n, services, false);
                 int inScope = scope.inScope();
-                System.out.printf("| %,d | %,d | %,d | %,d | %.1f | %.2f | %.2f |%n", n, services, inScope,
-                    held / 1024, ms, perChangeUs(scope, outside, services), services == 1 ? inFew(scope, n)
-                        : perChangeUs(scope, some(scope, n, services, true), services));
+                System.out.printf(
+                        "| %,d | %,d | %,d | %,d | %.1f | %.2f | %.2f |%n",
+                        n,
+                        services,
+                        inScope,
+                        held / 1024,
+                        ms,
+                        perChangeUs(scope, outside, services),
+                        services == 1 ? inFew(scope, n) : perChangeUs(scope, some(scope, n, services, true), services));
             }
         }
         if (slopes != null) {
             double[] x = Arrays.stream(sizes).asDoubleStream().toArray();
             Files.createDirectories(slopes.toAbsolutePath().getParent());
-            Files.writeString(slopes, "{\n  \"run\": {\"id\": \"" + run + "\", \"cores\": "
-                + Runtime.getRuntime().availableProcessors() + ", \"java\": \"" + Runtime.version().feature()
-                + "\", \"command\": \"make measure-membership\"},\n  \"slopes\": [\n"
-                + slope("heapPerUnitOutOfScope", "heap of the scope by units listed, 256 of them in scope, "
-                    + "28 a service", "bytes", x, heap, "used heap after collections, before and after a "
-                    + "whole list")
-                + ",\n" + slope("cpuPerChangeOutOfScopeUs", "processor time of one entry's change out of "
-                + "scope, by "
-                    + "units listed", "us", x, out, "thread's processor time over " + 3 * CHANGES + " "
-                    + "changes, median "
-                    + "of " + REPEATS + " repeats; a restart is three changes") + "\n  ]\n}\n");
+            Files.writeString(
+                    slopes,
+                    "{\n  \"run\": {\"id\": \"" + run + "\", \"cores\": "
+                            + Runtime.getRuntime().availableProcessors() + ", \"java\": \""
+                            + Runtime.version().feature()
+                            + "\", \"command\": \"make measure-membership\"},\n  \"slopes\": [\n"
+                            + slope(
+                                    "heapPerUnitOutOfScope",
+                                    "heap of the scope by units listed, 256 of them in scope, " + "28 a service",
+                                    "bytes",
+                                    x,
+                                    heap,
+                                    "used heap after collections, before and after a " + "whole list")
+                            + ",\n"
+                            + slope(
+                                    "cpuPerChangeOutOfScopeUs",
+                                    "processor time of one entry's change out of " + "scope, by " + "units listed",
+                                    "us",
+                                    x,
+                                    out,
+                                    "thread's processor time over " + 3 * CHANGES + " "
+                                            + "changes, median "
+                                            + "of " + REPEATS + " repeats; a restart is three changes")
+                            + "\n  ]\n}\n");
         }
     }
 
@@ -524,15 +600,19 @@
     }
 
     private static String slope(String name, String what, String y, double[] x, double[] ys, String how) {
-        List<double[]> measured = IntStream.range(0, x.length).mapToObj(i -> new double[] {x[i], ys[i]}).toList();
+        List<double[]> measured = IntStream.range(0, x.length)
+                .mapToObj(i -> new double[] {x[i], ys[i]})
+                .toList();
         Fit fit = Fit.of(measured);
-        String points = measured.stream().map(p -> String.format("[%.0f, %.3f]", p[0], p[1]))
-            .collect(Collectors.joining(", "));
-        return String.format("    {\"name\": \"%s\", \"what\": \"%s\", \"x\": \"units listed\", \"y\": "
-            + "\"%s\",%n"
-            + "      \"points\": [%s],%n      \"slope\": %.6g, \"intercept\": %.6g, \"residual\": %.6g,%n"
-            + "      \"how\": \"%s; least squares\"}", name, what, y, points,
-            fit.slope(), fit.intercept(), fit.residual(), how);
+        String points = measured.stream()
+                .map(p -> String.format("[%.0f, %.3f]", p[0], p[1]))
+                .collect(Collectors.joining(", "));
+        return String.format(
+                "    {\"name\": \"%s\", \"what\": \"%s\", \"x\": \"units listed\", \"y\": "
+                        + "\"%s\",%n"
+                        + "      \"points\": [%s],%n      \"slope\": %.6g, \"intercept\": %.6g, \"residual\": %.6g,%n"
+                        + "      \"how\": \"%s; least squares\"}",
+                name, what, y, points, fit.slope(), fit.intercept(), fit.residual(), how);
     }
 
     /** 200,000 endpoints in the memory that a relay has: says how it went, ten whole lists and 2,000 restarts. */
@@ -544,8 +624,12 @@
             read(scope, n, services, k).take(k, k);
         }
         perChangeUs(scope, IntStream.range(0, 2_000).toArray(), services);
-        System.out.printf("%,d units, %,d in scope, %,d services crowded out: %,d KB used of %,d KB%n",
-            scope.listed(), scope.inScope(), scope.crowdedOut(), used() / 1024,
-            Runtime.getRuntime().maxMemory() / 1024);
+        System.out.printf(
+                "%,d units, %,d in scope, %,d services crowded out: %,d KB used of %,d KB%n",
+                scope.listed(),
+                scope.inScope(),
+                scope.crowdedOut(),
+                used() / 1024,
+                Runtime.getRuntime().maxMemory() / 1024);
     }
 }
--- a/src/test/java/gatelock/membership/SubsetHarness.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -1,7 +1,6 @@
 package gatelock.membership;
 
 import gatelock.api.Endpoint;
-
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -16,14 +15,15 @@
     long nowUs = 1_000_000;
     /** Entries told so far. */
     int told;
+
     EndpointSubset.Change last;
 
     SubsetHarness(EndpointSubset scope) {
         this.scope = scope;
     }
 
-    static EndpointSubset.Terms terms(long relay, int zone, int most, int perService, int leastElsewhere,
-        long settleUs) {
+    static EndpointSubset.Terms terms(
+            long relay, int zone, int most, int perService, int leastElsewhere, long settleUs) {
         return new EndpointSubset.Terms(relay, zone, most, perService, 0, leastElsewhere, settleUs);
     }
 
@@ -75,13 +75,16 @@
     }
 
     Set<String> ready(String service) {
-        return endpoints.values().stream().filter(e -> e.service().equals(service)
-            && e.health() == Endpoint.Health.READY).map(EndpointEntry::name)
-            .collect(Collectors.toCollection(TreeSet::new));
+        return endpoints.values().stream()
+                .filter(e -> e.service().equals(service) && e.health() == Endpoint.Health.READY)
+                .map(EndpointEntry::name)
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 
     Set<String> ready() {
-        return endpoints.values().stream().filter(e -> e.health() == Endpoint.Health.READY).map(EndpointEntry::name)
-            .collect(Collectors.toCollection(TreeSet::new));
+        return endpoints.values().stream()
+                .filter(e -> e.health() == Endpoint.Health.READY)
+                .map(EndpointEntry::name)
+                .collect(Collectors.toCollection(TreeSet::new));
     }
 }
--- a/src/test/java/gatelock/net/DelayedIoThread.java
+++ b/src/test/java/gatelock/net/DelayedIoThread.java
@@ -4,8 +4,7 @@
 
 /** An I/O thread that is late. */
 public final class DelayedIoThread {
-    private DelayedIoThread() {
-    }
+    private DelayedIoThread() {}
 
     /** Holds the thread up, and returns once it is; it goes on as soon as the latch is down. */
     public static CountDownLatch hold(EventLoop turn) throws InterruptedException {
