--- a/src/test/java/gatelock/net/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/net/OutboundConnectionTest.java
@@ -4,7 +4,6 @@
 
 import gatelock.state.Counters;
 import gatelock.state.UpstreamResponse;
-
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -15,7 +14,6 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.xnio.OptionMap;
@@ -60,8 +58,12 @@
 
     private void call(ServerSocket party) {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), party.getLocalPort());
-        turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8).call(at,
-            ByteBuffer.wrap("GET /list HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)), CALL_US, new Hears()));
+        turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8)
+                .call(
+                        at,
+                        ByteBuffer.wrap("GET /list HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)),
+                        CALL_US,
+                        new Hears()));
     }
 
     /** Holds the thread up until what the test does meanwhile is done and the call's time is over. */
@@ -99,12 +101,12 @@
             InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), party.getLocalPort());
             // More than the system takes at once from one that nobody reads from.
             ByteBuffer large = ByteBuffer.allocate(64 * 1024 * 1024);
-            turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8).call(at, large, 20_000_000,
-                new Hears()));
+            turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8)
+                    .call(at, large, 20_000_000, new Hears()));
             try (Socket caller = party.accept()) {
                 caller.getInputStream().read();
-                caller.getOutputStream().write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly"
-                    .getBytes(StandardCharsets.US_ASCII));
+                caller.getOutputStream()
+                        .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly".getBytes(StandardCharsets.US_ASCII));
                 assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("broken, not written");
             }
         }
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -4,7 +4,6 @@
 
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.HashSet;
@@ -12,7 +11,6 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -56,8 +54,11 @@
             Session.Side side = random.nextBoolean() ? Session.Side.CLIENT : Session.Side.UNIT;
             boolean there = !peers.lost.contains(side) && !peers.cut.contains(side);
             switch (random.nextInt(4)) {
-                case 0 -> session.end(nowUs, CloseReason.values()[random.nextInt(CloseReason.values().length)],
-                    random.nextInt(2) * 100);
+                case 0 ->
+                    session.end(
+                            nowUs,
+                            CloseReason.values()[random.nextInt(CloseReason.values().length)],
+                            random.nextInt(2) * 100);
                 case 1 -> {
                     if (there) {
                         session.closed(nowUs, side, random.nextInt(5_100), "x");
@@ -74,8 +75,8 @@
             boolean ended = session.cause() != null;
             assertThat(session.open()).isEqualTo(!ended);
             for (Session.Side s : Session.Side.values()) {
-                assertThat(peers.closes.containsKey(s)).isEqualTo(ended && (peers.closes.containsKey(s)
-                    || !peers.lost.contains(s)));
+                assertThat(peers.closes.containsKey(s))
+                        .isEqualTo(ended && (peers.closes.containsKey(s) || !peers.lost.contains(s)));
             }
         }
         session.end(nowUs, CloseReason.IDLE, 0);
@@ -89,9 +90,13 @@
     @Test
     void aDrainIsPacedByWhatTheOthersBearAndEndsInTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY),
-            endpoint("b", 1, Endpoint.Health.READY),
-            endpoint("c", 1, Endpoint.Health.READY)));
+        sessions.listed(
+                1,
+                DecisionEngine.ListForm.FULL,
+                List.of(
+                        endpoint("a", 1, Endpoint.Health.READY),
+                        endpoint("b", 1, Endpoint.Health.READY),
+                        endpoint("c", 1, Endpoint.Health.READY)));
         List<Peers> at = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
             Peers peers = new Peers();
@@ -102,7 +107,9 @@
         long closedBefore = 0;
         for (long us = SECOND; us < 12 * SECOND; us += 100_000) {
             sessions.due(us);
-            long closed = at.stream().filter(p -> p.closes.containsKey(Session.Side.CLIENT)).count();
+            long closed = at.stream()
+                    .filter(p -> p.closes.containsKey(Session.Side.CLIENT))
+                    .count();
             if (us < 11 * SECOND) {
                 assertThat(closed - closedBefore).as("at %d", us).isLessThanOrEqualTo(5);
             }
@@ -110,8 +117,8 @@
         }
         // Two endpoints at 20 a second bear 400 in 10 s; what is left then goes all the same.
         assertThat(closedBefore).isEqualTo(600);
-        assertThat(at).allMatch(p -> p.closes.get(Session.Side.CLIENT) == 1012
-            && p.reason.matches(".* after [0-9]+ ms"));
+        assertThat(at)
+                .allMatch(p -> p.closes.get(Session.Side.CLIENT) == 1012 && p.reason.matches(".* after [0-9]+ ms"));
         sessions.due(14 * SECOND);
         assertThat(sessions.size()).isZero();
         assertThat(sessions.mustLeave()).isZero();
@@ -120,8 +127,10 @@
     @Test
     void aBuildThatGoesBackTakesItsSessionsAlongAtOnceAndNoOthers() {
         Sessions sessions = new Sessions(10, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY),
-            endpoint("b", 2, Endpoint.Health.READY)));
+        sessions.listed(
+                1,
+                DecisionEngine.ListForm.FULL,
+                List.of(endpoint("a", 1, Endpoint.Health.READY), endpoint("b", 2, Endpoint.Health.READY)));
         sessions.news(1, 2, DecisionEngine.Phase.TRIAL);
         Peers old = new Peers();
         Peers canary = new Peers();
--- a/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -5,7 +5,6 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
-
 import org.HdrHistogram.Histogram;
 
 /**
@@ -19,8 +18,7 @@
     private static final int A_SECOND = 400;
     private static final int SECONDS = 10;
 
-    private ConfigUpdateBenchmark() {
-    }
+    private ConfigUpdateBenchmark() {}
 
     public static void main(String[] args) throws Exception {
         Path directory = Files.createTempDirectory("gatelock-swarm");
@@ -28,18 +26,28 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        try (FakeDeployment village = new FakeDeployment(4); ControlService control = new ControlService()) {
+        try (FakeDeployment village = new FakeDeployment(4);
+                ControlService control = new ControlService()) {
             Path config = directory.resolve("relay.json");
-            Files.writeString(config, village.configuration(Files.readString(Path.of("examples/relay.json")),
-                "127.0.0.1:" + port));
+            Files.writeString(
+                    config,
+                    village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port));
             Path operator = directory.resolve("operator.json");
-            Files.writeString(operator, "{\"control\": {\"services\": [\"" + control.address()
-                + "\"], \"holdMs\": 1000}}");
+            Files.writeString(
+                    operator, "{\"control\": {\"services\": [\"" + control.address() + "\"], \"holdMs\": 1000}}");
             control.offer(1, "m", 1, plan(1, 100));
-            ProcessBuilder builder = new ProcessBuilder("java", "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xms96m",
-                "-Xmx96m", "-jar", "target/gatelock.jar", "serve", "--operator", operator.toString())
-                .redirectError(directory.resolve("relay.log").toFile());
+            ProcessBuilder builder = new ProcessBuilder(
+                            "java",
+                            "-XX:+UseSerialGC",
+                            "-XX:TieredStopAtLevel=1",
+                            "-Xms96m",
+                            "-Xmx96m",
+                            "-jar",
+                            "target/gatelock.jar",
+                            "serve",
+                            "--operator",
+                            operator.toString())
+                    .redirectError(directory.resolve("relay.log").toFile());
             builder.environment().put("PROXY_CONFIG", config.toString());
             Process relay = builder.start();
             try {
@@ -79,13 +87,16 @@
 
     private static String plan(int number, int routes) {
         StringBuilder text = new StringBuilder("{\"format\": 1, \"note\": \"" + number
-            + "\", \"pools\": {\"all\": {}}, \"limits\": "
-            + "{\"l\": {\"ratePerS\": 100000}}, \"routes\": [{\"name\": \"reads\", \"path\": \"/read\", "
-            + "\"class\": \"read\", "
-            + "\"pool\": \"all\", \"limits\": [\"l\"]}");
+                + "\", \"pools\": {\"all\": {}}, \"limits\": "
+                + "{\"l\": {\"ratePerS\": 100000}}, \"routes\": [{\"name\": \"reads\", \"path\": \"/read\", "
+                + "\"class\": \"read\", "
+                + "\"pool\": \"all\", \"limits\": [\"l\"]}");
         for (int i = 1; i < routes; i++) {
-            text.append(", {\"name\": \"r").append(i).append("\", \"path\": \"/x/").append(i)
-                .append("\", \"class\": \"read\"}");
+            text.append(", {\"name\": \"r")
+                    .append(i)
+                    .append("\", \"path\": \"/x/")
+                    .append(i)
+                    .append("\", \"class\": \"read\"}");
         }
         return text.append("]}").toString();
     }
@@ -100,9 +111,13 @@
     }
 
     private static void say(String what, Histogram us) {
-        System.out.printf("| %s | %d | %.2f%% | %.2f | %.2f | %.2f |%n", what, us.getTotalCount(),
-            us.getPercentileAtOrBelowValue(250_000), us.getValueAtPercentile(50) / 1e3,
-            us.getValueAtPercentile(99) / 1e3,
-            us.getMaxValue() / 1e3);
+        System.out.printf(
+                "| %s | %d | %.2f%% | %.2f | %.2f | %.2f |%n",
+                what,
+                us.getTotalCount(),
+                us.getPercentileAtOrBelowValue(250_000),
+                us.getValueAtPercentile(50) / 1e3,
+                us.getValueAtPercentile(99) / 1e3,
+                us.getMaxValue() / 1e3);
     }
 }
--- a/src/test/java/gatelock/standin/ControlService.java
+++ b/src/test/java/gatelock/standin/ControlService.java
@@ -3,7 +3,6 @@
 import com.fasterxml.jackson.jr.ob.JSON;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -141,12 +140,12 @@
     }
 
     private Version await(Map<String, Object> said) throws InterruptedException {
-        long untilNs = System.nanoTime()
-            + TimeUnit.MILLISECONDS.toNanos(((Number) said.get("hold_ms")).longValue());
+        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(((Number) said.get("hold_ms")).longValue());
         while (!closed) {
             long leftMs = TimeUnit.NANOSECONDS.toMillis(untilNs - System.nanoTime());
-            boolean later = version != null && (!(version.born + "-" + version.id).equals(said.get("epoch"))
-                || version.number > ((Number) said.get("version")).longValue());
+            boolean later = version != null
+                    && (!(version.born + "-" + version.id).equals(said.get("epoch"))
+                            || version.number > ((Number) said.get("version")).longValue());
             switch (manner) {
                 case SILENT -> wait();
                 case STUBBORN, CUT, DAMAGED -> {
--- a/src/test/java/gatelock/standin/Demo.java
+++ b/src/test/java/gatelock/standin/Demo.java
@@ -29,8 +29,7 @@
     private final Map<String, Integer> answers = new TreeMap<>();
     private int sent;
 
-    private Demo() {
-    }
+    private Demo() {}
 
     public static void main(String[] args) throws Exception {
         new Demo().play(Path.of("target/gatelock.jar"));
@@ -45,45 +44,48 @@
             port = one.getLocalPort();
             window = two.getLocalPort();
         }
-        try (FakeDeployment village = new FakeDeployment(4); ControlService control = new ControlService()) {
+        try (FakeDeployment village = new FakeDeployment(4);
+                ControlService control = new ControlService()) {
             Path config = directory.resolve("relay.json");
-            Files.writeString(config, village.configuration(Files.readString(Path.of("examples/relay.json")),
-                "127.0.0.1:" + port));
+            Files.writeString(
+                    config,
+                    village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port));
             Path operator = directory.resolve("operator.json");
-            Files.writeString(operator, "{\"control\": {\"services\": [\"" + control.address()
-                + "\"], \"holdMs\": 1000},"
-                + " \"listener\": \"127.0.0.1:" + window + "\"}");
+            Files.writeString(
+                    operator,
+                    "{\"control\": {\"services\": [\"" + control.address()
+                            + "\"], \"holdMs\": 1000},"
+                            + " \"listener\": \"127.0.0.1:" + window + "\"}");
             long born = System.currentTimeMillis();
-            control.offer(born, "demo", 1, String.format(SOUND, "reads go to zone east, 50 a second", 50,
-                "near", "proven"));
-            ProcessBuilder builder = new ProcessBuilder("java", "-jar", jar.toString(), "serve", "--cold",
-                "--operator",
-                operator.toString()).redirectError(directory.resolve("relay.log").toFile());
+            control.offer(
+                    born, "demo", 1, String.format(SOUND, "reads go to zone east, 50 a second", 50, "near", "proven"));
+            ProcessBuilder builder = new ProcessBuilder(
+                            "java", "-jar", jar.toString(), "serve", "--cold", "--operator", operator.toString())
+                    .redirectError(directory.resolve("relay.log").toFile());
             builder.environment().put("PROXY_CONFIG", config.toString());
             Process relay = builder.start();
             try {
-                say("a relay with 4 units and a control service; its log is "
-                    + directory.resolve("relay.log"));
+                say("a relay with 4 units and a control service; its log is " + directory.resolve("relay.log"));
                 while (ask(port, "GET", "/-/ready") != 200) {
                     Thread.sleep(50);
                 }
                 show(control, born, 1, port, village);
-                control.offer(born, "demo", 2, String.format(SOUND, "claims are tried again", 50, "near",
-                    "again"));
+                control.offer(born, "demo", 2, String.format(SOUND, "claims are tried again", 50, "near", "again"));
                 show(control, born, 2, port, village);
-                control.offer(born, "demo", 3, String.format(SOUND, "reads go everywhere, 10 a second", 10,
-                    "all", "proven"));
+                control.offer(
+                        born, "demo", 3, String.format(SOUND, "reads go everywhere, 10 a second", 10, "all", "proven"));
                 show(control, born, 3, port, village);
                 control.manner(ControlService.Manner.SILENT);
                 say("the control service falls silent");
                 traffic(port, village);
                 control.manner(ControlService.Manner.USUAL);
-                control.offer(born - 1000, "demo", 9, String.format(SOUND, "an old copy", 500, "all",
-                    "proven"));
+                control.offer(born - 1000, "demo", 9, String.format(SOUND, "an old copy", 500, "all", "proven"));
                 show(control, born - 1000, 9, port, village);
-                say("status: " + new String(URI.create("http://127.0.0.1:" + window + "/status").toURL()
-                    .openStream()
-                    .readAllBytes()));
+                say("status: "
+                        + new String(URI.create("http://127.0.0.1:" + window + "/status")
+                                .toURL()
+                                .openStream()
+                                .readAllBytes()));
                 say(sent + " reqs, answers by status " + answers + ", every one answered");
             } finally {
                 relay.destroy();
@@ -92,14 +94,15 @@
         }
     }
 
-    private void show(ControlService control, long born, int number, int port,
-        FakeDeployment village) throws Exception {
+    private void show(ControlService control, long born, int number, int port, FakeDeployment village)
+            throws Exception {
         Map<String, Object> report = control.report(born + "/" + number);
-        say("version " + number + ": " + (Boolean.TRUE.equals(report.get("accepted")) ? "in force"
-            : "turned down ("
-            + report.get("answer") + "), " + report.get("version") + " stays"
-            + (report.containsKey("findings") ? ": "
-            + report.get("findings") : "")));
+        say("version " + number + ": "
+                + (Boolean.TRUE.equals(report.get("accepted"))
+                        ? "in force"
+                        : "turned down ("
+                                + report.get("answer") + "), " + report.get("version") + " stays"
+                                + (report.containsKey("findings") ? ": " + report.get("findings") : "")));
         traffic(port, village);
     }
 
@@ -117,16 +120,19 @@
         }
         StringBuilder endpoints = new StringBuilder();
         for (int i = 0; i < 4; i++) {
-            endpoints.append(endpoints.length() == 0 ? "" : ", ").append((char) ('a' + i)).append(' ')
-                .append(village.did(i) - before[i]);
+            endpoints
+                    .append(endpoints.length() == 0 ? "" : ", ")
+                    .append((char) ('a' + i))
+                    .append(' ')
+                    .append(village.did(i) - before[i]);
         }
         say("   100 reqs: answers " + now + "; units " + endpoints);
     }
 
     private int ask(int port, String method, String path) {
         try {
-            HttpURLConnection call = (HttpURLConnection) URI.create("http://127.0.0.1:" + port + path)
-                .toURL().openConnection();
+            HttpURLConnection call = (HttpURLConnection)
+                    URI.create("http://127.0.0.1:" + port + path).toURL().openConnection();
             call.setRequestMethod(method);
             call.setRequestProperty("X-Trace-Id", "demo-" + sent + "-" + System.nanoTime());
             call.setRequestProperty("X-Customer", "acme");
@@ -136,8 +142,7 @@
             }
             int status = call.getResponseCode();
             InputStream body = status < 400 ? call.getInputStream() : call.getErrorStream();
-            (body == null ? InputStream.nullInputStream() : body)
-                .readAllBytes();
+            (body == null ? InputStream.nullInputStream() : body).readAllBytes();
             return status;
         } catch (IOException e) {
             return 0;
--- a/src/test/java/gatelock/standin/EndpointListBenchmark.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -1,7 +1,6 @@
 package gatelock.standin;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -19,7 +18,6 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-
 import org.HdrHistogram.Histogram;
 
 /**
@@ -31,21 +29,26 @@
 public final class EndpointListBenchmark {
     /** The file whose run line has the flags; another one by {@code -Ddeploy}. */
     private static final Path DEPLOY = Path.of(System.getProperty("deploy", "deploy/balancer.toml"));
+
     private static final int QUIET_S = 15;
     private static final int CHANGES_S = 30;
     private static final int SERVICES = 7_200;
     private static final int REQS_S = 5;
     /** Of an ordinary day: half a restart a second, of three changes each, and 0.014 failures a second. */
     private static final int STEP_MS = 667;
-    private static final Pattern TAKEN = Pattern.compile("list \\d+ of (\\d+) units in (\\d+) services, (\\d+) in scope");
+
+    private static final Pattern TAKEN =
+            Pattern.compile("list \\d+ of (\\d+) units in (\\d+) services, (\\d+) in scope");
 
     /** What is played. */
-    private record Play(int endpoints, String membership) {
-    }
+    private record Play(int endpoints, String membership) {}
 
-    private static final List<Play> PLAYS = List.of(new Play(200_000, null), new Play(10_000, null),
-        new Play(200_000, "\"most\": 1024, \"perService\": 4"), new Play(200_000, "\"most\": 7300, \"perService\": 4"),
-        new Play(10_000, "\"most\": 1024, \"perService\": 4"));
+    private static final List<Play> PLAYS = List.of(
+            new Play(200_000, null),
+            new Play(10_000, null),
+            new Play(200_000, "\"most\": 1024, \"perService\": 4"),
+            new Play(200_000, "\"most\": 7300, \"perService\": 4"),
+            new Play(10_000, "\"most\": 1024, \"perService\": 4"));
 
     /** One relay as a process. */
     private record Relay(Process process, int port, Path log, long startNs) {
@@ -55,8 +58,8 @@
             for (long ms = 0; process.isAlive() && ms < withinMs; ms = (System.nanoTime() - startNs) / 1_000_000) {
                 try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     socket.setSoTimeout(1_000);
-                    socket.getOutputStream().write("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
-                        .getBytes(StandardCharsets.US_ASCII));
+                    socket.getOutputStream()
+                            .write("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                     if (new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).endsWith("200")) {
                         return (System.nanoTime() - startNs) / 1_000_000;
                     }
@@ -70,7 +73,12 @@
 
         /** Of all its threads; the system counts it in steps of 10 ms. */
         long cpuUs() {
-            return process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO).toNanos() / 1_000;
+            return process.toHandle()
+                            .info()
+                            .totalCpuDuration()
+                            .orElse(Duration.ZERO)
+                            .toNanos()
+                    / 1_000;
         }
 
         double memoryMb(String which) throws IOException {
@@ -79,12 +87,15 @@
         }
 
         String jcmd(String what) throws IOException {
-            Process asked = new ProcessBuilder("jcmd", "" + process.pid(), what).redirectErrorStream(true).start();
+            Process asked = new ProcessBuilder("jcmd", "" + process.pid(), what)
+                    .redirectErrorStream(true)
+                    .start();
             return new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
 
         double oldHeapMb() throws IOException {
-            Matcher used = Pattern.compile("tenured generation\\s+total \\d+K, used (\\d+)K").matcher(jcmd("GC.heap_info"));
+            Matcher used = Pattern.compile("tenured generation\\s+total \\d+K, used (\\d+)K")
+                    .matcher(jcmd("GC.heap_info"));
             return used.find() ? Long.parseLong(used.group(1)) / 1024.0 : -1;
         }
     }
@@ -92,15 +103,14 @@
     /** The words of the platform's run line between the program's name and the jar. */
     private static List<String> flags() throws IOException {
         Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar (\\S+) serve( --operator \\S+)?\"$")
-            .matcher(Files.readString(DEPLOY));
+                .matcher(Files.readString(DEPLOY));
         if (!run.find()) {
             throw new IOException(DEPLOY + " has no run line of the usual form");
         }
         return List.of(run.group(1).split(" "));
     }
 
-    private EndpointListBenchmark() {
-    }
+    private EndpointListBenchmark() {}
 
     public static void main(String[] args) throws Exception {
         List<Map<String, Object>> rows = new ArrayList<>();
@@ -137,8 +147,9 @@
         all.put("run", run);
         all.put("rows", rows);
         Files.createDirectories(Path.of("docs/capacity"));
-        Files.writeString(Path.of("docs/capacity/relay-scope.json"),
-            JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(all) + "\n");
+        Files.writeString(
+                Path.of("docs/capacity/relay-scope.json"),
+                JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(all) + "\n");
     }
 
     private static Map<String, Object> row(Play play) throws Exception {
@@ -148,20 +159,25 @@
             port = free.getLocalPort();
         }
         try (FakeDeployment village = new FakeDeployment(4)) {
-            String example = village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
+            String example =
+                    village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
             List<String> endpoints = new ArrayList<>();
-            Matcher at = Pattern.compile("\"name\":\"[a-d]\",\"address\":\"([^\"]*)\"").matcher(example);
+            Matcher at = Pattern.compile("\"name\":\"[a-d]\",\"address\":\"([^\"]*)\"")
+                    .matcher(example);
             while (at.find()) {
                 endpoints.add(at.group(1));
             }
-            try (LongListDiscovery list = new LongListDiscovery(play.endpoints, i -> entry(i, endpoints, "in_service", 0, 1))) {
-                String config = example.replaceFirst("\"discovery\": \"[^\"]*:[0-9]+\"", "\"discovery\": \""
-                    + list.address("relay") + "\"");
+            try (LongListDiscovery list =
+                    new LongListDiscovery(play.endpoints, i -> entry(i, endpoints, "in_service", 0, 1))) {
+                String config = example.replaceFirst(
+                        "\"discovery\": \"[^\"]*:[0-9]+\"", "\"discovery\": \"" + list.address("relay") + "\"");
                 List<String> more = new ArrayList<>();
                 if (play.membership != null) {
                     Path operator = directory.resolve("operator.json");
-                    Files.writeString(operator, "{\"membership\": {\"leastHolders\": 0, " + play.membership
-                        + ", \"number\": 17, \"zone\": \"east\", \"service\": {\"label\": \"service\"}}}");
+                    Files.writeString(
+                            operator,
+                            "{\"membership\": {\"leastHolders\": 0, " + play.membership
+                                    + ", \"number\": 17, \"zone\": \"east\", \"service\": {\"label\": \"service\"}}}");
                     more.addAll(List.of("--operator", operator.toString()));
                 }
                 Path log = directory.resolve("relay.log");
@@ -171,8 +187,8 @@
                 command.addAll(flags());
                 command.addAll(List.of("-jar", "target/gatelock.jar", "serve"));
                 command.addAll(more);
-                ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                    .redirectOutput(log.toFile());
+                ProcessBuilder builder =
+                        new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
                 builder.environment().put("PROXY_CONFIG", file.toString());
                 Relay relay = new Relay(builder.start(), port, log, System.nanoTime());
                 try {
@@ -185,8 +201,14 @@
     }
 
     private static String entry(int i, List<String> endpoints, String status, long sinceMs, int build) {
-        return LongListDiscovery.entry(i, endpoints.get(i % endpoints.size()), i % 3 == 0 ? "east" : "west", "service-" + i % SERVICES,
-            status, sinceMs, build);
+        return LongListDiscovery.entry(
+                i,
+                endpoints.get(i % endpoints.size()),
+                i % 3 == 0 ? "east" : "west",
+                "service-" + i % SERVICES,
+                status,
+                sinceMs,
+                build);
     }
 
     private static Map<String, Object> measured(Play play, List<String> endpoints, LongListDiscovery list, Relay relay)
--- a/src/test/java/gatelock/standin/EndpointRestriction.java
+++ b/src/test/java/gatelock/standin/EndpointRestriction.java
@@ -1,7 +1,7 @@
 package gatelock.standin;
 
-import gatelock.api.RequestConstraints;
 import gatelock.api.AttemptResult;
+import gatelock.api.RequestConstraints;
 
 /** Bounds that name the endpoints a request may reach, as a pool of a plan does, and nothing else. */
 @FunctionalInterface
--- a/src/test/java/gatelock/standin/FakeDeployment.java
+++ b/src/test/java/gatelock/standin/FakeDeployment.java
@@ -1,7 +1,6 @@
 package gatelock.standin;
 
 import com.sun.net.httpserver.HttpServer;
-
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
@@ -16,7 +15,7 @@
  */
 public final class FakeDeployment implements AutoCloseable {
     private static final String NEWS =
-        "{\"release\":1,\"tranche\":0,\"mode\":\"released\",\"exposure\":1.0,\"old_ms\":60000}";
+            "{\"release\":1,\"tranche\":0,\"mode\":\"released\",\"exposure\":1.0,\"old_ms\":60000}";
 
     private final ExecutorService threads = HttpStandIn.threads("village");
     private final List<HttpServer> servers = new ArrayList<>();
@@ -42,8 +41,8 @@
                 call.getRequestBody().readAllBytes();
                 sleep(workMs);
                 mine.incrementAndGet();
-                HttpStandIn.answer(call, "unit " + name + " did " + call.getRequestMethod() + " " + call.getRequestURI()
-                    + "\n");
+                HttpStandIn.answer(
+                        call, "unit " + name + " did " + call.getRequestMethod() + " " + call.getRequestURI() + "\n");
             });
             endpoints.add(endpoint);
         }
@@ -60,8 +59,7 @@
         controller.createContext("/v2/projects/main/changes", call -> {
             call.sendResponseHeaders(200, 0);
             try (OutputStream out = call.getResponseBody()) {
-                out.write(("{\"type\":\"news\",\"object\":" + NEWS + "}\n")
-                    .getBytes(StandardCharsets.US_ASCII));
+                out.write(("{\"type\":\"news\",\"object\":" + NEWS + "}\n").getBytes(StandardCharsets.US_ASCII));
                 while (true) {
                     out.flush();
                     sleep(1000);
@@ -87,12 +85,12 @@
 
     /** The example's configuration with this village's addresses, two zones, and the relay's own address. */
     public String configuration(String example, String listen) {
-        String known = "{\"index\": 1, \"snapshot\": true, \"endpoints\": " + entries()
-            + "},\n  \"settings\"";
-        return example.replace("127.0.0.1:8480", listen).replace("127.0.0.1:8500", HttpStandIn.at(discovery))
-            .replace("127.0.0.1:8501", HttpStandIn.at(controller)).replace("\"zones\": [\"east\"]",
-            "\"zones\": [\"east\", \"west\"]")
-            .replaceFirst("(?s)\\{\"index\".*?\\]\\},\\s*\"settings\"", known);
+        String known = "{\"index\": 1, \"snapshot\": true, \"endpoints\": " + entries() + "},\n  \"settings\"";
+        return example.replace("127.0.0.1:8480", listen)
+                .replace("127.0.0.1:8500", HttpStandIn.at(discovery))
+                .replace("127.0.0.1:8501", HttpStandIn.at(controller))
+                .replace("\"zones\": [\"east\"]", "\"zones\": [\"east\", \"west\"]")
+                .replaceFirst("(?s)\\{\"index\".*?\\]\\},\\s*\"settings\"", known);
     }
 
     private String list() {
@@ -102,10 +100,10 @@
     private String entries() {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
-            entries.add(String.format("{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"type\":\"small\",\"group\":0,"
-                + "\"status\":\"in_service\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}", name(i),
-                HttpStandIn.at(endpoints.get(i)),
-                i % 2 == 0 ? "east" : "west"));
+            entries.add(String.format(
+                    "{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"type\":\"small\",\"group\":0,"
+                            + "\"status\":\"in_service\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}",
+                    name(i), HttpStandIn.at(endpoints.get(i)), i % 2 == 0 ? "east" : "west"));
         }
         return entries.toString();
     }
--- a/src/test/java/gatelock/standin/HttpStandIn.java
+++ b/src/test/java/gatelock/standin/HttpStandIn.java
@@ -2,7 +2,6 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-
 import java.io.IOException;
 import java.io.OutputStream;
 import java.net.InetAddress;
@@ -17,8 +16,7 @@
         System.setProperty("sun.net.httpserver.nodelay", "true");
     }
 
-    private HttpStandIn() {
-    }
+    private HttpStandIn() {}
 
     static ExecutorService threads(String name) {
         return Executors.newCachedThreadPool(task -> {
--- a/src/test/java/gatelock/standin/LongListDiscovery.java
+++ b/src/test/java/gatelock/standin/LongListDiscovery.java
@@ -2,7 +2,6 @@
 
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
-
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -26,12 +25,12 @@
 public final class LongListDiscovery implements AutoCloseable {
     /** Beginning of a watch's answers and whole lists, and what ends them. */
     private static final String HEAD = "{\"index\":%d,\"snapshot\":%b,\"endpoints\":[";
+
     private static final String END = "]}";
     private static final int BUFFER_BYTES = 64 * 1024;
 
     /** An entry that is not as it was at the start; not listed: it has left. */
-    private record Changed(long index, String text, boolean listed) {
-    }
+    private record Changed(long index, String text, boolean listed) {}
 
     private final ExecutorService threads = HttpStandIn.threads("long list");
     private final List<HttpServer> doors = new ArrayList<>();
@@ -40,6 +39,7 @@
     private final long sizeBytes;
     /** By the entry's number, in order; those past the first size came later. */
     private final TreeMap<Integer, Changed> changed = new TreeMap<>();
+
     private final Map<String, Map<Long, Long>> holds = new HashMap<>();
     private long index = 1;
     private long wholes;
@@ -60,12 +60,12 @@
     }
 
     /** An entry as the platform gives them, about 190 bytes with the field that names its service. */
-    public static String entry(int number, String address, String zone, String service, String status, long sinceMs,
-                               int build) {
+    public static String entry(
+            int number, String address, String zone, String service, String status, long sinceMs, int build) {
         return "{\"name\":\"" + name(number) + "\",\"address\":\"" + address + "\",\"zone\":\"" + zone
-            + "\",\"type\":\"small\",\"group\":" + number % 10 + ",\"status\":\"" + status
-            + "\",\"weight\":1.0,\"since_ms\":" + sinceMs + ",\"image_id\":" + build
-            + (service == null ? "" : ",\"service\":\"" + service + "\"") + "}";
+                + "\",\"type\":\"small\",\"group\":" + number % 10 + ",\"status\":\"" + status
+                + "\",\"weight\":1.0,\"since_ms\":" + sinceMs + ",\"image_id\":" + build
+                + (service == null ? "" : ",\"service\":\"" + service + "\"") + "}";
     }
 
     public static String name(int number) {
@@ -102,8 +102,11 @@
             if (query == null) {
                 whole(call);
             } else {
-                watch(relay, call, Long.parseLong(query.replaceAll(".*from=(\\d+).*", "$1")),
-                    Long.parseLong(query.replaceAll(".*hold_ms=(\\d+).*", "$1")));
+                watch(
+                        relay,
+                        call,
+                        Long.parseLong(query.replaceAll(".*from=(\\d+).*", "$1")),
+                        Long.parseLong(query.replaceAll(".*hold_ms=(\\d+).*", "$1")));
             }
         } catch (IOException e) {
             synchronized (this) {
@@ -172,7 +175,8 @@
             return null;
         }
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(holdMs);
-        for (long leftNs = endNs - System.nanoTime(); index == from && leftNs > 0 && !closed;
+        for (long leftNs = endNs - System.nanoTime();
+                index == from && leftNs > 0 && !closed;
                 leftNs = endNs - System.nanoTime()) {
             TimeUnit.NANOSECONDS.timedWait(this, leftNs);
         }
@@ -195,15 +199,19 @@
     /** When each relay that has it came to hold this index or a later one, by System.nanoTime. */
     public synchronized Map<String, Long> holding(long index) {
         Map<String, Long> since = new TreeMap<>();
-        holds.forEach((relay, held) -> held.entrySet().stream().filter(e -> e.getKey() >= index)
-            .mapToLong(Map.Entry::getValue).min().ifPresent(ns -> since.put(relay, ns)));
+        holds.forEach((relay, held) -> held.entrySet().stream()
+                .filter(e -> e.getKey() >= index)
+                .mapToLong(Map.Entry::getValue)
+                .min()
+                .ifPresent(ns -> since.put(relay, ns)));
         return since;
     }
 
     /** Waits until so many relays hold this index or a later one, or the time is over; tells which do. */
     public synchronized Map<String, Long> await(long index, int relays, long withinMs) throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
-        for (long leftNs = endNs - System.nanoTime(); holding(index).size() < relays && leftNs > 0;
+        for (long leftNs = endNs - System.nanoTime();
+                holding(index).size() < relays && leftNs > 0;
                 leftNs = endNs - System.nanoTime()) {
             TimeUnit.NANOSECONDS.timedWait(this, leftNs);
         }
--- a/src/test/java/gatelock/standin/LongListDiscoveryTest.java
+++ b/src/test/java/gatelock/standin/LongListDiscoveryTest.java
@@ -3,15 +3,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.jr.ob.JSON;
-
-import org.junit.jupiter.api.Test;
-
 import java.net.URI;
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
 import java.util.List;
 import java.util.Map;
+import org.junit.jupiter.api.Test;
 
 /** The list as a relay would read it: whole, then what changed; and what it tells of who holds what. */
 class LongListDiscoveryTest {
@@ -20,14 +18,19 @@
     }
 
     private static Map<String, Object> get(String address, String query) throws Exception {
-        HttpResponse<String> answer = HttpClient.newHttpClient().send(HttpRequest.newBuilder(
-            URI.create("http://" + address + "/api/targets" + query)).build(), HttpResponse.BodyHandlers.ofString());
-        assertThat(answer.headers().firstValueAsLong("Content-Length")).hasValue(answer.body().length());
+        HttpResponse<String> answer = HttpClient.newHttpClient()
+                .send(
+                        HttpRequest.newBuilder(URI.create("http://" + address + "/api/targets" + query))
+                                .build(),
+                        HttpResponse.BodyHandlers.ofString());
+        assertThat(answer.headers().firstValueAsLong("Content-Length"))
+                .hasValue(answer.body().length());
         return JSON.std.mapFrom(answer.body());
     }
 
     private static List<Object> fields(Map<String, Object> list, String field) {
-        return ((List<?>) list.get("endpoints")).stream().<Object>map(e -> ((Map<?, ?>) e).get(field)).toList();
+        return ((List<?>) list.get("endpoints"))
+                .stream().<Object>map(e -> ((Map<?, ?>) e).get(field)).toList();
     }
 
     @Test
@@ -45,8 +48,10 @@
             list.change(1_000, text(1_000, "in_service"));
             Map<String, Object> whole = get(address, "");
             assertThat(whole).containsEntry("index", 4).containsEntry("snapshot", true);
-            assertThat(fields(whole, "name")).hasSize(1_000).contains(LongListDiscovery.name(1_000))
-                .doesNotContain(LongListDiscovery.name(999));
+            assertThat(fields(whole, "name"))
+                    .hasSize(1_000)
+                    .contains(LongListDiscovery.name(1_000))
+                    .doesNotContain(LongListDiscovery.name(999));
             assertThat(fields(whole, "status").get(3)).isEqualTo("terminating");
         }
     }
--- a/src/test/java/gatelock/standin/OpenLoop.java
+++ b/src/test/java/gatelock/standin/OpenLoop.java
@@ -10,7 +10,6 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
-
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
@@ -24,11 +23,9 @@
      * @param us of the requests answered with 200
      * @param other requests with another answer, or none
      */
-    public record Result(Histogram us, long other) {
-    }
+    public record Result(Histogram us, long other) {}
 
-    private OpenLoop() {
-    }
+    private OpenLoop() {}
 
     /** So many requests a second for so long, from clients that share the ports by turns. */
     public static Result run(int[] ports, int clients, int perS, int seconds) throws InterruptedException {
@@ -91,12 +88,12 @@
 
     /** One request of the class 'read'; the status of its answer, which is read to its end. */
     public static int ask(Socket socket, String id) throws IOException {
-        return call(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\n\r\n").status();
+        return call(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\n\r\n")
+                .status();
     }
 
     /** What came: the bytes of head and body together. */
-    public record Answer(int status, long bytes, String head) {
-    }
+    public record Answer(int status, long bytes, String head) {}
 
     /** One call on a connection that bears no other; its answer names its length. */
     public static Answer call(Socket socket, String call) throws IOException {
--- a/src/test/java/gatelock/standin/RelayProcess.java
+++ b/src/test/java/gatelock/standin/RelayProcess.java
@@ -30,7 +30,7 @@
     /** The run line's words between the program's name and the jar. */
     public static List<String> flags() throws IOException {
         Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar (\\S+) serve\"$")
-            .matcher(Files.readString(Path.of("deploy/balancer.toml")));
+                .matcher(Files.readString(Path.of("deploy/balancer.toml")));
         if (!run.find()) {
             throw new IOException("deploy/balancer.toml has no run line of the usual form");
         }
@@ -45,7 +45,8 @@
         command.addAll(flags());
         command.addAll(List.of("-jar", "target/gatelock.jar", "serve"));
         Path log = directory.resolve("relay-" + port + ".log");
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("PROXY_CONFIG", config.toString());
         return new RelayProcess(port, log, builder.start());
     }
@@ -73,7 +74,9 @@
     public long ready(long withinMs) throws InterruptedException {
         while (process.isAlive() && sinceStartMs() < withinMs) {
             try (Socket socket = OpenLoop.open(port)) {
-                if (OpenLoop.call(socket, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200) {
+                if (OpenLoop.call(socket, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                                .status()
+                        == 200) {
                     return sinceStartMs();
                 }
             } catch (IOException | NumberFormatException e) {
@@ -90,7 +93,12 @@
 
     /** Processor time so far, of all its threads; the system counts it in steps of 10 ms. */
     public long cpuUs() {
-        return process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO).toNanos() / 1_000;
+        return process.toHandle()
+                        .info()
+                        .totalCpuDuration()
+                        .orElse(Duration.ZERO)
+                        .toNanos()
+                / 1_000;
     }
 
     public double residentMb() throws IOException {
@@ -100,7 +108,9 @@
 
     /** What the JDK's own tool tells of it, e.g. GC.class_histogram, which collects garbage first. */
     public String jcmd(String what) throws IOException, InterruptedException {
-        Process asked = new ProcessBuilder(tool("jcmd"), "" + process.pid(), what).redirectErrorStream(true).start();
+        Process asked = new ProcessBuilder(tool("jcmd"), "" + process.pid(), what)
+                .redirectErrorStream(true)
+                .start();
         String said = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         if (asked.waitFor() != 0) {
             throw new IOException("jcmd " + what + ": " + said);
@@ -110,7 +120,8 @@
 
     /** Of the old generation, in MB; what young objects hold is not in it. */
     public double oldHeapMb() throws IOException, InterruptedException {
-        Matcher used = Pattern.compile("tenured generation\\s+total \\d+K, used (\\d+)K").matcher(jcmd("GC.heap_info"));
+        Matcher used = Pattern.compile("tenured generation\\s+total \\d+K, used (\\d+)K")
+                .matcher(jcmd("GC.heap_info"));
         if (!used.find()) {
             throw new IOException("no tenured generation");
         }
--- a/src/test/java/gatelock/standin/WebSocketEndpoint.java
+++ b/src/test/java/gatelock/standin/WebSocketEndpoint.java
@@ -16,8 +16,7 @@
 /** An endpoint that speaks WebSocket: opens sessions, echoes texts, and notes with its time all that came. */
 public final class WebSocketEndpoint implements AutoCloseable {
     /** What came on one session, when. */
-    public record Came(long ns, String what) {
-    }
+    public record Came(long ns, String what) {}
 
     private final ServerSocket listener = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
     private final List<Came> log = new CopyOnWriteArrayList<>();
@@ -100,8 +99,11 @@
         String key = null;
         while (key == null) {
             String head = head(socket);
-            key = head.lines().filter(l -> l.toLowerCase().startsWith("sec-websocket-key:"))
-                .map(l -> l.substring(18).trim()).findFirst().orElse(null);
+            key = head.lines()
+                    .filter(l -> l.toLowerCase().startsWith("sec-websocket-key:"))
+                    .map(l -> l.substring(18).trim())
+                    .findFirst()
+                    .orElse(null);
             if (refuses) {
                 write(socket, "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
                 socket.close();
@@ -113,17 +115,20 @@
             }
         }
         log.add(new Came(System.nanoTime(), "open"));
-        String accept = Base64.getEncoder().encodeToString(MessageDigest.getInstance("SHA-1").digest(
-            (key + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11").getBytes(StandardCharsets.US_ASCII)));
-        socket.getOutputStream().write(("HTTP/1.1 101 Switching Protocols\r\nUpgrade: "
-            + "websocket\r\nConnection: Upgrade\r\n"
-            + "Sec-WebSocket-Accept: " + accept + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+        String accept = Base64.getEncoder()
+                .encodeToString(MessageDigest.getInstance("SHA-1")
+                        .digest((key + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11").getBytes(StandardCharsets.US_ASCII)));
+        socket.getOutputStream()
+                .write(("HTTP/1.1 101 Switching Protocols\r\nUpgrade: "
+                                + "websocket\r\nConnection: Upgrade\r\n"
+                                + "Sec-WebSocket-Accept: " + accept + "\r\n\r\n")
+                        .getBytes(StandardCharsets.US_ASCII));
         WebSocketPeer end = new WebSocketPeer(socket, false);
         opened.add(end);
         if (echoes) {
             for (WebSocketPeer.Frame f = end.frame(); f.opcode() >= 0; f = end.frame()) {
-                log.add(new Came(System.nanoTime(), f.opcode() == WebSocketPeer.CLOSE ? "close " + f.code()
-                    : f.text()));
+                log.add(new Came(
+                        System.nanoTime(), f.opcode() == WebSocketPeer.CLOSE ? "close " + f.code() : f.text()));
                 if (f.opcode() == WebSocketPeer.CLOSE) {
                     end.frame(0x80 | WebSocketPeer.CLOSE, f.body());
                     socket.close();
--- a/src/test/java/gatelock/standin/WebSocketPeer.java
+++ b/src/test/java/gatelock/standin/WebSocketPeer.java
@@ -54,11 +54,13 @@
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setSoTimeout(20_000);
         socket.setTcpNoDelay(true);
-        socket.getOutputStream().write(("GET " + path + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id
-            + "\r\nUpgrade: websocket\r\n"
-            + "Connection: Upgrade\r\nSec-WebSocket-Key: "
-            + "dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n" + headers
-            + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+        socket.getOutputStream()
+                .write(("GET " + path + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id
+                                + "\r\nUpgrade: websocket\r\n"
+                                + "Connection: Upgrade\r\nSec-WebSocket-Key: "
+                                + "dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n" + headers
+                                + "\r\n")
+                        .getBytes(StandardCharsets.ISO_8859_1));
         WebSocketPeer tablet = new WebSocketPeer(socket, true);
         StringBuilder head = new StringBuilder();
         while (!head.toString().endsWith("\r\n\r\n")) {
--- a/src/test/java/gatelock/state/ClientConnectionsTest.java
+++ b/src/test/java/gatelock/state/ClientConnectionsTest.java
@@ -6,7 +6,6 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
@@ -22,10 +21,12 @@
         private boolean open = true;
         /** Parts of a request written and, of these, read; three make it whole. */
         private int written;
+
         private int read;
         private boolean answering;
         /** From its first byte on a connection that stood, or from accept. */
         private long sinceUs;
+
         private long wholeUs;
         private ClientConnections.Why why;
     }
@@ -51,7 +52,8 @@
         public void end(Client c, ClientConnections.State state, ClientConnections.Why why) {
             boolean inTime = c.written == 3 && c.wholeUs - c.sinceUs <= ClientConnections.WHOLE_WITHIN_US;
             assertThat(c.open && (inTime || c.answering) && why != ClientConnections.Why.ANSWER_UNREAD)
-                .as("%s in %s, written %d, read %d", why, state, c.written, c.read).isFalse();
+                    .as("%s in %s, written %d, read %d", why, state, c.written, c.read)
+                    .isFalse();
             c.open = false;
             c.why = why;
         }
@@ -109,13 +111,14 @@
     }
 
     @Property(tries = 300, seed = "16")
-    void noRequestIsCutOffWhateverTheOrder(@ForAll long seed, @ForAll @DoubleRange(min = 0.01,
-        max = 0.4) double share) {
+    void noRequestIsCutOffWhateverTheOrder(
+            @ForAll long seed, @ForAll @DoubleRange(min = 0.01, max = 0.4) double share) {
         World world = new World(seed, 20, 40);
         for (int i = 0; i < STEPS; i++) {
             world.write(share);
-            world.nowUs += world.random.nextInt(20) == 0 ? world.random.nextLong(1, 4_000_000)
-                : world.random.nextLong(1, 60_000);
+            world.nowUs += world.random.nextInt(20) == 0
+                    ? world.random.nextLong(1, 4_000_000)
+                    : world.random.nextLong(1, 60_000);
             world.write(share);
             world.turn(world.random.nextInt(4) == 0 ? world.random.nextInt(6) : 0);
             assertThat(world.kept.connections()).containsExactlyInAnyOrderElementsOf(world.clients);
@@ -126,8 +129,9 @@
             c.written = c.read = 0;
         }
         List<Client> left = List.copyOf(world.clients);
-        left.stream().filter(c -> world.kept.state(c) == ClientConnections.State.OWED)
-            .forEach(c -> world.kept.answering(world.nowUs, c));
+        left.stream()
+                .filter(c -> world.kept.state(c) == ClientConnections.State.OWED)
+                .forEach(c -> world.kept.answering(world.nowUs, c));
         for (int i = 0; i < 60; i++) {
             world.nowUs += 50_000;
             world.kept.endOverdue(world.nowUs);
