--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build demo test lint run measure-plan measure-swarm measure-sessions measure-fleet scale \
+.PHONY: build demo test format lint run measure-plan measure-swarm measure-sessions measure-fleet scale \
 	measure-membership measure-list capacity measure-capacity
 
 build:
@@ -12,7 +12,11 @@
 test:
 	mvn -B verify
 
-# The compiler's own lint, with every warning an error.
+# Formats the sources; `mvn verify` fails where they are not formatted.
+format:
+	mvn -B -q spotless:apply
+
+# The compiler's own lint and Error Prone, with every warning an error.
 lint:
 	mvn -B -q -Dmaven.compiler.failOnWarning=true clean compile
 
