--- a/src/main/java/gatelock/decision/DecayingSum.java
+++ b/src/main/java/gatelock/decision/DecayingSum.java
@@ -2,55 +2,59 @@
 
 import java.util.Arrays;
 
-/** A sum and a count that fade: what was added a memory ago counts 1/e. */
+/**
+ * A sum and a count that decay exponentially: what was added one memory ago counts 1/e. Reading decays too, so that the
+ * last bits of a figure depend on when it was read.
+ */
 final class DecayingSum {
     private final double memoryUs;
     private double sum;
     private double count;
-    private long atUs;
+    private long decayedAtUs;
 
     DecayingSum(double memoryUs) {
         this.memoryUs = memoryUs;
     }
 
-    /** So many of one memory. */
-    static DecayingSum[] of(int count, double memoryUs) {
-        DecayingSum[] all = new DecayingSum[count];
-        Arrays.setAll(all, i -> new DecayingSum(memoryUs));
-        return all;
+    /** So many empty sums of one memory. */
+    static DecayingSum[] arrayOf(int length, double memoryUs) {
+        DecayingSum[] sums = new DecayingSum[length];
+        Arrays.setAll(sums, i -> new DecayingSum(memoryUs));
+        return sums;
     }
 
-    private void fade(long nowUs) {
-        double left = nowUs > atUs ? Math.exp((atUs - nowUs) / memoryUs) : 1;
-        sum *= left;
-        count *= left;
-        atUs = nowUs;
+    private void decayTo(long nowUs) {
+        double remaining = nowUs > decayedAtUs ? Math.exp((decayedAtUs - nowUs) / memoryUs) : 1;
+        sum *= remaining;
+        count *= remaining;
+        decayedAtUs = nowUs;
     }
 
     void add(long nowUs, double value) {
-        fade(nowUs);
+        decayTo(nowUs);
         sum += value;
         count += 1;
     }
 
     double sum(long nowUs) {
-        fade(nowUs);
+        decayTo(nowUs);
         return sum;
     }
 
     double count(long nowUs) {
-        fade(nowUs);
+        decayTo(nowUs);
         return count;
     }
 
-    double mean(long nowUs, double otherwise) {
-        fade(nowUs);
-        return count >= 0.5 ? sum / count : otherwise;
+    /** The mean, or the fallback where less than half a value is left. */
+    double mean(long nowUs, double fallback) {
+        decayTo(nowUs);
+        return count >= 0.5 ? sum / count : fallback;
     }
 
-    /** The mean, drawn to a figure that weighs as much as so many values. */
-    double drawn(long nowUs, double towards, double weight) {
-        fade(nowUs);
-        return (sum + weight * towards) / (count + weight);
+    /** The mean, shrunk towards a prior that weighs as much as so many values. */
+    double shrunkMean(long nowUs, double prior, double weight) {
+        decayTo(nowUs);
+        return (sum + weight * prior) / (count + weight);
     }
 }
--- a/src/main/java/gatelock/decision/ExposureBudget.java
+++ b/src/main/java/gatelock/decision/ExposureBudget.java
@@ -3,35 +3,37 @@
 import java.util.Arrays;
 
 /**
- * What may be sent as a share of what is taken, for each of some slots. Within any span it allows what was
- * earned in it and {@code most}: as no more than that is ever saved up, no window opens after what earned it
- * has aged out.
+ * The attempts that a canary build may get under its cap, for all routes together or for each. Within any span it allows
+ * what was earned in it and a burst: as no more than the burst is ever saved up, no window opens after the requests that
+ * earned it have aged out.
  */
 final class ExposureBudget {
-    private final double most;
-    private final double[] room;
+    private final double burst;
+    private final double[] remaining;
 
-    ExposureBudget(int slots, double most) {
-        this.most = most;
-        room = new double[slots];
-        Arrays.fill(room, most);
+    /** So many slots, one a route or one for all; each starts with the whole burst. */
+    ExposureBudget(int slots, double burst) {
+        this.burst = burst;
+        remaining = new double[slots];
+        Arrays.fill(remaining, burst);
     }
 
-    /** One was taken of which such a share may be sent. */
-    void earn(int of, double share) {
-        room[slot(of)] = Math.min(most, room[slot(of)] + share);
+    /** A request of this route has arrived; the cap is the share of an attempt that it earns. */
+    void earn(int route, double cap) {
+        int slot = slotOf(route);
+        remaining[slot] = Math.min(burst, remaining[slot] + cap);
     }
 
-    /** Whether one more may be sent. */
-    boolean has(int of) {
-        return room[slot(of)] >= 1;
+    /** Whether one more attempt of this route is within the cap. */
+    boolean allows(int route) {
+        return remaining[slotOf(route)] >= 1;
     }
 
-    void take(int of, int sent) {
-        room[slot(of)] -= sent;
+    void spend(int route) {
+        remaining[slotOf(route)] -= 1;
     }
 
-    private int slot(int of) {
-        return Math.min(of, room.length - 1);
+    private int slotOf(int route) {
+        return Math.min(route, remaining.length - 1);
     }
 }
--- a/src/main/java/gatelock/decision/IdleConnectionEstimate.java
+++ b/src/main/java/gatelock/decision/IdleConnectionEstimate.java
@@ -1,23 +1,23 @@
 package gatelock.decision;
 
-/** Connections to one endpoint that stand without a request, each kept for so long. */
+/** An estimate of the idle connections to one endpoint, each of which is kept for a given time. */
 final class IdleConnectionEstimate {
     private int idle;
-    private long leftUs = Long.MIN_VALUE / 2;
+    private long lastReturnedUs = Long.MIN_VALUE / 2;
 
-    /** Whether one surely stands. */
-    boolean stands(long nowUs, long keptUs) {
-        return idle > 0 && nowUs - leftUs < keptUs;
+    /** Whether an idle connection surely exists. */
+    boolean hasIdle(long nowUs, long keptUs) {
+        return idle > 0 && nowUs - lastReturnedUs < keptUs;
     }
 
-    /** A request goes out, on one that stands if there is any. */
-    void use(long nowUs, long keptUs) {
-        idle = stands(nowUs, keptUs) ? idle - 1 : 0;
+    /** A request goes out, on an idle connection if there is any. */
+    void acquire(long nowUs, long keptUs) {
+        idle = hasIdle(nowUs, keptUs) ? idle - 1 : 0;
     }
 
-    /** A request has left one that stands on. */
-    void leave(long nowUs, long keptUs) {
-        idle = (stands(nowUs, keptUs) ? idle : 0) + 1;
-        leftUs = nowUs;
+    /** A request has ended and left its connection open. */
+    void release(long nowUs, long keptUs) {
+        idle = (hasIdle(nowUs, keptUs) ? idle : 0) + 1;
+        lastReturnedUs = nowUs;
     }
 }
--- a/src/main/java/gatelock/decision/LatencyByLoad.java
+++ b/src/main/java/gatelock/decision/LatencyByLoad.java
@@ -1,69 +1,90 @@
 package gatelock.decision;
 
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
-/** Mean times of outcomes by machine kind and by load, in steps of one. */
+/** The mean slowness of a build's outcomes by machine kind and by load, in steps of one request in flight. */
 final class LatencyByLoad {
     private static final int ANY_KIND = -1;
-    private final int steps;
-    private final int fewest;
-    private final Map<Integer, double[][]> sums = new HashMap<>();
 
-    LatencyByLoad(List<OutcomeWindow> slices, int steps, int fewest) {
-        this.steps = steps;
-        this.fewest = fewest;
-        for (OutcomeWindow s : slices) {
-            for (AttemptOutcome o : s.outcomes()) {
-                for (int kind : new int[] {ANY_KIND, o.kind()}) {
-                    double[][] table = sums.computeIfAbsent(kind, k -> new double[2][steps]);
-                    table[0][step(o)] += o.failed() ? 0 : o.slowness();
-                    table[1][step(o)] += o.failed() ? 0 : 1;
+    /** Loads of this many requests in flight and more count as one. */
+    private static final int LOAD_STEPS = 24;
+
+    private final int minOutcomes;
+    private final Map<Integer, Table> tables = new HashMap<>();
+
+    /** Takes the successful outcomes of these slices; a mean needs so many outcomes. */
+    LatencyByLoad(List<OutcomeWindow> windows, int minOutcomes) {
+        this.minOutcomes = minOutcomes;
+        for (OutcomeWindow window : windows) {
+            for (AttemptOutcome outcome : window.outcomes()) {
+                if (!outcome.failed()) {
+                    table(ANY_KIND).add(outcome);
+                    table(outcome.kind()).add(outcome);
                 }
             }
         }
     }
 
-    /** The mean under about this outcome's load, of its kind or else of any; NaN where too few are known. */
-    double usual(AttemptOutcome o) {
-        double own = usual(o.kind(), step(o));
-        return Double.isNaN(own) ? usual(ANY_KIND, step(o)) : own;
+    private Table table(int kind) {
+        return tables.computeIfAbsent(kind, k -> new Table());
+    }
+
+    /** The mean under about this outcome's load, of its machine kind or else of any; NaN where too few are known. */
+    double usual(AttemptOutcome outcome) {
+        double ofKind = usual(outcome.kind(), step(outcome));
+        return Double.isNaN(ofKind) ? usual(ANY_KIND, step(outcome)) : ofKind;
     }
 
     /**
-     * Rows {slowness against the usual under like load, slice}, highest first, of endpoints older than so long.
-     * Where the earlier build never had as many in flight there is none: a canary endpoint that the cap fills
-     * fuller proves nothing by that.
+     * The slowness of successful outcomes at endpoints older than {@code warmUs}, relative to the usual one under like
+     * load, highest first. Where the earlier build never had as many in flight there is none: a canary endpoint that the
+     * cap fills fuller proves nothing by that.
      */
-    double[][] against(List<OutcomeWindow> slices, long warmUs) {
-        List<double[]> rows = new ArrayList<>();
-        for (int i = 0; i < slices.size(); i++) {
-            for (AttemptOutcome o : slices.get(i).outcomes()) {
-                double usual = usual(o);
-                if (!o.failed() && !Double.isNaN(usual) && o.ageUs() > warmUs) {
-                    rows.add(new double[] {o.slowness() / usual, i});
+    RelativeLatency[] relativeTo(List<OutcomeWindow> windows, long warmUs) {
+        List<RelativeLatency> latencies = new ArrayList<>();
+        for (int slice = 0; slice < windows.size(); slice++) {
+            for (AttemptOutcome outcome : windows.get(slice).outcomes()) {
+                double usual = usual(outcome);
+                if (!outcome.failed() && !Double.isNaN(usual) && outcome.ageUs() > warmUs) {
+                    latencies.add(new RelativeLatency(outcome.slowness() / usual, slice));
                 }
             }
         }
-        rows.sort((a, b) -> Double.compare(b[0], a[0]));
-        return rows.toArray(new double[0][]);
+        latencies.sort(Comparator.comparingDouble(RelativeLatency::value).reversed());
+        return latencies.toArray(RelativeLatency[]::new);
     }
 
-    private int step(AttemptOutcome o) {
-        return Math.min(steps - 1, (int) o.load());
+    private static int step(AttemptOutcome outcome) {
+        return Math.min(LOAD_STEPS - 1, (int) outcome.load());
     }
 
-    /** From one step below upwards, until enough are found. */
-    private double usual(int kind, int at) {
+    /** From one step below the given one upwards, until enough outcomes are found. */
+    private double usual(int kind, int step) {
+        Table table = tables.get(kind);
+        if (table == null) {
+            return Double.NaN;
+        }
         double sum = 0;
-        double n = 0;
-        double[][] table = sums.getOrDefault(kind, new double[2][steps]);
-        for (int i = Math.max(0, at - 1); i < steps && (n < fewest || i <= at + 1); i++) {
-            sum += table[0][i];
-            n += table[1][i];
+        double count = 0;
+        for (int i = Math.max(0, step - 1); i < LOAD_STEPS && (count < minOutcomes || i <= step + 1); i++) {
+            sum += table.sums[i];
+            count += table.counts[i];
+        }
+        return count < minOutcomes ? Double.NaN : sum / count;
+    }
+
+    /** Sum of slowness and number of outcomes by load. */
+    private static final class Table {
+        private final double[] sums = new double[LOAD_STEPS];
+        private final double[] counts = new double[LOAD_STEPS];
+
+        void add(AttemptOutcome outcome) {
+            sums[step(outcome)] += outcome.slowness();
+            counts[step(outcome)] += 1;
         }
-        return n < fewest ? Double.NaN : sum / n;
     }
 }
--- a/src/main/java/gatelock/decision/OutcomeHistory.java
+++ b/src/main/java/gatelock/decision/OutcomeHistory.java
@@ -5,75 +5,76 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** The latest slices of one build, and those that were kept at one time. */
+/** The latest slices of one build's outcomes, and those that were remembered when a new build came. */
 final class OutcomeHistory {
-    private final int most;
-    private final int mostOutcomes;
-    private final RandomGenerator chance;
-    private final ArrayDeque<OutcomeWindow> slices = new ArrayDeque<>();
-    private List<OutcomeWindow> before = List.of();
-    private int seenInLast;
+    private final int maxWindows;
+    private final int maxOutcomes;
+    private final RandomGenerator random;
+    private final ArrayDeque<OutcomeWindow> windows = new ArrayDeque<>();
+    private List<OutcomeWindow> snapshot = List.of();
+    private int addedToLast;
 
-    /** Keeps so many slices, and of what is added to one by one a fair sample of so many outcomes. */
-    OutcomeHistory(int most, int mostOutcomes, RandomGenerator chance) {
-        this.most = most;
-        this.mostOutcomes = mostOutcomes;
-        this.chance = chance;
+    /** Keeps so many slices, and of the outcomes that are added to a slice one by one a fair sample of so many. */
+    OutcomeHistory(int maxWindows, int maxOutcomes, RandomGenerator random) {
+        this.maxWindows = maxWindows;
+        this.maxOutcomes = maxOutcomes;
+        this.random = random;
     }
 
-    /** Adds to the slice of this number, which is the latest or a new one. */
+    /** Adds to the slice of this number, which is the latest one or a new one. */
     void add(long number, AttemptOutcome outcome) {
-        if (slices.isEmpty() || slices.peekLast().number() != number) {
+        if (windows.isEmpty() || windows.peekLast().number() != number) {
             add(new OutcomeWindow(number, new ArrayList<>(List.of(outcome))));
-            seenInLast = 1;
+            addedToLast = 1;
             return;
         }
-        List<AttemptOutcome> held = slices.peekLast().outcomes();
-        seenInLast++;
-        if (held.size() < mostOutcomes) {
-            held.add(outcome);
-        } else {
-            int place = chance.nextInt(seenInLast);
-            if (place < mostOutcomes) {
-                held.set(place, outcome);
-            }
+        List<AttemptOutcome> sample = windows.peekLast().outcomes();
+        addedToLast++;
+        if (sample.size() < maxOutcomes) {
+            sample.add(outcome);
+            return;
+        }
+        int place = random.nextInt(addedToLast);
+        if (place < maxOutcomes) {
+            sample.set(place, outcome);
         }
     }
 
-    /** Adds a slice of its own, unless nothing is in it. */
-    void add(OutcomeWindow slice) {
-        if (!slice.outcomes().isEmpty()) {
-            slices.add(slice);
+    /** Adds a whole slice, unless it is empty. */
+    void add(OutcomeWindow window) {
+        if (!window.outcomes().isEmpty()) {
+            windows.add(window);
         }
-        if (slices.size() > most) {
-            slices.poll();
+        if (windows.size() > maxWindows) {
+            windows.poll();
         }
     }
 
     boolean isEmpty() {
-        return slices.isEmpty();
+        return windows.isEmpty();
     }
 
     List<OutcomeWindow> all() {
-        return List.copyOf(slices);
+        return List.copyOf(windows);
     }
 
     /** The number of the latest slice, 0 where there is none. */
-    long last() {
-        return slices.isEmpty() ? 0 : slices.peekLast().number();
+    long lastNumber() {
+        return windows.isEmpty() ? 0 : windows.peekLast().number();
     }
 
     /** The slices with this number and later ones. */
-    List<OutcomeWindow> from(long number) {
-        return slices.stream().filter(s -> s.number() >= number).toList();
+    List<OutcomeWindow> since(long number) {
+        return windows.stream().filter(window -> window.number() >= number).toList();
     }
 
-    /** Keeps what there is for {@link #before}. */
-    void keep() {
-        before = List.copyOf(slices);
+    /** Remembers the present slices for {@link #snapshot}. */
+    void takeSnapshot() {
+        snapshot = List.copyOf(windows);
     }
 
-    List<OutcomeWindow> before() {
-        return before;
+    /** The slices as they were when the latest snapshot was taken. */
+    List<OutcomeWindow> snapshot() {
+        return snapshot;
     }
 }
--- a/src/main/java/gatelock/decision/OutcomeWindow.java
+++ b/src/main/java/gatelock/decision/OutcomeWindow.java
@@ -8,79 +8,100 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
 
-/** The outcomes of one span of time, and what can be asked of some. */
+/** The outcomes of one slice of time, by the slice's number; the static methods ask about several slices. */
 record OutcomeWindow(long number, List<AttemptOutcome> outcomes) {
 
-    static int seen(List<OutcomeWindow> slices) {
-        return slices.stream().mapToInt(s -> s.outcomes.size()).sum();
+    /** How many outcomes there are in all slices. */
+    static int size(List<OutcomeWindow> windows) {
+        return windows.stream().mapToInt(window -> window.outcomes.size()).sum();
     }
 
-    static Stream<AttemptOutcome> outcomes(List<OutcomeWindow> slices) {
-        return slices.stream().flatMap(s -> s.outcomes.stream());
+    /** All outcomes, slice by slice. */
+    static Stream<AttemptOutcome> outcomes(List<OutcomeWindow> windows) {
+        return windows.stream().flatMap(window -> window.outcomes.stream());
     }
 
-    /** The share of outcomes that failed. */
-    static double errors(List<OutcomeWindow> slices) {
-        return outcomes(slices).filter(AttemptOutcome::failed).count() / (double) Math.max(1, seen(slices));
+    /** The share of outcomes that failed; 0 where there are none. */
+    static double errorShare(List<OutcomeWindow> windows) {
+        return outcomes(windows).filter(AttemptOutcome::failed).count() / (double) Math.max(1, size(windows));
     }
 
-    static List<OutcomeWindow> without(List<OutcomeWindow> slices, List<Object> endpoints) {
-        return endpoints.isEmpty()
-                ? slices
-                : slices.stream()
-                        .map(s -> new OutcomeWindow(
-                                s.number,
-                                s.outcomes.stream()
-                                        .filter(o -> !endpoints.contains(o.endpoint()))
-                                        .toList()))
-                        .toList();
+    /** The same slices without the outcomes of some endpoints. */
+    static List<OutcomeWindow> without(List<OutcomeWindow> windows, List<Object> endpoints) {
+        if (endpoints.isEmpty()) {
+            return windows;
+        }
+        return windows.stream().map(window -> window.without(endpoints)).toList();
+    }
+
+    private OutcomeWindow without(List<Object> endpoints) {
+        return new OutcomeWindow(
+                number,
+                outcomes.stream()
+                        .filter(outcome -> !endpoints.contains(outcome.endpoint()))
+                        .toList());
     }
 
     /**
-     * Without a share of the endpoints, one at least: those worst by a figure in every other slice, and in the
-     * rest those worst in these. So none is left out for the very outcomes that are looked at: of few an endpoint,
-     * that would leave out any outcome that is bad by chance.
+     * Without a share of the endpoints, one at least: from the odd slices those are left out that are worst by a figure in
+     * the even ones, and the other way round. So no endpoint is left out for the very outcomes that are looked at: where
+     * each has few, that would leave out every outcome that is bad by chance.
      */
     static List<OutcomeWindow> withoutWorst(
-            List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
-        List<OutcomeWindow> kept = new ArrayList<>();
-        for (int half = 0; half < 2; half++) {
-            int number = half;
-            kept.addAll(without(
-                    slices.stream().filter(s -> s.number % 2 != number).toList(),
-                    worst(slices.stream().filter(s -> s.number % 2 == number).toList(), figure, share)));
-        }
+            List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> figure, double share) {
+        List<OutcomeWindow> even =
+                windows.stream().filter(window -> window.number % 2 == 0).toList();
+        List<OutcomeWindow> odd =
+                windows.stream().filter(window -> window.number % 2 != 0).toList();
+        List<OutcomeWindow> kept = new ArrayList<>(without(odd, worst(even, figure, share)));
+        kept.addAll(without(even, worst(odd, figure, share)));
         return kept;
     }
 
-    /** Rows {outcomes, failed}, one a slice. */
-    static long[][] counts(List<OutcomeWindow> slices) {
-        return slices.stream()
-                .map(s -> new long[] {
-                    s.outcomes.size(),
-                    s.outcomes.stream().filter(AttemptOutcome::failed).count()
-                })
-                .toArray(long[][]::new);
+    /** Outcomes and failures of each slice. */
+    static ErrorCount[] errorCounts(List<OutcomeWindow> windows) {
+        return windows.stream().map(OutcomeWindow::errorCount).toArray(ErrorCount[]::new);
+    }
+
+    private ErrorCount errorCount() {
+        return new ErrorCount(
+                outcomes.size(),
+                outcomes.stream().filter(AttemptOutcome::failed).count());
     }
 
     /** A share of the endpoints with outcomes, one at least: those with the highest mean of a figure. */
-    static List<Object> worst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure, double share) {
-        List<Object> all = worst(slices, figure);
+    static List<Object> worst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> figure, double share) {
+        List<Object> all = worstFirst(windows, figure);
         return all.subList(0, Math.min(all.size(), Math.max(1, (int) (all.size() * share))));
     }
 
-    /** The endpoints with outcomes, those first whose outcomes have the highest mean of a figure. */
-    static List<Object> worst(List<OutcomeWindow> slices, ToDoubleFunction<AttemptOutcome> figure) {
-        Map<Object, double[]> sums = new LinkedHashMap<>();
-        for (OutcomeWindow s : slices) {
-            for (AttemptOutcome o : s.outcomes) {
-                double[] sum = sums.computeIfAbsent(o.endpoint(), u -> new double[2]);
-                sum[0] += figure.applyAsDouble(o);
-                sum[1] += 1;
+    /** The endpoints with outcomes, ordered from the highest mean of a figure to the lowest. */
+    static List<Object> worstFirst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> figure) {
+        Map<Object, Mean> means = new LinkedHashMap<>();
+        for (OutcomeWindow window : windows) {
+            for (AttemptOutcome outcome : window.outcomes) {
+                means.computeIfAbsent(outcome.endpoint(), endpoint -> new Mean())
+                        .add(figure.applyAsDouble(outcome));
             }
         }
-        List<Object> found = new ArrayList<>(sums.keySet());
-        found.sort(Comparator.comparingDouble(u -> -sums.get(u)[0] / sums.get(u)[1]));
-        return found;
+        List<Object> endpoints = new ArrayList<>(means.keySet());
+        endpoints.sort(
+                Comparator.comparingDouble(endpoint -> -means.get(endpoint).value()));
+        return endpoints;
+    }
+
+    /** A mean that values are added to. */
+    private static final class Mean {
+        private double sum;
+        private double count;
+
+        void add(double value) {
+            sum += value;
+            count += 1;
+        }
+
+        double value() {
+            return sum / count;
+        }
     }
 }
--- /dev/null
+++ b/src/main/java/gatelock/decision/SlowStart.java
@@ -0,0 +1,52 @@
+package gatelock.decision;
+
+/**
+ * Slow start of cold and canary endpoints: a budget of work at each, for all relays together. Each relay sends its part of
+ * the work that one place bears, times what an endpoint of its age surely can do; the parts add up to a multiple of what
+ * the fleet completes. A part that is under one request waits, from a start drawn by chance.
+ */
+final class SlowStart {
+    /** Times the work of one place that a canary endpoint may be sent. */
+    private static final double CANARY_MULTIPLE = 1.5;
+
+    /** The part used of the multiple that the site allows cold endpoints. */
+    private static final double COLD_PART = 0.75;
+
+    private final DecisionContext context;
+    private final EndpointRegistry registry;
+
+    SlowStart(DecisionContext context, EndpointRegistry registry) {
+        this.context = context;
+        this.registry = registry;
+    }
+
+    /** Whether an endpoint that is cold or canary has any of its budget left; others have none and need none. */
+    boolean allows(EndpointState endpoint) {
+        return !endpoint.isWarmingUp() && !endpoint.isCanary() || hasBudget(endpoint);
+    }
+
+    private boolean hasBudget(EndpointState endpoint) {
+        double coldMultiple =
+                Math.min(CANARY_MULTIPLE, COLD_PART * context.settings().coldMultiple());
+        double multiple = endpoint.isWarmingUp() ? coldMultiple : CANARY_MULTIPLE;
+        LatencyEstimates latency = context.latency();
+        double workRate = context.throughput().workRate();
+        double rate = multiple
+                * warmPart(endpoint)
+                * workRate
+                / registry.places()
+                * latency.slownessOfKind(LatencyEstimates.ALL_KINDS)
+                / latency.slownessOfKind(endpoint.entry().kind());
+        return endpoint.workBudget().refill(rate, context.nowUs());
+    }
+
+    /** The part of its capacity that an endpoint of this age surely has. */
+    private double warmPart(EndpointState endpoint) {
+        long ageUs = context.nowUs() - endpoint.entry().startUs();
+        double progress = endpoint.isWarmingUp()
+                ? Math.max(0.0, ageUs) / context.settings().warmWithinUs()
+                : 1;
+        double coldFrom = context.settings().coldFrom();
+        return coldFrom + (1 - coldFrom) * progress;
+    }
+}
--- a/src/main/java/gatelock/decision/TimeoutTracker.java
+++ b/src/main/java/gatelock/decision/TimeoutTracker.java
@@ -1,42 +1,45 @@
 package gatelock.decision;
 
+import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.stream.Collectors;
 
-/** Of late attempts, how many had no answer, by the place where they went. */
+/** The share of recent attempts without an answer, by zone, and the zones that count as lost for it. */
 final class TimeoutTracker {
     private final double memoryUs;
-    private final Map<Integer, DecayingSum> places = new TreeMap<>();
-    private Set<Integer> silent = Set.of();
+    private final Map<Integer, DecayingSum> timeoutsByZone = new TreeMap<>();
+    private Set<Integer> lostZones = Set.of();
 
     TimeoutTracker(double memoryUs) {
         this.memoryUs = memoryUs;
     }
 
-    void add(long nowUs, int place, boolean silent) {
-        places.computeIfAbsent(place, p -> new DecayingSum(memoryUs)).add(nowUs, silent ? 1 : 0);
+    void add(long nowUs, int zone, boolean timedOut) {
+        timeoutsByZone.computeIfAbsent(zone, z -> new DecayingSum(memoryUs)).add(nowUs, timedOut ? 1 : 0);
     }
 
     /**
-     * Looks for places with so many late attempts of which more than {@code most} had no answer, if less than
-     * {@code less} had none at another place. One that was silent stays so until answers come from it or it
-     * was not tried for long.
+     * Marks the zones as lost in which more than {@code lostShare} of the attempts, of which there must be
+     * {@code minAttempts}, had no answer, if another zone has less than {@code healthyShare}. A lost zone stays so until
+     * answers come from it or its attempts have decayed.
      */
-    void look(long nowUs, double fewest, double most, double less) {
-        boolean another = places.values().stream().anyMatch(f -> f.mean(nowUs, 1) < less);
-        Set<Integer> before = silent;
-        silent = places.entrySet().stream()
-                .filter(p -> another
-                        && p.getValue().mean(nowUs, 0) > most
-                        && (before.contains(p.getKey()) || p.getValue().count(nowUs) >= fewest))
-                .map(Map.Entry::getKey)
-                .collect(Collectors.toSet());
+    void update(long nowUs, double minAttempts, double lostShare, double healthyShare) {
+        boolean anyHealthy = timeoutsByZone.values().stream().anyMatch(zone -> zone.mean(nowUs, 1) < healthyShare);
+        Set<Integer> lost = new HashSet<>();
+        if (anyHealthy) {
+            timeoutsByZone.forEach((zone, timeouts) -> {
+                boolean mostlySilent = timeouts.mean(nowUs, 0) > lostShare;
+                if (mostlySilent && (lostZones.contains(zone) || timeouts.count(nowUs) >= minAttempts)) {
+                    lost.add(zone);
+                }
+            });
+        }
+        lostZones = lost;
     }
 
-    /** As found by the last look. */
-    Set<Integer> lost() {
-        return silent;
+    /** Whether the latest update found the zone lost. */
+    boolean isLost(int zone) {
+        return lostZones.contains(zone);
     }
 }
--- /dev/null
+++ b/src/main/java/gatelock/decision/VoteCaster.java
@@ -0,0 +1,140 @@
+package gatelock.decision;
+
+import gatelock.api.DecisionEngine.VoteAnswer;
+import gatelock.api.RolloutPolicy;
+import gatelock.api.Verdict;
+
+/**
+ * Casts and renews this relay's vote, at a rate that all relays together keep to. A vote to go back waits for no turn.
+ */
+final class VoteCaster {
+    /** A vote is renewed after this share of its life. */
+    private static final double RENEW_SHARE = 0.6;
+
+    /** The least wait after a vote that was rejected; up to as much again is drawn by chance. */
+    private static final long REJECTED_WAIT_US = 400_000;
+
+    /** Votes at once, in seconds of the release controller's rate; it takes two seconds' worth. */
+    private static final double BURST_S = 1.5;
+
+    /** The share of the release controller's rate that renewals of all relays may use. */
+    private static final double RENEWAL_SHARE = 0.9;
+
+    /** How far the turns move on with each stage, as a share of all relays. */
+    private static final double TURN_STEP = 0.382;
+
+    /** So many of all relays log a vote that is not one to go back. */
+    private static final int LOGGING_RELAYS = 2;
+
+    private static final double MIN_VOTES_PER_S = 0.1;
+
+    private final DecisionContext context;
+    private final RolloutPolicy policy;
+    private final int relays;
+    private final int relayNumber;
+    private Verdict castVerdict = Verdict.NONE;
+    private long castUs;
+    private boolean awaitsAnswer;
+    private long rejectedUntilUs;
+    private Verdict wantedVerdict = Verdict.NONE;
+    private long wantedSinceUs;
+
+    VoteCaster(DecisionContext context) {
+        this.context = context;
+        this.policy = context.settings().rollout();
+        this.relays = context.settings().relays();
+        int toldNumber = context.settings().number();
+        this.relayNumber = toldNumber >= 0 ? toldNumber : context.random().nextInt(relays);
+    }
+
+    /**
+     * News have come that may answer a vote; tells whether the vote was not counted, in which case it is cast again after a
+     * while. Guards against hammering a release controller that rejects votes or is silent, whatever its reason.
+     */
+    boolean onAnswer(VoteAnswer answer) {
+        awaitsAnswer &= answer == VoteAnswer.NOT_ASKED;
+        boolean isRejected = answer != VoteAnswer.NOT_ASKED && answer != VoteAnswer.COUNTED;
+        if (isRejected) {
+            castVerdict = Verdict.NONE;
+            rejectedUntilUs =
+                    context.nowUs() + REJECTED_WAIT_US + context.random().nextLong(REJECTED_WAIT_US);
+        }
+        return isRejected;
+    }
+
+    /** The newest build or its state changes: a vote to go back holds in all states of its build, others in one. */
+    void onChange(boolean isNewBuild) {
+        if (isNewBuild || castVerdict != Verdict.BACK) {
+            castVerdict = Verdict.NONE;
+        }
+    }
+
+    /** Casts a verdict if it is not cast already, or about to lapse, and if it is this relay's turn. */
+    void cast(Verdict verdict, long leastTimeEndUs, Evidence evidence) {
+        long nowUs = context.nowUs();
+        if (verdict != wantedVerdict) {
+            wantedSinceUs = nowUs;
+            wantedVerdict = verdict;
+        }
+        if (isCast(verdict) || isWaiting() || !isOurTurn(verdict, leastTimeEndUs)) {
+            return;
+        }
+        log(verdict, evidence);
+        castVerdict = verdict;
+        castUs = nowUs;
+        awaitsAnswer = true;
+        context.actions()
+                .vote(context.rollout().newestBuild(), context.rollout().stage(), verdict);
+    }
+
+    private boolean isCast(Verdict verdict) {
+        boolean isLapsing = context.nowUs() - castUs > renewalUs(verdict);
+        return verdict == castVerdict && (verdict == Verdict.NONE || !isLapsing);
+    }
+
+    private boolean isWaiting() {
+        long nowUs = context.nowUs();
+        return awaitsAnswer && nowUs - castUs < policy.voteWaitUs() || nowUs < rejectedUntilUs;
+    }
+
+    /** Turns of votes to go on count from the stage's least time, which all relays know. */
+    private boolean isOurTurn(Verdict verdict, long leastTimeEndUs) {
+        long fromUs = verdict == Verdict.ON ? leastTimeEndUs : wantedSinceUs;
+        return verdict == Verdict.BACK || context.nowUs() >= turnUs() + fromUs;
+    }
+
+    private void log(Verdict verdict, Evidence evidence) {
+        boolean isDrawn = verdict != castVerdict && context.random().nextInt(relays) < LOGGING_RELAYS;
+        if (isDrawn || verdict == Verdict.BACK) {
+            RolloutState rollout = context.rollout();
+            context.actions()
+                    .say(verdict + " build " + rollout.newestBuild() + " stage " + rollout.stage() + ": "
+                            + evidence.logText());
+        }
+    }
+
+    private double votesPerS() {
+        return Math.max(MIN_VOTES_PER_S, policy.votesPerS());
+    }
+
+    /**
+     * How long this relay waits for its turn. Guards against a fleet whose votes together are more than the release
+     * controller takes, of any size: each waits for its place in a row that every relay knows, and that moves on with each
+     * stage. Could harm where those first in the row are cut off from the release controller: the rest vote later than they
+     * could.
+     */
+    private long turnUs() {
+        RolloutState rollout = context.rollout();
+        int step = (int) Math.max(1, TURN_STEP * relays);
+        long offset = (rollout.newestBuild() + (long) rollout.stage()) * step;
+        int place = (int) Math.floorMod(relayNumber + offset, (long) relays);
+        return (long) (Math.max(0, place - BURST_S * votesPerS()) / votesPerS() * DecisionClock.SECOND_US);
+    }
+
+    /** Votes of all relays are renewed no faster than the release controller takes them; back is by its quorum alone. */
+    private long renewalUs(Verdict verdict) {
+        double allRelaysUs = relays * DecisionClock.SECOND_US / (RENEWAL_SHARE * votesPerS());
+        double beforeLapseUs = policy.voteLifeUs() * RENEW_SHARE;
+        return (long) (verdict == Verdict.BACK ? beforeLapseUs : Math.max(beforeLapseUs, allRelaysUs));
+    }
+}
--- a/src/test/java/gatelock/decision/ExactIntervalTable.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTable.java
@@ -1,7 +1,7 @@
 package gatelock.decision;
 
 /**
- * What one relay's exact interval can find, as {@code ReleaseGate.past} asks it: so many outcomes, of which so many
+ * What one relay's exact interval can find, as {@link EndpointCountTest} asks it: so many outcomes, of which so many
  * endpoints were past a bar. The arithmetic is that of {@link Bootstrap}.
  */
 public final class ExactIntervalTable {
@@ -10,18 +10,18 @@
 
     /** How often one relay of some may be wrong, so that as many voices as asked for are together wrong so rarely. */
     public static double level(double together, int relays, int voices) {
-        return Math.exp(Bootstrap.logLevel(together, relays, Math.max(1, voices)));
+        return Math.exp(Bootstrap.logErrorLevel(together, relays, Math.max(1, voices)));
     }
 
     /** The probability of at least so many cases, each as likely and by itself. */
     public static double tail(int among, int cases, double each) {
-        return Bootstrap.tail(among, cases, each);
+        return Bootstrap.binomialTail(among, cases, each);
     }
 
     /** The fewest endpoints past the bar, two at least, that among so many outcomes are rarer than the level. */
     public static int fewestPast(int seen, double bar, double level) {
         int cases = 2;
-        while (cases <= seen && Bootstrap.tail(seen, cases, bar) >= level) {
+        while (cases <= seen && Bootstrap.binomialTail(seen, cases, bar) >= level) {
             cases++;
         }
         return cases;
@@ -32,7 +32,7 @@
         int among = Math.min(seen, endpoints);
         int cases = fewestPast(seen, bar, level);
         double each = 1 - Math.pow(1 - errors, Math.max(1, (double) seen / endpoints));
-        return cases > among ? 0 : Bootstrap.tail(among, cases, each);
+        return cases > among ? 0 : Bootstrap.binomialTail(among, cases, each);
     }
 
     /** The fewest outcomes with which it is found so likely; -1: not with up to so many. */
--- a/src/test/java/gatelock/decision/OutcomeWindowTest.java
+++ b/src/test/java/gatelock/decision/OutcomeWindowTest.java
@@ -13,7 +13,7 @@
 /** Which endpoints are left out when a build is judged without its worst ones. */
 final class OutcomeWindowTest {
     private static final int SLICES = 8;
-    private static final int UNITS = 60;
+    private static final int ENDPOINTS = 60;
 
     /** So many outcomes a slice, on endpoints by chance; each is slow by its endpoint's share. */
     private static List<OutcomeWindow> slices(int perSlice, long seed, double[] slowShare) {
@@ -22,7 +22,7 @@
         for (int i = 0; i < SLICES; i++) {
             List<AttemptOutcome> outcomes = new ArrayList<>();
             for (int j = 0; j < perSlice; j++) {
-                int endpoint = chance.nextInt(UNITS);
+                int endpoint = chance.nextInt(ENDPOINTS);
                 double slowness = chance.nextDouble() < slowShare[endpoint] ? 5 : 1;
                 outcomes.add(new AttemptOutcome(endpoint, 0, false, false, slowness, 0, 0));
             }
@@ -32,16 +32,16 @@
     }
 
     private static double[] shares(double sickPart, double sick, double well) {
-        double[] shares = new double[UNITS];
-        for (int i = 0; i < UNITS; i++) {
-            shares[i] = i < UNITS * sickPart ? sick : well;
+        double[] shares = new double[ENDPOINTS];
+        for (int i = 0; i < ENDPOINTS; i++) {
+            shares[i] = i < ENDPOINTS * sickPart ? sick : well;
         }
         return shares;
     }
 
     private static double slow(List<OutcomeWindow> slices) {
         return OutcomeWindow.outcomes(slices).filter(o -> o.slowness() > 1).count()
-                / (double) Math.max(1, OutcomeWindow.seen(slices));
+                / (double) Math.max(1, OutcomeWindow.size(slices));
     }
 
     @Property(tries = 200)
@@ -51,7 +51,7 @@
             @ForAll long seed) {
         List<OutcomeWindow> all = slices(perSlice, seed, shares(0, 0, share));
         List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
-        double chance = Math.sqrt(share * (1 - share) / Math.max(1, OutcomeWindow.seen(rest)));
+        double chance = Math.sqrt(share * (1 - share) / Math.max(1, OutcomeWindow.size(rest)));
         assertThat(slow(rest)).isBetween(share - 5 * chance, share + 5 * chance);
     }
 
@@ -70,6 +70,6 @@
         List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
         assertThat(all.stream().flatMap(s -> s.outcomes().stream()).toList())
                 .containsAll(OutcomeWindow.outcomes(rest).toList());
-        assertThat(OutcomeWindow.seen(rest)).isLessThanOrEqualTo(OutcomeWindow.seen(all));
+        assertThat(OutcomeWindow.size(rest)).isLessThanOrEqualTo(OutcomeWindow.size(all));
     }
 }
