--- a/src/main/java/gatelock/decision/AttemptResultRecorder.java
+++ b/src/main/java/gatelock/decision/AttemptResultRecorder.java
@@ -19,7 +19,7 @@
     void record(Attempt attempt, long tookUs, LoadReport load) {
         AttemptResult result = attempt.result();
         attempt.endpoint().attemptEnded(attempt, leavesConnectionOpen(result));
-        if (result == AttemptResult.NOT_SENT || result == AttemptResult.CANCELLED && !attempt.isCancelled()) {
+        if (result == AttemptResult.NOT_SENT || isCancelledByClient(attempt)) {
             return;
         }
         double timePerWork = (double) tookUs / attempt.request().costUs();
@@ -42,6 +42,10 @@
         }
     }
 
+    private static boolean isCancelledByClient(Attempt attempt) {
+        return attempt.result() == AttemptResult.CANCELLED && !attempt.isCancelled();
+    }
+
     private static boolean leavesConnectionOpen(AttemptResult result) {
         return result == AttemptResult.COMPLETED
                 || result == AttemptResult.ERRORED
@@ -113,7 +117,7 @@
     private void recordRouteSlowness(Attempt attempt, double timePerWork) {
         AttemptResult result = attempt.result();
         boolean tells = result == AttemptResult.COMPLETED
-                || isUnanswered(result) && attempt.endpoint().hasAnsweredSince(attempt.sentUs());
+                || (isUnanswered(result) && attempt.endpoint().hasAnsweredSince(attempt.sentUs()));
         if (!attempt.endpoint().isCanary() && !context.clock().justStalled() && tells) {
             context.latency().recordRouteSlowness(attempt.request().route(), timePerWork);
         }
--- a/src/main/java/gatelock/decision/CanaryAnalysis.java
+++ b/src/main/java/gatelock/decision/CanaryAnalysis.java
@@ -29,7 +29,8 @@
 
     private final DecisionContext context;
     private final BarComparison bars;
-    private final EndpointCountTest endpointCounts;
+    private final EndpointCountAnalysis endpointCounts;
+
     /** How much wider an interval must be, as any of many relays may be wrong. */
     private final double widening;
 
@@ -41,7 +42,7 @@
                 context.settings().relays(),
                 Math.max(1, context.settings().rollout().backVotes()));
         this.widening = Math.max(1, Bootstrap.normalQuantile(logErrorLevel) / ORDINARY_QUANTILE);
-        this.endpointCounts = new EndpointCountTest(bars, logErrorLevel);
+        this.endpointCounts = new EndpointCountAnalysis(bars, logErrorLevel);
     }
 
     /**
@@ -138,15 +139,11 @@
 
     /** Whether no other ready endpoint of the build is as old as these. */
     private static boolean areOldest(List<Object> endpoints, BuildState build) {
-        long latestStartUs = 0;
-        boolean anyReady = false;
-        for (EndpointState endpoint : build.readyEndpoints()) {
-            if (endpoints.contains(endpoint)) {
-                long startUs = endpoint.entry().startUs();
-                latestStartUs = anyReady ? Math.max(latestStartUs, startUs) : startUs;
-                anyReady = true;
-            }
-        }
+        long latestStartUs = build.readyEndpoints().stream()
+                .filter(endpoints::contains)
+                .mapToLong(endpoint -> endpoint.entry().startUs())
+                .max()
+                .orElse(0);
         long asOldUs = latestStartUs + SAME_AGE_US;
         return build.readyEndpoints().stream()
                 .filter(endpoint -> !endpoints.contains(endpoint))
--- a/src/main/java/gatelock/decision/EndpointCountTest.java
+++ b/src/main/java/gatelock/decision/EndpointCountAnalysis.java
@@ -9,7 +9,7 @@
  * of relays is not wrong together. Endpoints are counted, not outcomes, so that one faulty endpoint is one case. Could harm
  * where a fault strikes mostly canary endpoints.
  */
-final class EndpointCountTest {
+final class EndpointCountAnalysis {
     /** What is rarer than this by chance makes a build suspect. */
     private static final double SUSPECT_PROBABILITY = 0.3;
 
@@ -17,7 +17,7 @@
     private final double failProbability;
 
     /** The level is given by the logarithm of how often one relay may be wrong. */
-    EndpointCountTest(BarComparison bars, double logErrorLevel) {
+    EndpointCountAnalysis(BarComparison bars, double logErrorLevel) {
         this.bars = bars;
         this.failProbability = Math.exp(logErrorLevel);
     }
--- a/src/main/java/gatelock/decision/LatencyEstimates.java
+++ b/src/main/java/gatelock/decision/LatencyEstimates.java
@@ -46,8 +46,8 @@
     }
 
     void recordCost(int route, long costUs) {
-        routeCosts[route].add(clock.nowUs(), costUs);
-        allCosts.add(clock.nowUs(), costUs);
+        routeCosts[route].add(clock.nowUs(), (double) costUs);
+        allCosts.add(clock.nowUs(), (double) costUs);
     }
 
     void recordSlowness(int kind, double slowness) {
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -24,7 +24,7 @@
     private static final long LIST_TOKEN = 1;
     private static final long FIRST_REQUEST_TOKEN = 2;
 
-    /** Sampled outcomes have no endpoint: this number less their route stands for one. */
+    /** Sampled outcomes have no machine kind: this number less their route stands for one, below all real kinds. */
     private static final int SAMPLE_KIND = -2;
 
     private final DecisionContext context;
--- a/src/main/java/gatelock/decision/RequestState.java
+++ b/src/main/java/gatelock/decision/RequestState.java
@@ -148,7 +148,7 @@
 
     /** Whether it is harmless if the client sends it again, to any endpoint. */
     boolean isHarmlessToRepeat() {
-        return neverRan() || isRetriable() || isDeduplicated() && policy.group() == RoutePolicy.Group.ALL;
+        return neverRan() || isRetriable() || (isDeduplicated() && policy.group() == RoutePolicy.Group.ALL);
     }
 
     boolean wasTriedAt(EndpointState endpoint) {
--- a/src/main/java/gatelock/decision/RolloutState.java
+++ b/src/main/java/gatelock/decision/RolloutState.java
@@ -25,9 +25,14 @@
      * only if it began later. Guards against the answer to a vote that newer news on another connection have overtaken.
      */
     boolean isOvertaken(int newBuild, int newStage, Phase newPhase, long sinceUs) {
-        boolean before = newBuild < newestBuild
-                || newBuild == newestBuild && (newPhase.compareTo(phase) < 0 || newPhase == phase && newStage < stage);
-        return before && sinceUs <= stageStartUs;
+        return isBefore(newBuild, newStage, newPhase) && sinceUs <= stageStartUs;
+    }
+
+    private boolean isBefore(int newBuild, int newStage, Phase newPhase) {
+        if (newBuild != newestBuild) {
+            return newBuild < newestBuild;
+        }
+        return newPhase == phase ? newStage < stage : newPhase.compareTo(phase) < 0;
     }
 
     /** Whether a state is another than the current one. */
@@ -83,7 +88,7 @@
 
     /** Whether a build is not released yet. */
     boolean isCanary(int build) {
-        return build > newestBuild || build == newestBuild && phase != Phase.RELEASED;
+        return build > newestBuild || (build == newestBuild && phase != Phase.RELEASED);
     }
 
     boolean isWithdrawn(int build) {
--- a/src/main/java/gatelock/decision/SlowStart.java
+++ b/src/main/java/gatelock/decision/SlowStart.java
@@ -22,7 +22,8 @@
 
     /** Whether an endpoint that is cold or canary has any of its budget left; others have none and need none. */
     boolean allows(EndpointState endpoint) {
-        return !endpoint.isWarmingUp() && !endpoint.isCanary() || hasBudget(endpoint);
+        boolean isLimited = endpoint.isWarmingUp() || endpoint.isCanary();
+        return !isLimited || hasBudget(endpoint);
     }
 
     private boolean hasBudget(EndpointState endpoint) {
@@ -44,7 +45,7 @@
     private double warmPart(EndpointState endpoint) {
         long ageUs = context.nowUs() - endpoint.entry().startUs();
         double progress = endpoint.isWarmingUp()
-                ? Math.max(0.0, ageUs) / context.settings().warmWithinUs()
+                ? Math.max(0.0, (double) ageUs) / context.settings().warmWithinUs()
                 : 1;
         double coldFrom = context.settings().coldFrom();
         return coldFrom + (1 - coldFrom) * progress;
--- a/src/main/java/gatelock/decision/Throughput.java
+++ b/src/main/java/gatelock/decision/Throughput.java
@@ -25,12 +25,12 @@
     }
 
     void requestArrived(long costUs) {
-        arrivedWork.add(clock.nowUs(), costUs);
+        arrivedWork.add(clock.nowUs(), (double) costUs);
     }
 
     void requestCompleted(long costUs) {
         answers.add(clock.nowUs(), 1);
-        completedWork.add(clock.nowUs(), costUs);
+        completedWork.add(clock.nowUs(), (double) costUs);
     }
 
     double answersPerUs() {
--- a/src/main/java/gatelock/decision/VoteCaster.java
+++ b/src/main/java/gatelock/decision/VoteCaster.java
@@ -94,7 +94,8 @@
 
     private boolean isWaiting() {
         long nowUs = context.nowUs();
-        return awaitsAnswer && nowUs - castUs < policy.voteWaitUs() || nowUs < rejectedUntilUs;
+        boolean isUnanswered = awaitsAnswer && nowUs - castUs < policy.voteWaitUs();
+        return isUnanswered || nowUs < rejectedUntilUs;
     }
 
     /** Turns of votes to go on count from the stage's least time, which all relays know. */
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/LongDayTest.java
@@ -15,11 +15,16 @@
 import gatelock.state.EndpointAddresses;
 import gatelock.state.IdleConnections;
 import java.lang.reflect.Field;
+import java.lang.reflect.Modifier;
 import java.net.InetSocketAddress;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Collections;
+import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
@@ -104,13 +109,32 @@
         bounded(idle, 50);
     }
 
+    /** Every collection of an object, and of the project's objects that it holds directly or through others. */
     private static void bounded(Object holder, int most) throws Exception {
-        for (Field field : holder.getClass().getDeclaredFields()) {
-            field.setAccessible(true);
-            Object held = field.get(holder);
-            int size = held instanceof Map<?, ?> map ? map.size() : held instanceof Collection<?> c ? c.size() : 0;
-            assertThat(size).as(field.getName()).isLessThanOrEqualTo(most);
+        Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
+        ArrayDeque<Object> toVisit = new ArrayDeque<>(List.of(holder));
+        while (!toVisit.isEmpty()) {
+            Object visited = toVisit.poll();
+            if (!visited.getClass().getName().startsWith("gatelock.") || !seen.add(visited)) {
+                continue;
+            }
+            for (Field field : visited.getClass().getDeclaredFields()) {
+                if (!Modifier.isStatic(field.getModifiers())) {
+                    field.setAccessible(true);
+                    Collection<?> elements = elements(field.get(visited));
+                    assertThat(elements.size()).as(field.toString()).isLessThanOrEqualTo(most);
+                    elements.stream().filter(Objects::nonNull).forEach(toVisit::add);
+                }
+            }
+        }
+    }
+
+    /** The elements of a collection, the values of a map, or else the object itself. */
+    private static Collection<?> elements(Object held) {
+        if (held instanceof Map<?, ?> map) {
+            return map.values();
         }
+        return held instanceof Collection<?> collection ? collection : Collections.singletonList(held);
     }
 
     /** Notes where tries go. */
--- a/src/test/java/gatelock/decision/ExactIntervalTable.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTable.java
@@ -1,7 +1,7 @@
 package gatelock.decision;
 
 /**
- * What one relay's exact interval can find, as {@link EndpointCountTest} asks it: so many outcomes, of which so many
+ * What one relay's exact interval can find, as {@link EndpointCountAnalysis} asks it: so many outcomes, of which so many
  * endpoints were past a bar. The arithmetic is that of {@link Bootstrap}.
  */
 public final class ExactIntervalTable {
