--- /dev/null
+++ b/src/main/java/gatelock/membership/RecordReader.java
@@ -0,0 +1,142 @@
+package gatelock.membership;
+
+import static gatelock.membership.RecordLayout.unzigzag;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.Map;
+import java.util.TreeMap;
+
+/** Reads one record of the {@link RecordLayout}. Each instance is used for one call of one of its methods. */
+final class RecordReader {
+    private final byte[] page;
+    private final int start;
+    private int position;
+
+    /**
+     * @param page the page with the record
+     * @param start where on the page the record begins
+     */
+    RecordReader(byte[] page, int start) {
+        this.page = page;
+        this.start = start;
+        position = start + RecordLayout.BODY;
+    }
+
+    /** The endpoint's zone. */
+    int zone() {
+        return (int) unzigzag(readNumber());
+    }
+
+    /** The endpoint's name. */
+    String name() {
+        readNumber();
+        return readText();
+    }
+
+    /** The hash of the endpoint's name. */
+    long nameHash(RendezvousRanking ranking) {
+        readNumber();
+        int length = (int) readNumber();
+        return ranking.hash(page, position, length);
+    }
+
+    /** Whether the endpoint has this name, given as UTF-8. */
+    boolean hasName(byte[] name) {
+        readNumber();
+        int length = (int) readNumber();
+        return Arrays.equals(page, position, position + length, name, 0, name.length);
+    }
+
+    /** The store's number of the endpoint's service. */
+    int serviceNumber() {
+        readNumber();
+        skipText();
+        return (int) readNumber();
+    }
+
+    /** Length of the record in bytes. */
+    int length() {
+        serviceNumber();
+        for (int field = 0; field < 4; field++) { // build, kind, cell, start
+            readNumber();
+        }
+        if (hasFlag(RecordLayout.PACKED_ADDRESS)) {
+            position += PackedAddress.BYTES;
+        } else {
+            skipText();
+        }
+        if (hasFlag(RecordLayout.LABELLED)) {
+            for (long texts = 2 * readNumber(); texts > 0; texts--) {
+                skipText();
+            }
+        }
+        return position - start;
+    }
+
+    /** The entry that was encoded. */
+    EndpointEntry entry(ServiceTable services) {
+        int zone = (int) unzigzag(readNumber());
+        String name = readText();
+        String service = services.ring((int) readNumber()).name;
+        int build = (int) unzigzag(readNumber());
+        int kind = (int) unzigzag(readNumber());
+        int cell = (int) unzigzag(readNumber());
+        long start = unzigzag(readNumber());
+        long startUs = hasFlag(RecordLayout.START_IN_MILLIS) ? start * RecordLayout.MICROS_PER_MILLI : start;
+        String address = readAddress();
+        Map<String, String> labels = readLabels();
+        return new EndpointEntry(
+                name, service, address, zone, kind, cell, build, RecordLayout.health(flags()), startUs, labels);
+    }
+
+    private String readAddress() {
+        if (!hasFlag(RecordLayout.PACKED_ADDRESS)) {
+            return readText();
+        }
+        String address = PackedAddress.read(page, position);
+        position += PackedAddress.BYTES;
+        return address;
+    }
+
+    private Map<String, String> readLabels() {
+        if (!hasFlag(RecordLayout.LABELLED)) {
+            return Map.of();
+        }
+        Map<String, String> labels = new TreeMap<>();
+        for (long count = readNumber(); count > 0; count--) {
+            String label = readText();
+            labels.put(label, readText());
+        }
+        return labels;
+    }
+
+    private int flags() {
+        return page[start + RecordLayout.FLAGS];
+    }
+
+    private boolean hasFlag(int flag) {
+        return (flags() & flag) != 0;
+    }
+
+    private long readNumber() {
+        long value = 0;
+        int shift = 0;
+        while (page[position] < 0) {
+            value |= (page[position++] & 0x7fL) << shift;
+            shift += 7;
+        }
+        return value | (long) page[position++] << shift;
+    }
+
+    private String readText() {
+        int length = (int) readNumber();
+        position += length;
+        return new String(page, position - length, length, StandardCharsets.UTF_8);
+    }
+
+    private void skipText() {
+        int length = (int) readNumber();
+        position += length;
+    }
+}
--- a/src/main/java/gatelock/membership/RendezvousRanking.java
+++ b/src/main/java/gatelock/membership/RendezvousRanking.java
@@ -5,32 +5,43 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Ranked (rendezvous) hashing: each relay has its own order of all endpoints, by a hash of the endpoint's name and
- * the relay's number, and uses the first ones. An endpoint that comes or goes changes nobody's order of the
- * others, and no relay's order depends on how many relays there are. Options and figures:
+ * Rendezvous (highest random weight) hashing: each relay ranks all endpoints by a hash of the endpoint's name and the
+ * relay's number, and uses the first ones. An endpoint that comes or goes does not change the order of the others, and
+ * no relay's ranking depends on how many relays there are. The hash is 64-bit XXH3. Options and figures:
  * docs/design/membership.md.
  */
 class RendezvousRanking {
     private static final Hasher64 HASHER = Hashing.xxh3_64();
 
-    private final long relay;
+    private final long relayNumber;
 
-    /** @param relay the relay's own number */
-    RendezvousRanking(long relay) {
-        this.relay = relay;
+    /**
+     * The ranking of one relay.
+     *
+     * @param relayNumber the relay's own number: relays of the same number have the same ranking
+     */
+    RendezvousRanking(long relayNumber) {
+        this.relayNumber = relayNumber;
     }
 
+    /** The hash of a name in UTF-8; the same for all relays. */
     long hash(byte[] bytes, int from, int length) {
         return HASHER.hashBytesToLong(bytes, from, length);
     }
 
-    final long hash(String text) {
-        byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    /** The hash of a name; the same for all relays. */
+    final long hash(String name) {
+        byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         return hash(bytes, 0, bytes.length);
     }
 
-    /** A name's place in this relay's order: the least comes first; equal ones are told by their names. */
-    long place(long hash) {
-        return HASHER.hashLongLongToLong(hash, relay);
+    /** The rank of a name with this hash in the relay's ranking: the lowest comes first. */
+    final long rank(long nameHash) {
+        return HASHER.hashLongLongToLong(nameHash, relayNumber);
+    }
+
+    /** Compares two names by their ranks, and by the names themselves where their ranks are equal. */
+    static int compare(long rank, String name, long otherRank, String otherName) {
+        return rank == otherRank ? name.compareTo(otherName) : Long.compare(rank, otherRank);
     }
 }
--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -87,7 +87,7 @@
             EndpointEntry e = any(random, names);
             if (random.nextInt(3) == 0) {
                 assertThat(store.remove(e.name())).isEqualTo(model.remove(e.name()) != null);
-                store.forget(e.service());
+                store.forgetService(e.service());
             } else {
                 assertThat(store.entry(store.put(e))).isEqualTo(e);
                 model.put(e.name(), e);
@@ -97,27 +97,27 @@
         model.forEach((name, e) -> {
             int place = store.find(name);
             assertThat(store.entry(place)).isEqualTo(e);
-            assertThat(store.endpoint(place)).isEqualTo(name);
+            assertThat(store.name(place)).isEqualTo(name);
             assertThat(store.zone(place)).isEqualTo(e.zone());
             assertThat(store.health(place)).isEqualTo(e.health());
         });
         Map<String, EndpointEntry> each = new HashMap<>();
-        store.each(place -> each.put(store.endpoint(place), store.entry(place)));
+        store.forEach(place -> each.put(store.name(place), store.entry(place)));
         assertThat(each).isEqualTo(model);
         Map<String, Map<String, EndpointEntry>> byService = new TreeMap<>();
         model.values()
                 .forEach(e -> byService
                         .computeIfAbsent(e.service(), s -> new TreeMap<>())
                         .put(e.name(), e));
-        assertThat(store.services()).containsExactlyInAnyOrderElementsOf(byService.keySet());
+        assertThat(store.serviceNames()).containsExactlyInAnyOrderElementsOf(byService.keySet());
         byService.forEach((service, endpoints) -> {
             Map<String, EndpointEntry> its = new TreeMap<>();
             for (int at = store.first(service); at >= 0; at = store.next(at)) {
-                its.put(store.endpoint(at), store.entry(at));
+                its.put(store.name(at), store.entry(at));
             }
             assertThat(its).isEqualTo(endpoints);
-            assertThat(store.endpoints(service)).isEqualTo(endpoints.size());
-            assertThat(store.ready(service)).isEqualTo((int) endpoints.values().stream()
+            assertThat(store.endpointCount(service)).isEqualTo(endpoints.size());
+            assertThat(store.readyCount(service)).isEqualTo((int) endpoints.values().stream()
                     .filter(e -> e.health() == Endpoint.Health.READY)
                     .count());
         });
@@ -162,8 +162,8 @@
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         for (int i = 0; i < 1_000; i++) {
             store.put(entry("u", "service-" + i, "10.0.0.1:80"));
-            store.forget("service-" + (i - 1));
-            assertThat(store.services()).containsExactly("service-" + i);
+            store.forgetService("service-" + (i - 1));
+            assertThat(store.serviceNames()).containsExactly("service-" + i);
         }
     }
 
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -51,7 +51,9 @@
     private EndpointSubset fresh(boolean colliding) {
         return new EndpointSubset(
                 terms,
-                colliding ? new EndpointStoreTest.Colliding(terms.relay(), 3) : new RendezvousRanking(terms.relay()));
+                colliding
+                        ? new EndpointStoreTest.Colliding(terms.relayNumber(), 3)
+                        : new RendezvousRanking(terms.relayNumber()));
     }
 
     private EndpointEntry any() {
@@ -172,13 +174,13 @@
             int its = used.getOrDefault(service, Set.of()).size();
             int ready = listed.get(service).size();
             // Where there is room for all that is listed, a service has all that the terms say.
-            int wanted = Math.min(ready, terms.most() >= UNITS ? terms.aim(ready) : told.scope.aim());
+            int wanted = Math.min(ready, terms.most() >= UNITS ? terms.aim(ready) : told.scope.targetPerService());
             without += its == 0 ? 1 : 0;
             assertThat(its).as("units of " + service).isGreaterThanOrEqualTo(wanted);
         }
         int crowded = Math.max(0, listed.size() - terms.most());
         assertThat(without).isEqualTo(crowded);
-        assertThat(told.scope.crowdedOut()).isEqualTo(crowded);
+        assertThat(told.scope.servicesWithoutPlace()).isEqualTo(crowded);
     }
 
     @Property(tries = 400)
@@ -257,7 +259,7 @@
     @Property(tries = 200)
     void anEndpointThatComesOrGoesMovesOneOfARelaysEndpointsAtMost(@ForAll long seed) {
         begin(seed, true, false);
-        terms = SubsetHarness.terms(terms.relay(), -1, terms.most(), terms.perService(), 0, 0);
+        terms = SubsetHarness.terms(terms.relayNumber(), -1, terms.most(), terms.minPerService(), 0, 0);
         told = new SubsetHarness(fresh(false));
         for (int i = 0; i < UNITS; i++) {
             EndpointEntry e = SubsetHarness.ready("u" + i, "s", i % 3);
--- a/src/test/java/gatelock/membership/EndpointSubsetTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -248,7 +248,7 @@
         reading.add(SubsetHarness.ready("x", "a", 0));
         assertThatThrownBy(() -> reading.add(SubsetHarness.endpoint("x", "a", 0, Endpoint.Health.GONE)))
                 .isInstanceOf(IllegalArgumentException.class)
-                .hasMessage("expected each unit once, found twice " + "x");
+                .hasMessage("expected each endpoint once, found twice x");
         assertThat(told.scope.listed()).isEqualTo(40);
     }
 
@@ -323,14 +323,14 @@
         List<EndpointEntry> endpoints = new ArrayList<>();
         IntStream.range(0, 8).forEach(s -> endpoints.addAll(service("s" + s, s == 0 ? 1 : 20, 4)));
         bound.whole(endpoints);
-        assertThat(bound.scope.aim()).isEqualTo(2);
+        assertThat(bound.scope.targetPerService()).isEqualTo(2);
         assertThat(bound.ready("s0")).hasSize(1);
         IntStream.range(1, 8).forEach(s -> assertThat(bound.ready("s" + s)).hasSize(2));
-        assertThat(bound.scope.crowdedOut()).isZero();
+        assertThat(bound.scope.servicesWithoutPlace()).isZero();
         IntStream.range(8, 30).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(EndpointEntry[]::new)));
-        assertThat(bound.scope.aim()).isZero();
+        assertThat(bound.scope.targetPerService()).isZero();
         assertThat(bound.scope.inScope()).isEqualTo(20);
-        assertThat(bound.scope.crowdedOut()).isEqualTo(10);
+        assertThat(bound.scope.servicesWithoutPlace()).isEqualTo(10);
         // Those without a place come in as others leave.
         Set<String> in = new TreeSet<>();
         bound.endpoints.values().forEach(e -> in.add(e.service()));
@@ -339,7 +339,7 @@
                 .limit(4)
                 .forEach(s -> bound.change(
                         service(s, 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new)));
-        assertThat(bound.scope.crowdedOut()).isEqualTo(6);
+        assertThat(bound.scope.servicesWithoutPlace()).isEqualTo(6);
         assertThat(bound.scope.inScope()).isEqualTo(20);
     }
 
@@ -347,20 +347,20 @@
     void eachServiceHasMoreAgainOnlyWhenThereWasRoomForTheSettleTime() {
         SubsetHarness bound = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 20, 5, 1, SETTLE_US)));
         IntStream.range(0, 8).forEach(s -> bound.change(service("s" + s, 20, 4).toArray(EndpointEntry[]::new)));
-        assertThat(bound.scope.aim()).isEqualTo(2);
+        assertThat(bound.scope.targetPerService()).isEqualTo(2);
         EndpointEntry[] gone =
                 service("s0", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
         EndpointEntry[] last =
                 service("s1", 20, 4).stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
         bound.change(gone);
         bound.change(last);
-        assertThat(bound.scope.aim()).isEqualTo(2);
+        assertThat(bound.scope.targetPerService()).isEqualTo(2);
         bound.due(SETTLE_US - 1);
-        assertThat(bound.scope.aim()).isEqualTo(2);
+        assertThat(bound.scope.targetPerService()).isEqualTo(2);
         bound.due(1);
-        assertThat(bound.scope.aim()).isEqualTo(3);
+        assertThat(bound.scope.targetPerService()).isEqualTo(3);
         bound.change(service("s0", 20, 4).toArray(EndpointEntry[]::new));
-        assertThat(bound.scope.aim()).isEqualTo(2);
+        assertThat(bound.scope.targetPerService()).isEqualTo(2);
     }
 
     /** A relay that aims at a quarter of a service, 5 endpoints at least, before one of 81 and one of 12. */
@@ -394,7 +394,7 @@
         assertThat(relay.scope.inScope()).isLessThanOrEqualTo(20);
         assertThat(relay.ready("small")).hasSize(5);
         assertThat(relay.ready("large")).hasSizeBetween(5, 15);
-        assertThat(relay.scope.aim()).isEqualTo(5);
+        assertThat(relay.scope.targetPerService()).isEqualTo(5);
     }
 
     /** All of a are silent and looked at; then b needs the place of one, which answers again out of scope. */
@@ -453,7 +453,7 @@
         for (double part : new double[] {-0.1, 1.1, Double.NaN}) {
             assertThatThrownBy(() -> new EndpointSubset.Terms(1, 0, 1, 1, part, 0, 0))
                     .isInstanceOf(IllegalArgumentException.class)
-                    .hasMessageContaining("part");
+                    .hasMessageContaining("fraction");
         }
         assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 0, 1, 0, 0)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 0, 0, 0)).isInstanceOf(IllegalArgumentException.class);
@@ -516,7 +516,7 @@
         reading.take(0, 1);
         assertThat(scope.listed()).isEqualTo(200_000);
         assertThat(scope.inScope()).isEqualTo(100);
-        assertThat(scope.crowdedOut()).isEqualTo(7_100);
+        assertThat(scope.servicesWithoutPlace()).isEqualTo(7_100);
         assertThat(scope.bytes() / 200_000.0).isLessThan(64);
     }
 }
--- a/src/test/java/gatelock/membership/SubsetBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetBenchmark.java
@@ -57,7 +57,7 @@
     /** What the module does; checked against it in {@link #zones}. */
     private static int[] ranked(long relay, long[] endpoints, int most) {
         RendezvousRanking ranking = new RendezvousRanking(relay);
-        return least(endpoints.length, most, i -> 0, i -> ranking.place(endpoints[i]));
+        return least(endpoints.length, most, i -> 0, i -> ranking.rank(endpoints[i]));
     }
 
     private interface Place {
@@ -210,7 +210,7 @@
                 return least(
                         its.length,
                         m,
-                        i -> -Math.log(((ranking.place(its[i]) >>> 11) + 0.5) * 0x1.0p-53) / weights[i],
+                        i -> -Math.log(((ranking.rank(its[i]) >>> 11) + 0.5) * 0x1.0p-53) / weights[i],
                         i -> 0);
             };
             // A relay that chose by weight spreads evenly over its endpoints: the weight was counted.
@@ -628,7 +628,7 @@
                 "%,d units, %,d in scope, %,d services crowded out: %,d KB used of %,d KB%n",
                 scope.listed(),
                 scope.inScope(),
-                scope.crowdedOut(),
+                scope.servicesWithoutPlace(),
                 used() / 1024,
                 Runtime.getRuntime().maxMemory() / 1024);
     }
