--- a/src/main/java/gatelock/membership/CandidateSelector.java
+++ b/src/main/java/gatelock/membership/CandidateSelector.java
@@ -111,8 +111,9 @@
             PriorityQueue<Candidate> first = isLocal ? local : remote;
             long rank = ranking.rank(store.nameHash(place));
             // Most endpoints are ruled out by the rank alone, before their names are read.
-            if (first.size() == limit && rank > first.element().rank()
-                    || after != null && after.precedes(rank, isLocal)) {
+            boolean beyondLimit =
+                    first.size() == limit && rank > first.element().rank();
+            if (beyondLimit || (after != null && after.precedes(rank, isLocal))) {
                 continue;
             }
             Candidate candidate = candidate(place, rank);
--- a/src/main/java/gatelock/membership/EndpointBudget.java
+++ b/src/main/java/gatelock/membership/EndpointBudget.java
@@ -64,7 +64,7 @@
         int affordable = affordableLimit();
         boolean rises = affordable > limit;
         limitRisesAtUs = SettleTimer.deadline(rises, limitRisesAtUs, nowUs, policy.settleUs());
-        if (affordable < limit || rises && nowUs >= limitRisesAtUs) {
+        if (affordable < limit || (rises && nowUs >= limitRisesAtUs)) {
             setLimit(affordable);
         }
         givePlaces();
--- a/src/main/java/gatelock/membership/NameIndex.java
+++ b/src/main/java/gatelock/membership/NameIndex.java
@@ -45,7 +45,7 @@
         int mask = slots.length - 1;
         int slot = (int) hash & mask;
         while (slots[slot] != 0 && !records.hasName(slots[slot] - 1, name)) {
-            slot = slot + 1 & mask;
+            slot = (slot + 1) & mask;
         }
         return slot;
     }
@@ -80,9 +80,9 @@
         size--;
         int mask = slots.length - 1;
         int hole = slot;
-        for (int i = hole + 1 & mask; slots[i] != 0; i = i + 1 & mask) {
+        for (int i = (hole + 1) & mask; slots[i] != 0; i = (i + 1) & mask) {
             int home = (int) records.nameHash(slots[i] - 1) & mask;
-            if ((i - home & mask) >= (i - hole & mask)) {
+            if (((i - home) & mask) >= ((i - hole) & mask)) {
                 slots[hole] = slots[i];
                 hole = i;
             }
@@ -107,7 +107,7 @@
             if (entry != 0) {
                 int slot = (int) records.nameHash(entry - 1) & mask;
                 while (slots[slot] != 0) {
-                    slot = slot + 1 & mask;
+                    slot = (slot + 1) & mask;
                 }
                 slots[slot] = entry;
             }
--- a/src/main/java/gatelock/membership/PackedAddress.java
+++ b/src/main/java/gatelock/membership/PackedAddress.java
@@ -37,7 +37,7 @@
             if (c != separator || octets >= OCTETS || digits == 0 || value > MAX_OCTET) {
                 return NONE;
             }
-            ip = ip << 8 | (int) value;
+            ip = (ip << 8) | (int) value;
             octets++;
             digits = 0;
             value = 0;
@@ -45,7 +45,7 @@
         if (octets < OCTETS || digits == 0 || value > MAX_PORT) {
             return NONE;
         }
-        return (ip & 0xffff_ffffL) << PORT_BITS | value;
+        return ((ip & 0xffff_ffffL) << PORT_BITS) | value;
     }
 
     /** Writes a packed address, {@link #BYTES} bytes long. */
@@ -61,7 +61,7 @@
         for (int i = 0; i < OCTETS; i++) {
             text.append(i == 0 ? "" : ".").append(source[from + i] & 0xff);
         }
-        int port = (source[from + 4] & 0xff) << 8 | source[from + 5] & 0xff;
+        int port = ((source[from + 4] & 0xff) << 8) | (source[from + 5] & 0xff);
         return text.append(':').append(port).toString();
     }
 }
--- a/src/main/java/gatelock/membership/RecordArena.java
+++ b/src/main/java/gatelock/membership/RecordArena.java
@@ -31,12 +31,16 @@
 
     /** The page on which a record lies. */
     byte[] page(int place) {
-        return pages[place >>> PAGE_BITS - GRAIN_BITS];
+        return pages[pageNumber(place)];
+    }
+
+    private static int pageNumber(int place) {
+        return place >>> (PAGE_BITS - GRAIN_BITS);
     }
 
     /** Where on its page a record begins. */
     static int offset(int place) {
-        return place << GRAIN_BITS & PAGE_BYTES - 1;
+        return (place << GRAIN_BITS) & (PAGE_BYTES - 1);
     }
 
     /** The link of a record at an offset of the {@link RecordLayout}. */
@@ -80,7 +84,7 @@
     }
 
     private static int grains(int bytes) {
-        return bytes + (1 << GRAIN_BITS) - 1 >> GRAIN_BITS;
+        return (bytes + (1 << GRAIN_BITS) - 1) >> GRAIN_BITS;
     }
 
     private int allocate(int grains) {
@@ -92,10 +96,10 @@
         int bytes = grains << GRAIN_BITS;
         int offset = offset(end);
         if (offset + bytes > PAGE_BYTES) {
-            end += PAGE_BYTES - offset >> GRAIN_BITS;
+            end += (PAGE_BYTES - offset) >> GRAIN_BITS;
             offset = 0;
         }
-        ensurePage(end >>> PAGE_BITS - GRAIN_BITS, offset + bytes);
+        ensurePage(pageNumber(end), offset + bytes);
         int place = end;
         end += grains;
         return place;
--- a/src/main/java/gatelock/membership/RecordEncoder.java
+++ b/src/main/java/gatelock/membership/RecordEncoder.java
@@ -74,7 +74,7 @@
     }
 
     private static byte flags(EndpointEntry entry, boolean packedAddress, boolean startInMillis) {
-        int flags = entry.health().ordinal();
+        int flags = RecordLayout.healthBits(entry.health());
         if (packedAddress) {
             flags |= RecordLayout.PACKED_ADDRESS;
         }
--- a/src/main/java/gatelock/membership/RecordLayout.java
+++ b/src/main/java/gatelock/membership/RecordLayout.java
@@ -4,6 +4,7 @@
 import java.lang.invoke.MethodHandles;
 import java.lang.invoke.VarHandle;
 import java.nio.ByteOrder;
+import java.util.List;
 
 /**
  * The binary layout of one endpoint's record in the {@link EndpointStore}. A record begins with two links of four bytes
@@ -27,7 +28,7 @@
     /** Offset of the first field after the flags. */
     static final int BODY = 9;
 
-    /** The bits of the flags that hold the ordinal of the endpoint's health. */
+    /** The bits of the flags that hold the endpoint's health. */
     static final int HEALTH_MASK = 3;
 
     /** Set where the address is stored as {@link PackedAddress#BYTES} bytes instead of text. */
@@ -41,22 +42,28 @@
 
     static final int MICROS_PER_MILLI = 1000;
 
-    private static final Endpoint.Health[] HEALTH = Endpoint.Health.values();
+    /** Health by the bits that stand for it. */
+    private static final List<Endpoint.Health> HEALTH = List.of(Endpoint.Health.values());
 
     private RecordLayout() {}
 
+    /** The bits of the flags for a health. */
+    static int healthBits(Endpoint.Health health) {
+        return HEALTH.indexOf(health);
+    }
+
     /** The health that the flags of a record name. */
     static Endpoint.Health health(int flags) {
-        return HEALTH[flags & HEALTH_MASK];
+        return HEALTH.get(flags & HEALTH_MASK);
     }
 
     /** Maps a signed number to an unsigned one so that numbers near zero, also negative ones, take few bytes. */
     static long zigzag(long value) {
-        return value << 1 ^ value >> 63;
+        return (value << 1) ^ (value >> 63);
     }
 
     /** The inverse of {@link #zigzag}. */
     static long unzigzag(long value) {
-        return value >>> 1 ^ -(value & 1);
+        return (value >>> 1) ^ -(value & 1);
     }
 }
--- a/src/main/java/gatelock/membership/RecordReader.java
+++ b/src/main/java/gatelock/membership/RecordReader.java
@@ -126,7 +126,7 @@
             value |= (page[position++] & 0x7fL) << shift;
             shift += 7;
         }
-        return value | (long) page[position++] << shift;
+        return value | ((long) page[position++] << shift);
     }
 
     private String readText() {
--- /dev/null
+++ b/src/test/java/gatelock/membership/CollidingRanking.java
@@ -0,0 +1,16 @@
+package gatelock.membership;
+
+/** A ranking in which nearly all names have the same hash. */
+final class CollidingRanking extends RendezvousRanking {
+    private final int distinctHashes;
+
+    CollidingRanking(long relayNumber, int distinctHashes) {
+        super(relayNumber);
+        this.distinctHashes = distinctHashes;
+    }
+
+    @Override
+    long hash(byte[] bytes, int from, int length) {
+        return super.hash(bytes, from, length) % distinctHashes;
+    }
+}
--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -5,6 +5,7 @@
 
 import gatelock.api.Endpoint;
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
@@ -14,30 +15,15 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The packed store against a plain map, also where hashes of names are equal. */
+/** Compares the packed store with a map, also where hashes of names are equal. */
 final class EndpointStoreTest {
-    private static final Endpoint.Health[] HEALTH = Endpoint.Health.values();
-
-    /** Names that nearly all have the same hash. */
-    static final class Colliding extends RendezvousRanking {
-        private final int different;
-
-        Colliding(long relay, int different) {
-            super(relay);
-            this.different = different;
-        }
-
-        @Override
-        long hash(byte[] bytes, int from, int length) {
-            return super.hash(bytes, from, length) % different;
-        }
-    }
+    private static final List<Endpoint.Health> HEALTH = List.of(Endpoint.Health.values());
 
     private static EndpointEntry entry(String name, String service, String address) {
         return new EndpointEntry(name, service, address, 0, 0, 0, 1, Endpoint.Health.READY, 0);
     }
 
-    private static EndpointEntry any(RandomGenerator random, int names) {
+    private static EndpointEntry randomEntry(RandomGenerator random, int names) {
         String[] addresses = {
             "10.0.0." + random.nextInt(256) + ":" + random.nextInt(65_536),
             "unit:80",
@@ -71,44 +57,44 @@
                 random.nextInt(300),
                 random.nextInt(),
                 random.nextInt(1000) - 1,
-                HEALTH[random.nextInt(HEALTH.length)],
+                HEALTH.get(random.nextInt(HEALTH.size())),
                 starts[random.nextInt(starts.length)],
                 labels);
     }
 
     @Property(tries = 300)
-    void keepsWhatAMapKeeps(@ForAll long seed, @ForAll boolean colliding) {
+    void storesTheSameEntriesAsAMap(@ForAll long seed, @ForAll boolean colliding) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         int names = 1 + random.nextInt(120);
-        EndpointStore store =
-                new EndpointStore(colliding ? new Colliding(7, 1 + random.nextInt(3)) : new RendezvousRanking(7));
+        EndpointStore store = new EndpointStore(
+                colliding ? new CollidingRanking(7, 1 + random.nextInt(3)) : new RendezvousRanking(7));
         Map<String, EndpointEntry> model = new TreeMap<>();
         for (int i = 0; i < 600; i++) {
-            EndpointEntry e = any(random, names);
+            EndpointEntry entry = randomEntry(random, names);
             if (random.nextInt(3) == 0) {
-                assertThat(store.remove(e.name())).isEqualTo(model.remove(e.name()) != null);
-                store.forgetService(e.service());
+                assertThat(store.remove(entry.name())).isEqualTo(model.remove(entry.name()) != null);
+                store.forgetService(entry.service());
             } else {
-                assertThat(store.entry(store.put(e))).isEqualTo(e);
-                model.put(e.name(), e);
+                assertThat(store.entry(store.put(entry))).isEqualTo(entry);
+                model.put(entry.name(), entry);
             }
             assertThat(store.size()).isEqualTo(model.size());
         }
-        model.forEach((name, e) -> {
+        model.forEach((name, entry) -> {
             int place = store.find(name);
-            assertThat(store.entry(place)).isEqualTo(e);
+            assertThat(store.entry(place)).isEqualTo(entry);
             assertThat(store.name(place)).isEqualTo(name);
-            assertThat(store.zone(place)).isEqualTo(e.zone());
-            assertThat(store.health(place)).isEqualTo(e.health());
+            assertThat(store.zone(place)).isEqualTo(entry.zone());
+            assertThat(store.health(place)).isEqualTo(entry.health());
         });
         Map<String, EndpointEntry> each = new HashMap<>();
         store.forEach(place -> each.put(store.name(place), store.entry(place)));
         assertThat(each).isEqualTo(model);
         Map<String, Map<String, EndpointEntry>> byService = new TreeMap<>();
         model.values()
-                .forEach(e -> byService
-                        .computeIfAbsent(e.service(), s -> new TreeMap<>())
-                        .put(e.name(), e));
+                .forEach(entry -> byService
+                        .computeIfAbsent(entry.service(), s -> new TreeMap<>())
+                        .put(entry.name(), entry));
         assertThat(store.serviceNames()).containsExactlyInAnyOrderElementsOf(byService.keySet());
         byService.forEach((service, endpoints) -> {
             Map<String, EndpointEntry> its = new TreeMap<>();
@@ -118,14 +104,14 @@
             assertThat(its).isEqualTo(endpoints);
             assertThat(store.endpointCount(service)).isEqualTo(endpoints.size());
             assertThat(store.readyCount(service)).isEqualTo((int) endpoints.values().stream()
-                    .filter(e -> e.health() == Endpoint.Health.READY)
+                    .filter(entry -> entry.health() == Endpoint.Health.READY)
                     .count());
         });
     }
 
     @Test
-    void namesWithOneHashAreToldApart() {
-        EndpointStore store = new EndpointStore(new Colliding(1, 1));
+    void distinguishesNamesWithEqualHashes() {
+        EndpointStore store = new EndpointStore(new CollidingRanking(1, 1));
         for (int i = 0; i < 1000; i++) {
             store.put(entry("unit-" + i, "s", "10.0.0.1:" + i));
         }
@@ -143,7 +129,7 @@
     }
 
     @Test
-    void bytesOfEndpointsThatLeftAreUsedAgain() {
+    void reusesMemoryOfRemovedEndpoints() {
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         for (int i = 0; i < 5_000; i++) {
             store.put(entry("unit-" + (10_000 + i), "s" + i % 100, "10.0.0.1:80"));
@@ -158,7 +144,7 @@
     }
 
     @Test
-    void servicesThatLeftAreForgotten() {
+    void forgetsServicesWithoutEndpoints() {
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         for (int i = 0; i < 1_000; i++) {
             store.put(entry("u", "service-" + i, "10.0.0.1:80"));
@@ -168,7 +154,7 @@
     }
 
     @Test
-    void entriesThatCannotBeKeptAreRefusedAndChangeNothing() {
+    void rejectsInvalidEntriesWithoutAChange() {
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         store.put(entry("a", "s", "10.0.0.1:80"));
         assertThatThrownBy(() -> store.put(new EndpointEntry(
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -18,22 +18,23 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What must hold of a scope whatever the course of lists, changes, silences and time. */
+/** What must hold of a subset whatever the sequence of lists, changes, silent endpoints and time. */
 final class EndpointSubsetPropertiesTest {
-    private static final long LOOK_US = 250_000;
-    private static final int UNITS = 40;
+    private static final long REFRESH_US = 250_000;
+    private static final int ENDPOINTS = 40;
     private static final int SERVICES = 5;
+    private static final List<Endpoint.Health> HEALTH = List.of(Endpoint.Health.values());
 
     private final Map<String, EndpointEntry> list = new TreeMap<>();
     private final Set<String> silent = new HashSet<>();
     private RandomGenerator random;
     private EndpointSubset.Terms terms;
-    private SubsetHarness told;
+    private SubsetHarness relay;
 
-    private void begin(long seed, boolean roomy, boolean colliding) {
+    private void start(long seed, boolean roomy, boolean colliding) {
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         int perService = 1 + random.nextInt(4);
-        int most = roomy ? UNITS * 2 : 1 + random.nextInt(2 * SERVICES);
+        int most = roomy ? ENDPOINTS * 2 : 1 + random.nextInt(2 * SERVICES);
         double part = Math.max(0, random.nextInt(5) - 1) / 3.0;
         terms = new EndpointSubset.Terms(
                 random.nextInt(5_700),
@@ -43,23 +44,20 @@
                 part,
                 random.nextInt(3),
                 random.nextInt(3_000_000));
-        told = new SubsetHarness(fresh(colliding));
+        relay = new SubsetHarness(newSubset(colliding));
         list.clear();
         silent.clear();
     }
 
-    private EndpointSubset fresh(boolean colliding) {
+    private EndpointSubset newSubset(boolean colliding) {
         return new EndpointSubset(
                 terms,
-                colliding
-                        ? new EndpointStoreTest.Colliding(terms.relayNumber(), 3)
-                        : new RendezvousRanking(terms.relayNumber()));
+                colliding ? new CollidingRanking(terms.relayNumber(), 3) : new RendezvousRanking(terms.relayNumber()));
     }
 
-    private EndpointEntry any() {
-        int n = random.nextInt(UNITS);
-        Endpoint.Health health =
-                random.nextInt(4) > 0 ? Endpoint.Health.READY : Endpoint.Health.values()[random.nextInt(3)];
+    private EndpointEntry randomEntry() {
+        int n = random.nextInt(ENDPOINTS);
+        Endpoint.Health health = random.nextInt(4) > 0 ? Endpoint.Health.READY : HEALTH.get(random.nextInt(3));
         String service = "s" + (random.nextInt(20) > 0 ? n % SERVICES : random.nextInt(SERVICES));
         return new EndpointEntry(
                 "u" + n,
@@ -73,208 +71,213 @@
                 random.nextInt(3) * 1000L);
     }
 
-    private void note(EndpointEntry e) {
-        if (e.health() == Endpoint.Health.GONE) {
-            list.remove(e.name());
+    private void noteListed(EndpointEntry entry) {
+        if (entry.health() == Endpoint.Health.GONE) {
+            list.remove(entry.name());
         } else {
-            list.put(e.name(), e);
+            list.put(entry.name(), entry);
         }
     }
 
-    private void wholeList() {
+    private void playFullList() {
         Map<String, EndpointEntry> entries = new TreeMap<>();
-        for (int n = random.nextInt(2 * UNITS); n > 0; n--) {
-            EndpointEntry e = any();
-            entries.put(e.name(), e);
+        for (int n = random.nextInt(2 * ENDPOINTS); n > 0; n--) {
+            EndpointEntry entry = randomEntry();
+            entries.put(entry.name(), entry);
         }
         list.clear();
-        entries.values().forEach(this::note);
-        told.whole(entries.values());
-        assertThat(told.last.whole()).isTrue();
+        entries.values().forEach(this::noteListed);
+        relay.fullList(entries.values());
+        assertThat(relay.lastChange.whole()).isTrue();
     }
 
-    private void change() {
+    private void playChange() {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int n = 1 + random.nextInt(6); n > 0; n--) {
-            entries.add(any());
+            entries.add(randomEntry());
         }
         if (random.nextInt(10) == 0) {
-            // A zone or a service's endpoints, all at once.
+            // All endpoints of a zone or a service at once.
             Predicate<EndpointEntry> lost = random.nextBoolean()
-                    ? e -> e.zone() == random.nextInt(3)
-                    : e -> e.service().equals("s" + random.nextInt(SERVICES));
+                    ? entry -> entry.zone() == random.nextInt(3)
+                    : entry -> entry.service().equals("s" + random.nextInt(SERVICES));
             list.values().stream()
                     .filter(lost)
-                    .forEach(e -> entries.add(
+                    .forEach(entry -> entries.add(
                             random.nextBoolean()
-                                    ? e.gone()
+                                    ? entry.gone()
                                     : SubsetHarness.endpoint(
-                                            e.name(), e.service(), e.zone(), Endpoint.Health.DRAINING)));
+                                            entry.name(), entry.service(), entry.zone(), Endpoint.Health.DRAINING)));
         }
-        entries.forEach(this::note);
-        told.take(false, entries);
-        assertThat(told.last.whole()).isFalse();
+        entries.forEach(this::noteListed);
+        relay.change(entries);
+        assertThat(relay.lastChange.whole()).isFalse();
     }
 
-    private void dropped() {
-        int before = told.scope.listed();
-        EndpointSubset.Reading reading = told.scope.read(random.nextBoolean());
+    private void playDroppedReading() {
+        int before = relay.subset.listed();
+        EndpointSubset.Reading reading = relay.subset.read(random.nextBoolean());
         Set<String> names = new HashSet<>();
-        for (int n = random.nextInt(UNITS); n > 0; n--) {
-            EndpointEntry e = any();
-            if (names.add(e.name())) {
-                reading.add(e);
+        for (int n = random.nextInt(ENDPOINTS); n > 0; n--) {
+            EndpointEntry entry = randomEntry();
+            if (names.add(entry.name())) {
+                reading.add(entry);
             }
         }
-        assertThat(told.scope.listed()).isEqualTo(before);
+        assertThat(relay.subset.listed()).isEqualTo(before);
     }
 
-    private void attempts() {
-        for (String endpoint : told.ready()) {
+    private void playAttempts() {
+        for (String endpoint : relay.readyEndpoints()) {
             if (random.nextInt(3) > 0) {
-                told.ended(endpoint, !silent.contains(endpoint));
+                relay.attemptEnded(endpoint, !silent.contains(endpoint));
             }
         }
     }
 
-    private void step() {
+    private void playStep() {
         switch (random.nextInt(8)) {
-            case 0 -> wholeList();
-            case 1, 2, 3 -> change();
-            case 4 -> dropped();
+            case 0 -> playFullList();
+            case 1, 2, 3 -> playChange();
+            case 4 -> playDroppedReading();
             case 5 -> {
                 silent.clear();
-                random.ints(random.nextInt(UNITS), 0, UNITS).forEach(n -> silent.add("u" + n));
+                random.ints(random.nextInt(ENDPOINTS), 0, ENDPOINTS).forEach(n -> silent.add("u" + n));
             }
-            case 6 -> attempts();
-            default -> told.due(random.nextInt(1_500_000));
+            case 6 -> playAttempts();
+            default -> relay.advance(random.nextInt(1_500_000));
         }
     }
 
     private Map<String, Set<String>> readyByService(Collection<EndpointEntry> entries) {
         return entries.stream()
-                .filter(e -> e.health() == Endpoint.Health.READY)
+                .filter(entry -> entry.health() == Endpoint.Health.READY)
                 .collect(Collectors.groupingBy(
                         EndpointEntry::service,
                         TreeMap::new,
                         Collectors.mapping(EndpointEntry::name, Collectors.toCollection(TreeSet::new))));
     }
 
-    private void check() {
-        assertThat(told.scope.listed()).isEqualTo(list.size());
-        assertThat(told.scope.services()).isEqualTo((int)
+    private void checkInvariants() {
+        assertThat(relay.subset.listed()).isEqualTo(list.size());
+        assertThat(relay.subset.services()).isEqualTo((int)
                 list.values().stream().map(EndpointEntry::service).distinct().count());
-        assertThat(told.scope.inScope()).isEqualTo(told.endpoints.size()).isLessThanOrEqualTo(terms.most());
-        // What was told is what is listed: drains, restarts and ends in scope at once.
-        told.endpoints.forEach((name, e) -> assertThat(e).isEqualTo(list.get(name)));
+        assertThat(relay.subset.inScope()).isEqualTo(relay.notified.size()).isLessThanOrEqualTo(terms.most());
+        // The decisions know what is listed: changes of members are notified at once.
+        relay.notified.forEach((name, entry) -> assertThat(entry).isEqualTo(list.get(name)));
         Map<String, Set<String>> listed = readyByService(list.values());
-        Map<String, Set<String>> used = readyByService(told.endpoints.values());
-        int without = 0;
+        Map<String, Set<String>> used = readyByService(relay.notified.values());
+        int withoutMember = 0;
         for (String service : listed.keySet()) {
-            int its = used.getOrDefault(service, Set.of()).size();
+            int members = used.getOrDefault(service, Set.of()).size();
             int ready = listed.get(service).size();
-            // Where there is room for all that is listed, a service has all that the terms say.
-            int wanted = Math.min(ready, terms.most() >= UNITS ? terms.aim(ready) : told.scope.targetPerService());
-            without += its == 0 ? 1 : 0;
-            assertThat(its).as("units of " + service).isGreaterThanOrEqualTo(wanted);
+            // Where there are places for all that is listed, a service has all that the terms say.
+            int wanted =
+                    Math.min(ready, terms.most() >= ENDPOINTS ? terms.aim(ready) : relay.subset.targetPerService());
+            withoutMember += members == 0 ? 1 : 0;
+            assertThat(members).as("endpoints of " + service).isGreaterThanOrEqualTo(wanted);
         }
-        int crowded = Math.max(0, listed.size() - terms.most());
-        assertThat(without).isEqualTo(crowded);
-        assertThat(told.scope.servicesWithoutPlace()).isEqualTo(crowded);
+        int withoutPlace = Math.max(0, listed.size() - terms.most());
+        assertThat(withoutMember).isEqualTo(withoutPlace);
+        assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(withoutPlace);
     }
 
     @Property(tries = 400)
-    void tellsWhatIsListedWithinTheBoundAndLeavesNoServiceWithoutAnEndpoint(
+    void subsetAgreesWithTheListStaysWithinTheBoundAndServesEveryService(
             @ForAll long seed, @ForAll boolean roomy, @ForAll boolean colliding) {
-        begin(seed, roomy, colliding);
+        start(seed, roomy, colliding);
         for (int i = 0; i < 120; i++) {
-            step();
-            check();
+            playStep();
+            checkInvariants();
         }
     }
 
-    /** All are heard again and time passes. */
-    private void heal() {
+    /** All endpoints answer again and time passes. */
+    private void recover() {
         silent.clear();
         for (int i = 0; i < 3; i++) {
-            told.ready().forEach(u -> told.ended(u, true));
-            told.due(terms.settleUs() + LOOK_US);
-            check();
+            relay.attemptAll(Set.of());
+            relay.advance(terms.settleUs() + REFRESH_US);
+            checkInvariants();
         }
     }
 
     @Property(tries = 400)
-    void comesBackToWhatAFreshRelayWouldUse(@ForAll long seed, @ForAll boolean colliding) {
-        begin(seed, true, colliding);
+    void recoversToTheSubsetOfANewRelay(@ForAll long seed, @ForAll boolean colliding) {
+        start(seed, true, colliding);
         for (int i = 0; i < 80; i++) {
-            step();
+            playStep();
         }
-        heal();
-        SubsetHarness other = new SubsetHarness(fresh(colliding));
-        other.whole(list.values());
-        assertThat(told.ready()).isEqualTo(other.ready());
-        int before = told.told;
+        recover();
+        SubsetHarness other = new SubsetHarness(newSubset(colliding));
+        other.fullList(list.values());
+        assertThat(relay.readyEndpoints()).isEqualTo(other.readyEndpoints());
+        int notifiedBefore = relay.notifiedEntries;
         for (int i = 0; i < 20; i++) {
-            told.ready().forEach(u -> told.ended(u, true));
-            told.due(LOOK_US);
+            relay.attemptAll(Set.of());
+            relay.advance(REFRESH_US);
         }
-        assertThat(told.told).as("entries told while nothing happens").isEqualTo(before);
+        assertThat(relay.notifiedEntries)
+                .as("entries relay while nothing happens")
+                .isEqualTo(notifiedBefore);
     }
 
     @Property(tries = 300)
-    void findsAnEndpointThatAnswersWhereverItIsAndThenRests(@ForAll long seed, @ForAll boolean roomy) {
-        begin(seed, roomy, false);
+    void findsTheEndpointThatAnswersAndThenStaysStable(@ForAll long seed, @ForAll boolean roomy) {
+        start(seed, roomy, false);
         for (int i = 0; i < 40; i++) {
-            step();
+            playStep();
         }
         silent.clear();
         Map<String, Set<String>> ready = readyByService(list.values());
         ready.values().forEach(its -> {
-            List<String> in = new ArrayList<>(its);
-            String well = in.get(random.nextInt(in.size()));
-            in.stream().filter(u -> !u.equals(well)).forEach(silent::add);
+            List<String> names = new ArrayList<>(its);
+            String answering = names.get(random.nextInt(names.size()));
+            names.stream().filter(name -> !name.equals(answering)).forEach(silent::add);
         });
         if (ready.size() > terms.most()) {
             return;
         }
-        for (int i = 0; i < 2 * UNITS; i++) {
-            told.ready().forEach(u -> told.ended(u, !silent.contains(u)));
-            told.due(LOOK_US);
-            check();
+        for (int i = 0; i < 2 * ENDPOINTS; i++) {
+            relay.attemptAll(silent);
+            relay.advance(REFRESH_US);
+            checkInvariants();
         }
-        ready.forEach(
-                (service, its) -> assertThat(told.ready(service)).as(service).anyMatch(u -> !silent.contains(u)));
+        ready.forEach((service, its) ->
+                assertThat(relay.readyEndpoints(service)).as(service).anyMatch(name -> !silent.contains(name)));
         if (roomy) {
-            told.due(2 * terms.settleUs());
-            told.due(LOOK_US);
-            int before = told.told;
+            relay.advance(2 * terms.settleUs());
+            relay.advance(REFRESH_US);
+            int notifiedBefore = relay.notifiedEntries;
             for (int i = 0; i < 40; i++) {
-                told.ready().forEach(u -> told.ended(u, !silent.contains(u)));
-                told.due(LOOK_US);
+                relay.attemptAll(silent);
+                relay.advance(REFRESH_US);
             }
-            assertThat(told.told).as("entries told while nothing new happens").isEqualTo(before);
+            assertThat(relay.notifiedEntries)
+                    .as("entries relay while nothing new happens")
+                    .isEqualTo(notifiedBefore);
         }
     }
 
     @Property(tries = 200)
-    void anEndpointThatComesOrGoesMovesOneOfARelaysEndpointsAtMost(@ForAll long seed) {
-        begin(seed, true, false);
+    void oneEndpointThatComesOrGoesChangesAtMostOneMember(@ForAll long seed) {
+        start(seed, true, false);
         terms = SubsetHarness.terms(terms.relayNumber(), -1, terms.most(), terms.minPerService(), 0, 0);
-        told = new SubsetHarness(fresh(false));
-        for (int i = 0; i < UNITS; i++) {
-            EndpointEntry e = SubsetHarness.ready("u" + i, "s", i % 3);
-            list.put(e.name(), e);
+        relay = new SubsetHarness(newSubset(false));
+        for (int i = 0; i < ENDPOINTS; i++) {
+            EndpointEntry entry = SubsetHarness.ready("u" + i, "s", i % 3);
+            list.put(entry.name(), entry);
         }
-        told.whole(list.values());
+        relay.fullList(list.values());
         for (int i = 0; i < 60; i++) {
-            Set<String> before = told.ready();
-            String endpoint = "u" + random.nextInt(UNITS);
+            Set<String> before = relay.readyEndpoints();
+            String endpoint = "u" + random.nextInt(ENDPOINTS);
             boolean goes = list.containsKey(endpoint);
-            EndpointEntry e = SubsetHarness.ready(endpoint, "s", 0);
-            note(goes ? e.gone() : e);
-            told.change(goes ? e.gone() : e);
-            told.due(LOOK_US);
-            Set<String> now = told.ready();
+            EndpointEntry entry = SubsetHarness.ready(endpoint, "s", 0);
+            noteListed(goes ? entry.gone() : entry);
+            relay.change(goes ? entry.gone() : entry);
+            relay.advance(REFRESH_US);
+            Set<String> now = relay.readyEndpoints();
             Set<String> came = new TreeSet<>(now);
             came.removeAll(before);
             if (goes) {
--- /dev/null
+++ b/src/test/java/gatelock/membership/ListUpdateTest.java
@@ -0,0 +1,118 @@
+package gatelock.membership;
+
+import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
+
+import gatelock.api.Endpoint;
+import java.util.Set;
+import org.junit.jupiter.api.Test;
+
+/** Full lists and changes of the list: staging, duplicates, order and what they cost. */
+final class ListUpdateTest {
+    private static final long SECOND_US = 1_000_000;
+    private static final long SETTLE_US = 5 * SECOND_US;
+
+    private final SubsetHarness relay =
+            new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US)));
+
+    @Test
+    void rejectsAFullListWithADuplicateEndpointByName() {
+        relay.fullList(SubsetHarness.service("a", 40, 4));
+        EndpointSubset.Reading reading = relay.subset.read(true);
+        reading.add(SubsetHarness.ready("x", "a", 0));
+        assertThatThrownBy(() -> reading.add(SubsetHarness.endpoint("x", "a", 0, Endpoint.Health.GONE)))
+                .isInstanceOf(IllegalArgumentException.class)
+                .hasMessage("expected each endpoint once, found twice x");
+        assertThat(relay.subset.listed()).isEqualTo(40);
+    }
+
+    @Test
+    void lastEntryOfAnEndpointInAChangeCounts() {
+        relay.fullList(SubsetHarness.service("a", 3, 1));
+        relay.change(SubsetHarness.endpoint("a-0", "a", 0, Endpoint.Health.GONE), SubsetHarness.ready("a-0", "a", 0));
+        assertThat(relay.readyEndpoints()).contains("a-0");
+        relay.change(SubsetHarness.ready("a-0", "a", 0), SubsetHarness.endpoint("a-0", "a", 0, Endpoint.Health.GONE));
+        assertThat(relay.notified).doesNotContainKey("a-0");
+    }
+
+    @Test
+    void droppedReadingChangesNothing() {
+        relay.fullList(SubsetHarness.service("a", 40, 4));
+        Set<String> before = relay.readyEndpoints();
+        relay.subset.read(true).add(SubsetHarness.ready("x", "a", 0));
+        EndpointSubset.Reading change = relay.subset.read(false);
+        before.forEach(name -> change.add(SubsetHarness.endpoint(name, "a", 0, Endpoint.Health.GONE)));
+        relay.advance(SETTLE_US);
+        assertThat(relay.readyEndpoints()).isEqualTo(before);
+        assertThat(relay.subset.listed()).isEqualTo(40);
+        assertThat(relay.subset.changedUs()).isEqualTo(SubsetHarness.START_US);
+    }
+
+    @Test
+    void acceptsAnIndexThatGoesBack() {
+        relay.fullList(SubsetHarness.service("a", 40, 4));
+        EndpointSubset.Reading reading = relay.subset.read(false);
+        reading.add(SubsetHarness.ready("late", "b", 0));
+        relay.deliver(reading.take(relay.nowUs, 2));
+        assertThat(relay.readyEndpoints("b")).containsExactly("late");
+        assertThat(relay.readyEndpoints("a")).hasSize(3);
+        assertThat(relay.subset.index()).isEqualTo(2);
+    }
+
+    @Test
+    void fullListDuringAChangeLosesNothing() {
+        relay.fullList(SubsetHarness.service("a", 40, 4));
+        EndpointSubset.Reading change = relay.subset.read(false);
+        change.add(SubsetHarness.ready("late", "b", 0));
+        relay.fullList(SubsetHarness.service("a", 20, 4));
+        change.add(SubsetHarness.endpoint("a-1", "a", 1, Endpoint.Health.GONE));
+        relay.deliver(change.take(relay.nowUs, 9));
+        assertThat(relay.readyEndpoints("b")).containsExactly("late");
+        assertThat(relay.subset.listed()).isEqualTo(20);
+    }
+
+    @Test
+    void fullListNotifiesOfAllMembersAgain() {
+        relay.fullList(SubsetHarness.service("a", 40, 4));
+        Set<String> first = relay.readyEndpoints();
+        relay.fullList(SubsetHarness.service("a", 40, 4));
+        assertThat(relay.lastChange.whole()).isTrue();
+        assertThat(relay.lastChange.entries())
+                .extracting(EndpointEntry::name)
+                .containsExactlyInAnyOrderElementsOf(first);
+        relay.fullList(SubsetHarness.service("a", 2, 4));
+        assertThat(relay.readyEndpoints()).containsExactly("a-0", "a-1");
+    }
+
+    @Test
+    void endpointThatChangesItsServiceIsUsedThere() {
+        relay.fullList(SubsetHarness.service("a", 2, 1));
+        relay.change(SubsetHarness.ready("a-0", "b", 0));
+        assertThat(relay.readyEndpoints("a")).containsExactly("a-1");
+        assertThat(relay.readyEndpoints("b")).containsExactly("a-0");
+        assertThat(relay.subset.services()).isEqualTo(2);
+    }
+
+    @Test
+    void listedEndpointOutsideTheSubsetTakesLessThan64Bytes() {
+        EndpointSubset subset = new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US));
+        EndpointSubset.Reading reading = subset.read(true);
+        for (int i = 0; i < 200_000; i++) {
+            reading.add(new EndpointEntry(
+                    "unit-" + (1_000_000 + i),
+                    "service-" + i % 7_200,
+                    "10." + (i >> 16) + "." + (i >> 8 & 255) + "." + (i & 255) + ":8443",
+                    i % 19,
+                    i % 4,
+                    i % 50,
+                    800 + i % 5,
+                    Endpoint.Health.READY,
+                    1_780_000_000_000_000L + i * 1000L));
+        }
+        reading.take(0, 1);
+        assertThat(subset.listed()).isEqualTo(200_000);
+        assertThat(subset.inScope()).isEqualTo(100);
+        assertThat(subset.servicesWithoutPlace()).isEqualTo(7_100);
+        assertThat(subset.bytes() / 200_000.0).isLessThan(64);
+    }
+}
--- a/src/test/java/gatelock/membership/SubsetHarness.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -1,30 +1,38 @@
 package gatelock.membership;
 
 import gatelock.api.Endpoint;
+import java.util.Collection;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 
-/** A scope with what the decisions know by its changes, and a clock. */
+/** A subset with the endpoints that the decisions know by its notifications, and a clock. */
 final class SubsetHarness {
-    final EndpointSubset scope;
-    final Map<String, EndpointEntry> endpoints = new TreeMap<>();
-    long nowUs = 1_000_000;
-    /** Entries told so far. */
-    int told;
+    static final long START_US = 1_000_000;
+    private static final long LIST_INDEX = 7;
 
-    EndpointSubset.Change last;
+    final EndpointSubset subset;
+    /** What the decisions know, by name. */
+    final Map<String, EndpointEntry> notified = new TreeMap<>();
 
-    SubsetHarness(EndpointSubset scope) {
-        this.scope = scope;
+    long nowUs = START_US;
+    /** Entries of which the decisions were notified so far. */
+    int notifiedEntries;
+
+    EndpointSubset.Change lastChange;
+
+    SubsetHarness(EndpointSubset subset) {
+        this.subset = subset;
     }
 
+    /** Terms without a fraction. */
     static EndpointSubset.Terms terms(
-            long relay, int zone, int most, int perService, int leastElsewhere, long settleUs) {
-        return new EndpointSubset.Terms(relay, zone, most, perService, 0, leastElsewhere, settleUs);
+            long relayNumber, int zone, int maxEndpoints, int minPerService, int remotePerService, long settleUs) {
+        return new EndpointSubset.Terms(relayNumber, zone, maxEndpoints, minPerService, 0, remotePerService, settleUs);
     }
 
     static EndpointEntry endpoint(String name, String service, int zone, Endpoint.Health health) {
@@ -35,55 +43,79 @@
         return endpoint(name, service, zone, Endpoint.Health.READY);
     }
 
-    void whole(Iterable<EndpointEntry> entries) {
-        take(true, entries);
+    /** Ready endpoints of a service, named SERVICE-0, SERVICE-1 and so on, evenly over zones. */
+    static List<EndpointEntry> service(String name, int endpoints, int zones) {
+        return IntStream.range(0, endpoints)
+                .mapToObj(i -> ready(name + "-" + i, name, i % zones))
+                .toList();
+    }
+
+    /** The same endpoints as gone. */
+    static EndpointEntry[] gone(Collection<EndpointEntry> entries) {
+        return entries.stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
+    }
+
+    void fullList(Iterable<EndpointEntry> entries) {
+        list(true, entries);
     }
 
     void change(EndpointEntry... entries) {
-        take(false, List.of(entries));
+        change(List.of(entries));
     }
 
-    void take(boolean whole, Iterable<EndpointEntry> entries) {
-        EndpointSubset.Reading reading = scope.read(whole);
+    void change(Iterable<EndpointEntry> entries) {
+        list(false, entries);
+    }
+
+    private void list(boolean full, Iterable<EndpointEntry> entries) {
+        EndpointSubset.Reading reading = subset.read(full);
         entries.forEach(reading::add);
-        apply(reading.take(nowUs, 7));
+        deliver(reading.take(nowUs, LIST_INDEX));
     }
 
-    void due(long inUs) {
-        nowUs += inUs;
-        apply(scope.due(nowUs));
+    /** Lets time pass and refreshes the subset. */
+    void advance(long us) {
+        nowUs += us;
+        deliver(subset.due(nowUs));
     }
 
-    void ended(String endpoint, boolean heard) {
-        scope.ended(nowUs, endpoint, heard);
+    void attemptEnded(String endpoint, boolean answered) {
+        subset.ended(nowUs, endpoint, answered);
+    }
+
+    /** An attempt at each ready endpoint, of which all but the silent ones answer. */
+    void attemptAll(Set<String> silent) {
+        for (String endpoint : readyEndpoints()) {
+            attemptEnded(endpoint, !silent.contains(endpoint));
+        }
     }
 
-    /** As the decisions do. */
-    void apply(EndpointSubset.Change change) {
-        last = change;
-        told += change.entries().size();
+    /** Applies a change as the decisions do. */
+    void deliver(EndpointSubset.Change change) {
+        lastChange = change;
+        notifiedEntries += change.entries().size();
         if (change.whole()) {
-            endpoints.clear();
+            notified.clear();
         }
-        for (EndpointEntry e : change.entries()) {
-            if (e.health() == Endpoint.Health.GONE) {
-                endpoints.remove(e.name());
+        for (EndpointEntry entry : change.entries()) {
+            if (entry.health() == Endpoint.Health.GONE) {
+                notified.remove(entry.name());
             } else {
-                endpoints.put(e.name(), e);
+                notified.put(entry.name(), entry);
             }
         }
     }
 
-    Set<String> ready(String service) {
-        return endpoints.values().stream()
-                .filter(e -> e.service().equals(service) && e.health() == Endpoint.Health.READY)
+    Set<String> readyEndpoints(String service) {
+        return notified.values().stream()
+                .filter(entry -> entry.service().equals(service) && entry.health() == Endpoint.Health.READY)
                 .map(EndpointEntry::name)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
-    Set<String> ready() {
-        return endpoints.values().stream()
-                .filter(e -> e.health() == Endpoint.Health.READY)
+    Set<String> readyEndpoints() {
+        return notified.values().stream()
+                .filter(entry -> entry.health() == Endpoint.Health.READY)
                 .map(EndpointEntry::name)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
