--- /dev/null
+++ b/src/test/java/gatelock/membership/BenchmarkList.java
@@ -0,0 +1,58 @@
+package gatelock.membership;
+
+import gatelock.api.Endpoint;
+import java.util.HashSet;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/** Lists of endpoints that look like those of a large platform, for the benchmarks. */
+final class BenchmarkList {
+    static final long SECOND_US = 1_000_000;
+    private static final long FIRST_START_US = 1_780_000_000_000_000L;
+    private static final int ZONES = 19;
+
+    private BenchmarkList() {}
+
+    /** The endpoint of a number after some restarts. */
+    static EndpointEntry endpoint(int number, int services, int restarts) {
+        return endpoint(number, services, number % ZONES, restarts);
+    }
+
+    static EndpointEntry endpoint(int number, int services, int zone, int restarts) {
+        return new EndpointEntry(
+                name(number),
+                "service-" + number % services,
+                "10." + (number >> 16) + "." + ((number >> 8) & 255) + "." + (number & 255) + ":8443",
+                zone,
+                number % 4,
+                number % 50,
+                804 + number % 2,
+                Endpoint.Health.READY,
+                FIRST_START_US + number * 1000L + restarts * SECOND_US);
+    }
+
+    /** A full list of endpoints that was read and not taken yet. */
+    static EndpointSubset.Reading read(EndpointSubset subset, int endpoints, int services, int restarts) {
+        EndpointSubset.Reading reading = subset.read(true);
+        for (int number = 0; number < endpoints; number++) {
+            reading.add(endpoint(number, services, restarts));
+        }
+        return reading;
+    }
+
+    /** Takes a full list and draws the numbers of endpoints that are in the subset, or that are not. */
+    static int[] draw(EndpointSubset subset, int endpoints, int services, boolean inSubset, int count) {
+        Set<String> members = new HashSet<>();
+        EndpointSubset.Change change = read(subset, endpoints, services, 0).take(0, 1);
+        change.entries().forEach(entry -> members.add(entry.name()));
+        return new SplittableRandom(5)
+                .ints(endpoints * 4L, 0, endpoints)
+                .filter(number -> members.contains(name(number)) == inSubset)
+                .limit(count)
+                .toArray();
+    }
+
+    private static String name(int number) {
+        return "unit-" + (1_000_000 + number);
+    }
+}
--- /dev/null
+++ b/src/test/java/gatelock/membership/SubsetCostBenchmark.java
@@ -0,0 +1,254 @@
+package gatelock.membership;
+
+import gatelock.api.Endpoint;
+import gatelock.capacity.Fit;
+import java.io.IOException;
+import java.lang.management.ManagementFactory;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+
+/** Measures the processor time and the memory that the module takes by the size of the list. */
+final class SubsetCostBenchmark {
+    private static final int ENDPOINTS_PER_SERVICE = 28;
+    private static final int CHANGES = 2_000;
+    private static final int CHANGES_PER_RESTART = 3;
+    private static final int REPEATS = 5;
+    private static final int WARM_UPS = 3;
+    private static final int[] LIST_SIZES = {1_000, 10_000, 100_000, 200_000};
+    private static final long SECOND_US = BenchmarkList.SECOND_US;
+
+    /** Figures of one size of list with a small subset. */
+    private record Cost(long heapBytes, double changeOutsideUs) {}
+
+    private SubsetCostBenchmark() {}
+
+    /**
+     * Prints work and memory by the size of the list.
+     *
+     * @param slopes file to which the slopes are written, null for none
+     * @param run id of the run in that file
+     */
+    static void printWork(Path slopes, String run) throws IOException {
+        System.out.println("Work and memory of the module; 28 units a service, 256 in scope over all, so that what is "
+                + "out of scope shows. A change is one entry with its due; three make a restart.\n");
+        System.out.println("| units | heap, KB | bytes a unit out of scope | of these packed | peak while a whole list "
+                + "comes, KB | whole list, CPU ms | change out of scope, CPU us | in scope, CPU us |");
+        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
+        warmUp();
+        Cost[] costs = new Cost[LIST_SIZES.length];
+        for (int i = 0; i < LIST_SIZES.length; i++) {
+            costs[i] = printSmallSubset(LIST_SIZES[i]);
+        }
+        System.out.println();
+        System.out.println("The same with 5 of each service in scope (bound 40,000), and with one service:\n");
+        System.out.println(
+                "| units | services | in scope | heap, KB | whole list, CPU ms | change out of scope, CPU us "
+                        + "| in scope, CPU us |");
+        System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
+        for (int size : LIST_SIZES) {
+            printLargeSubset(size, size / ENDPOINTS_PER_SERVICE);
+            printLargeSubset(size, 1);
+        }
+        if (slopes != null) {
+            writeSlopes(slopes, run, costs);
+        }
+    }
+
+    /** 200,000 endpoints in the memory that a relay has: prints how it went, ten full lists and 2,000 restarts. */
+    static void printFit() {
+        int endpoints = 200_000;
+        int services = 7_200;
+        EndpointSubset subset = newSubset(4_096);
+        for (int k = 0; k < 10; k++) {
+            BenchmarkList.read(subset, endpoints, services, k).take(k, k);
+        }
+        cpuPerChangeUs(subset, IntStream.range(0, CHANGES).toArray(), services);
+        System.out.printf(
+                "%,d units, %,d in scope, %,d services crowded out: %,d KB used of %,d KB%n",
+                subset.listed(),
+                subset.inScope(),
+                subset.servicesWithoutPlace(),
+                usedHeapBytes() / 1024,
+                Runtime.getRuntime().maxMemory() / 1024);
+    }
+
+    private static EndpointSubset newSubset(int maxEndpoints) {
+        return new EndpointSubset(new EndpointSubset.Terms(7, 0, maxEndpoints, 5, 0, 1, SECOND_US));
+    }
+
+    private static void warmUp() {
+        int size = 10_000;
+        int services = size / ENDPOINTS_PER_SERVICE;
+        for (int i = 0; i < WARM_UPS; i++) {
+            EndpointSubset subset = newSubset(256);
+            cpuPerChangeUs(subset, BenchmarkList.draw(subset, size, services, false, CHANGES), services);
+        }
+    }
+
+    // The lists are set to null before the heap is measured: it is the figure.
+    @SuppressWarnings("UnusedAssignment")
+    private static Cost printSmallSubset(int size) {
+        int services = size / ENDPOINTS_PER_SERVICE;
+        long before = usedHeapBytes();
+        EndpointSubset subset = newSubset(256);
+        EndpointSubset.Reading first = BenchmarkList.read(subset, size, services, 0);
+        first.take(0, 1);
+        first = null;
+        long heapBytes = usedHeapBytes() - before;
+        EndpointSubset.Reading second = BenchmarkList.read(subset, size, services, 1);
+        long peakBytes = usedHeapBytes() - before;
+        second.take(0, 2);
+        second = null;
+        double fullListMs = cpuPerFullListMs(subset, size, services);
+        double outsideUs = cpuPerChangeUs(subset, BenchmarkList.draw(subset, size, services, false, CHANGES), services);
+        double insideUs = cpuPerChangeUs(subset, BenchmarkList.draw(subset, size, services, true, CHANGES), services);
+        System.out.printf(
+                "| %,d | %,d | %.1f | %.1f | %,d | %.1f | %.2f | %.2f |%n",
+                size,
+                heapBytes / 1024,
+                heapBytes / (double) size,
+                subset.bytes() / (double) size,
+                peakBytes / 1024,
+                fullListMs,
+                outsideUs,
+                insideUs);
+        return new Cost(heapBytes, outsideUs);
+    }
+
+    private static void printLargeSubset(int size, int services) {
+        long before = usedHeapBytes();
+        EndpointSubset subset = newSubset(40_000);
+        BenchmarkList.read(subset, size, services, 0).take(0, 1);
+        long heapBytes = usedHeapBytes() - before;
+        long fromNs = cpuNs();
+        BenchmarkList.read(subset, size, services, 1).take(0, 1);
+        double fullListMs = (cpuNs() - fromNs) / 1e6;
+        int[] outside = BenchmarkList.draw(subset, size, services, false, CHANGES);
+        int inSubset = subset.inScope();
+        double outsideUs = cpuPerChangeUs(subset, outside, services);
+        int[] inside = BenchmarkList.draw(subset, size, services, true, CHANGES);
+        // With one service a change of a member looks through the whole service: fewer are played.
+        double insideUs =
+                services == 1 ? cpuPerMemberChangeUs(subset, inside) : cpuPerChangeUs(subset, inside, services);
+        System.out.printf(
+                "| %,d | %,d | %,d | %,d | %.1f | %.2f | %.2f |%n",
+                size, services, inSubset, heapBytes / 1024, fullListMs, outsideUs, insideUs);
+    }
+
+    private static double cpuPerFullListMs(EndpointSubset subset, int size, int services) {
+        double[] ms = new double[REPEATS];
+        for (int repeat = 0; repeat < REPEATS; repeat++) {
+            long fromNs = cpuNs();
+            BenchmarkList.read(subset, size, services, repeat).take(0, 3);
+            ms[repeat] = (cpuNs() - fromNs) / 1e6;
+        }
+        return median(ms);
+    }
+
+    /** Processor time of a change, mean of the three of a restart, median of the repeats. */
+    private static double cpuPerChangeUs(EndpointSubset subset, int[] endpoints, int services) {
+        double[] us = new double[REPEATS];
+        long nowUs = 1;
+        for (int repeat = 0; repeat < REPEATS; repeat++) {
+            long fromNs = cpuNs();
+            for (int i = 0; i < CHANGES; i++) {
+                EndpointEntry entry = BenchmarkList.endpoint(endpoints[i % endpoints.length], services, repeat + 1);
+                EndpointEntry draining = entry.withHealth(Endpoint.Health.DRAINING);
+                for (EndpointEntry change : new EndpointEntry[] {draining, entry.gone(), entry}) {
+                    nowUs = apply(subset, change, nowUs);
+                }
+            }
+            us[repeat] = (cpuNs() - fromNs) / 1e3 / ((double) CHANGES_PER_RESTART * CHANGES);
+        }
+        return median(us);
+    }
+
+    private static double cpuPerMemberChangeUs(EndpointSubset subset, int[] endpoints) {
+        int changes = 200;
+        long nowUs = 1_000_000_000L;
+        long fromNs = cpuNs();
+        for (int i = 0; i < changes; i++) {
+            EndpointEntry entry = BenchmarkList.endpoint(endpoints[i % endpoints.length], 1, i + 100);
+            for (EndpointEntry change : new EndpointEntry[] {entry.gone(), entry}) {
+                nowUs = apply(subset, change, nowUs);
+            }
+        }
+        return (cpuNs() - fromNs) / 1e3 / (2.0 * changes);
+    }
+
+    /** Applies a change and refreshes the subset a millisecond later; returns the time then. */
+    private static long apply(EndpointSubset subset, EndpointEntry change, long nowUs) {
+        EndpointSubset.Reading reading = subset.read(false);
+        reading.add(change);
+        reading.take(nowUs, 1);
+        subset.due(nowUs + 1000);
+        return nowUs + 1000;
+    }
+
+    private static void writeSlopes(Path file, String run, Cost[] costs) throws IOException {
+        double[] heap = Arrays.stream(costs).mapToDouble(Cost::heapBytes).toArray();
+        double[] change =
+                Arrays.stream(costs).mapToDouble(Cost::changeOutsideUs).toArray();
+        String heapSlope = slope(
+                "heapPerUnitOutOfScope",
+                "heap of the scope by units listed, 256 of them in scope, 28 a service",
+                "bytes",
+                heap,
+                "used heap after collections, before and after a whole list");
+        String changeSlope = slope(
+                "cpuPerChangeOutOfScopeUs",
+                "processor time of one entry's change out of scope, by units listed",
+                "us",
+                change,
+                "thread's processor time over " + CHANGES_PER_RESTART * CHANGES + " changes, median of " + REPEATS
+                        + " repeats; a restart is three changes");
+        Files.createDirectories(file.toAbsolutePath().getParent());
+        Files.writeString(
+                file,
+                "{\n  \"run\": {\"id\": \"" + run + "\", \"cores\": "
+                        + Runtime.getRuntime().availableProcessors() + ", \"java\": \""
+                        + Runtime.version().feature()
+                        + "\", \"command\": \"make measure-membership\"},\n  \"slopes\": [\n"
+                        + heapSlope + ",\n" + changeSlope + "\n  ]\n}\n");
+    }
+
+    private static String slope(String name, String what, String unit, double[] values, String how) {
+        List<double[]> measured = IntStream.range(0, LIST_SIZES.length)
+                .mapToObj(i -> new double[] {LIST_SIZES[i], values[i]})
+                .toList();
+        Fit fit = Fit.of(measured);
+        String points = measured.stream()
+                .map(point -> String.format("[%.0f, %.3f]", point[0], point[1]))
+                .collect(Collectors.joining(", "));
+        return String.format(
+                "    {\"name\": \"%s\", \"what\": \"%s\", \"x\": \"units listed\", \"y\": \"%s\",%n"
+                        + "      \"points\": [%s],%n      \"slope\": %.6g, \"intercept\": %.6g, \"residual\": %.6g,%n"
+                        + "      \"how\": \"%s; least squares\"}",
+                name, what, unit, points, fit.slope(), fit.intercept(), fit.residual(), how);
+    }
+
+    private static double median(double[] values) {
+        Arrays.sort(values);
+        return values[values.length / 2];
+    }
+
+    /** Used heap after collections, the least of three. */
+    private static long usedHeapBytes() {
+        long least = Long.MAX_VALUE;
+        for (int i = 0; i < 3; i++) {
+            System.gc();
+            least = Math.min(
+                    least,
+                    ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed());
+        }
+        return least;
+    }
+
+    private static long cpuNs() {
+        return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
+    }
+}
--- /dev/null
+++ b/src/test/java/gatelock/membership/SubsetOptionsBenchmark.java
@@ -0,0 +1,339 @@
+package gatelock.membership;
+
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+
+/** Compares the {@link SubsetAlgorithm}s: how even they are, and how many connections a change moves. */
+final class SubsetOptionsBenchmark {
+    private static final int RELAYS = 5_700;
+    private static final int SUBSET_SIZE = 5;
+
+    /** A column of the table of evenness. */
+    private record Column(SubsetAlgorithm algorithm, boolean drawnNumbers) {}
+
+    /** Load of the least and the most loaded endpoint, over the mean. */
+    private record Spread(double least, double most) {}
+
+    /** What may change between two choices. */
+    private enum Event {
+        ENDPOINT_GOES("a unit goes"),
+        ENDPOINT_COMES("a unit comes"),
+        NUMBERS_MOVE("relays' numbers move by one");
+
+        private final String title;
+
+        Event(String title) {
+            this.title = title;
+        }
+    }
+
+    private SubsetOptionsBenchmark() {}
+
+    private static long[] endpointHashes(int count, int from) {
+        RendezvousRanking anyRelay = new RendezvousRanking(0);
+        return IntStream.range(from, from + count)
+                .mapToLong(i -> anyRelay.hash("unit-" + i))
+                .sorted()
+                .toArray();
+    }
+
+    /** The relays' numbers: drawn, or without gaps. */
+    private static long[] relayNumbers(boolean drawn) {
+        SplittableRandom random = new SplittableRandom(17);
+        return IntStream.range(0, RELAYS)
+                .mapToLong(i -> drawn ? random.nextLong(Long.MAX_VALUE) : i)
+                .toArray();
+    }
+
+    private static double[] ones(int count) {
+        double[] ones = new double[count];
+        Arrays.fill(ones, 1);
+        return ones;
+    }
+
+    /** How evenly the relays' loads, each spread over the relay's endpoints by weight, reach the endpoints. */
+    private static Spread spread(Column column, long[] endpoints, int subsetSize, double[] weights, double[] loads) {
+        double[] load = new double[endpoints.length];
+        long[] numbers = relayNumbers(column.drawnNumbers);
+        for (int relay = 0; relay < RELAYS; relay++) {
+            int[] subset = column.algorithm.choose(numbers[relay], endpoints, subsetSize);
+            double sum = Arrays.stream(subset).mapToDouble(i -> weights[i]).sum();
+            for (int i : subset) {
+                load[i] += loads[relay] / sum;
+            }
+        }
+        double mean = Arrays.stream(loads).sum() / Arrays.stream(weights).sum();
+        return new Spread(
+                Arrays.stream(load).min().orElse(0) / mean,
+                Arrays.stream(load).max().orElse(0) / mean);
+    }
+
+    static void printEvenness() {
+        System.out.println("Least to mean and max to mean load of a unit, " + RELAYS + " relays:\n");
+        System.out.println("| units | in scope | ranked | rounds, numbered | ring, numbered | rounds, drawn "
+                + "| ring, drawn | all |");
+        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
+        List<Column> columns = List.of(
+                new Column(SubsetAlgorithm::rendezvous, false),
+                new Column(SubsetAlgorithm::rounds, false),
+                new Column(SubsetAlgorithm::ring, false),
+                new Column(SubsetAlgorithm::rounds, true),
+                new Column(SubsetAlgorithm::ring, true),
+                new Column(SubsetAlgorithm::all, false));
+        for (int count : new int[] {2, 10, 28, 100, 1_000, 5_000}) {
+            for (int subsetSize : new int[] {5, 20, 100}) {
+                if (subsetSize > 5 && subsetSize >= count) {
+                    continue;
+                }
+                long[] endpoints = endpointHashes(count, 0);
+                StringBuilder row = new StringBuilder("| " + count + " | " + Math.min(count, subsetSize));
+                for (Column column : columns) {
+                    Spread spread = spread(column, endpoints, subsetSize, ones(count), ones(RELAYS));
+                    row.append(String.format(" | %.2f, %.2f", spread.least, spread.most));
+                }
+                System.out.println(row + " |");
+            }
+        }
+        System.out.println();
+    }
+
+    static void printWeights() {
+        System.out.println("Max to mean load by weight (half of the units 1, a quarter 2, a quarter 4), and with "
+                + "equal weights where relays' loads differ (drawn, exponential):\n");
+        System.out.println("| units | in scope | ranked | ranked by weight | rounds, numbered | ring, numbered "
+                + "| ranked, unequal relays | ring, unequal relays |");
+        System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
+        Column rendezvous = new Column(SubsetAlgorithm::rendezvous, false);
+        Column rounds = new Column(SubsetAlgorithm::rounds, false);
+        Column ring = new Column(SubsetAlgorithm::ring, false);
+        double[] unequalLoads = exponentialLoads();
+        for (int count : new int[] {28, 100, 1_000, 5_000}) {
+            long[] endpoints = endpointHashes(count, 0);
+            double[] weights =
+                    IntStream.range(0, count).mapToDouble(i -> weight(i)).toArray();
+            System.out.printf(
+                    "| %d | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |%n",
+                    count,
+                    SUBSET_SIZE,
+                    spread(rendezvous, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).most,
+                    maxLoadByWeightedChoice(endpoints, weights),
+                    spread(rounds, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).most,
+                    spread(ring, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).most,
+                    spread(rendezvous, endpoints, SUBSET_SIZE, ones(count), unequalLoads).most,
+                    spread(ring, endpoints, SUBSET_SIZE, ones(count), unequalLoads).most);
+        }
+        System.out.println();
+    }
+
+    private static double[] exponentialLoads() {
+        SplittableRandom random = new SplittableRandom(3);
+        double[] loads = new double[RELAYS];
+        for (int relay = 0; relay < RELAYS; relay++) {
+            loads[relay] = -Math.log(1 - random.nextDouble());
+        }
+        return loads;
+    }
+
+    private static double weight(int endpoint) {
+        return switch (endpoint % 4) {
+            case 0, 1 -> 1;
+            case 2 -> 2;
+            default -> 4;
+        };
+    }
+
+    /** A relay that chose by weight spreads its load evenly over its endpoints: the weight was counted already. */
+    private static double maxLoadByWeightedChoice(long[] endpoints, double[] weights) {
+        SubsetAlgorithm weighted = SubsetAlgorithm.weightedRendezvous(weights);
+        double[] load = new double[endpoints.length];
+        for (long relay : relayNumbers(false)) {
+            int[] subset = weighted.choose(relay, endpoints, SUBSET_SIZE);
+            for (int i : subset) {
+                load[i] += 1.0 / subset.length;
+            }
+        }
+        double mean = RELAYS / Arrays.stream(weights).sum();
+        double max = 0;
+        for (int i = 0; i < load.length; i++) {
+            max = Math.max(max, load[i] / weights[i] / mean);
+        }
+        return max;
+    }
+
+    static void printMovedConnections() {
+        System.out.println("New connections a relay (mean over " + RELAYS + " relays and 10 units), 5 in scope. "
+                + "Least: each relay that held the unit needs one other.\n");
+        System.out.println("| units | what | least | ranked | rounds | ring | all |");
+        System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
+        for (int count : new int[] {28, 100, 1_000}) {
+            for (Event event : Event.values()) {
+                String least = event == Event.NUMBERS_MOVE ? "0" : String.format("%.3f", SUBSET_SIZE / (double) count);
+                System.out.printf(
+                        "| %d | %s | %s | %.3f | %.3f | %.3f | %.3f |%n",
+                        count,
+                        event.title,
+                        least,
+                        moved(SubsetAlgorithm::rendezvous, count, event),
+                        moved(SubsetAlgorithm::rounds, count, event),
+                        moved(SubsetAlgorithm::ring, count, event),
+                        moved(SubsetAlgorithm::all, count, event));
+            }
+        }
+        System.out.println();
+    }
+
+    /** New connections a relay for an event, mean over relays and ten endpoints. */
+    private static double moved(SubsetAlgorithm algorithm, int count, Event event) {
+        int trials = 10;
+        double sum = 0;
+        for (int trial = 0; trial < trials; trial++) {
+            long[] all = endpointHashes(count, 1_000 * trial);
+            int without = trial * count / trials;
+            long[] allButOne = IntStream.range(0, count)
+                    .filter(i -> i != without)
+                    .mapToLong(i -> all[i])
+                    .toArray();
+            sum += switch (event) {
+                case ENDPOINT_GOES -> moved(algorithm, all, allButOne, 0);
+                case ENDPOINT_COMES -> moved(algorithm, allButOne, all, 0);
+                case NUMBERS_MOVE -> moved(algorithm, all, all, 1);
+            };
+        }
+        return sum / trials;
+    }
+
+    /** New connections a relay from one choice to another, mean over relays. */
+    private static double moved(SubsetAlgorithm algorithm, long[] before, long[] after, long numberOffset) {
+        long moved = 0;
+        for (int relay = 0; relay < RELAYS; relay++) {
+            long[] had = Arrays.stream(algorithm.choose(relay, before, SUBSET_SIZE))
+                    .mapToLong(i -> before[i])
+                    .sorted()
+                    .toArray();
+            moved += Arrays.stream(algorithm.choose(relay + numberOffset, after, SUBSET_SIZE))
+                    .filter(i -> Arrays.binarySearch(had, after[i]) < 0)
+                    .count();
+        }
+        return moved / (double) RELAYS;
+    }
+
+    static void printReleaseStages() {
+        System.out.println("Share of " + RELAYS + " relays that hold at least one unit of a build, by the part of "
+                + "a service's units that run it (ranked; mean of 10 services):\n");
+        System.out.println("| units | in scope | 8% | 60% | 100% | 8%, worst service |");
+        System.out.println("| --- | --- | --- | --- | --- | --- |");
+        for (int count : new int[] {28, 100, 1_000}) {
+            for (int subsetSize : new int[] {3, 5, 10, 20}) {
+                printReleaseStages(count, subsetSize);
+            }
+        }
+        System.out.println();
+    }
+
+    private static void printReleaseStages(int count, int subsetSize) {
+        double[] fractions = {0.08, 0.6, 1};
+        double[] sums = new double[fractions.length];
+        double worst = 1;
+        int services = count > 100 ? 2 : 10;
+        for (int service = 0; service < services; service++) {
+            double[] reached = relaysReached(endpointHashes(count, 10_000 * service), subsetSize, fractions);
+            for (int i = 0; i < fractions.length; i++) {
+                sums[i] += reached[i] / services;
+            }
+            worst = Math.min(worst, reached[0]);
+        }
+        System.out.printf(
+                "| %d | %d | %.3f | %.3f | %.3f | %.3f |%n", count, subsetSize, sums[0], sums[1], sums[2], worst);
+    }
+
+    /** The share of relays that hold an endpoint of a build, by the fraction of the endpoints that run it. */
+    private static double[] relaysReached(long[] endpoints, int subsetSize, double[] fractions) {
+        int[] position = releaseOrder(endpoints);
+        int[] reached = new int[fractions.length];
+        for (int relay = 0; relay < RELAYS; relay++) {
+            int[] subset = SubsetAlgorithm.rendezvous(relay, endpoints, subsetSize);
+            for (int i = 0; i < fractions.length; i++) {
+                int released = (int) Math.ceil(fractions[i] * endpoints.length - 1e-9);
+                if (Arrays.stream(subset).anyMatch(endpoint -> position[endpoint] < released)) {
+                    reached[i]++;
+                }
+            }
+        }
+        return Arrays.stream(reached)
+                .mapToDouble(relays -> relays / (double) RELAYS)
+                .toArray();
+    }
+
+    /** Each endpoint's position in a release, in an order that is independent of the rankings. */
+    private static int[] releaseOrder(long[] endpoints) {
+        int[] order = IntStream.range(0, endpoints.length)
+                .boxed()
+                .sorted(Comparator.comparingLong(i -> Long.rotateLeft(endpoints[i], 20) * 0x9E3779B97F4A7C15L))
+                .mapToInt(i -> i)
+                .toArray();
+        int[] position = new int[endpoints.length];
+        for (int i = 0; i < order.length; i++) {
+            position[order[i]] = i;
+        }
+        return position;
+    }
+
+    static void printZones() {
+        int zones = 19;
+        int relaysPerZone = 100;
+        System.out.println("Zones: " + zones + ", each with " + relaysPerZone + " relays; 5 in scope, 1 of them "
+                + "elsewhere; the module itself (ranked). Units a zone: even, or drawn.\n");
+        System.out.println("| units | zones | of connections in the own zone | least to mean, max to mean |");
+        System.out.println("| --- | --- | --- | --- |");
+        for (int count : new int[] {28, 190, 1_000}) {
+            for (String zoning : new String[] {"none told", "even", "drawn"}) {
+                printZones(count, zoning, zones, zones * relaysPerZone);
+            }
+        }
+        System.out.println();
+    }
+
+    private static void printZones(int count, String zoning, int zones, int relays) {
+        SplittableRandom random = new SplittableRandom(count);
+        List<EndpointEntry> list = IntStream.range(0, count)
+                .mapToObj(i ->
+                        BenchmarkList.endpoint(i, 1, zoning.equals("drawn") ? random.nextInt(zones) : i % zones, 0))
+                .toList();
+        Map<String, Integer> indexes = IntStream.range(0, count)
+                .boxed()
+                .collect(Collectors.toMap(i -> list.get(i).name(), i -> i));
+        int[] holders = new int[count];
+        int local = 0;
+        int connections = 0;
+        for (int relay = 0; relay < relays; relay++) {
+            int zone = zoning.equals("none told") ? -1 : relay % zones;
+            for (EndpointEntry entry : subset(relay, zone, list)) {
+                holders[indexes.get(entry.name())]++;
+                local += entry.zone() == relay % zones ? 1 : 0;
+                connections++;
+            }
+        }
+        double mean = connections / (double) count;
+        System.out.printf(
+                "| %d | %s | %.2f | %.2f, %.2f |%n",
+                count,
+                zoning,
+                local / (double) connections,
+                Arrays.stream(holders).min().orElse(0) / mean,
+                Arrays.stream(holders).max().orElse(0) / mean);
+    }
+
+    /** A relay's subset by the module itself, with one endpoint in other zones. */
+    private static List<EndpointEntry> subset(int relay, int zone, List<EndpointEntry> list) {
+        EndpointSubset subset = new EndpointSubset(
+                new EndpointSubset.Terms(relay, zone, 1_000, SUBSET_SIZE, 0, 1, BenchmarkList.SECOND_US));
+        EndpointSubset.Reading reading = subset.read(true);
+        list.forEach(reading::add);
+        return reading.take(0, 1).entries();
+    }
+}
