--- a/src/main/java/gatelock/discovery/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -6,10 +6,9 @@
 import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.core.async.ByteArrayFeeder;
 import gatelock.net.JsonObject;
+import gatelock.net.MalformedMessageException;
 import java.io.IOException;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Deque;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -17,248 +16,267 @@
 import java.util.Set;
 
 /**
- * Reads a list of endpoints from the pieces in which it comes and hands on entry by entry, so that no more than one
- * is held. It tells the same as {@link JsonObject#read} of the whole text would, and is stricter where that would cost
- * memory or a guess: bytes that are no UTF-8, entries of more than {@link #MOST_ENTRY} bytes,
- * values nested deeper than {@link #DEEPEST} and more fields than {@link #MOST_FIELDS} beside the entries are refused.
+ * Reads an endpoint list from the pieces in which it arrives, and hands on entry by entry, so that no more than one is
+ * buffered. The result is that of {@link JsonObject#read} on the whole text. The reader is stricter where equality would
+ * cost memory or a guess: it rejects bytes that are not UTF-8, entries of more than {@link #MAX_ENTRY_BYTES}, values
+ * nested deeper than {@link #MAX_DEPTH} and more than {@link #MAX_FIELDS} fields beside the entries.
  */
 final class EndpointListReader {
-    /** An entry with all its labels is a tenth of this at most; longer is no entry. */
-    static final int MOST_ENTRY = 16 * 1024;
-    /** Entries that are held while it is not told yet whether they are a whole list. */
-    static final int MOST_HELD = 1_024;
+    /** An entry with all its labels has a tenth of this at most. */
+    static final int MAX_ENTRY_BYTES = 16 * 1024;
+    /** How many entries are buffered while the list has not said yet whether it is full. */
+    static final int MAX_PENDING_ENTRIES = 1_024;
 
-    private static final int DEEPEST = 16;
-    /** Beside the entries. */
-    private static final int MOST_FIELDS = 100;
-    // Names that are made up anew in each entry must not stay for good.
+    private static final int MAX_DEPTH = 16;
+    private static final int MAX_FIELDS = 100;
+    private static final int MAX_NUMBER_LENGTH = 100;
+
+    private static final String ENTRIES_FIELD = "endpoints";
+    private static final String FULL_FIELD = "snapshot";
+    private static final String INDEX_FIELD = "index";
+
+    // Field names are not interned: names that are made up anew in each entry would stay in memory for good.
     private static final JsonFactory JSON = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .streamReadConstraints(StreamReadConstraints.builder()
-                    .maxNestingDepth(DEEPEST)
-                    .maxStringLength(MOST_ENTRY)
-                    .maxNameLength(MOST_ENTRY)
-                    .maxNumberLength(100)
+                    .maxNestingDepth(MAX_DEPTH)
+                    .maxStringLength(MAX_ENTRY_BYTES)
+                    .maxNameLength(MAX_ENTRY_BYTES)
+                    .maxNumberLength(MAX_NUMBER_LENGTH)
                     .build())
             .build();
 
-    /** Whoever takes the entries; nothing of them may count before the list has come to its good end. */
-    interface Taker {
+    /** Receives the entries; nothing of them may take effect before {@link #end} has returned. */
+    interface EntryConsumer {
 
-        /** Once, before the first entry: whether the list is whole or a change. */
-        void begins(boolean whole);
+        /** Called once, before the first entry: whether the list is full or has the changes only. */
+        void onBegin(boolean full);
 
-        void entry(JsonObject entry) throws IOException;
+        /**
+         * Called for each entry, in the order of the list.
+         *
+         * @throws IOException where the entry is malformed, and with it the list
+         */
+        void onEntry(JsonObject entry) throws IOException;
     }
 
-    /** What stands beside the entries. */
-    record Frame(boolean whole, long index) {}
+    /** The fields of a list beside its entries. */
+    record Header(boolean full, long index) {}
+
+    /** The list said only behind many entries that it is not what was asked for, a full list or changes. */
+    static final class UnannouncedFormException extends MalformedMessageException {
+        private static final long serialVersionUID = 1L;
+
+        UnannouncedFormException() {
+            super("expected " + FULL_FIELD + " before " + ENTRIES_FIELD + " where there are more than "
+                    + MAX_PENDING_ENTRIES);
+        }
+    }
 
-    private final Taker taker;
-    private final boolean wholeAsked;
+    /** Where in the text the next token stands. */
+    private enum Position {
+        BEFORE_OBJECT,
+        FIELDS,
+        SKIPPED_VALUE,
+        ENTRIES,
+        ENTRY,
+        AFTER_OBJECT
+    }
+
+    private final EntryConsumer consumer;
+    private final boolean fullRequested;
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
-    /** The fields beside the entries that matter; all others are passed over. */
-    private final Map<String, Object> frame = new LinkedHashMap<>();
-    /** Objects and lists of an entry that are open, the entry itself first. */
-    private final Deque<Object> open = new ArrayDeque<>();
+    private Position position = Position.BEFORE_OBJECT;
+    /** The names of all fields beside the entries, up to here. */
+    private final Set<String> fieldNames = new HashSet<>();
+    /** The values of those fields that matter; all others are skipped. */
+    private final Map<String, Object> headerFields = new LinkedHashMap<>();
 
-    private final Deque<String> names = new ArrayDeque<>();
-    private List<JsonObject> held = new ArrayList<>();
-    private final Set<String> fields = new HashSet<>();
-    private boolean begun;
-    private Boolean whole;
-    private boolean mistaken;
-    private boolean listed;
-    private boolean inList;
-    private String field;
-    private int passingOver;
-    private boolean entered;
-    private boolean over;
+    private String fieldName;
+    private int skippedDepth;
+    private JsonTreeBuilder entry;
+    private long entryOffset;
     private long fedBytes;
-    private long entryFromBytes;
+    private boolean entriesSeen;
+    /** Entries that arrived before the list said whether it is full. */
+    private List<JsonObject> pending = new ArrayList<>();
+
+    private boolean begun;
+    private boolean full;
 
     /**
-     * @param wholeAsked whether a whole list was asked for: so it is taken where more than {@link #MOST_HELD}
-     *     entries come before it is told what they are
+     * Creates the reader of one list.
+     *
+     * @param fullRequested whether a full list was asked for, and so is assumed where more than
+     *     {@link #MAX_PENDING_ENTRIES} entries arrive before the list says what it is
      */
-    EndpointListReader(boolean wholeAsked, Taker taker) {
-        this.wholeAsked = wholeAsked;
-        this.taker = taker;
+    EndpointListReader(boolean fullRequested, EntryConsumer consumer) {
+        this.fullRequested = fullRequested;
+        this.consumer = consumer;
         try {
             parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException("a parser that reads nothing yet can't fail", e);
+            throw new IllegalStateException("a parser that has not read anything can't fail", e);
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
-    /** Takes in the next piece. */
-    void read(byte[] some) throws IOException {
-        feeder.feedInput(some, 0, some.length);
-        fedBytes += some.length;
-        for (JsonToken t = parser.nextToken(); t != JsonToken.NOT_AVAILABLE; t = parser.nextToken()) {
-            token(t);
+    /**
+     * Reads the next piece of the text.
+     *
+     * @throws IOException where the list is malformed; the reader must not be used any more
+     */
+    void read(byte[] piece) throws IOException {
+        feeder.feedInput(piece, 0, piece.length);
+        fedBytes += piece.length;
+        JsonToken token = parser.nextToken();
+        while (token != JsonToken.NOT_AVAILABLE) {
+            onToken(token);
+            token = parser.nextToken();
         }
-        if (!open.isEmpty() && fedBytes - entryFromBytes > MOST_ENTRY) {
-            throw new IOException("expected an entry of up to " + MOST_ENTRY + " bytes");
+        if (position == Position.ENTRY) {
+            checkEntrySize(fedBytes);
         }
     }
 
-    /** Whether it came as something else than was asked for, and told so too late. */
-    boolean mistaken() {
-        return mistaken;
-    }
-
-    /** All has come: what stood beside the entries; an {@link IOException} where it was no whole list. */
-    Frame end() throws IOException {
+    /**
+     * Ends the list: all of its text has arrived.
+     *
+     * @throws UnannouncedFormException where the list can be read when a full list is asked for
+     * @throws IOException where the text is no well-formed list
+     */
+    Header end() throws IOException {
         feeder.endOfInput();
-        if (parser.nextToken() != null || !over) {
-            throw new IOException("expected one JSON object");
+        if (parser.nextToken() != null || position != Position.AFTER_OBJECT) {
+            throw new MalformedMessageException("expected one JSON object");
         }
-        JsonObject beside = new JsonObject(frame);
-        if (!listed) {
-            throw new IOException("expected endpoints");
+        if (!entriesSeen) {
+            throw new MalformedMessageException("expected endpoints");
         }
-        boolean told = beside.yes("snapshot");
-        long index = beside.whole("index");
+        JsonObject header = new JsonObject(headerFields);
+        boolean toldFull = header.yes(FULL_FIELD);
+        long index = header.whole(INDEX_FIELD);
         if (!begun) {
-            begin(told);
+            begin(toldFull);
         }
-        if (whole != told) {
-            mistaken = true;
-            throw new IOException("expected snapshot before endpoints where there are more than " + MOST_HELD);
+        if (full != toldFull) {
+            throw new UnannouncedFormException();
         }
-        return new Frame(told, index);
+        return new Header(toldFull, index);
     }
 
-    private void token(JsonToken t) throws IOException {
-        if (over) {
-            throw new IOException("expected one JSON object");
+    private void onToken(JsonToken token) throws IOException {
+        switch (position) {
+            case BEFORE_OBJECT -> onObjectStart(token);
+            case FIELDS -> onField(token);
+            case SKIPPED_VALUE -> onSkipped(token);
+            case ENTRIES -> onEntries(token);
+            case ENTRY -> onEntryToken(token);
+            case AFTER_OBJECT -> throw new MalformedMessageException("expected one JSON object");
         }
-        if (passingOver > 0) {
-            passingOver += t.isStructStart() ? 1 : t.isStructEnd() ? -1 : 0;
-        } else if (!open.isEmpty()) {
-            inEntry(t);
-        } else if (inList) {
-            inList(t);
-        } else {
-            beside(t);
+    }
+
+    private void onObjectStart(JsonToken token) throws IOException {
+        if (token != JsonToken.START_OBJECT) {
+            throw new MalformedMessageException("expected one JSON object");
         }
+        position = Position.FIELDS;
     }
 
-    /** Outside of the list. */
-    private void beside(JsonToken t) throws IOException {
-        if (!entered) {
-            if (t != JsonToken.START_OBJECT) {
-                throw new IOException("expected one JSON object");
-            }
-            entered = true;
-        } else if (t == JsonToken.FIELD_NAME) {
-            field = parser.currentName();
-            if (!fields.add(field) || fields.size() > MOST_FIELDS) {
-                throw new IOException("expected few fields, each once, found " + field);
-            }
-        } else if (t == JsonToken.END_OBJECT) {
-            over = true;
-        } else if (field.equals("endpoints")) {
-            if (t != JsonToken.START_ARRAY) {
-                throw new IOException("expected a list under endpoints");
-            }
-            inList = true;
-            listed = true;
-            if (frame.containsKey("snapshot")) {
-                begin(new JsonObject(frame).yes("snapshot"));
+    private void onField(JsonToken token) throws IOException {
+        if (token == JsonToken.FIELD_NAME) {
+            fieldName = parser.currentName();
+            if (!fieldNames.add(fieldName) || fieldNames.size() > MAX_FIELDS) {
+                throw new MalformedMessageException("expected few fields, each once, found " + fieldName);
             }
+        } else if (token == JsonToken.END_OBJECT) {
+            position = Position.AFTER_OBJECT;
+        } else if (fieldName.equals(ENTRIES_FIELD)) {
+            beginEntries(token);
         } else {
-            boolean matters = field.equals("index") || field.equals("snapshot");
-            if (t.isStructStart()) {
-                passingOver = 1;
-            }
-            if (matters) {
-                frame.put(field, t.isStructStart() ? Map.of() : scalar(t));
-            }
+            onHeaderValue(token);
         }
     }
 
-    private void inList(JsonToken t) throws IOException {
-        if (t == JsonToken.END_ARRAY) {
-            inList = false;
-        } else if (t == JsonToken.START_OBJECT) {
-            entryFromBytes = parser.currentTokenLocation().getByteOffset();
-            open.push(new LinkedHashMap<String, Object>());
-        } else {
-            throw new IOException("expected an object under endpoints");
+    private void beginEntries(JsonToken token) throws IOException {
+        if (token != JsonToken.START_ARRAY) {
+            throw new MalformedMessageException("expected a list under endpoints");
+        }
+        position = Position.ENTRIES;
+        entriesSeen = true;
+        if (headerFields.containsKey(FULL_FIELD)) {
+            begin(new JsonObject(headerFields).yes(FULL_FIELD));
         }
     }
 
-    private void inEntry(JsonToken t) throws IOException {
-        if (t == JsonToken.FIELD_NAME) {
-            names.push(parser.currentName());
-        } else if (t == JsonToken.START_OBJECT) {
-            open.push(new LinkedHashMap<String, Object>());
-        } else if (t == JsonToken.START_ARRAY) {
-            open.push(new ArrayList<>());
-        } else if (t.isStructEnd()) {
-            Object done = open.pop();
-            if (open.isEmpty()) {
-                entry(done);
-            } else {
-                put(done);
-            }
-        } else {
-            put(scalar(t));
+    private void onHeaderValue(JsonToken token) throws IOException {
+        if (fieldName.equals(INDEX_FIELD) || fieldName.equals(FULL_FIELD)) {
+            // An object or an array is of the wrong type for both, whatever is in it.
+            headerFields.put(fieldName, token.isStructStart() ? Map.of() : JsonTreeBuilder.scalar(parser, token));
+        }
+        if (token.isStructStart()) {
+            skippedDepth = 1;
+            position = Position.SKIPPED_VALUE;
         }
     }
 
-    @SuppressWarnings("unchecked")
-    private void put(Object value) throws IOException {
-        if (open.peek() instanceof List<?> list) {
-            ((List<Object>) list).add(value);
+    private void onSkipped(JsonToken token) {
+        if (token.isStructStart()) {
+            skippedDepth++;
+        } else if (token.isStructEnd()) {
+            skippedDepth--;
+        }
+        if (skippedDepth == 0) {
+            position = Position.FIELDS;
+        }
+    }
+
+    private void onEntries(JsonToken token) throws IOException {
+        if (token == JsonToken.END_ARRAY) {
+            position = Position.FIELDS;
+        } else if (token == JsonToken.START_OBJECT) {
+            position = Position.ENTRY;
+            entryOffset = parser.currentTokenLocation().getByteOffset();
+            entry = new JsonTreeBuilder(parser);
         } else {
-            Map<String, Object> object = (Map<String, Object>) open.peek();
-            String name = names.pop();
-            if (object.containsKey(name)) {
-                throw new IOException("expected each field once, found twice " + name);
-            }
-            object.put(name, value);
+            throw new MalformedMessageException("expected an object under endpoints");
+        }
+    }
+
+    private void onEntryToken(JsonToken token) throws IOException {
+        if (entry.add(token)) {
+            checkEntrySize(parser.currentLocation().getByteOffset());
+            position = Position.ENTRIES;
+            onEntry(new JsonObject(entry.root()));
         }
     }
 
-    @SuppressWarnings("unchecked")
-    private void entry(Object done) throws IOException {
-        if (parser.currentLocation().getByteOffset() - entryFromBytes > MOST_ENTRY) {
-            throw new IOException("expected an entry of up to " + MOST_ENTRY + " bytes");
+    private void checkEntrySize(long endOffset) throws IOException {
+        if (endOffset - entryOffset > MAX_ENTRY_BYTES) {
+            throw new MalformedMessageException("expected an entry of up to " + MAX_ENTRY_BYTES + " bytes");
         }
-        JsonObject entry = new JsonObject((Map<String, Object>) done);
-        if (!begun && held.size() == MOST_HELD) {
-            begin(wholeAsked);
+    }
+
+    private void onEntry(JsonObject completed) throws IOException {
+        if (!begun && pending.size() == MAX_PENDING_ENTRIES) {
+            begin(fullRequested);
         }
         if (begun) {
-            taker.entry(entry);
+            consumer.onEntry(completed);
         } else {
-            held.add(entry);
+            pending.add(completed);
         }
     }
 
-    private void begin(boolean whole) throws IOException {
+    private void begin(boolean asFull) throws IOException {
         begun = true;
-        this.whole = whole;
-        taker.begins(whole);
-        List<JsonObject> first = held;
-        held = List.of();
-        for (JsonObject entry : first) {
-            taker.entry(entry);
+        full = asFull;
+        consumer.onBegin(asFull);
+        List<JsonObject> buffered = pending;
+        pending = List.of();
+        for (JsonObject earlier : buffered) {
+            consumer.onEntry(earlier);
         }
     }
-
-    private Object scalar(JsonToken t) throws IOException {
-        return switch (t) {
-            case VALUE_STRING -> parser.getText();
-            case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
-            default -> null;
-        };
-    }
 }
--- a/src/main/java/gatelock/discovery/ServiceNameExtractor.java
+++ b/src/main/java/gatelock/discovery/ServiceNameExtractor.java
@@ -3,20 +3,27 @@
 import gatelock.net.JsonObject;
 import java.util.Map;
 
-/** How a list tells the service of an endpoint; what a list does not tell is "", one service of its own. */
+/** Derives the service of an endpoint from its entry in the list; "" is a service of its own, for those without one. */
 public interface ServiceNameExtractor {
 
-    /** All endpoints are of one service. */
+    /** All endpoints belong to one service. */
     ServiceNameExtractor ONE = (endpoint, entry, labels) -> "";
 
+    /**
+     * Returns the service of an endpoint, "" where the list says none.
+     *
+     * @param endpoint the endpoint's name
+     * @param entry the entry as it was received
+     * @param labels the labels of the entry
+     */
     String of(String endpoint, JsonObject entry, Map<String, String> labels);
 
-    /** By a label of the endpoint or, where it has none of that name, by a field of its entry. */
+    /** Takes the value of a label or, where the endpoint has no label of that name, of a field of its entry. */
     static ServiceNameExtractor byLabel(String name) {
         return (endpoint, entry, labels) -> labels.containsKey(name) ? labels.get(name) : entry.textOr(name, "");
     }
 
-    /** By what stands in the endpoint's name before this text last comes. */
+    /** Takes the part of the endpoint's name before the last separator, "" where there is none. */
     static ServiceNameExtractor before(String separator) {
         return (endpoint, entry, labels) -> endpoint.substring(0, Math.max(0, endpoint.lastIndexOf(separator)));
     }
--- a/src/main/java/gatelock/net/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -11,151 +11,179 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The connections that this relay opens to one kind of party, kept between calls. */
+/** The connections that this relay opens to one kind of service, kept alive and reused between requests. */
 public final class ConnectionPool {
     private static final System.Logger LOG = System.getLogger("gatelock.net");
-    private final EventLoop turn;
+    private static final long MAX_SWEEP_INTERVAL_US = 1_000_000;
+
+    private final EventLoop eventLoop;
     private final Counters counters;
     private final IdleConnections<OutboundConnection> idle;
-    private final Map<InetSocketAddress, Set<OutboundConnection>> comingUp = new HashMap<>();
-    private final long openWithinUs;
-    private final long idleUs;
+    private final Map<InetSocketAddress, Set<OutboundConnection>> connecting = new HashMap<>();
+    private final long connectTimeoutUs;
+    private final long idleTimeoutUs;
     private final long restUs;
-    private final int most;
-    private final int mostBody;
+    private final int maxConnections;
+    private final int maxBodyBytes;
     private int open;
     private boolean stopped;
 
     /**
-     * @param openWithinUs a connection that is not up by then has failed
-     * @param idleUs how long a connection is kept without a call
-     * @param restUs how long a connection is without a call before the next. Guards against bytes behind an
-     *     answer
-     *     that would be read as the next call's: what comes meanwhile ends the connection. Should hold
-     *     against any
-     *     late copy or noise; costs some connections more under load
-     * @param most how many there may be; beyond that one without a call goes for each that is opened
+     * Creates a pool whose responses have bodies of up to {@link ResponseReader#MOST_BODY} bytes.
+     *
+     * @param connectTimeoutUs a connection that is not established by then has failed
+     * @param idleTimeoutUs how long a connection is kept without a request
+     * @param restUs how long a connection stays without a request before it carries the next one. Guards against bytes
+     *     behind a response that would be read as the next one: whatever arrives meanwhile closes the connection. It
+     *     holds against any late copy or noise, and costs some more connections under load
+     * @param maxConnections beyond this many, an idle connection is closed for each one that is opened
      */
-    public ConnectionPool(EventLoop turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most) {
-        this(turn, counters, openWithinUs, idleUs, restUs, most, ResponseReader.MOST_BODY);
+    public ConnectionPool(
+            EventLoop eventLoop,
+            Counters counters,
+            long connectTimeoutUs,
+            long idleTimeoutUs,
+            long restUs,
+            int maxConnections) {
+        this(eventLoop, counters, connectTimeoutUs, idleTimeoutUs, restUs, maxConnections, ResponseReader.MOST_BODY);
     }
 
-    /** The same with answers of a size of their own, as the protocol's bound is only for requests. */
+    /**
+     * Creates a pool with a body limit of its own, as the protocol's limit holds for requests of clients only.
+     *
+     * @param maxBodyBytes the longest response body that is buffered
+     */
     public ConnectionPool(
-            EventLoop turn, Counters counters, long openWithinUs, long idleUs, long restUs, int most, int mostBody) {
-        this.mostBody = mostBody;
-        this.turn = turn;
+            EventLoop eventLoop,
+            Counters counters,
+            long connectTimeoutUs,
+            long idleTimeoutUs,
+            long restUs,
+            int maxConnections,
+            int maxBodyBytes) {
+        this.eventLoop = eventLoop;
         this.counters = counters;
-        this.openWithinUs = openWithinUs;
-        this.idleUs = idleUs;
+        this.connectTimeoutUs = connectTimeoutUs;
+        this.idleTimeoutUs = idleTimeoutUs;
         this.restUs = restUs;
-        this.most = most;
-        this.idle = new IdleConnections<>(most, OutboundConnection::drop);
-        turn.soon(this::sweep);
+        this.maxConnections = maxConnections;
+        this.maxBodyBytes = maxBodyBytes;
+        this.idle = new IdleConnections<>(maxConnections, OutboundConnection::drop);
+        eventLoop.soon(this::closeExpired);
     }
 
-    private void sweep() {
-        idle.closeBefore(stopped ? Long.MAX_VALUE : turn.nowUs() - idleUs);
-        if (!stopped) {
-            turn.in(Math.min(1_000_000, idleUs / 4), this::sweep);
-        }
-    }
-
-    int mostBody() {
-        return mostBody;
-    }
-
-    /** Closes the idle ones; nothing is called any more. */
+    /** Closes the idle connections; no request may be sent any more. */
     public void stop() {
         stopped = true;
-        sweep();
+        closeExpired();
     }
 
-    /** Makes one call, on a connection that stands or on a new one; it is given up after {@code callUs}. */
+    /** Sends one request on an idle or a new connection; all of its response has to arrive within this time. */
     public OutboundConnection call(
-            InetSocketAddress address, ByteBuffer call, long callUs, OutboundConnection.User user) {
-        return call(address, call, OutboundConnection.Patience.of(callUs), null, user);
+            InetSocketAddress address, ByteBuffer request, long timeoutUs, OutboundConnection.User handler) {
+        return send(address, new OutboundRequest(request, ResponseTimeouts.total(timeoutUs), null, handler));
     }
 
-    /** The same of an answer whose body {@code parts} takes as it comes, and which may take its time. */
+    /** Sends one request on an idle or a new connection; the body of its response is consumed as it arrives. */
     public OutboundConnection call(
             InetSocketAddress address,
-            ByteBuffer call,
-            OutboundConnection.Patience patience,
-            BodyConsumer parts,
-            OutboundConnection.User user) {
-        long restedUs = turn.nowUs() - restUs;
-        for (OutboundConnection line = idle.take(address, restedUs);
-                line != null;
-                line = idle.take(address, restedUs)) {
-            if (line.stands()) {
-                line.call(call, patience, parts, user);
-                return line;
-            }
-            line.drop();
-        }
-        return open(address, call, patience, parts, user);
+            ByteBuffer request,
+            ResponseTimeouts timeouts,
+            BodyConsumer body,
+            OutboundConnection.User handler) {
+        return send(address, new OutboundRequest(request, timeouts, body, handler));
     }
 
-    /** Makes one call of any length on a connection of its own; {@code parts} takes its body as it comes. */
-    public OutboundConnection stream(
-            InetSocketAddress address, ByteBuffer call, BodyConsumer parts, OutboundConnection.User user) {
-        return open(address, call, OutboundConnection.Patience.of(0), parts, user);
-    }
-
-    private OutboundConnection open(
-            InetSocketAddress address,
-            ByteBuffer call,
-            OutboundConnection.Patience patience,
-            BodyConsumer parts,
-            OutboundConnection.User user) {
-        counters.add("connections opened");
-        if (open >= most) {
-            idle.closeOldest();
-        }
-        open++;
-        OutboundConnection line = new OutboundConnection(turn, this, address);
-        comingUp.computeIfAbsent(address, a -> new LinkedHashSet<>()).add(line);
-        line.open(openWithinUs, call, patience, parts, user);
-        return line;
+    /** Sends one request on a connection of its own, whose response may take any time and have any length. */
+    public OutboundConnection openStream(
+            InetSocketAddress address, ByteBuffer request, BodyConsumer body, OutboundConnection.User handler) {
+        return open(address, new OutboundRequest(request, ResponseTimeouts.NONE, body, handler));
     }
 
     /**
-     * A party has left, drains or came back as another process: closes the idle ones to it, and whoever waits
-     * for one to come up is asked whether its call may still go.
+     * Closes the idle connections to an address whose service has left, is draining or came back as another process.
+     * Whoever waits for a connection to it is asked again whether the request may be sent.
      */
     public void close(InetSocketAddress address) {
         idle.closeAll(address);
-        List.copyOf(comingUp.getOrDefault(address, Set.of())).forEach(OutboundConnection::goesOn);
+        List.copyOf(connecting.getOrDefault(address, Set.of())).forEach(OutboundConnection::endUnlessMaySend);
+    }
+
+    @Override
+    public String toString() {
+        return open + " connections, " + idle.size() + " idle";
+    }
+
+    /** Returns the longest response body that is buffered, in bytes. */
+    int maxBodyBytes() {
+        return maxBodyBytes;
     }
 
-    void isUp(OutboundConnection line) {
-        Set<OutboundConnection> there = comingUp.get(line.address());
-        if (there != null && there.remove(line) && there.isEmpty()) {
-            comingUp.remove(line.address());
+    /** Notes that a connection is established, or has ended before. */
+    void connectingEnded(OutboundConnection connection) {
+        Set<OutboundConnection> sameAddress = connecting.get(connection.address());
+        if (sameAddress != null && sameAddress.remove(connection) && sameAddress.isEmpty()) {
+            connecting.remove(connection.address());
         }
     }
 
-    void idle(OutboundConnection line) {
-        idle.put(turn.nowUs(), line.address(), line);
+    /** Takes a connection back whose request has its response. */
+    void release(OutboundConnection connection) {
+        idle.put(eventLoop.nowUs(), connection.address(), connection);
         if (stopped) {
-            sweep();
+            closeExpired();
         }
     }
 
-    void unreadable(InetSocketAddress address, MalformedResponseException e) {
+    /** Forgets a connection that has ended. */
+    void remove(OutboundConnection connection) {
+        open--;
+        connectingEnded(connection);
+        idle.remove(connection);
+    }
+
+    /** Counts and logs a response that could not be read. */
+    void reportMalformed(InetSocketAddress address, MalformedResponseException e) {
         counters.add("answers unreadable");
-        LOG.log(Level.DEBUG, () -> "answer from " + address + ": " + e.getMessage());
+        LOG.log(Level.DEBUG, () -> "response from " + address + ": " + e.getMessage());
     }
 
-    @Override
-    public String toString() {
-        return open + " connections, " + idle.size() + " idle";
+    private OutboundConnection send(InetSocketAddress address, OutboundRequest request) {
+        OutboundConnection connection = takeUsable(address);
+        if (connection == null) {
+            return open(address, request);
+        }
+        connection.send(request);
+        return connection;
     }
 
-    void gone(OutboundConnection line) {
-        open--;
-        isUp(line);
-        idle.remove(line);
+    /** Takes an idle connection that has rested and is still open; null where there is none. */
+    private OutboundConnection takeUsable(InetSocketAddress address) {
+        long idleSinceUs = eventLoop.nowUs() - restUs;
+        OutboundConnection connection = idle.take(address, idleSinceUs);
+        while (connection != null && !connection.isUsable()) {
+            connection.drop();
+            connection = idle.take(address, idleSinceUs);
+        }
+        return connection;
+    }
+
+    private OutboundConnection open(InetSocketAddress address, OutboundRequest request) {
+        counters.add("connections opened");
+        if (open >= maxConnections) {
+            idle.closeOldest();
+        }
+        open++;
+        OutboundConnection connection = new OutboundConnection(eventLoop, this, address);
+        connecting.computeIfAbsent(address, a -> new LinkedHashSet<>()).add(connection);
+        connection.open(connectTimeoutUs, request);
+        return connection;
+    }
+
+    private void closeExpired() {
+        idle.closeBefore(stopped ? Long.MAX_VALUE : eventLoop.nowUs() - idleTimeoutUs);
+        if (!stopped) {
+            eventLoop.in(Math.min(MAX_SWEEP_INTERVAL_US, idleTimeoutUs / 4), this::closeExpired);
+        }
     }
 }
--- a/src/main/java/gatelock/net/EventLoop.java
+++ b/src/main/java/gatelock/net/EventLoop.java
@@ -8,71 +8,78 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The one thread that does everything: its clock, its timers, and its queue of what is to be done next. */
+/** The single I/O thread that runs all of the relay: its clock, its timers and its task queue. */
 public final class EventLoop {
     private static final System.Logger LOG = System.getLogger("gatelock.net");
-    private static final int READ_BYTES = 16 * 1024;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
 
     private final XnioIoThread thread;
     private final long startNs = System.nanoTime();
     private final long startUs = System.currentTimeMillis() * 1000;
-    private final ByteBuffer reading = ByteBuffer.allocateDirect(READ_BYTES);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
+    /** Creates the loop of a thread that is already running. */
     public EventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
+    /** Returns the thread itself, on which connections are registered. */
     public XnioIoThread thread() {
         return thread;
     }
 
-    /** Microseconds that never go back, starting from the clock that all machines read. */
+    /** Returns the time in microseconds since the epoch, read once at the start: it never goes back afterwards. */
     public long nowUs() {
         return startUs + (System.nanoTime() - startNs) / 1000;
     }
 
-    /** Does this next, after what is being done now, in order. */
-    public void soon(Runnable what) {
-        thread.execute(() -> run(what));
+    /** Queues a task, which runs after those that are queued already; may be called from any thread. */
+    public void soon(Runnable task) {
+        thread.execute(() -> run(task));
     }
 
-    /** Does this not before so many microseconds have passed; the thread's timers go by milliseconds. */
-    public XnioExecutor.Key in(long us, Runnable what) {
-        return thread.executeAfter(() -> run(what), (Math.max(0, us) + 999) / 1000, TimeUnit.MILLISECONDS);
+    /** Runs a task once this many microseconds have passed, rounded up to the thread's milliseconds. */
+    public XnioExecutor.Key in(long delayUs, Runnable task) {
+        long delayMs = (Math.max(0, delayUs) + 999) / 1000;
+        return thread.executeAfter(() -> run(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Does slow work on the worker's one task thread, and then what is to follow here, in any case: where the
-     * work
-     * throws, with what stands for its failure.
+     * Runs slow work on the worker's one task thread, and then its continuation on this thread.
+     *
+     * @param onError what the continuation receives where the work throws
      */
-    public <T> void aside(Supplier<T> slow, T otherwise, Consumer<T> then) {
+    public <T> void aside(Supplier<T> work, T onError, Consumer<T> continuation) {
         thread.getWorker().execute(() -> {
-            T done = otherwise;
-            try {
-                done = slow.get();
-            } catch (RuntimeException | Error e) {
-                unexpected(e);
-            }
-            T told = done;
-            soon(() -> then.accept(told));
+            T result = resultOf(work, onError);
+            soon(() -> continuation.accept(result));
         });
     }
 
-    /** A buffer for one read; what is in it must be used before the next read anywhere. */
-    ByteBuffer reading() {
-        return reading.clear();
+    private <T> T resultOf(Supplier<T> work, T onError) {
+        try {
+            return work.get();
+        } catch (RuntimeException | Error e) {
+            logUnexpected(e);
+            return onError;
+        }
+    }
+
+    /** Returns the shared buffer, empty; what is read into it must be consumed before the next read anywhere. */
+    ByteBuffer readBuffer() {
+        return readBuffer.clear();
     }
 
-    private void run(Runnable what) {
+    /** Logs a defect that must not end the thread. */
+    void logUnexpected(Throwable e) {
+        LOG.log(Level.ERROR, "unexpected exception, continuing", e);
+    }
+
+    private void run(Runnable task) {
         try {
-            what.run();
+            task.run();
         } catch (RuntimeException | AssertionError e) {
-            unexpected(e);
+            logUnexpected(e);
         }
     }
-
-    void unexpected(Throwable e) {
-        LOG.log(Level.ERROR, "unexpected, goes on", e);
-    }
 }
--- a/src/main/java/gatelock/net/JsonObject.java
+++ b/src/main/java/gatelock/net/JsonObject.java
@@ -10,122 +10,141 @@
 import java.util.Map;
 
 /**
- * One JSON object as it came, with its fields read by name; the one place where their form is checked. Whatever
- * is not of its kind or out of any sensible range is an {@link IOException}, so that a spoilt message is never
- * half believed.
+ * One JSON object of a message, with its fields read by name and type; the only place where their form is checked.
+ * A field that is absent, of another type or out of any sensible range is a {@link MalformedMessageException}, so that
+ * a malformed message is rejected as a whole.
  */
 public record JsonObject(Map<String, Object> fields) {
-    /** No id, count or time goes beyond; times are still whole as microseconds. */
-    private static final double MOST_WHOLE = 1e15;
-
-    /** Reads one object and nothing behind it. */
+    /** The bound of all ids, counts and times; times up to it are still whole as microseconds. */
+    private static final double MAX_NUMBER = 1e15;
+
+    /**
+     * Parses a text that consists of one object.
+     *
+     * @throws IOException where it is no JSON object, or anything follows behind it
+     */
     public static JsonObject read(byte[] text) throws IOException {
         try (JsonParser parser = JSON.std.createParser(new String(text, StandardCharsets.UTF_8))) {
             Map<String, Object> fields = JSON.std.mapFrom(parser);
             if (fields == null || parser.nextToken() != null) {
-                throw new IOException("expected one JSON object");
+                throw new MalformedMessageException("expected one JSON object");
             }
             return new JsonObject(fields);
         } catch (RuntimeException e) {
-            throw new IOException("expected a JSON object", e);
+            throw new MalformedMessageException("expected a JSON object", e);
         }
     }
 
+    /** Returns the object in a field. */
     public JsonObject object(String name) throws IOException {
-        return of(need(name), name);
+        return asObject(required(name), name);
     }
 
+    /** Returns the objects of the array in a field. */
     public List<JsonObject> objects(String name) throws IOException {
-        if (!(need(name) instanceof List<?> list)) {
-            throw new IOException("expected a list under " + name);
+        if (!(required(name) instanceof List<?> list)) {
+            throw new MalformedMessageException("expected a list under " + name);
         }
-        List<JsonObject> found = new ArrayList<>(list.size());
+        List<JsonObject> objects = new ArrayList<>(list.size());
         for (Object item : list) {
-            found.add(of(item, name));
+            objects.add(asObject(item, name));
         }
-        return found;
+        return objects;
     }
 
+    /** Returns the text in a field. */
     public String text(String name) throws IOException {
-        if (need(name) instanceof String text) {
+        if (required(name) instanceof String text) {
             return text;
         }
-        throw new IOException("expected text under " + name);
+        throw new MalformedMessageException("expected text under " + name);
     }
 
-    public String textOr(String name, String absent) {
-        return fields.get(name) instanceof String text ? text : absent;
+    /** Returns the text in a field, or the default where it is absent or no text. */
+    public String textOr(String name, String defaultValue) {
+        return fields.get(name) instanceof String text ? text : defaultValue;
     }
 
-    /** Text of the form address:port. */
+    /** Returns the address in a field of the form {@code host:port}; looks up a host that is a name. */
     public InetSocketAddress address(String name) throws IOException {
         return resolved(addressText(name));
     }
 
-    /** The same as it stands there, its form checked and its host not looked up. */
+    /** Returns the text in a field of the form {@code host:port}; the host is not looked up. */
     public String addressText(String name) throws IOException {
         String text = text(name);
-        int colon = text.lastIndexOf(':');
-        try {
-            if (colon > 0) {
-                InetSocketAddress.createUnresolved(
-                        text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
-                return text;
-            }
-        } catch (IllegalArgumentException e) {
-            // falls through to the one message
+        if (isAddress(text)) {
+            return text;
         }
-        throw new IOException("expected address:port under " + name + ", found " + text);
+        throw new MalformedMessageException("expected address:port under " + name + ", found " + text);
     }
 
-    /** What a text whose form was checked names. */
+    /** Returns the address that a text from {@link #addressText} names; looks up a host that is a name. */
     public static InetSocketAddress resolved(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
+    /** Returns the number in a field, which may be negative and have a fraction. */
     public double number(String name) throws IOException {
-        return within(need(name), -MOST_WHOLE, MOST_WHOLE, name).doubleValue();
+        return numberWithin(-MAX_NUMBER, MAX_NUMBER, name).doubleValue();
     }
 
-    /** A whole number from 0 on. */
+    /** Returns the number from 0 on in a field; a fraction is cut off. */
     public long whole(String name) throws IOException {
-        return within(need(name), 0, MOST_WHOLE, name).longValue();
+        return numberWithin(0, MAX_NUMBER, name).longValue();
     }
 
-    /** A small whole number from 0 on, as ids of builds and stages are. */
+    /** Returns the number from 0 on in a field that fits an {@code int}, such as the id of a build; cuts a fraction. */
     public int count(String name) throws IOException {
-        return within(need(name), 0, Integer.MAX_VALUE, name).intValue();
+        return numberWithin(0, Integer.MAX_VALUE, name).intValue();
     }
 
-    public long wholeOr(String name, long absent) throws IOException {
-        return fields.get(name) == null ? absent : whole(name);
-    }
-
-    private static Number within(Object value, double least, double most, String name) throws IOException {
-        if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
-            return number;
-        }
-        throw new IOException("expected a number in its range under " + name);
+    /** Returns the same as {@link #whole}, or the default where the field is absent or null. */
+    public long wholeOr(String name, long defaultValue) throws IOException {
+        return fields.get(name) == null ? defaultValue : whole(name);
     }
 
+    /** Returns whether a field is {@code true}; anything else, and an absent field, counts as {@code false}. */
     public boolean yes(String name) {
         return Boolean.TRUE.equals(fields.get(name));
     }
 
-    private Object need(String name) throws IOException {
+    private Number numberWithin(double min, double max, String name) throws IOException {
+        Object value = required(name);
+        if (value instanceof Number number && number.doubleValue() >= min && number.doubleValue() <= max) {
+            return number;
+        }
+        throw new MalformedMessageException("expected a number in its range under " + name);
+    }
+
+    private Object required(String name) throws IOException {
         Object value = fields.get(name);
         if (value == null) {
-            throw new IOException("expected " + name);
+            throw new MalformedMessageException("expected " + name);
         }
         return value;
     }
 
+    private static boolean isAddress(String text) {
+        int colon = text.lastIndexOf(':');
+        if (colon <= 0) {
+            return false;
+        }
+        try {
+            InetSocketAddress.createUnresolved(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+            return true;
+        } catch (IllegalArgumentException e) {
+            return false;
+        }
+    }
+
+    // JSON objects have text keys only, so that the cast can't fail.
     @SuppressWarnings("unchecked")
-    private static JsonObject of(Object value, String name) throws IOException {
+    private static JsonObject asObject(Object value, String name) throws IOException {
         if (value instanceof Map<?, ?> map) {
             return new JsonObject((Map<String, Object>) map);
         }
-        throw new IOException("expected an object under " + name);
+        throw new MalformedMessageException("expected an object under " + name);
     }
 }
--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -12,175 +12,200 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A connection that this relay opens, with one call on it at a time. It sends nothing twice, and it sees
- * whether a call's last byte was written: what ended before that has never run.
+ * A connection that this relay opens, with one request on it at a time. It sends nothing twice, and it knows whether a
+ * request's last byte was written: a request that failed before that has never been executed.
  */
 public final class OutboundConnection {
     /**
-     * Guards against an answer of many megabytes that comes faster than it is read, and would hold the thread and
-     * with it all requests for as long: after so many pieces others have their turn. Could harm nothing but the answer,
-     * which goes on with the thread's next round.
+     * How often one connection is read before others have their turn. Guards against a response of many megabytes that
+     * arrives faster than it is read: it would occupy the thread, and with it hold up all requests. It could harm only
+     * that response, which is read on in the thread's next round.
      */
-    private static final int PIECES_A_TURN = 4;
+    private static final int MAX_READS_PER_ROUND = 4;
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
-    /** Whoever made a call; hears once how it ended, never while the call is being made. */
+    /** Learns once how a request ended, and never while the request is being sent. */
     public interface User {
-        /** Whether the call may still go: asked before its first byte, if its connection had to come up. */
+        /** Returns whether the request may still be sent: asked before its first byte on a new connection. */
         default boolean mayGo() {
             return true;
         }
 
-        /** Whether it reads as what was asked for; if not, the connection serves no more. */
-        boolean answered(UpstreamResponse answer);
+        /**
+         * A well-formed response has arrived.
+         *
+         * @return whether it has the expected content; if not, the connection is closed
+         */
+        boolean answered(UpstreamResponse response);
 
-        /** No whole, readable answer came; {@code written}: the last byte of the call was written before. */
+        /**
+         * The connection ended without a complete, well-formed response.
+         *
+         * @param written whether the last byte of the request was written before
+         */
         void broken(boolean written);
 
-        /** The answer can't be read, for this reason; {@link #broken} follows. */
-        default void unreadable(String why) {}
+        /** The response is malformed, for this reason; {@link #broken} follows. */
+        default void unreadable(String reason) {}
 
-        /** The answer is longer than is taken, as told; {@link #broken} follows. */
-        default void tooLong(String why) {}
+        /** The response is longer than is accepted, as the reason says; {@link #broken} follows. */
+        default void tooLong(String reason) {}
 
-        /** The time for the call was over first, and it was given up. */
+        /** The request timed out, and was given up. */
         default void late() {}
     }
 
-    /**
-     * How long a call may take, in microseconds: until its answer begins, then from one piece of it to the next,
-     * and in all; 0: as long as it likes.
-     */
-    public record Patience(long beginUs, long pieceUs, long wholeUs) {
-        /** All of the answer within this time. */
-        static Patience of(long us) {
-            return new Patience(us, 0, us);
-        }
-    }
-
-    private final EventLoop turn;
-    private final ConnectionPool home;
+    private final EventLoop eventLoop;
+    private final ConnectionPool pool;
     private final InetSocketAddress address;
     private StreamConnection connection;
-    private IoFuture<StreamConnection> opening;
-    private XnioExecutor.Key openLimit;
-    private XnioExecutor.Key callLimit;
-    private ByteBuffer call;
+    private IoFuture<StreamConnection> connecting;
+    private XnioExecutor.Key connectTimer;
+    private XnioExecutor.Key requestTimer;
+    /** The request under way; null while the connection is idle. */
+    private OutboundRequest request;
+
     private ResponseReader reader;
-    private BodyConsumer parts;
-    private Patience patience;
-    private long beganUs;
-    private long cameUs;
-    private User user;
+    private long requestStartUs;
+    /** When the last piece of a response arrived that may come in pieces, 0 before. */
+    private long lastPieceUs;
+
     private boolean written;
     private boolean ended;
 
-    OutboundConnection(EventLoop turn, ConnectionPool home, InetSocketAddress address) {
-        this.turn = turn;
-        this.home = home;
+    OutboundConnection(EventLoop eventLoop, ConnectionPool pool, InetSocketAddress address) {
+        this.eventLoop = eventLoop;
+        this.pool = pool;
         this.address = address;
     }
 
+    /** Gives up the request, or closes the idle connection; the request's handler is not called any more. */
+    public void drop() {
+        endRequest();
+        end();
+    }
+
+    /** Returns the address to which this connection goes. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Opens the connection and makes the first call on it. */
-    void open(long openUs, ByteBuffer call, Patience patience, BodyConsumer parts, User user) {
-        begin(call, patience, parts, user);
-        openLimit = turn.in(openUs, () -> {
+    /** Opens the connection, on which the first request is sent once it is established. */
+    void open(long connectTimeoutUs, OutboundRequest first) {
+        begin(first);
+        connectTimer = eventLoop.in(connectTimeoutUs, () -> {
             if (connection == null) {
                 end();
             }
         });
-        opening = turn.thread().openStreamConnection(address, this::up, OPTIONS);
-        opening.addNotifier(
+        connecting = eventLoop.thread().openStreamConnection(address, this::onConnected, OPTIONS);
+        connecting.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleFailed(IOException e, Void nothing) {
-                        turn.soon(OutboundConnection.this::end);
+                        eventLoop.soon(OutboundConnection.this::end);
                     }
                 },
                 null);
     }
 
-    /** Makes one more call on a connection that stands idle. */
-    void call(ByteBuffer call, Patience patience, BodyConsumer parts, User user) {
-        begin(call, patience, parts, user);
+    /** Sends one more request, on a connection that is idle. */
+    void send(OutboundRequest next) {
+        begin(next);
         write();
     }
 
-    private void begin(ByteBuffer call, Patience patience, BodyConsumer parts, User user) {
-        if (patience.beginUs > 0) {
-            callLimit = turn.in(patience.beginUs, () -> overdue(user));
+    /** Returns whether an idle connection is still open, as far as can be known without writing to it. */
+    boolean isUsable() {
+        try {
+            return !ended && connection.getSourceChannel().read(eventLoop.readBuffer()) == 0;
+        } catch (IOException e) {
+            return false;
         }
-        this.call = call;
-        this.user = user;
-        this.parts = parts;
-        this.patience = patience;
-        beganUs = turn.nowUs();
-        cameUs = 0;
-        reader = new ResponseReader(parts, home.mostBody());
+    }
+
+    /**
+     * Asks again whether a request of which no byte was written may be sent, and ends the connection if not. Guards
+     * against a service that left, came back as another process or lost its quota while the connection was being
+     * established; it holds however long that takes. It could do no harm: such a request was never executed, and its
+     * handler learns so.
+     *
+     * @return whether the connection goes on
+     */
+    boolean endUnlessMaySend() {
+        if (request != null && !request.handler().mayGo()) {
+            end();
+        }
+        return !ended;
+    }
+
+    private void begin(OutboundRequest next) {
+        long firstByteUs = next.timeouts().firstByteUs();
+        if (firstByteUs > 0) {
+            requestTimer = eventLoop.in(firstByteUs, () -> onRequestTimer(next));
+        }
+        request = next;
+        requestStartUs = eventLoop.nowUs();
+        lastPieceUs = 0;
+        reader = new ResponseReader(next.body(), pool.maxBodyBytes());
         written = false;
     }
 
     /**
-     * The time for a call is over. Guards against a thread that is late itself: what is due runs before what
-     * can be read, so the answer may lie there. Should hold for any call; could harm nothing, as it came in
-     * time or nearly so, and whoever made the call judges that.
+     * Handles the end of a request's time. The response is read first, which guards against a thread that is late
+     * itself: timers run before what can be read, so the response may have arrived. That holds for any request, and
+     * could do no harm: the response came in time or nearly so, which the handler judges.
      */
-    private void overdue(User caller) {
+    private void onRequestTimer(OutboundRequest timed) {
         if (connection != null && written) {
             read();
         }
-        if (user != caller) {
+        if (request != timed) {
             return;
         }
-        long leftUs = cameUs == 0 ? 0 : Math.min(cameUs + patience.pieceUs, beganUs + patience.wholeUs) - turn.nowUs();
+        long leftUs = remainingUs(timed.timeouts());
         if (leftUs > 0) {
-            callLimit = turn.in(leftUs, () -> overdue(caller));
+            requestTimer = eventLoop.in(leftUs, () -> onRequestTimer(timed));
         } else {
             drop();
-            caller.late();
+            timed.handler().late();
+        }
+    }
+
+    /** How long a response that arrives in pieces may still take; 0 where none of it has arrived yet. */
+    private long remainingUs(ResponseTimeouts timeouts) {
+        if (lastPieceUs == 0) {
+            return 0;
         }
+        long nextPieceDueUs = lastPieceUs + timeouts.pauseUs();
+        long endDueUs = requestStartUs + timeouts.totalUs();
+        return Math.min(nextPieceDueUs, endDueUs) - eventLoop.nowUs();
     }
 
-    private void up(StreamConnection opened) {
+    private void onConnected(StreamConnection established) {
         if (ended) {
-            IoUtils.safeClose(opened);
+            IoUtils.safeClose(established);
             return;
         }
-        openLimit.remove();
-        connection = opened;
+        connectTimer.remove();
+        connection = established;
         connection.getSinkChannel().setWriteListener(c -> write());
         connection.getSourceChannel().setReadListener(c -> read());
         connection.getSourceChannel().resumeReads();
-        home.isUp(this);
-        if (goesOn()) {
+        pool.connectingEnded(this);
+        if (endUnlessMaySend()) {
             write();
         }
     }
 
-    /**
-     * Asks again whether a call may go of which no byte has gone, and ends it if not. Guards against a party
-     * that left, came back as another process or lost its share while a connection to it came up; should hold
-     * however long that takes. Could harm nothing: such a call has never run, and its user hears so.
-     */
-    boolean goesOn() {
-        if (user != null && !user.mayGo()) {
-            end();
-        }
-        return !ended;
-    }
-
     private void write() {
         if (ended || written) {
             return;
         }
         try {
-            while (call.hasRemaining()) {
-                if (connection.getSinkChannel().write(call) == 0) {
+            while (request.bytes().hasRemaining()) {
+                if (connection.getSinkChannel().write(request.bytes()) == 0) {
                     connection.getSinkChannel().resumeWrites();
                     return;
                 }
@@ -188,88 +213,89 @@
             written = true;
             connection.getSinkChannel().suspendWrites();
         } catch (IOException e) {
-            turn.soon(this::end);
+            eventLoop.soon(this::end);
         }
     }
 
     private void read() {
         try {
-            for (int pieces = 0; !ended && (parts == null || pieces < PIECES_A_TURN); pieces++) {
-                ByteBuffer in = turn.reading();
-                int n = connection.getSourceChannel().read(in);
-                if (n == 0) {
-                    return;
-                }
-                if (n < 0 || user == null) {
-                    // An end, or bytes that nobody asked for on an idle connection.
-                    end();
-                    return;
-                }
-                in.flip();
-                if (patience.pieceUs > 0) {
-                    cameUs = turn.nowUs();
-                }
-                reader.read(in);
-                if (reader.whole() && !written) {
-                    // What answers a call that has not come whole answers another, or none.
-                    throw new MalformedResponseException("an answer before the call was whole");
-                }
-                if (reader.whole()) {
-                    finish(reader.lasting() && written && !in.hasRemaining());
-                    return;
-                }
+            boolean more = true;
+            for (int reads = 0; more && !ended && mayReadAgain(reads); reads++) {
+                more = readPiece();
             }
         } catch (MalformedResponseException e) {
-            home.unreadable(address, e);
-            if (user != null) {
-                if (e instanceof ResponseTooLongException) {
-                    user.tooLong(e.getMessage());
-                } else {
-                    user.unreadable(e.getMessage());
-                }
-            }
-            end();
+            rejectResponse(e);
         } catch (IOException e) {
             end();
         } catch (RuntimeException | AssertionError e) {
-            turn.unexpected(e);
+            eventLoop.logUnexpected(e);
             end();
         }
     }
 
-    /** Whether an idle connection still stands, as far as can be told without writing to it. */
-    boolean stands() {
-        try {
-            return !ended && connection.getSourceChannel().read(turn.reading()) == 0;
-        } catch (IOException e) {
-            return false;
-        }
+    /** Buffered responses are short; only those that are consumed as they arrive could occupy the thread for long. */
+    private boolean mayReadAgain(int reads) {
+        return request == null || request.body() == null || reads < MAX_READS_PER_ROUND;
     }
 
-    private void finish(boolean keep) {
-        User caller = callOver();
-        if (caller.answered(reader.answer()) && keep) {
-            home.idle(this);
-        } else {
+    /** Reads once, and returns whether there may be more to read. */
+    private boolean readPiece() throws IOException, MalformedResponseException {
+        ByteBuffer in = eventLoop.readBuffer();
+        int count = connection.getSourceChannel().read(in);
+        if (count == 0) {
+            return false;
+        }
+        if (count < 0 || request == null) {
+            // The end of the stream, or bytes that nobody asked for on an idle connection.
             end();
+            return false;
+        }
+        in.flip();
+        if (request.timeouts().pauseUs() > 0) {
+            lastPieceUs = eventLoop.nowUs();
+        }
+        reader.read(in);
+        if (!reader.isComplete()) {
+            return true;
+        }
+        if (!written) {
+            // What arrives before all of the request was sent answers another request, or none.
+            throw new MalformedResponseException("a response before the request was complete");
         }
+        finish(reader.isKeepAlive() && !in.hasRemaining());
+        return false;
     }
 
-    /** Gives the call up, or the idle connection; whoever made the call hears nothing more of it. */
-    public void drop() {
-        callOver();
+    private void rejectResponse(MalformedResponseException e) {
+        pool.reportMalformed(address, e);
+        if (request != null) {
+            if (e instanceof ResponseTooLongException) {
+                request.handler().tooLong(e.getMessage());
+            } else {
+                request.handler().unreadable(e.getMessage());
+            }
+        }
         end();
     }
 
-    /** Ends the call, if one is on; whoever made it is to hear of it at most once from here. */
-    private User callOver() {
-        if (callLimit != null) {
-            callLimit.remove();
-            callLimit = null;
+    private void finish(boolean reusable) {
+        OutboundRequest finished = endRequest();
+        if (finished.handler().answered(reader.response()) && reusable) {
+            pool.release(this);
+        } else {
+            end();
+        }
+    }
+
+    /** Ends the request, if one is under way: its handler may be called once more, by whoever called this. */
+    private OutboundRequest endRequest() {
+        if (requestTimer != null) {
+            requestTimer.remove();
+            requestTimer = null;
         }
-        User caller = user;
-        user = null;
-        return caller;
+        OutboundRequest current = request;
+        request = null;
+        return current;
     }
 
     private void end() {
@@ -277,16 +303,16 @@
             return;
         }
         ended = true;
-        openLimit.remove();
+        connectTimer.remove();
         if (connection != null) {
             IoUtils.safeClose(connection);
-        } else if (opening != null) {
-            opening.cancel();
+        } else if (connecting != null) {
+            connecting.cancel();
         }
-        home.gone(this);
-        User caller = callOver();
-        if (caller != null) {
-            caller.broken(written);
+        pool.remove(this);
+        OutboundRequest unanswered = endRequest();
+        if (unanswered != null) {
+            unanswered.handler().broken(written);
         }
     }
 }
--- a/src/main/java/gatelock/net/ResponseTooLongException.java
+++ b/src/main/java/gatelock/net/ResponseTooLongException.java
@@ -1,14 +1,24 @@
 package gatelock.net;
 
-/** The body that comes back, or a part of it, is longer than is taken here. */
+/** The body of a response, or the part of it that has arrived, is longer than is accepted. */
 public final class ResponseTooLongException extends MalformedResponseException {
     private static final long serialVersionUID = 1L;
 
-    /**
-     * @param bytes of the body, in words where only a part of it is known
-     * @param most that a body may have, in bytes
-     */
-    public ResponseTooLongException(String bytes, long most) {
-        super("body of " + bytes + " bytes is longer than " + most);
+    private ResponseTooLongException(String length, long maxBytes) {
+        super("body of " + length + " bytes is longer than " + maxBytes);
+    }
+
+    /** Throws where a body whose length has been declared is longer than the limit, in bytes. */
+    public static void checkDeclared(long declaredBytes, long maxBytes) throws ResponseTooLongException {
+        if (declaredBytes > maxBytes) {
+            throw new ResponseTooLongException(Long.toString(declaredBytes), maxBytes);
+        }
+    }
+
+    /** Throws where the part of a body that is known so far is longer than the limit, in bytes. */
+    public static void checkReceived(long bytesSoFar, long maxBytes) throws ResponseTooLongException {
+        if (bytesSoFar > maxBytes) {
+            throw new ResponseTooLongException("at least " + bytesSoFar, maxBytes);
+        }
     }
 }
--- a/src/test/java/gatelock/LongListsTest.java
+++ b/src/test/java/gatelock/LongListsTest.java
@@ -53,9 +53,9 @@
                 tooLong(all.discovery.next());
             }
         });
-        all.awaitLog("discovery's list is too long: body of 3000000 bytes is longer than 2097152, what was listed "
-                + "stays; name a scope (membership) in the operator's file, or have fewer units listed");
-        all.awaitLog("discovery's list is too long, what the configuration lists serves");
+        all.awaitLog("discovery's list is too long: body of 3000000 bytes is longer than 2097152, last good list "
+                + "kept; name a scope (membership) in the operator's file, or have fewer endpoints listed");
+        all.awaitLog("discovery's list is too long, serving the configured endpoints");
         all.awaitLog("serves on");
         passes("start", all.endpoint);
         ends();
--- a/src/test/java/gatelock/RelayTest.java
+++ b/src/test/java/gatelock/RelayTest.java
@@ -361,7 +361,7 @@
                 String.format(text, 6, false, String.format(entry, "a", all.endpoint.address(), "in_service")));
         assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=6&");
         passes("changed", all.endpoint);
-        assertThat(all.log()).doesNotContain("unexpected").doesNotContain("discovery, ");
+        assertThat(all.log()).doesNotContain("unexpected").doesNotContain("endpoint list rejected");
     }
 
     private void passes(String id, StandIns.Party to) throws Exception {
@@ -390,7 +390,8 @@
             }
         }
         all.discovery.next();
-        assertThat(all.log().split("discovery, what was listed stays", -1)).hasSize(5);
+        assertThat(all.log().split("endpoint list rejected, last good list kept", -1))
+                .hasSize(5);
         passes("still", all.endpoint);
     }
 
@@ -714,7 +715,7 @@
         }
         // Two calls had all of their time before that.
         assertThat(all.discovery.calls).hasSizeGreaterThanOrEqualTo(2);
-        assertThat(all.log()).contains("discovery is silent, what the configuration lists serves");
+        assertThat(all.log()).contains("discovery is silent, serving the configured endpoints");
     }
 
     @Test
--- a/src/test/java/gatelock/ScopeTest.java
+++ b/src/test/java/gatelock/ScopeTest.java
@@ -198,8 +198,8 @@
         passes("still", all.endpoint);
         StandIns.Came last = watch;
         StandIns.go(() -> last.answer("200 OK", "", " ".repeat(3_000_001)));
-        all.awaitLog("discovery's list is too long: body of 3000001 bytes is longer than 3000000, what was listed "
-                + "stays; raise membership.mostListBytes in the operator's file, or have fewer units listed");
+        all.awaitLog("discovery's list is too long: body of 3000001 bytes is longer than 3000000, last good list "
+                + "kept; raise membership.mostListBytes in the operator's file, or have fewer endpoints listed");
         StandIns.Came whole = all.discovery.next();
         assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
         passes("still longer", all.endpoint);
--- a/src/test/java/gatelock/discovery/EndpointListReaderTest.java
+++ b/src/test/java/gatelock/discovery/EndpointListReaderTest.java
@@ -45,15 +45,15 @@
         List<Map<String, Object>> entries = new ArrayList<>();
         List<Boolean> begun = new ArrayList<>();
         try {
-            EndpointListReader reader = new EndpointListReader(wholeAsked, new EndpointListReader.Taker() {
+            EndpointListReader reader = new EndpointListReader(wholeAsked, new EndpointListReader.EntryConsumer() {
                 @Override
-                public void begins(boolean whole) {
+                public void onBegin(boolean full) {
                     assertThat(entries).isEmpty();
-                    begun.add(whole);
+                    begun.add(full);
                 }
 
                 @Override
-                public void entry(JsonObject entry) {
+                public void onEntry(JsonObject entry) {
                     assertThat(begun).hasSize(1);
                     entries.add(entry.fields());
                 }
@@ -68,9 +68,9 @@
             if (from < text.length) {
                 reader.read(Arrays.copyOfRange(text, from, text.length));
             }
-            EndpointListReader.Frame frame = reader.end();
-            assertThat(begun).containsExactly(frame.whole());
-            return new Said(frame.whole(), frame.index(), entries, false);
+            EndpointListReader.Header header = reader.end();
+            assertThat(begun).containsExactly(header.full());
+            return new Said(header.full(), header.index(), entries, false);
         } catch (IOException e) {
             return Said.BAD;
         }
@@ -173,7 +173,7 @@
     @Test
     void whatIsToldOnlyBehindManyEntriesIsTakenAsItWasAskedFor() {
         StringBuilder list = new StringBuilder("{\"endpoints\":[");
-        for (int i = 0; i <= EndpointListReader.MOST_HELD; i++) {
+        for (int i = 0; i <= EndpointListReader.MAX_PENDING_ENTRIES; i++) {
             list.append(i == 0 ? "" : ",").append(String.format(ENTRY, "u" + i));
         }
         byte[] whole = bytes(list + "],\"snapshot\":true,\"index\":3}");
@@ -187,7 +187,7 @@
     @Test
     void whatWouldFillTheMemoryOrIsNoTextIsRefusedWhileItComes() throws Exception {
         String head = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
-        String pad = "p".repeat(EndpointListReader.MOST_ENTRY / 2);
+        String pad = "p".repeat(EndpointListReader.MAX_ENTRY_BYTES / 2);
         for (String odd : new String[] {
             head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + pad,
             head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + "\"}",
@@ -200,14 +200,14 @@
             head + "{\"a\":\"\u00e4\"}]}"
         }) {
             byte[] text = odd.contains("\u00e4") ? odd.getBytes(StandardCharsets.ISO_8859_1) : bytes(odd);
-            EndpointListReader reader = new EndpointListReader(true, new EndpointListReader.Taker() {
+            EndpointListReader reader = new EndpointListReader(true, new EndpointListReader.EntryConsumer() {
                 @Override
-                public void begins(boolean whole) {
+                public void onBegin(boolean full) {
                     // nothing is kept
                 }
 
                 @Override
-                public void entry(JsonObject entry) {
+                public void onEntry(JsonObject entry) {
                     // nothing is kept
                 }
             });
--- a/src/test/java/gatelock/standin/EndpointListBenchmark.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -38,7 +38,7 @@
     private static final int STEP_MS = 667;
 
     private static final Pattern TAKEN =
-            Pattern.compile("list \\d+ of (\\d+) units in (\\d+) services, (\\d+) in scope");
+            Pattern.compile("list \\d+ of (\\d+) endpoints in (\\d+) services, (\\d+) in scope");
 
     /** What is played. */
     private record Play(int endpoints, String membership) {}
