--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -161,7 +161,8 @@
         if (connection != null && written) {
             read();
         }
-        if (request != timed) {
+        boolean stillUnderWay = request != null && request.handler() == timed.handler();
+        if (!stillUnderWay) {
             return;
         }
         long leftUs = remainingUs(timed.timeouts());
--- a/src/main/java/gatelock/release/NewsStream.java
+++ b/src/main/java/gatelock/release/NewsStream.java
@@ -72,7 +72,7 @@
     }
 
     /** Closes the connection; the listener is not called any more. */
-    void drop() {
+    void close() {
         silenceTimer.remove();
         connection.drop();
     }
--- a/src/main/java/gatelock/release/NewsSubscription.java
+++ b/src/main/java/gatelock/release/NewsSubscription.java
@@ -54,7 +54,7 @@
     /** Opens a connection to another address, which takes the place of the current one once it delivers. */
     void move(InetSocketAddress newAddress) {
         address = newAddress;
-        dropReplacement();
+        closeReplacement();
         replace(current);
     }
 
@@ -70,16 +70,16 @@
             NewsStream old = current;
             current = stream;
             replacement = null;
-            old.drop();
+            old.close();
         } else if (stream.address().equals(address)) {
-            dropReplacement();
+            closeReplacement();
         }
     }
 
     @Override
     public void onUnusable(NewsStream stream) {
         if (stream == replacement) {
-            stream.drop();
+            stream.close();
             onEnded(stream);
         } else {
             replace(stream);
@@ -105,9 +105,9 @@
         }
     }
 
-    private void dropReplacement() {
+    private void closeReplacement() {
         if (replacement != null) {
-            replacement.drop();
+            replacement.close();
             replacement = null;
         }
     }
--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -33,16 +33,19 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A course of lists over a socket, and all that the decisions hear of it. */
+/** A sequence of lists over a socket, and all that the decisions are told of it. */
 final class DiscoveryClientTest {
-    private static final String KNOWN =
+    private static final String ENDPOINT_FORMAT =
+            "Endpoint[name=%s, build=%d, zone=%d, kind=%d, cell=%d, health=%s, startUs=%d] at %s";
+    private static final String REQUEST_FORMAT = "GET /api/targets%s HTTP/1.1|Host: discovery||";
+    private static final String CACHED_LIST =
             "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entry("a", 1, "in_service", 0, 1) + "]}";
 
-    /** What was asked, and what the decisions were told, in the order in which it was. */
-    private final BlockingQueue<String> course = new LinkedBlockingQueue<>();
+    /** The requests to discovery and the lists that the decisions were told, in the order in which they occurred. */
+    private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     private final XnioWorker worker;
-    private final EventLoop turn;
+    private final EventLoop eventLoop;
     private final EndpointAddresses addresses = new EndpointAddresses();
     private final Counters counters = new Counters();
     private final ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
@@ -50,7 +53,7 @@
 
     DiscoveryClientTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        turn = new EventLoop(worker.getIoThread());
+        eventLoop = new EventLoop(worker.getIoThread());
     }
 
     @AfterEach
@@ -59,20 +62,26 @@
         listener.close();
     }
 
-    /** Notes the lists; nothing else is told in this course. */
-    private final class Noting implements DecisionEngine {
+    /** Records the lists; nothing else may be called. */
+    private final class RecordingEngine implements DecisionEngine {
         @Override
         public void listed(long nowUs, ListForm form, List<Endpoint> endpoints) {
-            course.add(form + " "
-                    + endpoints.stream()
-                            .map(u -> u + " at "
-                                    + (addresses.get(u.endpoint()) == null
-                                            ? "none"
-                                            : addresses
-                                                    .get(u.endpoint())
-                                                    .address()
-                                                    .getPort()))
-                            .toList());
+            events.add(form + " " + endpoints.stream().map(this::describe).toList());
+        }
+
+        private String describe(Endpoint endpoint) {
+            EndpointAddresses.Place place = addresses.get(endpoint.endpoint());
+            String port = place == null ? "none" : "" + place.address().getPort();
+            return String.format(
+                    ENDPOINT_FORMAT,
+                    endpoint.endpoint(),
+                    endpoint.build(),
+                    endpoint.zone(),
+                    endpoint.kind(),
+                    endpoint.cell(),
+                    endpoint.health(),
+                    endpoint.startUs(),
+                    port);
         }
 
         @Override
@@ -126,44 +135,47 @@
 
     private void start(DiscoveryClient.Membership membership) {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
-        turn.soon(() -> {
-            ConnectionPool platform =
-                    new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
-            ConnectionPool endpoints = new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8);
+        eventLoop.soon(() -> {
+            ConnectionPool discoveryPool =
+                    new ConnectionPool(eventLoop, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
+            ConnectionPool endpointPool = new ConnectionPool(eventLoop, counters, 1_000_000, 4_000_000, 0, 8);
             try {
                 new DiscoveryClient(
-                                turn,
+                                eventLoop,
                                 counters,
-                                platform,
+                                discoveryPool,
                                 at,
                                 addresses,
-                                endpoints,
+                                endpointPool,
                                 List.of("east", "west"),
                                 List.of("s", "m"),
                                 false,
                                 new SplittableRandom(1),
                                 membership)
-                        .start(new Noting(), null, JsonObject.read(KNOWN.getBytes(StandardCharsets.UTF_8)));
+                        .start(
+                                new RecordingEngine(),
+                                null,
+                                JsonObject.read(CACHED_LIST.getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
         });
     }
 
-    /** Reads one call, from a new connection where the last one has ended. */
-    private String asked() throws IOException {
+    /** Reads one request, from a new connection where the last one has ended. */
+    private String nextRequest() throws IOException {
         for (; ; ) {
             if (socket == null) {
                 socket = listener.accept();
                 socket.setSoTimeout(20_000);
             }
             InputStream in = socket.getInputStream();
-            StringBuilder call = new StringBuilder();
+            StringBuilder request = new StringBuilder();
             int b = in.read();
             while (b >= 0) {
-                call.append((char) b);
-                if (call.toString().endsWith("\r\n\r\n")) {
-                    return call.toString();
+                request.append((char) b);
+                if (request.toString().endsWith("\r\n\r\n")) {
+                    return request.toString();
                 }
                 b = in.read();
             }
@@ -171,137 +183,143 @@
         }
     }
 
-    private void answer(String status, String body) throws IOException {
+    private void write(String status, String body) throws IOException {
         socket.getOutputStream()
                 .write(("HTTP/1.1 " + status + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                         .getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Answers the next call and notes it; what it led to is told by the time of the one after. */
-    private void turn(String body) throws IOException {
-        String call = asked();
-        course.add(call.replace("\r\n", "|"));
-        answer("200 OK", body);
+    private void recordNextRequest() throws IOException {
+        events.add(nextRequest().replace("\r\n", "|"));
+    }
+
+    /** Records the next request and responds to it; what that led to is recorded by the time of the request after. */
+    private void respond(String body) throws IOException {
+        recordNextRequest();
+        write("200 OK", body);
     }
 
-    private void play() throws Exception {
-        turn(list(
+    private void playLists() throws Exception {
+        respond(list(
                 5,
                 true,
                 entry("a", 11, "in_service", 7, 1),
                 entry("b", 12, "in_service", 0, 1),
                 entry("c", 13, "terminating", 0, 2)));
-        turn(list(6, false, entry("b", 12, "terminating", 0, 1)));
-        turn(list(6, false));
-        turn(list(
+        respond(list(6, false, entry("b", 12, "terminating", 0, 1)));
+        respond(list(6, false));
+        respond(list(
                 7,
                 false,
                 entry("b", 12, "terminated", 0, 1),
                 entry("d", 14, "in_service", 0, 2),
                 entry("a", 11, "in_service", 9, 2)));
-        // bad ones: each changes nothing and is asked for again
-        turn(list(
+        // Malformed ones: each changes nothing and is polled again.
+        respond(list(
                 8,
                 false,
                 entry("e", 15, "in_service", 0, 1),
                 entry("f", 16, "in_service", 0, 1).replace("in_service", "zz")));
-        turn(list(8, false, entry("e", 15, "in_service", -1, 1)));
-        turn(list(8, true, entry("e", 15, "in_service", 0, 1)) + "x");
-        turn(list(8, true, entry("e", 15, "in_service", 0, 1), entry("e", 15, "in_service", 0, 1)));
-        turn(list(8, true, entry("e", 15, "in_service", 0, 1).replace("127.0.0.1:15", "nowhere")));
-        String call = asked();
-        course.add(call.replace("\r\n", "|"));
-        answer("500 Oops", "{}");
-        turn(list(9, true, entry("d", 17, "in_service", 0, 2), entry("g", 18, "in_service", 0, 3)));
-        // an index that goes back is a discovery that began anew
-        turn(list(2, true, entry("g", 18, "in_service", 0, 3)));
-        turn(list(3, false, entry("g", 19, "in_service", 0, 3)));
-        course.add(asked().replace("\r\n", "|"));
+        respond(list(8, false, entry("e", 15, "in_service", -1, 1)));
+        respond(list(8, true, entry("e", 15, "in_service", 0, 1)) + "x");
+        respond(list(8, true, entry("e", 15, "in_service", 0, 1), entry("e", 15, "in_service", 0, 1)));
+        respond(list(8, true, entry("e", 15, "in_service", 0, 1).replace("127.0.0.1:15", "nowhere")));
+        recordNextRequest();
+        write("500 Oops", "{}");
+        respond(list(9, true, entry("d", 17, "in_service", 0, 2), entry("g", 18, "in_service", 0, 3)));
+        // An index that goes back is a discovery that started anew.
+        respond(list(2, true, entry("g", 18, "in_service", 0, 3)));
+        respond(list(3, false, entry("g", 19, "in_service", 0, 3)));
+        recordNextRequest();
+    }
+
+    private List<String> requests() {
+        return events.stream().filter(DiscoveryClientTest::isRequest).toList();
+    }
+
+    private static String endpoint(String name, int build, String health, long startUs, String port) {
+        return String.format(ENDPOINT_FORMAT, name, build, 1, 1, 3, health, startUs, port);
     }
 
-    private List<String> taken(String what) {
-        return course.stream().filter(c -> c.startsWith(what)).toList();
+    private static String watch(int index) {
+        return String.format(REQUEST_FORMAT, "?from=" + index + "&hold_ms=2000");
     }
 
     @Test
-    void withoutAScopeTheDecisionsHearAndDiscoveryIsAskedWhatTheyAlwaysWere() throws Exception {
+    void withoutASubsetEachListAndEachRequestIsAsExpected() throws Exception {
         start(null);
-        play();
-        String call = "GET /api/targets%s HTTP/1.1|Host: discovery||";
-        String from = "?from=%d&hold_ms=2000";
-        String endpoint = "Listed[unit=%s, build=%d, zone=1, kind=1, cell=3, health=%s, startUs=%d] at %s";
+        playLists();
         List<String> expected = new ArrayList<>();
-        expected.add("CACHED [" + String.format(endpoint, "a", 1, "READY", 0, "1") + "]");
-        expected.add(String.format(call, ""));
+        expected.add("CACHED [" + endpoint("a", 1, "READY", 0, "1") + "]");
+        expected.add(String.format(REQUEST_FORMAT, ""));
         expected.add("FULL ["
                 + String.join(
                         ", ",
-                        String.format(endpoint, "a", 1, "READY", 7000, "11"),
-                        String.format(endpoint, "b", 1, "READY", 0, "12"),
-                        String.format(endpoint, "c", 2, "DRAINING", 0, "13"))
+                        endpoint("a", 1, "READY", 7000, "11"),
+                        endpoint("b", 1, "READY", 0, "12"),
+                        endpoint("c", 2, "DRAINING", 0, "13"))
                 + "]");
-        expected.add(String.format(call, String.format(from, 5)));
-        expected.add("DELTA [" + String.format(endpoint, "b", 1, "DRAINING", 0, "12") + "]");
-        expected.add(String.format(call, String.format(from, 6)));
-        expected.add(String.format(call, String.format(from, 6)));
+        expected.add(watch(5));
+        expected.add("DELTA [" + endpoint("b", 1, "DRAINING", 0, "12") + "]");
+        expected.add(watch(6));
+        expected.add(watch(6));
         expected.add("DELTA ["
                 + String.join(
                         ", ",
-                        String.format(endpoint, "b", 1, "GONE", 0, "none"),
-                        String.format(endpoint, "d", 2, "READY", 0, "14"),
-                        String.format(endpoint, "a", 2, "READY", 9000, "11"))
+                        endpoint("b", 1, "GONE", 0, "none"),
+                        endpoint("d", 2, "READY", 0, "14"),
+                        endpoint("a", 2, "READY", 9000, "11"))
                 + "]");
         for (int i = 0; i < 7; i++) {
-            expected.add(String.format(call, String.format(from, 7)));
+            expected.add(watch(7));
         }
         expected.add("FULL ["
-                + String.join(
-                        ", ",
-                        String.format(endpoint, "d", 2, "READY", 0, "17"),
-                        String.format(endpoint, "g", 3, "READY", 0, "18"))
+                + String.join(", ", endpoint("d", 2, "READY", 0, "17"), endpoint("g", 3, "READY", 0, "18"))
                 + "]");
-        expected.add(String.format(call, String.format(from, 9)));
-        expected.add("FULL [" + String.format(endpoint, "g", 3, "READY", 0, "18") + "]");
-        expected.add(String.format(call, String.format(from, 2)));
-        expected.add("DELTA [" + String.format(endpoint, "g", 3, "READY", 0, "19") + "]");
-        expected.add(String.format(call, String.format(from, 3)));
-        assertThat(course).containsExactlyElementsOf(expected);
+        expected.add(watch(9));
+        expected.add("FULL [" + endpoint("g", 3, "READY", 0, "18") + "]");
+        expected.add(watch(2));
+        expected.add("DELTA [" + endpoint("g", 3, "READY", 0, "19") + "]");
+        expected.add(watch(3));
+        assertThat(events).containsExactlyElementsOf(expected);
         assertThat(counters.toString()).contains("discovery failed=6").doesNotContain("lists too long");
     }
 
     @Test
-    void aScopeThatHoldsAllTellsTheSameAndAsksTheSame() throws Exception {
+    void aSubsetOfAllEndpointsLeadsToTheSameListsAndRequests() throws Exception {
         start(new DiscoveryClient.Membership(
                 new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)),
                 ServiceNameExtractor.ONE,
                 1 << 20));
-        play();
-        List<String> calls = taken("GET");
-        List<String> told = course.stream()
-                .filter(c -> !c.startsWith("GET"))
-                .map(DiscoveryClientTest::inOrder)
-                .toList();
+        playLists();
         DiscoveryClientTest without = new DiscoveryClientTest();
         try {
             without.start(null);
-            without.play();
+            without.playLists();
         } finally {
             without.stop();
         }
-        assertThat(calls).isEqualTo(without.taken("GET"));
-        assertThat(told)
-                .isEqualTo(without.course.stream()
-                        .filter(c -> !c.startsWith("GET"))
-                        .map(DiscoveryClientTest::inOrder)
-                        .toList());
+        assertThat(requests()).isEqualTo(without.requests());
+        assertThat(sortedLists()).isEqualTo(without.sortedLists());
+    }
+
+    private static boolean isRequest(String event) {
+        return event.startsWith("GET");
+    }
+
+    private List<String> sortedLists() {
+        return events.stream()
+                .filter(event -> !isRequest(event))
+                .map(DiscoveryClientTest::sorted)
+                .toList();
     }
 
-    /** The endpoints of one telling by name, as a list and a scope may have an order of their own. */
-    private static String inOrder(String told) {
-        // One that drains when it is first listed never comes into scope: there is nothing for it to do.
-        String[] parts = told.replaceAll("(, )?Listed\\[unit=c,[^\\]]*\\] at 13", "")
+    /** Sorts the endpoints of one event by name, as a list and a subset may each have an order of their own. */
+    private static String sorted(String event) {
+        // An endpoint that is draining when it is first listed never comes into the subset: there is no use for it.
+        String[] parts = event.replaceAll("(, )?Endpoint\\[name=c,[^\\]]*\\] at 13", "")
                 .replaceAll("[\\[\\]]+$", "")
-                .split("Listed\\[");
+                .split("Endpoint\\[");
         Arrays.sort(parts, 1, parts.length, Comparator.naturalOrder());
         return String.join(" ", parts)
                 .replace(", ", " ")
@@ -310,21 +328,21 @@
     }
 
     @Test
-    void aListThatTricklesInIsReadAndOneThatStopsIsAskedForAgain() throws Exception {
+    void aSlowListIsReadAndOneThatStopsIsPolledAgain() throws Exception {
         start(new DiscoveryClient.Membership(
                 new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)),
                 ServiceNameExtractor.ONE,
                 1 << 20));
-        asked();
+        nextRequest();
         String body = list(5, true, entry("a", 11, "in_service", 7, 1), entry("b", 12, "in_service", 0, 1));
         socket.getOutputStream()
                 .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        // Longer in all than an answer that is held whole may take; by the relay's own timers, so that a machine that
-        // is late makes both late.
+        // It takes longer than a buffered response may. The relay's own timers send it, so that a slow machine delays
+        // both sides.
         for (int i = 0; i < 10; i++) {
             String piece = body.substring(body.length() * i / 10, body.length() * (i + 1) / 10);
-            turn.in(200_000 * (i + 1), () -> {
+            eventLoop.in(200_000L * (i + 1), () -> {
                 try {
                     socket.getOutputStream().write(piece.getBytes(StandardCharsets.US_ASCII));
                 } catch (IOException e) {
@@ -332,12 +350,12 @@
                 }
             });
         }
-        assertThat(asked()).startsWith("GET /api/targets?from=5&");
+        assertThat(nextRequest()).startsWith("GET /api/targets?from=5&");
         socket.getOutputStream()
-                .write(("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"index\":6,")
+                .write("HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"index\":6,"
                         .getBytes(StandardCharsets.US_ASCII));
-        assertThat(asked()).startsWith("GET /api/targets?from=5&");
-        assertThat(course).hasSize(2);
+        assertThat(nextRequest()).startsWith("GET /api/targets?from=5&");
+        assertThat(events).hasSize(2);
         assertThat(counters.toString()).contains("discovery failed=1");
     }
 }
--- a/src/test/java/gatelock/discovery/EndpointListReaderTest.java
+++ b/src/test/java/gatelock/discovery/EndpointListReaderTest.java
@@ -8,44 +8,48 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Random;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+import net.jqwik.api.Tuple;
+import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** A list in pieces against the same list as one text. */
+/** Compares a list that is read in pieces with the same list parsed as one text. */
 final class EndpointListReaderTest {
     private static final String ENTRY = "{\"name\":\"%s\",\"address\":\"127.0.0.1:1\",\"status\":\"in_service\"}";
 
-    /** What a list says; the reason where it can't be taken. */
-    private record Said(Boolean whole, long index, List<Map<String, Object>> entries, boolean bad) {
-        static final Said BAD = new Said(null, 0, List.of(), true);
+    /** What a list says, or that it is malformed. */
+    private record ParsedList(Boolean full, long index, List<Map<String, Object>> entries, boolean malformed) {
+        static final ParsedList MALFORMED = new ParsedList(null, 0, List.of(), true);
     }
 
-    /** As discovery reads a list that came whole. */
-    private static Said atOnce(byte[] text) {
+    /** Parses a list as discovery does where it is buffered. */
+    private static ParsedList parseWhole(byte[] text) {
         try {
             JsonObject list = JsonObject.read(text);
             List<Map<String, Object>> entries = new ArrayList<>();
-            for (JsonObject e : list.objects("endpoints")) {
-                entries.add(e.fields());
+            for (JsonObject entry : list.objects("endpoints")) {
+                entries.add(entry.fields());
             }
-            return new Said(list.yes("snapshot"), list.whole("index"), entries, false);
+            return new ParsedList(list.yes("snapshot"), list.whole("index"), entries, false);
         } catch (IOException e) {
-            return Said.BAD;
+            return ParsedList.MALFORMED;
         }
     }
 
-    private static Said inPieces(byte[] text, boolean wholeAsked, List<Integer> cuts) {
+    private static ParsedList parseInPieces(byte[] text, boolean fullRequested, List<Integer> cuts) {
         List<Map<String, Object>> entries = new ArrayList<>();
         List<Boolean> begun = new ArrayList<>();
         try {
-            EndpointListReader reader = new EndpointListReader(wholeAsked, new EndpointListReader.EntryConsumer() {
+            EndpointListReader reader = new EndpointListReader(fullRequested, new EndpointListReader.EntryConsumer() {
                 @Override
                 public void onBegin(boolean full) {
                     assertThat(entries).isEmpty();
@@ -70,9 +74,9 @@
             }
             EndpointListReader.Header header = reader.end();
             assertThat(begun).containsExactly(header.full());
-            return new Said(header.full(), header.index(), entries, false);
+            return new ParsedList(header.full(), header.index(), entries, false);
         } catch (IOException e) {
-            return Said.BAD;
+            return ParsedList.MALFORMED;
         }
     }
 
@@ -81,44 +85,46 @@
     }
 
     @Test
-    void cutAtEveryByteAListSaysTheSame() {
+    void aListReadsTheSameWhereverItIsCut() {
         String list = " {\"more\": {\"a\": [1, {\"endpoints\": []}]},\r\n \"index\" : 17, \"endpoints\": [ {\"name\":"
                 + " \"\u00e4\\u00e4\\\"\ud83d\ude00\", \"since_ms\": 1.5e3, \"labels\": {\"x\": [null, true, \"y\"], \"y\": \"z\"}},"
                 + " {} ,\n" + String.format(ENTRY, "b") + "], \"snapshot\": true, \"z\": null}\n ";
         byte[] text = bytes(list);
-        Said whole = atOnce(text);
+        ParsedList whole = parseWhole(text);
         assertThat(whole.entries).hasSize(3);
         assertThat(whole.index).isEqualTo(17);
         for (int cut = 0; cut <= text.length; cut++) {
-            assertThat(inPieces(text, true, List.of(cut))).as("cut at " + cut).isEqualTo(whole);
+            assertThat(parseInPieces(text, true, List.of(cut)))
+                    .as("cut at " + cut)
+                    .isEqualTo(whole);
         }
         List<Integer> each = new ArrayList<>();
         for (int cut = 1; cut < text.length; cut++) {
             each.add(cut);
         }
-        assertThat(inPieces(text, false, each)).isEqualTo(whole);
+        assertThat(parseInPieces(text, false, each)).isEqualTo(whole);
     }
 
     @Test
-    void whatIsCutShortAnywhereIsNoList() {
+    void aTruncatedListIsMalformed() {
         byte[] text = bytes("{\"snapshot\":true,\"endpoints\":[" + String.format(ENTRY, "a") + "],\"index\":5}");
         for (int length = 0; length < text.length; length++) {
-            assertThat(inPieces(Arrays.copyOf(text, length), true, List.of(length / 2)))
+            assertThat(parseInPieces(Arrays.copyOf(text, length), true, List.of(length / 2)))
                     .as("" + length)
-                    .isEqualTo(Said.BAD);
+                    .isEqualTo(ParsedList.MALFORMED);
         }
     }
 
     @Property(tries = 400)
-    void ofAnyListInAnyPiecesTheSameIsRead(
+    void anyListReadsTheSameInAnyPieces(
             @ForAll("lists") String list,
-            @ForAll boolean wholeAsked,
-            @ForAll List<@net.jqwik.api.constraints.IntRange(max = 600) Integer> cuts) {
+            @ForAll boolean fullRequested,
+            @ForAll List<@IntRange(max = 600) Integer> cuts) {
         List<Integer> sorted = cuts.stream().sorted().toList();
-        assertThat(inPieces(bytes(list), wholeAsked, sorted)).as(list).isEqualTo(atOnce(bytes(list)));
+        assertThat(parseInPieces(bytes(list), fullRequested, sorted)).as(list).isEqualTo(parseWhole(bytes(list)));
     }
 
-    /** Lists with their fields in any order, some spoilt in one place. */
+    /** Lists with their fields in any order, some of them malformed in one place. */
     @Provide
     Arbitrary<String> lists() {
         Arbitrary<String> entry = Arbitraries.of(
@@ -134,8 +140,7 @@
                         "{\"a\":null,\"b\":{\"c\":{},\"c\":1}}")
                 .edgeCases(c -> c.none());
         Arbitrary<String> good = Arbitraries.of(String.format(ENTRY, "a"), "{\"name\":\"b\",\"zone\":\"z\"}", "{}");
-        Arbitrary<String> entries = Arbitraries.frequencyOf(
-                        net.jqwik.api.Tuple.of(6, good), net.jqwik.api.Tuple.of(1, entry))
+        Arbitrary<String> entries = Arbitraries.frequencyOf(Tuple.of(6, good), Tuple.of(1, entry))
                 .list()
                 .ofMaxSize(6)
                 .map(all -> "\"endpoints\":[" + String.join(" ,\n", all) + "]");
@@ -165,27 +170,27 @@
                         Arbitraries.of("", "", "", "", " ", "x", "{}", "]", ","))
                 .as((e, i, s, m, order, tail) -> {
                     List<String> fields = new ArrayList<>(List.of(e, i, s, m));
-                    java.util.Collections.shuffle(fields, new java.util.Random(order));
+                    Collections.shuffle(fields, new Random(order));
                     return "{" + String.join(",", fields) + "}" + tail;
                 });
     }
 
     @Test
-    void whatIsToldOnlyBehindManyEntriesIsTakenAsItWasAskedFor() {
+    void aListThatSaysItsFormBehindManyEntriesIsReadOnlyAsItWasRequested() {
         StringBuilder list = new StringBuilder("{\"endpoints\":[");
         for (int i = 0; i <= EndpointListReader.MAX_PENDING_ENTRIES; i++) {
             list.append(i == 0 ? "" : ",").append(String.format(ENTRY, "u" + i));
         }
         byte[] whole = bytes(list + "],\"snapshot\":true,\"index\":3}");
         byte[] change = bytes(list + "],\"index\":3}");
-        assertThat(inPieces(whole, true, List.of())).isEqualTo(atOnce(whole));
-        assertThat(inPieces(change, false, List.of())).isEqualTo(atOnce(change));
-        assertThat(inPieces(whole, false, List.of())).isEqualTo(Said.BAD);
-        assertThat(inPieces(change, true, List.of())).isEqualTo(Said.BAD);
+        assertThat(parseInPieces(whole, true, List.of())).isEqualTo(parseWhole(whole));
+        assertThat(parseInPieces(change, false, List.of())).isEqualTo(parseWhole(change));
+        assertThat(parseInPieces(whole, false, List.of())).isEqualTo(ParsedList.MALFORMED);
+        assertThat(parseInPieces(change, true, List.of())).isEqualTo(ParsedList.MALFORMED);
     }
 
     @Test
-    void whatWouldFillTheMemoryOrIsNoTextIsRefusedWhileItComes() throws Exception {
+    void whatWouldFillTheMemoryOrIsNotUtf8IsRejectedWhileItArrives() throws Exception {
         String head = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
         String pad = "p".repeat(EndpointListReader.MAX_ENTRY_BYTES / 2);
         for (String odd : new String[] {
@@ -203,12 +208,12 @@
             EndpointListReader reader = new EndpointListReader(true, new EndpointListReader.EntryConsumer() {
                 @Override
                 public void onBegin(boolean full) {
-                    // nothing is kept
+                    // The entries are not kept.
                 }
 
                 @Override
                 public void onEntry(JsonObject entry) {
-                    // nothing is kept
+                    // The entries are not kept.
                 }
             });
             assertThatThrownBy(() -> {
--- a/src/test/java/gatelock/net/DelayedIoThread.java
+++ b/src/test/java/gatelock/net/DelayedIoThread.java
@@ -2,23 +2,23 @@
 
 import java.util.concurrent.CountDownLatch;
 
-/** An I/O thread that is late. */
+/** Delays an I/O thread, as a slow machine would. */
 public final class DelayedIoThread {
     private DelayedIoThread() {}
 
-    /** Holds the thread up, and returns once it is; it goes on as soon as the latch is down. */
-    public static CountDownLatch hold(EventLoop turn) throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch on = new CountDownLatch(1);
-        turn.soon(() -> {
-            held.countDown();
+    /** Blocks the thread, and returns once it is blocked; it goes on when the returned latch is counted down. */
+    public static CountDownLatch hold(EventLoop eventLoop) throws InterruptedException {
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        eventLoop.soon(() -> {
+            blocked.countDown();
             try {
-                on.await();
+                release.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        held.await();
-        return on;
+        blocked.await();
+        return release;
     }
 }
--- a/src/test/java/gatelock/net/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/net/OutboundConnectionTest.java
@@ -21,16 +21,16 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** One call on a connection, on an I/O thread that the test holds up. */
+/** One request on a connection, on an I/O thread that the test delays. */
 final class OutboundConnectionTest {
-    private static final long CALL_US = 200_000;
+    private static final long TIMEOUT_US = 200_000;
     private final XnioWorker worker;
-    private final EventLoop turn;
-    private final BlockingQueue<String> heard = new LinkedBlockingQueue<>();
+    private final EventLoop eventLoop;
+    private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
 
     OutboundConnectionTest() throws Exception {
         worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        turn = new EventLoop(worker.getIoThread());
+        eventLoop = new EventLoop(worker.getIoThread());
     }
 
     @AfterEach
@@ -38,89 +38,89 @@
         worker.shutdownNow();
     }
 
-    private final class Hears implements OutboundConnection.User {
+    private final class RecordingHandler implements OutboundConnection.User {
         @Override
-        public boolean answered(UpstreamResponse answer) {
-            heard.add("answered " + new String(answer.body(), StandardCharsets.US_ASCII));
+        public boolean answered(UpstreamResponse response) {
+            outcomes.add("answered " + new String(response.body(), StandardCharsets.US_ASCII));
             return true;
         }
 
         @Override
         public void broken(boolean written) {
-            heard.add(written ? "broken" : "broken, not written");
+            outcomes.add(written ? "broken" : "broken, not written");
         }
 
         @Override
         public void late() {
-            heard.add("late");
+            outcomes.add("late");
         }
     }
 
-    private void call(ServerSocket party) {
-        InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), party.getLocalPort());
-        turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8)
+    private void send(ServerSocket server) {
+        InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+        eventLoop.soon(() -> new ConnectionPool(eventLoop, new Counters(), 1_000_000, 4_000_000, 0, 8)
                 .call(
-                        at,
+                        address,
                         ByteBuffer.wrap("GET /list HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)),
-                        CALL_US,
-                        new Hears()));
+                        TIMEOUT_US,
+                        new RecordingHandler()));
     }
 
-    /** Holds the thread up until what the test does meanwhile is done and the call's time is over. */
-    private void late(ServerSocket party, String answer) throws Exception {
-        call(party);
-        try (Socket caller = party.accept()) {
-            caller.getInputStream().read();
-            CountDownLatch on = DelayedIoThread.hold(turn);
-            caller.getOutputStream().write(answer.getBytes(StandardCharsets.US_ASCII));
-            Thread.sleep(2 * CALL_US / 1000);
-            on.countDown();
-            heard.add("first: " + heard.poll(20, TimeUnit.SECONDS));
+    /** Delays the thread until the response has been written and the request's time is over. */
+    private void respondLate(ServerSocket server, String response) throws Exception {
+        send(server);
+        try (Socket client = server.accept()) {
+            client.getInputStream().read();
+            CountDownLatch release = DelayedIoThread.hold(eventLoop);
+            client.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
+            Thread.sleep(2 * TIMEOUT_US / 1_000);
+            release.countDown();
+            outcomes.add("first: " + outcomes.poll(20, TimeUnit.SECONDS));
         }
     }
 
     @Test
-    void anAnswerThatLiesUnreadWhenItsTimeIsOverIsTaken() throws Exception {
-        try (ServerSocket party = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            late(party, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlist");
-            assertThat(heard).containsExactly("first: answered list");
+    void aResponseThatIsUnreadWhenItsTimeIsOverIsAccepted() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            respondLate(server, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlist");
+            assertThat(outcomes).containsExactly("first: answered list");
         }
     }
 
     @Test
-    void halfAnAnswerIsLate() throws Exception {
-        try (ServerSocket party = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            late(party, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nli");
-            assertThat(heard).containsExactly("first: late");
+    void halfAResponseTimesOut() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            respondLate(server, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nli");
+            assertThat(outcomes).containsExactly("first: late");
         }
     }
 
     @Test
-    void anAnswerBeforeTheCallIsWholeAnswersNothing() throws Exception {
-        try (ServerSocket party = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), party.getLocalPort());
-            // More than the system takes at once from one that nobody reads from.
+    void aResponseBeforeTheRequestIsCompleteIsRejected() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
+            // More than the system buffers while the server does not read.
             ByteBuffer large = ByteBuffer.allocate(64 * 1024 * 1024);
-            turn.soon(() -> new ConnectionPool(turn, new Counters(), 1_000_000, 4_000_000, 0, 8)
-                    .call(at, large, 20_000_000, new Hears()));
-            try (Socket caller = party.accept()) {
-                caller.getInputStream().read();
-                caller.getOutputStream()
+            eventLoop.soon(() -> new ConnectionPool(eventLoop, new Counters(), 1_000_000, 4_000_000, 0, 8)
+                    .call(address, large, 20_000_000, new RecordingHandler()));
+            try (Socket client = server.accept()) {
+                client.getInputStream().read();
+                client.getOutputStream()
                         .write("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nearly".getBytes(StandardCharsets.US_ASCII));
-                assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("broken, not written");
+                assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo("broken, not written");
             }
         }
     }
 
     @Test
-    void silenceIsLateOnce() throws Exception {
-        try (ServerSocket party = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            call(party);
-            try (Socket caller = party.accept()) {
-                assertThat(caller.getInputStream().read()).isEqualTo('G');
-                assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("late");
+    void silenceTimesOutOnce() throws Exception {
+        try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
+            send(server);
+            try (Socket client = server.accept()) {
+                assertThat(client.getInputStream().read()).isEqualTo('G');
+                assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo("late");
                 Thread.sleep(100);
-                assertThat(heard).isEmpty();
+                assertThat(outcomes).isEmpty();
             }
         }
     }
