--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -26,7 +26,7 @@
  * {@link ListFailureReporter} counts and logs the lists that could not be used.
  */
 public final class DiscoveryClient {
-    /** The longest buffered response, in bytes: 1,024 endpoints and twice as many leaving, with names of usual length. */
+    /** The longest buffered list, in bytes: 1,024 endpoints and twice as many leaving, with names of usual length. */
     public static final int MOST_LIST = 2 * 1024 * 1024;
 
     /** How long discovery may hold a watch at most; short, so that a connection that has gone silent is noticed. */
@@ -36,8 +36,8 @@
 
     private static final long RETRY_US = 100_000;
     /**
-     * Guards against a discovery that has to write a full list over and over for many relays that can't take it. It does
-     * harm where the list is short enough again at once: that is then noticed so much later.
+     * Guards against a discovery that has to write a full list over and over for many relays that can't take it. It
+     * does harm where the list is short enough again at once: that is then noticed so much later.
      */
     private static final long TOO_LONG_RETRY_US = 500_000;
 
--- a/src/main/java/gatelock/discovery/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -17,9 +17,9 @@
 
 /**
  * Reads an endpoint list from the pieces in which it arrives, and hands on entry by entry, so that no more than one is
- * buffered. The result is that of {@link JsonObject#read} on the whole text. The reader is stricter where equality would
- * cost memory or a guess: it rejects bytes that are not UTF-8, entries of more than {@link #MAX_ENTRY_BYTES}, values
- * nested deeper than {@link #MAX_DEPTH} and more than {@link #MAX_FIELDS} fields beside the entries.
+ * buffered. The result is that of {@link JsonObject#read} on the whole text. The reader is stricter where equality
+ * would cost memory or a guess: it rejects bytes that are not UTF-8, entries of more than {@link #MAX_ENTRY_BYTES},
+ * values nested deeper than {@link #MAX_DEPTH} and more than {@link #MAX_FIELDS} fields beside the entries.
  */
 final class EndpointListReader {
     /** An entry with all its labels has a tenth of this at most. */
@@ -155,15 +155,15 @@
             throw new MalformedMessageException("expected endpoints");
         }
         JsonObject header = new JsonObject(headerFields);
-        boolean toldFull = header.yes(FULL_FIELD);
+        boolean declaredFull = header.yes(FULL_FIELD);
         long index = header.whole(INDEX_FIELD);
         if (!begun) {
-            begin(toldFull);
+            begin(declaredFull);
         }
-        if (full != toldFull) {
+        if (full != declaredFull) {
             throw new UnannouncedFormException();
         }
-        return new Header(toldFull, index);
+        return new Header(declaredFull, index);
     }
 
     private void onToken(JsonToken token) throws IOException {
--- a/src/main/java/gatelock/discovery/StreamedListResponse.java
+++ b/src/main/java/gatelock/discovery/StreamedListResponse.java
@@ -18,8 +18,8 @@
 final class StreamedListResponse extends ListResponseHandler implements BodyConsumer, EndpointListReader.EntryConsumer {
     /**
      * A list may have many megabytes and take as long as the network needs. This bound and the next guard instead
-     * against a list that no longer arrives: so long without a byte of it, and so long in total, as a list that trickles
-     * in forever is of no use. They do harm where a longer pause would have ended: the list is polled again.
+     * against a list that no longer arrives: so long without a byte of it, and so long in total, as a list that
+     * trickles in forever is of no use. They do harm where a longer pause would have ended: the list is polled again.
      */
     static final long MAX_PAUSE_US = 1_000_000;
 
--- a/src/main/java/gatelock/release/NewsStream.java
+++ b/src/main/java/gatelock/release/NewsStream.java
@@ -15,8 +15,8 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One connection on which the release controller pushes news, as JSON objects of one line each. Nothing is written to it
- * after the request.
+ * One connection on which the release controller pushes news, as JSON objects of one line each. Nothing is written to
+ * it after the request.
  */
 final class NewsStream implements OutboundConnection.User, BodyConsumer {
     private static final System.Logger LOG = System.getLogger("gatelock.release");
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Guards against a release controller whose messages can't be read: the connection is of no further use, and another
-     * takes its place. It holds against anything but news, and could do harm where a release controller sends more than
+     * Guards against a release controller whose messages can't be read: the connection is of no further use, and
+     * another takes its place. It holds against anything but news, and could do harm where a release controller sends more than
      * news.
      */
     private void rejectLine(String reason) {
--- a/src/main/java/gatelock/release/package-info.java
+++ b/src/main/java/gatelock/release/package-info.java
@@ -1,2 +1,5 @@
-/** Client of the release controller: casts votes and follows the state of the newest build. */
+/**
+ * Client of the release controller: {@link gatelock.release.ReleaseControllerClient} casts votes, and
+ * {@link gatelock.release.NewsSubscription} keeps a connection open on which the state of the newest build is pushed.
+ */
 package gatelock.release;
