--- a/src/main/java/gatelock/config/ConfigVersion.java
+++ b/src/main/java/gatelock/config/ConfigVersion.java
@@ -6,21 +6,23 @@
 import java.util.HexFormat;
 
 /**
- * Which version this is.
+ * Identifies one version of the configuration.
  *
- * @param epoch of the control service that numbered it
- * @param number goes up within an epoch, from 1
- * @param hash of the text, as hex digits (SHA-256)
+ * @param epoch the incarnation of the control service that numbered the version
+ * @param number increases within an epoch, from 1; gaps are allowed
+ * @param hash SHA-256 of the text in hexadecimal
  */
 public record ConfigVersion(Epoch epoch, long number, String hash) {
 
     /**
-     * One life of a control service, between two times at which it was built anew and began to count from 1.
+     * One incarnation of a control service. A service that is rebuilt begins a new epoch and numbers from 1 again.
+     * Epochs are ordered by the time they began and then by identifier, so that all relays prefer the same one.
      *
-     * @param born when, in milliseconds of Unix time: of two, the later holds
-     * @param id tells two apart that were born together; of these the greater holds
+     * @param born when the epoch began, in milliseconds of Unix time; the later epoch supersedes the earlier
+     * @param id distinguishes epochs that began at the same time; the greater supersedes
      */
     public record Epoch(long born, String id) implements Comparable<Epoch> {
+        /** Earlier than any epoch of a control service; for documents that no service has numbered. */
         public static final Epoch NONE = new Epoch(0, "");
 
         @Override
@@ -34,6 +36,7 @@
         }
     }
 
+    /** Returns the SHA-256 of a text in hexadecimal. */
     public static String hash(byte[] text) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(text));
@@ -42,10 +45,17 @@
         }
     }
 
+    /** Returns the SHA-256 of a text's UTF-8 bytes in hexadecimal. */
     public static String hash(String text) {
         return hash(text.getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Whether this version was numbered after the other: by a later epoch, or later in the same one. */
+    boolean isAfter(ConfigVersion other) {
+        int epochOrder = epoch.compareTo(other.epoch);
+        return epochOrder > 0 || (epochOrder == 0 && number > other.number);
+    }
+
     @Override
     public String toString() {
         return epoch + ":" + number;
--- a/src/main/java/gatelock/config/QueuedRequest.java
+++ b/src/main/java/gatelock/config/QueuedRequest.java
@@ -1,10 +1,15 @@
 package gatelock.config;
 
-/** Whoever brought a request, while its limits let it wait. */
+/** Receives the outcome of a request that its limits made wait. Exactly one of the two methods is called, once. */
 public interface QueuedRequest {
-    /** It may go on now. */
+    /** The request's limits admit it now. */
     void passes(long nowUs);
 
-    /** It has waited too long, or another tenant's has taken its place: best after {@code pauseUs}. */
-    void shed(long nowUs, long pauseUs);
+    /**
+     * The request is shed, as it has waited too long or its place in the queue went to another tenant.
+     *
+     * @param nowUs the current time
+     * @param retryAfterUs after how long a new attempt is likely to be admitted
+     */
+    void shed(long nowUs, long retryAfterUs);
 }
--- a/src/main/java/gatelock/config/SessionPolicy.java
+++ b/src/main/java/gatelock/config/SessionPolicy.java
@@ -3,12 +3,12 @@
 import java.util.Set;
 
 /**
- * What is agreed for WebSocket sessions of a route.
+ * The terms of WebSocket sessions on a route.
  *
- * @param messageBytes that one message may have
- * @param idleUs without a message either way, after which a session ends; 0: never
- * @param pingUs between signs of life asked of each side
- * @param framesPerS that a client may send before it counts as a flood
- * @param subprotocols that may be agreed on; empty: none is
+ * @param messageBytes largest size of one message in bytes
+ * @param idleUs time without a message in either direction after which a session is closed, in microseconds; 0: never
+ * @param pingUs time between the pings that are sent to each side, in microseconds
+ * @param framesPerS frames that a client may send in a second before it counts as flooding
+ * @param subprotocols subprotocols that may be negotiated; empty: none
  */
 public record SessionPolicy(int messageBytes, long idleUs, long pingUs, int framesPerS, Set<String> subprotocols) {}
--- a/src/main/java/gatelock/config/StartupQueue.java
+++ b/src/main/java/gatelock/config/StartupQueue.java
@@ -6,41 +6,49 @@
 import java.util.Map;
 
 /**
- * What came before this relay knows its endpoints, in order, each with what is to be done once it may go on. Guards
- * against requests of clients of an earlier life, which come as soon as the relay listens, and that must not go by a list
- * from before the restart. Could harm where a start takes longer than clients wait: those are given up one by one.
+ * Requests that arrive before the relay has its endpoint list, in order of arrival, each with the action that continues
+ * it. Guards against clients that were connected before a restart: their requests come as soon as the relay listens, and
+ * must not be routed by an endpoint list from before the restart. Could do harm where a start takes longer than clients
+ * wait: those requests are given up one by one.
  *
- * @param <T> whatever waits; equal only to itself
+ * @param <T> a waiting request; equal only to itself
  */
 public final class StartupQueue<T> {
-    private final Map<T, Runnable> waiting = new LinkedHashMap<>();
+    private final Map<T, Runnable> continuations = new LinkedHashMap<>();
     private boolean open;
 
-    /** Whether all goes on at once from now on. */
+    /** Whether requests need not wait any more. */
     public boolean isOpen() {
         return open;
     }
 
     /**
-     * One comes; tells how long it may wait. What has waited for half of its time is better given up: its client
-     * may find another relay in the other half, and a refusal later than that has a price of its own.
+     * Adds a request.
+     *
+     * @param nowUs the current time
+     * @param deadlineUs the request's deadline
+     * @param request the request
+     * @param continuation runs when the queue opens
+     * @return how long the request may wait, in microseconds: half of its remaining time. After that it is better given
+     *     up, so that its client can try another relay in the other half; a later rejection would cost the client its
+     *     deadline.
      */
-    public long come(long nowUs, long endUs, T what, Runnable goesOn) {
-        waiting.put(what, goesOn);
-        return Math.max(0, endUs - nowUs) / 2;
+    public long come(long nowUs, long deadlineUs, T request, Runnable continuation) {
+        continuations.put(request, continuation);
+        return Math.max(0, deadlineUs - nowUs) / 2;
     }
 
-    /** It waits no more, as it is given up or has left; tells whether it did until now. */
-    public boolean leave(T what) {
-        return waiting.remove(what) != null;
+    /** Removes a request that is given up or whose client left; returns whether it was still waiting. */
+    public boolean leave(T request) {
+        return continuations.remove(request) != null;
     }
 
-    /** All go on, now and from now on; tells how many had waited. */
+    /** Opens the queue for good and continues all waiting requests; returns how many there were. */
     public int open() {
         open = true;
-        List<Runnable> all = new ArrayList<>(waiting.values());
-        waiting.clear();
-        all.forEach(Runnable::run);
-        return all.size();
+        List<Runnable> pending = new ArrayList<>(continuations.values());
+        continuations.clear();
+        pending.forEach(Runnable::run);
+        return pending.size();
     }
 }
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -3,197 +3,226 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
+import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * Which versions follow one another: what a version that has come is to be met with, which is in force, which
- * one is
- * to be told to the control service as held, and what may be gone back to. It knows texts only by their hash;
- * compiling
- * is the caller's.
+ * Decides on the succession of configuration versions: what to do with a version that is offered, which one is active,
+ * which one the control service is told as accepted, and to which ones the operator can roll back. Versions are
+ * identified by epoch, number and hash; compiling them is the caller's task.
  *
- * <p>Numbers go up within an epoch. An epoch that is later than the one held is a control service built anew,
- * an
- * earlier one an old copy that came back: it is turned down. Of two texts with one number of one epoch the
- * one
- * held stays.
+ * <p>Numbers increase within an epoch. A later epoch is a control service that was rebuilt, and it takes over whatever
+ * its numbers; an earlier epoch is an old copy of the service that came back, and its versions are rejected. A number's
+ * text never changes: when the same number comes with another text, the accepted one stays.
  */
 public final class VersionTracker {
-    /** Refused texts are remembered, so that the same one again is neither compiled nor logged. */
-    private static final int MOST_REFUSED = 64;
-    /** Of all texts kept to go back to; two are kept whatever their size. */
-    private static final long MOST_PAST_BYTES = 16 << 20;
-
-    /** What to do with a version that has come. */
+    /** How many rejected texts are remembered by hash, so that the same text is neither compiled nor logged again. */
+    private static final int MAX_REMEMBERED_REJECTIONS = 64;
+    /** Bound on the bytes of all texts in the history; two versions are kept whatever their size. */
+    private static final long MAX_HISTORY_BYTES = 16 << 20;
+    /** The versions that are kept whatever their size: the active one and the one before it. */
+    private static final int MIN_HISTORY = 2;
+
+    /** What to do with an offered version. The names appear in the log and in the status, in lower case. */
     public enum Meeting {
-        /** Compile it; then {@link #good} or {@link #bad}. */
+        /** Compile it, then report the result with {@link #good} or {@link #bad}. */
         COMPILE,
-        /** It is the one held: told again that it is. */
+        /** It is the latest accepted version: acknowledge it again. */
         HELD,
-        /** Older than the one held: not applied. */
+        /** It is older than the latest accepted version: do not apply it. */
         OLDER,
-        /** Of an epoch before the one held: an old copy of the control service. */
+        /** It is from an earlier epoch than the latest accepted version: an old copy of the control service. */
         OLD_EPOCH,
-        /** Another text under the number of the one held. */
+        /** It has the number of the latest accepted version and another text. */
         FORK,
-        /** This text was turned down before: turned down again, and nothing else is done. */
+        /** The same text was rejected before: reject it again, without compiling or logging. */
         REFUSED_BEFORE,
-        /** The operator keeps an earlier version in force. */
+        /** The operator has pinned an earlier version. */
         PINNED
     }
 
-    /** One version that was in force: since when, from where, whose it is and why it was made. */
+    /**
+     * One activation of a version.
+     *
+     * @param stamp the version
+     * @param sinceUs when it was activated, in microseconds of the caller's clock
+     * @param why the source or reason of the activation, for a person
+     * @param by the author that the version's text names
+     * @param note the author's note in the version's text
+     * @param text the version's text, shared and not to be changed
+     */
+    @SuppressWarnings("ArrayRecordComponent") // Entries are never compared, and texts are too large to copy.
     public record Past(ConfigVersion stamp, long sinceUs, String why, String by, String note, byte[] text) {}
 
-    private final Map<String, List<Diagnostic>> refused = new LinkedHashMap<>(16, 0.75f, true) {
+    /** Findings of rejected texts by their hash; the least recently used is dropped first. */
+    private final Map<String, List<Diagnostic>> rejectedByHash = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, List<Diagnostic>> eldest) {
-            return size() > MOST_REFUSED;
+            return size() > MAX_REMEMBERED_REJECTIONS;
         }
     };
-    private final Deque<Past> past = new ArrayDeque<>();
-    private final int mostPast;
-    private long pastBytes;
-    /** The latest that was good, whether in force or not: what the control service is told as held. */
-    private ConfigVersion held;
 
-    private ConfigVersion inForce;
+    private final Deque<Past> history = new ArrayDeque<>();
+    private final int maxHistory;
+    private long historyBytes;
+    /** The latest version that compiled, active or not: the control service is told this one. */
+    private ConfigVersion latestAccepted;
+
+    private ConfigVersion active;
     private boolean pinned;
-    private long refusals;
-    private final Map<Meeting, Long> met = new java.util.EnumMap<>(Meeting.class);
+    private long rejections;
+    private final Map<Meeting, Long> offersByOutcome = new EnumMap<>(Meeting.class);
 
-    /** @param mostPast versions that were in force, kept to go back to */
-    public VersionTracker(int mostPast) {
-        this.mostPast = Math.max(1, mostPast);
+    /**
+     * Creates a tracker without any version.
+     *
+     * @param maxHistory how many activations are kept to roll back to; at least 1
+     */
+    public VersionTracker(int maxHistory) {
+        this.maxHistory = Math.max(1, maxHistory);
     }
 
-    /** A version has come: what to do with it. */
-    public Meeting offered(ConfigVersion stamp) {
-        Meeting meeting = meet(stamp);
-        met.merge(meeting, 1L, Long::sum);
-        return meeting;
+    /** Decides what to do with an offered version, and counts the decision. */
+    public Meeting offered(ConfigVersion version) {
+        Meeting outcome = evaluate(version);
+        offersByOutcome.merge(outcome, 1L, Long::sum);
+        return outcome;
     }
 
-    private Meeting meet(ConfigVersion stamp) {
-        if (held != null) {
-            int epoch = stamp.epoch().compareTo(held.epoch());
-            if (epoch < 0) {
+    private Meeting evaluate(ConfigVersion version) {
+        if (latestAccepted != null) {
+            int epochOrder = version.epoch().compareTo(latestAccepted.epoch());
+            if (epochOrder < 0) {
                 return Meeting.OLD_EPOCH;
             }
-            if (epoch == 0 && stamp.number() < held.number()) {
+            if (epochOrder == 0 && version.number() < latestAccepted.number()) {
                 return Meeting.OLDER;
             }
-            if (epoch == 0 && stamp.number() == held.number()) {
-                return stamp.hash().equals(held.hash()) ? Meeting.HELD : Meeting.FORK;
+            if (epochOrder == 0 && version.number() == latestAccepted.number()) {
+                return version.hash().equals(latestAccepted.hash()) ? Meeting.HELD : Meeting.FORK;
             }
         }
-        if (refused.containsKey(stamp.hash())) {
-            refusals++;
+        if (rejectedByHash.containsKey(version.hash())) {
+            rejections++;
             return Meeting.REFUSED_BEFORE;
         }
         return pinned ? Meeting.PINNED : Meeting.COMPILE;
     }
 
     /**
-     * It was good and is in force from now on. False where a later one came in force while it was compiled:
-     * then it is
-     * not.
+     * Accepts a version that compiled and makes it active.
+     *
+     * @param nowUs the time of the activation
+     * @param config the compiled version
+     * @param reason the source or reason of the activation, for a person
+     * @param text the version's text
+     * @return false, with nothing changed, if a later version was accepted or the operator pinned one while this one
+     *     was compiled
      */
-    public boolean good(long nowUs, CompiledConfig plan, String why, byte[] text) {
-        ConfigVersion stamp = plan.stamp();
-        if (held != null
-                        && (stamp.epoch().compareTo(held.epoch()) < 0
-                                || stamp.epoch().equals(held.epoch()) && stamp.number() <= held.number())
-                || pinned) {
+    public boolean good(long nowUs, CompiledConfig config, String reason, byte[] text) {
+        ConfigVersion version = config.stamp();
+        boolean superseded = latestAccepted != null && !version.isAfter(latestAccepted);
+        if (superseded || pinned) {
             return false;
         }
-        held = stamp;
-        inForce(new Past(stamp, nowUs, why, plan.by(), plan.note(), text));
+        latestAccepted = version;
+        activate(new Past(version, nowUs, reason, config.by(), config.note(), text));
         return true;
     }
 
-    private void inForce(Past now) {
-        inForce = now.stamp();
-        past.addLast(now);
-        pastBytes += now.text().length;
-        while (past.size() > mostPast || past.size() > 2 && pastBytes > MOST_PAST_BYTES) {
-            pastBytes -= past.removeFirst().text().length;
+    private void activate(Past entry) {
+        active = entry.stamp();
+        history.addLast(entry);
+        historyBytes += entry.text().length;
+        while (history.size() > maxHistory || (history.size() > MIN_HISTORY && historyBytes > MAX_HISTORY_BYTES)) {
+            historyBytes -= history.removeFirst().text().length;
         }
     }
 
     /**
-     * It was turned down. What is a danger only beside the version in force may be offered again: it is not
-     * kept.
+     * Rejects a version.
+     *
+     * @param version the version that was offered
+     * @param findings why it is rejected
+     * @param permanent whether the text is wrong by itself and is remembered as rejected; false where it is only a
+     *     danger beside the active version, and may be fine a minute later
      */
-    public void bad(ConfigVersion stamp, List<Diagnostic> findings, boolean always) {
-        refusals++;
-        if (always) {
-            refused.put(stamp.hash(), findings);
+    public void bad(ConfigVersion version, List<Diagnostic> findings, boolean permanent) {
+        rejections++;
+        if (permanent) {
+            rejectedByHash.put(version.hash(), findings);
         }
     }
 
-    /** Why a text was turned down before. */
+    /** Returns why the text with that hash was rejected, or an empty list if it is not remembered as rejected. */
     public List<Diagnostic> refused(String hash) {
-        return refused.getOrDefault(hash, List.of());
+        return rejectedByHash.getOrDefault(hash, List.of());
     }
 
-    /** The latest good version that this relay has had, or null. */
+    /** Returns the latest version that was accepted, active or not, or null before there was one. */
     public ConfigVersion held() {
-        return held;
+        return latestAccepted;
     }
 
+    /** Returns the active version, or null before there was one. */
     public ConfigVersion inForce() {
-        return inForce;
+        return active;
     }
 
+    /** Whether the operator has pinned a version. */
     public boolean pinned() {
         return pinned;
     }
 
+    /** Returns how many offers were rejected, repeated ones included. */
     public long refusals() {
-        return refusals;
+        return rejections;
     }
 
-    /** How often versions were met in each way. */
+    /** Returns how many offers had each outcome; outcomes that never occurred are missing. */
     public Map<Meeting, Long> met() {
-        return met;
+        return offersByOutcome;
     }
 
-    /** What was in force, the earliest first. */
+    /** Returns the activations that are kept, the earliest first. */
     public List<Past> history() {
-        return new ArrayList<>(past);
+        return new ArrayList<>(history);
     }
 
-    /** The latest text of that number that was in force, in the epoch held or any before; or null. */
+    /** Returns the latest activation of a version with that number, of whatever epoch, or null if none is kept. */
     public Past past(long number) {
-        Past found = null;
-        for (Past p : past) {
-            found = p.stamp().number() == number ? p : found;
+        Past latest = null;
+        for (Past entry : history) {
+            if (entry.stamp().number() == number) {
+                latest = entry;
+            }
         }
-        return found;
+        return latest;
     }
 
     /**
-     * The operator goes back to an earlier version and keeps it, whatever the control service sends, until
-     * released.
+     * Rolls back to an earlier version and pins it: whatever the control service sends is not applied until {@link
+     * #release}.
+     *
+     * @param nowUs the time of the activation
+     * @param entry the activation to go back to
+     * @param reason the operator's reason
      */
-    public void pin(long nowUs, Past to, String why) {
+    public void pin(long nowUs, Past entry, String reason) {
         pinned = true;
-        inForce(new Past(to.stamp(), nowUs, why, to.by(), to.note(), to.text()));
+        activate(new Past(entry.stamp(), nowUs, reason, entry.by(), entry.note(), entry.text()));
     }
 
-    /** The operator lets the control service lead again: its latest version may come once more. */
+    /** Unpins: the control service's versions are applied again, and its latest one is asked for once more. */
     public void release() {
         pinned = false;
-        // What was good once may be asked for again.
-        held = inForce != null && held != null && !inForce.equals(held) ? before(held) : held;
-    }
-
-    private static ConfigVersion before(ConfigVersion stamp) {
-        return new ConfigVersion(stamp.epoch(), stamp.number() - 1, "");
+        if (active != null && latestAccepted != null && !active.equals(latestAccepted)) {
+            // Naming the version before it makes the control service send the one that was rolled back from again.
+            latestAccepted = new ConfigVersion(latestAccepted.epoch(), latestAccepted.number() - 1, "");
+        }
     }
 }
--- a/src/test/java/gatelock/config/StartupQueueTest.java
+++ b/src/test/java/gatelock/config/StartupQueueTest.java
@@ -6,32 +6,32 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What comes before the list is known. */
+/** Requests that arrive before the endpoint list is known. */
 final class StartupQueueTest {
-    private final StartupQueue<String> arrivals = new StartupQueue<>();
-    private final List<String> gone = new ArrayList<>();
+    private final StartupQueue<String> queue = new StartupQueue<>();
+    private final List<String> continued = new ArrayList<>();
 
-    private long come(String what, long endUs) {
-        return arrivals.come(1_000, endUs, what, () -> gone.add(what));
+    private long add(String request, long deadlineUs) {
+        return queue.come(1_000, deadlineUs, request, () -> continued.add(request));
     }
 
     @Test
-    void allGoOnOnceInTheOrderInWhichTheyCame() {
-        come("a", 9_000);
-        come("b", 2_000);
-        come("c", 5_000);
-        assertThat(arrivals.leave("b")).isTrue();
-        assertThat(arrivals.leave("b")).isFalse();
-        assertThat(arrivals.open()).isEqualTo(2);
-        assertThat(gone).containsExactly("a", "c");
-        assertThat(arrivals.isOpen()).isTrue();
-        assertThat(arrivals.leave("a")).isFalse();
-        assertThat(arrivals.open()).isZero();
+    void allContinueOnceInOrderOfArrival() {
+        add("a", 9_000);
+        add("b", 2_000);
+        add("c", 5_000);
+        assertThat(queue.leave("b")).isTrue();
+        assertThat(queue.leave("b")).isFalse();
+        assertThat(queue.open()).isEqualTo(2);
+        assertThat(continued).containsExactly("a", "c");
+        assertThat(queue.isOpen()).isTrue();
+        assertThat(queue.leave("a")).isFalse();
+        assertThat(queue.open()).isZero();
     }
 
     @Test
-    void eachWaitsForHalfOfItsOwnTime() {
-        assertThat(come("a", 9_000)).isEqualTo(4_000);
-        assertThat(come("past", 500)).isZero();
+    void eachMayWaitForHalfOfItsRemainingTime() {
+        assertThat(add("a", 9_000)).isEqualTo(4_000);
+        assertThat(add("past its deadline", 500)).isZero();
     }
 }
