--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -12,297 +12,259 @@
 import java.util.TreeMap;
 
 /**
- * What the plan in force means for each request: its entry, its limits, the endpoints it may reach, its further
- * tries. A request
- * ends under the plan that took it; what limits and budgets have counted goes on from plan to plan. One
- * thread calls
- * it.
+ * Applies the active configuration version to requests: their route, their limits, the endpoints they may reach and the
+ * retries they may have. A request is finished under the version that matched it; what limits and retry budgets have
+ * counted carries over from version to version. Used by one thread.
  */
 public final class Admission {
-    /** Traffic of a route is remembered so long. */
-    private static final double TRAFFIC_US = 60e6;
-    /** So much of it counts as traffic: about one request in the last minute. */
-    private static final double SOME_TRAFFIC = 0.3;
-    /** retries are had at once, beyond the budget's share. */
-    private static final double FREE_TRIES = 3;
-
-    private static final double BUDGET_US = 10e6;
-
-    private final RequestLimiter limits = new RequestLimiter();
-    private final PoolMembership muster = new PoolMembership();
-    private final Map<String, Budget> budgets = new HashMap<>();
-    /** By route; bounded by the routes of the plan in force and those left a minute ago. */
-    private final Map<String, Rate> traffic = new HashMap<>();
-
-    private final double mostDropped;
-    private CompiledConfig plan;
-    private long unmatched;
-
-    /** @param mostDropped of all ready endpoints that routes reach, the share that one version may stop using */
-    public Admission(double mostDropped) {
-        this.mostDropped = mostDropped;
-    }
-
-    /** A count that fades. */
-    private static final class Rate {
-        private double count;
-        private long atUs;
-
-        private double read(long nowUs, double memoryUs) {
-            if (nowUs > atUs) {
-                count *= Math.exp((atUs - nowUs) / memoryUs);
-                atUs = nowUs;
-            }
-            return count;
-        }
-
-        private void add(long nowUs, double memoryUs) {
-            count = read(nowUs, memoryUs) + 1;
-        }
-    }
+    /** The status for a path that an endpoint may read as another path. */
+    private static final int BAD_REQUEST = 400;
+    /** The status for a request without a route, if the version rejects such requests. */
+    private static final int NOT_FOUND = 404;
+
+    private final RequestLimiter limiter = new RequestLimiter();
+    private final PoolMembership membership = new PoolMembership();
+    private final Map<String, RetryBudget> retryBudgets = new HashMap<>();
+    private final ConfigChangeGuard changeGuard;
+    private CompiledConfig active;
+    private long unmatchedRequests;
 
-    /** retries that a policy has had, beside its requests; goes on while its name stays. */
-    private static final class Budget {
-        private final Rate requests = new Rate();
-        private final Rate further = new Rate();
+    /**
+     * Creates an admission without an active version.
+     *
+     * @param maxDroppedShare of the ready endpoints that routes reach, the share that one version may stop using
+     */
+    public Admission(double maxDroppedShare) {
+        changeGuard = new ConfigChangeGuard(maxDroppedShare);
     }
 
-    /** Where a request leads. */
+    /** The route that a request matches, with the version in which it was found. */
     public static final class Way {
-        private final CompiledConfig plan;
-        private final RouteEntry entry;
+        private final CompiledConfig config;
+        private final RouteEntry route;
 
-        private Way(CompiledConfig plan, RouteEntry entry) {
-            this.plan = plan;
-            this.entry = entry;
+        private Way(CompiledConfig config, RouteEntry route) {
+            this.config = config;
+            this.route = route;
         }
 
+        /** Returns the index of the request class whose policy applies. */
         public int classNo() {
-            return entry.classNo();
+            return route.classIndex();
         }
 
+        /** Returns the name of the route. */
         public String route() {
-            return entry.name();
+            return route.name();
         }
 
-        /** What is agreed for WebSocket sessions there, or null: none are. */
+        /** Returns the terms of WebSocket sessions on the route, or null if it has none. */
         public SessionPolicy sessions() {
-            return entry.sessions();
+            return route.sessionPolicy();
         }
     }
 
-    /** A request under the plan that took it. */
+    /** A request under the version that matched it: its place in the limits, and the constraints on its attempts. */
     public final class Pass implements RequestConstraints {
-        private final Way way;
+        private final Way matched;
+        /** The pool that serves the request, chosen when it came; null: all endpoints. */
         private final String pool;
-        private final RetryPolicy retries;
-        private final Budget budget;
-        private RequestLimiter.Ticket ticket;
-        private long pauseUs;
-
-        private Pass(long nowUs, Way way) {
-            this.way = way;
-            this.pool = way.entry.pool() == null ? null : muster.serving(nowUs, way.entry.pool());
-            this.retries = way.plan.retries(way.entry, pool);
-            this.budget = budgets.computeIfAbsent(retries.name(), n -> new Budget());
-            budget.requests.add(nowUs, BUDGET_US);
+
+        private final RetryPolicy retryPolicy;
+        private final RetryBudget retryBudget;
+        /** Set once, by {@link Admission#ask}. */
+        private RequestLimiter.Decision decision;
+
+        private Pass(long nowUs, Way matched) {
+            this.matched = matched;
+            String configuredPool = matched.route.pool();
+            pool = configuredPool == null ? null : membership.servingPool(nowUs, configuredPool);
+            retryPolicy = matched.config.retryPolicy(matched.route, pool);
+            retryBudget = retryBudgets.computeIfAbsent(retryPolicy.name(), name -> new RetryBudget());
+            retryBudget.recordRequest(nowUs);
         }
 
-        /** It was shed, and may come back after {@link #pauseUs}. */
+        /** Whether the request was shed at once; {@link #pauseUs} says when it may come back. */
         public boolean shed() {
-            return pauseUs > 0;
+            return decision.outcome() == RequestLimiter.Outcome.SHED;
         }
 
+        /** Returns after how long a request that was shed may come back, in microseconds; otherwise 0. */
         public long pauseUs() {
-            return pauseUs;
+            return decision.retryAfterUs();
         }
 
-        /** It waits for its limits. */
+        /** Whether the request waits in the queue of a limit. */
         public boolean waits() {
-            return ticket != null && ticket.waits();
+            return decision.ticket() != null && decision.ticket().isQueued();
         }
 
+        /** Returns the name of the route. */
         public String route() {
-            return way.entry.name();
+            return matched.route.name();
         }
 
+        /** Returns the version that matched the request. */
         public ConfigVersion stamp() {
-            return way.plan.stamp();
+            return matched.config.stamp();
         }
 
-        /** It is answered, or its client left. */
+        /** Frees the request's part of its limits, as it is answered or its client left. */
         public void over(long nowUs) {
-            if (ticket != null) {
-                ticket.over(nowUs);
+            if (decision.ticket() != null) {
+                decision.ticket().release(nowUs);
             }
         }
 
         /**
-         * Its pool may be another one's fallback by now, or gone with its plan: the one it was taken for
-         * holds.
+         * Whether the endpoint belongs to the pool that was chosen when the request came. That pool stays, although it
+         * may by now have given way to its fallback, or be missing in the active version.
          */
         @Override
         public boolean reaches(String endpoint) {
-            return pool == null
-                    || (way.plan == plan
-                            ? muster.stands(pool, endpoint)
-                            : muster.selects(way.plan.pools().get(pool), endpoint));
+            if (pool == null) {
+                return true;
+            }
+            return matched.config == active
+                    ? membership.contains(pool, endpoint)
+                    : membership.matches(matched.config.pools().get(pool), endpoint);
         }
 
         @Override
         public int mostAttempts() {
-            return retries.most();
+            return retryPolicy.maxAttempts();
         }
 
         @Override
         public long attemptUs() {
-            return retries.attemptUs();
+            return retryPolicy.attemptTimeoutUs();
         }
 
         @Override
         public boolean goesOn(long nowUs, AttemptResult last) {
-            if (!retries.after().contains(last)) {
-                return false;
-            }
-            boolean within = budget.further.read(nowUs, BUDGET_US)
-                    < FREE_TRIES + retries.budget() * budget.requests.read(nowUs, BUDGET_US);
-            if (within) {
-                budget.further.add(nowUs, BUDGET_US);
-            }
-            return within;
+            return retryPolicy.retryableResults().contains(last)
+                    && retryBudget.tryAcquire(nowUs, retryPolicy.budgetRatio());
         }
     }
 
-    /** The plan in force, or null before there was one. */
+    /** Returns the active version, or null before there was one. */
     public CompiledConfig plan() {
-        return plan;
+        return active;
     }
 
-    /** Where a request leads; null: no entry is for it. */
-    public Way way(RequestAttributes asked) {
-        RouteEntry entry = plan == null ? null : plan.entry(asked);
-        return entry == null ? null : new Way(plan, entry);
+    /** Returns the route that a request matches in the active version, or null if there is none. */
+    public Way way(RequestAttributes request) {
+        RouteEntry route = active == null ? null : active.findRoute(request);
+        return route == null ? null : new Way(active, route);
     }
 
     /**
-     * 0, or the status with which a request is turned away whatever its class: an endpoint may read its path as
-     * another's, or
-     * no entry is for it and the plan refuses such.
+     * Returns the status with which a request is rejected whatever its class, or 0: 400 for a path that an endpoint may
+     * read as another one, 404 for a request that matches no route if the version rejects such. Needs an active version.
+     *
+     * @param request the request
+     * @param matched what {@link #way} returned for it
      */
-    public int refusal(RequestAttributes asked, Way way) {
-        unmatched += way == null ? 1 : 0;
-        return RouteMatch.odd(asked.path()) ? 400 : way == null && plan.refusesUnmatched() ? 404 : 0;
+    public int refusal(RequestAttributes request, Way matched) {
+        if (matched == null) {
+            unmatchedRequests++;
+        }
+        if (RouteMatch.isAmbiguousPath(request.path())) {
+            return BAD_REQUEST;
+        }
+        return matched == null && active.rejectsUnmatched() ? NOT_FOUND : 0;
     }
 
-    /** A request that is whole asks to be taken: it passes, waits or is shed at once. */
-    public Pass ask(long nowUs, Way way, int tenant, long endUs, QueuedRequest waiting) {
-        traffic.computeIfAbsent(way.entry.name(), n -> new Rate()).add(nowUs, TRAFFIC_US);
-        // It may have been matched before another version came in force; it goes on by the one it was matched
-        // by.
-        Pass pass = new Pass(nowUs, way);
-        RequestLimiter.Told told = limits.ask(nowUs, current(way), way.entry.name(), tenant, endUs, waiting);
-        pass.ticket = told.ticket();
-        pass.pauseUs = told.answer() == RequestLimiter.Answer.SHED ? told.pauseUs() : 0;
+    /**
+     * Submits a complete request to its limits: it is admitted, waits or is shed at once. Another version may have
+     * become active since it was matched; it goes on under the one by which it was matched.
+     *
+     * @param nowUs the current time
+     * @param matched the request's route
+     * @param tenant index of its tenant
+     * @param deadlineUs its deadline
+     * @param request is notified of the outcome if the request waits
+     */
+    public Pass ask(long nowUs, Way matched, int tenant, long deadlineUs, QueuedRequest request) {
+        changeGuard.recordRequest(nowUs, matched.route.name());
+        Pass pass = new Pass(nowUs, matched);
+        pass.decision = limiter.admit(nowUs, currentLimits(matched), matched.route.name(), tenant, deadlineUs, request);
         return pass;
     }
 
-    /** A limit's terms are those in force, also for a request matched by the version before. */
-    private List<LimitPolicy> current(Way way) {
-        if (way.plan == plan) {
-            return way.entry.limits();
+    /** A limit applies with the active version's figures, also to a request that an earlier version matched. */
+    private List<LimitPolicy> currentLimits(Way matched) {
+        if (matched.config == active) {
+            return matched.route.limits();
         }
-        return way.entry.limits().stream()
-                .map(l -> {
-                    LimitPolicy now = plan.limits().get(l.name());
-                    return now != null && now.per() == l.per() ? now : l;
-                })
-                .toList();
+        List<LimitPolicy> limits = new ArrayList<>();
+        for (LimitPolicy matchedLimit : matched.route.limits()) {
+            LimitPolicy current = active.limits().get(matchedLimit.name());
+            boolean sameScope = current != null && current.scope() == matchedLimit.scope();
+            limits.add(sameScope ? current : matchedLimit);
+        }
+        return limits;
     }
 
-    /** To be called when {@link #nextUs} says. */
+    /** Admits and sheds requests that wait for their limits; to be called at {@link #nextUs}. */
     public void due(long nowUs) {
-        limits.due(nowUs);
+        limiter.processQueues(nowUs);
     }
 
-    /** When {@link #due} is to be called next, or {@code Long.MAX_VALUE}. */
+    /** Returns when {@link #due} is to be called next, or {@code Long.MAX_VALUE} if nothing waits. */
     public long nextUs(long nowUs) {
-        return limits.nextUs(nowUs);
+        return limiter.nextDueUs(nowUs);
     }
 
-    /** The list of endpoints, or a part of it; {@code labels} that endpoints bear, by endpoint. */
+    /**
+     * Applies the endpoint list or a change of it to the pools.
+     *
+     * @param nowUs the current time
+     * @param form whether {@code entries} is the list or a change
+     * @param entries endpoints
+     * @param labels labels of the endpoints that have any, by endpoint name
+     */
     public void listed(
             long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
-        muster.listed(nowUs, form, entries, labels);
+        membership.updateEndpoints(nowUs, form, entries, labels);
     }
 
-    /**
-     * What makes a plan that is sound by itself a danger beside the one in force. Guards against a version
-     * made from an
-     * old or cut copy, which is the most that goes wrong with configurations that are well formed. Should
-     * hold
-     * whatever was lost; harms an operator who means it, who says so under removes, or does it in two steps.
-     */
+    /** Returns errors for what makes a version that is correct by itself a danger beside the active one. */
     public List<Diagnostic> beside(long nowUs, CompiledConfig next) {
-        List<Diagnostic> findings = new ArrayList<>();
-        if (plan == null) {
-            return findings;
-        }
-        for (Map.Entry<String, Rate> e : new TreeMap<>(traffic).entrySet()) {
-            if (plan.entries().containsKey(e.getKey())
-                    && !next.entries().containsKey(e.getKey())
-                    && !next.removes().contains(e.getKey())
-                    && e.getValue().read(nowUs, TRAFFIC_US) >= SOME_TRAFFIC) {
-                findings.add(new Diagnostic(
-                        "B-TRAFFIC",
-                        true,
-                        "/routes",
-                        0,
-                        0,
-                        "route " + e.getKey() + " is gone, and had reqs in the last minute",
-                        "name it under removes, or put it back"));
-            }
-        }
-        int[] endpoints = muster.reachedAndNot(plan, next);
-        if (endpoints[1] > mostDropped * endpoints[0]) {
-            findings.add(new Diagnostic(
-                    "B-UNITS",
-                    true,
-                    "/pools",
-                    0,
-                    0,
-                    endpoints[1] + " of " + endpoints[0] + " units that routes reach would get no reqs any more",
-                    "do it in steps of less than " + Math.round(mostDropped * 100) + "%, or mend the pools"));
-        }
-        return findings;
+        return active == null ? List.of() : changeGuard.check(nowUs, active, next, membership);
     }
 
-    /** From now on this plan is in force. */
+    /** Makes a version active. */
     public void follow(long nowUs, CompiledConfig next) {
-        plan = next;
-        muster.follow(nowUs, next);
-        limits.follow(nowUs, next.limits());
-        traffic.keySet().removeIf(n -> !next.entries().containsKey(n));
-        // Those still held by requests of the version before go on there until these end.
-        budgets.keySet().retainAll(next.policies());
+        active = next;
+        membership.activate(nowUs, next);
+        limiter.applyPolicies(nowUs, next.limits());
+        changeGuard.activate(next);
+        // Requests of earlier versions keep their reference to a budget that is dropped here.
+        retryBudgets.keySet().retainAll(next.retryPolicyNames());
     }
 
-    /** For the operator: what waits, what is in flight by limit, which pools serve in place of others. */
+    /** Returns figures for the operator's status: what waits, what is in flight by limit, and which pools serve. */
     public Map<String, Object> state(long nowUs) {
         Map<String, Object> state = new LinkedHashMap<>();
-        state.put("waiting", limits.waiting());
-        state.put("counts", limits.size());
-        state.put("unmatched", unmatched);
-        if (plan != null) {
+        state.put("waiting", limiter.queuedCount());
+        state.put("counts", limiter.bucketCount());
+        state.put("unmatched", unmatchedRequests);
+        if (active != null) {
             Map<String, Object> inFlight = new TreeMap<>();
-            plan.limits().keySet().forEach(n -> inFlight.put(n, limits.inFlight(n)));
+            active.limits().keySet().forEach(name -> inFlight.put(name, limiter.inFlight(name)));
             state.put("inFlight", inFlight);
             Map<String, Object> pools = new TreeMap<>();
-            plan.pools()
-                    .keySet()
-                    .forEach(
-                            n -> pools.put(n, Map.of("ready", muster.ready(n), "served by", muster.serving(nowUs, n))));
+            active.pools().keySet().forEach(name -> pools.put(name, poolState(nowUs, name)));
             state.put("pools", pools);
         }
         return state;
     }
+
+    private Map<String, Object> poolState(long nowUs, String pool) {
+        Map<String, Object> state = new LinkedHashMap<>();
+        state.put("ready", membership.readyCount(pool));
+        state.put("served by", membership.servingPool(nowUs, pool));
+        return state;
+    }
 }
--- a/src/main/java/gatelock/config/CompiledConfig.java
+++ b/src/main/java/gatelock/config/CompiledConfig.java
@@ -5,124 +5,147 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 
-/** A version made ready for use. It never changes; a request ends under the one that took it. */
+/** A version compiled for use. Immutable: a request is finished under the version that matched it. */
 public final class CompiledConfig {
-    private final ConfigVersion stamp;
-    private final String by;
+    private final ConfigVersion version;
+    private final String author;
     private final String note;
-    private final boolean refusesUnmatched;
-    private final Map<String, RouteEntry> entries = new LinkedHashMap<>();
+    private final boolean rejectsUnmatched;
+    private final List<RouteEntry> routes;
+    private final Map<String, RouteEntry> routesByName = new LinkedHashMap<>();
+    private final RouteTable<RouteEntry> routeTable;
     private final Map<String, Pool> pools;
-    private final Map<String, RetryPolicy> poolRetries;
-    private final RetryPolicy defaultRetries;
+    private final Map<String, RetryPolicy> poolRetryPolicies;
+    private final RetryPolicy defaultRetryPolicy;
     private final Map<String, LimitPolicy> limits;
-    private final Collection<String> removes;
-    private final List<RouteEntry> byPlace;
-    private final RouteTable<RouteEntry> table;
-    private final Map<String, List<String>> chains = new HashMap<>();
-    /** Ways to choose endpoints that differ; many pools may share one. */
+    private final Collection<String> removedRoutes;
+    private final Map<String, List<String>> fallbackChains = new HashMap<>();
+    /** The distinct selection criteria of all pools; many pools may share one. */
     private final List<Pool> selectors = new ArrayList<>();
 
-    private final Map<String, Integer> selectorOf = new HashMap<>();
-    private final List<Pool> reaching = new ArrayList<>();
-    private final boolean reachesAll;
-    private final Set<String> policies = new HashSet<>();
+    private final Map<String, Integer> selectorIndexByPool = new HashMap<>();
+    /** The selectors of pools that some route reaches. */
+    private final List<Pool> reachableSelectors = new ArrayList<>();
+
+    private final boolean reachesAllEndpoints;
+    private final Set<String> retryPolicyNames = new HashSet<>();
 
     CompiledConfig(
-            ConfigVersion stamp,
-            String by,
+            ConfigVersion version,
+            String author,
             String note,
-            boolean refusesUnmatched,
+            boolean rejectsUnmatched,
             List<RouteEntry> routes,
             Map<String, Pool> pools,
-            Map<String, RetryPolicy> poolRetries,
-            RetryPolicy defaultRetries,
+            Map<String, RetryPolicy> poolRetryPolicies,
+            RetryPolicy defaultRetryPolicy,
             Map<String, LimitPolicy> limits,
-            Collection<String> removes) {
-        this.stamp = stamp;
-        this.by = by;
+            Collection<String> removedRoutes) {
+        this.version = version;
+        this.author = author;
         this.note = note;
-        this.refusesUnmatched = refusesUnmatched;
+        this.rejectsUnmatched = rejectsUnmatched;
+        this.routes = List.copyOf(routes);
         this.pools = pools;
-        this.poolRetries = poolRetries;
-        this.defaultRetries = defaultRetries;
+        this.poolRetryPolicies = poolRetryPolicies;
+        this.defaultRetryPolicy = defaultRetryPolicy;
         this.limits = limits;
-        this.removes = removes;
-        this.byPlace = List.copyOf(routes);
-        List<RouteMatch> matches = new ArrayList<>(routes.size());
-        for (RouteEntry e : routes) {
-            entries.put(e.name(), e);
-            matches.add(e.match());
+        this.removedRoutes = removedRoutes;
+        for (RouteEntry route : routes) {
+            routesByName.put(route.name(), route);
         }
-        table = new RouteTable<>(matches, routes);
-        Map<Pool, Integer> alike = new HashMap<>();
-        pools.values().forEach(p -> {
-            chains.put(p.name(), chainFrom(p.name()));
-            selectorOf.put(p.name(), alike.computeIfAbsent(p.bare(), b -> {
-                selectors.add(b);
-                return selectors.size() - 1;
-            }));
-        });
-        Set<String> reachingPools = new HashSet<>();
-        boolean all = !refusesUnmatched;
-        for (RouteEntry e : routes) {
-            all |= e.pool() == null;
-            policies.add(retries(e, null).name());
-            for (String pool : chain(e.pool())) {
-                reachingPools.add(pool);
-                policies.add(retries(e, pool).name());
+        routeTable = new RouteTable<>(routes.stream().map(RouteEntry::match).toList(), routes);
+        indexPools();
+        reachesAllEndpoints = !rejectsUnmatched || routes.stream().anyMatch(route -> route.pool() == null);
+        indexReachable();
+    }
+
+    private void indexPools() {
+        Map<Pool, Integer> indexBySelector = new HashMap<>();
+        for (Pool pool : pools.values()) {
+            fallbackChains.put(pool.name(), followFallbacks(pool.name()));
+            Pool selector = pool.selector();
+            Integer index = indexBySelector.get(selector);
+            if (index == null) {
+                index = selectors.size();
+                selectors.add(selector);
+                indexBySelector.put(selector, index);
+            }
+            selectorIndexByPool.put(pool.name(), index);
+        }
+    }
+
+    private List<String> followFallbacks(String pool) {
+        Set<String> chain = new LinkedHashSet<>();
+        String current = pool;
+        while (current != null && pools.containsKey(current) && chain.add(current)) {
+            current = pools.get(current).fallback();
+        }
+        return List.copyOf(chain);
+    }
+
+    private void indexReachable() {
+        Set<String> reachablePools = new TreeSet<>();
+        for (RouteEntry route : routes) {
+            retryPolicyNames.add(retryPolicy(route, null).name());
+            for (String pool : fallbackChain(route.pool())) {
+                reachablePools.add(pool);
+                retryPolicyNames.add(retryPolicy(route, pool).name());
             }
         }
-        reachesAll = all;
-        Set<Integer> seen = new HashSet<>();
-        reachingPools.stream()
-                .sorted()
-                .map(selectorOf::get)
-                .filter(seen::add)
-                .forEach(i -> reaching.add(selectors.get(i)));
+        Set<Integer> reachableIndices = new LinkedHashSet<>();
+        reachablePools.forEach(pool -> reachableIndices.add(selectorIndexByPool.get(pool)));
+        reachableIndices.forEach(index -> reachableSelectors.add(selectors.get(index)));
     }
 
+    /** Returns which version this is. */
     public ConfigVersion stamp() {
-        return stamp;
+        return version;
     }
 
+    /** Returns the author that the version names, or an empty string. */
     public String by() {
-        return by;
+        return author;
     }
 
+    /** Returns the author's note, or an empty string. */
     public String note() {
         return note;
     }
 
+    /** Returns the number of routes, without abstract ones. */
     public int routes() {
-        return entries.size();
+        return routes.size();
     }
 
-    boolean refusesUnmatched() {
-        return refusesUnmatched;
+    /** Whether requests that match no route are answered 404; otherwise they are routed by their class. */
+    boolean rejectsUnmatched() {
+        return rejectsUnmatched;
     }
 
-    /** The entry that a request meets, or null. */
-    RouteEntry entry(RequestAttributes asked) {
-        return table.first(asked);
+    /** Returns the first route that matches a request, or null. */
+    RouteEntry findRoute(RequestAttributes request) {
+        return routeTable.findFirst(request);
     }
 
-    /** Entries whose path is the start of this one, some of them where there are very many. */
-    List<RouteEntry> along(List<String> path, int most) {
+    /** Returns at most that many routes whose path is a prefix of this one. */
+    List<RouteEntry> routesAlongPath(List<String> path, int maxRoutes) {
         List<RouteEntry> found = new ArrayList<>();
-        table.firstAlong(path, (place, match) -> {
-            found.add(byPlace.get(place));
-            return found.size() >= most;
+        routeTable.findFirstAlongPath(path, (position, match) -> {
+            found.add(routes.get(position));
+            return found.size() >= maxRoutes;
         });
         return found;
     }
 
-    Map<String, RouteEntry> entries() {
-        return entries;
+    Map<String, RouteEntry> routesByName() {
+        return routesByName;
     }
 
     Map<String, Pool> pools() {
@@ -133,50 +156,44 @@
         return limits;
     }
 
-    Collection<String> removes() {
-        return removes;
+    /** Returns the names of the routes that the version says it removes on purpose. */
+    Collection<String> removedRoutes() {
+        return removedRoutes;
     }
 
     /**
-     * What retries a request of an entry may have while that pool serves it: the entry's, its pool's, the
-     * default.
+     * Returns the retry policy for requests of a route while that pool serves them: the route's own, or else the
+     * pool's, or else the default.
      */
-    RetryPolicy retries(RouteEntry entry, String pool) {
-        return entry.retries() != null ? entry.retries() : poolRetries.getOrDefault(pool, defaultRetries);
+    RetryPolicy retryPolicy(RouteEntry route, String pool) {
+        return route.retryPolicy() != null
+                ? route.retryPolicy()
+                : poolRetryPolicies.getOrDefault(pool, defaultRetryPolicy);
     }
 
-    /** Ways to choose endpoints that differ, as pools without a name. */
+    /** Returns the distinct selection criteria of all pools, see {@link Pool#selector()}. */
     List<Pool> selectors() {
         return selectors;
     }
 
-    /** Which of these a pool chooses by. */
-    int selector(Pool pool) {
-        return selectorOf.get(pool.name());
+    /** Returns the index of a pool's selection criteria in {@link #selectors()}. */
+    int selectorIndex(Pool pool) {
+        return selectorIndexByPool.get(pool.name());
     }
 
-    /** Whether some request can reach endpoints of this sort. */
+    /** Whether some request can reach endpoints with these properties. */
     boolean reaches(int zone, int kind, Map<String, String> labels) {
-        return reachesAll || reaching.stream().anyMatch(p -> p.selects(zone, kind, labels));
+        return reachesAllEndpoints
+                || reachableSelectors.stream().anyMatch(selector -> selector.selects(zone, kind, labels));
     }
 
-    /** Names of all policies that some request can come under. */
-    Set<String> policies() {
-        return policies;
+    /** Returns the names of all retry policies that some request can have. */
+    Set<String> retryPolicyNames() {
+        return retryPolicyNames;
     }
 
-    /** A pool and all that may serve in its place, in order; none for no pool. */
-    List<String> chain(String pool) {
-        return pool == null ? List.of() : chains.get(pool);
-    }
-
-    private List<String> chainFrom(String pool) {
-        List<String> chain = new ArrayList<>();
-        for (String at = pool;
-                at != null && pools.containsKey(at) && !chain.contains(at);
-                at = pools.get(at).fallback()) {
-            chain.add(at);
-        }
-        return chain;
+    /** Returns a pool and its fallbacks, in order; an empty list for null, which stands for all endpoints. */
+    List<String> fallbackChain(String pool) {
+        return pool == null ? List.of() : fallbackChains.get(pool);
     }
 }
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -14,128 +14,166 @@
 import java.util.TreeMap;
 
 /**
- * Makes a {@link CompiledConfig} of a text, or says all that is wrong with it. May run on any thread; keeps nothing.
+ * Compiles the text of a version to a {@link CompiledConfig}, or reports everything that is wrong with it. Stateless; may
+ * run on any thread.
  */
 public final class ConfigCompiler {
-    /** Of more findings the first are told, and how many there are. */
-    private static final int MOST_FINDINGS = 200;
+    /** How many findings are reported; beyond that only their number is. */
+    private static final int MAX_REPORTED_FINDINGS = 200;
 
-    private final DeploymentContext grounds;
+    private static final double US_PER_S = 1e6;
+    private static final double US_PER_MS = 1000;
 
-    public ConfigCompiler(DeploymentContext grounds) {
-        this.grounds = grounds;
+    private final DeploymentContext deployment;
+
+    /** Creates a compiler of versions for that deployment. */
+    public ConfigCompiler(DeploymentContext deployment) {
+        this.deployment = deployment;
     }
 
-    /** @param plan null where a finding is grave */
+    /**
+     * The result of a compilation.
+     *
+     * @param plan the compiled version, or null if a finding is an error
+     * @param findings errors and warnings, with their locations
+     */
     public record Compiled(CompiledConfig plan, List<Diagnostic> findings) {
+        /** Whether the version compiled. */
         public boolean good() {
             return plan != null;
         }
     }
 
-    /** Stands for a version on which the program itself failed. */
+    /** The result for a version on which the compiler itself failed. */
     public static final Compiled FAILED = new Compiled(
             null,
-            List.of(new Diagnostic(
-                    "G-INTERNAL", true, "", 0, 0, "the checker failed on it", "report it with the text and the log")));
+            List.of(Diagnostic.newError(
+                    "G-INTERNAL", "", "the checker failed on it", "report it with the text and the log")));
 
-    /** Reads, checks and compiles a text that claims to be that version. */
+    /**
+     * Parses, checks and compiles a text.
+     *
+     * @param epoch epoch of the version
+     * @param number number of the version
+     * @param text UTF-8
+     */
     public Compiled compile(ConfigVersion.Epoch epoch, long number, byte[] text) {
         List<Diagnostic> findings = new ArrayList<>();
-        ConfigDocument draft = ConfigDocument.read(text, findings);
-        if (draft != null) {
-            SchemaValidator.PLAN.check(draft, findings);
+        ConfigDocument document = ConfigDocument.read(text, findings);
+        if (document == null) {
+            return new Compiled(null, List.copyOf(findings));
         }
-        CompiledConfig plan = null;
-        if (draft != null && findings.stream().noneMatch(Diagnostic::grave)) {
-            ResolvedConfig sheet = new ResolvedConfig(draft);
-            ConfigValidator.check(sheet, grounds, findings);
-            if (findings.stream().noneMatch(Diagnostic::grave)) {
-                plan = plan(new ConfigVersion(epoch, number, ConfigVersion.hash(text)), sheet);
+        CompiledConfig compiled = null;
+        SchemaValidator.PLAN.check(document, findings);
+        if (!hasErrors(findings)) {
+            ResolvedConfig config = new ResolvedConfig(document);
+            ConfigValidator.validate(config, deployment, findings);
+            if (!hasErrors(findings)) {
+                compiled = compile(new ConfigVersion(epoch, number, ConfigVersion.hash(text)), config);
             }
         }
-        List<Diagnostic> told = fewer(findings);
-        return new Compiled(plan, draft == null ? told : draft.placed(told));
+        return new Compiled(compiled, document.placed(truncate(findings)));
+    }
+
+    private static boolean hasErrors(List<Diagnostic> findings) {
+        return findings.stream().anyMatch(Diagnostic::grave);
     }
 
-    private static List<Diagnostic> fewer(List<Diagnostic> findings) {
-        if (findings.size() <= MOST_FINDINGS) {
-            return List.copyOf(findings);
+    private static List<Diagnostic> truncate(List<Diagnostic> findings) {
+        if (findings.size() <= MAX_REPORTED_FINDINGS) {
+            return findings;
         }
-        List<Diagnostic> first = new ArrayList<>(findings.subList(0, MOST_FINDINGS));
-        first.add(new Diagnostic(
-                "G-MORE",
-                false,
-                "",
-                0,
-                0,
-                findings.size() - MOST_FINDINGS + " more findings are not told",
-                "mend these first"));
-        return first;
+        List<Diagnostic> reported = new ArrayList<>(findings.subList(0, MAX_REPORTED_FINDINGS));
+        int omitted = findings.size() - MAX_REPORTED_FINDINGS;
+        reported.add(Diagnostic.newWarning(
+                "G-MORE", "", omitted + " more findings are not reported", "correct these first"));
+        return reported;
     }
 
-    private CompiledConfig plan(ConfigVersion stamp, ResolvedConfig sheet) {
-        JsonNode root = sheet.root();
+    private CompiledConfig compile(ConfigVersion version, ResolvedConfig config) {
         Map<String, LimitPolicy> limits = new LinkedHashMap<>();
-        root.path("limits").properties().forEach(e -> limits.put(e.getKey(), limit(e.getKey(), e.getValue())));
-        Map<String, RetryPolicy> retries = new LinkedHashMap<>();
-        root.path("retries").properties().forEach(e -> retries.put(e.getKey(), retries(e.getKey(), e.getValue())));
+        config.section("limits").properties().forEach(e -> limits.put(e.getKey(), limit(e.getKey(), e.getValue())));
+        Map<String, RetryPolicy> retryPolicies = new LinkedHashMap<>();
+        config.section("retries")
+                .properties()
+                .forEach(e -> retryPolicies.put(e.getKey(), retryPolicy(e.getKey(), e.getValue())));
         Map<String, Pool> pools = new LinkedHashMap<>();
-        Map<String, RetryPolicy> poolRetries = new HashMap<>();
-        root.path("pools").properties().forEach(e -> {
+        Map<String, RetryPolicy> poolRetryPolicies = new HashMap<>();
+        config.section("pools").properties().forEach(e -> {
             pools.put(e.getKey(), pool(e.getKey(), e.getValue()));
-            if (e.getValue().has("retries")) {
-                poolRetries.put(
-                        e.getKey(), retries.get(e.getValue().get("retries").asText()));
+            String policyName = config.retryPolicyOf(e.getKey());
+            if (policyName != null) {
+                poolRetryPolicies.put(e.getKey(), retryPolicies.get(policyName));
             }
         });
+        String defaultPolicyName = config.defaultValue("retries");
+        Set<String> removedRoutes = new HashSet<>();
+        config.section("removes").forEach(name -> removedRoutes.add(name.asText()));
+        return new CompiledConfig(
+                version,
+                config.section("by").asText(""),
+                config.section("note").asText(""),
+                config.section("unmatched").asText("").equals("refuse"),
+                routes(config, limits, retryPolicies),
+                pools,
+                poolRetryPolicies,
+                defaultPolicyName == null ? RetryPolicy.UNRESTRICTED : retryPolicies.get(defaultPolicyName),
+                limits,
+                removedRoutes);
+    }
+
+    private List<RouteEntry> routes(
+            ResolvedConfig config, Map<String, LimitPolicy> limits, Map<String, RetryPolicy> retryPolicies) {
         List<RouteEntry> entries = new ArrayList<>();
-        for (ResolvedConfig.Line line : sheet.lines()) {
-            if (!line.isAbstract()) {
-                List<LimitPolicy> its = line.limits().stream().map(limits::get).toList();
+        for (ResolvedConfig.RouteDefinition route : config.routes()) {
+            if (!route.isAbstract()) {
                 entries.add(new RouteEntry(
-                        line.name(),
+                        route.name(),
                         entries.size(),
-                        line.match(),
-                        grounds.classes().get(line.className()),
-                        line.pool(),
-                        its,
-                        line.retries() == null ? null : retries.get(line.retries()),
-                        line.sessions()));
+                        route.match(),
+                        deployment.classIndices().get(route.className()),
+                        route.pool(),
+                        route.limits().stream().map(limits::get).toList(),
+                        route.retryPolicy() == null ? null : retryPolicies.get(route.retryPolicy()),
+                        route.sessionPolicy()));
             }
         }
-        String byDefault = sheet.byDefault("retries");
-        Set<String> removes = new HashSet<>();
-        root.path("removes").forEach(n -> removes.add(n.asText()));
-        return new CompiledConfig(
-                stamp,
-                root.path("by").asText(""),
-                root.path("note").asText(""),
-                root.path("unmatched").asText("").equals("refuse"),
-                entries,
-                pools,
-                poolRetries,
-                byDefault == null ? RetryPolicy.FREE : retries.get(byDefault),
-                limits,
-                removes);
+        return entries;
     }
 
     private static LimitPolicy limit(String name, JsonNode node) {
-        double perS = node.path("ratePerS").asDouble(Double.POSITIVE_INFINITY);
+        double ratePerS = node.path("ratePerS").asDouble(Double.POSITIVE_INFINITY);
+        String scope = node.path("per").asText("all").toUpperCase(Locale.ROOT).replace('-', '_');
         JsonNode queue = node.path("queue");
         return new LimitPolicy(
                 name,
-                LimitPolicy.Per.valueOf(
-                        node.path("per").asText("all").toUpperCase(Locale.ROOT).replace('-', '_')),
-                perS / 1e6,
-                node.path("burst").asDouble(Math.max(1, perS)),
+                LimitPolicy.Scope.valueOf(scope),
+                ratePerS / US_PER_S,
+                node.path("burst").asDouble(Math.max(1, ratePerS)),
                 node.path("inFlight").asInt(Integer.MAX_VALUE),
                 queue.path("length").asInt(0),
-                (long) (queue.path("waitMs").asDouble(0) * 1000));
+                (long) (queue.path("waitMs").asDouble(0) * US_PER_MS));
+    }
+
+    /** Compiles the definition of a retry policy, which must satisfy the schema. */
+    static RetryPolicy retryPolicy(String name, JsonNode node) {
+        Set<AttemptResult> retryable = EnumSet.of(AttemptResult.NOT_SENT);
+        if (node.has("after")) {
+            node.get("after").forEach(word -> retryable.add(attemptResult(word.asText())));
+        } else {
+            retryable.add(AttemptResult.TURNED_AWAY);
+            retryable.add(AttemptResult.NOT_CONNECTED);
+        }
+        return new RetryPolicy(
+                name,
+                node.get("tries").asInt(),
+                retryable,
+                (long) (node.path("tryMs").asDouble(0) * US_PER_MS),
+                node.path("budget").asDouble(1));
     }
 
-    /** The endings that a version names. */
-    private static AttemptResult ending(String word) {
+    /** Returns the result that a word under {@code after} stands for. */
+    private static AttemptResult attemptResult(String word) {
         return switch (word) {
             case "turned-away" -> AttemptResult.TURNED_AWAY;
             case "not-connected" -> AttemptResult.NOT_CONNECTED;
@@ -143,44 +181,28 @@
             case "timed-out" -> AttemptResult.TIMED_OUT;
             case "broken-off" -> AttemptResult.BROKEN_OFF;
             case "cancelled" -> AttemptResult.CANCELLED;
-            default -> throw new IllegalArgumentException("the schema knows no ending " + word);
+            default -> throw new IllegalArgumentException("the schema allows no attempt result " + word);
         };
     }
 
-    static RetryPolicy retries(String name, JsonNode node) {
-        Set<AttemptResult> after = EnumSet.of(AttemptResult.NOT_SENT);
-        if (node.has("after")) {
-            node.get("after").forEach(w -> after.add(ending(w.asText())));
-        } else {
-            after.add(AttemptResult.TURNED_AWAY);
-            after.add(AttemptResult.NOT_CONNECTED);
-        }
-        return new RetryPolicy(
-                name,
-                node.get("tries").asInt(),
-                after,
-                (long) (node.path("tryMs").asDouble(0) * 1000),
-                node.path("budget").asDouble(1));
-    }
-
     private Pool pool(String name, JsonNode node) {
         Map<String, String> labels = new TreeMap<>();
-        node.path("labels")
-                .properties()
-                .forEach(e -> labels.put(e.getKey(), e.getValue().asText()));
+        for (Map.Entry<String, JsonNode> label : node.path("labels").properties()) {
+            labels.put(label.getKey(), label.getValue().asText());
+        }
         return new Pool(
                 name,
-                places(node.path("zones"), grounds.zones()),
-                places(node.path("kinds"), grounds.kinds()),
+                indices(node.path("zones"), deployment.zones()),
+                indices(node.path("kinds"), deployment.kinds()),
                 labels,
                 node.path("fallback").asText(null),
                 node.path("leastShare").asDouble(0));
     }
 
-    /** What a list names, by place; a name that the deployment has not is of no endpoint. */
-    private static Set<Integer> places(JsonNode names, List<String> known) {
-        Set<Integer> places = new HashSet<>();
-        names.forEach(n -> places.add(known.indexOf(n.asText())));
-        return places;
+    /** Returns the indices of the names; -1, which is no endpoint's, for a name that the deployment does not have. */
+    private static Set<Integer> indices(JsonNode names, List<String> known) {
+        Set<Integer> indices = new HashSet<>();
+        names.forEach(name -> indices.add(known.indexOf(name.asText())));
+        return indices;
     }
 }
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -4,186 +4,208 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
+import java.util.Set;
+import java.util.TreeMap;
 import java.util.TreeSet;
 
 /**
- * Two plans compared by what they mean for requests, not by their text: where the meaning is the same there is
- * nothing
- * to say, however the text was moved about.
+ * Compares two versions by what they mean for requests, not by their text: moving text about without changing its
+ * meaning is no difference. For the command {@code gatelock diff}, whose output these texts are.
  */
 public final class ConfigDiff {
-    private static final int MOST = 1_000;
-    private static final int MOST_ALONG = 50;
+    private static final int MAX_DIFFERENCES = 1_000;
+    /** How many routes on the path of one route are compared with it for a change of order. */
+    private static final int MAX_ROUTES_ALONG_PATH = 50;
+    /** Stands for any value of a header, and for any part of a host, in an example request. */
+    private static final String EXAMPLE_VALUE = "x";
 
     private final CompiledConfig before;
     private final CompiledConfig after;
-    private final DeploymentContext grounds;
-    private final List<String> lines = new ArrayList<>();
+    private final DeploymentContext deployment;
+    private final List<String> differences = new ArrayList<>();
 
-    private ConfigDiff(CompiledConfig before, CompiledConfig after, DeploymentContext grounds) {
+    private ConfigDiff(CompiledConfig before, CompiledConfig after, DeploymentContext deployment) {
         this.before = before;
         this.after = after;
-        this.grounds = grounds;
+        this.deployment = deployment;
     }
 
-    /** A line for each thing that changes for some requests; none where the two mean the same. */
-    public static List<String> of(CompiledConfig before, CompiledConfig after, DeploymentContext grounds) {
-        ConfigDiff diff = new ConfigDiff(before, after, grounds);
-        diff.unmatched();
-        diff.routes();
-        diff.order();
-        diff.pools();
-        return diff.lines.size() <= MOST ? diff.lines : diff.lines.subList(0, MOST);
+    /** Returns a line for each difference, at most 1000; an empty list if both versions mean the same. */
+    public static List<String> of(CompiledConfig before, CompiledConfig after, DeploymentContext deployment) {
+        ConfigDiff diff = new ConfigDiff(before, after, deployment);
+        diff.compareUnmatched();
+        diff.compareRoutes();
+        diff.compareOrder();
+        diff.comparePools();
+        List<String> differences = diff.differences;
+        return differences.size() <= MAX_DIFFERENCES ? differences : differences.subList(0, MAX_DIFFERENCES);
     }
 
-    private void unmatched() {
-        if (before.refusesUnmatched() != after.refusesUnmatched()) {
-            lines.add("reqs that no route is for: "
-                    + (after.refusesUnmatched()
+    private void compareUnmatched() {
+        if (before.rejectsUnmatched() != after.rejectsUnmatched()) {
+            differences.add("reqs that no route is for: "
+                    + (after.rejectsUnmatched()
                             ? "answered 404, went by their class before"
                             : "go by their class, were answered 404 before"));
         }
     }
 
-    private void routes() {
-        TreeSet<String> names = new TreeSet<>(before.entries().keySet());
-        names.addAll(after.entries().keySet());
+    private void compareRoutes() {
+        Set<String> names = new TreeSet<>(before.routesByName().keySet());
+        names.addAll(after.routesByName().keySet());
         for (String name : names) {
-            RouteEntry was = before.entries().get(name);
-            RouteEntry is = after.entries().get(name);
-            if (was == null) {
-                lines.add("route " + name + " is new: " + words(is.match()) + " to class "
-                        + grounds.className(is.classNo()) + ", pool "
-                        + pool(is) + landsNow(is, before));
-            } else if (is == null) {
-                lines.add("route " + name + " is gone: " + words(was.match()) + landsNow(was, after));
+            RouteEntry old = before.routesByName().get(name);
+            RouteEntry current = after.routesByName().get(name);
+            if (old == null) {
+                differences.add("route " + name + " is new: " + describe(current.match()) + " to class "
+                        + deployment.className(current.classIndex()) + ", pool " + poolName(current)
+                        + describeRouteIn(before, current));
+            } else if (current == null) {
+                differences.add("route " + name + " is gone: " + describe(old.match()) + describeRouteIn(after, old));
             } else {
-                changed(name, was, is);
+                compareRoute(old, current);
             }
         }
     }
 
-    /** Where the requests that an entry is for go in the other version, as far as one request tells. */
-    private static String landsNow(RouteEntry e, CompiledConfig other) {
-        RouteEntry there = other.entry(example(e.match()));
-        return there == null ? "" : "; in the other version they meet " + there.name();
+    /** Says where the requests of a route that only one version has go in the other, judged by one example. */
+    private static String describeRouteIn(CompiledConfig otherVersion, RouteEntry route) {
+        RouteEntry other = otherVersion.findRoute(exampleRequest(route.match()));
+        return other == null ? "" : "; in the other version they meet " + other.name();
     }
 
-    private static RequestAttributes example(RouteMatch m) {
-        String host = m.host().equals("*")
-                ? null
-                : m.host().startsWith("*.") ? "x" + m.host().substring(1) : m.host();
-        return new RequestAttributes(
-                m.methods().isEmpty() ? "GET" : m.methods().iterator().next(),
-                host,
-                "/" + String.join("/", m.segments()),
-                n -> "*".equals(m.headers().get(n)) ? "x" : m.headers().get(n));
-    }
-
-    private void changed(String name, RouteEntry was, RouteEntry is) {
-        say(name, "is for", words(was.match()), words(is.match()));
-        say(name, "class", grounds.className(was.classNo()), grounds.className(is.classNo()));
-        say(name, "pool", pool(was), pool(is));
-        say(
-                name,
-                "limits",
-                was.limits().stream().map(RouteExplainer::words).toList(),
-                is.limits().stream().map(RouteExplainer::words).toList());
-        say(
+    private void compareRoute(RouteEntry old, RouteEntry current) {
+        String name = current.name();
+        addIfChanged(name, "is for", describe(old.match()), describe(current.match()));
+        addIfChanged(name, "class", deployment.className(old.classIndex()), deployment.className(current.classIndex()));
+        addIfChanged(name, "pool", poolName(old), poolName(current));
+        addIfChanged(name, "limits", describe(old.limits()), describe(current.limits()));
+        addIfChanged(
                 name,
                 "tries",
-                RouteExplainer.words(before.retries(was, was.pool())),
-                RouteExplainer.words(after.retries(is, is.pool())));
+                RouteExplainer.describe(before.retryPolicy(old, old.pool())),
+                RouteExplainer.describe(after.retryPolicy(current, current.pool())));
     }
 
-    private void say(String route, String what, Object was, Object is) {
-        if (!Objects.equals(was, is)) {
-            lines.add("route " + route + ": " + what + " " + is + ", was " + was);
+    private void addIfChanged(String route, String property, Object old, Object current) {
+        if (!Objects.equals(old, current)) {
+            differences.add("route " + route + ": " + property + " " + current + ", was " + old);
         }
     }
 
-    /** Entries that stay but change places, told by one request for which both of a pair are. */
-    private void order() {
-        TreeSet<String> said = new TreeSet<>();
-        for (RouteEntry is : after.entries().values()) {
-            RouteEntry was = before.entries().get(is.name());
-            if (was == null || !was.match().equals(is.match())) {
-                continue;
-            }
-            for (RouteEntry other : after.along(is.match().segments(), MOST_ALONG)) {
-                RequestAttributes both = example(is.match(), other.match());
-                RouteEntry meets = both == null ? null : after.entry(both);
-                RouteEntry met = both == null ? null : before.entry(both);
-                if (meets != null && met != null && !meets.name().equals(met.name()) && same(meets) && same(met)) {
-                    said.add("reqs for both " + is.name() + " and " + other.name() + " meet route "
-                            + meets.name() + ", met "
-                            + met.name());
+    /** Finds routes that stay but change their order, by an example request that both of a pair match. */
+    private void compareOrder() {
+        Set<String> changes = new TreeSet<>();
+        for (RouteEntry route : after.routesByName().values()) {
+            if (isMatchUnchanged(route)) {
+                for (RouteEntry other : after.routesAlongPath(route.match().segments(), MAX_ROUTES_ALONG_PATH)) {
+                    addIfOrderChanged(route, other, changes);
                 }
             }
         }
-        lines.addAll(said);
+        differences.addAll(changes);
+    }
+
+    private void addIfOrderChanged(RouteEntry route, RouteEntry other, Set<String> changes) {
+        RequestAttributes request = exampleRequest(route.match(), other.match());
+        if (request == null) {
+            return;
+        }
+        RouteEntry old = before.findRoute(request);
+        RouteEntry current = after.findRoute(request);
+        boolean changed = old != null && current != null && !current.name().equals(old.name());
+        if (changed && isMatchUnchanged(current) && isMatchUnchanged(old)) {
+            changes.add("reqs for both " + route.name() + " and " + other.name() + " meet route " + current.name()
+                    + ", met " + old.name());
+        }
     }
 
-    /** Whether an entry is for the same requests in both versions. */
-    private boolean same(RouteEntry e) {
-        RouteEntry was = before.entries().get(e.name());
-        RouteEntry is = after.entries().get(e.name());
-        return was != null && is != null && was.match().equals(is.match());
+    /** Whether a route matches the same requests in both versions. */
+    private boolean isMatchUnchanged(RouteEntry route) {
+        RouteEntry old = before.routesByName().get(route.name());
+        RouteEntry current = after.routesByName().get(route.name());
+        return old != null && current != null && old.match().equals(current.match());
     }
 
-    /**
-     * A request for which both are, or null where there is none; the second one's path leads to the first one's.
-     */
-    private static RequestAttributes example(RouteMatch one, RouteMatch other) {
-        TreeSet<String> methods = new TreeSet<>(one.methods().isEmpty() ? other.methods() : one.methods());
-        if (!one.methods().isEmpty() && !other.methods().isEmpty()) {
-            methods.retainAll(other.methods());
-        }
-        Map<String, String> headers = new java.util.TreeMap<>(other.headers());
-        headers.putAll(one.headers());
-        RouteMatch narrow = one.host().equals("*")
-                        || other.host().length() > one.host().length()
-                                && !other.host().equals("*")
-                ? other
-                : one;
-        RouteMatch both = new RouteMatch(narrow.host(), one.segments(), methods, headers);
-        RequestAttributes asked = example(both);
-        return one.fitsBeside(asked) && other.fitsBeside(asked) ? asked : null;
-    }
-
-    private void pools() {
-        TreeSet<String> names = new TreeSet<>(before.pools().keySet());
+    private void comparePools() {
+        Set<String> names = new TreeSet<>(before.pools().keySet());
         names.retainAll(after.pools().keySet());
         for (String name : names) {
-            Pool was = before.pools().get(name);
-            Pool is = after.pools().get(name);
-            if (!was.equals(is)) {
-                lines.add("pool " + name + ": " + words(is) + ", was " + words(was));
+            Pool old = before.pools().get(name);
+            Pool current = after.pools().get(name);
+            if (!old.equals(current)) {
+                differences.add("pool " + name + ": " + describe(current) + ", was " + describe(old));
             }
         }
     }
 
-    private static String pool(RouteEntry e) {
-        return e.pool() == null ? "all units" : e.pool();
+    /** Returns a request that satisfies all conditions. */
+    private static RequestAttributes exampleRequest(RouteMatch match) {
+        Map<String, String> required = match.headers();
+        return new RequestAttributes(
+                match.methods().isEmpty() ? "GET" : match.methods().iterator().next(),
+                exampleHost(match.host()),
+                "/" + String.join("/", match.segments()),
+                name -> "*".equals(required.get(name)) ? EXAMPLE_VALUE : required.get(name));
+    }
+
+    private static String exampleHost(String pattern) {
+        if (pattern.equals("*")) {
+            return null;
+        }
+        return pattern.startsWith("*.") ? EXAMPLE_VALUE + pattern.substring(1) : pattern;
+    }
+
+    /** Returns a request that both match, or null if there is none; the second's path must be a prefix of the first's. */
+    private static RequestAttributes exampleRequest(RouteMatch match, RouteMatch other) {
+        Set<String> methods = new TreeSet<>(match.methods().isEmpty() ? other.methods() : match.methods());
+        if (!match.methods().isEmpty() && !other.methods().isEmpty()) {
+            methods.retainAll(other.methods());
+        }
+        Map<String, String> headers = new TreeMap<>(other.headers());
+        headers.putAll(match.headers());
+        RouteMatch both = new RouteMatch(narrowerHost(match.host(), other.host()), match.segments(), methods, headers);
+        RequestAttributes request = exampleRequest(both);
+        return match.matchesIgnoringPath(request) && other.matchesIgnoringPath(request) ? request : null;
+    }
+
+    private static String narrowerHost(String host, String other) {
+        boolean otherIsNarrower = host.equals("*") || (other.length() > host.length() && !other.equals("*"));
+        return otherIsNarrower ? other : host;
     }
 
-    private static String words(RouteMatch m) {
-        return (m.methods().isEmpty() ? "any method" : String.join("|", new TreeSet<>(m.methods()))) + " "
-                + m.host() + " /"
-                + String.join("/", m.segments()) + (m.headers().isEmpty() ? "" : " " + m.headers());
+    private static String poolName(RouteEntry route) {
+        return route.pool() == null ? "all units" : route.pool();
     }
 
-    private String words(Pool p) {
-        return "zones " + names(p.zones(), grounds.zones()) + ", kinds " + names(p.kinds(), grounds.kinds())
-                + ", labels "
-                + (p.labels().isEmpty() ? "any" : p.labels())
-                + (p.fallback() == null ? "" : ", fallback " + p.fallback() + " under " + p.leastShare());
+    private static List<String> describe(List<LimitPolicy> limits) {
+        return limits.stream().map(RouteExplainer::describe).toList();
     }
 
-    private static String names(java.util.Set<Integer> places, List<String> names) {
-        return places.isEmpty()
-                ? "any"
-                : new TreeSet<>(places)
-                        .stream().filter(i -> i >= 0).map(names::get).toList().toString();
+    private static String describe(RouteMatch match) {
+        String methods = match.methods().isEmpty() ? "any method" : String.join("|", new TreeSet<>(match.methods()));
+        String headers = match.headers().isEmpty() ? "" : " " + match.headers();
+        return methods + " " + match.host() + " /" + String.join("/", match.segments()) + headers;
+    }
+
+    private String describe(Pool pool) {
+        return "zones " + names(pool.zones(), deployment.zones())
+                + ", kinds " + names(pool.kinds(), deployment.kinds())
+                + ", labels " + (pool.labels().isEmpty() ? "any" : pool.labels())
+                + (pool.fallback() == null ? "" : ", fallback " + pool.fallback() + " under " + pool.minReadyShare());
+    }
+
+    /** Returns the names for a pool's indices; a negative index stands for a name that the deployment does not have. */
+    private static String names(Set<Integer> indices, List<String> names) {
+        if (indices.isEmpty()) {
+            return "any";
+        }
+        List<String> known = new ArrayList<>();
+        for (int index : new TreeSet<>(indices)) {
+            if (index >= 0) {
+                known.add(names.get(index));
+            }
+        }
+        return known.toString();
     }
 }
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -12,21 +12,25 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /**
- * A text read as JSON. Where a value stands in the text is looked up only for findings, in one more pass: to
- * keep all
- * places took more memory than all else of a large version.
+ * A configuration text parsed as JSON. Lines and columns are looked up only for findings, in a second pass over the
+ * text: keeping the location of every value took more memory than all else of a large version.
  */
 public final class ConfigDocument {
-    private static final int DEEPEST = 64;
+    /** Bound on nested objects and arrays, against texts that are made to exhaust the stack. */
+    private static final int MAX_NESTING_DEPTH = 64;
+    /** Bound on the digits of a number, against numbers that are made to take long to parse. */
+    private static final int MAX_NUMBER_LENGTH = 30;
+
     private static final JsonFactory JSON = JsonFactory.builder()
             .streamReadConstraints(StreamReadConstraints.builder()
-                    .maxNestingDepth(DEEPEST)
-                    .maxNumberLength(30)
+                    .maxNestingDepth(MAX_NESTING_DEPTH)
+                    .maxNumberLength(MAX_NUMBER_LENGTH)
                     .build())
             .build()
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
@@ -39,150 +43,149 @@
         this.root = root;
     }
 
-    /** Reads a text; adds a finding and gives null where it is no JSON, or says something twice. */
+    /**
+     * Parses a text.
+     *
+     * @param text UTF-8
+     * @param findings receives an error if the text can't be used
+     * @return null where the text is not JSON, is not a single object, or names a field twice
+     */
     public static ConfigDocument read(byte[] text, List<Diagnostic> findings) {
-        try (JsonParser parser = JSON.createParser(new String(text, StandardCharsets.UTF_8))) {
+        try (JsonParser parser = newParser(text)) {
             parser.nextToken();
-            JsonNode root = parser.currentToken() == null ? null : value(parser);
+            JsonNode root = parser.currentToken() == null ? null : readValue(parser);
             if (root instanceof ObjectNode && parser.nextToken() == null) {
                 return new ConfigDocument(text, root);
             }
-            JsonLocation at = parser.currentTokenLocation();
-            findings.add(new Diagnostic(
-                    "G-FORM",
-                    true,
-                    "",
-                    at.getLineNr(),
-                    at.getColumnNr(),
-                    "it is not one JSON object",
-                    "send one object and nothing behind it"));
+            findings.add(Diagnostic.newError(
+                            "G-FORM", "", "it is not one JSON object", "send one object and nothing behind it")
+                    .withLocation(
+                            parser.currentTokenLocation().getLineNr(),
+                            parser.currentTokenLocation().getColumnNr()));
         } catch (JsonProcessingException e) {
-            JsonLocation at = e.getLocation();
-            findings.add(new Diagnostic(
-                    "G-JSON",
-                    true,
-                    "",
-                    at == null ? 0 : at.getLineNr(),
-                    at == null ? 0 : at.getColumnNr(),
-                    "it can't be read: "
-                            + e.getOriginalMessage()
-                                    .lines()
-                                    .findFirst()
-                                    .orElse("")
-                                    .replaceAll(" \\(for .*", ""),
-                    "mend the text there"));
+            findings.add(syntaxError(e));
         } catch (IOException e) {
-            findings.add(
-                    new Diagnostic("G-JSON", true, "", 0, 0, "it can't be read: " + e.getMessage(), "mend the text"));
+            findings.add(Diagnostic.newError("G-JSON", "", "it can't be read: " + e.getMessage(), "correct the text"));
         }
         return null;
     }
 
-    private static JsonNode value(JsonParser parser) throws IOException {
-        switch (parser.currentToken()) {
-            case START_OBJECT -> {
-                ObjectNode object = JsonNodeFactory.instance.objectNode();
-                while (parser.nextToken() != JsonToken.END_OBJECT) {
-                    String name = parser.currentName();
-                    parser.nextToken();
-                    object.set(name, value(parser));
-                }
-                return object;
-            }
-            case START_ARRAY -> {
-                ArrayNode array = JsonNodeFactory.instance.arrayNode();
-                while (parser.nextToken() != JsonToken.END_ARRAY) {
-                    array.add(value(parser));
-                }
-                return array;
-            }
-            case VALUE_STRING -> {
-                return JsonNodeFactory.instance.textNode(parser.getText());
-            }
-            case VALUE_NUMBER_INT -> {
-                return JsonNodeFactory.instance.numberNode(
-                        parser.getDecimalValue().toBigInteger());
-            }
-            case VALUE_NUMBER_FLOAT -> {
-                return JsonNodeFactory.instance.numberNode(parser.getDecimalValue());
-            }
-            case VALUE_TRUE, VALUE_FALSE -> {
-                return JsonNodeFactory.instance.booleanNode(parser.getBooleanValue());
-            }
-            default -> {
-                return JsonNodeFactory.instance.nullNode();
-            }
+    private static JsonParser newParser(byte[] text) throws IOException {
+        return JSON.createParser(new String(text, StandardCharsets.UTF_8));
+    }
+
+    private static Diagnostic syntaxError(JsonProcessingException e) {
+        String firstLine = e.getOriginalMessage().lines().findFirst().orElse("");
+        String message = firstLine.replaceAll(" \\(for .*", "");
+        Diagnostic error =
+                Diagnostic.newError("G-JSON", "", "it can't be read: " + message, "correct the text at this place");
+        JsonLocation location = e.getLocation();
+        return location == null ? error : error.withLocation(location.getLineNr(), location.getColumnNr());
+    }
+
+    private static JsonNode readValue(JsonParser parser) throws IOException {
+        JsonNodeFactory nodes = JsonNodeFactory.instance;
+        return switch (parser.currentToken()) {
+            case START_OBJECT -> readObject(parser);
+            case START_ARRAY -> readArray(parser);
+            case VALUE_STRING -> nodes.textNode(parser.getText());
+            case VALUE_NUMBER_INT -> nodes.numberNode(parser.getDecimalValue().toBigInteger());
+            case VALUE_NUMBER_FLOAT -> nodes.numberNode(parser.getDecimalValue());
+            case VALUE_TRUE, VALUE_FALSE -> nodes.booleanNode(parser.getBooleanValue());
+            default -> nodes.nullNode();
+        };
+    }
+
+    private static ObjectNode readObject(JsonParser parser) throws IOException {
+        ObjectNode object = JsonNodeFactory.instance.objectNode();
+        while (parser.nextToken() != JsonToken.END_OBJECT) {
+            String name = parser.currentName();
+            parser.nextToken();
+            object.set(name, readValue(parser));
+        }
+        return object;
+    }
+
+    private static ArrayNode readArray(JsonParser parser) throws IOException {
+        ArrayNode array = JsonNodeFactory.instance.arrayNode();
+        while (parser.nextToken() != JsonToken.END_ARRAY) {
+            array.add(readValue(parser));
         }
+        return array;
     }
 
-    /** A name as one step of a JSON pointer. */
-    static String escaped(String name) {
+    /** Escapes a name for use as one reference token of a JSON pointer (RFC 6901, section 3). */
+    static String escapePointerToken(String name) {
         return name.replace("~", "~0").replace("/", "~1");
     }
 
+    /** Returns the text as it was received. */
     public byte[] text() {
         return text;
     }
 
+    /** Returns the document's object. */
     public JsonNode root() {
         return root;
     }
 
-    static Diagnostic grave(String code, String pointer, String wrong, String mend) {
-        return new Diagnostic(code, true, pointer, 0, 0, wrong, mend);
-    }
-
-    static Diagnostic warning(String code, String pointer, String wrong, String mend) {
-        return new Diagnostic(code, false, pointer, 0, 0, wrong, mend);
-    }
-
     /**
-     * The same findings with the line and column of each, or of the nearest place above it that stands in the
+     * Returns the same findings with the line and column of each, or those of its nearest ancestor that is in the
      * text.
      */
     public List<Diagnostic> placed(List<Diagnostic> findings) {
-        Map<String, int[]> wanted = new HashMap<>();
-        for (Diagnostic f : findings) {
-            for (String p = f.pointer(); !p.isEmpty(); p = p.substring(0, p.lastIndexOf('/'))) {
-                wanted.put(p, null);
+        Map<String, JsonLocation> locations = locate(findings);
+        List<Diagnostic> located = new ArrayList<>(findings.size());
+        for (Diagnostic finding : findings) {
+            String nearest = finding.pointer();
+            while (locations.get(nearest) == null) {
+                nearest = parentPointer(nearest);
             }
+            JsonLocation location = locations.get(nearest);
+            located.add(finding.withLocation(location.getLineNr(), location.getColumnNr()));
         }
-        wanted.put("", null);
-        try (JsonParser parser = JSON.createParser(new String(text, StandardCharsets.UTF_8))) {
+        return List.copyOf(located);
+    }
+
+    /** Returns the locations of what the findings point at and of its ancestors; null for what is not in the text. */
+    private Map<String, JsonLocation> locate(List<Diagnostic> findings) {
+        Map<String, JsonLocation> locations = new HashMap<>();
+        locations.put("", null);
+        for (Diagnostic finding : findings) {
+            for (String pointer = finding.pointer(); !pointer.isEmpty(); pointer = parentPointer(pointer)) {
+                locations.put(pointer, null);
+            }
+        }
+        try (JsonParser parser = newParser(text)) {
             parser.nextToken();
-            look(parser, "", wanted);
+            recordLocations(parser, "", locations);
         } catch (IOException e) {
-            throw new IllegalStateException("it could be read before", e);
+            throw new IllegalStateException("a text that was parsed before can't be parsed again", e);
         }
-        return findings.stream()
-                .map(f -> {
-                    String near = f.pointer();
-                    while (wanted.get(near) == null) {
-                        near = near.substring(0, near.lastIndexOf('/'));
-                    }
-                    int[] at = wanted.get(near);
-                    return new Diagnostic(f.code(), f.grave(), f.pointer(), at[0], at[1], f.wrong(), f.mend());
-                })
-                .toList();
+        return locations;
+    }
+
+    private static String parentPointer(String pointer) {
+        return pointer.substring(0, pointer.lastIndexOf('/'));
     }
 
-    /** Notes where wanted values stand; whatever holds none of them is passed over. */
-    private static void look(JsonParser parser, String pointer, Map<String, int[]> wanted) throws IOException {
-        if (!wanted.containsKey(pointer)) {
+    /** Records where the wanted values (the keys) begin, and skips what contains none of them. */
+    private static void recordLocations(JsonParser parser, String pointer, Map<String, JsonLocation> locations)
+            throws IOException {
+        if (!locations.containsKey(pointer)) {
             parser.skipChildren();
             return;
         }
-        JsonLocation at = parser.currentTokenLocation();
-        wanted.put(pointer, new int[] {at.getLineNr(), at.getColumnNr()});
+        locations.put(pointer, parser.currentTokenLocation());
         if (parser.currentToken() == JsonToken.START_OBJECT) {
             while (parser.nextToken() != JsonToken.END_OBJECT) {
                 String name = parser.currentName();
                 parser.nextToken();
-                look(parser, pointer + "/" + escaped(name), wanted);
+                recordLocations(parser, pointer + "/" + escapePointerToken(name), locations);
             }
         } else if (parser.currentToken() == JsonToken.START_ARRAY) {
             for (int i = 0; parser.nextToken() != JsonToken.END_ARRAY; i++) {
-                look(parser, pointer + "/" + i, wanted);
+                recordLocations(parser, pointer + "/" + i, locations);
             }
         }
     }
--- a/src/main/java/gatelock/config/DeploymentContext.java
+++ b/src/main/java/gatelock/config/DeploymentContext.java
@@ -5,27 +5,30 @@
 import java.util.Map;
 
 /**
- * What a deployment says of itself, against which a version is checked.
+ * The parts of the deployment's own settings against which a configuration version is checked and compiled.
  *
- * @param classes place by name
- * @param terms of each class, by place
- * @param deadlinesUs of each class, by place; 0: none is stated
- * @param tenants place by name
+ * @param classIndices index of each request class by its name
+ * @param routePolicies the policy of each class, by class index
+ * @param deadlinesUs the deadline of each class in microseconds, by class index; 0 where none is stated
+ * @param tenantIndices index of each tenant by its name
+ * @param zones names of the zones, by zone index
+ * @param kinds names of the endpoint kinds, by kind index
  */
 public record DeploymentContext(
-        Map<String, Integer> classes,
-        List<RoutePolicy> terms,
+        Map<String, Integer> classIndices,
+        List<RoutePolicy> routePolicies,
         List<Long> deadlinesUs,
-        Map<String, Integer> tenants,
+        Map<String, Integer> tenantIndices,
         List<String> zones,
         List<String> kinds) {
 
-    /** A class's name by its place. */
-    String className(int place) {
-        return classes.entrySet().stream()
-                .filter(e -> e.getValue() == place)
-                .map(Map.Entry::getKey)
-                .findFirst()
-                .orElse("?");
+    /** Returns the name of the class with that index, or {@code "?"} where there is none. */
+    String className(int classIndex) {
+        for (Map.Entry<String, Integer> entry : classIndices.entrySet()) {
+            if (entry.getValue() == classIndex) {
+                return entry.getKey();
+            }
+        }
+        return "?";
     }
 }
--- a/src/main/java/gatelock/config/Diagnostic.java
+++ b/src/main/java/gatelock/config/Diagnostic.java
@@ -4,19 +4,37 @@
 import java.util.Map;
 
 /**
- * Something that is wrong with a version.
+ * One finding about a configuration document: an error, for which the document is rejected, or a warning.
  *
- * @param code stable, listed in the operator's page
- * @param grave whether the version is turned down for it; if not it is a warning
- * @param pointer where it stands, as a JSON pointer (RFC 6901)
- * @param line from 1, or 0 where there is no such place in the text
- * @param column from 1, or 0
- * @param wrong what is wrong
- * @param mend what would mend it
+ * @param code stable identifier such as {@code M-POOL}; all codes are listed in docs/operate/versioned-configuration.md
+ * @param grave true for an error, false for a warning
+ * @param pointer location in the document as a JSON pointer (RFC 6901); empty for the whole document
+ * @param line line of that location, counted from 1, or 0 where it is unknown
+ * @param column column of that location, counted from 1, or 0 where it is unknown
+ * @param wrong what is wrong, for a person
+ * @param mend what the author can do about it, for a person
  */
 public record Diagnostic(String code, boolean grave, String pointer, int line, int column, String wrong, String mend) {
 
-    /** By name, as it goes to a control service or into a JSON answer. */
+    /** Creates an error whose line and column are not known yet; {@link ConfigDocument#placed} fills them in. */
+    static Diagnostic newError(String code, String pointer, String problem, String remedy) {
+        return new Diagnostic(code, true, pointer, 0, 0, problem, remedy);
+    }
+
+    /** Creates a warning whose line and column are not known yet; {@link ConfigDocument#placed} fills them in. */
+    static Diagnostic newWarning(String code, String pointer, String problem, String remedy) {
+        return new Diagnostic(code, false, pointer, 0, 0, problem, remedy);
+    }
+
+    /** Returns the same finding with its location in the text. */
+    Diagnostic withLocation(int newLine, int newColumn) {
+        return new Diagnostic(code, grave, pointer, newLine, newColumn, wrong, mend);
+    }
+
+    /**
+     * Returns the finding as an ordered JSON object, as it goes to a control service or into the output of {@code
+     * --json}. These keys are part of the interface and stay as they are.
+     */
     public Map<String, Object> fields() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("code", code);
@@ -29,10 +47,10 @@
         return fields;
     }
 
-    /** One line: place, code, what is wrong, what mends it. */
+    /** Returns one line for the log or the console: location, code, problem and remedy. */
     @Override
     public String toString() {
-        return line + ":" + column + " " + (pointer.isEmpty() ? "/" : pointer) + " " + code
-                + (grave ? " " : " (warning) ") + wrong + "; " + mend;
+        String location = line + ":" + column + " " + (pointer.isEmpty() ? "/" : pointer);
+        return location + " " + code + (grave ? " " : " (warning) ") + wrong + "; " + mend;
     }
 }
--- a/src/main/java/gatelock/config/Pool.java
+++ b/src/main/java/gatelock/config/Pool.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * Endpoints that serve together.
+ * A named set of endpoints that serve the same routes.
  *
- * @param zones by place; empty: any
- * @param kinds by place; empty: any
- * @param labels that an endpoint must bear, all of them
- * @param fallback serves when too few of these do; null: none
- * @param leastShare of the endpoints that this pool lately had
+ * @param zones indices of the zones whose endpoints belong to it; empty: any zone
+ * @param kinds indices of the endpoint kinds that belong to it; empty: any kind
+ * @param labels labels that an endpoint must have, all of them
+ * @param fallback name of the pool that serves when too few endpoints of this one are ready; null: none
+ * @param minReadyShare share of the endpoints that the pool recently had, below which its fallback serves
  */
 record Pool(
         String name,
@@ -18,16 +18,17 @@
         Set<Integer> kinds,
         Map<String, String> labels,
         String fallback,
-        double leastShare) {
+        double minReadyShare) {
 
-    /** What it chooses by, and nothing else. */
-    Pool bare() {
+    /** Returns the selection criteria alone, so that pools that choose the same endpoints are equal. */
+    Pool selector() {
         return new Pool("", zones, kinds, labels, null, 0);
     }
 
-    boolean selects(int zone, int kind, Map<String, String> borne) {
+    /** Whether an endpoint with these properties belongs to the pool. */
+    boolean selects(int zone, int kind, Map<String, String> endpointLabels) {
         return (zones.isEmpty() || zones.contains(zone))
                 && (kinds.isEmpty() || kinds.contains(kind))
-                && (labels.isEmpty() || borne.entrySet().containsAll(labels.entrySet()));
+                && (labels.isEmpty() || endpointLabels.entrySet().containsAll(labels.entrySet()));
     }
 }
--- a/src/main/java/gatelock/config/PoolMembership.java
+++ b/src/main/java/gatelock/config/PoolMembership.java
@@ -5,216 +5,206 @@
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * Which endpoints stand in which pool of the plan in force, and which pool serves in place of another. Endpoints are
- * kept by their
- * sort, which is all that a pool can choose by: a new plan costs as much as there are sorts times ways to
- * choose, whatever the
- * number of endpoints, routes and pools.
+ * Tracks which endpoints belong to which pool of the active version, and which pool serves in place of another.
+ * Endpoints are grouped by the properties that a pool can select by, so that activating a version costs as much as there
+ * are groups times distinct selection criteria, whatever the number of endpoints, routes and pools.
  */
 final class PoolMembership {
-    /** How long it takes until a pool that lost endpoints for good is measured by those it has. */
-    private static final double MEMORY_US = 300e6;
-    /** Back from a fallback only with so many times the least share: no swinging at the bound. */
-    private static final double BACK_AT = 1.1;
-
-    private final Map<String, Member> endpoints = new HashMap<>();
-    private final Map<Sort, Sort> sorts = new HashMap<>();
-    private Map<String, Stand> stands = Map.of();
-    private int[] ready = new int[0];
-    private CompiledConfig plan;
-
-    /** Endpoints alike in all that a pool can choose by. */
-    private static final class Sort {
-        private final int zone;
-        private final int kind;
-        private final Map<String, String> labels;
+    private final Map<String, Member> members = new HashMap<>();
+    private final Map<Properties, EndpointGroup> groups = new HashMap<>();
+    private Map<String, PoolState> pools = Map.of();
+    /** Ready endpoints by the index of the selection criteria. */
+    private int[] readyBySelector = new int[0];
+
+    private CompiledConfig active;
+
+    /** Everything that a pool can select endpoints by. */
+    private record Properties(int zone, int kind, Map<String, String> labels) {}
+
+    /** The endpoints with the same properties. */
+    private static final class EndpointGroup {
+        private final Properties properties;
         private int endpoints;
         private int ready;
-        /** The selectors of the plan in force that choose them. */
-        private BitSet chosenBy = new BitSet();
+        /** Indices of the active version's selection criteria that select the group. */
+        private BitSet selectedBy = new BitSet();
 
-        Sort(int zone, int kind, Map<String, String> labels) {
-            this.zone = zone;
-            this.kind = kind;
-            this.labels = labels;
+        private EndpointGroup(Properties properties) {
+            this.properties = properties;
         }
 
-        @Override
-        public boolean equals(Object other) {
-            return other instanceof Sort s && zone == s.zone && kind == s.kind && labels.equals(s.labels);
+        private void updateSelectedBy(CompiledConfig config) {
+            selectedBy = new BitSet();
+            List<Pool> selectors = config.selectors();
+            for (int i = 0; i < selectors.size(); i++) {
+                selectedBy.set(i, isSelectedBy(selectors.get(i)));
+            }
         }
 
-        @Override
-        public int hashCode() {
-            return 31 * (31 * zone + kind) + labels.hashCode();
+        private boolean isSelectedBy(Pool pool) {
+            return pool.selects(properties.zone, properties.kind, properties.labels);
         }
-    }
-
-    private record Member(Sort sort, boolean ready) {}
-
-    /** One pool now. */
-    private static final class Stand {
-        private final Pool pool;
-        private final int selector;
-        /** What it lately had, fading to what it has. */
-        private double usual;
 
-        private long usualAtUs;
-        private boolean fallen;
-
-        Stand(Pool pool, int selector) {
-            this.pool = pool;
-            this.selector = selector;
-        }
-
-        /** Updates and tells how many endpoints it lately had. */
-        double usual(long nowUs, int ready) {
-            double fade = nowUs > usualAtUs ? Math.exp((usualAtUs - nowUs) / MEMORY_US) : 1;
-            usual = Math.max(ready, ready + (usual - ready) * fade);
-            usualAtUs = nowUs;
-            return usual;
+        private boolean isReachedBy(CompiledConfig config) {
+            return config.reaches(properties.zone, properties.kind, properties.labels);
         }
     }
 
-    /** The list of endpoints, or a part of it, has come in. */
-    void listed(
-            long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> borne) {
+    private record Member(EndpointGroup group, boolean ready) {}
+
+    /**
+     * How the reach of two versions compares, in ready endpoints.
+     *
+     * @param reached that the first version's routes reach
+     * @param dropped of these, that the second version's routes do not reach
+     */
+    record ReachComparison(int reached, int dropped) {}
+
+    /** Applies the endpoint list or a change of it; {@code labels} by endpoint name. */
+    void updateEndpoints(
+            long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
         if (form == DecisionEngine.ListForm.FAILED) {
             return;
         }
-        // What each pool has had until now is noted before it changes.
-        stands.values().forEach(s -> s.usual(nowUs, ready[s.selector]));
+        // What each pool had until now is noted before it changes.
+        for (PoolState pool : pools.values()) {
+            pool.updateUsualReady(nowUs, readyBySelector[pool.selectorIndex()]);
+        }
         if (form != DecisionEngine.ListForm.DELTA) {
-            Set<String> named = new HashSet<>();
-            entries.forEach(l -> named.add(l.endpoint()));
-            for (Iterator<Map.Entry<String, Member>> all = endpoints.entrySet().iterator(); all.hasNext(); ) {
-                Map.Entry<String, Member> e = all.next();
-                if (!named.contains(e.getKey())) {
-                    all.remove();
-                    count(e.getValue(), -1);
-                }
-            }
+            removeUnlisted(entries);
         }
-        for (Endpoint l : entries) {
-            Member was = endpoints.remove(l.endpoint());
-            if (was != null) {
-                count(was, -1);
-            }
-            if (l.health() != Endpoint.Health.GONE) {
-                Sort sort = sort(new Sort(l.zone(), l.kind(), borne.getOrDefault(l.endpoint(), Map.of())));
-                Member is = new Member(sort, l.health() == Endpoint.Health.READY);
-                endpoints.put(l.endpoint(), is);
-                count(is, 1);
-            }
+        for (Endpoint entry : entries) {
+            updateEndpoint(entry, labels.getOrDefault(entry.endpoint(), Map.of()));
         }
-        sorts.keySet().removeIf(s -> s.endpoints == 0);
+        groups.values().removeIf(group -> group.endpoints == 0);
+    }
+
+    private void removeUnlisted(List<Endpoint> entries) {
+        Set<String> listed = new HashSet<>();
+        entries.forEach(entry -> listed.add(entry.endpoint()));
+        members.entrySet().removeIf(member -> {
+            boolean unlisted = !listed.contains(member.getKey());
+            if (unlisted) {
+                addToCounts(member.getValue(), -1);
+            }
+            return unlisted;
+        });
     }
 
-    private Sort sort(Sort like) {
-        Sort sort = sorts.get(like);
-        if (sort == null) {
-            sort = like;
-            sorts.put(sort, sort);
-            choose(sort);
+    private void updateEndpoint(Endpoint entry, Map<String, String> labels) {
+        Member previous = members.remove(entry.endpoint());
+        if (previous != null) {
+            addToCounts(previous, -1);
         }
-        return sort;
+        if (entry.health() == Endpoint.Health.GONE) {
+            return;
+        }
+        EndpointGroup group = findOrCreateGroup(new Properties(entry.zone(), entry.kind(), labels));
+        Member member = new Member(group, entry.health() == Endpoint.Health.READY);
+        members.put(entry.endpoint(), member);
+        addToCounts(member, 1);
     }
 
-    private void choose(Sort sort) {
-        sort.chosenBy = new BitSet();
-        for (int i = 0; plan != null && i < plan.selectors().size(); i++) {
-            sort.chosenBy.set(i, plan.selectors().get(i).selects(sort.zone, sort.kind, sort.labels));
+    private EndpointGroup findOrCreateGroup(Properties properties) {
+        EndpointGroup group = groups.get(properties);
+        if (group == null) {
+            group = new EndpointGroup(properties);
+            groups.put(properties, group);
+            if (active != null) {
+                group.updateSelectedBy(active);
+            }
         }
+        return group;
     }
 
-    private void count(Member member, int by) {
-        member.sort.endpoints += by;
+    private void addToCounts(Member member, int change) {
+        member.group.endpoints += change;
         if (member.ready) {
-            member.sort.ready += by;
-            member.sort.chosenBy.stream().forEach(i -> ready[i] += by);
+            member.group.ready += change;
+            addToReadyBySelector(member.group, change);
         }
     }
 
-    /** Another plan is in force; a pool that stays as it was keeps what it lately had. */
-    void follow(long nowUs, CompiledConfig next) {
-        Map<String, Stand> before = stands;
-        int[] readyBefore = ready;
-        plan = next;
-        ready = new int[next.selectors().size()];
-        for (Sort sort : sorts.values()) {
-            choose(sort);
-            for (int i = sort.chosenBy.nextSetBit(0); i >= 0; i = sort.chosenBy.nextSetBit(i + 1)) {
-                ready[i] += sort.ready;
-            }
+    private void addToReadyBySelector(EndpointGroup group, int change) {
+        BitSet selectors = group.selectedBy;
+        for (int i = selectors.nextSetBit(0); i >= 0; i = selectors.nextSetBit(i + 1)) {
+            readyBySelector[i] += change;
         }
-        stands = new HashMap<>();
+    }
+
+    /** Makes a version active; a pool that is defined as before keeps its state. */
+    void activate(long nowUs, CompiledConfig next) {
+        Map<String, PoolState> previousPools = pools;
+        int[] previousReady = readyBySelector;
+        active = next;
+        readyBySelector = new int[next.selectors().size()];
+        for (EndpointGroup group : groups.values()) {
+            group.updateSelectedBy(next);
+            addToReadyBySelector(group, group.ready);
+        }
+        pools = new HashMap<>();
         for (Pool pool : next.pools().values()) {
-            Stand is = new Stand(pool, next.selector(pool));
-            Stand was = before.get(pool.name());
-            if (was != null && was.pool.equals(pool)) {
-                is.usual = was.usual(nowUs, readyBefore[was.selector]);
-                is.usualAtUs = nowUs;
-                is.fallen = was.fallen;
+            PoolState state = new PoolState(pool, next.selectorIndex(pool));
+            PoolState previous = previousPools.get(pool.name());
+            if (previous != null && previous.pool().equals(pool)) {
+                state.inherit(nowUs, previous, previousReady[previous.selectorIndex()]);
             }
-            stands.put(pool.name(), is);
+            pools.put(pool.name(), state);
         }
     }
 
-    /** The pool that serves in place of this one now: itself, or the first fallback that has endpoints enough. */
-    String serving(long nowUs, String pool) {
-        List<String> chain = plan.chain(pool);
+    /** Returns the pool that serves in place of this one: itself, or the first fallback with enough endpoints. */
+    String servingPool(long nowUs, String pool) {
+        List<String> chain = active.fallbackChain(pool);
         for (String name : chain) {
-            Stand s = stands.get(name);
-            double least = s.pool.leastShare() * s.usual(nowUs, ready[s.selector]);
-            s.fallen = ready[s.selector] == 0
-                    || ready[s.selector] < (s.fallen ? Math.min(s.usual, least * BACK_AT) : least);
-            if (!s.fallen) {
+            PoolState state = pools.get(name);
+            if (!state.updateFallback(nowUs, readyBySelector[state.selectorIndex()])) {
                 return name;
             }
         }
-        // None has enough: what little the pool itself has, or else the first of the others that has any.
+        // None has enough: the pool itself if it has any endpoint, or else the first fallback that has one.
         for (String name : chain) {
-            if (ready(name) > 0) {
+            if (readyCount(name) > 0) {
                 return name;
             }
         }
         return pool;
     }
 
-    /** Whether an endpoint stands in a pool of the plan in force. */
-    boolean stands(String pool, String endpoint) {
-        Member member = endpoints.get(endpoint);
-        Stand s = stands.get(pool);
-        return member != null && s != null && member.sort.chosenBy.get(s.selector);
+    /** Whether an endpoint belongs to a pool of the active version. */
+    boolean contains(String pool, String endpoint) {
+        Member member = members.get(endpoint);
+        PoolState state = pools.get(pool);
+        return member != null && state != null && member.group.selectedBy.get(state.selectorIndex());
     }
 
-    /** The same of a pool whose plan is in force no more. */
-    boolean selects(Pool pool, String endpoint) {
-        Member member = endpoints.get(endpoint);
-        return member != null && pool.selects(member.sort.zone, member.sort.kind, member.sort.labels);
+    /** Whether an endpoint belongs to a pool of any version, also of one that is no longer active. */
+    boolean matches(Pool pool, String endpoint) {
+        Member member = members.get(endpoint);
+        return member != null && member.group.isSelectedBy(pool);
     }
 
-    int ready(String pool) {
-        Stand s = stands.get(pool);
-        return s == null ? 0 : ready[s.selector];
+    /** Returns the number of ready endpoints in a pool of the active version; 0 if there is no such pool. */
+    int readyCount(String pool) {
+        PoolState state = pools.get(pool);
+        return state == null ? 0 : readyBySelector[state.selectorIndex()];
     }
 
-    /** Ready endpoints that a plan's routes can reach, and of these, how many another's can not. */
-    int[] reachedAndNot(CompiledConfig by, CompiledConfig other) {
+    /** Compares which ready endpoints two versions' routes can reach. */
+    ReachComparison compareReach(CompiledConfig first, CompiledConfig second) {
         int reached = 0;
-        int not = 0;
-        for (Sort sort : sorts.values()) {
-            if (by.reaches(sort.zone, sort.kind, sort.labels)) {
-                reached += sort.ready;
-                not += other.reaches(sort.zone, sort.kind, sort.labels) ? 0 : sort.ready;
+        int dropped = 0;
+        for (EndpointGroup group : groups.values()) {
+            if (group.isReachedBy(first)) {
+                reached += group.ready;
+                dropped += group.isReachedBy(second) ? 0 : group.ready;
             }
         }
-        return new int[] {reached, not};
+        return new ReachComparison(reached, dropped);
     }
 }
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -1,367 +1,275 @@
 package gatelock.config;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * The state of all limits: what is left of each rate, what is in flight, who waits. It belongs to the relay,
- * not to a
- * version, so that a limit whose name stays goes on from where it stood: a version that changes a rate hands
- * out
- * no fresh burst and forgets nothing that is in flight.
+ * Enforces limits on rate and concurrency. A request acquires all of its limits at once or none of them, and waits in
+ * the queue of one of them if it lacks capacity. The state belongs to the relay and not to a version: a limit whose name
+ * stays keeps its tokens, its requests in flight and its queue, so that a version that changes a rate neither grants a
+ * fresh burst nor forgets what is in flight.
  */
 final class RequestLimiter {
-    /** A count that stood untouched so long, with nothing in flight and nobody waiting, is forgotten. */
-    private static final long FORGET_US = 600_000_000;
-    /** So many counts at the most; beyond that the longest untouched go, or what they are for is shed. */
-    private static final int MOST_COUNTS = 100_000;
-
-    private record Key(String limit, String route, int tenant) {}
-
-    /** One count: of one limit, for what it has counts of its own for. */
-    private final class Count {
-        private final Key key;
-        private LimitPolicy limit;
-        private double tokens;
-        private long atUs;
-        private int inFlight;
-        /** Who waits, by tenant, each in order; the tenants take turns. */
-        private final LinkedHashMap<Integer, ArrayDeque<Ticket>> queue = new LinkedHashMap<>();
+    /** The shortest pause that a shed request is given. */
+    private static final long MIN_RETRY_AFTER_US = 1_000;
+    /** Stands for an unknown time until capacity; far from overflow when it is added to the current time. */
+    private static final long UNKNOWN_US = Long.MAX_VALUE / 2;
+
+    private final LimitBuckets buckets = new LimitBuckets();
+    /** Buckets in whose queue a request waits. */
+    private final Set<LimitBucket> bucketsWithQueue = new LinkedHashSet<>();
+
+    /** The outcome of asking for admission. */
+    enum Outcome {
+        ADMITTED,
+        QUEUED,
+        SHED
+    }
 
-        private int queued;
-        /** Counts in whose queue somebody waits who asks this one too, and how many do. */
-        private final Map<Count, Integer> askedBy = new LinkedHashMap<>();
+    /**
+     * The answer to a request for admission.
+     *
+     * @param ticket to be released when the request ends; null if it was shed or has no limits
+     * @param retryAfterUs after how long a shed request may come back, in microseconds; otherwise 0
+     */
+    record Decision(Outcome outcome, Ticket ticket, long retryAfterUs) {}
 
-        Count(Key key, LimitPolicy limit, long nowUs, double tokens) {
-            this.key = key;
-            this.limit = limit;
-            this.atUs = nowUs;
-            this.tokens = tokens;
+    /** A request's claim on its limits: it waits in the queue of one, or holds its part of all until it is released. */
+    final class Ticket {
+        private final int tenant;
+        private final List<LimitBucket> buckets;
+        private final QueuedRequest request;
+        private final long deadlineUs;
+        private LimitBucket queuedIn;
+        private long queuedUntilUs;
+        private boolean acquired;
+
+        private Ticket(int tenant, List<LimitBucket> buckets, long deadlineUs, QueuedRequest request) {
+            this.tenant = tenant;
+            this.buckets = buckets;
+            this.deadlineUs = deadlineUs;
+            this.request = request;
         }
 
-        /** The tenant's part of the queue that is the longest; somebody must wait. */
-        private ArrayDeque<Ticket> longest() {
-            return queue.values().stream()
-                    .max(Comparator.comparingInt(ArrayDeque::size))
-                    .orElseThrow();
+        boolean isQueued() {
+            return queuedIn != null;
         }
 
-        /** Earns what came in since, at the rate that held. */
-        private void earn(long nowUs) {
-            if (limit.perUs() == Double.POSITIVE_INFINITY) {
-                tokens = limit.burst();
-            } else if (nowUs > atUs) {
-                tokens = Math.min(limit.burst(), tokens + (nowUs - atUs) * limit.perUs());
+        /** Ends the claim, as the request is answered or its client left; requests that wait may be admitted. */
+        void release(long nowUs) {
+            if (queuedIn != null) {
+                removeFromQueue(this);
+            } else if (acquired) {
+                acquired = false;
+                buckets.forEach(LimitBucket::release);
+                Set<LimitBucket> affected = new LinkedHashSet<>(buckets);
+                buckets.forEach(bucket -> affected.addAll(bucket.dependents()));
+                affected.forEach(bucket -> admitQueued(nowUs, bucket));
             }
-            atUs = Math.max(atUs, nowUs);
         }
 
-        /** Another version's terms hold from now on. */
-        private void become(long nowUs, LimitPolicy next) {
-            if (!next.equals(limit)) {
-                earn(nowUs);
-                boolean wasFree = limit.perUs() == Double.POSITIVE_INFINITY;
-                limit = next;
-                // Where there was no rate before, there is nothing saved up either.
-                tokens = wasFree && next.perUs() < Double.POSITIVE_INFINITY
-                        ? Math.min(1, next.burst())
-                        : Math.min(tokens, next.burst());
+        private boolean hasCapacity(long nowUs) {
+            for (LimitBucket bucket : buckets) {
+                if (!bucket.hasCapacity(nowUs)) {
+                    return false;
+                }
             }
+            return true;
         }
 
-        private boolean has(long nowUs) {
-            earn(nowUs);
-            return (limit.perUs() == Double.POSITIVE_INFINITY || tokens >= 1) && inFlight < limit.inFlight();
-        }
-
-        /** How long until the next request may pass, as far as it is known; in flight: as one that is short. */
-        private long untilUs(long nowUs) {
-            earn(nowUs);
-            boolean rated = limit.perUs() < Double.POSITIVE_INFINITY && tokens < 1;
-            long byRate = rated ? (long) Math.ceil((1 - tokens) / limit.perUs()) : 0;
-            return inFlight >= limit.inFlight() ? Math.max(byRate, BUSY_US) : byRate;
-        }
-    }
-
-    /** To come back to a limit that has its fill in flight. */
-    private static final long BUSY_US = 100_000;
-
-    /** A request that asks its limits; holds of each what it took until it is answered. */
-    final class Ticket {
-        private final int tenant;
-        private final List<Count> counts;
-        private final QueuedRequest waiting;
-        private final long endUs;
-        private Count waitsFor;
-        private long waitsUntilUs;
-        private boolean holds;
-
-        private Ticket(int tenant, List<Count> counts, long endUs, QueuedRequest waiting) {
-            this.tenant = tenant;
-            this.counts = counts;
-            this.endUs = endUs;
-            this.waiting = waiting;
+        private void acquire() {
+            acquired = true;
+            buckets.forEach(LimitBucket::acquire);
         }
 
-        boolean waits() {
-            return waitsFor != null;
+        /** Returns after how long a new request with these limits is likely to be admitted. */
+        private long retryAfterUs(long nowUs) {
+            long longestUs = MIN_RETRY_AFTER_US;
+            for (LimitBucket bucket : buckets) {
+                longestUs = Math.max(longestUs, bucket.retryAfterUs(nowUs));
+            }
+            return longestUs;
         }
 
-        /** The request is answered, or its client left: what it held is free, and who waits may come. */
-        void over(long nowUs) {
-            if (waitsFor != null) {
-                leaveQueue(this);
-            } else if (holds) {
-                holds = false;
-                counts.forEach(c -> c.inFlight--);
-                Set<Count> freed = new LinkedHashSet<>(counts);
-                counts.forEach(c -> freed.addAll(c.askedBy.keySet()));
-                freed.forEach(c -> serve(nowUs, c));
+        /** Returns when capacity may be there, as far as it is known; it may also come by a release. */
+        private long timeToCapacityUs(long nowUs) {
+            long longestUs = 0;
+            for (LimitBucket bucket : buckets) {
+                longestUs =
+                        Math.max(longestUs, bucket.isBelowMaxInFlight() ? bucket.timeToCapacityUs(nowUs) : UNKNOWN_US);
             }
+            return longestUs;
         }
     }
 
-    private final LinkedHashMap<Key, Count> counts = new LinkedHashMap<>(16, 0.75f, true);
-    /** Those in which somebody waits. */
-    private final Set<Count> busy = new LinkedHashSet<>();
-    /** Limits that had a count for something else before: of these no count begins with a burst. */
-    private final Map<String, LimitPolicy.Per> pers = new HashMap<>();
-
-    private final Set<String> changed = new HashSet<>();
-
-    /** What came of asking. */
-    enum Answer {
-        PASSES,
-        WAITS,
-        SHED
-    }
-
-    /** What a request was told, its ticket unless it was shed, and when it may come back if so. */
-    record Told(Answer answer, Ticket ticket, long pauseUs) {}
-
-    /** A request asks all its limits at once: of all or of none it takes its part. */
-    Told ask(long nowUs, List<LimitPolicy> limits, String route, int tenant, long endUs, QueuedRequest waiting) {
+    /**
+     * Admits a request, lets it wait, or sheds it.
+     *
+     * @param nowUs the current time
+     * @param limits the request's limits
+     * @param route name of its route
+     * @param tenant index of its tenant
+     * @param deadlineUs its deadline
+     * @param request is notified of the outcome if the request has to wait
+     */
+    Decision admit(
+            long nowUs, List<LimitPolicy> limits, String route, int tenant, long deadlineUs, QueuedRequest request) {
         if (limits.isEmpty()) {
-            return new Told(Answer.PASSES, null, 0);
+            return new Decision(Outcome.ADMITTED, null, 0);
         }
-        List<Count> asked = new ArrayList<>(limits.size());
+        List<LimitBucket> needed = new ArrayList<>(limits.size());
         for (LimitPolicy limit : limits) {
-            asked.add(count(nowUs, limit, route, tenant));
-        }
-        Ticket ticket = new Ticket(tenant, asked, endUs, waiting);
-        Count full = null;
-        for (Count c : asked) {
-            // Whoever comes later waits behind those that wait already.
-            if (full == null && (!c.has(nowUs) || c.queued > 0)) {
-                full = c;
-            }
-        }
-        if (full == null) {
-            take(ticket);
-            return new Told(Answer.PASSES, ticket, 0);
-        }
-        if (queue(nowUs, full, ticket)) {
-            return new Told(Answer.WAITS, ticket, 0);
-        }
-        return new Told(Answer.SHED, null, pauseUs(nowUs, asked));
-    }
-
-    private static long pauseUs(long nowUs, List<Count> asked) {
-        long most = 1_000;
-        for (Count c : asked) {
-            long until = c.untilUs(nowUs);
-            // Those that wait come first.
-            long ahead = c.limit.perUs() < Double.POSITIVE_INFINITY ? (long) (c.queued / c.limit.perUs()) : 0;
-            most = Math.max(most, until + ahead);
+            needed.add(buckets.find(nowUs, limit, route, tenant));
         }
-        return most;
-    }
-
-    private static void take(Ticket ticket) {
-        ticket.holds = true;
-        for (Count c : ticket.counts) {
-            c.tokens -= 1;
-            c.inFlight++;
+        Ticket ticket = new Ticket(tenant, needed, deadlineUs, request);
+        LimitBucket exhausted = firstExhausted(nowUs, needed);
+        if (exhausted == null) {
+            ticket.acquire();
+            return new Decision(Outcome.ADMITTED, ticket, 0);
         }
-    }
-
-    private Count count(long nowUs, LimitPolicy limit, String route, int tenant) {
-        Key key = new Key(
-                limit.name(), limit.per().byRoute() ? route : "", limit.per().byTenant() ? tenant : -1);
-        Count count = counts.get(key);
-        if (count == null) {
-            count = new Count(
-                    key, limit, nowUs, changed.contains(limit.name()) ? Math.min(1, limit.burst()) : limit.burst());
-            counts.put(key, count);
-            forgetOldest(nowUs);
-        } else {
-            count.become(nowUs, limit);
+        if (enqueue(nowUs, exhausted, ticket)) {
+            return new Decision(Outcome.QUEUED, ticket, 0);
         }
-        return count;
+        return new Decision(Outcome.SHED, null, ticket.retryAfterUs(nowUs));
     }
 
-    /** Guards against names without number (tenants, routes of many versions): the map stays bounded. */
-    private void forgetOldest(long nowUs) {
-        var oldest = counts.values().iterator();
-        for (int looked = 0; oldest.hasNext() && looked < 4; looked++) {
-            Count c = oldest.next();
-            boolean idle = c.inFlight == 0 && c.queued == 0;
-            if (idle && (nowUs - c.atUs > FORGET_US || counts.size() > MOST_COUNTS)) {
-                oldest.remove();
+    /** Returns the first bucket without capacity, or in which others wait already, or null. */
+    private static LimitBucket firstExhausted(long nowUs, List<LimitBucket> needed) {
+        for (LimitBucket bucket : needed) {
+            if (!bucket.hasCapacity(nowUs) || !bucket.queue().isEmpty()) {
+                return bucket;
             }
         }
+        return null;
     }
 
-    /** Whether it may wait there: in a free place, or in that of a tenant who has more than its part. */
-    private boolean queue(long nowUs, Count c, Ticket ticket) {
-        // Half its time is left for whoever is to do it.
-        long untilUs = nowUs + Math.min(c.limit.waitUs(), (ticket.endUs - nowUs) / 2);
-        if (c.limit.queueLength() == 0 || untilUs <= nowUs) {
+    /**
+     * Puts a request in a bucket's queue: in a free place, or in the last place of the tenant with most places if that
+     * has more than the newcomer's tenant would have. Returns false if there is no place.
+     */
+    private boolean enqueue(long nowUs, LimitBucket bucket, Ticket ticket) {
+        LimitPolicy policy = bucket.policy();
+        // Half of the remaining time is left for the request's execution.
+        long untilUs = nowUs + Math.min(policy.maxWaitUs(), (ticket.deadlineUs - nowUs) / 2);
+        if (policy.maxQueueLength() == 0 || untilUs <= nowUs) {
             return false;
         }
-        if (c.queued >= c.limit.queueLength()) {
-            ArrayDeque<Ticket> own = c.queue.get(ticket.tenant);
-            if (c.longest().size() <= (own == null ? 0 : own.size()) + 1) {
+        TenantFairQueue<Ticket> queue = bucket.queue();
+        if (queue.size() >= policy.maxQueueLength()) {
+            if (queue.longestSize() <= queue.sizeOf(ticket.tenant) + 1) {
                 return false;
             }
-            shedQueued(nowUs, c.longest().peekLast());
+            shedQueued(nowUs, queue.lastOfLongest());
         }
-        ticket.waitsFor = c;
-        ticket.waitsUntilUs = untilUs;
-        c.queue.computeIfAbsent(ticket.tenant, t -> new ArrayDeque<>()).addLast(ticket);
-        c.queued++;
-        busy.add(c);
-        for (Count other : ticket.counts) {
-            if (other != c) {
-                other.askedBy.merge(c, 1, Integer::sum);
+        ticket.queuedIn = bucket;
+        ticket.queuedUntilUs = untilUs;
+        queue.add(ticket.tenant, ticket);
+        bucketsWithQueue.add(bucket);
+        for (LimitBucket other : ticket.buckets) {
+            if (other != bucket) {
+                other.addDependent(bucket);
             }
         }
         return true;
     }
 
-    private void shedQueued(long nowUs, Ticket ticket) {
-        leaveQueue(ticket);
-        ticket.waiting.shed(nowUs, pauseUs(nowUs, ticket.counts));
-    }
-
-    private void leaveQueue(Ticket ticket) {
-        Count c = ticket.waitsFor;
-        ArrayDeque<Ticket> own = c.queue.get(ticket.tenant);
-        own.remove(ticket);
-        if (own.isEmpty()) {
-            c.queue.remove(ticket.tenant);
-        }
-        c.queued--;
-        if (c.queued == 0) {
-            busy.remove(c);
+    private void removeFromQueue(Ticket ticket) {
+        LimitBucket bucket = ticket.queuedIn;
+        bucket.queue().remove(ticket.tenant, ticket);
+        if (bucket.queue().isEmpty()) {
+            bucketsWithQueue.remove(bucket);
         }
-        for (Count other : ticket.counts) {
-            if (other != c) {
-                other.askedBy.computeIfPresent(c, (k, n) -> n > 1 ? n - 1 : null);
+        for (LimitBucket other : ticket.buckets) {
+            if (other != bucket) {
+                other.removeDependent(bucket);
             }
         }
-        ticket.waitsFor = null;
+        ticket.queuedIn = null;
     }
 
-    /**
-     * Lets those pass for whom there is room, a tenant at a time in turn, the longest waiting of each first.
-     */
-    private void serve(long nowUs, Count c) {
-        boolean passed = true;
-        while (passed && c.queued > 0) {
-            passed = false;
-            for (Integer tenant : List.copyOf(c.queue.keySet())) {
-                ArrayDeque<Ticket> own = c.queue.get(tenant);
-                Ticket first = own == null ? null : own.peekFirst();
-                if (first != null && first.counts.stream().allMatch(a -> a.has(nowUs))) {
-                    leaveQueue(first);
-                    // Whoever had its turn goes behind the others.
-                    ArrayDeque<Ticket> rest = c.queue.remove(tenant);
-                    if (rest != null) {
-                        c.queue.put(tenant, rest);
-                    }
-                    take(first);
-                    first.waiting.passes(nowUs);
-                    passed = true;
+    private void shedQueued(long nowUs, Ticket ticket) {
+        removeFromQueue(ticket);
+        ticket.request.shed(nowUs, ticket.retryAfterUs(nowUs));
+    }
+
+    /** Admits requests of a queue while there is capacity: tenants in turn, the longest waiting of each first. */
+    private void admitQueued(long nowUs, LimitBucket bucket) {
+        boolean admittedAny = true;
+        while (admittedAny && !bucket.queue().isEmpty()) {
+            admittedAny = false;
+            for (int tenant : bucket.queue().tenants()) {
+                Ticket first = bucket.queue().first(tenant);
+                if (first != null && first.hasCapacity(nowUs)) {
+                    removeFromQueue(first);
+                    bucket.queue().moveToBack(tenant);
+                    first.acquire();
+                    first.request.passes(nowUs);
+                    admittedAny = true;
                 }
             }
         }
     }
 
-    /**
-     * Sheds those that have waited too long, lets those pass that may; to be called when {@link #nextUs}
-     * says.
-     */
-    void due(long nowUs) {
-        for (Count c : List.copyOf(busy)) {
-            for (ArrayDeque<Ticket> own : List.copyOf(c.queue.values())) {
-                while (!own.isEmpty() && own.peekFirst().waitsUntilUs <= nowUs) {
-                    shedQueued(nowUs, own.peekFirst());
+    /** Sheds requests that have waited too long and admits those that may pass; to be called at {@link #nextDueUs}. */
+    void processQueues(long nowUs) {
+        for (LimitBucket bucket : List.copyOf(bucketsWithQueue)) {
+            for (int tenant : bucket.queue().tenants()) {
+                Ticket first = bucket.queue().first(tenant);
+                while (first != null && first.queuedUntilUs <= nowUs) {
+                    shedQueued(nowUs, first);
+                    first = bucket.queue().first(tenant);
                 }
             }
-            serve(nowUs, c);
+            admitQueued(nowUs, bucket);
         }
     }
 
-    /** Limits of that name have other terms from now on, or none: those that wait are looked at again. */
-    void follow(long nowUs, Map<String, LimitPolicy> limits) {
-        changed.retainAll(limits.keySet());
-        pers.keySet().retainAll(limits.keySet());
-        limits.forEach((name, limit) -> {
-            LimitPolicy.Per before = pers.put(name, limit.per());
-            if (before != null && before != limit.per()) {
-                changed.add(name);
+    /** Applies the limits of a new version; a queue that became shorter sheds, and requests that wait may pass. */
+    void applyPolicies(long nowUs, Map<String, LimitPolicy> limits) {
+        buckets.updateScopes(limits);
+        for (LimitBucket bucket : buckets.all()) {
+            LimitPolicy next = limits.get(bucket.key().limit());
+            if (next != null && next.scope() == bucket.policy().scope()) {
+                bucket.applyPolicy(nowUs, next);
             }
-        });
-        for (Count c : List.copyOf(counts.values())) {
-            LimitPolicy next = limits.get(c.key.limit());
-            if (next != null && next.per() == c.limit.per()) {
-                c.become(nowUs, next);
+            while (bucket.queue().size() > bucket.policy().maxQueueLength()) {
+                shedQueued(nowUs, bucket.queue().lastOfLongest());
             }
-            while (c.queued > c.limit.queueLength()) {
-                shedQueued(nowUs, c.longest().peekLast());
-            }
-            serve(nowUs, c);
+            admitQueued(nowUs, bucket);
         }
     }
 
-    /** When {@link #due} is to be called next, or {@code Long.MAX_VALUE}: nobody waits. */
-    long nextUs(long nowUs) {
-        long next = Long.MAX_VALUE;
-        for (Count c : busy) {
-            for (ArrayDeque<Ticket> own : c.queue.values()) {
-                Ticket first = own.peekFirst();
-                next = Math.min(next, first.waitsUntilUs);
-                long free = 0;
-                for (Count a : first.counts) {
-                    free = Math.max(free, a.inFlight < a.limit.inFlight() ? a.untilUs(nowUs) : Long.MAX_VALUE / 2);
-                }
-                next = Math.min(next, nowUs + Math.max(1, free));
+    /** Returns when {@link #processQueues} is to be called next, or {@code Long.MAX_VALUE} if nothing waits. */
+    long nextDueUs(long nowUs) {
+        long nextUs = Long.MAX_VALUE;
+        for (LimitBucket bucket : bucketsWithQueue) {
+            for (Ticket first : bucket.queue().firstOfEach()) {
+                nextUs = Math.min(nextUs, first.queuedUntilUs);
+                nextUs = Math.min(nextUs, nowUs + Math.max(1, first.timeToCapacityUs(nowUs)));
             }
         }
-        return next;
+        return nextUs;
     }
 
-    int waiting() {
-        return busy.stream().mapToInt(c -> c.queued).sum();
+    /** Returns how many requests wait, in all queues together. */
+    int queuedCount() {
+        int queued = 0;
+        for (LimitBucket bucket : bucketsWithQueue) {
+            queued += bucket.queue().size();
+        }
+        return queued;
     }
 
+    /** Returns how many requests are in flight under a limit. */
     int inFlight(String limit) {
-        return counts.values().stream()
-                .filter(c -> c.key.limit().equals(limit))
-                .mapToInt(c -> c.inFlight)
-                .sum();
+        return buckets.inFlight(limit);
     }
 
-    int size() {
-        return counts.size();
+    /** Returns the number of buckets. */
+    int bucketCount() {
+        return buckets.size();
     }
 }
--- a/src/main/java/gatelock/config/ResolvedConfig.java
+++ b/src/main/java/gatelock/config/ResolvedConfig.java
@@ -1,145 +1,207 @@
 package gatelock.config;
 
 import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.node.MissingNode;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A draft of the right form with its routes' lines read, and what each inherits or gets by default. */
+/** A document that satisfies the schema, with each route's fields resolved by inheritance and defaults. */
 final class ResolvedConfig {
-    private final ConfigDocument draft;
-    private final List<Line> lines = new ArrayList<>();
-    private final Map<String, Line> byName = new HashMap<>();
-
-    ResolvedConfig(ConfigDocument draft) {
-        this.draft = draft;
-        JsonNode routes = draft.root().path("routes");
-        for (int i = 0; i < routes.size(); i++) {
-            Line line = new Line(routes.get(i), i);
-            lines.add(line);
-            // Of two with one name the first is meant; the second is a finding.
-            byName.putIfAbsent(line.name(), line);
+    private static final int DEFAULT_MAX_MESSAGE_BYTES = 65_536;
+    private static final double DEFAULT_IDLE_TIMEOUT_S = 300;
+    private static final double DEFAULT_PING_INTERVAL_S = 20;
+    private static final int DEFAULT_MAX_FRAMES_PER_S = 200;
+    private static final double US_PER_S = 1e6;
+
+    private final ConfigDocument document;
+    private final List<RouteDefinition> routes = new ArrayList<>();
+    private final Map<String, RouteDefinition> routesByName = new HashMap<>();
+
+    ResolvedConfig(ConfigDocument document) {
+        this.document = document;
+        JsonNode nodes = document.root().path("routes");
+        for (int i = 0; i < nodes.size(); i++) {
+            RouteDefinition route = new RouteDefinition(nodes.get(i), i);
+            routes.add(route);
+            // Of two routes with the same name the first counts; the second is reported as an error.
+            routesByName.putIfAbsent(route.name(), route);
         }
     }
 
     JsonNode root() {
-        return draft.root();
+        return document.root();
     }
 
-    List<Line> lines() {
-        return lines;
+    /** Returns a top-level section such as {@code pools}, or a missing node. */
+    JsonNode section(String name) {
+        return root().path(name);
     }
 
-    Line line(String name) {
-        return byName.get(name);
+    /** Returns the entry of that name in a top-level section, or a missing node. */
+    JsonNode definition(String section, String name) {
+        return section(section).path(name);
     }
 
-    /** What stands under defaults, or null. */
-    String byDefault(String field) {
-        return root().path("defaults").path(field).asText(null);
+    boolean defines(String section, String name) {
+        return section(section).has(name);
     }
 
-    /** One route as written, read together with those it inherits from. */
-    final class Line {
+    /** Returns all routes in the order of the document, abstract ones included. */
+    List<RouteDefinition> routes() {
+        return routes;
+    }
+
+    /** Returns the route of that name, or null. */
+    RouteDefinition route(String name) {
+        return routesByName.get(name);
+    }
+
+    /** Returns the text of a field under {@code defaults}, or null. */
+    String defaultValue(String field) {
+        return section("defaults").path(field).asText(null);
+    }
+
+    /** Returns the name of the pool's fallback, or null. */
+    String fallbackOf(String pool) {
+        return definition("pools", pool).path("fallback").asText(null);
+    }
+
+    /** Returns the name of the retry policy that a pool names itself, or null. */
+    String retryPolicyOf(String pool) {
+        return definition("pools", pool).path("retries").asText(null);
+    }
+
+    /** Returns a pool and its fallbacks in order, up to the first that is undefined or was seen before. */
+    List<String> fallbackChain(String pool) {
+        Set<String> chain = new LinkedHashSet<>();
+        String current = pool;
+        while (current != null && defines("pools", current) && chain.add(current)) {
+            current = fallbackOf(current);
+        }
+        return List.copyOf(chain);
+    }
+
+    /** One route as it is written, read together with the routes from which it inherits. */
+    final class RouteDefinition {
         private final JsonNode node;
-        private final int place;
+        private final int index;
 
-        private Line(JsonNode node, int place) {
+        private RouteDefinition(JsonNode node, int index) {
             this.node = node;
-            this.place = place;
+            this.index = index;
         }
 
         String name() {
             return node.path("name").asText();
         }
 
-        int place() {
-            return place;
+        /** Returns the position in the document's list of routes. */
+        int index() {
+            return index;
         }
 
         String pointer() {
-            return "/routes/" + place;
+            return "/routes/" + index;
         }
 
+        /** Whether the route only exists to be inherited from and takes no requests itself. */
         boolean isAbstract() {
             return node.path("abstract").asBoolean(false);
         }
 
-        /** The line it inherits from, if that stands before it. */
-        Line parent() {
-            Line parent = byName.get(node.path("inherits").asText(""));
-            return parent == null || parent.place >= place ? null : parent;
+        /** Returns the name of the route from which this one says it inherits, or null. */
+        String parentName() {
+            return node.path("inherits").asText(null);
         }
 
-        String inherits() {
-            return node.path("inherits").asText(null);
+        /** Returns the route from which this one inherits, or null if there is none before it. */
+        RouteDefinition parent() {
+            RouteDefinition parent = routesByName.get(node.path("inherits").asText(""));
+            return parent == null || parent.index >= index ? null : parent;
         }
 
-        /** The line that says this field, itself or the nearest it inherits from; null: none does. */
-        Line sayer(String field) {
-            Line line = this;
-            while (line != null && !line.node.has(field)) {
-                line = line.parent();
+        /** Returns the route that sets a field: this one or its nearest ancestor; null if none does. */
+        RouteDefinition declaringRoute(String field) {
+            RouteDefinition route = this;
+            while (route != null && !route.node.has(field)) {
+                route = route.parent();
             }
-            return line;
+            return route;
+        }
+
+        /** Returns the pointer of a field where it is set, or the pointer of this route if no route sets it. */
+        String pointerOf(String field) {
+            RouteDefinition declaring = declaringRoute(field);
+            return declaring == null ? pointer() : declaring.pointer() + "/" + field;
         }
 
-        private JsonNode said(String field) {
-            Line line = sayer(field);
-            return line == null ? com.fasterxml.jackson.databind.node.MissingNode.getInstance() : line.node.get(field);
+        private JsonNode value(String field) {
+            RouteDefinition declaring = declaringRoute(field);
+            return declaring == null ? MissingNode.getInstance() : declaring.node.get(field);
         }
 
+        /** Returns the name of the request class, or null. */
         String className() {
-            return said("class").asText(null);
+            return value("class").asText(null);
         }
 
+        /** Returns the name of the pool, by default the default pool, or null for all endpoints. */
         String pool() {
-            return said("pool").asText(byDefault("pool"));
+            return value("pool").asText(defaultValue("pool"));
         }
 
-        /** What it or a parent names; the pool's and the default are not asked. */
-        String retries() {
-            return said("retries").asText(null);
+        /** Returns the retry policy that the route or an ancestor names, or null; pools and defaults do not count. */
+        String retryPolicy() {
+            return value("retries").asText(null);
         }
 
+        /** Returns the names of the limits, by default the default limits. */
         List<String> limits() {
-            JsonNode names = sayer("limits") == null ? root().path("defaults").path("limits") : said("limits");
+            boolean declared = declaringRoute("limits") != null;
+            JsonNode names = declared ? value("limits") : section("defaults").path("limits");
             List<String> limits = new ArrayList<>();
-            names.forEach(n -> limits.add(n.asText()));
+            names.forEach(name -> limits.add(name.asText()));
             return limits;
         }
 
-        /** What it or a parent says of sessions, or null. */
-        SessionPolicy sessions() {
-            JsonNode node = said("sessions");
-            if (node.isMissingNode()) {
+        /** Returns what the route or an ancestor says of WebSocket sessions, or null. */
+        SessionPolicy sessionPolicy() {
+            JsonNode sessions = value("sessions");
+            if (sessions.isMissingNode()) {
                 return null;
             }
             Set<String> subprotocols = new HashSet<>();
-            node.path("subprotocols").forEach(n -> subprotocols.add(n.asText()));
+            sessions.path("subprotocols").forEach(name -> subprotocols.add(name.asText()));
             return new SessionPolicy(
-                    node.path("messageBytes").asInt(65_536),
-                    (long) (node.path("idleS").asDouble(300) * 1e6),
-                    (long) (node.path("pingS").asDouble(20) * 1e6),
-                    node.path("framesPerS").asInt(200),
+                    sessions.path("messageBytes").asInt(DEFAULT_MAX_MESSAGE_BYTES),
+                    (long) (sessions.path("idleS").asDouble(DEFAULT_IDLE_TIMEOUT_S) * US_PER_S),
+                    (long) (sessions.path("pingS").asDouble(DEFAULT_PING_INTERVAL_S) * US_PER_S),
+                    sessions.path("framesPerS").asInt(DEFAULT_MAX_FRAMES_PER_S),
                     subprotocols);
         }
 
+        /** Returns which requests the route takes. */
         RouteMatch match() {
             Set<String> methods = new HashSet<>();
-            said("methods").forEach(m -> methods.add(m.asText()));
+            value("methods").forEach(method -> methods.add(method.asText()));
             Map<String, String> headers = new TreeMap<>();
-            said("headers")
-                    .properties()
-                    .forEach(e -> headers.put(
-                            e.getKey().toLowerCase(Locale.ROOT), e.getValue().asText()));
+            for (Map.Entry<String, JsonNode> header : value("headers").properties()) {
+                headers.put(
+                        header.getKey().toLowerCase(Locale.ROOT),
+                        header.getValue().asText());
+            }
             return new RouteMatch(
-                    said("host").asText("*"), RouteMatch.segments(said("path").asText("/")), methods, headers);
+                    value("host").asText("*"),
+                    RouteMatch.splitPath(value("path").asText("/")),
+                    methods,
+                    headers);
         }
     }
 }
--- a/src/main/java/gatelock/config/RetryPolicy.java
+++ b/src/main/java/gatelock/config/RetryPolicy.java
@@ -4,20 +4,22 @@
 import java.util.Set;
 
 /**
- * What retries a request may have.
+ * Which retries a request may have. A policy only narrows what the decision engine would do by itself.
  *
- * @param most tries, the first one included
- * @param after endings after which one more may follow
- * @param attemptUs how long one attempt may take; 0: as long as the request
- * @param budget retries as a share of requests
+ * @param maxAttempts attempts of a request, the first one included
+ * @param retryableResults results of an attempt after which another one may follow
+ * @param attemptTimeoutUs how long one attempt may take, in microseconds; 0: as long as the request
+ * @param budgetRatio retries as a share of the requests under this policy
  */
-record RetryPolicy(String name, int most, Set<AttemptResult> after, long attemptUs, double budget) {
+record RetryPolicy(
+        String name, int maxAttempts, Set<AttemptResult> retryableResults, long attemptTimeoutUs, double budgetRatio) {
 
-    /** Where a version names none: what the decisions do is not narrowed. */
-    static final RetryPolicy FREE = new RetryPolicy("", Integer.MAX_VALUE, Set.of(AttemptResult.values()), 0, 1);
+    /** Used where a version names no policy: the decision engine is not narrowed. */
+    static final RetryPolicy UNRESTRICTED =
+            new RetryPolicy("", Integer.MAX_VALUE, Set.of(AttemptResult.values()), 0, 1);
 
-    /** Whether it lets a request run that may have run before. */
-    boolean mayRunTwice() {
-        return most > 1 && after.stream().anyMatch(e -> !e.neverRan);
+    /** Whether the policy allows a retry after an attempt that may have been executed. */
+    boolean mayExecuteTwice() {
+        return maxAttempts > 1 && retryableResults.stream().anyMatch(result -> !result.neverRan);
     }
 }
--- a/src/main/java/gatelock/config/RouteEntry.java
+++ b/src/main/java/gatelock/config/RouteEntry.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * One entry of the table, with all that it says, inherits or gets by default.
+ * One route of a compiled version, with everything that it states, inherits or gets by default.
  *
- * @param place in the version's list of routes
- * @param classNo of the class whose terms hold
- * @param pool null: all endpoints
- * @param sessions what is agreed for WebSocket sessions; null: none are
- * @param retries that the entry itself leads to; null where its pool's or the default's hold
+ * @param position among the version's routes; of two that match a request, the earlier one is used
+ * @param classIndex index of the request class whose policy applies
+ * @param pool name of the pool; null: all endpoints
+ * @param limits limits that a request must pass, all of them
+ * @param retryPolicy the policy that the route itself names or inherits; null where its pool's or the default applies
+ * @param sessionPolicy terms of WebSocket sessions; null: the route has none
  */
 record RouteEntry(
         String name,
-        int place,
+        int position,
         RouteMatch match,
-        int classNo,
+        int classIndex,
         String pool,
         List<LimitPolicy> limits,
-        RetryPolicy retries,
-        SessionPolicy sessions) {}
+        RetryPolicy retryPolicy,
+        SessionPolicy sessionPolicy) {}
--- a/src/main/java/gatelock/config/RouteExplainer.java
+++ b/src/main/java/gatelock/config/RouteExplainer.java
@@ -1,88 +1,117 @@
 package gatelock.config;
 
+import gatelock.api.AttemptResult;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 
-/** What a plan does with a request, said before one comes. */
+/** Explains what a version does with a request, for the command {@code gatelock explain}. */
 public final class RouteExplainer {
+    private static final double US_PER_S = 1e6;
+    private static final long US_PER_MS = 1000;
+    /** Whole numbers below this bound are exact as a double and are printed without a fraction. */
+    private static final double MAX_WHOLE_NUMBER = 1e15;
+
+    private static final String ALL_ENDPOINTS = "all units";
+
     private RouteExplainer() {}
 
-    /** Each point by its name: entry, class, pools in order, limits, retries. */
-    public static Map<String, Object> of(CompiledConfig plan, DeploymentContext grounds, RequestAttributes asked) {
-        Map<String, Object> said = new LinkedHashMap<>();
-        if (RouteMatch.odd(asked.path())) {
-            said.put("answer", "400: a unit may read this path as another one");
-            return said;
-        }
-        RouteEntry entry = plan.entry(asked);
-        if (entry == null) {
-            said.put(
-                    "answer",
-                    plan.refusesUnmatched()
-                            ? "404: no route is for it"
-                            : "no route is for it: it goes by the "
-                                    + "first part of its path, to all units, without limits");
-            return said;
+    /**
+     * Explains a request. The keys and texts are the command's output and stay as they are.
+     *
+     * @return in this order {@code route}, {@code class}, {@code pools}, {@code limits} (a list) and {@code tries} (an
+     *     object by pool), or only {@code answer} where no route takes the request
+     */
+    public static Map<String, Object> of(
+            CompiledConfig config, DeploymentContext deployment, RequestAttributes request) {
+        Map<String, Object> explanation = new LinkedHashMap<>();
+        RouteEntry route = RouteMatch.isAmbiguousPath(request.path()) ? null : config.findRoute(request);
+        if (route == null) {
+            explanation.put("answer", answerWithoutRoute(config, request));
+            return explanation;
         }
-        said.put("route", entry.name());
-        said.put("class", grounds.className(entry.classNo()));
-        List<String> chain = plan.chain(entry.pool());
-        said.put("pools", chain.isEmpty() ? "all units" : String.join(", then ", chain));
+        List<String> pools = config.fallbackChain(route.pool());
+        explanation.put("route", route.name());
+        explanation.put("class", deployment.className(route.classIndex()));
+        explanation.put("pools", pools.isEmpty() ? ALL_ENDPOINTS : String.join(", then ", pools));
         List<String> limits = new ArrayList<>();
-        entry.limits().forEach(l -> limits.add(words(l)));
-        said.put("limits", limits);
-        Map<String, String> attempts = new LinkedHashMap<>();
-        if (chain.isEmpty()) {
-            attempts.put("all units", words(plan.retries(entry, null)));
+        route.limits().forEach(limit -> limits.add(describe(limit)));
+        explanation.put("limits", limits);
+        Map<String, String> retryPolicies = new LinkedHashMap<>();
+        if (pools.isEmpty()) {
+            retryPolicies.put(ALL_ENDPOINTS, describe(config.retryPolicy(route, null)));
+        }
+        pools.forEach(pool -> retryPolicies.put(pool, describe(config.retryPolicy(route, pool))));
+        explanation.put("tries", retryPolicies);
+        return explanation;
+    }
+
+    private static String answerWithoutRoute(CompiledConfig config, RequestAttributes request) {
+        if (RouteMatch.isAmbiguousPath(request.path())) {
+            return "400: a unit may read this path as another one";
         }
-        chain.forEach(p -> attempts.put(p, words(plan.retries(entry, p))));
-        said.put("tries", attempts);
-        return said;
+        return config.rejectsUnmatched()
+                ? "404: no route is for it"
+                : "no route is for it: it goes by the first part of its path, to all units, without limits";
     }
 
-    static String words(LimitPolicy l) {
-        StringBuilder words = new StringBuilder(l.name())
+    /** Describes a limit in words. */
+    static String describe(LimitPolicy limit) {
+        StringBuilder text = new StringBuilder(limit.name())
                 .append(": per ")
-                .append(l.per().name().toLowerCase(java.util.Locale.ROOT).replace('_', ' '));
-        if (l.perUs() < Double.POSITIVE_INFINITY) {
-            words.append(", ")
-                    .append(number(l.perUs() * 1e6))
-                    .append(" reqs a second, ")
-                    .append(number(l.burst()))
-                    .append(" at once");
+                .append(limit.scope().name().toLowerCase(Locale.ROOT).replace('_', ' '));
+        if (limit.hasRate()) {
+            text.append(", ").append(number(limit.ratePerUs() * US_PER_S)).append(" reqs a second, ");
+            text.append(number(limit.burst())).append(" at once");
         }
-        if (l.inFlight() < Integer.MAX_VALUE) {
-            words.append(", ").append(l.inFlight()).append(" in flight");
+        if (limit.maxInFlight() < Integer.MAX_VALUE) {
+            text.append(", ").append(limit.maxInFlight()).append(" in flight");
         }
-        words.append(
-                l.queueLength() > 0
-                        ? ", " + l.queueLength() + " may wait for " + l.waitUs() / 1000 + " ms"
-                        : ", none waits");
-        return words.toString();
+        if (limit.maxQueueLength() > 0) {
+            text.append(", ").append(limit.maxQueueLength()).append(" may wait for ");
+            text.append(limit.maxWaitUs() / US_PER_MS).append(" ms");
+        } else {
+            text.append(", none waits");
+        }
+        return text.toString();
     }
 
-    static String words(RetryPolicy r) {
-        if (r == RetryPolicy.FREE) {
+    /** Describes a retry policy in words. */
+    static String describe(RetryPolicy policy) {
+        if (policy.equals(RetryPolicy.UNRESTRICTED)) {
             return "as the module decides";
         }
-        return r.name() + ": " + r.most() + " tries"
-                + (r.most() == 1
-                        ? ""
-                        : " after "
-                                + r.after().stream()
-                                        .filter(e -> e != gatelock.api.AttemptResult.NOT_SENT)
-                                        .map(e -> e.name()
-                                                .toLowerCase(java.util.Locale.ROOT)
-                                                .replace('_', '-'))
-                                        .sorted()
-                                        .toList()
-                                + ", further ones up to " + number(r.budget()) + " of reqs")
-                + (r.attemptUs() > 0 ? ", each for " + r.attemptUs() / 1000 + " ms" : "");
+        StringBuilder text = new StringBuilder(policy.name() + ": " + policy.maxAttempts() + " tries");
+        if (policy.maxAttempts() != 1) {
+            text.append(" after ").append(resultWords(policy));
+            text.append(", further ones up to ")
+                    .append(number(policy.budgetRatio()))
+                    .append(" of reqs");
+        }
+        if (policy.attemptTimeoutUs() > 0) {
+            text.append(", each for ")
+                    .append(policy.attemptTimeoutUs() / US_PER_MS)
+                    .append(" ms");
+        }
+        return text.toString();
+    }
+
+    /** Returns the retryable results in the words of a version's text; one that was not sent goes without saying. */
+    private static List<String> resultWords(RetryPolicy policy) {
+        List<String> words = new ArrayList<>();
+        for (AttemptResult result : policy.retryableResults()) {
+            if (result != AttemptResult.NOT_SENT) {
+                words.add(result.name().toLowerCase(Locale.ROOT).replace('_', '-'));
+            }
+        }
+        words.sort(null);
+        return words;
     }
 
-    private static String number(double n) {
-        return n == Math.rint(n) && Math.abs(n) < 1e15 ? Long.toString((long) n) : Double.toString(n);
+    private static String number(double value) {
+        boolean whole = value == Math.rint(value) && Math.abs(value) < MAX_WHOLE_NUMBER;
+        return whole ? Long.toString((long) value) : Double.toString(value);
     }
 }
--- a/src/main/java/gatelock/config/RouteMatch.java
+++ b/src/main/java/gatelock/config/RouteMatch.java
@@ -6,51 +6,63 @@
 import java.util.Set;
 
 /**
- * Which requests an entry is for.
+ * The conditions under which a route matches a request.
  *
- * @param host a name, {@code *.} and a name for all hosts under it, or {@code *} for any
- * @param segments of the path that a request's path begins with; none: any path
- * @param methods empty: any
- * @param headers by name in lower case: the value, or {@code *} for any value
+ * @param host a host name, {@code *.} and a name for all hosts below it, or {@code *} for any host
+ * @param segments segments with which the request's path must begin; empty: any path
+ * @param methods allowed methods; empty: any method
+ * @param headers required headers by name in lower case, with their value, or {@code *} for any value
  */
 public record RouteMatch(String host, List<String> segments, Set<String> methods, Map<String, String> headers) {
+    private static final String ANY = "*";
+    /** Begins a host pattern that stands for all hosts below a name. */
+    private static final String SUBDOMAINS = "*.";
 
-    /** The segments of a path; a slash at its end means nothing. */
-    static List<String> segments(String path) {
-        String bare = path.startsWith("/") ? path.substring(1) : path;
-        bare = bare.endsWith("/") ? bare.substring(0, bare.length() - 1) : bare;
-        return bare.isEmpty() ? List.of() : List.of(bare.split("/", -1));
+    /** Splits a path into its segments; a slash at the end makes no difference. */
+    static List<String> splitPath(String path) {
+        String trimmed = path.startsWith("/") ? path.substring(1) : path;
+        trimmed = trimmed.endsWith("/") ? trimmed.substring(0, trimmed.length() - 1) : trimmed;
+        return trimmed.isEmpty() ? List.of() : List.of(trimmed.split("/", -1));
     }
 
     /**
-     * Guards against a path that an endpoint may read as another one than this relay does, and that would pass by
-     * an entry
-     * meant for it: dots that go up, or a slash or dot in disguise. Should hold for any endpoint that tidies
-     * paths; harms
-     * a client that really has such names, which is told so.
+     * Whether an endpoint may read a path as another path than this relay does. Guards against requests that would so
+     * get past the route that is meant for them: dot segments, and slashes or dots that are percent-encoded. Should
+     * hold for any endpoint that normalizes paths; harms clients that really use such names, which are told so by
+     * status 400.
      */
-    static boolean odd(String path) {
+    static boolean isAmbiguousPath(String path) {
         if (!path.startsWith("/")) {
             return true;
         }
-        if (path.indexOf('%') < 0
+        if (isPlain(path)) {
+            return false;
+        }
+        String decoded = path.toLowerCase(Locale.ROOT).replace("%2e", ".");
+        return hasHiddenSeparator(decoded) || hasDotSegment(decoded);
+    }
+
+    /** A quick test that holds for nearly all paths: none of the characters that make a path ambiguous occur. */
+    private static boolean isPlain(String path) {
+        return path.indexOf('%') < 0
                 && !path.contains("/.")
                 && !path.contains("//")
                 && path.indexOf('\\') < 0
-                && path.indexOf(';') < 0) {
-            return false;
-        }
-        String plain = path.toLowerCase(Locale.ROOT).replace("%2e", ".");
-        if (plain.contains("%2f")
-                || plain.contains("%5c")
-                || plain.contains("%00")
-                || plain.contains("\\")
-                || plain.contains("//")) {
-            return true;
-        }
-        for (String segment : plain.split("/", -1)) {
-            int semicolon = segment.indexOf(';');
-            String name = semicolon < 0 ? segment : segment.substring(0, semicolon);
+                && path.indexOf(';') < 0;
+    }
+
+    private static boolean hasHiddenSeparator(String lowerCasePath) {
+        return lowerCasePath.contains("%2f")
+                || lowerCasePath.contains("%5c")
+                || lowerCasePath.contains("%00")
+                || lowerCasePath.contains("\\")
+                || lowerCasePath.contains("//");
+    }
+
+    private static boolean hasDotSegment(String path) {
+        for (String segment : path.split("/", -1)) {
+            int parameters = segment.indexOf(';');
+            String name = parameters < 0 ? segment : segment.substring(0, parameters);
             if (name.equals(".") || name.equals("..")) {
                 return true;
             }
@@ -58,47 +70,64 @@
         return false;
     }
 
-    /** Whether all but the path fits, which the table has looked up. */
-    boolean fitsBeside(RequestAttributes asked) {
-        return hostFits(asked.host()) && (methods.isEmpty() || methods.contains(asked.method())) && headersFit(asked);
+    /** Whether host, method and headers match; the path is matched by {@link RouteTable}. */
+    boolean matchesIgnoringPath(RequestAttributes request) {
+        return matchesHost(request.host())
+                && (methods.isEmpty() || methods.contains(request.method()))
+                && matchesHeaders(request);
     }
 
-    private boolean hostFits(String asked) {
-        if (host.equals("*")) {
+    private boolean matchesHost(String requestedHost) {
+        if (host.equals(ANY)) {
             return true;
         }
-        if (asked == null) {
+        if (requestedHost == null) {
             return false;
         }
-        String name = asked.toLowerCase(Locale.ROOT);
-        return host.startsWith("*.")
-                ? name.endsWith(host.substring(1)) && name.length() > host.length() - 1
-                : name.equals(host);
+        String name = requestedHost.toLowerCase(Locale.ROOT);
+        return host.startsWith(SUBDOMAINS) ? isBelow(name, host) : name.equals(host);
+    }
+
+    /** Whether a host name or pattern lies below the name of a pattern that begins with {@code *.}. */
+    private static boolean isBelow(String name, String subdomainPattern) {
+        String suffix = subdomainPattern.substring(1);
+        return name.endsWith(suffix) && name.length() > suffix.length();
     }
 
-    private boolean headersFit(RequestAttributes asked) {
-        for (Map.Entry<String, String> e : headers.entrySet()) {
-            String value = asked.headers().apply(e.getKey());
-            if (value == null || !e.getValue().equals("*") && !e.getValue().equals(value)) {
+    private boolean matchesHeaders(RequestAttributes request) {
+        for (Map.Entry<String, String> required : headers.entrySet()) {
+            String value = request.headers().apply(required.getKey());
+            boolean matches = value != null
+                    && (required.getValue().equals(ANY) || required.getValue().equals(value));
+            if (!matches) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Whether this is for all requests that the other is for. */
+    /** Whether this matches every request that the other one matches. */
     boolean covers(RouteMatch other) {
-        boolean wholeHost = host.equals("*")
-                || host.equals(other.host)
-                || host.startsWith("*.")
-                        && other.host.endsWith(host.substring(1))
-                        && other.host.length() > host.length() - 1;
-        return wholeHost
+        return coversHost(other.host)
                 && segments.size() <= other.segments.size()
                 && segments.equals(other.segments.subList(0, segments.size()))
-                && (methods.isEmpty() || !other.methods.isEmpty() && methods.containsAll(other.methods))
-                && headers.entrySet().stream()
-                        .allMatch(e -> other.headers.containsKey(e.getKey())
-                                && (e.getValue().equals("*") || e.getValue().equals(other.headers.get(e.getKey()))));
+                && (methods.isEmpty() || (!other.methods.isEmpty() && methods.containsAll(other.methods)))
+                && coversHeaders(other);
+    }
+
+    private boolean coversHost(String otherHost) {
+        return host.equals(ANY) || host.equals(otherHost) || (host.startsWith(SUBDOMAINS) && isBelow(otherHost, host));
+    }
+
+    private boolean coversHeaders(RouteMatch other) {
+        for (Map.Entry<String, String> required : headers.entrySet()) {
+            String otherValue = other.headers.get(required.getKey());
+            boolean covered = otherValue != null
+                    && (required.getValue().equals(ANY) || required.getValue().equals(otherValue));
+            if (!covered) {
+                return false;
+            }
+        }
+        return true;
     }
 }
--- a/src/main/java/gatelock/config/RouteTable.java
+++ b/src/main/java/gatelock/config/RouteTable.java
@@ -3,48 +3,80 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.function.BiPredicate;
 
 /**
- * An ordered table of matches, of which the first that fits a request holds. Kept as a compressed trie over the
- * segments
- * of paths: an edge bears as many segments as lead to no choice, a node those entries whose path ends there,
- * by host
- * and in order, and the least place of all below it, so that a search ends where nothing earlier can come.
+ * An ordered table of routes in which the first one that matches a request is found quickly. It is a compressed trie (a
+ * radix tree) over path segments: an edge carries the segments that lead to no choice, a node the routes whose path ends
+ * there, by host and in order. Each node knows the lowest position at or below it, so that a search ends where no
+ * earlier route can come.
  *
- * @param <T> what an entry leads to
+ * @param <T> the value of a route
  */
 final class RouteTable<T> {
     private final Node<T> root = new Node<>();
     private final int size;
 
-    private record Entry<T>(int place, RouteMatch match, T leadsTo) {}
+    private record Entry<T>(int position, RouteMatch match, T value) {}
 
     private static final class Node<T> {
-        /** By host as the entries name it, each in order. */
-        private Map<String, List<Entry<T>>> byHost = Map.of();
-
+        /** Routes whose path ends here, by their host pattern, each list in order of position. */
+        private Map<String, List<Entry<T>>> entriesByHost = Map.of();
+        /** Edges by their first segment. */
         private Map<String, Edge<T>> edges = Map.of();
-        private int least = Integer.MAX_VALUE;
+        /** The lowest position of all routes at or below this node. */
+        private int lowestPosition = Integer.MAX_VALUE;
+
+        // Maps are created on demand, as most nodes of a large table have only one of the two.
+        private void addEntry(Entry<T> entry) {
+            if (entriesByHost.isEmpty()) {
+                entriesByHost = new HashMap<>(2);
+            }
+            entriesByHost
+                    .computeIfAbsent(entry.match.host(), host -> new ArrayList<>(1))
+                    .add(entry);
+        }
+
+        private void addEdge(Edge<T> edge) {
+            if (edges.isEmpty()) {
+                edges = new HashMap<>(2);
+            }
+            edges.put(edge.segments.get(0), edge);
+        }
     }
 
     private static final class Edge<T> {
         private List<String> segments;
-        private Node<T> to;
+        private Node<T> target;
+
+        private Edge(List<String> segments, Node<T> target) {
+            this.segments = List.copyOf(segments);
+            this.target = target;
+        }
+
+        /** Splits the edge after so many segments, with a new node between the two parts. */
+        private void split(int length) {
+            Node<T> middle = new Node<>();
+            middle.lowestPosition = target.lowestPosition;
+            middle.addEdge(new Edge<>(segments.subList(length, segments.size()), target));
+            segments = List.copyOf(segments.subList(0, length));
+            target = middle;
+        }
     }
 
-    /** The matches in their order, and what each leads to. */
-    RouteTable(List<RouteMatch> matches, List<T> leadTo) {
+    /**
+     * Builds a table.
+     *
+     * @param matches the routes' conditions in order
+     * @param values the value of each route, in the same order
+     */
+    RouteTable(List<RouteMatch> matches, List<T> values) {
         size = matches.size();
         for (int i = 0; i < size; i++) {
-            Node<T> node = nodeFor(matches.get(i).segments(), i);
-            if (node.byHost.isEmpty()) {
-                node.byHost = new HashMap<>(2);
-            }
-            node.byHost
-                    .computeIfAbsent(matches.get(i).host(), h -> new ArrayList<>(1))
-                    .add(new Entry<>(i, matches.get(i), leadTo.get(i)));
+            RouteMatch match = matches.get(i);
+            findOrCreateNode(match.segments(), i).addEntry(new Entry<>(i, match, values.get(i)));
         }
     }
 
@@ -52,109 +84,112 @@
         return size;
     }
 
-    /** The node at which that path ends, made where there is none; all on the way learn of the place. */
-    private Node<T> nodeFor(List<String> path, int place) {
+    /** Returns the node where a path ends, and records the position in all nodes on the way. */
+    private Node<T> findOrCreateNode(List<String> path, int position) {
         Node<T> node = root;
-        int at = 0;
-        node.least = Math.min(node.least, place);
-        while (at < path.size()) {
-            Edge<T> edge = node.edges.get(path.get(at));
+        node.lowestPosition = Math.min(node.lowestPosition, position);
+        int depth = 0;
+        while (depth < path.size()) {
+            Edge<T> edge = node.edges.get(path.get(depth));
             if (edge == null) {
-                edge = new Edge<>();
-                edge.segments = List.copyOf(path.subList(at, path.size()));
-                edge.to = new Node<>();
-                if (node.edges.isEmpty()) {
-                    node.edges = new HashMap<>(2);
-                }
-                node.edges.put(path.get(at), edge);
+                edge = new Edge<>(path.subList(depth, path.size()), new Node<>());
+                node.addEdge(edge);
             } else {
-                int same = same(edge.segments, path, at);
-                if (same < edge.segments.size()) {
-                    split(edge, same);
+                int common = commonLength(edge.segments, path, depth);
+                if (common < edge.segments.size()) {
+                    edge.split(common);
                 }
             }
-            at += edge.segments.size();
-            node = edge.to;
-            node.least = Math.min(node.least, place);
+            depth += edge.segments.size();
+            node = edge.target;
+            node.lowestPosition = Math.min(node.lowestPosition, position);
         }
         return node;
     }
 
-    private static int same(List<String> segments, List<String> path, int at) {
-        int n = 0;
-        while (n < segments.size() && at + n < path.size() && segments.get(n).equals(path.get(at + n))) {
-            n++;
+    /** Returns how many segments of an edge agree with a path from that depth on. */
+    private static int commonLength(List<String> segments, List<String> path, int depth) {
+        int length = 0;
+        while (length < segments.size()
+                && depth + length < path.size()
+                && segments.get(length).equals(path.get(depth + length))) {
+            length++;
         }
-        return n;
-    }
-
-    private static <T> void split(Edge<T> edge, int after) {
-        Edge<T> rest = new Edge<>();
-        rest.segments = List.copyOf(edge.segments.subList(after, edge.segments.size()));
-        rest.to = edge.to;
-        Node<T> between = new Node<>();
-        between.least = edge.to.least;
-        between.edges = new HashMap<>(2);
-        between.edges.put(rest.segments.get(0), rest);
-        edge.segments = List.copyOf(edge.segments.subList(0, after));
-        edge.to = between;
+        return length;
     }
 
-    /** What the first entry that fits leads to, or null. */
-    T first(RequestAttributes asked) {
-        Entry<T> found =
-                search(RouteMatch.segments(asked.path()), asked.host(), (place, match) -> match.fitsBeside(asked));
-        return found == null ? null : found.leadsTo;
+    /** Returns the value of the first route that matches a request, or null. */
+    T findFirst(RequestAttributes request) {
+        Entry<T> found = search(
+                RouteMatch.splitPath(request.path()),
+                request.host(),
+                (position, match) -> match.matchesIgnoringPath(request));
+        return found == null ? null : found.value;
     }
 
-    /** The place of the first entry whose path is the start of this one and that is chosen, or -1. */
-    int firstAlong(List<String> path, BiPredicate<Integer, RouteMatch> chosen) {
-        Entry<T> found = search(path, null, chosen);
-        return found == null ? -1 : found.place;
+    /**
+     * Returns the position of the first route whose path is a prefix of this one and that satisfies the condition, or
+     * -1. The condition sees each candidate that could still be the first, of whatever host.
+     */
+    int findFirstAlongPath(List<String> path, BiPredicate<Integer, RouteMatch> condition) {
+        Entry<T> found = search(path, null, condition);
+        return found == null ? -1 : found.position;
     }
 
-    private Entry<T> search(List<String> path, String host, BiPredicate<Integer, RouteMatch> chosen) {
+    /** Descends along a path, with candidates of that host; null: of any host. */
+    private Entry<T> search(List<String> path, String host, BiPredicate<Integer, RouteMatch> condition) {
+        String hostName = host == null ? null : host.toLowerCase(Locale.ROOT);
         Entry<T> best = null;
         Node<T> node = root;
-        int at = 0;
-        while (node != null && node.least < (best == null ? Integer.MAX_VALUE : best.place)) {
-            best = at(node, host, chosen, best);
-            Edge<T> edge = at < path.size() ? node.edges.get(path.get(at)) : null;
-            boolean along = edge != null && same(edge.segments, path, at) == edge.segments.size();
-            at += along ? edge.segments.size() : 0;
-            node = along ? edge.to : null;
+        int depth = 0;
+        while (best == null || node.lowestPosition < best.position) {
+            best = hostName == null
+                    ? searchAllHosts(node, condition, best)
+                    : searchHost(node, hostName, condition, best);
+            Edge<T> edge = depth < path.size() ? node.edges.get(path.get(depth)) : null;
+            if (edge == null || commonLength(edge.segments, path, depth) < edge.segments.size()) {
+                return best;
+            }
+            depth += edge.segments.size();
+            node = edge.target;
         }
         return best;
     }
 
-    /** The first of the entries of one node that is chosen, if it stands before the best so far. */
-    private static <T> Entry<T> at(Node<T> node, String host, BiPredicate<Integer, RouteMatch> chosen, Entry<T> best) {
+    private static <T> Entry<T> searchAllHosts(
+            Node<T> node, BiPredicate<Integer, RouteMatch> condition, Entry<T> best) {
         Entry<T> found = best;
-        if (host == null) {
-            for (List<Entry<T>> some : node.byHost.values()) {
-                found = before(some, chosen, found);
-            }
-            return found;
+        for (List<Entry<T>> entries : node.entriesByHost.values()) {
+            found = earlier(entries, condition, found);
         }
-        if (node.byHost.isEmpty()) {
-            return found;
+        return found;
+    }
+
+    /** Searches the routes of one node for any host, for the host itself and for the domains above it. */
+    private static <T> Entry<T> searchHost(
+            Node<T> node, String host, BiPredicate<Integer, RouteMatch> condition, Entry<T> best) {
+        if (node.entriesByHost.isEmpty()) {
+            return best;
         }
-        String name = host.toLowerCase(java.util.Locale.ROOT);
-        found = before(node.byHost.get("*"), chosen, found);
-        found = before(node.byHost.get(name), chosen, found);
-        for (int dot = name.indexOf('.'); dot >= 0; dot = name.indexOf('.', dot + 1)) {
-            found = before(node.byHost.get("*" + name.substring(dot)), chosen, found);
+        Entry<T> found = earlier(node.entriesByHost.get("*"), condition, best);
+        found = earlier(node.entriesByHost.get(host), condition, found);
+        for (int dot = host.indexOf('.'); dot >= 0; dot = host.indexOf('.', dot + 1)) {
+            found = earlier(node.entriesByHost.get("*" + host.substring(dot)), condition, found);
         }
         return found;
     }
 
-    private static <T> Entry<T> before(List<Entry<T>> some, BiPredicate<Integer, RouteMatch> chosen, Entry<T> best) {
-        for (int i = 0; some != null && i < some.size(); i++) {
-            Entry<T> entry = some.get(i);
-            if (best != null && entry.place >= best.place) {
+    /** Returns the first entry that satisfies the condition if it comes before the best one so far, or else that one. */
+    private static <T> Entry<T> earlier(
+            List<Entry<T>> entries, BiPredicate<Integer, RouteMatch> condition, Entry<T> best) {
+        if (entries == null) {
+            return best;
+        }
+        for (Entry<T> entry : entries) {
+            if (best != null && entry.position >= best.position) {
                 return best;
             }
-            if (chosen.test(entry.place, entry.match)) {
+            if (condition.test(entry.position, entry.match)) {
                 return entry;
             }
         }
--- a/src/main/java/gatelock/config/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -11,19 +11,30 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A published JSON Schema, and the check of a text against it. */
+/** The published JSON Schemas (draft 2020-12), and the validation of a document against them. */
 public enum SchemaValidator {
+    /** The schema of a configuration version. */
     PLAN("/gatelock/plan.schema.json"),
+    /** The schema of the operator's file. */
     OPERATOR("/gatelock/operator.schema.json");
 
     private final String resource;
-    private Schema schema;
 
     SchemaValidator(String resource) {
         this.resource = resource;
     }
 
-    /** The schema's own text. */
+    /** Compiles the schema of a configuration version on first use, once for all threads. */
+    private static final class CompiledPlanSchema {
+        private static final Schema SCHEMA = PLAN.compileSchema();
+    }
+
+    /** Compiles the schema of the operator's file on first use, once for all threads. */
+    private static final class CompiledOperatorSchema {
+        private static final Schema SCHEMA = OPERATOR.compileSchema();
+    }
+
+    /** Returns the text of the schema, as {@code gatelock schema} prints it. */
     public String text() {
         try (InputStream in = SchemaValidator.class.getResourceAsStream(resource)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -32,40 +43,54 @@
         }
     }
 
-    /** Adds a finding for each place where a text does not have this form. */
-    public void check(ConfigDocument draft, List<Diagnostic> findings) {
-        for (Error error : schema().validate(draft.root())) {
-            String pointer = error.getInstanceLocation().toString();
+    /**
+     * Validates a document and adds an error for each violation. The code is {@code S-} and the schema's keyword in
+     * capitals.
+     */
+    public void check(ConfigDocument document, List<Diagnostic> findings) {
+        for (Error error : schema().validate(document.root())) {
             String keyword = error.getKeyword();
-            if (error.getProperty() != null) {
-                pointer = keyword.equals("additionalProperties")
-                        ? pointer + "/" + ConfigDocument.escaped(error.getProperty())
-                        : pointer;
-            }
-            findings.add(ConfigDocument.grave(
-                    "S-" + keyword.toUpperCase(Locale.ROOT), pointer, error.getMessage(), mend(keyword, error)));
+            findings.add(Diagnostic.newError(
+                    "S-" + keyword.toUpperCase(Locale.ROOT),
+                    pointer(error, keyword),
+                    error.getMessage(),
+                    remedy(keyword, error)));
         }
     }
 
-    private synchronized Schema schema() {
-        if (schema == null) {
-            schema = SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                    .getSchema(text(), InputFormat.JSON);
+    private Schema schema() {
+        return switch (this) {
+            case PLAN -> CompiledPlanSchema.SCHEMA;
+            case OPERATOR -> CompiledOperatorSchema.SCHEMA;
+        };
+    }
+
+    private Schema compileSchema() {
+        return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
+                .getSchema(text(), InputFormat.JSON);
+    }
+
+    /** An unknown property is reported by the library at its object; the finding points at the property itself. */
+    private static String pointer(Error error, String keyword) {
+        String pointer = error.getInstanceLocation().toString();
+        if (error.getProperty() != null && keyword.equals("additionalProperties")) {
+            return pointer + "/" + ConfigDocument.escapePointerToken(error.getProperty());
         }
-        return schema;
+        return pointer;
     }
 
-    private static String mend(String keyword, Error error) {
-        Object first = error.getArguments() == null || error.getArguments().length == 0 ? "" : error.getArguments()[0];
+    private static String remedy(String keyword, Error error) {
+        Object[] arguments = error.getArguments();
+        Object argument = arguments == null || arguments.length == 0 ? "" : arguments[0];
         return switch (keyword) {
             case "required" -> "add " + error.getProperty();
-            case "additionalProperties" -> "take it out, or mend its name: " + error.getProperty();
-            case "enum" -> "use one of " + first;
-            case "const" -> "use " + first;
-            case "type" -> "use the type that is asked for there";
-            case "minimum", "exclusiveMinimum", "maximum" -> "use a number within its bounds (" + first + ")";
-            case "pattern" -> "use a text of the form " + first;
-            case "anyOf" -> "add one of the fields that are asked for there";
+            case "additionalProperties" -> "remove it, or correct its name: " + error.getProperty();
+            case "enum" -> "use one of " + argument;
+            case "const" -> "use " + argument;
+            case "type" -> "use the type that the schema requires there";
+            case "minimum", "exclusiveMinimum", "maximum" -> "use a number within its bounds (" + argument + ")";
+            case "pattern" -> "use a text of the form " + argument;
+            case "anyOf" -> "add one of the fields that the schema requires there";
             default -> "see the schema (gatelock schema) for " + error.getSchemaLocation();
         };
     }
--- a/src/main/java/gatelock/config/package-info.java
+++ b/src/main/java/gatelock/config/package-info.java
@@ -1,10 +1,16 @@
 /**
- * Versioned configuration, all of it that decides anything: what a version says and whether it is sound
- * ({@link gatelock.config.ConfigDocument}, {@link gatelock.config.ConfigValidator}, {@link gatelock.config.ConfigCompiler}), what is in
- * force
- * ({@link gatelock.config.CompiledConfig}), which versions follow one another ({@link gatelock.config.VersionTracker}), and
- * what it
- * means for a request ({@link gatelock.config.Admission}). Nothing here does I/O or reads a clock; times are whole
- * microseconds that the caller brings.
+ * Versioned configuration, without any I/O and without reading a clock: times are whole microseconds that the caller
+ * passes in.
+ *
+ * <ul>
+ *   <li>Reading and checking a version: {@link gatelock.config.ConfigDocument}, {@link
+ *       gatelock.config.SchemaValidator}, {@link gatelock.config.ConfigValidator}, {@link
+ *       gatelock.config.ConfigCompiler}, {@link gatelock.config.Diagnostic}.
+ *   <li>The compiled version: {@link gatelock.config.CompiledConfig} with its {@link gatelock.config.RouteTable}.
+ *   <li>The succession of versions, with history and rollback: {@link gatelock.config.VersionTracker}.
+ *   <li>What the active version means for a request: {@link gatelock.config.Admission}, with {@link
+ *       gatelock.config.RequestLimiter} and {@link gatelock.config.PoolMembership}.
+ *   <li>Commands on versions: {@link gatelock.config.ConfigDiff}, {@link gatelock.config.RouteExplainer}.
+ * </ul>
  */
 package gatelock.config;
--- a/src/test/java/gatelock/config/AdmissionTest.java
+++ b/src/test/java/gatelock/config/AdmissionTest.java
@@ -10,18 +10,18 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What plans mean for requests: pools, fallbacks, budgets, and what one version is beside another. */
+/** What versions mean for requests: pools, fallbacks and retry budgets; and checks of one version against another. */
 final class AdmissionTest {
     private static final long SECOND = 1_000_000;
-    private static final QueuedRequest NOBODY = new QueuedRequest() {
+    private static final QueuedRequest NEVER_QUEUED = new QueuedRequest() {
         @Override
         public void passes(long nowUs) {
-            throw new AssertionError("nobody waits");
+            throw new AssertionError("the request was not queued");
         }
 
         @Override
         public void shed(long nowUs, long pauseUs) {
-            throw new AssertionError("nobody waits");
+            throw new AssertionError("the request was not queued");
         }
     };
     private static final String POOLS = """
@@ -40,7 +40,7 @@
         return new Endpoint(name, 1, zone, 0, 0, health, 0);
     }
 
-    private void list(int east, int west) {
+    private void listReady(int east, int west) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < east + west; i++) {
             endpoints.add(endpoint((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Endpoint.Health.READY));
@@ -49,114 +49,115 @@
                 nowUs, DecisionEngine.ListForm.FULL, endpoints, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
     }
 
-    private Admission.Pass ask(String path) {
-        RequestAttributes asked = new RequestAttributes("GET", null, path, n -> null);
-        return admission.ask(nowUs, admission.way(asked), 0, nowUs + SECOND, NOBODY);
+    private Admission.Pass admit(String path) {
+        RequestAttributes request = new RequestAttributes("GET", null, path, name -> null);
+        return admission.ask(nowUs, admission.way(request), 0, nowUs + SECOND, NEVER_QUEUED);
     }
 
     @Test
-    void aPoolReachesItsEndpointsAndItsFallbackServesWhenTooFewAreLeft() {
-        list(10, 5);
-        admission.follow(nowUs, SampleConfigs.plan(POOLS));
-        Admission.Pass pass = ask("/read/x");
+    void aPoolReachesItsEndpointsAndFallsBackWhenTooFewAreLeft() {
+        listReady(10, 5);
+        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
+        Admission.Pass pass = admit("/read/x");
         assertThat(pass.reaches("e0")).isTrue();
         assertThat(pass.reaches("w0")).isFalse();
         assertThat(pass.reaches("unheard of")).isFalse();
         nowUs += SECOND;
-        list(5, 5);
-        assertThat(ask("/read").reaches("e0")).as("half are enough").isTrue();
-        list(4, 5);
-        Admission.Pass fallen = ask("/read");
+        listReady(5, 5);
+        assertThat(admit("/read").reaches("e0")).as("half of them are enough").isTrue();
+        listReady(4, 5);
+        Admission.Pass fallen = admit("/read");
         assertThat(fallen.reaches("e0")).isFalse();
-        assertThat(fallen.reaches("w0")).as("bears the label").isTrue();
+        assertThat(fallen.reaches("w0")).as("has the label").isTrue();
         assertThat(fallen.reaches("w1")).isFalse();
         assertThat(pass.reaches("e0"))
-                .as("one that was taken before stays with its pool")
+                .as("a request that came before stays with its pool")
                 .isTrue();
-        list(5, 5);
-        assertThat(ask("/read").reaches("e0")).as("no swinging at the bound").isFalse();
-        list(6, 5);
-        assertThat(ask("/read").reaches("e0")).isTrue();
-        // What is gone for good is in time no longer missed.
-        list(4, 5);
-        assertThat(ask("/read").reaches("e0")).isFalse();
+        listReady(5, 5);
+        assertThat(admit("/read").reaches("e0")).as("no flapping at the bound").isFalse();
+        listReady(6, 5);
+        assertThat(admit("/read").reaches("e0")).isTrue();
+        // Endpoints that are gone for good are in time no longer counted.
+        listReady(4, 5);
+        assertThat(admit("/read").reaches("e0")).isFalse();
         nowUs += 1_200 * SECOND;
-        assertThat(ask("/read").reaches("e0")).isTrue();
+        assertThat(admit("/read").reaches("e0")).isTrue();
         admission.listed(
                 nowUs,
                 DecisionEngine.ListForm.DELTA,
                 List.of(endpoint("e0", 0, Endpoint.Health.DRAINING), endpoint("w0", 1, Endpoint.Health.GONE)),
                 Map.of());
-        assertThat(ask("/read").reaches("w0")).isFalse();
+        assertThat(admit("/read").reaches("w0")).isFalse();
     }
 
     @Test
-    void furtherAttemptsAreNarrowedByTheirPolicyAndBudget() {
-        list(2, 2);
-        admission.follow(nowUs, SampleConfigs.plan(POOLS));
-        Admission.Pass pass = ask("/read");
+    void retriesAreNarrowedByPolicyAndBudget() {
+        listReady(2, 2);
+        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
+        Admission.Pass pass = admit("/read");
         assertThat(pass.mostAttempts()).isEqualTo(2);
         assertThat(pass.attemptUs()).isEqualTo(100_000);
         assertThat(pass.goesOn(nowUs, AttemptResult.TIMED_OUT)).isFalse();
-        int gone = 0;
+        int retries = 0;
         for (int i = 0; i < 1_000; i++) {
             nowUs += 1_000;
-            gone += ask("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
+            retries += admit("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
-        assertThat(gone).isBetween(90, 115);
-        // A budget that is spent stays spent when a version comes that does not change it.
-        admission.follow(nowUs, SampleConfigs.plan(POOLS.replace("'format': 1", "'format': 1, 'note': 'again'")));
-        gone = 0;
+        assertThat(retries).isBetween(90, 115);
+        // A budget that is spent stays spent when a new version does not change its policy.
+        admission.follow(
+                nowUs, SampleConfigs.compileValid(POOLS.replace("'format': 1", "'format': 1, 'note': 'again'")));
+        retries = 0;
         for (int i = 0; i < 10; i++) {
-            gone += ask("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
+            retries += admit("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
-        assertThat(gone).isLessThan(4);
-        assertThat(ask("/west").goesOn(nowUs, AttemptResult.TIMED_OUT))
-                .as("nothing was set there")
+        assertThat(retries).isLessThan(4);
+        assertThat(admit("/west").goesOn(nowUs, AttemptResult.TIMED_OUT))
+                .as("the route names no policy")
                 .isTrue();
     }
 
     @Test
-    void aRequestGoesOnUnderTheVersionThatTookIt() {
-        list(2, 2);
-        admission.follow(nowUs, SampleConfigs.plan(POOLS));
-        Admission.Pass pass = ask("/read");
-        admission.follow(nowUs, SampleConfigs.plan("""
+    void aRequestIsFinishedUnderTheVersionThatMatchedIt() {
+        listReady(2, 2);
+        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
+        Admission.Pass pass = admit("/read");
+        admission.follow(nowUs, SampleConfigs.compileValid("""
             {'format': 1, 'pools': {'east': {'zones': ['west']}}, 'removes': ['w'],
              'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'east'}]}
             """));
         assertThat(pass.reaches("e0")).isTrue();
         assertThat(pass.reaches("w0")).isFalse();
         assertThat(pass.mostAttempts()).isEqualTo(2);
-        assertThat(ask("/read").reaches("w0")).isTrue();
+        assertThat(admit("/read").reaches("w0")).isTrue();
     }
 
     @Test
-    void aVersionThatIsADangerBesideTheOneInForceIsTurnedDown() {
-        list(6, 4);
-        admission.follow(nowUs, SampleConfigs.plan(POOLS));
-        CompiledConfig without = SampleConfigs.plan(
+    void aVersionThatIsADangerBesideTheActiveOneIsRejected() {
+        listReady(6, 4);
+        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
+        CompiledConfig without = SampleConfigs.compileValid(
                 POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', " + "'pool': 'west'}", ""));
         assertThat(admission.beside(nowUs, without))
                 .extracting(Diagnostic::code)
                 .doesNotContain("B-TRAFFIC");
-        ask("/west");
+        admit("/west");
         assertThat(admission.beside(nowUs, without))
                 .extracting(Diagnostic::code)
                 .contains("B-TRAFFIC");
         nowUs += 61 * SECOND;
-        ask("/read");
+        admit("/read");
         nowUs += 20 * SECOND;
         assertThat(admission.beside(nowUs, without))
                 .extracting(Diagnostic::code)
                 .doesNotContain("B-TRAFFIC");
-        ask("/west");
-        String said = "{'format': 1, 'unmatched': 'refuse', 'removes': ['w'], 'pools': {'p': {'zones': "
+        admit("/west");
+        String removing = "{'format': 1, 'unmatched': 'refuse', 'removes': ['w'], 'pools': {'p': {'zones': "
                 + "['%s']}},"
                 + " 'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'p'}]}";
-        assertThat(admission.beside(nowUs, SampleConfigs.plan(String.format(said, "east"))))
+        assertThat(admission.beside(nowUs, SampleConfigs.compileValid(String.format(removing, "east"))))
                 .isEmpty();
-        assertThat(admission.beside(nowUs, SampleConfigs.plan(String.format(said, "west"))))
+        assertThat(admission.beside(nowUs, SampleConfigs.compileValid(String.format(removing, "west"))))
                 .extracting(Diagnostic::code)
                 .containsExactly("B-UNITS");
     }
--- a/src/test/java/gatelock/config/ConfigBenchmark.java
+++ b/src/test/java/gatelock/config/ConfigBenchmark.java
@@ -10,19 +10,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the compiled table against a plain list, and what a version costs until it is in force. Not a
- * test: run by
- * {@code make measure-plan}; its table is kept in docs/measurements/versioned-configuration.md.
+ * Measures the route table against a plain list, and what a version costs until it is active. Not a test: run by {@code
+ * make measure-plan}; its tables are kept in docs/measurements/versioned-configuration.md.
  */
 public final class ConfigBenchmark {
     private static final int BATCH = 100;
-    private static int sink;
+    private static final int REQUESTS = 4_096;
+    private static final long WARM_UP_NS = 1_000_000_000L;
+    private static final long MEASURED_NS = 2_000_000_000L;
+    private static final int WARM_UP_VERSIONS = 2;
+    private static final int MEASURED_VERSIONS = 10;
 
     private ConfigBenchmark() {}
 
+    /** Measures and prints both tables. */
     public static void main(String[] args) {
-        lookups();
-        applies();
+        measureLookups();
+        measureActivation();
     }
 
     private static String path(SplittableRandom random, int entries) {
@@ -30,40 +34,40 @@
                 + random.nextInt(10);
     }
 
-    private static void lookups() {
+    private static void measureLookups() {
         System.out.println("| entries | way | ns a lookup, p50 | p99 | bytes held |");
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int entries : new int[] {10, 1_000, 100_000}) {
             SplittableRandom random = new SplittableRandom(17);
             List<RouteMatch> matches = new ArrayList<>();
-            List<Integer> places = new ArrayList<>();
+            List<Integer> positions = new ArrayList<>();
             for (int i = 0; i < entries; i++) {
                 matches.add(new RouteMatch(
                         i % 7 == 0 ? "one.lk" : "*",
-                        RouteMatch.segments(path(random, entries)),
+                        RouteMatch.splitPath(path(random, entries)),
                         i % 5 == 0 ? Set.of("GET") : Set.of(),
                         i % 11 == 0 ? Map.of("x-a", "1") : Map.of()));
-                places.add(i);
+                positions.add(i);
             }
-            long before = used();
-            RouteTable<Integer> table = new RouteTable<>(matches, places);
-            long bytes = used() - before;
-            List<RequestAttributes> asked = new ArrayList<>();
-            for (int i = 0; i < 4_096; i++) {
-                asked.add(new RequestAttributes("GET", "one.lk", path(random, entries) + "/more", n -> null));
+            long usedBefore = usedHeapBytes();
+            RouteTable<Integer> table = new RouteTable<>(matches, positions);
+            long bytes = usedHeapBytes() - usedBefore;
+            List<RequestAttributes> requests = new ArrayList<>();
+            for (int i = 0; i < REQUESTS; i++) {
+                requests.add(new RequestAttributes("GET", "one.lk", path(random, entries) + "/more", name -> null));
             }
-            say(entries, "trie", bytes, asked, a -> table.first(a));
-            say(entries, "plain list", 0, asked, a -> plain(matches, a));
+            measure(entries, "trie", bytes, requests, table::findFirst);
+            measure(entries, "plain list", 0, requests, request -> searchList(matches, request));
         }
     }
 
-    private static Integer plain(List<RouteMatch> matches, RequestAttributes asked) {
-        List<String> path = RouteMatch.segments(asked.path());
+    private static Integer searchList(List<RouteMatch> matches, RequestAttributes request) {
+        List<String> path = RouteMatch.splitPath(request.path());
         for (int i = 0; i < matches.size(); i++) {
-            RouteMatch m = matches.get(i);
-            if (path.size() >= m.segments().size()
-                    && path.subList(0, m.segments().size()).equals(m.segments())
-                    && m.fitsBeside(asked)) {
+            RouteMatch match = matches.get(i);
+            if (path.size() >= match.segments().size()
+                    && path.subList(0, match.segments().size()).equals(match.segments())
+                    && match.matchesIgnoringPath(request)) {
                 return i;
             }
         }
@@ -71,33 +75,44 @@
     }
 
     private interface Lookup {
-        Integer of(RequestAttributes asked);
+        /** Returns the position of the first route that matches, or null. */
+        Integer find(RequestAttributes request);
     }
 
-    private static void say(int entries, String way, long bytes, List<RequestAttributes> asked, Lookup lookup) {
+    private static void measure(
+            int entries, String structure, long bytes, List<RequestAttributes> requests, Lookup lookup) {
         Histogram ns = new Histogram(3);
-        long untilNs = System.nanoTime() + 3_000_000_000L;
+        // Summed up and checked at the end, so that the lookups are not optimized away.
+        long checksum = 0;
+        long untilNs = System.nanoTime() + WARM_UP_NS + MEASURED_NS;
         for (int round = 0; System.nanoTime() < untilNs; round++) {
             long fromNs = System.nanoTime();
             for (int i = 0; i < BATCH; i++) {
-                Integer found = lookup.of(asked.get((round * BATCH + i) & 4_095));
-                sink += found == null ? 1 : found;
+                Integer found = lookup.find(requests.get((round * BATCH + i) & (REQUESTS - 1)));
+                checksum += found == null ? 1 : found;
             }
-            if (System.nanoTime() > untilNs - 2_000_000_000L) {
+            if (System.nanoTime() > untilNs - MEASURED_NS) {
                 ns.recordValue((System.nanoTime() - fromNs) / BATCH);
             }
         }
+        if (checksum < 0) {
+            throw new AssertionError("a position is negative");
+        }
         System.out.printf(
                 "| %d | %s | %d | %d | %s |%n",
-                entries, way, ns.getValueAtPercentile(50), ns.getValueAtPercentile(99), bytes == 0 ? "" : "" + bytes);
+                entries,
+                structure,
+                ns.getValueAtPercentile(50),
+                ns.getValueAtPercentile(99),
+                bytes == 0 ? "" : "" + bytes);
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    private static void applies() {
+    private static void measureActivation() {
         System.out.println();
         System.out.println("| entries | bytes of text | ms to read, check and compile | us of the I/O "
                 + "thread to swap, p50 | most |");
@@ -111,26 +126,26 @@
                 endpoints.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
             }
             admission.listed(1, DecisionEngine.ListForm.FULL, endpoints, Map.of());
-            Histogram compile = new Histogram(3);
-            Histogram swap = new Histogram(3);
-            for (int i = 0; i < 12; i++) {
+            Histogram compileMs = new Histogram(3);
+            Histogram swapUs = new Histogram(3);
+            for (int i = 0; i < WARM_UP_VERSIONS + MEASURED_VERSIONS; i++) {
                 long fromNs = System.nanoTime();
                 ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, i + 1, bytes);
                 long readyNs = System.nanoTime();
                 admission.beside(i + 2, compiled.plan());
                 admission.follow(i + 2, compiled.plan());
-                if (i > 1) {
-                    compile.recordValue((readyNs - fromNs) / 1_000_000);
-                    swap.recordValue((System.nanoTime() - readyNs) / 1_000);
+                if (i >= WARM_UP_VERSIONS) {
+                    compileMs.recordValue((readyNs - fromNs) / 1_000_000);
+                    swapUs.recordValue((System.nanoTime() - readyNs) / 1_000);
                 }
             }
             System.out.printf(
                     "| %d | %d | %d | %d | %d |%n",
                     entries,
                     bytes.length,
-                    compile.getValueAtPercentile(50),
-                    swap.getValueAtPercentile(50),
-                    swap.getMaxValue());
+                    compileMs.getValueAtPercentile(50),
+                    swapUs.getValueAtPercentile(50),
+                    swapUs.getMaxValue());
         }
     }
 }
