--- a/src/test/java/gatelock/config/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/config/ConfigCompilerTest.java
@@ -12,31 +12,31 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Broken versions, each with the findings it must bring: a file under plans/ begins with lines {@code #
- * line:column
- * pointer code}, one for each finding in order; the version follows, its lines counted from 1 again.
+ * Faulty versions, each with the findings it must bring: a file under plans/ begins with lines {@code # line:column
+ * pointer code}, one for each finding; the version follows, its lines counted from 1 again.
  */
 final class ConfigCompilerTest {
 
     @TestFactory
-    Stream<DynamicTest> eachVersionBringsJustItsFindings() throws IOException {
+    Stream<DynamicTest> eachVersionBringsExactlyItsFindings() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/plans"))) {
             return files.sorted().toList().stream()
-                    .map(f -> DynamicTest.dynamicTest(f.getFileName().toString(), () -> {
-                        List<String> lines = Files.readAllLines(f);
+                    .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> {
+                        List<String> lines = Files.readAllLines(file);
                         List<String> expected = lines.stream()
-                                .takeWhile(l -> l.startsWith("# "))
-                                .map(l -> l.substring(2))
+                                .takeWhile(line -> line.startsWith("# "))
+                                .map(line -> line.substring(2))
                                 .toList();
                         String text = String.join("\n", lines.subList(expected.size(), lines.size()));
-                        ConfigCompiler.Compiled compiled = SampleConfigs.compiled(text);
+                        ConfigCompiler.Compiled compiled = SampleConfigs.compile(text);
                         assertThat(compiled.findings())
                                 .as("%s", compiled.findings())
-                                .extracting(x -> x.line() + ":" + x.column() + " " + x.pointer() + " " + x.code())
+                                .extracting(found -> found.line() + ":" + found.column() + " " + found.pointer() + " "
+                                        + found.code())
                                 .containsExactlyInAnyOrderElementsOf(expected);
-                        assertThat(compiled.findings()).allSatisfy(x -> {
-                            assertThat(x.wrong()).isNotBlank();
-                            assertThat(x.mend()).isNotBlank();
+                        assertThat(compiled.findings()).allSatisfy(found -> {
+                            assertThat(found.wrong()).isNotBlank();
+                            assertThat(found.mend()).isNotBlank();
                         });
                         assertThat(compiled.good())
                                 .isEqualTo(compiled.findings().stream().noneMatch(Diagnostic::grave));
@@ -45,8 +45,8 @@
     }
 
     @Test
-    void whatIsNotSaidIsInheritedAndThenByDefault() {
-        CompiledConfig plan = SampleConfigs.plan("""
+    void aMissingFieldIsInheritedOrElseTakenFromTheDefaults() {
+        CompiledConfig config = SampleConfigs.compileValid("""
             {'format': 1, 'defaults': {'pool': 'all', 'retries': 'none'},
              'pools': {'all': {}, 'east': {'zones': ['east'], 'fallback': 'all', 'leastShare': 0.5, 'retries': 'two'}},
              'retries': {'none': {'tries': 1}, 'two': {'tries': 2}, 'three': {'tries': 3, 'after': ['errored']}},
@@ -57,23 +57,23 @@
               {'name': 'pooled', 'inherits': 'base', 'path': '/pooled'},
               {'name': 'plain', 'path': '/plain', 'class': 'claim'}]}
             """);
-        assertThat(plan.routes()).isEqualTo(4);
-        RouteEntry own = plan.entries().get("own");
-        RouteEntry heir = plan.entries().get("heir");
-        RouteEntry pooled = plan.entries().get("pooled");
-        RouteEntry plain = plan.entries().get("plain");
-        assertThat(plan.retries(own, "east").name()).isEqualTo("three");
+        assertThat(config.routes()).isEqualTo(4);
+        RouteEntry own = config.routesByName().get("own");
+        RouteEntry heir = config.routesByName().get("heir");
+        RouteEntry pooled = config.routesByName().get("pooled");
+        RouteEntry plain = config.routesByName().get("plain");
+        assertThat(config.retryPolicy(own, "east").name()).isEqualTo("three");
         assertThat(own.limits()).isEmpty();
-        assertThat(plan.retries(heir, "all").name()).isEqualTo("three");
-        assertThat(plan.retries(pooled, "east").name()).isEqualTo("two");
-        assertThat(plan.retries(pooled, "all").name()).isEqualTo("none");
+        assertThat(config.retryPolicy(heir, "all").name()).isEqualTo("three");
+        assertThat(config.retryPolicy(pooled, "east").name()).isEqualTo("two");
+        assertThat(config.retryPolicy(pooled, "all").name()).isEqualTo("none");
         assertThat(pooled.limits()).extracting(LimitPolicy::name).containsExactly("few");
         assertThat(plain.pool()).isEqualTo("all");
-        assertThat(plan.chain("east")).containsExactly("east", "all");
+        assertThat(config.fallbackChain("east")).containsExactly("east", "all");
     }
 
     @Test
-    void aDiffIsOfMeaningNotOfText() {
+    void aDiffComparesMeaningNotText() {
         String text = """
             {'format': 1, 'limits': {'a': {'ratePerS': 5}}, 'routes': [
              {'name': 'x', 'path': '/x', 'class': 'read', 'limits': ['a']}, {'name': 'y', 'path': '/y', 'class': 'claim'}]}
@@ -83,20 +83,21 @@
               {'name': 'x', 'limits': ['a'], 'path': '/x', 'class': 'read', 'host': '*'}],
              'limits': {'a': {'per': 'all', 'ratePerS': 5.0, 'burst': 5}}, 'note': 'moved', 'format': 1}
             """;
-        assertThat(ConfigDiff.of(SampleConfigs.plan(text), SampleConfigs.plan(moved), SampleConfigs.GROUNDS))
+        assertThat(ConfigDiff.of(
+                        SampleConfigs.compileValid(text), SampleConfigs.compileValid(moved), SampleConfigs.GROUNDS))
                 .isEmpty();
         assertThat(ConfigDiff.of(
-                        SampleConfigs.plan(text),
-                        SampleConfigs.plan(text.replace("5}", "6}").replace("'/y'", "'/z'")),
+                        SampleConfigs.compileValid(text),
+                        SampleConfigs.compileValid(text.replace("5}", "6}").replace("'/y'", "'/z'")),
                         SampleConfigs.GROUNDS))
                 .hasSize(2)
-                .anyMatch(l -> l.contains("limits") && l.contains("6 reqs a second"))
-                .anyMatch(l -> l.startsWith("route y: is for"));
+                .anyMatch(line -> line.contains("limits") && line.contains("6 reqs a second"))
+                .anyMatch(line -> line.startsWith("route y: is for"));
         String one = "{'name': 'one', 'path': '/p', 'headers': {'x-a': '1'}, 'class': 'read'}";
         String two = "{'name': 'two', 'path': '/p/q', 'class': 'read'}";
         assertThat(ConfigDiff.of(
-                        SampleConfigs.plan("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
-                        SampleConfigs.plan("{'format': 1, 'routes': [" + two + ", " + one + "]}"),
+                        SampleConfigs.compileValid("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
+                        SampleConfigs.compileValid("{'format': 1, 'routes': [" + two + ", " + one + "]}"),
                         SampleConfigs.GROUNDS))
                 .singleElement()
                 .asString()
--- a/src/test/java/gatelock/config/RequestLimiterTest.java
+++ b/src/test/java/gatelock/config/RequestLimiterTest.java
@@ -12,227 +12,239 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Limits under random requests, ends and versions, against what they may never let happen. */
+/** Limits under given and random requests, releases and versions. */
 final class RequestLimiterTest {
     private static final long SECOND = 1_000_000;
 
     private static LimitPolicy limit(
-            String name, LimitPolicy.Per per, double perS, double burst, int inFlight, int length, long waitUs) {
-        return new LimitPolicy(name, per, perS / 1e6, burst, inFlight, length, waitUs);
+            String name,
+            LimitPolicy.Scope scope,
+            double ratePerS,
+            double burst,
+            int maxInFlight,
+            int length,
+            long waitUs) {
+        return new LimitPolicy(name, scope, ratePerS / 1e6, burst, maxInFlight, length, waitUs);
     }
 
-    private static LimitPolicy rate(double perS, double burst) {
-        return limit("l", LimitPolicy.Per.ALL, perS, burst, Integer.MAX_VALUE, 0, 0);
+    private static LimitPolicy rate(double ratePerS, double burst) {
+        return limit("l", LimitPolicy.Scope.ALL, ratePerS, burst, Integer.MAX_VALUE, 0, 0);
     }
 
-    /** One request and all that it is told. */
+    /** A request, with how often it was admitted and shed. */
     private static final class Request implements QueuedRequest {
-        private final int tenant;
-        private final long askedUs;
-        private RequestLimiter.Told told;
-        private int passed;
+        private final long submittedUs;
+        private final RequestLimiter.Decision decision;
+        private int admitted;
         private int shed;
-        private long toldUs;
-
-        Request(RequestLimiter limits, long nowUs, int tenant, LimitPolicy... its) {
-            this.tenant = tenant;
-            this.askedUs = nowUs;
-            told = limits.ask(nowUs, List.of(its), "r", tenant, nowUs + 60 * SECOND, this);
-            passed = told.answer() == RequestLimiter.Answer.PASSES ? 1 : 0;
-            shed = told.answer() == RequestLimiter.Answer.SHED ? 1 : 0;
+        private long notifiedUs;
+
+        Request(RequestLimiter limiter, long nowUs, int tenant, LimitPolicy... limits) {
+            this.submittedUs = nowUs;
+            decision = limiter.admit(nowUs, List.of(limits), "r", tenant, nowUs + 60 * SECOND, this);
+            admitted = decision.outcome() == RequestLimiter.Outcome.ADMITTED ? 1 : 0;
+            shed = decision.outcome() == RequestLimiter.Outcome.SHED ? 1 : 0;
         }
 
         @Override
         public void passes(long nowUs) {
-            passed++;
-            toldUs = nowUs;
+            admitted++;
+            notifiedUs = nowUs;
         }
 
         @Override
-        public void shed(long nowUs, long pauseUs) {
+        public void shed(long nowUs, long retryAfterUs) {
             shed++;
-            toldUs = nowUs;
-            assertThat(pauseUs).isPositive();
+            notifiedUs = nowUs;
+            assertThat(retryAfterUs).isPositive();
         }
 
-        private boolean waits() {
-            return passed + shed == 0;
+        private boolean isQueued() {
+            return admitted + shed == 0;
         }
 
-        private void over(long nowUs) {
-            if (told.ticket() != null) {
-                told.ticket().over(nowUs);
+        private void release(long nowUs) {
+            if (decision.ticket() != null) {
+                decision.ticket().release(nowUs);
             }
         }
     }
 
-    private static int passes(RequestLimiter limits, long nowUs, int requests, LimitPolicy limit) {
-        int passed = 0;
+    /** Submits so many requests and returns how many were admitted at once. */
+    private static int admitted(RequestLimiter limiter, long nowUs, int requests, LimitPolicy limit) {
+        int admitted = 0;
         for (int i = 0; i < requests; i++) {
-            passed += new Request(limits, nowUs, 0, limit).passed;
+            admitted += new Request(limiter, nowUs, 0, limit).admitted;
         }
-        return passed;
+        return admitted;
     }
 
     @Test
-    void aChangedRateHandsOutNoFreshBurst() {
-        RequestLimiter limits = new RequestLimiter();
-        limits.follow(1, Map.of("l", rate(10, 20)));
-        assertThat(passes(limits, 1, 30, rate(10, 20))).isEqualTo(20);
+    void aChangedRateGrantsNoFreshBurst() {
+        RequestLimiter limiter = new RequestLimiter();
+        limiter.applyPolicies(1, Map.of("l", rate(10, 20)));
+        assertThat(admitted(limiter, 1, 30, rate(10, 20))).isEqualTo(20);
         LimitPolicy more = rate(100, 200);
-        limits.follow(2, Map.of("l", more));
-        assertThat(passes(limits, 2, 30, more)).isZero();
-        assertThat(passes(limits, 2 + SECOND / 10, 30, more)).isEqualTo(10);
-        LimitPolicy byTenant = limit("l", LimitPolicy.Per.TENANT, 100, 200, Integer.MAX_VALUE, 0, 0);
-        limits.follow(SECOND, Map.of("l", byTenant));
-        assertThat(passes(limits, SECOND, 30, byTenant))
+        limiter.applyPolicies(2, Map.of("l", more));
+        assertThat(admitted(limiter, 2, 30, more)).isZero();
+        assertThat(admitted(limiter, 2 + SECOND / 10, 30, more)).isEqualTo(10);
+        LimitPolicy byTenant = limit("l", LimitPolicy.Scope.TENANT, 100, 200, Integer.MAX_VALUE, 0, 0);
+        limiter.applyPolicies(SECOND, Map.of("l", byTenant));
+        assertThat(admitted(limiter, SECOND, 30, byTenant))
                 .as("counted for something else now")
                 .isEqualTo(1);
         LimitPolicy free =
-                limit("l", LimitPolicy.Per.TENANT, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1_000, 0, 0);
-        limits.follow(SECOND, Map.of("l", free));
-        assertThat(passes(limits, SECOND, 30, free)).isEqualTo(30);
-        limits.follow(SECOND, Map.of("l", byTenant));
-        assertThat(passes(limits, SECOND, 30, byTenant)).as("no rate before").isEqualTo(1);
+                limit("l", LimitPolicy.Scope.TENANT, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1_000, 0, 0);
+        limiter.applyPolicies(SECOND, Map.of("l", free));
+        assertThat(admitted(limiter, SECOND, 30, free)).isEqualTo(30);
+        limiter.applyPolicies(SECOND, Map.of("l", byTenant));
+        assertThat(admitted(limiter, SECOND, 30, byTenant)).as("no rate before").isEqualTo(1);
     }
 
     @Test
     void whatIsInFlightStaysCountedWhenTheLimitChanges() {
-        RequestLimiter limits = new RequestLimiter();
-        LimitPolicy five = limit("l", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 5, 0, 0);
-        limits.follow(1, Map.of("l", five));
-        List<Request> out = new ArrayList<>();
+        RequestLimiter limiter = new RequestLimiter();
+        LimitPolicy five = limit("l", LimitPolicy.Scope.ALL, Double.POSITIVE_INFINITY, 1, 5, 0, 0);
+        limiter.applyPolicies(1, Map.of("l", five));
+        List<Request> unreleased = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            out.add(new Request(limits, 1, 0, five));
+            unreleased.add(new Request(limiter, 1, 0, five));
         }
-        LimitPolicy three = limit("l", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 3, 1, SECOND);
-        limits.follow(2, Map.of("l", three));
-        Request waits = new Request(limits, 2, 0, three);
-        assertThat(waits.waits()).isTrue();
-        out.get(0).over(3);
-        out.get(1).over(3);
-        assertThat(waits.waits()).as("three are still out").isTrue();
-        out.get(2).over(4);
-        assertThat(waits.passed).isEqualTo(1);
+        LimitPolicy three = limit("l", LimitPolicy.Scope.ALL, Double.POSITIVE_INFINITY, 1, 3, 1, SECOND);
+        limiter.applyPolicies(2, Map.of("l", three));
+        Request queued = new Request(limiter, 2, 0, three);
+        assertThat(queued.isQueued()).isTrue();
+        unreleased.get(0).release(3);
+        unreleased.get(1).release(3);
+        assertThat(queued.isQueued()).as("three are still in flight").isTrue();
+        unreleased.get(2).release(4);
+        assertThat(queued.admitted).isEqualTo(1);
     }
 
     @Test
     void aQueueThatGetsShorterWhileFullShedsTheLastOfTheLongest() {
-        RequestLimiter limits = new RequestLimiter();
-        LimitPolicy four = limit("l", LimitPolicy.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 4, SECOND);
-        limits.follow(1, Map.of("l", four));
-        new Request(limits, 1, 0, four);
-        Request a1 = new Request(limits, 1, 1, four);
-        Request a2 = new Request(limits, 1, 1, four);
-        Request a3 = new Request(limits, 1, 1, four);
-        Request b1 = new Request(limits, 1, 2, four);
-        LimitPolicy two = limit("l", LimitPolicy.Per.ALL, 0.001, 1, Integer.MAX_VALUE, 2, SECOND);
-        limits.follow(2, Map.of("l", two));
+        RequestLimiter limiter = new RequestLimiter();
+        LimitPolicy four = limit("l", LimitPolicy.Scope.ALL, 0.001, 1, Integer.MAX_VALUE, 4, SECOND);
+        limiter.applyPolicies(1, Map.of("l", four));
+        new Request(limiter, 1, 0, four);
+        Request a1 = new Request(limiter, 1, 1, four);
+        Request a2 = new Request(limiter, 1, 1, four);
+        Request a3 = new Request(limiter, 1, 1, four);
+        Request b1 = new Request(limiter, 1, 2, four);
+        LimitPolicy two = limit("l", LimitPolicy.Scope.ALL, 0.001, 1, Integer.MAX_VALUE, 2, SECOND);
+        limiter.applyPolicies(2, Map.of("l", two));
         assertThat(List.of(a1.shed, a2.shed, a3.shed, b1.shed)).containsExactly(0, 1, 1, 0);
-        assertThat(limits.waiting()).isEqualTo(2);
+        assertThat(limiter.queuedCount()).isEqualTo(2);
     }
 
     @Test
-    void aTenantThatAsksMuchTakesNoPlaceFromOneThatAsksLittle() {
-        RequestLimiter limits = new RequestLimiter();
-        LimitPolicy limit = limit("l", LimitPolicy.Per.ALL, 10, 1, Integer.MAX_VALUE, 10, 10 * SECOND);
-        limits.follow(1, Map.of("l", limit));
-        List<Request> much = new ArrayList<>();
-        List<Request> little = new ArrayList<>();
+    void aTenantWithManyRequestsTakesNoPlaceFromOneWithFew() {
+        RequestLimiter limiter = new RequestLimiter();
+        LimitPolicy limit = limit("l", LimitPolicy.Scope.ALL, 10, 1, Integer.MAX_VALUE, 10, 10 * SECOND);
+        limiter.applyPolicies(1, Map.of("l", limit));
+        List<Request> many = new ArrayList<>();
+        List<Request> few = new ArrayList<>();
         for (long us = 1; us < 10 * SECOND; us += 10_000) {
-            much.add(new Request(limits, us, 1, limit));
+            many.add(new Request(limiter, us, 1, limit));
             if (us % 250_000 < 10_000) {
-                little.add(new Request(limits, us, 2, limit));
+                few.add(new Request(limiter, us, 2, limit));
             }
-            limits.due(us);
+            limiter.processQueues(us);
         }
-        assertThat(little.stream().filter(r -> r.passed == 1).count()).isGreaterThan(little.size() * 9 / 10);
-        assertThat(much.stream().filter(r -> r.passed == 1).count()).isBetween(50L, 65L);
+        assertThat(few.stream().filter(r -> r.admitted == 1).count()).isGreaterThan(few.size() * 9 / 10);
+        assertThat(many.stream().filter(r -> r.admitted == 1).count()).isBetween(50L, 65L);
     }
 
     @Test
-    void oneThatWaitsForTwoLimitsPassesWhenTheOtherOneIsFree() {
-        RequestLimiter limits = new RequestLimiter();
-        LimitPolicy a = limit("a", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 5, 5 * SECOND);
-        LimitPolicy b = limit("b", LimitPolicy.Per.ALL, Double.POSITIVE_INFINITY, 1, 1, 0, 0);
-        Request onA = new Request(limits, 1, 0, a);
-        Request onB = new Request(limits, 1, 0, b);
-        Request both = new Request(limits, 1, 0, a, b);
-        assertThat(both.waits()).isTrue();
-        onA.over(2);
-        assertThat(both.waits()).as("b is full").isTrue();
-        onB.over(3);
-        assertThat(both.passed).isEqualTo(1);
+    void aRequestQueuedInOneLimitIsAdmittedWhenItsOtherLimitIsFreed() {
+        RequestLimiter limiter = new RequestLimiter();
+        LimitPolicy a = limit("a", LimitPolicy.Scope.ALL, Double.POSITIVE_INFINITY, 1, 1, 5, 5 * SECOND);
+        LimitPolicy b = limit("b", LimitPolicy.Scope.ALL, Double.POSITIVE_INFINITY, 1, 1, 0, 0);
+        Request onA = new Request(limiter, 1, 0, a);
+        Request onB = new Request(limiter, 1, 0, b);
+        Request both = new Request(limiter, 1, 0, a, b);
+        assertThat(both.isQueued()).isTrue();
+        onA.release(2);
+        assertThat(both.isQueued()).as("b is full").isTrue();
+        onB.release(3);
+        assertThat(both.admitted).isEqualTo(1);
     }
 
     @Property(tries = 300, seed = "17")
-    void boundsHoldAndEachRequestIsToldOnce(@ForAll long seed) {
+    void boundsHoldAndEachRequestIsNotifiedOnce(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        RequestLimiter limits = new RequestLimiter();
-        LimitPolicy[] its = new LimitPolicy[3];
+        RequestLimiter limiter = new RequestLimiter();
+        LimitPolicy[] policies = new LimitPolicy[3];
         List<Request> all = new ArrayList<>();
-        List<Request> out = new ArrayList<>();
+        List<Request> unreleased = new ArrayList<>();
         long nowUs = 1;
-        long fromUs = 1;
-        double passed = 0;
+        long versionSinceUs = 1;
+        double admittedBefore = 0;
         for (int i = 0; i < 400; i++) {
             if (i % 100 == 0) {
-                LimitPolicy.Per[] pers = LimitPolicy.Per.values();
+                LimitPolicy.Scope[] scopes = LimitPolicy.Scope.values();
                 Map<String, LimitPolicy> next = new HashMap<>();
-                for (int j = 0; j < its.length; j++) {
-                    its[j] = limit(
+                for (int j = 0; j < policies.length; j++) {
+                    policies[j] = limit(
                             "l" + j,
-                            j == 0 ? LimitPolicy.Per.ALL : pers[random.nextInt(4)],
+                            j == 0 ? LimitPolicy.Scope.ALL : scopes[random.nextInt(4)],
                             1 + random.nextInt(50),
                             1 + random.nextInt(5),
                             1 + random.nextInt(6),
                             random.nextInt(4),
                             1 + random.nextInt(500_000));
-                    next.put(its[j].name(), its[j]);
+                    next.put(policies[j].name(), policies[j]);
                 }
-                limits.follow(nowUs, next);
-                fromUs = nowUs;
-                passed = all.stream().mapToInt(r -> r.passed).sum();
+                limiter.applyPolicies(nowUs, next);
+                versionSinceUs = nowUs;
+                admittedBefore = all.stream().mapToInt(r -> r.admitted).sum();
             }
             long nextUs = nowUs + 1 + random.nextInt(60_000);
-            // Called when it says, as a timer would.
-            for (long us = limits.nextUs(nowUs); us <= nextUs; us = limits.nextUs(us)) {
+            // Called when it is due, as by a timer.
+            for (long us = limiter.nextDueUs(nowUs); us <= nextUs; us = limiter.nextDueUs(us)) {
                 nowUs = Math.max(nowUs + 1, us);
-                limits.due(nowUs);
+                limiter.processQueues(nowUs);
             }
             nowUs = Math.max(nowUs, nextUs);
-            if (random.nextInt(3) == 0 && !out.isEmpty()) {
-                out.remove(random.nextInt(out.size())).over(nowUs);
+            if (random.nextInt(3) == 0 && !unreleased.isEmpty()) {
+                unreleased.remove(random.nextInt(unreleased.size())).release(nowUs);
             } else {
-                Request request = new Request(limits, nowUs, random.nextInt(3), its);
+                Request request = new Request(limiter, nowUs, random.nextInt(3), policies);
                 all.add(request);
                 if (request.shed == 0) {
-                    out.add(request);
+                    unreleased.add(request);
                 }
             }
-            out.removeIf(r -> r.shed > 0);
-            assertThat(all).allMatch(r -> r.passed + r.shed <= 1);
-            long inFlight = out.stream().filter(r -> r.passed == 1).count();
-            int most = its[0].inFlight();
-            assertThat(limits.inFlight("l0")).isEqualTo((int) inFlight);
+            unreleased.removeIf(r -> r.shed > 0);
+            assertThat(all).allMatch(r -> r.admitted + r.shed <= 1);
+            long inFlight = unreleased.stream().filter(r -> r.admitted == 1).count();
+            int maxInFlight = policies[0].maxInFlight();
+            assertThat(limiter.inFlight("l0")).isEqualTo((int) inFlight);
             if (i % 100 > 50) {
-                assertThat(inFlight).isLessThanOrEqualTo(Math.max(most, 6));
+                assertThat(inFlight).isLessThanOrEqualTo(Math.max(maxInFlight, 6));
             }
-            double newly = all.stream().mapToInt(r -> r.passed).sum() - passed;
-            assertThat(newly).isLessThanOrEqualTo(its[0].burst() + 1e-6 + (nowUs - fromUs) * its[0].perUs());
+            double admittedSince = all.stream().mapToInt(r -> r.admitted).sum() - admittedBefore;
+            assertThat(admittedSince)
+                    .isLessThanOrEqualTo(
+                            policies[0].burst() + 1e-6 + (nowUs - versionSinceUs) * policies[0].ratePerUs());
             long late = nowUs;
-            assertThat(out.stream().filter(Request::waits)).allMatch(r -> late - r.askedUs <= 500_001);
+            assertThat(unreleased.stream().filter(Request::isQueued)).allMatch(r -> late - r.submittedUs <= 500_001);
         }
-        for (Request r : List.copyOf(out)) {
-            r.over(nowUs);
+        for (Request r : List.copyOf(unreleased)) {
+            r.release(nowUs);
         }
-        limits.due(nowUs + 60 * SECOND);
-        assertThat(limits.waiting()).isZero();
-        assertThat(limits.inFlight("l0")).isEqualTo((int)
-                all.stream().filter(r -> r.toldUs > nowUs(out) && r.passed == 1).count());
+        limiter.processQueues(nowUs + 60 * SECOND);
+        assertThat(limiter.queuedCount()).isZero();
+        assertThat(limiter.inFlight("l0")).isEqualTo((int) all.stream()
+                .filter(r -> r.notifiedUs > anHourAfter(unreleased) && r.admitted == 1)
+                .count());
     }
 
-    private static long nowUs(List<Request> out) {
-        return out.stream().mapToLong(r -> Math.max(r.toldUs, r.askedUs)).max().orElse(0) + 3600 * SECOND;
+    private static long anHourAfter(List<Request> unreleased) {
+        return unreleased.stream()
+                        .mapToLong(r -> Math.max(r.notifiedUs, r.submittedUs))
+                        .max()
+                        .orElse(0)
+                + 3600 * SECOND;
     }
 }
--- a/src/test/java/gatelock/config/RouteTableTest.java
+++ b/src/test/java/gatelock/config/RouteTableTest.java
@@ -15,20 +15,21 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The compiled table against a plain list that is searched from its start. */
+/** The table against a plain list that is searched from its start. */
 final class RouteTableTest {
     private static final String[] SEGMENTS = {"a", "b", "c", "aa", "x%20y", ""};
     private static final String[] HOSTS = {"*", "one.lk", "*.lk", "*.one.lk", "two.one.lk"};
-    private static final String[] ASKED_HOSTS = {"one.lk", "two.one.lk", "lk", "One.LK", "three.two.one.lk", "other"};
+    private static final String[] REQUESTED_HOSTS = {"one.lk", "two.one.lk", "lk", "One.LK", "three.two.one.lk", "other"
+    };
 
-    /** What a table means, word by word, with no regard to time. */
-    private static Integer plain(List<RouteMatch> matches, RequestAttributes asked) {
+    /** The reference: what a table means, without regard to speed. */
+    private static Integer searchList(List<RouteMatch> matches, RequestAttributes request) {
         for (int i = 0; i < matches.size(); i++) {
-            RouteMatch m = matches.get(i);
-            List<String> path = RouteMatch.segments(asked.path());
-            boolean start = path.size() >= m.segments().size()
-                    && path.subList(0, m.segments().size()).equals(m.segments());
-            if (start && m.fitsBeside(asked)) {
+            RouteMatch match = matches.get(i);
+            List<String> path = RouteMatch.splitPath(request.path());
+            boolean isPrefix = path.size() >= match.segments().size()
+                    && path.subList(0, match.segments().size()).equals(match.segments());
+            if (isPrefix && match.matchesIgnoringPath(request)) {
                 return i;
             }
         }
@@ -49,45 +50,48 @@
         if (random.nextInt(3) == 0) {
             headers.put("x-a", random.nextBoolean() ? "*" : "1");
         }
-        return new RouteMatch(HOSTS[random.nextInt(HOSTS.length)], RouteMatch.segments(path(random)), methods, headers);
+        return new RouteMatch(
+                HOSTS[random.nextInt(HOSTS.length)], RouteMatch.splitPath(path(random)), methods, headers);
     }
 
-    private static RequestAttributes asked(RandomGenerator random) {
+    private static RequestAttributes request(RandomGenerator random) {
         Map<String, String> headers = random.nextBoolean() ? Map.of() : Map.of("x-a", random.nextBoolean() ? "1" : "2");
         return new RequestAttributes(
                 random.nextBoolean() ? "GET" : "POST",
-                random.nextInt(9) == 0 ? null : ASKED_HOSTS[random.nextInt(ASKED_HOSTS.length)],
+                random.nextInt(9) == 0 ? null : REQUESTED_HOSTS[random.nextInt(REQUESTED_HOSTS.length)],
                 path(random),
                 headers::get);
     }
 
     @Property(tries = 500, seed = "17")
-    void itFindsWhatAPlainSearchFinds(@ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int size) {
+    void itFindsWhatASearchOfTheListFinds(@ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int size) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         List<RouteMatch> matches = new ArrayList<>();
-        List<Integer> places = new ArrayList<>();
+        List<Integer> positions = new ArrayList<>();
         for (int i = 0; i < size; i++) {
             matches.add(match(random));
-            places.add(i);
+            positions.add(i);
         }
-        RouteTable<Integer> table = new RouteTable<>(matches, places);
+        RouteTable<Integer> table = new RouteTable<>(matches, positions);
         for (int i = 0; i < 200; i++) {
-            RequestAttributes asked = asked(random);
-            assertThat(table.first(asked)).as("%s in %s", asked, matches).isEqualTo(plain(matches, asked));
+            RequestAttributes request = request(random);
+            assertThat(table.findFirst(request))
+                    .as("%s in %s", request, matches)
+                    .isEqualTo(searchList(matches, request));
         }
     }
 
     @Property(tries = 500, seed = "17")
-    void whatCoversAnotherTakesAllThatItTakes(@ForAll long seed) {
+    void aMatchThatCoversAnotherMatchesAllOfItsRequests(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         for (int i = 0; i < 50; i++) {
-            RouteMatch some = match(random);
-            RouteMatch other = match(random);
-            for (int j = 0; j < 40 && some.covers(other); j++) {
-                RequestAttributes asked = asked(random);
-                if (plain(List.of(other), asked) != null) {
-                    assertThat(plain(List.of(some), asked))
-                            .as("%s covers %s, %s", some, other, asked)
+            RouteMatch wide = match(random);
+            RouteMatch narrow = match(random);
+            for (int j = 0; j < 40 && wide.covers(narrow); j++) {
+                RequestAttributes request = request(random);
+                if (searchList(List.of(narrow), request) != null) {
+                    assertThat(searchList(List.of(wide), request))
+                            .as("%s covers %s, %s", wide, narrow, request)
                             .isNotNull();
                 }
             }
@@ -95,8 +99,8 @@
     }
 
     @Test
-    void aPathThatAnEndpointMayReadAsAnotherIsOdd() {
-        for (String odd : new String[] {
+    void aPathThatAnEndpointMayReadAsAnotherIsAmbiguous() {
+        for (String ambiguous : new String[] {
             "a",
             "/a/../b",
             "/a/./b",
@@ -111,10 +115,10 @@
             "/a/..;x/b",
             "/a%00"
         }) {
-            assertThat(RouteMatch.odd(odd)).as(odd).isTrue();
+            assertThat(RouteMatch.isAmbiguousPath(ambiguous)).as(ambiguous).isTrue();
         }
-        for (String usual : new String[] {"/", "/a", "/a/", "/a.b/..c", "/a%20b", "/a;v=1", "/.well-known/x"}) {
-            assertThat(RouteMatch.odd(usual)).as(usual).isFalse();
+        for (String plain : new String[] {"/", "/a", "/a/", "/a.b/..c", "/a%20b", "/a;v=1", "/.well-known/x"}) {
+            assertThat(RouteMatch.isAmbiguousPath(plain)).as(plain).isFalse();
         }
     }
 }
--- a/src/test/java/gatelock/config/SampleConfigs.java
+++ b/src/test/java/gatelock/config/SampleConfigs.java
@@ -5,8 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A small deployment, and versions for it. */
+/** A small deployment, and configuration versions for it. */
 public final class SampleConfigs {
+    /** A deployment with a class of each kind of repeat, two tenants, two zones and two kinds of endpoints. */
     public static final DeploymentContext GROUNDS = new DeploymentContext(
             Map.of("read", 0, "post", 1, "claim", 2),
             List.of(
@@ -20,7 +21,7 @@
 
     private SampleConfigs() {}
 
-    /** A version of so many routes, each with a pool and a limit for each tenant. */
+    /** Returns a version with so many routes, each with a pool and a limit per tenant, as UTF-8. */
     public static byte[] version(int routes) {
         StringBuilder text = new StringBuilder("{\"format\": 1, \"pools\": {");
         int pools = Math.min(200, routes);
@@ -48,14 +49,15 @@
         return text.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Compiles a version written with single quotes. */
-    static ConfigCompiler.Compiled compiled(String text) {
+    /** Compiles a version that is written with single quotes. */
+    static ConfigCompiler.Compiled compile(String text) {
         return new ConfigCompiler(GROUNDS)
                 .compile(ConfigVersion.Epoch.NONE, 1, text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    static CompiledConfig plan(String text) {
-        ConfigCompiler.Compiled compiled = compiled(text);
+    /** Compiles a version that is written with single quotes and must have no errors. */
+    static CompiledConfig compileValid(String text) {
+        ConfigCompiler.Compiled compiled = compile(text);
         if (!compiled.good()) {
             throw new AssertionError(compiled.findings());
         }
