--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -47,7 +47,7 @@
     private final OperatorConfig.Control control;
     private final InetSocketAddress listener;
     private final EventLoop turn;
-    private final ConfigUpdater steward;
+    private final ConfigUpdater updater;
     private final LastKnownGoodStore keep;
     private final ConfigSubscription subscription;
     private final AdminServer window;
@@ -66,7 +66,7 @@
                             + ": more could fill this relay's memory");
         }
         keep = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), mostBytes);
-        steward = new ConfigUpdater(
+        updater = new ConfigUpdater(
                 turn,
                 counters,
                 new VersionTracker(control.history()),
@@ -78,7 +78,7 @@
                 turn,
                 counters,
                 lines,
-                steward,
+                updater,
                 new Backoff(
                         FIRST_WAIT_US,
                         control.mostWaitUs(),
@@ -86,7 +86,7 @@
                 told.name(),
                 control.services(),
                 control.holdMs());
-        window = new AdminServer(turn, counters, steward, () -> subscription);
+        window = new AdminServer(turn, counters, updater, () -> subscription);
     }
 
     /**
@@ -100,16 +100,16 @@
         if (keep == null) {
             follow(ready);
         } else {
-            turn.<List<LastKnownGoodStore.Kept>>aside(keep::read, List.of(), found -> {
+            turn.<List<LastKnownGoodStore.StoredVersion>>aside(keep::readAll, List.of(), found -> {
                 recover(found);
                 follow(ready);
             });
         }
     }
 
-    private void recover(List<LastKnownGoodStore.Kept> found) {
-        for (LastKnownGoodStore.Kept kept : found) {
-            if (steward.recovered(kept)) {
+    private void recover(List<LastKnownGoodStore.StoredVersion> found) {
+        for (LastKnownGoodStore.StoredVersion stored : found) {
+            if (updater.recover(stored)) {
                 return;
             }
         }
@@ -136,13 +136,13 @@
 
     /** Shows the list of endpoints to operators. */
     void shows(Supplier<DiscoveryClient.State> list) {
-        window.shows(list);
+        window.showEndpointList(list);
     }
 
     /** Follows the control services that the operator's file names now. */
     void move(OperatorConfig to) {
         if (to.control() != null) {
-            subscription.move(to.control().services());
+            subscription.setServices(to.control().services());
         }
     }
 
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -1,282 +1,239 @@
 package gatelock.control;
 
-import com.fasterxml.jackson.jr.ob.JSON;
 import gatelock.config.Backoff;
-import gatelock.config.ConfigVersion;
-import gatelock.config.Diagnostic;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.OutboundConnection;
 import gatelock.state.Counters;
 import gatelock.state.LogField;
 import gatelock.state.UpstreamResponse;
-import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
-import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import org.xnio.XnioExecutor;
 
 /**
- * The stream of versions from a control service: one call after the other, each of which tells what this
- * relay holds and
- * how it met the version before, and waits for a later one. The semantics are xDS's, state of the world
- * (version, nonce, ACK
- * as the same request with the new version, NACK with an error's detail, resume by the version held); the
- * framing is
- * ours: docs/design/versioned-configuration.md.
+ * The subscription to versions of the configuration: long polls of a control service, one after the other. Each
+ * says which version this relay holds and what came of the one before, and waits for a later one.
+ *
+ * <p>The semantics are those of xDS, state of the world: version, nonce, ACK as the same request with the new
+ * version, NACK with an error's detail, resumption by the version held. The framing is this project's own:
+ * docs/design/versioned-configuration.md.
  */
 public final class ConfigSubscription {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
+    /** How much longer than the hold a call may take before it counts as unanswered. */
     private static final long GRACE_US = 5_000_000;
-    private static final int MOST_WORDS = 200;
 
-    private final EventLoop turn;
+    private static final int US_PER_MS = 1_000;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_NO_CONTENT = 204;
+    /** Of the failures in a row the first is logged, and the one after this many. */
+    private static final int LOGGED_AGAIN_AFTER = 4;
+
+    private final EventLoop eventLoop;
     private final Counters counters;
-    private final ConnectionPool lines;
-    private final ConfigUpdater steward;
+    private final ConnectionPool pool;
+    private final ConfigUpdater updater;
     private final Backoff backoff;
     private final String relay;
     private final long holdMs;
     private List<InetSocketAddress> services;
-    private int at;
-    private OutboundConnection line;
-    private XnioExecutor.Key again;
-    private long askedUs;
-    private long heardUs;
+    private int serviceIndex;
+    private OutboundConnection connection;
+    private XnioExecutor.Key nextPoll;
+    private long polledUs;
+    private long lastHeardUs;
     private boolean stopped;
-    /** What the next call tells of the version that came last. */
+    /** The nonce of the response that came last, and what came of its version: the next poll reports both. */
     private String nonce = "";
 
-    private ConfigUpdater.Told told;
+    private UpdateResult lastResult;
 
     /**
-     * @param lines to control services, with room for a whole version in an answer
-     * @param services in the order in which they are tried
-     * @param holdMs how long a call may wait for a later version
+     * Creates a subscription; {@link #start} begins to poll.
+     *
+     * @param pool connections to control services, with capacity for a complete version in a response
+     * @param relay this relay's name
+     * @param services addresses of control services, in the order in which they are tried
+     * @param holdMs how long the service may hold a call until there is a later version
      */
     public ConfigSubscription(
-            EventLoop turn,
+            EventLoop eventLoop,
             Counters counters,
-            ConnectionPool lines,
-            ConfigUpdater steward,
+            ConnectionPool pool,
+            ConfigUpdater updater,
             Backoff backoff,
             String relay,
             List<InetSocketAddress> services,
             long holdMs) {
-        this.turn = turn;
+        this.eventLoop = eventLoop;
         this.counters = counters;
-        this.lines = lines;
-        this.steward = steward;
+        this.pool = pool;
+        this.updater = updater;
         this.backoff = backoff;
         this.relay = relay;
         this.services = services;
         this.holdMs = holdMs;
     }
 
+    /** Begins to poll. */
     public void start() {
-        heardUs = turn.nowUs();
-        ask();
+        lastHeardUs = eventLoop.nowUs();
+        poll();
     }
 
-    /** Asks at other addresses from now on. */
-    public void move(List<InetSocketAddress> to) {
-        if (!to.equals(services)) {
-            services = to;
-            at = 0;
-            if (line != null) {
-                line.drop();
-                line = null;
-                askIn(0);
-            }
+    /** Polls control services at other addresses from now on. */
+    public void setServices(List<InetSocketAddress> addresses) {
+        if (addresses.equals(services)) {
+            return;
+        }
+        services = addresses;
+        serviceIndex = 0;
+        if (connection != null) {
+            connection.drop();
+            connection = null;
+            pollIn(0);
         }
     }
 
-    /** Asks no more; a version on its way is not applied. */
+    /** Ends the subscription; a version that is on its way is not applied. */
     public void stop() {
         stopped = true;
-        if (line != null) {
-            line.drop();
+        if (connection != null) {
+            connection.drop();
         }
-        if (again != null) {
-            again.remove();
+        if (nextPoll != null) {
+            nextPoll.remove();
         }
-        lines.stop();
+        pool.stop();
     }
 
-    /** When a control service last said anything. */
-    public long heardUs() {
-        return heardUs;
+    /** When a control service last answered, or the subscription began, on the event loop's clock. */
+    long lastHeardUs() {
+        return lastHeardUs;
     }
 
-    public InetSocketAddress service() {
-        return services.get(at);
+    /** The address of the control service that is polled now. */
+    InetSocketAddress service() {
+        return services.get(serviceIndex);
     }
 
-    public int failures() {
+    /** How many polls in a row have failed. */
+    int failures() {
         return backoff.failures();
     }
 
-    private void askIn(long us) {
+    private void pollIn(long delayUs) {
         if (stopped) {
             return;
         }
-        if (again != null) {
-            again.remove();
+        if (nextPoll != null) {
+            nextPoll.remove();
         }
-        again = turn.in(us, this::ask);
+        nextPoll = eventLoop.in(delayUs, this::poll);
     }
 
-    private void ask() {
+    private void poll() {
         if (stopped) {
             return;
         }
-        again = null;
-        askedUs = turn.nowUs();
-        byte[] body = bytes(says());
-        String head = "POST /v1/plans HTTP/1.1\r\nHost: control\r\nContent-Type: "
-                + "application/json\r\nContent-Length: "
-                + body.length + "\r\n\r\n";
-        byte[] first = head.getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer call = ByteBuffer.allocate(first.length + body.length)
-                .put(first)
-                .put(body)
-                .flip();
-        InetSocketAddress to = service();
-        line = lines.call(to, call, holdMs * 1000 + GRACE_US, new Asked(to));
-    }
-
-    private Map<String, Object> says() {
-        Map<String, Object> says = new LinkedHashMap<>();
-        says.put("relay", relay);
-        ConfigVersion held = steward.succession().held();
-        if (held != null) {
-            says.put("epoch", held.epoch().toString());
-            says.put("version", held.number());
-            says.put("hash", held.hash());
-        }
-        if (told != null) {
-            says.put("nonce", nonce);
-            says.put("accepted", told.accepted());
-            says.put("answer", told.answer());
-            if (!told.findings().isEmpty()) {
-                says.put(
-                        "findings",
-                        told.findings().stream().map(Diagnostic::fields).toList());
-            }
-        }
-        says.put("hold_ms", holdMs);
-        return says;
-    }
-
-    private static byte[] bytes(Map<String, Object> says) {
-        try {
-            return JSON.std.asBytes(says);
-        } catch (IOException e) {
-            throw new IllegalStateException("plain values are always JSON", e);
-        }
+        nextPoll = null;
+        polledUs = eventLoop.nowUs();
+        ConfigRequest request = new ConfigRequest(relay, updater.versions().held(), nonce, lastResult, holdMs);
+        InetSocketAddress service = service();
+        connection = pool.call(service, request.toHttp(), holdMs * US_PER_MS + GRACE_US, new Poll(service));
     }
 
-    /** The service answered; whether it may be believed so far. */
-    private boolean heard(UpstreamResponse answer) {
-        heardUs = turn.nowUs();
-        if (answer.status() == 204) {
-            told = null;
-            // One that does not hold its calls is asked less often, not in a circle.
-            boolean held = heardUs - askedUs >= holdMs * 500;
-            if (held) {
-                backoff.succeeded();
-            }
-            askIn(held ? 0 : backoff.failed());
+    /** Takes a response; returns whether it reads as one, so that the connection may be used again. */
+    private boolean handleResponse(UpstreamResponse response) {
+        lastHeardUs = eventLoop.nowUs();
+        if (response.status() == HTTP_NO_CONTENT) {
+            handleNoChange();
             return true;
         }
-        ConfigVersion stamp = stamp(answer);
-        if (answer.status() != 200 || stamp == null) {
-            failed("answer " + answer.status() + (answer.status() == 200 ? " without epoch, version and nonce" : ""));
+        if (response.status() != HTTP_OK) {
+            fail("answer " + response.status());
+            return false;
+        }
+        Optional<ConfigResponse> parsed = ConfigResponse.parse(response);
+        if (parsed.isEmpty()) {
+            fail("answer " + response.status() + " without epoch, version and nonce");
             return false;
         }
-        nonce = answer.header("X-Plan-Nonce");
-        String claimed = answer.header("X-Plan-Hash");
-        if (claimed != null && !claimed.equals(stamp.hash())) {
-            failed("version " + stamp + " came damaged: its hash is another");
+        ConfigResponse offered = parsed.get();
+        nonce = offered.nonce();
+        if (offered.damaged()) {
+            fail("version " + offered.version() + " came damaged: its hash is another");
             return false;
         }
-        steward.offered(stamp, answer.body(), this::settled);
+        updater.offer(offered.version(), response.body(), this::settle);
         return true;
     }
 
-    private static ConfigVersion stamp(UpstreamResponse answer) {
-        try {
-            String id = answer.header("X-Plan-Epoch-Id");
-            long born = Long.parseLong(answer.header("X-Plan-Epoch-Born"));
-            long number = Long.parseLong(answer.header("X-Plan-Version"));
-            String nonce = answer.header("X-Plan-Nonce");
-            boolean odd = id == null
-                    || !id.matches("[A-Za-z0-9._-]{1,64}")
-                    || nonce == null
-                    || nonce.length() > MOST_WORDS
-                    || number < 1
-                    || born < 0;
-            return odd
-                    ? null
-                    : new ConfigVersion(new ConfigVersion.Epoch(born, id), number, ConfigVersion.hash(answer.body()));
-        } catch (NumberFormatException e) {
-            return null;
+    private void handleNoChange() {
+        lastResult = null;
+        // A service that does not hold its calls is polled with a growing pause, not in a busy loop.
+        boolean held = lastHeardUs - polledUs >= holdMs * US_PER_MS / 2;
+        if (held) {
+            backoff.succeeded();
         }
+        pollIn(held ? 0 : backoff.failed());
     }
 
-    /**
-     * What came of a version is told at once where it is new, and after a while where it tells nothing new.
-     */
-    private void settled(ConfigUpdater.Told told) {
-        this.told = told;
-        if (told.isNew()) {
+    /** Reports what came of a version: at once where that is news, with a pause where it is not. */
+    private void settle(UpdateResult result) {
+        lastResult = result;
+        if (result.isNew()) {
             backoff.succeeded();
-            askIn(0);
+            pollIn(0);
         } else {
-            askIn(backoff.failed());
+            pollIn(backoff.failed());
         }
     }
 
-    private void failed(String why) {
+    private void fail(String reason) {
         counters.add("control failed");
-        if (backoff.failures() == 0 || backoff.failures() == 4) {
+        if (backoff.failures() == 0 || backoff.failures() == LOGGED_AGAIN_AFTER) {
             LOG.log(
                     Level.WARNING,
                     "control service {0}: {1}; {2} stays in force",
                     LogField.of("service", service()),
-                    LogField.of("reason", why),
-                    LogField.of("version", steward.succession().inForce()));
+                    LogField.of("reason", reason),
+                    LogField.of("version", updater.versions().inForce()));
         }
-        at = (at + 1) % services.size();
-        askIn(backoff.failed());
+        serviceIndex = (serviceIndex + 1) % services.size();
+        pollIn(backoff.failed());
     }
 
-    /** One call. */
-    private final class Asked implements OutboundConnection.User {
-        private final InetSocketAddress to;
+    /** Receives the response to one poll. */
+    private final class Poll implements OutboundConnection.User {
+        private final InetSocketAddress service;
         private String unreadable;
 
-        Asked(InetSocketAddress to) {
-            this.to = to;
+        Poll(InetSocketAddress service) {
+            this.service = service;
         }
 
         private boolean current() {
-            return !stopped && services.contains(to) && to.equals(service());
+            return !stopped && services.contains(service) && service.equals(service());
         }
 
         @Override
-        public boolean answered(UpstreamResponse answer) {
-            return current() && heard(answer);
+        public boolean answered(UpstreamResponse response) {
+            return current() && handleResponse(response);
         }
 
         @Override
         public void broken(boolean written) {
-            if (current()) {
-                failed(unreadable != null ? unreadable : written ? "it broke off" : "it can't be reached");
+            if (!current()) {
+                return;
+            }
+            if (unreadable != null) {
+                fail(unreadable);
+            } else {
+                fail(written ? "it broke off" : "it can't be reached");
             }
         }
 
@@ -293,7 +250,7 @@
         @Override
         public void late() {
             if (current()) {
-                failed("no answer in time");
+                fail("no answer in time");
             }
         }
     }
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -11,206 +11,238 @@
 import gatelock.state.LogField;
 import java.lang.System.Logger.Level;
 import java.util.List;
+import java.util.Locale;
+import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
 /**
- * Brings a version from its text into force, from whatever source it came: asked of {@link VersionTracker} what
- * to do with
- * it, compiled off the I/O thread, set beside the one in force, then swapped in one step and kept.
+ * Brings a version of the configuration into force, whatever source it came from. {@link VersionTracker} decides
+ * what to do with the version; it is then compiled off the I/O thread, compared with the version in force, swapped
+ * in within one step and saved to disk.
  */
 public final class ConfigUpdater {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
-    private static final int LOGGED = 5;
+    /** How many diagnostics of a rejected version go to the log. All of them go to the control service. */
+    private static final int LOGGED_DIAGNOSTICS = 5;
 
-    private final EventLoop turn;
+    private static final String FROM_CONTROL_SERVICE = "control service";
+    private static final String FROM_DISK = "disk";
+
+    private final EventLoop eventLoop;
     private final Counters counters;
-    private final VersionTracker succession;
+    private final VersionTracker versions;
     private final Admission admission;
     private final ConfigCompiler compiler;
-    private final LastKnownGoodStore keep;
+    private final LastKnownGoodStore store;
     private long longestSwapUs;
     private long latestCompileUs;
 
     /**
-     * What came of a version.
+     * Creates an updater that has no version in force yet.
      *
-     * @param answer one word for the control service
-     * @param isNew whether the service could not know this before
+     * @param versions decides which version may follow which
+     * @param admission is given each version that comes into force
+     * @param store where versions in force are saved; null where nothing is saved
      */
-    public record Told(boolean accepted, String answer, List<Diagnostic> findings, boolean isNew) {}
-
-    /** @param keep null: nothing is kept on disk */
     public ConfigUpdater(
-            EventLoop turn,
+            EventLoop eventLoop,
             Counters counters,
-            VersionTracker succession,
+            VersionTracker versions,
             Admission admission,
             ConfigCompiler compiler,
-            LastKnownGoodStore keep) {
-        this.turn = turn;
+            LastKnownGoodStore store) {
+        this.eventLoop = eventLoop;
         this.counters = counters;
-        this.succession = succession;
+        this.versions = versions;
         this.admission = admission;
         this.compiler = compiler;
-        this.keep = keep;
+        this.store = store;
     }
 
-    public VersionTracker succession() {
-        return succession;
+    /** The versions that are in force, pinned, rejected or remembered. */
+    VersionTracker versions() {
+        return versions;
     }
 
-    public Admission admission() {
+    /** The admission control that follows the version in force. */
+    Admission admission() {
         return admission;
     }
 
-    public long longestSwapUs() {
+    /** The longest time in microseconds for which a swap has held up the I/O thread. */
+    long longestSwapUs() {
         return longestSwapUs;
     }
 
-    public long latestCompileUs() {
+    /** How long the latest compilation took in microseconds, with its wait for the worker thread. */
+    long latestCompileUs() {
         return latestCompileUs;
     }
 
-    /** A version has come from a control service; {@code then} hears on the I/O thread what came of it. */
-    public void offered(ConfigVersion stamp, byte[] text, Consumer<Told> then) {
-        VersionTracker.Meeting meeting = succession.offered(stamp);
+    /**
+     * Takes a version from a control service.
+     *
+     * @param whenSettled receives the result on the I/O thread
+     */
+    void offer(ConfigVersion version, byte[] text, Consumer<UpdateResult> whenSettled) {
+        VersionTracker.Meeting meeting = versions.offered(version);
         switch (meeting) {
-            case COMPILE -> compile(stamp, text, then);
-            case HELD -> then.accept(new Told(true, "held", List.of(), false));
+            case COMPILE -> compileAndApply(version, text, whenSettled);
+            case HELD -> whenSettled.accept(UpdateResult.alreadyHeld());
             case REFUSED_BEFORE -> {
                 counters.add("versions refused again");
-                then.accept(new Told(false, "refused-before", succession.refused(stamp.hash()), false));
-            }
-            default -> {
-                counters.add("versions out of order");
-                String answer =
-                        meeting.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
-                if (succession.met().get(meeting) == 1) {
-                    LOG.log(
-                            Level.WARNING,
-                            "version {0} is not applied, {1}: {2} stays in force",
-                            LogField.of("version", stamp),
-                            LogField.of("reason", answer),
-                            LogField.of("held", succession.held()));
-                }
-                then.accept(new Told(false, answer, List.of(), false));
+                whenSettled.accept(UpdateResult.rejectedBefore(versions.refused(version.hash())));
             }
+            default -> whenSettled.accept(rejectOutOfOrder(version, meeting));
         }
     }
 
-    private void compile(ConfigVersion stamp, byte[] text, Consumer<Told> then) {
-        long fromUs = turn.nowUs();
-        turn.aside(() -> compiler.compile(stamp.epoch(), stamp.number(), text), ConfigCompiler.FAILED, compiled -> {
-            latestCompileUs = turn.nowUs() - fromUs;
-            then.accept(
-                    compiled.good()
-                            ? beside(compiled.plan(), text, compiled.findings(), "control service")
-                            : refuse(stamp, compiled.findings(), true));
-        });
+    private UpdateResult rejectOutOfOrder(ConfigVersion version, VersionTracker.Meeting meeting) {
+        counters.add("versions out of order");
+        String answer = meeting.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        boolean firstOfItsKind = versions.met().get(meeting) == 1;
+        if (firstOfItsKind) {
+            LOG.log(
+                    Level.WARNING,
+                    "version {0} is not applied, {1}: {2} stays in force",
+                    LogField.of("version", version),
+                    LogField.of("reason", answer),
+                    LogField.of("held", versions.held()));
+        }
+        return UpdateResult.outOfOrder(answer);
+    }
+
+    private void compileAndApply(ConfigVersion version, byte[] text, Consumer<UpdateResult> whenSettled) {
+        long startedUs = eventLoop.nowUs();
+        eventLoop.aside(
+                () -> compiler.compile(version.epoch(), version.number(), text), ConfigCompiler.FAILED, compiled -> {
+                    latestCompileUs = eventLoop.nowUs() - startedUs;
+                    whenSettled.accept(
+                            compiled.good()
+                                    ? applyIfSafe(compiled.plan(), text, compiled.findings())
+                                    : reject(version, compiled.findings(), true));
+                });
     }
 
-    private Told beside(CompiledConfig plan, byte[] text, List<Diagnostic> findings, String why) {
-        List<Diagnostic> danger = admission.beside(turn.nowUs(), plan);
-        if (danger.stream().anyMatch(Diagnostic::grave)) {
-            return refuse(plan.stamp(), danger, false);
+    /** Applies a sound version unless going to it from the version in force would be dangerous. */
+    private UpdateResult applyIfSafe(CompiledConfig config, byte[] text, List<Diagnostic> diagnostics) {
+        List<Diagnostic> dangers = admission.beside(eventLoop.nowUs(), config);
+        if (dangers.stream().anyMatch(Diagnostic::grave)) {
+            return reject(config.stamp(), dangers, false);
         }
-        if (!succession.good(turn.nowUs(), plan, why, text)) {
-            return new Told(false, "older", List.of(), false);
+        if (!versions.good(eventLoop.nowUs(), config, FROM_CONTROL_SERVICE, text)) {
+            return UpdateResult.outOfOrder("older");
         }
-        swap(plan, why);
-        if (keep != null) {
-            turn.aside(() -> keep.keep(plan.stamp(), text), "it failed", failed -> {
-                if (failed != null) {
-                    counters.add("versions not kept");
-                    LOG.log(
-                            Level.WARNING,
-                            "version {0} is in force and not kept on disk: {1}",
-                            LogField.of("version", plan.stamp()),
-                            LogField.of("reason", failed));
-                }
-            });
+        swap(config, FROM_CONTROL_SERVICE);
+        if (store != null) {
+            save(config.stamp(), text);
         }
-        return new Told(true, "applied", findings, true);
+        return UpdateResult.applied(diagnostics);
     }
 
-    private void swap(CompiledConfig plan, String why) {
-        long fromUs = turn.nowUs();
-        admission.follow(fromUs, plan);
-        longestSwapUs = Math.max(longestSwapUs, turn.nowUs() - fromUs);
+    private void save(ConfigVersion version, byte[] text) {
+        eventLoop.aside(() -> store.save(version, text), Optional.of("it failed"), failure -> {
+            if (failure.isPresent()) {
+                counters.add("versions not kept");
+                LOG.log(
+                        Level.WARNING,
+                        "version {0} is in force and not kept on disk: {1}",
+                        LogField.of("version", version),
+                        LogField.of("reason", failure.get()));
+            }
+        });
+    }
+
+    private void swap(CompiledConfig config, String source) {
+        long startedUs = eventLoop.nowUs();
+        admission.follow(startedUs, config);
+        longestSwapUs = Math.max(longestSwapUs, eventLoop.nowUs() - startedUs);
         counters.add("versions applied");
         LOG.log(
                 Level.INFO,
                 "version {0} in force, {1} routes, from {2}, by {3}: {4}",
-                LogField.of("version", plan.stamp()),
-                LogField.of("routes", plan.routes()),
-                LogField.of("source", why),
-                LogField.of("by", plan.by()),
-                LogField.of("note", plan.note()));
+                LogField.of("version", config.stamp()),
+                LogField.of("routes", config.routes()),
+                LogField.of("source", source),
+                LogField.of("by", config.by()),
+                LogField.of("note", config.note()));
     }
 
-    private Told refuse(ConfigVersion stamp, List<Diagnostic> findings, boolean always) {
-        succession.bad(stamp, findings, always);
+    /** @param always whether the text is wrong in itself, and not only beside the version in force */
+    private UpdateResult reject(ConfigVersion version, List<Diagnostic> diagnostics, boolean always) {
+        versions.bad(version, diagnostics, always);
         counters.add("versions refused");
+        String reason = diagnostics.stream()
+                .filter(Diagnostic::grave)
+                .limit(LOGGED_DIAGNOSTICS)
+                .map(Diagnostic::toString)
+                .collect(Collectors.joining(" | "));
         LOG.log(
                 Level.WARNING,
                 "version {0} is turned down, {1} stays in force: {2}",
-                LogField.of("version", stamp),
-                LogField.of("held", succession.inForce()),
-                LogField.of(
-                        "reason",
-                        findings.stream()
-                                .filter(Diagnostic::grave)
-                                .limit(LOGGED)
-                                .map(Diagnostic::toString)
-                                .collect(Collectors.joining(" | "))));
-        return new Told(false, "refused", findings, true);
-    }
-
-    /** A version from disk, before the first one from a control service; tells whether it is in force now. */
-    public boolean recovered(LastKnownGoodStore.Kept kept) {
-        ConfigCompiler.Compiled compiled =
-                compiler.compile(kept.stamp().epoch(), kept.stamp().number(), kept.text());
+                LogField.of("version", version),
+                LogField.of("held", versions.inForce()),
+                LogField.of("reason", reason));
+        return UpdateResult.rejected(diagnostics);
+    }
+
+    /**
+     * Applies a version from disk, before the first one has come from a control service.
+     *
+     * @return whether the version is in force now
+     */
+    public boolean recover(LastKnownGoodStore.StoredVersion stored) {
+        ConfigVersion version = stored.version();
+        ConfigCompiler.Compiled compiled = compiler.compile(version.epoch(), version.number(), stored.text());
         if (!compiled.good()) {
             LOG.log(
                     Level.WARNING,
                     "version {0} from disk is not sound any more: {1}",
-                    LogField.of("version", kept.stamp()),
+                    LogField.of("version", version),
                     LogField.of("reason", compiled.findings()));
             return false;
         }
-        if (succession.good(turn.nowUs(), compiled.plan(), "disk", kept.text())) {
-            swap(compiled.plan(), "disk");
-            return true;
+        if (!versions.good(eventLoop.nowUs(), compiled.plan(), FROM_DISK, stored.text())) {
+            return false;
         }
-        return false;
+        swap(compiled.plan(), FROM_DISK);
+        return true;
     }
 
-    /** The operator goes back to a number that was in force; {@code then} hears why not, or null. */
-    public void goBack(long number, String why, Consumer<String> then) {
-        VersionTracker.Past past = succession.past(number);
+    /**
+     * Rolls back to a version that was in force before and pins it, on an operator's word.
+     *
+     * @param reason the operator's reason, which the history keeps
+     * @param whenSettled receives on the I/O thread why the rollback failed, or nothing where it succeeded
+     */
+    void rollBack(long number, String reason, Consumer<Optional<String>> whenSettled) {
+        VersionTracker.Past past = versions.past(number);
         if (past == null) {
-            then.accept("no version " + number + " is remembered; see history");
+            whenSettled.accept(Optional.of("no version " + number + " is remembered; see history"));
             return;
         }
-        turn.aside(
-                () -> compiler.compile(past.stamp().epoch(), number, past.text()), ConfigCompiler.FAILED, compiled -> {
-                    if (!compiled.good()) {
-                        then.accept("version " + number + " is not sound any more: " + compiled.findings());
-                        return;
-                    }
-                    succession.pin(turn.nowUs(), past, "operator: " + why);
-                    swap(compiled.plan(), "operator: " + why);
-                    then.accept(null);
-                });
+        eventLoop.aside(
+                () -> compiler.compile(past.stamp().epoch(), number, past.text()),
+                ConfigCompiler.FAILED,
+                compiled -> whenSettled.accept(pin(past, compiled, "operator: " + reason)));
+    }
+
+    private Optional<String> pin(VersionTracker.Past past, ConfigCompiler.Compiled compiled, String source) {
+        if (!compiled.good()) {
+            return Optional.of("version " + past.stamp().number() + " is not sound any more: " + compiled.findings());
+        }
+        versions.pin(eventLoop.nowUs(), past, source);
+        swap(compiled.plan(), source);
+        return Optional.empty();
     }
 
-    /** The control service leads again. */
-    public void release() {
-        succession.release();
+    /** Ends a rollback: versions of the control service are applied again. */
+    void releasePin() {
+        versions.release();
         LOG.log(
                 Level.INFO,
                 "the control service leads again; {0} is in force",
-                LogField.of("version", succession.inForce()));
+                LogField.of("version", versions.inForce()));
     }
 }
--- a/src/main/java/gatelock/control/LastKnownGoodStore.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -13,76 +13,120 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * The last good version on disk, and the one before beside it. A file is one line with the stamp, the text's
- * length
- * and its hash, then the text: what is torn, cut or changed is told apart and passed over. Written beside,
- * forced to
- * disk and moved into place. Never used on the I/O thread.
+ * Stores the last good version of the configuration on disk, and the one before it beside it.
+ *
+ * <p>A file is one header line followed by the version's text. The header has six fields, separated by one space:
+ * the format's name, when the epoch was born, the epoch's identifier, the version's number, the text's length in
+ * bytes and the text's hash. Length and hash reveal a file that is truncated, torn or changed, and such a file is
+ * skipped. A new file is written under another name, forced to disk and moved into place.
+ *
+ * <p>All of it blocks, so it must never be used on the I/O thread.
  */
 public final class LastKnownGoodStore {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
-    private static final String MARK = "gatelock-plan-1";
+    private static final String FORMAT = "gatelock-plan-1";
+    private static final int HEADER_FIELDS = 6;
+    /** A longer header than any version can have. */
+    private static final int MAX_HEADER_BYTES = 1024;
 
     private final Path directory;
-    private final long mostBytes;
+    private final long maxTextBytes;
 
-    /** @param mostBytes a larger file is none of ours */
-    public LastKnownGoodStore(Path directory, long mostBytes) {
+    /**
+     * Creates a store in a directory, which need not exist yet.
+     *
+     * @param maxTextBytes a file with a longer text than this is skipped without being read
+     */
+    public LastKnownGoodStore(Path directory, long maxTextBytes) {
         this.directory = directory;
-        this.mostBytes = mostBytes;
+        this.maxTextBytes = maxTextBytes;
     }
 
-    /** One version as it was kept. */
-    public record Kept(ConfigVersion stamp, byte[] text) {}
+    /** One version that was read from disk. */
+    public static final class StoredVersion {
+        private final ConfigVersion version;
+        private final byte[] text;
 
-    private Path latest() {
+        private StoredVersion(ConfigVersion version, byte[] text) {
+            this.version = version;
+            this.text = text;
+        }
+
+        /** Which version it is. */
+        ConfigVersion version() {
+            return version;
+        }
+
+        /** The version's text, as the control service sent it; not a copy. */
+        byte[] text() {
+            return text;
+        }
+    }
+
+    private Path latestFile() {
         return directory.resolve("last-good.plan");
     }
 
-    private Path before() {
+    private Path previousFile() {
         return directory.resolve("last-good.plan.1");
     }
 
-    /** Keeps a version; gives null, or why it could not. */
-    public String keep(ConfigVersion stamp, byte[] text) {
+    private Path temporaryFile() {
+        return directory.resolve("last-good.plan.new");
+    }
+
+    /**
+     * Saves a version as the latest one.
+     *
+     * @return why the version could not be saved; empty where it was
+     */
+    Optional<String> save(ConfigVersion version, byte[] text) {
         try {
             Files.createDirectories(directory);
-            Path beside = directory.resolve("last-good.plan.new");
-            String head =
-                    MARK + " " + stamp.epoch().born() + " " + stamp.epoch().id() + " " + stamp.number()
-                            + " "
-                            + text.length + " " + stamp.hash() + "\n";
-            try (FileChannel file = FileChannel.open(
-                    beside,
-                    StandardOpenOption.CREATE,
-                    StandardOpenOption.WRITE,
-                    StandardOpenOption.TRUNCATE_EXISTING)) {
-                ByteBuffer all = ByteBuffer.allocate(head.length() + text.length)
-                        .put(head.getBytes(StandardCharsets.US_ASCII))
-                        .put(text)
-                        .flip();
-                while (all.hasRemaining()) {
-                    file.write(all);
-                }
-                file.force(true);
-            }
-            if (Files.exists(latest())) {
-                move(latest(), before());
+            writeAndForce(temporaryFile(), header(version, text.length), text);
+            if (Files.exists(latestFile())) {
+                replace(latestFile(), previousFile());
             }
-            move(beside, latest());
-            try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-                names.force(true);
-            }
-            return null;
+            replace(temporaryFile(), latestFile());
+            forceDirectory();
+            return Optional.empty();
         } catch (IOException | RuntimeException e) {
-            return e.toString();
+            return Optional.of(e.toString());
+        }
+    }
+
+    private static byte[] header(ConfigVersion version, int textBytes) {
+        String header = String.join(
+                " ",
+                FORMAT,
+                String.valueOf(version.epoch().born()),
+                version.epoch().id(),
+                String.valueOf(version.number()),
+                String.valueOf(textBytes),
+                version.hash());
+        return (header + "\n").getBytes(StandardCharsets.US_ASCII);
+    }
+
+    private static void writeAndForce(Path path, byte[] header, byte[] text) throws IOException {
+        ByteBuffer bytes = ByteBuffer.allocate(header.length + text.length)
+                .put(header)
+                .put(text)
+                .flip();
+        try (FileChannel file = FileChannel.open(
+                path, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+            while (bytes.hasRemaining()) {
+                file.write(bytes);
+            }
+            file.force(true);
         }
     }
 
-    private static void move(Path from, Path to) throws IOException {
+    private static void replace(Path from, Path to) throws IOException {
         try {
             Files.move(from, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         } catch (AtomicMoveNotSupportedException e) {
@@ -90,10 +134,17 @@
         }
     }
 
-    /** What can be believed of what is on disk, the latest first. */
-    public List<Kept> read() {
-        List<Kept> found = new ArrayList<>();
-        for (Path file : List.of(latest(), before())) {
+    /** Makes the moves themselves durable: the names of files are part of their directory. */
+    private void forceDirectory() throws IOException {
+        try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
+            names.force(true);
+        }
+    }
+
+    /** Reads the intact versions on disk, the latest first; a damaged file is logged and skipped. */
+    public List<StoredVersion> readAll() {
+        List<StoredVersion> found = new ArrayList<>();
+        for (Path file : List.of(latestFile(), previousFile())) {
             try {
                 found.add(read(file));
             } catch (NoSuchFileException e) {
@@ -105,30 +156,28 @@
         return found;
     }
 
-    private Kept read(Path file) throws IOException {
-        if (Files.size(file) > mostBytes + 1024) {
+    private StoredVersion read(Path file) throws IOException {
+        if (Files.size(file) > maxTextBytes + MAX_HEADER_BYTES) {
             throw new IOException("it is larger than any version may be");
         }
-        byte[] all = Files.readAllBytes(file);
-        int end = 0;
-        while (end < all.length && all[end] != '\n') {
-            end++;
+        byte[] bytes = Files.readAllBytes(file);
+        int headerEnd = 0;
+        while (headerEnd < bytes.length && bytes[headerEnd] != '\n') {
+            headerEnd++;
         }
-        String[] head = new String(all, 0, end, StandardCharsets.US_ASCII).split(" ");
-        if (head.length != 6 || !head[0].equals(MARK)) {
+        String[] header = new String(bytes, 0, headerEnd, StandardCharsets.US_ASCII).split(" ", 0);
+        if (header.length != HEADER_FIELDS || !header[0].equals(FORMAT)) {
             throw new IOException("it does not begin as one of ours");
         }
-        byte[] text = java.util.Arrays.copyOfRange(all, Math.min(all.length, end + 1), all.length);
-        if (text.length != Integer.parseInt(head[4])) {
-            throw new IOException("it is cut or torn: " + text.length + " bytes of " + head[4]);
+        byte[] text = Arrays.copyOfRange(bytes, Math.min(bytes.length, headerEnd + 1), bytes.length);
+        if (text.length != Integer.parseInt(header[4])) {
+            throw new IOException("it is cut or torn: " + text.length + " bytes of " + header[4]);
         }
-        ConfigVersion stamp = new ConfigVersion(
-                new ConfigVersion.Epoch(Long.parseLong(head[1]), head[2]),
-                Long.parseLong(head[3]),
-                ConfigVersion.hash(text));
-        if (!stamp.hash().equals(head[5])) {
+        ConfigVersion.Epoch epoch = new ConfigVersion.Epoch(Long.parseLong(header[1]), header[2]);
+        ConfigVersion version = new ConfigVersion(epoch, Long.parseLong(header[3]), ConfigVersion.hash(text));
+        if (!version.hash().equals(header[5])) {
             throw new IOException("its text is not the one that was kept: the hash is another");
         }
-        return new Kept(stamp, text);
+        return new StoredVersion(version, text);
     }
 }
--- a/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
+++ b/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
@@ -15,7 +15,7 @@
 
 /** Versions on disk: whatever happens to a file, what is read is what was kept, or nothing. */
 final class LastKnownGoodStoreTest {
-    private static final int MOST = 1 << 16;
+    private static final int MAX_TEXT_BYTES = 1 << 16;
 
     @TempDir
     private Path directory;
@@ -24,56 +24,61 @@
         return ("{\"note\": \"" + "x".repeat(number * 10) + "\"}\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    private static ConfigVersion stamp(int number) {
+    private static ConfigVersion version(int number) {
         return new ConfigVersion(new ConfigVersion.Epoch(17, "a.b-c"), number, ConfigVersion.hash(text(number)));
     }
 
     @Test
     void theLatestAndTheOneBeforeAreKept() {
-        LastKnownGoodStore keep = new LastKnownGoodStore(directory.resolve("not/there/yet"), MOST);
-        assertThat(keep.read()).isEmpty();
+        LastKnownGoodStore store = new LastKnownGoodStore(directory.resolve("not/there/yet"), MAX_TEXT_BYTES);
+        assertThat(store.readAll()).isEmpty();
         for (int i = 1; i <= 3; i++) {
-            assertThat(keep.keep(stamp(i), text(i))).isNull();
+            assertThat(store.save(version(i), text(i))).isEmpty();
         }
-        assertThat(keep.read()).extracting(LastKnownGoodStore.Kept::stamp).containsExactly(stamp(3), stamp(2));
-        assertThat(keep.read().get(0).text()).isEqualTo(text(3));
+        assertThat(store.readAll())
+                .extracting(LastKnownGoodStore.StoredVersion::version)
+                .containsExactly(version(3), version(2));
+        assertThat(store.readAll().get(0).text()).isEqualTo(text(3));
     }
 
     @Test
     void whatIsTornCutOrChangedIsPassedOverAndTheOneBeforeServes() throws IOException {
-        LastKnownGoodStore keep = new LastKnownGoodStore(directory, MOST);
-        keep.keep(stamp(1), text(1));
-        keep.keep(stamp(2), text(2));
+        LastKnownGoodStore store = new LastKnownGoodStore(directory, MAX_TEXT_BYTES);
+        store.save(version(1), text(1));
+        store.save(version(2), text(2));
         Path latest = directory.resolve("last-good.plan");
         byte[] sound = Files.readAllBytes(latest);
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(17);
         for (int i = 0; i < 500; i++) {
-            byte[] spoilt = sound.clone();
+            byte[] damaged = sound.clone();
             if (i % 3 == 0) {
-                spoilt = Arrays.copyOf(spoilt, random.nextInt(spoilt.length));
+                damaged = Arrays.copyOf(damaged, random.nextInt(damaged.length));
             } else if (i % 3 == 1) {
-                int at = random.nextInt(spoilt.length);
-                spoilt[at] ^= (byte) (1 << random.nextInt(8));
+                int at = random.nextInt(damaged.length);
+                damaged[at] ^= (byte) (1 << random.nextInt(8));
             } else {
                 // A write that reached the disk in part: zeros from some byte on.
-                Arrays.fill(spoilt, random.nextInt(spoilt.length), spoilt.length, (byte) 0);
+                Arrays.fill(damaged, random.nextInt(damaged.length), damaged.length, (byte) 0);
             }
-            Files.write(latest, spoilt);
-            for (LastKnownGoodStore.Kept kept : keep.read()) {
-                assertThat(kept.text()).as("spoilt %d", i).isIn(text(1), text(2));
-                assertThat(ConfigVersion.hash(kept.text()))
-                        .isEqualTo(kept.stamp().hash());
+            Files.write(latest, damaged);
+            for (LastKnownGoodStore.StoredVersion stored : store.readAll()) {
+                assertThat(stored.text()).as("damaged %d", i).isIn(text(1), text(2));
+                assertThat(ConfigVersion.hash(stored.text()))
+                        .isEqualTo(stored.version().hash());
             }
-            assertThat(keep.read()).anyMatch(k -> k.stamp().equals(stamp(1)));
+            assertThat(store.readAll()).anyMatch(found -> found.version().equals(version(1)));
         }
-        Files.write(latest, new byte[MOST * 2]);
-        assertThat(keep.read()).extracting(LastKnownGoodStore.Kept::stamp).containsExactly(stamp(1));
+        Files.write(latest, new byte[MAX_TEXT_BYTES * 2]);
+        assertThat(store.readAll())
+                .extracting(LastKnownGoodStore.StoredVersion::version)
+                .containsExactly(version(1));
     }
 
     @Test
     void aDirectoryThatTakesNothingIsToldAndHarmsNothing() throws IOException {
         Path file = Files.createFile(directory.resolve("a file"));
-        assertThat(new LastKnownGoodStore(file, MOST).keep(stamp(1), text(1))).isNotNull();
-        assertThat(new LastKnownGoodStore(file, MOST).read()).isEmpty();
+        assertThat(new LastKnownGoodStore(file, MAX_TEXT_BYTES).save(version(1), text(1)))
+                .isPresent();
+        assertThat(new LastKnownGoodStore(file, MAX_TEXT_BYTES).readAll()).isEmpty();
     }
 }
