--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -17,137 +17,144 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 import java.util.SplittableRandom;
-import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
 
 /**
- * Versioned configuration put together as the operator's file asks for it: stream, versions on disk,
- * listener.
+ * Versioned configuration, put together as the operator's file asks for it: the subscription to a control service,
+ * the versions on disk and the operator's listener.
  */
 final class ControlPlane {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
-    /** A relay that has no version yet waits so long for its first one before it says that it is ready. */
-    private static final long FIRST_WITHIN_US = 2_000_000;
+    /** How long a relay that has no version yet waits for its first one before it reports that it is ready. */
+    private static final long FIRST_VERSION_TIMEOUT_US = 2_000_000;
 
-    private static final long FIRST_WAIT_US = 200_000;
-    private static final long LOOK_US = 20_000;
+    private static final long FIRST_VERSION_CHECK_INTERVAL_US = 20_000;
+    private static final long INITIAL_BACKOFF_US = 200_000;
     /**
-     * Guards against a version that fills the memory while it is read, of which requests would be lost: so many
-     * bytes of heap
-     * for each of its text, as measured, the plan before it and room for requests beside. Could turn down a large
-     * version
-     * that would just have fitted.
+     * Guards against a version that fills the memory while it is read, of which requests would be lost: the bytes of
+     * heap that each byte of its text takes, as measured, with the compiled version before it and room for requests
+     * beside. Could reject a large version that would just have fitted.
      */
-    private static final long HEAP_FOR_A_BYTE = 64;
+    private static final long HEAP_BYTES_PER_TEXT_BYTE = 64;
 
-    private static final long OPEN_US = 1_000_000;
-    private static final long IDLE_US = 30_000_000;
+    private static final long CONNECT_TIMEOUT_US = 1_000_000;
+    private static final long IDLE_TIMEOUT_US = 30_000_000;
+    private static final int MAX_CONNECTIONS = 2;
+    /** Added to the relay's seed, so that these random draws are not those of another part. */
+    private static final int SEED_OFFSET = 2;
 
-    final Admission admission;
-    private final OperatorConfig.Control control;
+    private final Admission admission;
     private final InetSocketAddress listener;
-    private final EventLoop turn;
+    private final EventLoop eventLoop;
     private final ConfigUpdater updater;
-    private final LastKnownGoodStore keep;
+    private final LastKnownGoodStore store;
     private final ConfigSubscription subscription;
-    private final AdminServer window;
+    private final AdminServer adminServer;
 
-    ControlPlane(OperatorConfig operator, RelayConfig told, EventLoop turn, Counters counters) {
-        this.turn = turn;
-        this.control = operator.control();
+    /** @param operator the operator's file, which has a section for versioned configuration */
+    ControlPlane(OperatorConfig operator, RelayConfig config, EventLoop eventLoop, Counters counters) {
+        OperatorConfig.Control control = operator.control();
+        this.eventLoop = eventLoop;
         this.listener = operator.listener();
-        admission = new Admission(control.mostDropped());
-        int mostBytes = (int) Math.min(control.mostBytes(), Runtime.getRuntime().maxMemory() / HEAP_FOR_A_BYTE);
-        if (mostBytes < control.mostBytes()) {
-            LOG.log(
-                    Level.INFO,
-                    "versions of up to " + mostBytes + " bytes are taken, not "
-                            + control.mostBytes()
-                            + ": more could fill this relay's memory");
-        }
-        keep = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), mostBytes);
+        this.admission = new Admission(control.maxDropped());
+        int maxVersionBytes = maxVersionBytes(control);
+        store = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), maxVersionBytes);
         updater = new ConfigUpdater(
-                turn,
+                eventLoop,
                 counters,
                 new VersionTracker(control.history()),
                 admission,
-                new ConfigCompiler(told.grounds()),
-                keep);
-        ConnectionPool lines = new ConnectionPool(turn, counters, OPEN_US, IDLE_US, 0, 2, mostBytes);
+                new ConfigCompiler(config.deploymentContext()),
+                store);
+        ConnectionPool pool = new ConnectionPool(
+                eventLoop, counters, CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, 0, MAX_CONNECTIONS, maxVersionBytes);
+        Backoff backoff = new Backoff(
+                INITIAL_BACKOFF_US,
+                control.maxBackoffUs(),
+                new SplittableRandom(config.settings().seed() + SEED_OFFSET));
         subscription = new ConfigSubscription(
-                turn,
-                counters,
-                lines,
-                updater,
-                new Backoff(
-                        FIRST_WAIT_US,
-                        control.mostWaitUs(),
-                        new SplittableRandom(told.charter().seed() + 2)),
-                told.name(),
-                control.services(),
-                control.holdMs());
-        window = new AdminServer(turn, counters, updater, () -> subscription);
+                eventLoop, counters, pool, updater, backoff, config.name(), control.services(), control.holdMs());
+        adminServer = new AdminServer(eventLoop, counters, updater, () -> subscription);
+    }
+
+    private static int maxVersionBytes(OperatorConfig.Control control) {
+        long heapLimit = Runtime.getRuntime().maxMemory() / HEAP_BYTES_PER_TEXT_BYTE;
+        int max = (int) Math.min(control.maxVersionBytes(), heapLimit);
+        if (max < control.maxVersionBytes()) {
+            LOG.log(
+                    Level.INFO,
+                    "versions of up to " + max + " bytes are taken, not " + control.maxVersionBytes()
+                            + ": more could fill this relay's memory");
+        }
+        return max;
+    }
+
+    /** What the version in force means for requests. */
+    Admission admission() {
+        return admission;
     }
 
     /**
-     * Begins with what is on disk, then asks the control service; {@code ready} once there is a version, or
-     * none came.
+     * Begins with the versions on disk, then polls the control service.
+     *
+     * @param ready runs once there is a version, or none came in time
      */
     void start(Runnable ready) throws IOException {
         if (listener != null) {
-            LOG.log(Level.INFO, "operator's listener on " + window.listen(listener));
+            LOG.log(Level.INFO, "operator's listener on " + adminServer.listen(listener));
         }
-        if (keep == null) {
-            follow(ready);
+        if (store == null) {
+            subscribe(ready);
         } else {
-            turn.<List<LastKnownGoodStore.StoredVersion>>aside(keep::readAll, List.of(), found -> {
-                recover(found);
-                follow(ready);
+            eventLoop.<List<LastKnownGoodStore.StoredVersion>>aside(store::readAll, List.of(), stored -> {
+                recoverFirstSound(stored);
+                subscribe(ready);
             });
         }
     }
 
-    private void recover(List<LastKnownGoodStore.StoredVersion> found) {
-        for (LastKnownGoodStore.StoredVersion stored : found) {
+    private void recoverFirstSound(List<LastKnownGoodStore.StoredVersion> latestFirst) {
+        for (LastKnownGoodStore.StoredVersion stored : latestFirst) {
             if (updater.recover(stored)) {
                 return;
             }
         }
     }
 
-    private void follow(Runnable ready) {
+    private void subscribe(Runnable ready) {
         subscription.start();
-        long byUs = turn.nowUs() + FIRST_WITHIN_US;
-        await(() -> admission.plan() != null || turn.nowUs() >= byUs, ready);
+        awaitFirstVersion(eventLoop.nowUs() + FIRST_VERSION_TIMEOUT_US, ready);
     }
 
-    private void await(BooleanSupplier what, Runnable then) {
-        if (what.getAsBoolean()) {
-            if (admission.plan() == null) {
-                LOG.log(
-                        Level.WARNING,
-                        "no version came in time: reqs go by their class, without limits, " + "until one does");
-            }
-            then.run();
-        } else {
-            turn.in(LOOK_US, () -> await(what, then));
+    private void awaitFirstVersion(long deadlineUs, Runnable ready) {
+        boolean hasVersion = admission.plan() != null;
+        if (!hasVersion && eventLoop.nowUs() < deadlineUs) {
+            eventLoop.in(FIRST_VERSION_CHECK_INTERVAL_US, () -> awaitFirstVersion(deadlineUs, ready));
+            return;
+        }
+        if (!hasVersion) {
+            LOG.log(
+                    Level.WARNING,
+                    "no version came in time: requests go by their class, without limits, until one does");
         }
+        ready.run();
     }
 
-    /** Shows the list of endpoints to operators. */
-    void shows(Supplier<DiscoveryClient.State> list) {
-        window.showEndpointList(list);
+    /** Shows the state of the endpoint list to operators. */
+    void showEndpointList(Supplier<DiscoveryClient.State> endpointList) {
+        adminServer.showEndpointList(endpointList);
     }
 
-    /** Follows the control services that the operator's file names now. */
-    void move(OperatorConfig to) {
-        if (to.control() != null) {
-            subscription.setServices(to.control().services());
+    /** Polls the control services that the operator's file names now. */
+    void setServicesFrom(OperatorConfig operator) {
+        if (operator.control() != null) {
+            subscription.setServices(operator.control().services());
         }
     }
 
+    /** Ends the subscription and the listener. */
     void stop() {
         subscription.stop();
-        window.close();
+        adminServer.close();
     }
 }
--- a/src/main/java/gatelock/boot/LogbackHandler.java
+++ b/src/main/java/gatelock/boot/LogbackHandler.java
@@ -17,9 +17,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Log lines through logback, plain or as JSON, where the operator's file asks for it. System.Logger stays the
- * seam; what
- * comes out of it at java.util.logging goes on from there, and named values of a line become its fields.
+ * Writes log lines through logback, plain or as JSON, where the operator's file asks for it. The code goes on logging
+ * through System.Logger; what comes out of that at java.util.logging goes on from here, and the named values of a line
+ * become its fields.
  */
 final class LogbackHandler extends Handler {
     private final LoggerContext context;
@@ -28,32 +28,42 @@
         this.context = context;
     }
 
-    /** From now on all lines go this way. */
-    static void through(boolean json, String level) {
+    /** Held here, as java.util.logging forgets the level of a logger that nobody references. */
+    private static final Logger OWN_LOGGER = Logger.getLogger("gatelock");
+
+    /**
+     * Sends all log lines through logback from now on.
+     *
+     * @param json whether lines are JSON
+     * @param levelName the least level of this program's own lines; null for INFO
+     */
+    static void install(boolean json, String levelName) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
-        out.setContext(context);
-        out.setTarget("System.err");
-        out.setEncoder(json ? json(context) : plain(context));
-        out.start();
-        Level least = Level.toLevel(level, Level.INFO);
+        ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+        appender.setContext(context);
+        appender.setTarget("System.err");
+        appender.setEncoder(json ? jsonEncoder(context) : plainEncoder(context));
+        appender.start();
+        Level level = Level.toLevel(levelName, Level.INFO);
         ch.qos.logback.classic.Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
         root.setLevel(Level.INFO);
-        root.addAppender(out);
-        context.getLogger("gatelock").setLevel(least);
-        Logger all = LogManager.getLogManager().getLogger("");
-        for (Handler before : all.getHandlers()) {
-            all.removeHandler(before);
-        }
-        all.addHandler(new LogbackHandler(context));
-        OURS.setLevel(least.toInt() <= Level.DEBUG_INT ? java.util.logging.Level.FINE : java.util.logging.Level.INFO);
+        root.addAppender(appender);
+        context.getLogger("gatelock").setLevel(level);
+        replaceHandlers(new LogbackHandler(context));
+        boolean debug = level.toInt() <= Level.DEBUG_INT;
+        OWN_LOGGER.setLevel(debug ? java.util.logging.Level.FINE : java.util.logging.Level.INFO);
     }
 
-    /** Held, as java.util.logging forgets a level that nobody holds. */
-    private static final Logger OURS = Logger.getLogger("gatelock");
+    private static void replaceHandlers(Handler handler) {
+        Logger root = LogManager.getLogManager().getLogger("");
+        for (Handler previous : root.getHandlers()) {
+            root.removeHandler(previous);
+        }
+        root.addHandler(handler);
+    }
 
-    private static EncoderBase<ILoggingEvent> json(LoggerContext context) {
+    private static EncoderBase<ILoggingEvent> jsonEncoder(LoggerContext context) {
         JsonEncoder encoder = new JsonEncoder();
         encoder.setContext(context);
         encoder.setWithArguments(false);
@@ -64,7 +74,7 @@
         return encoder;
     }
 
-    private static EncoderBase<ILoggingEvent> plain(LoggerContext context) {
+    private static EncoderBase<ILoggingEvent> plainEncoder(LoggerContext context) {
         PatternLayoutEncoder encoder = new PatternLayoutEncoder();
         encoder.setContext(context);
         encoder.setPattern("%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5level %logger %msg%n");
@@ -73,26 +83,35 @@
     }
 
     @Override
-    public void publish(LogRecord line) {
-        int weight = line.getLevel().intValue();
-        org.slf4j.event.Level level = weight >= 1000
-                ? org.slf4j.event.Level.ERROR
-                : weight >= 900
-                        ? org.slf4j.event.Level.WARN
-                        : weight >= 800 ? org.slf4j.event.Level.INFO : org.slf4j.event.Level.DEBUG;
-        LoggingEventBuilder out =
-                context.getLogger(String.valueOf(line.getLoggerName())).atLevel(level);
-        Object[] values = line.getParameters();
-        String text = String.valueOf(line.getMessage());
+    public void publish(LogRecord entry) {
+        LoggingEventBuilder event =
+                context.getLogger(String.valueOf(entry.getLoggerName())).atLevel(slf4jLevel(entry.getLevel()));
+        Object[] values = entry.getParameters();
+        String text = String.valueOf(entry.getMessage());
         if (values != null && values.length > 0) {
             for (Object value : values) {
-                if (value instanceof LogField named) {
-                    out = out.addKeyValue(named.name(), String.valueOf(named.value()));
+                if (value instanceof LogField field) {
+                    event = event.addKeyValue(field.name(), String.valueOf(field.value()));
                 }
             }
             text = MessageFormat.format(text, values);
         }
-        out.setCause(line.getThrown()).log(text.replace("{}", "{ }"));
+        // The text is complete: braces in it are no placeholders for logback.
+        event.setCause(entry.getThrown()).log(text.replace("{}", "{ }"));
+    }
+
+    private static org.slf4j.event.Level slf4jLevel(java.util.logging.Level level) {
+        int severity = level.intValue();
+        if (severity >= java.util.logging.Level.SEVERE.intValue()) {
+            return org.slf4j.event.Level.ERROR;
+        }
+        if (severity >= java.util.logging.Level.WARNING.intValue()) {
+            return org.slf4j.event.Level.WARN;
+        }
+        if (severity >= java.util.logging.Level.INFO.intValue()) {
+            return org.slf4j.event.Level.INFO;
+        }
+        return org.slf4j.event.Level.DEBUG;
     }
 
     @Override
--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -2,64 +2,76 @@
 
 import gatelock.simulator.SimulatorHost;
 import java.io.IOException;
+import java.io.OutputStream;
 import java.io.PrintWriter;
+import java.nio.charset.Charset;
 import java.nio.file.Path;
 import java.util.logging.LogManager;
 
-/** Where the program begins. */
+/** The program's entry point. */
 public final class Main {
+    /** Names the file with a relay's configuration. */
+    private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
 
-    /** Keeps log lines going while the program takes leave: the usual one falls silent on SIGTERM at once. */
+    /** Keeps log lines going while the program shuts down: the usual manager falls silent on SIGTERM at once. */
     public static final class StayingLog extends LogManager {
         @Override
         public void reset() {
-            // nothing is let go of before the process ends
+            // handlers stay open until the process ends
         }
     }
 
     private Main() {}
 
     /**
-     * The words with which the platform starts a relay go past the command line's library, which costs a
-     * start at half a
-     * core more than a tenth of a second.
+     * Runs one command. The arguments with which the platform starts a relay bypass the command line's library, which
+     * costs a start at half a core more than a tenth of a second.
      */
     public static void main(String[] args) throws IOException {
         System.setProperty("java.util.logging.manager", StayingLog.class.getName());
         // Else the libraries would start the logging library at every start, whether it is asked for or not.
         System.setProperty("org.jboss.logging.provider", "jdk");
         switch (String.join(" ", args)) {
-            case "serve" -> end(serve(RelayService.Start.REHEARSED, null) ? -1 : Commands.UNUSABLE);
-            case "serve cold" -> end(serve(RelayService.Start.COLD, null) ? -1 : Commands.UNUSABLE);
-            case "rehearse" -> end(serve(RelayService.Start.REHEARSAL_ONLY, null) ? -1 : Commands.UNUSABLE);
+            case "serve" -> exitUnlessRunning(serve(StartMode.WARM, null));
+            case "serve cold" -> exitUnlessRunning(serve(StartMode.COLD, null));
+            case "rehearse" -> exitUnlessRunning(serve(StartMode.WARM_UP_ONLY, null));
             case "wirehost" -> SimulatorHost.main(args);
-            default -> end(Commands.run(new PrintWriter(System.out, true), new PrintWriter(System.err, true), args));
+            default -> exitUnlessRunning(Commands.run(writer(System.out), writer(System.err), args));
         }
     }
 
-    /** Starts a relay; tells whether it runs, or why not. */
-    static boolean serve(RelayService.Start how, Path operatorsFile) {
-        SighupHandler hangup = SighupHandler.taken();
-        String file = System.getenv("PROXY_CONFIG");
+    /**
+     * Starts a relay on the configuration that the environment names.
+     *
+     * @param operatorFile the operator's own file, or null
+     * @return {@link Commands#RUNNING}, or {@link Commands#UNUSABLE} once the cause is on standard error
+     */
+    static int serve(StartMode mode, Path operatorFile) {
+        SighupHandler sighup = SighupHandler.install();
+        String file = System.getenv(CONFIG_VARIABLE);
         if (file == null) {
-            System.err.println("gatelock: PROXY_CONFIG names no configuration");
-            return false;
+            System.err.println("gatelock: " + CONFIG_VARIABLE + " names no configuration");
+            return Commands.UNUSABLE;
         }
         Path path = Path.of(file);
         try {
-            RelayConfig told = RelayConfig.read(path);
-            OperatorConfig operator = operatorsFile == null ? null : OperatorConfig.read(operatorsFile, told);
-            RelayService.start(path, told, operatorsFile, operator, how, hangup);
-            return true;
+            RelayConfig config = RelayConfig.read(path);
+            OperatorConfig operator = operatorFile == null ? null : OperatorConfigReader.read(operatorFile, config);
+            RelayService.start(path, config, operatorFile, operator, mode, sighup);
+            return Commands.RUNNING;
         } catch (IOException e) {
             System.err.println("gatelock: " + e.getMessage());
-            return false;
+            return Commands.UNUSABLE;
         }
     }
 
-    private static void end(int code) {
-        if (code >= 0) {
-            System.exit(code);
+    private static PrintWriter writer(OutputStream out) {
+        return new PrintWriter(out, true, Charset.defaultCharset());
+    }
+
+    private static void exitUnlessRunning(int exitCode) {
+        if (exitCode != Commands.RUNNING) {
+            System.exit(exitCode);
         }
     }
 }
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -3,6 +3,7 @@
 import gatelock.api.RelaySettings;
 import gatelock.config.DeploymentContext;
 import gatelock.net.JsonObject;
+import gatelock.simulator.MalformedSettingException;
 import gatelock.simulator.SettingsDecoder;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -14,105 +15,141 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a relay is told when it starts, read from one JSON file. */
+/**
+ * What the platform gives a relay at its start, read from one JSON file.
+ *
+ * @param name the relay's name
+ * @param listen where it takes requests
+ * @param discovery where the discovery service is
+ * @param releaseController where the release controller is
+ * @param maxSockets how many sockets this process may hold
+ * @param knownEndpoints the endpoint list to begin with, until discovery sends one
+ * @param knownRelease the release's state to begin with, until the release controller tells it
+ * @param settings the decoded settings
+ * @param connectTimeoutUs how long a connection to an endpoint may take to come up
+ * @param deadlinesUs how long clients wait, for each route in order
+ * @param rawSettings the settings as path=value pairs
+ */
 record RelayConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
-        InetSocketAddress controller,
-        int sockets,
-        JsonObject known,
-        JsonObject news,
-        RelaySettings charter,
-        long openWithinUs,
+        InetSocketAddress releaseController,
+        int maxSockets,
+        JsonObject knownEndpoints,
+        JsonObject knownRelease,
+        RelaySettings settings,
+        long connectTimeoutUs,
         List<Long> deadlinesUs,
-        Map<String, String> settings) {
+        Map<String, String> rawSettings) {
+    private static final int HEX = 16;
 
-    /** Reads it whole; whatever is missing or odd is told in one line. */
-    static RelayConfig read(Path file) throws IOException {
+    /**
+     * Reads a file.
+     *
+     * @throws ConfigurationException for the first thing in it that is missing or wrong
+     */
+    static RelayConfig read(Path file) throws ConfigurationException {
         try {
-            return readAll(file);
+            return parse(JsonObject.read(Files.readAllBytes(file)));
+        } catch (InvalidSettingException e) {
+            throw ConfigurationException.inRelayFile(file, e.problem(), e);
+        } catch (MalformedSettingException e) {
+            InvalidSettingException invalid =
+                    new InvalidSettingException(e.path(), e.found(), e.expected(), e.remedy());
+            throw ConfigurationException.inRelayFile(file, invalid.problem(), e);
         } catch (IOException | RuntimeException e) {
-            String why = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new IOException("configuration " + file + ": " + why, e);
+            ConfigurationException.Problem problem =
+                    new ConfigurationException.Problem("", String.valueOf(e.getMessage()), "");
+            throw ConfigurationException.inRelayFile(file, problem, e);
         }
     }
 
-    /** This one with the addresses of another, the only things that change while a relay runs. */
-    RelayConfig movedTo(RelayConfig to) {
+    /** This configuration with the addresses of another: nothing else changes while a relay runs. */
+    RelayConfig withAddressesOf(RelayConfig other) {
         return new RelayConfig(
                 name,
                 listen,
-                to.discovery,
-                to.controller,
-                sockets,
-                known,
-                news,
-                charter,
-                openWithinUs,
+                other.discovery,
+                other.releaseController,
+                maxSockets,
+                knownEndpoints,
+                knownRelease,
+                settings,
+                connectTimeoutUs,
                 deadlinesUs,
-                settings);
+                rawSettings);
     }
 
-    /** Whether another one says the same but for addresses, what is listed and told, and the seed. */
-    boolean sameTerms(RelayConfig other) {
+    /** Whether another one differs at most in addresses, the endpoints and release to begin with, and the seed. */
+    boolean sameSettings(RelayConfig other) {
         return name.equals(other.name)
                 && listen.equals(other.listen)
-                && sockets == other.sockets
-                && settings.equals(other.settings);
+                && maxSockets == other.maxSockets
+                && rawSettings.equals(other.rawSettings);
     }
 
-    private static RelayConfig readAll(Path file) throws IOException {
-        JsonObject all = JsonObject.read(Files.readAllBytes(file));
-        JsonObject deployer = all.object("deployer");
-        Map<String, String> settings = new HashMap<>();
-        flatten("", all.object("settings").fields(), settings);
-        SettingsValidator.check(settings);
-        RelaySettings charter = SettingsDecoder.read(seed(all.text("seed")), settings);
+    private static RelayConfig parse(JsonObject root) throws IOException {
+        JsonObject deployer = root.object("deployer");
+        Map<String, String> raw = new HashMap<>();
+        flatten("", root.object("settings").fields(), raw);
+        SettingsValidator.validate(raw);
+        RelaySettings settings = SettingsDecoder.decode(parseSeed(root.text("seed")), raw);
         List<Long> deadlinesUs = new ArrayList<>();
-        for (int i = 0; i < charter.routes().size(); i++) {
-            deadlinesUs.add(SettingsDecoder.us(settings, "lanes." + i + ".deadlineNs"));
+        for (int i = 0; i < settings.routes().size(); i++) {
+            deadlinesUs.add(SettingsDecoder.timeUs(raw, "lanes." + i + ".deadlineNs"));
         }
-        // Where no time for a connection to come up is set, that of the longest request bounds it.
-        long openUs = SettingsDecoder.us(settings, "limits.dialTimeoutNs");
-        long longestUs = deadlinesUs.stream().mapToLong(Long::longValue).max().orElseThrow();
         return new RelayConfig(
-                all.text("name"),
-                all.address("listen"),
-                all.address("discovery"),
+                root.text("name"),
+                root.address("listen"),
+                root.address("discovery"),
                 deployer.address("address"),
-                all.object("limits").count("sockets"),
-                all.object("known"),
+                root.object("limits").count("sockets"),
+                root.object("known"),
                 deployer.object("news"),
-                charter,
-                openUs > 0 ? openUs : longestUs,
+                settings,
+                connectTimeoutUs(raw, deadlinesUs),
                 deadlinesUs,
-                settings);
+                raw);
     }
 
-    /** What a version is checked against. */
-    DeploymentContext grounds() {
+    /** Where no time for a connection to come up is set, the deadline of the longest request bounds it. */
+    private static long connectTimeoutUs(Map<String, String> raw, List<Long> deadlinesUs) {
+        long set = SettingsDecoder.timeUs(raw, "limits.dialTimeoutNs");
+        return set > 0
+                ? set
+                : deadlinesUs.stream().mapToLong(Long::longValue).max().orElseThrow();
+    }
+
+    /** The part of this deployment that a version of the configuration is checked against. */
+    DeploymentContext deploymentContext() {
         return new DeploymentContext(
-                numbered("lanes"), charter.routes(), deadlinesUs, numbered("orgs"), plain("zones"), plain("flavors"));
+                indexesByName("lanes"),
+                settings.routes(),
+                deadlinesUs,
+                indexesByName("orgs"),
+                names("zones"),
+                names("flavors"));
     }
 
-    /** The names under a list of objects, by place. */
-    Map<String, Integer> numbered(String list) {
-        Map<String, Integer> names = new LinkedHashMap<>();
-        for (int i = 0; settings.containsKey(list + "." + i + ".name"); i++) {
-            names.put(settings.get(list + "." + i + ".name"), i);
+    /** The names of a list of objects in the settings, each with its index. */
+    Map<String, Integer> indexesByName(String list) {
+        Map<String, Integer> indexes = new LinkedHashMap<>();
+        for (int i = 0; rawSettings.containsKey(list + "." + i + ".name"); i++) {
+            indexes.put(rawSettings.get(list + "." + i + ".name"), i);
         }
-        return names;
+        return indexes;
     }
 
-    List<String> plain(String list) {
-        return List.of(settings.getOrDefault(list, "").split(","));
+    /** A list of names in the settings; one empty name where it is absent. */
+    List<String> names(String list) {
+        return List.of(rawSettings.getOrDefault(list, "").split(",", 0));
     }
 
-    /** Nested JSON as the path=value pairs that the simulator's wire has. */
+    /** Adds nested JSON to {@code pairs} as the path=value pairs of the simulator's wire format. */
     private static void flatten(String path, Object value, Map<String, String> pairs) {
         if (value instanceof Map<?, ?> map) {
-            map.forEach((k, v) -> flatten(path.isEmpty() ? "" + k : path + "." + k, v, pairs));
+            map.forEach((key, item) -> flatten(path.isEmpty() ? "" + key : path + "." + key, item, pairs));
         } else if (value instanceof List<?> list && list.stream().anyMatch(Map.class::isInstance)) {
             pairs.put(path + ".count", "" + list.size());
             for (int i = 0; i < list.size(); i++) {
@@ -125,9 +162,9 @@
         }
     }
 
-    private static long seed(String text) throws IOException {
+    private static long parseSeed(String text) throws IOException {
         try {
-            return Long.parseUnsignedLong(text, 16);
+            return Long.parseUnsignedLong(text, HEX);
         } catch (NumberFormatException e) {
             throw new IOException("expected seed as hex digits, found " + text, e);
         }
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -19,67 +19,76 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** One running relay: puts the parts together on one I/O thread, starts them, and takes leave on SIGTERM. */
+/** One running relay: puts the parts together on one I/O thread, starts them, and shuts them down on SIGTERM. */
 final class RelayService {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
     /**
-     * After SIGTERM the platform leaves a relay alive for its longest deadline, or this where that is longer,
-     * and
-     * for a while on top, in which front and clients hear of it.
+     * After SIGTERM the platform leaves a relay alive for its longest deadline, or this long where that is longer,
+     * and for {@link #SHUTDOWN_MARGIN_US} on top, in which the front proxy and clients hear of it.
      */
-    private static final long LONGEST_COUNTED_US = 3_000_000;
+    private static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
 
-    private static final long ON_TOP_US = 700_000;
-    private static final long SESSIONS_CLOSE_US = 1_400_000;
-    private static final long SESSIONS_LOOK_US = 20_000;
+    private static final long SHUTDOWN_MARGIN_US = 700_000;
+    /** How long before its end a relay tells its last sessions, so that they can still close in turn. */
+    private static final long SESSION_CLOSE_US = 1_400_000;
+
+    private static final long SESSION_CHECK_INTERVAL_US = 20_000;
     /**
-     * Guards against a list from before a restart: what discovery has told since counts as told to a new process,
-     * and requests sent by the old list go to endpoints that left. Only after so long without a word, at the end of a call
-     * that had all of its time, is discovery taken to be down, and what is known serves. Could harm where it is
-     * down: each start is later by this, well within what a start may take.
+     * Guards against an endpoint list from before a restart: what discovery has sent since counts as known to the new
+     * process, and requests forwarded by the old list go to endpoints that left. Only after this long without a
+     * response, at the end of a call that had all of its time, is discovery taken to be down, and the known list used.
+     * Could do harm where it is down: each start is later by this, well within what a start may take.
      */
-    private static final long LIST_SILENT_US = 2_000_000;
+    private static final long DISCOVERY_SILENT_US = 2_000_000;
 
-    private static final long LOOK_EVERY_US = 1_000_000;
-    private static final long COUNTERS_EVERY_US = 60_000_000;
+    private static final long COUNTERS_INTERVAL_US = 60_000_000;
+    private static final int US_PER_S = 1_000_000;
     private static final long STACK_BYTES = 256 * 1024;
+    private static final int EXIT_UNUSABLE = 2;
+    /** Added to the relay's seed, so that the sessions' random draws are not those of another part. */
+    private static final int SESSIONS_SEED_OFFSET = 3;
 
-    private final Path file;
-    private final Start how;
-    private final EventLoop turn;
+    private final StartMode mode;
+    private final EventLoop eventLoop;
     private final Counters counters = new Counters();
-    private final Path operatorsFile;
     private final OperatorConfig operator;
-    private RelayConfig told;
-    private ClientListener front;
-    private RequestPipeline chain;
-    private ControlPlane steering;
+    private final ConfigReloader reloader;
+    private RelayConfig config;
+    private ClientListener clientListener;
+    private RequestPipeline pipeline;
+    private ControlPlane controlPlane;
     private Sessions sessions;
-    private long lookedUs = Long.MIN_VALUE / 2;
-
-    /** With a rehearsal, without, or nothing but one on a free port. */
-    enum Start {
-        REHEARSED,
-        COLD,
-        REHEARSAL_ONLY
-    }
 
     private RelayService(
-            Path file, RelayConfig told, Path operatorsFile, OperatorConfig operator, Start how, EventLoop turn) {
-        this.file = file;
-        this.operatorsFile = operatorsFile;
+            Path file,
+            RelayConfig config,
+            Path operatorFile,
+            OperatorConfig operator,
+            StartMode mode,
+            EventLoop eventLoop) {
         this.operator = operator;
-        this.told = told;
-        this.how = how;
-        this.turn = turn;
+        this.config = config;
+        this.mode = mode;
+        this.eventLoop = eventLoop;
+        this.reloader = new ConfigReloader(file, operatorFile, eventLoop, counters, this::applyReloaded);
     }
 
-    /** @param operator what the operator's own file says, or null: all that it could name is off */
+    /**
+     * Starts a relay, which runs until SIGTERM.
+     *
+     * @param file where {@code config} was read from, to be read again on SIGHUP
+     * @param operator what the operator's own file says, or null: all that it could name is off
+     */
     static void start(
-            Path file, RelayConfig told, Path operatorsFile, OperatorConfig operator, Start how, SighupHandler hangup)
+            Path file,
+            RelayConfig config,
+            Path operatorFile,
+            OperatorConfig operator,
+            StartMode mode,
+            SighupHandler sighup)
             throws IOException {
         if (operator != null && (operator.jsonLog() || operator.logLevel() != null)) {
-            LogbackHandler.through(operator.jsonLog(), operator.logLevel());
+            LogbackHandler.install(operator.jsonLog(), operator.logLevel());
         }
         XnioWorker worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -89,212 +98,193 @@
                         .set(Options.STACK_SIZE, STACK_BYTES)
                         .set(Options.WORKER_NAME, "gatelock")
                         .getMap());
-        RelayService service =
-                new RelayService(file, told, operatorsFile, operator, how, new EventLoop(worker.getIoThread()));
-        // Before it can be told to leave, as whoever leaves must have begun.
-        service.turn.soon(service::run);
-        CountDownLatch left = new CountDownLatch(1);
-        Runtime.getRuntime()
-                .addShutdownHook(new Thread(
-                        () -> {
-                            service.turn.soon(() -> service.leave(left::countDown));
-                            try {
-                                left.await();
-                            } catch (InterruptedException e) {
-                                Thread.currentThread().interrupt();
-                            }
-                            LOG.log(Level.INFO, "ends: " + service.counters);
-                        },
-                        "leave"));
-        // A file is read on the worker's one task thread: one after the other, and never in the way of requests.
-        hangup.means(() -> worker.execute(service::readAnew));
+        EventLoop eventLoop = new EventLoop(worker.getIoThread());
+        RelayService service = new RelayService(file, config, operatorFile, operator, mode, eventLoop);
+        // Queued before the shutdown hook exists: a relay must have begun before it can shut down.
+        eventLoop.soon(service::run);
+        Runtime.getRuntime().addShutdownHook(new Thread(service::shutDownAndWait, "leave"));
+        sighup.setAction(service.reloader::reloadOnSighup);
     }
 
-    private void leave(Runnable then) {
-        if (steering != null) {
-            steering.stop();
+    private void run() {
+        try {
+            clientListener =
+                    new ClientListener(eventLoop, counters, config.maxSockets() / 4, config.maxSockets() * 2 / 5);
+            switch (mode) {
+                case COLD -> startCold();
+                case WARM -> startWarm();
+                case WARM_UP_ONLY -> warmUpOnly();
+            }
+        } catch (IOException e) {
+            halt(e);
         }
-        long longestUs =
-                told.deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
-        long killedUs = Math.min(longestUs, LONGEST_COUNTED_US) + ON_TOP_US;
-        if (sessions != null) {
-            // The last ones are told early enough to close in turn.
-            sessions.leave(turn.nowUs(), turn.nowUs() + killedUs - SESSIONS_CLOSE_US);
+    }
+
+    private void startCold() throws IOException {
+        clientListener.listen(config.listen());
+        startPipeline();
+        clientListener.admit(pipeline.requestReader(), false);
+        serveOnceListed(UnaryOperator.identity());
+    }
+
+    private void startWarm() throws IOException {
+        InetSocketAddress address = clientListener.listen(config.listen());
+        // The endpoint list and the release's state are asked for at once, and known when the warm-up ends.
+        startPipeline();
+        HttpHandler reader = pipeline.requestReader();
+        new StartupWarmUp(config, address, eventLoop, clientListener, reader, warmUp -> {
+                    clientListener.admit(warmUp.closeOwnRequestsBefore(reader), false);
+                    serveOnceListed(warmUp::closeOwnRequestsBefore);
+                })
+                .begin();
+    }
+
+    private void warmUpOnly() throws IOException {
+        InetSocketAddress freePort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+        InetSocketAddress address = clientListener.listen(freePort);
+        HttpHandler reject = exchange -> exchange.setStatusCode(503);
+        new StartupWarmUp(
+                        config,
+                        address,
+                        eventLoop,
+                        clientListener,
+                        reject,
+                        warmUp -> new Thread(() -> System.exit(0)).start())
+                .begin();
+    }
+
+    /** Puts the real pipeline together and begins to follow discovery and the release controller. */
+    private void startPipeline() throws IOException {
+        if (operator != null && operator.control() != null) {
+            controlPlane = new ControlPlane(operator, config, eventLoop, counters);
+            sessions = operator.sessions() == null ? null : createSessions(operator.sessions());
+        }
+        pipeline = new RequestPipeline(
+                config,
+                eventLoop,
+                counters,
+                clientListener,
+                controlPlane == null ? null : controlPlane.admission(),
+                sessions,
+                operator == null ? null : operator.membership());
+        pipeline.start();
+        DiscoveryClient discovery = pipeline.discovery();
+        if (controlPlane != null) {
+            controlPlane.showEndpointList(discovery::state);
         }
-        front.leave(killedUs, () -> whenNoSession(then));
+        discovery.whenFailed(() -> reloader.reloadOnDiscoveryFailure(() -> config.discovery()));
     }
 
-    private void whenNoSession(Runnable then) {
-        if (sessions == null || sessions.size() == 0) {
-            then.run();
-        } else {
-            turn.in(SESSIONS_LOOK_US, () -> whenNoSession(then));
+    private Sessions createSessions(OperatorConfig.Sessions options) {
+        int max = config.maxSockets() / 10;
+        if (options.max() > 0) {
+            max = Math.min(options.max(), config.maxSockets() / 5);
         }
+        return new Sessions(
+                max,
+                options.opensPerEndpoint(),
+                options.drainUs(),
+                new SplittableRandom(config.settings().seed() + SESSIONS_SEED_OFFSET));
+    }
+
+    private void serveOnceListed(UnaryOperator<HttpHandler> wrapReader) {
+        pipeline.discovery().whenListed(DISCOVERY_SILENT_US, () -> serve(wrapReader));
     }
 
-    private void readAnew() {
+    private void serve(UnaryOperator<HttpHandler> wrapReader) {
+        HttpHandler reader = wrapReader.apply(pipeline.requestReader());
+        clientListener.admit(reader, controlPlane == null);
+        int heldRequests = pipeline.startForwarding();
+        if (heldRequests > 0) {
+            LOG.log(Level.INFO, "held until ready: " + heldRequests + " requests");
+        }
         try {
-            RelayConfig now = RelayConfig.read(file);
-            OperatorConfig operatorNow = operator == null ? null : OperatorConfig.read(operatorsFile, now);
-            turn.soon(() -> move("SIGHUP", now, operatorNow));
+            if (controlPlane != null) {
+                controlPlane.start(() -> clientListener.admit(reader, true));
+            }
         } catch (IOException e) {
-            LOG.log(Level.WARNING, "SIGHUP, what was in force stays: " + e.getMessage());
+            halt(e);
         }
+        LOG.log(Level.INFO, config.name() + " serves on " + config.listen());
+        eventLoop.in(COUNTERS_INTERVAL_US, this::logCounters);
     }
 
-    /**
-     * Discovery has failed: its address may have moved. Guards against a SIGHUP that never came or came to nobody:
-     * a process that leaves or has just begun, one that was lost on its way. Could harm where a file is changed
-     * well before its SIGHUP: then it may be followed sooner.
-     */
-    private void lookAgain() {
-        if (turn.nowUs() - lookedUs < LOOK_EVERY_US) {
-            return;
-        }
-        lookedUs = turn.nowUs();
-        turn.aside(
-                () -> {
-                    try {
-                        return RelayConfig.read(file);
-                    } catch (IOException e) {
-                        LOG.log(Level.DEBUG, "discovery fails, and so does the configuration: " + e.getMessage());
-                        return null;
-                    }
-                },
-                null,
-                now -> {
-                    if (now != null && !now.discovery().equals(told.discovery())) {
-                        counters.add("moves found without SIGHUP");
-                        move("discovery failed", now, null);
-                    }
-                });
+    private static void halt(IOException e) {
+        System.err.println("gatelock: " + e.getMessage());
+        Runtime.getRuntime().halt(EXIT_UNUSABLE);
     }
 
-    private void move(String why, RelayConfig now, OperatorConfig operatorNow) {
+    private void applyReloaded(String trigger, RelayConfig reloaded, OperatorConfig reloadedOperator) {
         LOG.log(
                 Level.INFO,
-                why + ", discovery at " + now.discovery() + ", release desk at " + now.controller()
-                        + (told.sameTerms(now) ? "" : "; name, listen, limits and settings stay until a restart"));
-        told = told.movedTo(now);
-        if (chain != null) {
-            chain.move(told);
+                trigger + ", discovery at " + reloaded.discovery() + ", release controller at "
+                        + reloaded.releaseController()
+                        + (config.sameSettings(reloaded)
+                                ? ""
+                                : "; name, listen, limits and settings stay until a restart"));
+        config = config.withAddressesOf(reloaded);
+        if (pipeline != null) {
+            pipeline.setAddressesFrom(config);
         }
-        if (steering != null && operatorNow != null) {
-            steering.move(operatorNow);
+        if (reloadedOperator == null) {
+            return;
+        }
+        if (controlPlane != null) {
+            controlPlane.setServicesFrom(reloadedOperator);
         }
-        if (operatorNow != null
-                && !(operator.membership() == null
-                        ? operatorNow.membership() == null
-                        : operator.membership().same(operatorNow.membership()))) {
+        if (!operator.sameMembership(reloadedOperator)) {
             LOG.log(Level.WARNING, "membership stays as it was until a restart");
         }
     }
 
-    private void run() {
+    /** Runs on the shutdown hook's thread, and blocks until the relay has answered all that it can. */
+    private void shutDownAndWait() {
+        CountDownLatch done = new CountDownLatch(1);
+        eventLoop.soon(() -> shutDown(done::countDown));
         try {
-            front = new ClientListener(turn, counters, told.sockets() / 4, told.sockets() * 2 / 5);
-            switch (how) {
-                case COLD -> {
-                    front.listen(told.listen());
-                    prepare();
-                    front.admit(chain.takeIn, false);
-                    chain.whenListed(LIST_SILENT_US, () -> serve(real -> real));
-                }
-                case REHEARSED -> {
-                    InetSocketAddress at = front.listen(told.listen());
-                    // The list and the news are asked for at once, and known when the rehearsal ends.
-                    prepare();
-                    new StartupWarmUp(told, at, turn, front, chain.takeIn, rehearsal -> {
-                                front.admit(rehearsal.before(chain.takeIn), false);
-                                chain.whenListed(LIST_SILENT_US, () -> serve(rehearsal::before));
-                            })
-                            .begin();
-                }
-                case REHEARSAL_ONLY -> {
-                    InetSocketAddress free = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-                    InetSocketAddress at = front.listen(free);
-                    new StartupWarmUp(
-                                    told,
-                                    at,
-                                    turn,
-                                    front,
-                                    stranger -> stranger.setStatusCode(503),
-                                    rehearsal -> new Thread(() -> System.exit(0)).start())
-                            .begin();
-                }
-            }
-        } catch (IOException e) {
-            give(e);
-        }
-    }
-
-    /** Puts the real chain together and begins to follow discovery and the release controller. */
-    private void prepare() throws IOException {
-        steering = operator == null || operator.control() == null
-                ? null
-                : new ControlPlane(operator, told, turn, counters);
-        OperatorConfig.Sessions asked = operator == null || steering == null ? null : operator.sessions();
-        int mostSessions =
-                asked == null ? 0 : asked.most() > 0 ? Math.min(asked.most(), told.sockets() / 5) : told.sockets() / 10;
-        sessions = asked == null
-                ? null
-                : new Sessions(
-                        mostSessions,
-                        asked.opensPerEndpoint(),
-                        asked.drainUs(),
-                        new SplittableRandom(told.charter().seed() + 3));
-        chain = new RequestPipeline(
-                told,
-                turn,
-                counters,
-                front,
-                steering == null ? null : steering.admission,
-                sessions,
-                operator == null ? null : operator.membership());
-        chain.start();
-        if (steering != null) {
-            steering.shows(chain::listState);
+            done.await();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
         }
-        chain.whenFailed(this::lookAgain);
+        LOG.log(Level.INFO, "ends: " + counters);
     }
 
-    private void serve(UnaryOperator<HttpHandler> before) {
-        HttpHandler takeIn = before.apply(chain.takeIn);
-        front.admit(takeIn, steering == null);
-        int early = chain.open();
-        if (early > 0) {
-            LOG.log(Level.INFO, "held until ready: " + early + " reqs");
+    private void shutDown(Runnable whenDone) {
+        if (controlPlane != null) {
+            controlPlane.stop();
         }
-        try {
-            if (steering != null) {
-                steering.start(() -> front.admit(takeIn, true));
-            }
-        } catch (IOException e) {
-            give(e);
+        long longestDeadlineUs =
+                config.deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
+        long aliveUs = Math.min(longestDeadlineUs, MAX_COUNTED_DEADLINE_US) + SHUTDOWN_MARGIN_US;
+        if (sessions != null) {
+            sessions.leave(eventLoop.nowUs(), eventLoop.nowUs() + aliveUs - SESSION_CLOSE_US);
         }
-        LOG.log(Level.INFO, told.name() + " serves on " + told.listen());
-        turn.in(COUNTERS_EVERY_US, this::tellCounters);
-    }
-
-    private void give(IOException e) {
-        System.err.println("gatelock: " + e.getMessage());
-        Runtime.getRuntime().halt(2);
+        clientListener.leave(aliveUs, () -> awaitSessions(whenDone));
     }
 
-    /** How the list stands, where a scope is taken from it. */
-    private String listed() {
-        DiscoveryClient.State list = chain.listState();
-        return list.scoped()
-                ? "; " + list + ", last change " + (turn.nowUs() - list.changedUs()) / 1_000_000 + " s ago"
-                : "";
+    private void awaitSessions(Runnable whenDone) {
+        if (sessions == null || sessions.size() == 0) {
+            whenDone.run();
+        } else {
+            eventLoop.in(SESSION_CHECK_INTERVAL_US, () -> awaitSessions(whenDone));
+        }
     }
 
-    private void tellCounters() {
+    private void logCounters() {
         LOG.log(
                 Level.INFO,
-                counters + "; open reqs " + chain.open.size() + ", clients " + front.size()
-                        + ", units "
-                        + chain.endpoints + listed());
-        turn.in(COUNTERS_EVERY_US, this::tellCounters);
+                counters + "; open requests " + pipeline.inFlight().size() + ", clients " + clientListener.size()
+                        + ", endpoints "
+                        + pipeline.endpointPool() + endpointListState());
+        eventLoop.in(COUNTERS_INTERVAL_US, this::logCounters);
+    }
+
+    /** The state of the endpoint list where only a part of it is in scope, or nothing. */
+    private String endpointListState() {
+        DiscoveryClient.State list = pipeline.discovery().state();
+        if (!list.scoped()) {
+            return "";
+        }
+        return "; " + list + ", last change " + (eventLoop.nowUs() - list.changedUs()) / US_PER_S + " s ago";
     }
 }
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -24,151 +24,193 @@
 import java.io.IOException;
 import java.util.SplittableRandom;
 
-/** The stages of a request put together around one set of decisions. */
+/** The stages of a request, put together around one decision engine. */
 final class RequestPipeline {
-    private static final long SESSIONS_LOOK_US = 50_000;
-
-    final EndpointAddresses addresses = new EndpointAddresses();
-    final InFlightRequests open;
-    final ConnectionPool endpoints;
-    final ActionExecutor orders;
-    final DecisionEngine gate;
-    final RequestReader takeIn;
-    private final RequestAdmitter admit;
-    private final EventLoop turn;
-    private final RelayConfig told;
+    private static final long SESSION_CHECK_INTERVAL_US = 50_000;
+    /** How long a connection to an endpoint rests after a response, in microseconds, before it is used again. */
+    private static final long ENDPOINT_REST_US = 2_000;
+
+    private static final long PLATFORM_CONNECT_TIMEOUT_US = 1_000_000;
+    private static final long PLATFORM_IDLE_TIMEOUT_US = 4_000_000;
+    private static final int PLATFORM_MAX_CONNECTIONS = 8;
+    /** Added to the relay's seed, so that discovery's random draws are not those of another part. */
+    private static final int DISCOVERY_SEED_OFFSET = 1;
+
+    private final EndpointAddresses addresses = new EndpointAddresses();
+    private final InFlightRequests inFlight;
+    private final ConnectionPool endpointPool;
+    private final ActionExecutor actions;
+    private final DecisionEngine engine;
+    private final RequestReader requestReader;
+    private final RequestAdmitter admitter;
+    private final EventLoop eventLoop;
+    private final RelayConfig config;
     private final Counters counters;
     private final Admission admission;
     private final Sessions sessions;
     private final OperatorConfig.Membership membership;
-    private final AttemptSender sendOff;
-    private ReleaseControllerClient controller;
+    private final AttemptSender attemptSender;
+    private ReleaseControllerClient releaseController;
     private DiscoveryClient discovery;
 
     /**
-     * @param admission what the plan in force means; null: there never is one
+     * Puts the stages together; nothing is sent or followed yet.
+     *
+     * @param admission what the version in force means; null: there never is one
      * @param sessions null: none are opened
-     * @param membership what endpoints are used of those that are listed; null: all
+     * @param membership which endpoints are used of those that are listed; null: all
      */
     RequestPipeline(
-            RelayConfig told,
-            EventLoop turn,
+            RelayConfig config,
+            EventLoop eventLoop,
             Counters counters,
-            ClientListener front,
+            ClientListener clientListener,
             Admission admission,
             Sessions sessions,
             OperatorConfig.Membership membership) {
-        this.told = told;
+        this.config = config;
         this.membership = membership;
         this.admission = admission;
         this.sessions = sessions;
-        this.turn = turn;
+        this.eventLoop = eventLoop;
         this.counters = counters;
-        open = new InFlightRequests(counters);
+        inFlight = new InFlightRequests(counters);
         // An idle connection is closed well before the endpoint would, so that no request crosses its end.
-        endpoints = new ConnectionPool(
-                turn, counters, told.openWithinUs(), told.charter().keptUs(), 2_000, told.sockets() * 2 / 5);
-        ResponseWriter relayBack = new ResponseWriter(turn, open, counters);
-        OutcomeRecorder book = new OutcomeRecorder(turn, open, counters, relayBack);
-        sendOff = new AttemptSender(turn, endpoints, book);
-        EndpointResolver routeOut = new EndpointResolver(addresses, sendOff);
-        orders = new ActionExecutor(turn, open);
-        gate = new ReleaseGate(told.charter(), orders);
-        orders.bind(gate, routeOut, relayBack, book);
-        admit = new RequestAdmitter(
-                turn,
-                open,
+        endpointPool = new ConnectionPool(
+                eventLoop,
                 counters,
-                book,
-                relayBack,
-                gate,
-                admission,
-                told.charter().pausesHeard() ? told.charter().longestPauseUs() : 0);
-        takeIn = new RequestReader(
+                config.connectTimeoutUs(),
+                config.settings().keptUs(),
+                ENDPOINT_REST_US,
+                config.maxSockets() * 2 / 5);
+        ResponseWriter responseWriter = new ResponseWriter(eventLoop, inFlight, counters);
+        OutcomeRecorder outcomes = new OutcomeRecorder(eventLoop, inFlight, counters, responseWriter);
+        attemptSender = new AttemptSender(eventLoop, endpointPool, outcomes);
+        actions = new ActionExecutor(eventLoop, inFlight);
+        engine = new ReleaseGate(config.settings(), actions);
+        actions.bind(engine, new EndpointResolver(addresses, attemptSender), responseWriter, outcomes);
+        admitter = new RequestAdmitter(
+                eventLoop,
+                inFlight,
                 counters,
-                new RequestReader.Names(
-                        told.numbered("lanes"),
-                        told.numbered("orgs"),
-                        told.charter().routes(),
-                        told.deadlinesUs()),
-                turn,
-                admit,
-                front,
-                admission);
+                outcomes,
+                responseWriter,
+                engine,
+                admission,
+                config.settings().pausesHeard() ? config.settings().longestPauseUs() : 0);
+        RequestReader.Names names = new RequestReader.Names(
+                config.indexesByName("lanes"),
+                config.indexesByName("orgs"),
+                config.settings().routes(),
+                config.deadlinesUs());
+        requestReader = new RequestReader(counters, names, eventLoop, admitter, clientListener, admission);
         if (sessions != null) {
-            takeIn.opensBy(new WebSocketUpgrader(turn, counters, book, gate, sessions));
+            requestReader.opensBy(new WebSocketUpgrader(eventLoop, counters, outcomes, engine, sessions));
         }
     }
 
-    /** Begins from what the configuration holds, and follows discovery and the release controller from there. */
+    /**
+     * Begins with the endpoints and the release that the configuration holds, and follows discovery and the release
+     * controller from there.
+     */
     void start() throws IOException {
-        ConnectionPool platform =
-                new ConnectionPool(turn, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
-        controller = new ReleaseControllerClient(
-                turn,
+        ConnectionPool platformPool = new ConnectionPool(
+                eventLoop,
                 counters,
-                platform,
-                told.controller(),
-                told.charter().rollout().voteWaitUs());
-        discovery = new DiscoveryClient(
-                turn,
+                PLATFORM_CONNECT_TIMEOUT_US,
+                PLATFORM_IDLE_TIMEOUT_US,
+                0,
+                PLATFORM_MAX_CONNECTIONS,
+                DiscoveryClient.MOST_LIST);
+        releaseController = new ReleaseControllerClient(
+                eventLoop,
                 counters,
-                platform,
-                told.discovery(),
-                addresses,
-                endpoints,
-                told.plain("zones"),
-                told.plain("flavors"),
-                told.charter().mustAskForList(),
-                new SplittableRandom(told.charter().seed() + 1),
-                membership == null
-                        ? null
-                        : new DiscoveryClient.Membership(
-                                new EndpointSubset(membership.terms()),
-                                membership.service(),
-                                membership.mostListBytes()));
+                platformPool,
+                config.releaseController(),
+                config.settings().rollout().voteWaitUs());
+        discovery = createDiscovery(platformPool);
         if (membership != null) {
-            sendOff.whenEnded(discovery::ended);
+            attemptSender.whenEnded(discovery::ended);
         }
-        orders.bind(controller, discovery);
-        gate.start(turn.nowUs());
-        DecisionEngine hears = sessions == null ? gate : new SessionAwareEngine(gate, sessions);
-        discovery.start(hears, admission, told.known());
-        controller.start(hears, told.news());
+        actions.bind(releaseController, discovery);
+        engine.start(eventLoop.nowUs());
+        DecisionEngine informed = sessions == null ? engine : new SessionAwareEngine(engine, sessions);
+        discovery.start(informed, admission, config.knownEndpoints());
+        releaseController.start(informed, config.knownRelease());
         if (sessions != null) {
-            look();
+            runDueSessions();
         }
     }
 
-    /** Lets requests go on to endpoints, those that came early first; tells how many these are. */
-    int open() {
-        return admit.open();
+    private DiscoveryClient createDiscovery(ConnectionPool platformPool) {
+        DiscoveryClient.Membership subset = membership == null
+                ? null
+                : new DiscoveryClient.Membership(
+                        new EndpointSubset(membership.terms()), membership.service(), membership.maxListBytes());
+        return new DiscoveryClient(
+                eventLoop,
+                counters,
+                platformPool,
+                config.discovery(),
+                addresses,
+                endpointPool,
+                config.names("zones"),
+                config.names("flavors"),
+                config.settings().mustAskForList(),
+                new SplittableRandom(config.settings().seed() + DISCOVERY_SEED_OFFSET),
+                subset);
+    }
+
+    /** Migrates or closes the sessions that are due. */
+    private void runDueSessions() {
+        sessions.due(eventLoop.nowUs());
+        eventLoop.in(SESSION_CHECK_INTERVAL_US, this::runDueSessions);
+    }
+
+    /** Forwards requests from now on, first those that came early; returns how many these are. */
+    int startForwarding() {
+        return admitter.open();
+    }
+
+    /** Follows discovery and the release controller at the addresses of another configuration from now on. */
+    void setAddressesFrom(RelayConfig other) {
+        discovery.move(other.discovery());
+        releaseController.move(other.releaseController());
+    }
+
+    /** Ends a pipeline that was never started: its timers and its connections to endpoints. */
+    void stopWarmUp() {
+        actions.stop();
+        endpointPool.stop();
+    }
+
+    /** Reads requests from clients: the pipeline's entry. */
+    RequestReader requestReader() {
+        return requestReader;
     }
 
-    /** Does this once a list has come from discovery, or it has been silent for so long. */
-    void whenListed(long silentUs, Runnable then) {
-        discovery.whenListed(silentUs, then);
+    /** Follows the endpoint list, once the pipeline was started. */
+    DiscoveryClient discovery() {
+        return discovery;
     }
 
-    /** How the list of endpoints stands. */
-    DiscoveryClient.State listState() {
-        return discovery.state();
+    /** The requests that are in flight. */
+    InFlightRequests inFlight() {
+        return inFlight;
     }
 
-    /** Does this each time discovery has failed. */
-    void whenFailed(Runnable then) {
-        discovery.whenFailed(then);
+    /** Connections to endpoints. */
+    ConnectionPool endpointPool() {
+        return endpointPool;
     }
 
-    /** Sessions whose turn has come leave. */
-    private void look() {
-        sessions.due(turn.nowUs());
-        turn.in(SESSIONS_LOOK_US, this::look);
+    /** Where endpoints are reached. */
+    EndpointAddresses addresses() {
+        return addresses;
     }
 
-    /** Follows discovery and the release controller at other addresses from now on. */
-    void move(RelayConfig to) {
-        discovery.move(to.discovery());
-        controller.move(to.controller());
+    /** Decides on requests and builds. */
+    DecisionEngine engine() {
+        return engine;
     }
 }
--- a/src/main/java/gatelock/boot/SettingsValidator.java
+++ b/src/main/java/gatelock/boot/SettingsValidator.java
@@ -1,52 +1,28 @@
 package gatelock.boot;
 
-import java.io.IOException;
 import java.util.HashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * What the settings must say for a relay to serve at all, and within which range. Guards against another
- * deployment's settings that lack something or are spoilt: a default in its place would go unnoticed until it does
- * harm. Could harm where a deployment may leave something out: then it is not demanded here.
+ * Checks that the settings hold what a relay can't serve without, and that each value is within its range.
+ *
+ * <p>Guards against another deployment's settings that lack something or are damaged: a default in its place would
+ * go unnoticed until it does harm. Could do harm where a deployment may leave something out: then it is not
+ * required here.
  */
 final class SettingsValidator {
-    /** No time is longer; sums of them still fit. */
-    private static final double MOST_NS = 1e15;
+    /** The shortest time that a request may be given, in nanoseconds: a microsecond. */
+    private static final double MIN_REQUEST_NS = 1_000;
+    /** No time is longer, in nanoseconds; sums of such times still fit a long. */
+    private static final double MAX_NS = 1e15;
 
-    private static final double MOST = 1e12;
+    private static final double MAX_NUMBER = 1e12;
 
-    private final Map<String, String> settings;
+    private static final String ADD_CLASSES = "write an object for each class of reqs";
 
-    private SettingsValidator(Map<String, String> settings) {
-        this.settings = settings;
-    }
-
-    /** Says the first thing that is wrong: its place, what is there, and what mends it. */
-    static void check(Map<String, String> settings) throws IOException {
-        SettingsValidator all = new SettingsValidator(settings);
-        int routes = all.count("lanes", "write an object for each class of reqs");
-        if (routes == 0) {
-            throw wrong("lanes", null, "a list with a class in it", "write an object for each class of reqs");
-        }
-        for (int i = 0; i < routes; i++) {
-            String lane = "lanes." + i + ".";
-            all.within(lane + "deadlineNs", 1_000, MOST_NS, true, "say how long clients of this class wait, in ns");
-            all.within(lane + "targetNs", 1_000, MOST_NS, true, "say by when an answer has its full worth, in ns");
-            all.within(lane + "keyTtlNs", 0, MOST_NS, false, "say how long units know a repeat, in ns");
-            all.within(lane + "worth", 0, MOST, false, "say what an answer is worth");
-            if (!settings.containsKey(lane + "effect")) {
-                throw wrong(lane + "effect", null, "repeatable, by_key or once", "say whether reqs may be repeated");
-            }
-        }
-        all.named("lanes", routes);
-        int tenants = all.count("orgs", "write an object for each tenant");
-        for (int i = 0; i < tenants; i++) {
-            all.within("orgs." + i + ".quotaPerS", 0, MOST, false, "say how many reqs a second are the tenant's");
-        }
-        all.named("orgs", tenants);
-        all.within("replicasOfMe", 1, MOST, false, "say how many relays there are");
-        for (String time : new String[] {
+    private static final List<String> OPTIONAL_TIMES = List.of(
             "limits.dialTimeoutNs",
             "limits.connIdleNs",
             "limits.maxRetryAfterNs",
@@ -56,65 +32,135 @@
             "familyInfo.bakeNs",
             "familyInfo.voteLifeNs",
             "familyInfo.voteWaitNs",
-            "familyInfo.countedOverNs"
-        }) {
-            all.within(time, 0, MOST_NS, false, "give a time in ns, or leave it out");
-        }
-        for (String count : new String[] {
+            "familyInfo.countedOverNs");
+
+    private static final List<String> OPTIONAL_NUMBERS = List.of(
             "limits.tryLimit",
             "familyInfo.free",
             "familyInfo.apiRate",
             "familyInfo.toAbort",
             "safety.overloadFactor",
             "costs.handshake",
-            "overShareWorth"
-        }) {
-            all.within(count, 0, MOST, false, "give a number from 0 on, or leave it out");
+            "overShareWorth");
+
+    private final Map<String, String> settings;
+
+    private SettingsValidator(Map<String, String> settings) {
+        this.settings = settings;
+    }
+
+    /**
+     * Checks all settings.
+     *
+     * @param settings the settings as path=value pairs
+     * @throws InvalidSettingException for the first setting that is wrong
+     */
+    static void validate(Map<String, String> settings) throws InvalidSettingException {
+        SettingsValidator validator = new SettingsValidator(settings);
+        validator.validateRoutes();
+        validator.validateTenants();
+        validator.validateScalars();
+    }
+
+    private void validateRoutes() throws InvalidSettingException {
+        int routes = count("lanes", ADD_CLASSES);
+        if (routes == 0) {
+            throw new InvalidSettingException("lanes", null, "a list with a class in it", ADD_CLASSES);
         }
-        all.within("safety.coldFrom", 0, 1, false, "give the part of its speed that a unit starts with");
+        for (int i = 0; i < routes; i++) {
+            String lane = "lanes." + i + ".";
+            requireInRange(
+                    lane + "deadlineNs", MIN_REQUEST_NS, MAX_NS, "say how long clients of this class wait, in ns");
+            requireInRange(
+                    lane + "targetNs", MIN_REQUEST_NS, MAX_NS, "say by when an answer has its full worth, in ns");
+            checkInRange(lane + "keyTtlNs", 0, MAX_NS, "say how long units know a repeat, in ns");
+            checkInRange(lane + "worth", 0, MAX_NUMBER, "say what an answer is worth");
+            if (!settings.containsKey(lane + "effect")) {
+                throw new InvalidSettingException(
+                        lane + "effect", null, "repeatable, by_key or once", "say whether reqs may be repeated");
+            }
+        }
+        validateNames("lanes", routes);
     }
 
-    private int count(String list, String mend) throws IOException {
+    private void validateTenants() throws InvalidSettingException {
+        int tenants = count("orgs", "write an object for each tenant");
+        for (int i = 0; i < tenants; i++) {
+            checkInRange("orgs." + i + ".quotaPerS", 0, MAX_NUMBER, "say how many reqs a second are the tenant's");
+        }
+        validateNames("orgs", tenants);
+    }
+
+    private void validateScalars() throws InvalidSettingException {
+        checkInRange("replicasOfMe", 1, MAX_NUMBER, "say how many relays there are");
+        for (String time : OPTIONAL_TIMES) {
+            checkInRange(time, 0, MAX_NS, "give a time in ns, or leave it out");
+        }
+        for (String number : OPTIONAL_NUMBERS) {
+            checkInRange(number, 0, MAX_NUMBER, "give a number from 0 on, or leave it out");
+        }
+        checkInRange("safety.coldFrom", 0, 1, "give the part of its speed that a unit starts with");
+    }
+
+    /** How many objects a list holds; 0 where it is absent or empty. */
+    private int count(String list, String remedy) throws InvalidSettingException {
         String count = settings.get(list + ".count");
-        if (count == null && settings.containsKey(list) && !settings.get(list).isEmpty()) {
-            throw wrong(list, settings.get(list), "a list of objects", mend);
+        if (count != null) {
+            return Integer.parseInt(count);
+        }
+        String plainValue = settings.getOrDefault(list, "");
+        if (!plainValue.isEmpty()) {
+            throw new InvalidSettingException(list, plainValue, "a list of objects", remedy);
         }
-        return count == null ? 0 : Integer.parseInt(count);
+        return 0;
     }
 
-    /** Each has a name, and one of its own. */
-    private void named(String list, int count) throws IOException {
+    /** Each object of a list must have a name that no other one has. */
+    private void validateNames(String list, int count) throws InvalidSettingException {
         Set<String> names = new HashSet<>();
         for (int i = 0; i < count; i++) {
-            String at = list + "." + i + ".name";
-            String name = settings.get(at);
+            String path = list + "." + i + ".name";
+            String name = settings.get(path);
             if (name == null || name.isEmpty() || !names.add(name)) {
-                throw wrong(at, name, "a name of its own", "name each once");
+                throw new InvalidSettingException(path, name, "a name of its own", "name each once");
             }
         }
     }
 
-    private void within(String at, double least, double most, boolean must, String mend) throws IOException {
-        String text = settings.get(at);
-        if (text == null || text.equals("-")) {
-            if (must) {
-                throw wrong(at, null, "a number from " + (long) least + " to " + (long) most, mend);
-            }
+    private void requireInRange(String path, double min, double max, String remedy) throws InvalidSettingException {
+        if (isAbsent(path)) {
+            throw new InvalidSettingException(path, null, range(min, max), remedy);
+        }
+        checkInRange(path, min, max, remedy);
+    }
+
+    /** A setting that is absent passes. */
+    private void checkInRange(String path, double min, double max, String remedy) throws InvalidSettingException {
+        if (isAbsent(path)) {
             return;
         }
-        double value;
+        String text = settings.get(path);
+        double value = parseOrNaN(text);
+        boolean inRange = value >= min && value <= max;
+        if (!inRange) {
+            throw new InvalidSettingException(path, text, range(min, max), remedy);
+        }
+    }
+
+    private boolean isAbsent(String path) {
+        String text = settings.get(path);
+        return text == null || text.equals("-");
+    }
+
+    private static double parseOrNaN(String text) {
         try {
-            value = Double.parseDouble(text);
+            return Double.parseDouble(text);
         } catch (NumberFormatException e) {
-            value = Double.NaN;
-        }
-        if (!(value >= least && value <= most)) {
-            throw wrong(at, text, "a number from " + (long) least + " to " + (long) most, mend);
+            return Double.NaN;
         }
     }
 
-    private static IOException wrong(String at, String found, String expected, String mend) {
-        return new IOException("settings." + at.replaceAll("\\.(\\d+)\\.", "[$1].") + ": expected " + expected
-                + ", found " + (found == null ? "nothing" : found) + "; " + mend);
+    private static String range(double min, double max) {
+        return "a number from " + (long) min + " to " + (long) max;
     }
 }
--- a/src/main/java/gatelock/boot/package-info.java
+++ b/src/main/java/gatelock/boot/package-info.java
@@ -1,2 +1,2 @@
-/** Start and stop: the command line, the configuration, putting the parts together, readiness, SIGTERM. */
+/** Starts and stops the program: the command line, the configuration, assembly of the parts, warm-up and shutdown. */
 package gatelock.boot;
--- a/src/main/java/gatelock/simulator/FieldReader.java
+++ b/src/main/java/gatelock/simulator/FieldReader.java
@@ -3,94 +3,126 @@
 import gatelock.api.LoadReport;
 import java.util.Map;
 
-/** The fields of one line, read in order. */
+/**
+ * Reads the fields of one line in order: the message's name, then its values, separated by single spaces. A value that
+ * is missing or {@code -} is absent.
+ *
+ * <p>Each {@code what} parameter names the value in the {@link MalformedLineException} that is thrown where it is
+ * absent or not of its kind.
+ */
 final class FieldReader {
+    private static final String ABSENT = "-";
+
     private final String line;
     private final String name;
-    private int at;
+    private int position;
 
     FieldReader(String line) {
         this.line = line;
-        this.name = field();
+        this.name = nextField();
     }
 
+    /** The message's name. */
     String name() {
         return name;
     }
 
-    private String field() {
-        if (at > line.length()) {
+    private String nextField() {
+        if (position > line.length()) {
             return "";
         }
-        int end = line.indexOf(' ', at);
-        String part = line.substring(at, end < 0 ? line.length() : end);
-        at += part.length() + 1;
-        return part;
+        int end = line.indexOf(' ', position);
+        String field = line.substring(position, end < 0 ? line.length() : end);
+        position += field.length() + 1;
+        return field;
+    }
+
+    private static boolean isAbsent(String field) {
+        return field.isEmpty() || field.equals(ABSENT);
     }
 
-    String text(String what) {
-        String part = field();
-        if (part.isEmpty() || part.equals("-")) {
+    /** Reads a text that must be there. */
+    String requiredText(String what) {
+        String field = nextField();
+        if (isAbsent(field)) {
             throw new MalformedLineException("expected " + what + " in " + name);
         }
-        return part;
+        return field;
     }
 
+    /** Reads what is left of the line, with its spaces. */
     String rest() {
-        return at > line.length() ? "" : line.substring(at);
+        return position > line.length() ? "" : line.substring(position);
+    }
+
+    /** Reads a whole number that must be there. */
+    long requiredLong(String what) {
+        return parseLong(requiredText(what), what);
+    }
+
+    /** Reads a whole number that must be there and fit an int. */
+    int requiredInt(String what) {
+        return (int) requiredLong(what);
     }
 
-    long number(String what) {
-        return parse(text(what), what);
+    /** Reads a whole number, or the default where it is absent. */
+    long optionalLong(long defaultValue) {
+        String field = nextField();
+        return isAbsent(field) ? defaultValue : parseLong(field, "a whole number");
     }
 
-    long numberOr(long absent) {
-        String part = field();
-        return part.isEmpty() || part.equals("-") ? absent : parse(part, "a whole number");
+    /** Reads a whole number that fits an int, or the default where it is absent. */
+    int optionalInt(int defaultValue) {
+        return (int) optionalLong(defaultValue);
     }
 
-    double realOr(double absent) {
-        String part = field();
-        return part.isEmpty() || part.equals("-") ? absent : real(part);
+    /** Reads a number, or the default where it is absent. */
+    double optionalDouble(double defaultValue) {
+        String field = nextField();
+        return isAbsent(field) ? defaultValue : parseDouble(field);
     }
 
-    int code(String what, int codes) {
-        return below(codes, number(what), what);
+    /** Reads an index below {@code count} that must be there. */
+    int requiredIndex(String what, int count) {
+        return checkIndex(count, requiredLong(what), what);
     }
 
-    int codeOr(int absent, String what, int codes) {
-        return below(codes, numberOr(absent), what);
+    /** Reads an index below {@code count}, or the default where it is absent. */
+    int optionalIndex(int defaultValue, String what, int count) {
+        return checkIndex(count, optionalLong(defaultValue), what);
     }
 
-    private int below(int codes, long value, String what) {
-        if (value < 0 || value >= codes) {
+    private int checkIndex(int count, long value, String what) {
+        if (value < 0 || value >= count) {
             throw new MalformedLineException(
-                    "expected " + what + " below " + codes + " in " + name + ", found " + value);
+                    "expected " + what + " below " + count + " in " + name + ", found " + value);
         }
         return (int) value;
     }
 
-    <T> T oneOf(Map<String, T> words, String what) {
-        String part = text(what);
-        T value = words.get(part);
-        if (value == null) {
-            throw new MalformedLineException("expected " + what + " in " + name + ", found " + part);
+    /** Reads a word that must be one of the given ones, and returns what it stands for. */
+    <T> T oneOf(Map<String, T> meanings, String what) {
+        String word = requiredText(what);
+        T meaning = meanings.get(word);
+        if (meaning == null) {
+            throw new MalformedLineException("expected " + what + " in " + name + ", found " + word);
         }
-        return value;
+        return meaning;
     }
 
-    LoadReport load() {
-        String part = field();
-        if (part.isEmpty() || part.equals("-")) {
+    /** Reads an endpoint's load report: name:value pairs separated by commas. */
+    LoadReport loadReport() {
+        String field = nextField();
+        if (isAbsent(field)) {
             return LoadReport.NONE;
         }
         double waiting = Double.NaN;
-        for (String pair : part.split(",")) {
+        for (String pair : field.split(",", 0)) {
             int colon = pair.indexOf(':');
             if (colon < 0) {
                 throw new MalformedLineException("expected name:value in " + name + ", found " + pair);
             }
-            double value = real(pair.substring(colon + 1));
+            double value = parseDouble(pair.substring(colon + 1));
             if (pair.substring(0, colon).equals("waiting")) {
                 waiting = value;
             }
@@ -98,19 +130,19 @@
         return new LoadReport(waiting);
     }
 
-    private long parse(String part, String what) {
+    private long parseLong(String field, String what) {
         try {
-            return Long.parseLong(part);
+            return Long.parseLong(field);
         } catch (NumberFormatException e) {
-            throw new MalformedLineException("expected " + what + " in " + name + ", found " + part);
+            throw new MalformedLineException("expected " + what + " in " + name + ", found " + field);
         }
     }
 
-    private double real(String part) {
+    private double parseDouble(String field) {
         try {
-            return Double.parseDouble(part);
+            return Double.parseDouble(field);
         } catch (NumberFormatException e) {
-            throw new MalformedLineException("expected a number in " + name + ", found " + part);
+            throw new MalformedLineException("expected a number in " + name + ", found " + field);
         }
     }
 }
--- /dev/null
+++ b/src/main/java/gatelock/simulator/HostedRelay.java
@@ -0,0 +1,158 @@
+package gatelock.simulator;
+
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionActions;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
+import gatelock.api.LoadReport;
+import gatelock.api.RequestHandle;
+import gatelock.decision.ReleaseGate;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+
+/** One hosted relay: its decision engine and the requests in flight. It gets the events of its lines. */
+final class HostedRelay {
+    private static final int NS_PER_US = 1_000;
+
+    private final DecisionActions actions;
+    private final List<List<Endpoint>> endpointLists;
+    private final Map<String, RequestHandle> inFlight = new HashMap<>();
+    /** Null while the relay is stopped. */
+    private DecisionEngine engine;
+
+    /**
+     * Creates a relay that is stopped.
+     *
+     * @param endpointLists the lists that batches have sent, by their number; shared with the host
+     */
+    HostedRelay(DecisionActions actions, List<List<Endpoint>> endpointLists) {
+        this.actions = actions;
+        this.endpointLists = endpointLists;
+    }
+
+    /** Handles one line of a batch. */
+    void handle(long nowUs, FieldReader fields) {
+        switch (fields.name()) {
+            case "POWER_ON" -> start(nowUs, fields);
+            case "STOP" -> stop();
+            default -> {
+                if (engine == null) {
+                    throw new MalformedLineException(fields.name() + " for an instance that has not started");
+                }
+                handleEvent(nowUs, fields);
+            }
+        }
+    }
+
+    private void start(long nowUs, FieldReader fields) {
+        long seed = fields.requiredLong("entropy");
+        inFlight.clear();
+        engine = new ReleaseGate(SettingsDecoder.decode(seed, SettingsDecoder.splitPairs(fields.rest())), actions);
+        engine.start(nowUs);
+    }
+
+    private void stop() {
+        engine = null;
+        inFlight.clear();
+    }
+
+    private void handleEvent(long nowUs, FieldReader fields) {
+        switch (fields.name()) {
+            case "INBOUND" -> handleRequest(nowUs, fields);
+            case "REPORT_BACK" -> handleAttemptResult(nowUs, fields);
+            case "ELAPSED" -> engine.due(nowUs, fields.requiredLong("nonce"));
+            case "SYNC" -> handleEndpointList(nowUs, fields);
+            case "STAGE" -> handleReleaseState(nowUs, fields);
+            case "COMPLAINT" -> handleComplaint(nowUs, fields);
+            case "ABANDONED", "HEAD_RECEIVED" ->
+                forRequestInFlight(fields.requiredText("msgId"), request -> request.concluded(nowUs));
+            case "SCORECARD" -> handleCounts(nowUs, fields);
+            case "MAIL", "CHECKED" -> {
+                // This engine sends no messages and no health checks, so their answers mean nothing to it.
+            }
+            default -> throw new MalformedLineException("expected an event, found " + fields.name());
+        }
+    }
+
+    private void handleRequest(long nowUs, FieldReader fields) {
+        String id = fields.requiredText("msgId");
+        int route = fields.requiredInt("service");
+        int tenant = fields.optionalInt(0);
+        long key = fields.optionalLong(DecisionEngine.NO_KEY);
+        long leftUs = SettingsDecoder.nsToUs(fields.requiredLong("expiresInNs"));
+        long costNs = fields.optionalLong(0);
+        boolean costIsKnown = (fields.optionalLong(0) & 1) != 0;
+        long costUs = costIsKnown ? SettingsDecoder.nsToUs(costNs) : 0;
+        RequestHandle request = engine.take(nowUs, id, route, tenant, key, leftUs, costUs);
+        inFlight.put(id, request);
+        forgetIfSettled(id, request);
+    }
+
+    private void handleAttemptResult(long nowUs, FieldReader fields) {
+        String id = fields.requiredText("msgId");
+        int attemptNo = fields.requiredInt("hop");
+        fields.requiredText("unit");
+        AttemptResult result = fields.oneOf(WireCodes.ATTEMPT_RESULTS, "result");
+        long tookUs = fields.requiredLong("durationNs") / NS_PER_US;
+        boolean over = fields.requiredLong("over") == 1;
+        LoadReport load = fields.loadReport();
+        forRequestInFlight(id, request -> request.ended(nowUs, attemptNo, result, tookUs, over, load));
+    }
+
+    /** A request that is no longer in flight is ignored. */
+    private void forRequestInFlight(String id, Consumer<RequestHandle> action) {
+        RequestHandle request = inFlight.get(id);
+        if (request != null) {
+            action.accept(request);
+            forgetIfSettled(id, request);
+        }
+    }
+
+    private void forgetIfSettled(String id, RequestHandle request) {
+        if (request.settled()) {
+            inFlight.remove(id);
+        }
+    }
+
+    private void handleEndpointList(long nowUs, FieldReader fields) {
+        fields.requiredLong("seqNo");
+        DecisionEngine.ListForm form =
+                WireCodes.LIST_FORMS.get(fields.requiredIndex("form", WireCodes.LIST_FORMS.size()));
+        List<Endpoint> endpoints = form == DecisionEngine.ListForm.FAILED
+                ? List.of()
+                : endpointLists.get(fields.requiredIndex("list", endpointLists.size()));
+        engine.listed(nowUs, form, endpoints);
+    }
+
+    private void handleReleaseState(long nowUs, FieldReader fields) {
+        int stage = fields.optionalInt(0);
+        double cap = fields.optionalDouble(0);
+        long agoUs = fields.optionalLong(0) / NS_PER_US;
+        boolean asked = fields.optionalLong(0) == 1;
+        DecisionEngine.Phase phase = WireCodes.PHASES.get(fields.optionalIndex(0, "phase", WireCodes.PHASES.size()));
+        DecisionEngine.VoteAnswer answer = fields.oneOf(WireCodes.VOTE_ANSWERS, "result");
+        int build = fields.optionalInt(0);
+        // News that was not asked for also comes with the word of a counted vote.
+        boolean unasked = !asked && answer == DecisionEngine.VoteAnswer.COUNTED;
+        engine.news(nowUs, build, stage, phase, cap, agoUs, unasked ? DecisionEngine.VoteAnswer.NOT_ASKED : answer);
+    }
+
+    private void handleComplaint(long nowUs, FieldReader fields) {
+        String endpoint = fields.requiredText("unit");
+        int route = fields.requiredInt("service");
+        long agoUs = fields.requiredLong("behindNs") / NS_PER_US;
+        engine.complaint(nowUs, endpoint, route, agoUs);
+    }
+
+    private void handleCounts(long nowUs, FieldReader fields) {
+        int failed = fields.optionalInt(0);
+        long meanUs = fields.optionalLong(0) / NS_PER_US;
+        long agoUs = fields.optionalLong(0) / NS_PER_US;
+        int build = fields.requiredInt("rel");
+        int count = fields.optionalInt(0);
+        int route = fields.requiredInt("service");
+        engine.counted(nowUs, build, route, count, failed, meanUs, agoUs);
+    }
+}
--- a/src/main/java/gatelock/simulator/MalformedLineException.java
+++ b/src/main/java/gatelock/simulator/MalformedLineException.java
@@ -1,7 +1,7 @@
 package gatelock.simulator;
 
-/** Input that does not read as the wire; the message says what was expected. */
-public final class MalformedLineException extends RuntimeException {
+/** Input that is not in the simulator's line protocol; the message says what was expected. */
+final class MalformedLineException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     MalformedLineException(String message) {
--- /dev/null
+++ b/src/main/java/gatelock/simulator/Reply.java
@@ -0,0 +1,127 @@
+package gatelock.simulator;
+
+import gatelock.api.DecisionActions;
+import gatelock.api.Verdict;
+import java.io.IOException;
+import java.io.OutputStream;
+import java.nio.charset.StandardCharsets;
+
+/** Writes the reply to a batch: one line for each action, under an {@code AT} line that names the relay. */
+final class Reply {
+    private static final int INITIAL_CHARS = 1 << 16;
+    private static final int NO_RELAY = -1;
+    private static final int NS_PER_US = 1_000;
+
+    private final OutputStream out;
+    private final StringBuilder text = new StringBuilder(INITIAL_CHARS);
+    private int currentRelay = NO_RELAY;
+
+    Reply(OutputStream out) {
+        this.out = out;
+    }
+
+    /** Begins the reply to a batch. */
+    void begin() {
+        currentRelay = NO_RELAY;
+    }
+
+    /** Ends the reply to a batch, and flushes it. */
+    void end() throws IOException {
+        text.append("ACK\n");
+        out.write(text.toString().getBytes(StandardCharsets.UTF_8));
+        out.flush();
+        text.setLength(0);
+    }
+
+    /** The actions of one relay, which are written to this reply. */
+    DecisionActions actionsOf(int relay) {
+        return new RelayActions(relay);
+    }
+
+    /** Begins a line; returns where its values go, each after a space. */
+    private StringBuilder line(int relay, String name) {
+        if (currentRelay != relay) {
+            text.append("AT ").append(relay).append('\n');
+            currentRelay = relay;
+        }
+        return text.append(name);
+    }
+
+    /** Writes what one relay's decisions ask for. */
+    private final class RelayActions implements DecisionActions {
+        private final int relay;
+
+        RelayActions(int relay) {
+            this.relay = relay;
+        }
+
+        @Override
+        public void send(String id, String endpoint, long timeoutUs) {
+            line(relay, "RELAY")
+                    .append(' ')
+                    .append(id)
+                    .append(' ')
+                    .append(endpoint)
+                    .append(' ')
+                    .append(timeoutUs * NS_PER_US)
+                    .append('\n');
+        }
+
+        @Override
+        public void shed(String id, long pauseUs) {
+            line(relay, "SAY_NO")
+                    .append(' ')
+                    .append(id)
+                    .append(' ')
+                    .append(pauseUs * NS_PER_US)
+                    .append('\n');
+        }
+
+        @Override
+        public void error(String id) {
+            line(relay, "DROP_REQUEST").append(' ').append(id).append('\n');
+        }
+
+        @Override
+        public void cancel(String id, int attemptNo) {
+            line(relay, "RETRACT")
+                    .append(' ')
+                    .append(id)
+                    .append(' ')
+                    .append(attemptNo)
+                    .append('\n');
+        }
+
+        @Override
+        public void vote(int build, int stage, Verdict verdict) {
+            line(relay, "BALLOT")
+                    .append(' ')
+                    .append(build)
+                    .append(' ')
+                    .append(stage)
+                    .append(' ')
+                    .append(WireCodes.verdictCode(verdict))
+                    .append('\n');
+        }
+
+        @Override
+        public void timer(long inUs, long token) {
+            line(relay, "SET_TIMER")
+                    .append(' ')
+                    .append(inUs * NS_PER_US)
+                    .append(' ')
+                    .append(token)
+                    .append('\n');
+        }
+
+        @Override
+        public void followList() {
+            line(relay, "TAIL").append(' ').append(1).append('\n');
+        }
+
+        @Override
+        public void say(String message) {
+            line(relay, "EMIT").append(' ').append(message).append('\n');
+        }
+    }
+}
--- a/src/main/java/gatelock/simulator/SettingsDecoder.java
+++ b/src/main/java/gatelock/simulator/SettingsDecoder.java
@@ -7,14 +7,35 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeSet;
 
 /**
- * Decodes what an instance is told at its start, whatever carried it; times become microseconds, rounded to
- * the safe side.
+ * Decodes the settings that a relay gets at its start, whatever carried them: path=value pairs, where {@code -} stands
+ * for an absent value. Times become microseconds, rounded to the safe side.
  */
 public final class SettingsDecoder {
-    /** How long a connection is kept where nothing says when an endpoint closes it. */
-    private static final long FOR_GOOD_US = Long.MAX_VALUE / 4;
+    private static final int NS_PER_US = 1_000;
+    /** How long a connection is kept where nothing says when an endpoint closes it: for ever. */
+    private static final long KEPT_FOREVER_US = Long.MAX_VALUE / 4;
+
+    private static final String ABSENT = "-";
+
+    private static final Map<String, RoutePolicy.Repeat> REPEATS = Map.of(
+            "repeatable",
+            RoutePolicy.Repeat.RETRIABLE,
+            "by_key",
+            RoutePolicy.Repeat.DEDUPED,
+            "once",
+            RoutePolicy.Repeat.NON_RETRIABLE);
+    private static final Map<String, RoutePolicy.Group> DEDUP_SCOPES =
+            Map.of("all", RoutePolicy.Group.ALL, "zone", RoutePolicy.Group.ZONE, "cell", RoutePolicy.Group.CELL);
+    private static final Map<String, RolloutPolicy.Gatekeeping> GATE_MODES = Map.of(
+            "first_voice",
+            RolloutPolicy.Gatekeeping.FIRST_VOICE,
+            "by_count",
+            RolloutPolicy.Gatekeeping.COUNT,
+            "automatic",
+            RolloutPolicy.Gatekeeping.CLOCK);
 
     private final Map<String, String> pairs;
 
@@ -22,154 +43,153 @@
         this.pairs = pairs;
     }
 
-    static Map<String, String> pairs(String info) {
+    /** Splits the rest of a line into path=value pairs. */
+    static Map<String, String> splitPairs(String info) {
         Map<String, String> pairs = new HashMap<>();
-        for (String pair : info.split(" ")) {
-            int eq = pair.indexOf('=');
-            if (eq > 0) {
-                pairs.put(pair.substring(0, eq), pair.substring(eq + 1));
+        for (String pair : info.split(" ", 0)) {
+            int equals = pair.indexOf('=');
+            if (equals > 0) {
+                pairs.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
         }
         return pairs;
     }
 
-    static long atLeastOne(long ns) {
-        return ns > 0 ? Math.max(1, ns / 1000) : 0;
+    /** Whole microseconds, rounded down, but at least one for any time above 0; 0 for 0 and below. */
+    static long nsToUs(long ns) {
+        return ns > 0 ? Math.max(1, ns / NS_PER_US) : 0;
     }
 
-    /** Reads path=value pairs; {@link MalformedLineException} where one is not of its kind. */
-    public static RelaySettings read(long seed, Map<String, String> pairs) {
-        SettingsDecoder t = new SettingsDecoder(pairs);
-        List<RoutePolicy> routes = new ArrayList<>();
-        for (int i = 0; i < t.whole("lanes.count", 0); i++) {
-            String p = "lanes." + i + ".";
-            routes.add(new RoutePolicy(
-                    t.word(
-                            p + "effect",
-                            Map.of(
-                                    "repeatable",
-                                    RoutePolicy.Repeat.RETRIABLE,
-                                    "by_key",
-                                    RoutePolicy.Repeat.DEDUPED,
-                                    "once",
-                                    RoutePolicy.Repeat.NON_RETRIABLE),
-                            RoutePolicy.Repeat.NON_RETRIABLE),
-                    t.word(
-                            p + "dedupScope",
-                            Map.of(
-                                    "all",
-                                    RoutePolicy.Group.ALL,
-                                    "zone",
-                                    RoutePolicy.Group.ZONE,
-                                    "cell",
-                                    RoutePolicy.Group.CELL),
-                            RoutePolicy.Group.CELL),
-                    t.us(p + "keyTtlNs"),
-                    t.us(p + "targetNs"),
-                    t.real(p + "worth", 1)));
-        }
-        List<RelaySettings.Tenant> tenants = new ArrayList<>();
-        for (int i = 0; i < t.whole("orgs.count", 0); i++) {
-            tenants.add(new RelaySettings.Tenant(t.real("orgs." + i + ".quotaPerS", 0)));
-        }
-        RolloutPolicy rollout = new RolloutPolicy(
-                t.word(
-                        "familyInfo.gateMode",
-                        Map.of(
-                                "first_voice",
-                                RolloutPolicy.Gatekeeping.FIRST_VOICE,
-                                "by_count",
-                                RolloutPolicy.Gatekeeping.COUNT,
-                                "automatic",
-                                RolloutPolicy.Gatekeeping.CLOCK),
-                        RolloutPolicy.Gatekeeping.COUNT),
-                Math.max(t.us("familyInfo.bakeNs"), t.us("familyInfo.autoAfterNs")),
-                t.us("familyInfo.voteLifeNs"),
-                t.us("familyInfo.voteWaitNs"),
-                t.reals("familyInfo.exposureCaps"),
-                (int) t.whole("familyInfo.guardedStages", 0),
-                "each_class".equals(t.pairs.get("familyInfo.capScope")),
-                t.yes("familyInfo.forwardOnly"),
-                t.real("familyInfo.free", 0),
-                (int) t.whole("familyInfo.toAbort", 1),
-                t.real("familyInfo.apiRate", 1),
-                t.whole("familyInfo.tallyNs", 0) > 0);
-        long idleUs = t.us("limits.connIdleNs");
-        long warmNs = t.whole("safety.warmWithinNs", 0);
+    /**
+     * Decodes path=value pairs.
+     *
+     * @throws MalformedSettingException where a value is not of its kind
+     */
+    public static RelaySettings decode(long seed, Map<String, String> pairs) {
+        return new SettingsDecoder(pairs).decode(seed);
+    }
+
+    /** Decodes one time to microseconds; 0 where it is absent. */
+    public static long timeUs(Map<String, String> pairs, String path) {
+        return new SettingsDecoder(pairs).timeUs(path);
+    }
+
+    private RelaySettings decode(long seed) {
+        // Decoded in this order, so that of several malformed values always the same one is reported.
+        List<RoutePolicy> routes = routes();
+        List<RelaySettings.Tenant> tenants = tenants();
+        RolloutPolicy rollout = rollout();
+        long connectionIdleUs = timeUs("limits.connIdleNs");
+        long warmUpNs = wholeNumber("safety.warmWithinNs", 0);
         return new RelaySettings(
                 seed,
-                (int) t.whole("replicasOfMe", 1),
-                (int) t.whole("me", -1),
+                (int) wholeNumber("replicasOfMe", 1),
+                (int) wholeNumber("me", -1),
                 routes,
                 tenants,
-                t.real("overShareWorth", 1),
-                (int) t.whole("limits.tryLimit", 1),
-                t.yes("limits.mayCancel"),
-                t.yes("limits.retryAfter"),
-                t.us("limits.maxRetryAfterNs"),
-                "on_request".equals(t.pairs.get("discovery")),
-                t.real("safety.coldFrom", 1),
-                (warmNs + 999) / 1000,
-                t.real("safety.overloadFactor", 1),
-                t.us("safety.fallNs"),
-                t.real("costs.handshake", 0),
-                idleUs > 0 ? idleUs * 3 / 4 : FOR_GOOD_US,
+                number("overShareWorth", 1),
+                (int) wholeNumber("limits.tryLimit", 1),
+                flag("limits.mayCancel"),
+                flag("limits.retryAfter"),
+                timeUs("limits.maxRetryAfterNs"),
+                "on_request".equals(pairs.get("discovery")),
+                number("safety.coldFrom", 1),
+                (warmUpNs + NS_PER_US - 1) / NS_PER_US,
+                number("safety.overloadFactor", 1),
+                timeUs("safety.fallNs"),
+                number("costs.handshake", 0),
+                connectionIdleUs > 0 ? connectionIdleUs * 3 / 4 : KEPT_FOREVER_US,
                 rollout);
     }
 
-    /** One time, in microseconds; 0 where it is absent. */
-    public static long us(Map<String, String> pairs, String path) {
-        return new SettingsDecoder(pairs).us(path);
+    private List<RoutePolicy> routes() {
+        List<RoutePolicy> routes = new ArrayList<>();
+        for (int i = 0; i < wholeNumber("lanes.count", 0); i++) {
+            String lane = "lanes." + i + ".";
+            routes.add(new RoutePolicy(
+                    oneOf(lane + "effect", REPEATS, RoutePolicy.Repeat.NON_RETRIABLE),
+                    oneOf(lane + "dedupScope", DEDUP_SCOPES, RoutePolicy.Group.CELL),
+                    timeUs(lane + "keyTtlNs"),
+                    timeUs(lane + "targetNs"),
+                    number(lane + "worth", 1)));
+        }
+        return routes;
+    }
+
+    private List<RelaySettings.Tenant> tenants() {
+        List<RelaySettings.Tenant> tenants = new ArrayList<>();
+        for (int i = 0; i < wholeNumber("orgs.count", 0); i++) {
+            tenants.add(new RelaySettings.Tenant(number("orgs." + i + ".quotaPerS", 0)));
+        }
+        return tenants;
     }
 
-    private long us(String path) {
-        return atLeastOne(whole(path, 0));
+    private RolloutPolicy rollout() {
+        return new RolloutPolicy(
+                oneOf("familyInfo.gateMode", GATE_MODES, RolloutPolicy.Gatekeeping.COUNT),
+                Math.max(timeUs("familyInfo.bakeNs"), timeUs("familyInfo.autoAfterNs")),
+                timeUs("familyInfo.voteLifeNs"),
+                timeUs("familyInfo.voteWaitNs"),
+                numbers("familyInfo.exposureCaps"),
+                (int) wholeNumber("familyInfo.guardedStages", 0),
+                "each_class".equals(pairs.get("familyInfo.capScope")),
+                flag("familyInfo.forwardOnly"),
+                number("familyInfo.free", 0),
+                (int) wholeNumber("familyInfo.toAbort", 1),
+                number("familyInfo.apiRate", 1),
+                wholeNumber("familyInfo.tallyNs", 0) > 0);
     }
 
-    private boolean yes(String path) {
+    private long timeUs(String path) {
+        return nsToUs(wholeNumber(path, 0));
+    }
+
+    private boolean flag(String path) {
         String value = pairs.get(path);
         return "true".equals(value) || "1".equals(value);
     }
 
-    private <T> T word(String path, Map<String, T> words, T absent) {
-        String value = pairs.get(path);
-        if (value == null || value.equals("-")) {
-            return absent;
+    private <T> T oneOf(String path, Map<String, T> meanings, T defaultValue) {
+        String word = pairs.get(path);
+        if (word == null || word.equals(ABSENT)) {
+            return defaultValue;
         }
-        T found = words.get(value);
-        if (found == null) {
-            throw new MalformedLineException("expected a known value for " + path + ", found " + value);
+        T meaning = meanings.get(word);
+        if (meaning == null) {
+            String remedy = "use one of " + String.join(", ", new TreeSet<>(meanings.keySet()));
+            throw new MalformedSettingException(path, word, "a known value", remedy);
         }
-        return found;
+        return meaning;
     }
 
-    private long whole(String path, long absent) {
-        return (long) real(path, absent);
+    private long wholeNumber(String path, long defaultValue) {
+        return (long) number(path, (double) defaultValue);
     }
 
-    private double real(String path, double absent) {
+    private double number(String path, double defaultValue) {
         String value = pairs.get(path);
-        return value == null || value.equals("-") ? absent : number(path, value);
+        return value == null || value.equals(ABSENT) ? defaultValue : parseNumber(path, value);
     }
 
-    private double[] reals(String path) {
+    /** A list of numbers; empty where it is absent. */
+    private double[] numbers(String path) {
         String value = pairs.get(path);
-        if (value == null || value.isEmpty() || value.equals("-")) {
+        if (value == null || value.isEmpty() || value.equals(ABSENT)) {
             return new double[0];
         }
-        String[] parts = value.split(",");
+        String[] parts = value.split(",", 0);
         double[] numbers = new double[parts.length];
         for (int i = 0; i < parts.length; i++) {
-            numbers[i] = number(path, parts[i]);
+            numbers[i] = parseNumber(path, parts[i]);
         }
         return numbers;
     }
 
-    private static double number(String path, String value) {
+    private static double parseNumber(String path, String value) {
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new MalformedLineException("expected a number for " + path + ", found " + value);
+            throw new MalformedSettingException(path, value, "a number", "");
         }
     }
 }
--- a/src/main/java/gatelock/simulator/package-info.java
+++ b/src/main/java/gatelock/simulator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The adapter for the bench: reads the simulator's lines, calls the decisions of each relay it hosts,
- * and writes what they ask for. It decides nothing.
+ * The adapter for the simulator: parses its lines, calls the decision engine of each relay that it hosts, and writes
+ * the actions that these ask for. It decides nothing.
  */
 package gatelock.simulator;
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -128,10 +128,10 @@
         }) {
             assertThat(refusal(odd[0])).as(odd[0]).contains(odd[1]);
         }
-        OperatorConfig read = OperatorConfig.read(Path.of("deploy/operator.json"), deployment());
+        OperatorConfig read = OperatorConfigReader.read(Path.of("deploy/operator.json"), deployment());
         assertThat(read.control()).isNotNull();
         assertThat(read.membership()).as("off where none is named").isNull();
-        assertThat(OperatorConfig.read(Path.of("deploy/scope.json"), deployment())
+        assertThat(OperatorConfigReader.read(Path.of("deploy/scope.json"), deployment())
                         .membership()
                         .terms()
                         .most())
@@ -144,7 +144,7 @@
 
     private String refusal(String text) throws IOException {
         Path file = Path.of(file("operator.json", text));
-        Throwable wrong = catchThrowable(() -> OperatorConfig.read(file, deployment()));
+        Throwable wrong = catchThrowable(() -> OperatorConfigReader.read(file, deployment()));
         assertThat(wrong).as(text).isInstanceOf(IOException.class).hasMessageContaining(file + ":");
         return wrong.getMessage();
     }
@@ -190,14 +190,14 @@
 
     @Test
     void aScopeThatIsSoundIsReadAndWhatIsLeftOutHasItsDefault() throws IOException {
-        OperatorConfig.Membership read = OperatorConfig.read(
+        OperatorConfig.Membership read = OperatorConfigReader.read(
                         Path.of(file("operator.json", membership(""))), deployment())
                 .membership();
         assertThat(read.terms())
-                .isEqualTo(new EndpointSubset.Terms(deployment().charter().seed(), -1, 40, 4, 1, 1, 10_000_000));
-        assertThat(read.mostListBytes()).isEqualTo(64 << 20);
+                .isEqualTo(new EndpointSubset.Terms(deployment().settings().seed(), -1, 40, 4, 1, 1, 10_000_000));
+        assertThat(read.maxListBytes()).isEqualTo(64 << 20);
         assertThat(read.service()).isSameAs(ServiceNameExtractor.ONE);
-        OperatorConfig.Membership all = OperatorConfig.read(
+        OperatorConfig.Membership all = OperatorConfigReader.read(
                         Path.of(file(
                                 "operator.json",
                                 "{\"membership\": {\"most\": 1024, "
@@ -206,7 +206,7 @@
                         deployment())
                 .membership();
         assertThat(all.terms()).isEqualTo(new EndpointSubset.Terms(17, 0, 1024, 1, 0, 0, 500_000));
-        assertThat(all.mostListBytes()).isEqualTo(2 << 20);
+        assertThat(all.maxListBytes()).isEqualTo(2 << 20);
         assertThat(all.service().of("cold-brew-17", null, Map.of())).isEqualTo("cold-brew");
         assertThat(all.service().of("alone", null, Map.of())).isEmpty();
     }
--- a/src/test/java/gatelock/boot/SettingsValidatorTest.java
+++ b/src/test/java/gatelock/boot/SettingsValidatorTest.java
@@ -55,12 +55,13 @@
     @Test
     void whatMayBeLeftOutHarmsNothing() throws IOException {
         // A connection may take as long to come up as the longest request, and is kept for as long as it stands.
-        assertThat(read("\"dialTimeoutNs\": 250000000, ", "").openWithinUs()).isEqualTo(3_000_000);
+        assertThat(read("\"dialTimeoutNs\": 250000000, ", "").connectTimeoutUs())
+                .isEqualTo(3_000_000);
         assertThat(read(",\\s*\"dialTimeoutNs\": 250000000, \"connIdleNs\": 30000000000", "")
-                        .charter()
+                        .settings()
                         .keptUs())
                 .isGreaterThan(1_000_000_000_000L);
-        assertThat(read("\"zones\": \\[\"east\"\\],", "").plain("zones")).hasSize(1);
-        assertThat(read("", "").charter().routes()).hasSize(3);
+        assertThat(read("\"zones\": \\[\"east\"\\],", "").names("zones")).hasSize(1);
+        assertThat(read("", "").settings().routes()).hasSize(3);
     }
 }
