--- a/src/main/java/gatelock/boot/AdminCommands.java
+++ b/src/main/java/gatelock/boot/AdminCommands.java
@@ -90,7 +90,7 @@
         @Parameters(paramLabel = "NUMBER")
         private long number;
 
-        @Option(names = "--why", required = true, description = "kept in the history")
+        @Option(names = "--why", paramLabel = "<why>", required = true, description = "kept in the history")
         private String reason;
 
         @Override
