--- a/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
+++ b/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Versions on disk: whatever happens to a file, what is read is what was kept, or nothing. */
+/** Versions on disk: whatever happens to a file, what is read is what was saved, or nothing. */
 final class LastKnownGoodStoreTest {
     private static final int MAX_TEXT_BYTES = 1 << 16;
 
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theLatestAndTheOneBeforeAreKept() {
+    void theLatestVersionAndTheOneBeforeAreStored() {
         LastKnownGoodStore store = new LastKnownGoodStore(directory.resolve("not/there/yet"), MAX_TEXT_BYTES);
         assertThat(store.readAll()).isEmpty();
         for (int i = 1; i <= 3; i++) {
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void whatIsTornCutOrChangedIsPassedOverAndTheOneBeforeServes() throws IOException {
+    void aDamagedFileIsSkippedAndThePreviousVersionIsRead() throws IOException {
         LastKnownGoodStore store = new LastKnownGoodStore(directory, MAX_TEXT_BYTES);
         store.save(version(1), text(1));
         store.save(version(2), text(2));
@@ -75,10 +75,18 @@
     }
 
     @Test
-    void aDirectoryThatTakesNothingIsToldAndHarmsNothing() throws IOException {
+    void aDirectoryThatCantBeWrittenIsReportedAndHarmsNothing() throws IOException {
         Path file = Files.createFile(directory.resolve("a file"));
         assertThat(new LastKnownGoodStore(file, MAX_TEXT_BYTES).save(version(1), text(1)))
                 .isPresent();
         assertThat(new LastKnownGoodStore(file, MAX_TEXT_BYTES).readAll()).isEmpty();
     }
+
+    @Test
+    void theFileOnDiskIsOneHeaderLineAndTheText() throws IOException {
+        new LastKnownGoodStore(directory, MAX_TEXT_BYTES).save(version(2), text(2));
+        String expected = "gatelock-plan-1 17 a.b-c 2 " + text(2).length + " "
+                + version(2).hash() + "\n" + new String(text(2), StandardCharsets.UTF_8);
+        assertThat(Files.readString(directory.resolve("last-good.plan"))).isEqualTo(expected);
+    }
 }
