--- a/src/main/java/gatelock/simulator/SimulatorHost.java
+++ b/src/main/java/gatelock/simulator/SimulatorHost.java
@@ -25,7 +25,7 @@
     private final Map<Integer, HostedRelay> relays = new HashMap<>();
     private final List<List<Endpoint>> endpointLists = new ArrayList<>(Collections.nCopies(ENDPOINT_LISTS, List.of()));
 
-    private SimulatorHost(InputStream in, OutputStream out) {
+    SimulatorHost(InputStream in, OutputStream out) {
         this.lines = new LineReader(in);
         this.reply = new Reply(out);
     }
@@ -47,7 +47,8 @@
         System.exit(EXIT_MALFORMED);
     }
 
-    private void run() throws IOException {
+    /** Answers batches until the input ends. */
+    void run() throws IOException {
         Optional<FieldReader> line = lines.next();
         while (line.isPresent()) {
             FieldReader mark = line.get();
