--- a/src/main/java/gatelock/api/DecisionActions.java
+++ b/src/main/java/gatelock/api/DecisionActions.java
@@ -1,29 +1,68 @@
 package gatelock.api;
 
-/** What the decisions can have done; calls take effect in order, at the time of the call that led to them. */
+/**
+ * The actions that a {@link DecisionEngine} can order. They take effect in the order of the calls, at the time of the
+ * engine call during which they were ordered, and they never call back into the engine before that call has returned.
+ */
 public interface DecisionActions {
 
-    /** Sends a request to an endpoint; tries of a request number from 0 in the order sent. 0: until the client leaves. */
+    /**
+     * Sends a request to an endpoint. The attempts of a request are numbered from 0 in the order of these calls.
+     *
+     * @param id the request
+     * @param endpoint the endpoint's name, as listed by discovery
+     * @param timeoutUs how long the attempt may take, in microseconds; 0 for as long as the client waits
+     */
     void send(String id, String endpoint, long timeoutUs);
 
-    /** Final answer: not done, trying again is harmless, best after {@code pauseUs} (0: no advice). */
+    /**
+     * Gives the final answer that the request was not executed and may be retried without harm.
+     *
+     * @param id the request
+     * @param pauseUs when the client had best retry, in microseconds from now; 0 for no advice
+     */
     void shed(String id, long pauseUs);
 
-    /** Final answer: errored, nothing promised. */
+    /**
+     * Gives the final answer that the request failed; it may have been executed.
+     *
+     * @param id the request
+     */
     void error(String id);
 
-    /** Stops waiting for one attempt; its ending still comes. */
+    /**
+     * Stops waiting for one attempt. Its end is still reported, as {@link AttemptResult#CANCELLED} unless it had ended
+     * before.
+     *
+     * @param id the request
+     * @param attemptNo the number of the attempt
+     */
     void cancel(String id, int attemptNo);
 
-    /** Casts this relay's one vote. */
+    /**
+     * Casts this relay's one vote at the release controller.
+     *
+     * @param build the build that is voted on
+     * @param stage the stage of its rollout
+     * @param verdict the vote
+     */
     void vote(int build, int stage, Verdict verdict);
 
-    /** Asks for {@link DecisionEngine#due} with this token. */
+    /**
+     * Schedules one call of the engine's timer method.
+     *
+     * @param inUs the delay in microseconds
+     * @param token handed back with the call
+     */
     void timer(long inUs, long token);
 
-    /** Subscribes to changes of the list. */
+    /** Subscribes to changes of the endpoint list; has no effect if the relay is subscribed already. */
     void followList();
 
-    /** Leaves a line for the operators. */
+    /**
+     * Writes a line to the operators' log.
+     *
+     * @param line the message, without a line break
+     */
     void say(String line);
 }
--- a/src/main/java/gatelock/api/DecisionEngine.java
+++ b/src/main/java/gatelock/api/DecisionEngine.java
@@ -3,52 +3,104 @@
 import java.util.List;
 
 /**
- * One relay's decisions. A relay calls this from one thread with its own clock, which never goes back; each
- * call may answer through the {@link DecisionActions} it was built with, before it returns.
+ * The decisions of one relay. The relay calls the engine from a single thread with its own clock, in microseconds, which
+ * never goes back. Each call may order actions through the {@link DecisionActions} that the engine was built with,
+ * before it returns.
  */
 public interface DecisionEngine {
 
-    /** What a list of endpoints is: what changed, all there is, a remembered whole, or notice that none came. */
+    /** The key of a request without a sticky key. */
+    long NO_KEY = -1;
+
+    /** What an update of the endpoint list contains. */
     enum ListForm {
+        /** The entries that changed. */
         DELTA,
+        /** All endpoints there are. */
         FULL,
+        /** All endpoints, as remembered from an earlier incarnation of the relay. */
         CACHED,
+        /** Nothing: discovery failed to deliver a list. */
         FAILED
     }
 
-    /** The state of the newest build at the release controller, in the order in which a build comes to them. */
+    /** The state of the newest build at the release controller, in the order in which a build passes through them. */
     enum Phase {
+        /** The build is a canary: it receives at most the share of requests that its stage allows. */
         TRIAL,
+        /** The build is fully released. */
         RELEASED,
+        /** The build is being rolled back. */
         REVERTING,
+        /** The build has been rolled back and receives no requests. */
         WITHDRAWN
     }
 
-    /** How a vote was answered: {@code NOT_ASKED} marks news that answers no vote. */
+    /** How the release controller answered a vote. */
     enum VoteAnswer {
+        /** The update does not answer a vote. */
         NOT_ASKED,
+        /** The vote was counted. */
         COUNTED,
+        /** The vote had no object any more: the build had moved on meanwhile. */
         MOOT,
+        /** The release controller rejected the vote because it was overloaded. */
         BUSY,
+        /** The release controller failed to process the vote, or its answer was unreadable. */
         ERROR,
+        /** No answer came in time; the vote may have been counted. */
         TIMED_OUT
     }
 
-    /** Called once, before anything else. */
+    /** Whether a message of an open session may be forwarded to its endpoint. */
+    enum Passing {
+        /** It may be forwarded at once. */
+        NOW,
+        /** Not yet: ask again later. */
+        LATER,
+        /** Never; the session has to leave its endpoint. */
+        NEVER
+    }
+
+    /**
+     * Starts the engine; called once, before any other method.
+     *
+     * @param nowUs the current time
+     */
     void start(long nowUs);
 
     /**
-     * A request has arrived; it is owed exactly one final answer.
+     * Accepts a request without constraints beyond the deployment's settings. The request is owed exactly one final
+     * answer.
      *
+     * @param nowUs the current time
+     * @param id the request's id, unique among the requests in flight
+     * @param route the index of its route in {@link RelaySettings}
+     * @param tenant the index of its tenant in {@link RelaySettings}, or the number of tenants if it is not known
      * @param key the subject of the request, or {@link #NO_KEY}
-     * @param leftUs how long the client still waits
-     * @param costUs the announced work as time on a standard core, or 0 where nothing valid was announced
+     * @param leftUs how long the client still waits, in microseconds
+     * @param costUs the announced cost as processing time on a standard core, in microseconds; 0 if none or no valid
+     *     one was announced
+     * @return the handle on which everything that happens to the request later is reported
      */
     default RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs) {
         return take(nowUs, id, route, tenant, key, leftUs, costUs, RequestConstraints.NONE);
     }
 
-    /** The same of a request for which more was set than the charter's terms. */
+    /**
+     * Accepts a request. The request is owed exactly one final answer.
+     *
+     * @param nowUs the current time
+     * @param id the request's id, unique among the requests in flight
+     * @param route the index of its route in {@link RelaySettings}
+     * @param tenant the index of its tenant in {@link RelaySettings}, or the number of tenants if it is not known
+     * @param key the subject of the request, or {@link #NO_KEY}
+     * @param leftUs how long the client still waits, in microseconds
+     * @param costUs the announced cost as processing time on a standard core, in microseconds; 0 if none or no valid
+     *     one was announced
+     * @param constraints what the configuration in force sets for this request beyond the deployment's settings
+     * @return the handle on which everything that happens to the request later is reported
+     */
     RequestHandle take(
             long nowUs,
             String id,
@@ -57,45 +109,73 @@
             long key,
             long leftUs,
             long costUs,
-            RequestConstraints bounds);
-
-    /** Stands for a request without a key. */
-    long NO_KEY = -1;
-
-    /** When a message of an open session may go to its endpoint. */
-    enum Passing {
-        NOW,
-        LATER,
-        NEVER
-    }
+            RequestConstraints constraints);
 
     /**
-     * A message of a session that stands at an endpoint is to go there. It counts as a request taken and, at a build
-     * canary, as
-     * an attempt.
+     * Decides on a message of a session that is open at an endpoint. A message that may be forwarded counts as an
+     * accepted request and, if the endpoint runs the canary build, as an attempt there.
      *
-     * @param first whether it is asked for the first time, and not again after {@link Passing#LATER}
+     * @param nowUs the current time
+     * @param endpoint the name of the session's endpoint
+     * @param route the index of the session's route
+     * @param first whether this is the first call for this message, not one that follows {@link Passing#LATER}
+     * @return whether the message may be forwarded
      */
     default Passing message(long nowUs, String endpoint, int route, boolean first) {
         return Passing.NEVER;
     }
 
-    /** The list of endpoints, or a part of it, has come in. */
+    /**
+     * Processes an update of the endpoint list.
+     *
+     * @param nowUs the current time
+     * @param form what the update contains
+     * @param endpoints its entries
+     */
     void listed(long nowUs, ListForm form, List<Endpoint> endpoints);
 
-    /** News of the newest build; {@code answer} tells whether it answers a vote. Only where it is
-     * {@code NOT_ASKED} or {@code COUNTED} do the other values hold. */
+    /**
+     * Processes the state of the newest build. The values between {@code build} and {@code agoUs} hold only if
+     * {@code answer} is {@link VoteAnswer#NOT_ASKED} or {@link VoteAnswer#COUNTED}.
+     *
+     * @param nowUs the current time
+     * @param build the newest build
+     * @param stage the stage of its rollout, from 0
+     * @param phase its phase
+     * @param cap the share of the requests that it may receive, from 0 to 1
+     * @param agoUs the age of this state in microseconds
+     * @param answer how a vote was answered, or that this update answers none
+     */
     void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer);
 
-    /** A client found an answer wrong that {@code endpoint} gave to an attempt sent {@code agoUs} ago. */
+    /**
+     * Processes a client's complaint that an answer was wrong.
+     *
+     * @param nowUs the current time
+     * @param endpoint the name of the endpoint that gave the answer
+     * @param route the index of the request's route
+     * @param agoUs how long ago the attempt was sent, in microseconds
+     */
     void complaint(long nowUs, String endpoint, int route, long agoUs);
 
     /**
-     * The release controller's sample of all relays' tries at a build on one route, over a span that ended
-     * {@code agoUs} ago: how many, how many of them failed, and the mean time of the rest.
+     * Processes the release controller's sample of the attempts of all relays at one build on one route.
+     *
+     * @param nowUs the current time
+     * @param build the build
+     * @param route the index of the route
+     * @param count how many attempts there were
+     * @param failed how many of them failed
+     * @param meanUs the mean latency of the others, in microseconds
+     * @param agoUs how long ago the sampled span ended, in microseconds
      */
     void counted(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs);
 
-    /** A timer asked for on the outlet is due. */
+    /**
+     * Reports that a timer scheduled through {@link DecisionActions} has fired.
+     *
+     * @param nowUs the current time
+     * @param token the token that the timer was scheduled with
+     */
     void due(long nowUs, long token);
 }
--- a/src/main/java/gatelock/api/Endpoint.java
+++ b/src/main/java/gatelock/api/Endpoint.java
@@ -1,12 +1,25 @@
 package gatelock.api;
 
-/** An endpoint as the list shows it; {@code startUs} is its latest start, 0 for long past. */
+/**
+ * An endpoint as discovery lists it.
+ *
+ * @param endpoint its name, unique in the list
+ * @param build the number of the build that it runs
+ * @param zone the index of its availability zone
+ * @param kind the index of its instance type; endpoints of one type are about equally fast
+ * @param cell the index of its cell, the set of endpoints that share their deduplication state
+ * @param health the state of its process
+ * @param startUs when its process started, in microseconds on the relays' clock; 0 for long ago
+ */
 public record Endpoint(String endpoint, int build, int zone, int kind, int cell, Health health, long startUs) {
 
-    /** What the list knows of the process. */
+    /** The state of an endpoint's process, as discovery knows it. */
     public enum Health {
+        /** It accepts requests. */
         READY,
+        /** It finishes what it has and accepts no new requests. */
         DRAINING,
+        /** It has left the list. */
         GONE
     }
 }
--- a/src/main/java/gatelock/api/LoadReport.java
+++ b/src/main/java/gatelock/api/LoadReport.java
@@ -1,8 +1,12 @@
 package gatelock.api;
 
-/** An endpoint's report of its own load; a value it does not give is NaN. */
+/**
+ * An endpoint's report of its own load.
+ *
+ * @param waiting how many requests are queued there; NaN if the endpoint does not report it
+ */
 public record LoadReport(double waiting) {
 
-    /** No report came. */
+    /** Stands for an answer without a load report. */
     public static final LoadReport NONE = new LoadReport(Double.NaN);
 }
--- a/src/main/java/gatelock/api/RequestConstraints.java
+++ b/src/main/java/gatelock/api/RequestConstraints.java
@@ -1,13 +1,12 @@
 package gatelock.api;
 
 /**
- * What was set for one request beyond the charter's terms. It only narrows: a gate that heeds it does nothing
- * that it
- * would not have been free to do without.
+ * What is set for one request beyond the deployment's settings. Constraints only narrow: a decision engine that heeds
+ * them does nothing that it could not have done without them.
  */
 public interface RequestConstraints {
 
-    /** Nothing was set. */
+    /** Constrains nothing. */
     RequestConstraints NONE = new RequestConstraints() {
         @Override
         public boolean reaches(String endpoint) {
@@ -30,15 +29,34 @@
         }
     };
 
-    /** Whether an attempt may go to this endpoint. */
+    /**
+     * Whether an attempt may go to an endpoint.
+     *
+     * @param endpoint the endpoint's name
+     * @return whether it may be used
+     */
     boolean reaches(String endpoint);
 
-    /** How many attempts there may be at the most, the first one included. */
+    /**
+     * The maximum number of attempts, including the first.
+     *
+     * @return at least 1
+     */
     int mostAttempts();
 
-    /** How long one attempt may take, in microseconds; 0: as long as the request. */
+    /**
+     * The timeout of one attempt.
+     *
+     * @return microseconds; 0 for as long as the request may take
+     */
     long attemptUs();
 
-    /** Whether one more try may follow one that ended so; a yes is counted as that attempt. */
+    /**
+     * Asks for one more attempt. This is not a pure query: an attempt that is granted is charged to the retry budget.
+     *
+     * @param nowUs the current time
+     * @param last how the attempt before it ended
+     * @return whether it is granted
+     */
     boolean goesOn(long nowUs, AttemptResult last);
 }
--- a/src/main/java/gatelock/api/RequestHandle.java
+++ b/src/main/java/gatelock/api/RequestHandle.java
@@ -1,25 +1,43 @@
 package gatelock.api;
 
-/** A request that was taken: all that happens to it later is a call on this handle. */
+/** A request that a {@link DecisionEngine} has accepted. Everything that happens to it later is a call on this handle. */
 public interface RequestHandle {
 
     /**
-     * An upstream try has ended.
+     * Reports that an attempt has ended.
      *
-     * @param over whether the request has its final answer, by this outcome or earlier
-     * @param load what the endpoint reported with it, or {@link LoadReport#NONE}
+     * @param nowUs the current time
+     * @param attemptNo the number of the attempt
+     * @param result how it ended
+     * @param tookUs how long it took, in microseconds
+     * @param answered whether the request has its final answer, from this attempt or an earlier one, or needs none any
+     *     more
+     * @param load what the endpoint reported with its answer, or {@link LoadReport#NONE}
      */
-    void ended(long nowUs, int attemptNo, AttemptResult ending, long tookUs, boolean over, LoadReport load);
+    void ended(long nowUs, int attemptNo, AttemptResult result, long tookUs, boolean answered, LoadReport load);
 
     /**
-     * Whether an attempt that was sent may still go, asked before its first byte: its connection had to come up, and
-     * what holds may have changed meanwhile. If not, it ends as {@link AttemptResult#NOT_SENT}.
+     * Whether an attempt may still start. Asked before the first byte is sent if a connection had to be opened, as the
+     * state of the endpoint or of the release may have changed meanwhile. An attempt that may not start ends as
+     * {@link AttemptResult#NOT_SENT}.
+     *
+     * @param nowUs the current time
+     * @param attemptNo the number of the attempt
+     * @return whether it may start
      */
     boolean mayGo(long nowUs, int attemptNo);
 
-    /** The relay owes no answer any more: the client has left, or the answer's head came as a stream. */
+    /**
+     * Reports that no final answer is owed any more: the client has left, or the response has begun as a stream.
+     *
+     * @param nowUs the current time
+     */
     void concluded(long nowUs);
 
-    /** Whether nothing more can happen to the request, so that the caller may forget it. */
+    /**
+     * Whether nothing more can happen to the request, so that the caller may forget it.
+     *
+     * @return whether it is answered and all of its attempts have ended
+     */
     boolean settled();
 }
--- a/src/main/java/gatelock/api/package-info.java
+++ b/src/main/java/gatelock/api/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The seam between the decisions and whatever carries requests: a protocol adapter calls
- * {@link gatelock.api.DecisionEngine} and {@link gatelock.api.RequestHandle}; the decisions call out on
- * {@link gatelock.api.DecisionActions}. Plain records and
- * enums pass between them, so a second protocol needs an adapter only. Times are whole microseconds.
+ * The interface between network code and decisions. A protocol adapter calls {@link gatelock.api.DecisionEngine} and
+ * {@link gatelock.api.RequestHandle}; the decision engine orders actions through
+ * {@link gatelock.api.DecisionActions}. Only plain records and enums pass between them, so that a second protocol needs
+ * nothing but an adapter. Times are in whole microseconds.
  */
 package gatelock.api;
