--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -1,7 +1,10 @@
 package gatelock.http;
 
 import gatelock.net.EventLoop;
+import gatelock.state.ClientCloseReason;
+import gatelock.state.ClientConnectionState;
 import gatelock.state.ClientConnections;
+import gatelock.state.ClientSockets;
 import gatelock.state.Counters;
 import io.undertow.UndertowOptions;
 import io.undertow.server.DefaultByteBufferPool;
@@ -10,6 +13,7 @@
 import io.undertow.server.protocol.http.HttpOpenListener;
 import io.undertow.server.protocol.http.HttpServerConnection;
 import io.undertow.util.Headers;
+import io.undertow.util.StatusCodes;
 import java.io.IOException;
 import java.lang.System.Logger.Level;
 import java.net.InetSocketAddress;
@@ -25,237 +29,267 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * The listener: client connections, how many there may be and how long one may keep a request from being whole,
- * readiness, and taking leave.
+ * Listens for clients: bounds their connections in number and in the time that an incomplete request may take, answers
+ * health checks, and shuts down gracefully.
  */
 public final class ClientListener {
     private static final System.Logger LOG = System.getLogger("gatelock.http");
+
     private static final int BUFFER_BYTES = 4096;
-    private static final int BACKLOG = 256;
-    private static final int SPARE = 8;
-    private static final long LOOK_AGAIN_US = 50_000;
-    /** A refusal of a request that is not whole may be read for so long before the connection ends. */
-    private static final long READABLE_US = 500_000;
-    /** After SIGTERM new connections go on coming for so long. */
-    private static final long STILL_COMING_US = 600_000;
-    /** A relay that leaves has its last answer out so long before it may be killed. */
-    private static final long SPARE_US = 150_000;
-    /** The last requests that a relay takes when it leaves have so long. */
-    private static final long LAST_REQS_US = 600_000;
+    private static final int MAX_POOLED_BUFFERS = 200;
+    private static final int MAX_HEAD_BYTES = 16 * 1024;
+    private static final int ACCEPT_BACKLOG = 256;
+    /** The connections that are accepted beyond the hard limit, so that eviction can make room for them. */
+    private static final int ACCEPT_MARGIN = 8;
+
+    private static final long CHECK_INTERVAL_US = 50_000;
+    /** How long the rejection of an incomplete request may be read before its connection is closed. */
+    private static final long REJECTION_READABLE_US = 500_000;
+    /** How long new connections are accepted after SIGTERM. */
+    private static final long ACCEPT_AFTER_SIGTERM_US = 600_000;
+    /** How long before the process may be killed the last response must be written. */
+    private static final long KILL_MARGIN_US = 150_000;
+    /** How long the last requests that a relay accepts before it shuts down may take. */
+    private static final long LAST_REQUESTS_US = 600_000;
 
-    private final EventLoop turn;
-    private final int most;
-    private final ClientConnections<StreamConnection> clients;
-    private final Map<StreamConnection, ClientReadConduit> inflows = new HashMap<>();
-    private AcceptingChannel<StreamConnection> listener;
-    private HttpHandler takeIn;
+    private static final String INTERNAL_PREFIX = "/-/";
+    private static final String READY_PATH = "/-/ready";
+    private static final String HEALTHY_PATH = "/-/healthy";
+
+    private final EventLoop eventLoop;
+    private final int hardLimit;
+    private final ClientConnections<StreamConnection> connections;
+    private final Map<StreamConnection, ClientReadConduit> readConduits = new HashMap<>();
+    private AcceptingChannel<StreamConnection> acceptor;
+    private HttpHandler requestHandler;
     private boolean ready;
-    private boolean notReady;
-    private boolean leaving;
-    private long answeredByUs = Long.MAX_VALUE;
+    /** SIGTERM has come: the relay reports that it is not ready. */
+    private boolean shuttingDown;
+    /** Each response ends its connection from now on. */
+    private boolean draining;
+
+    private long responseDeadlineUs = Long.MAX_VALUE;
 
     /**
-     * @param withEase client connections held at a time; beyond that idle ones make room
-     * @param most beyond that all that wait for a first request do, and further ones are not accepted
+     * Creates a listener that does not listen yet.
+     *
+     * @param eventLoop the I/O thread
+     * @param counters counts client connections
+     * @param softLimit the number of connections above which idle ones are evicted
+     * @param hardLimit the number above which any that awaits its first request is evicted, and no more are accepted
      */
-    public ClientListener(EventLoop turn, Counters counters, int withEase, int most) {
-        this.turn = turn;
-        this.most = most;
-        this.clients = new ClientConnections<>(
-                counters,
-                new ClientConnections.Sockets<>() {
-                    @Override
-                    public boolean unread(StreamConnection connection) {
-                        return inflows.get(connection).unread();
-                    }
+    public ClientListener(EventLoop eventLoop, Counters counters, int softLimit, int hardLimit) {
+        this.eventLoop = eventLoop;
+        this.hardLimit = hardLimit;
+        this.connections = new ClientConnections<>(counters, new Sockets(), softLimit, hardLimit);
+    }
+
+    private final class Sockets implements ClientSockets<StreamConnection> {
+        @Override
+        public boolean hasUnreadBytes(StreamConnection connection) {
+            return readConduits.get(connection).hasUnreadBytes();
+        }
 
-                    @Override
-                    public void end(
-                            StreamConnection connection, ClientConnections.State state, ClientConnections.Why why) {
-                        LOG.log(
-                                Level.DEBUG,
-                                () -> "client " + connection.getPeerAddress() + " closed, " + state + ", " + why);
-                        IoUtils.safeClose(connection);
-                    }
-                },
-                withEase,
-                most);
+        @Override
+        public void close(StreamConnection connection, ClientConnectionState state, ClientCloseReason reason) {
+            LOG.log(Level.DEBUG, () -> "client " + connection.getPeerAddress() + " closed, " + state + ", " + reason);
+            IoUtils.safeClose(connection);
+        }
     }
 
     /**
-     * Listens, and tells where; until {@link #admit} says that it is ready, a relay is not ready for clients.
+     * Starts to listen. The request handler must be set before the first request arrives; the relay reports that it
+     * is not ready until it is set as ready.
+     *
+     * @param address the address to bind; port 0 for any
+     * @return the address that is bound
+     * @throws IOException if the address can't be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        OptionMap http = OptionMap.builder()
-                .set(UndertowOptions.MAX_HEADER_SIZE, 16 * 1024)
+        OptionMap httpOptions = OptionMap.builder()
+                .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEAD_BYTES)
                 .set(UndertowOptions.ALWAYS_SET_DATE, false)
                 .set(UndertowOptions.ALWAYS_SET_KEEP_ALIVE, false)
                 .getMap();
-        HttpOpenListener opened = new HttpOpenListener(new DefaultByteBufferPool(true, BUFFER_BYTES, 200, 0, 0), http);
-        opened.setRootHandler(this::handle);
-        OptionMap socket = OptionMap.builder()
+        HttpOpenListener httpListener = new HttpOpenListener(
+                new DefaultByteBufferPool(true, BUFFER_BYTES, MAX_POOLED_BUFFERS, 0, 0), httpOptions);
+        httpListener.setRootHandler(this::handle);
+        OptionMap socketOptions = OptionMap.builder()
                 .set(Options.TCP_NODELAY, true)
                 .set(Options.REUSE_ADDRESSES, true)
-                .set(Options.BACKLOG, BACKLOG)
-                .set(Options.CONNECTION_HIGH_WATER, most + SPARE)
-                .set(Options.CONNECTION_LOW_WATER, most + SPARE - 1)
+                .set(Options.BACKLOG, ACCEPT_BACKLOG)
+                .set(Options.CONNECTION_HIGH_WATER, hardLimit + ACCEPT_MARGIN)
+                .set(Options.CONNECTION_LOW_WATER, hardLimit + ACCEPT_MARGIN - 1)
                 .getMap();
-        listener = turn.thread()
+        acceptor = eventLoop
+                .thread()
                 .getWorker()
                 .createStreamConnectionServer(
                         address,
-                        ChannelListeners.openListenerAdapter(connection -> accepted(connection, opened)),
-                        socket);
-        listener.resumeAccepts();
-        turn.in(LOOK_AGAIN_US, this::closeOverdue);
-        return listener.getLocalAddress(InetSocketAddress.class);
+                        ChannelListeners.openListenerAdapter(connection -> accepted(connection, httpListener)),
+                        socketOptions);
+        acceptor.resumeAccepts();
+        eventLoop.in(CHECK_INTERVAL_US, this::closeOverdue);
+        return acceptor.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** How many client connections there are. */
+    /** The number of client connections. */
     public int size() {
-        return clients.size();
+        return connections.size();
     }
 
-    private void accepted(StreamConnection connection, HttpOpenListener opened) {
-        ClientReadConduit inflow = new ClientReadConduit(
-                connection.getSourceChannel().getConduit(), () -> clients.bytes(turn.nowUs(), connection));
-        connection.getSourceChannel().setConduit(inflow);
-        inflows.put(connection, inflow);
-        clients.came(turn.nowUs(), connection);
-        opened.handleEvent(connection);
-        // Undertow has set its own listener, which must go on hearing of the end.
-        ChannelListener<? super StreamConnection> undertows = connection.getCloseListener();
-        connection.setCloseListener(c -> {
-            gone(c);
-            ChannelListeners.invokeChannelListener(c, undertows);
+    private void accepted(StreamConnection connection, HttpOpenListener httpListener) {
+        ClientReadConduit readConduit = new ClientReadConduit(
+                connection.getSourceChannel().getConduit(), () -> connections.bytesRead(eventLoop.nowUs(), connection));
+        connection.getSourceChannel().setConduit(readConduit);
+        readConduits.put(connection, readConduit);
+        connections.accepted(eventLoop.nowUs(), connection);
+        httpListener.handleEvent(connection);
+        // Undertow has set a close listener of its own, which must still be called.
+        ChannelListener<? super StreamConnection> undertowListener = connection.getCloseListener();
+        connection.setCloseListener(closed -> {
+            remove(closed);
+            ChannelListeners.invokeChannelListener(closed, undertowListener);
         });
-        if (!connection.isOpen()) {
-            gone(connection);
+        if (connection.isOpen()) {
+            connections.evictIfCrowded(eventLoop.nowUs());
         } else {
-            clients.makeRoom(turn.nowUs());
+            remove(connection);
         }
     }
 
-    private void gone(StreamConnection connection) {
-        clients.gone(connection);
-        inflows.remove(connection);
+    private void remove(StreamConnection connection) {
+        connections.remove(connection);
+        readConduits.remove(connection);
     }
 
-    private static StreamConnection connection(HttpServerExchange exchange) {
+    private static StreamConnection connectionOf(HttpServerExchange exchange) {
         return ((HttpServerConnection) exchange.getConnection()).getChannel();
     }
 
-    /** Names who takes requests in from now on. */
-    public void admit(HttpHandler takeIn, boolean ready) {
-        this.takeIn = takeIn;
+    /**
+     * Sets the handler of requests from now on.
+     *
+     * @param requestHandler handles all requests but health checks
+     * @param ready whether the relay reports that it is ready for clients
+     */
+    public void admit(HttpHandler requestHandler, boolean ready) {
+        this.requestHandler = requestHandler;
         this.ready = ready;
     }
 
     private void handle(HttpServerExchange exchange) throws Exception {
         String path = exchange.getRequestPath();
-        if (path.startsWith("/-/")) {
-            boolean isReady = path.equals("/-/ready");
-            exchange.setStatusCode(
-                    isReady && ready && !notReady || path.equals("/-/healthy") ? 200 : isReady ? 503 : 404);
-            last(exchange);
+        if (path.startsWith(INTERNAL_PREFIX)) {
+            exchange.setStatusCode(healthStatus(path));
+            responseStarts(exchange);
             exchange.endExchange();
         } else {
-            // Read together with the request before it, it came without a read of its own.
-            clients.bytes(turn.nowUs(), connection(exchange));
-            takeIn.handleRequest(exchange);
+            // A pipelined request was read together with the one before it, without a read of its own.
+            connections.bytesRead(eventLoop.nowUs(), connectionOf(exchange));
+            requestHandler.handleRequest(exchange);
         }
     }
 
-    /** A request is whole: until it is answered, its connection stays. */
-    void whole(HttpServerExchange exchange) {
-        clients.whole(connection(exchange));
+    private int healthStatus(String path) {
+        return switch (path) {
+            case HEALTHY_PATH -> StatusCodes.OK;
+            case READY_PATH -> ready && !shuttingDown ? StatusCodes.OK : StatusCodes.SERVICE_UNAVAILABLE;
+            default -> StatusCodes.NOT_FOUND;
+        };
+    }
+
+    /** A request is complete: its connection stays open until the response is written. */
+    void requestCompleted(HttpServerExchange exchange) {
+        connections.requestCompleted(connectionOf(exchange));
     }
 
     /**
-     * An answer goes out, and the connection owes the next request once it has left; when leaving, it ends with
-     * this.
+     * The response of an exchange is about to be written. Once it is, the connection waits for the next request, or is
+     * closed if the relay is draining.
      */
-    void last(HttpServerExchange exchange) {
-        StreamConnection connection = connection(exchange);
-        clients.answering(turn.nowUs(), connection);
-        exchange.addExchangeCompleteListener((done, next) -> {
-            boolean more = ((HttpServerConnection) done.getConnection()).getExtraBytes() != null;
-            clients.answered(turn.nowUs(), connection, more);
+    void responseStarts(HttpServerExchange exchange) {
+        StreamConnection connection = connectionOf(exchange);
+        connections.responseStarted(eventLoop.nowUs(), connection);
+        exchange.addExchangeCompleteListener((completed, next) -> {
+            boolean pipelined = ((HttpServerConnection) completed.getConnection()).getExtraBytes() != null;
+            connections.responseWritten(eventLoop.nowUs(), connection, pipelined);
             next.proceed();
         });
-        if (leaving) {
+        if (draining) {
             exchange.setPersistent(false);
             exchange.getResponseHeaders().put(Headers.CONNECTION, "close");
         }
     }
 
-    /** A connection carries a session from now on: its life is no more a matter of requests. */
-    public void upgraded(HttpServerExchange exchange) {
-        clients.gone(connection(exchange));
+    /** A connection carries a session of another protocol from now on and is not bounded here any more. */
+    void connectionUpgraded(HttpServerExchange exchange) {
+        connections.remove(connectionOf(exchange));
     }
 
     /** The client has left, or broke off its own request. */
-    void left(HttpServerExchange exchange) {
-        clients.end(turn.nowUs(), connection(exchange), ClientConnections.Why.LEFT);
+    void clientLeft(HttpServerExchange exchange) {
+        connections.close(eventLoop.nowUs(), connectionOf(exchange), ClientCloseReason.CLIENT_LEFT);
     }
 
     /**
-     * Answers a request that is not whole and never will be read. Undertow would read the rest before it answers;
-     * here the answer goes first, what is still sent is left unread, and soon the connection ends.
+     * Answers a request that is incomplete and will not be read, with the status that is set. Undertow would read the rest
+     * before it answers; here the answer goes first, the rest stays unread, and the connection is closed soon.
      */
-    void refuseUnread(HttpServerExchange exchange) {
+    void rejectUnread(HttpServerExchange exchange) {
         exchange.setPersistent(false);
         exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, "0");
-        last(exchange);
-        StreamConnection connection = connection(exchange);
-        turn.in(READABLE_US, () -> clients.end(turn.nowUs(), connection, ClientConnections.Why.REFUSED));
+        responseStarts(exchange);
+        StreamConnection connection = connectionOf(exchange);
+        eventLoop.in(
+                REJECTION_READABLE_US,
+                () -> connections.close(eventLoop.nowUs(), connection, ClientCloseReason.REJECTED));
         try {
-            StreamSinkChannel out = exchange.getResponseChannel();
-            out.shutdownWrites();
-            out.flush();
+            StreamSinkChannel response = exchange.getResponseChannel();
+            response.shutdownWrites();
+            response.flush();
         } catch (IOException e) {
-            clients.end(turn.nowUs(), connection, ClientConnections.Why.REFUSED);
+            connections.close(eventLoop.nowUs(), connection, ClientCloseReason.REJECTED);
         }
     }
 
     private void closeOverdue() {
-        clients.endOverdue(turn.nowUs());
-        turn.in(LOOK_AGAIN_US, this::closeOverdue);
+        connections.closeOverdue(eventLoop.nowUs());
+        eventLoop.in(CHECK_INTERVAL_US, this::closeOverdue);
     }
 
-    /** Until when all that is taken must be answered: for ever, but for a relay that leaves. */
-    long answeredByUs() {
-        return answeredByUs;
+    /** The time by which all accepted requests must be answered; without end until the relay shuts down. */
+    long responseDeadlineUs() {
+        return responseDeadlineUs;
     }
 
     /**
-     * Takes leave. New connections are taken for a while, since the front in between hears late of it; those
-     * that
-     * stand are served on for as long as a request can still be answered before the process is ended for good;
-     * then
-     * answers end their connections, and it is over when none is left.
+     * Shuts down gracefully. New connections are accepted for a while, as the load balancer notices late that the relay is
+     * not ready. Open connections are served for as long as a request can still be answered before the process is killed.
+     * After that each response closes its connection, and the shutdown is complete when none is left.
      *
-     * @param killedUs from now on, how long the process is left alive at the least
+     * @param killedUs how long the process will live at least, in microseconds from now
+     * @param then runs when no connection is left
      */
     public void leave(long killedUs, Runnable then) {
-        notReady = true;
-        answeredByUs = turn.nowUs() + killedUs - SPARE_US;
-        long stayUs = Math.max(STILL_COMING_US, killedUs - SPARE_US - LAST_REQS_US);
-        turn.in(STILL_COMING_US, () -> {
-            IoUtils.safeClose(listener);
-            endWhenDone(then);
+        shuttingDown = true;
+        long servedUs = killedUs - KILL_MARGIN_US;
+        responseDeadlineUs = eventLoop.nowUs() + servedUs;
+        eventLoop.in(ACCEPT_AFTER_SIGTERM_US, () -> {
+            IoUtils.safeClose(acceptor);
+            awaitLastConnection(then);
         });
-        turn.in(stayUs, () -> leaving = true);
+        eventLoop.in(Math.max(ACCEPT_AFTER_SIGTERM_US, servedUs - LAST_REQUESTS_US), () -> draining = true);
     }
 
-    private void endWhenDone(Runnable then) {
-        if (leaving) {
-            clients.endIdle(turn.nowUs());
+    private void awaitLastConnection(Runnable then) {
+        if (draining) {
+            connections.closeQuiet(eventLoop.nowUs());
         }
-        if (clients.size() == 0) {
+        if (connections.size() == 0) {
             then.run();
         } else {
-            turn.in(LOOK_AGAIN_US, () -> endWhenDone(then));
+            eventLoop.in(CHECK_INTERVAL_US, () -> awaitLastConnection(then));
         }
     }
 }
--- a/src/main/java/gatelock/http/ClientReadConduit.java
+++ b/src/main/java/gatelock/http/ClientReadConduit.java
@@ -8,63 +8,66 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * What comes from one client, under everything that Undertow puts on it: tells of each read that brought
- * bytes, and
- * can look ahead without taking them away.
+ * The bytes from one client, below everything that Undertow puts on top of it. Reports each read that brought bytes, and
+ * can look for unread bytes without losing them.
  */
 final class ClientReadConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
-    private static final int AHEAD_BYTES = 512;
+    private static final int LOOKAHEAD_BYTES = 512;
 
-    private final Runnable came;
-    private ByteBuffer ahead;
+    private final Runnable readListener;
+    /** Bytes that were read ahead and not consumed yet, or null. */
+    private ByteBuffer lookahead;
 
-    ClientReadConduit(StreamSourceConduit next, Runnable came) {
+    ClientReadConduit(StreamSourceConduit next, Runnable readListener) {
         super(next);
-        this.came = came;
+        this.readListener = readListener;
     }
 
-    /** Whether bytes lie unread; they are read next, before any others. An end or a break is no bytes. */
-    boolean unread() {
-        if (ahead != null) {
+    /**
+     * Whether there are unread bytes. If so they are read next, before any others, and the read listener of Undertow is
+     * woken. The end of the stream and a broken connection count as no bytes.
+     */
+    boolean hasUnreadBytes() {
+        if (lookahead != null) {
             return true;
         }
-        ByteBuffer look = ByteBuffer.allocate(AHEAD_BYTES);
+        ByteBuffer buffer = ByteBuffer.allocate(LOOKAHEAD_BYTES);
         try {
-            if (next.read(look) <= 0) {
+            if (next.read(buffer) <= 0) {
                 return false;
             }
         } catch (IOException e) {
             return false;
         }
-        ahead = look.flip();
+        lookahead = buffer.flip();
         next.wakeupReads();
         return true;
     }
 
     @Override
-    public int read(ByteBuffer to) throws IOException {
-        if (ahead != null && to.hasRemaining()) {
-            int n = Math.min(ahead.remaining(), to.remaining());
-            to.put(to.position(), ahead, ahead.position(), n).position(to.position() + n);
-            ahead.position(ahead.position() + n);
-            if (!ahead.hasRemaining()) {
-                ahead = null;
-            }
-            came.run();
-            return n;
+    public int read(ByteBuffer target) throws IOException {
+        int count = lookahead != null && target.hasRemaining() ? readLookahead(target) : next.read(target);
+        if (count > 0) {
+            readListener.run();
         }
-        int n = next.read(to);
-        if (n > 0) {
-            came.run();
+        return count;
+    }
+
+    private int readLookahead(ByteBuffer target) {
+        int count = Math.min(lookahead.remaining(), target.remaining());
+        target.put(target.position(), lookahead, lookahead.position(), count).position(target.position() + count);
+        lookahead.position(lookahead.position() + count);
+        if (!lookahead.hasRemaining()) {
+            lookahead = null;
         }
-        return n;
+        return count;
     }
 
     @Override
-    public long read(ByteBuffer[] to, int offset, int length) throws IOException {
+    public long read(ByteBuffer[] targets, int offset, int length) throws IOException {
         for (int i = offset; i < offset + length; i++) {
-            if (to[i].hasRemaining()) {
-                return read(to[i]);
+            if (targets[i].hasRemaining()) {
+                return read(targets[i]);
             }
         }
         return 0;
@@ -72,11 +75,11 @@
 
     @Override
     public long transferTo(long position, long count, FileChannel target) {
-        throw new UnsupportedOperationException("a client's bytes go to no file");
+        throw new UnsupportedOperationException("a client's bytes are not written to files");
     }
 
     @Override
     public long transferTo(long count, ByteBuffer throughBuffer, StreamSinkChannel target) {
-        throw new UnsupportedOperationException("a client's bytes go through the stages");
+        throw new UnsupportedOperationException("a client's bytes pass the stages of the pipeline");
     }
 }
--- /dev/null
+++ b/src/main/java/gatelock/http/HttpResponseSink.java
@@ -0,0 +1,128 @@
+package gatelock.http;
+
+import gatelock.pipeline.RequestAdmitter;
+import gatelock.state.InFlightRequest;
+import gatelock.state.ResponseSink;
+import gatelock.state.UpstreamResponse;
+import io.undertow.connector.PooledByteBuffer;
+import io.undertow.io.IoCallback;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.server.protocol.http.HttpServerConnection;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import io.undertow.util.StatusCodes;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.function.Consumer;
+import org.xnio.conduits.StreamSourceConduit;
+
+/** Writes the response to one client, and notices if the client leaves before it has one. */
+final class HttpResponseSink implements ResponseSink {
+    private static final byte[] NO_BODY = {};
+
+    private final HttpServerExchange exchange;
+    private final ClientListener clientListener;
+    private final RequestAdmitter admitter;
+    private InFlightRequest request;
+    private Consumer<HttpServerExchange> sessionHandover;
+
+    HttpResponseSink(HttpServerExchange exchange, ClientListener clientListener, RequestAdmitter admitter) {
+        this.exchange = exchange;
+        this.clientListener = clientListener;
+        this.admitter = admitter;
+    }
+
+    /** Sets the request that is answered here, before it is admitted. */
+    void bind(InFlightRequest request) {
+        this.request = request;
+    }
+
+    /** Has a forwarded response open a session: {@code handover} takes over the client's connection instead. */
+    void opensSession(Consumer<HttpServerExchange> handover) {
+        sessionHandover = handover;
+    }
+
+    /**
+     * Starts to watch for the end of the client's connection. Undertow does not read while a request awaits its response
+     * and would not notice it.
+     */
+    void watchForClose() {
+        if (request.over()
+                || !(exchange.getConnection() instanceof HttpServerConnection connection)
+                || connection.getExtraBytes() != null) {
+            return;
+        }
+        StreamSourceConduit source = connection.getOriginalSourceConduit();
+        connection.getChannel().getSourceChannel().setReadListener(channel -> readAhead(connection, source));
+        source.resumeReads();
+    }
+
+    private void readAhead(HttpServerConnection connection, StreamSourceConduit source) {
+        source.suspendReads();
+        if (request.over()) {
+            return;
+        }
+        PooledByteBuffer pooled = connection.getByteBufferPool().allocate();
+        try {
+            int count = source.read(pooled.getBuffer());
+            if (count > 0) {
+                // Pipelined: Undertow reads the next request from these bytes once this one is answered.
+                pooled.getBuffer().flip();
+                connection.setExtraBytes(pooled);
+                return;
+            }
+            pooled.close();
+            if (count == 0) {
+                source.resumeReads();
+                return;
+            }
+        } catch (IOException e) {
+            pooled.close();
+        }
+        admitter.clientLeft(request);
+        clientListener.clientLeft(exchange);
+    }
+
+    @Override
+    public void forward(UpstreamResponse response) {
+        if (sessionHandover != null) {
+            clientListener.connectionUpgraded(exchange);
+            sessionHandover.accept(exchange);
+            return;
+        }
+        exchange.setStatusCode(StatusCodes.OK);
+        for (int i = 0; i < response.headers().size(); i += 2) {
+            HttpString name = new HttpString(response.headers().get(i));
+            if (!RequestHeaders.NOT_FORWARDED.contains(name) && !name.equals(Headers.DATE)) {
+                exchange.getResponseHeaders().add(name, response.headers().get(i + 1));
+            }
+        }
+        send(response.body());
+    }
+
+    @Override
+    public void reject(long retryAfterUs) {
+        exchange.setStatusCode(StatusCodes.SERVICE_UNAVAILABLE);
+        if (retryAfterUs > 0) {
+            // In seconds, as a decimal fraction of whole milliseconds.
+            long retryAfterMs = retryAfterUs / 1000;
+            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Double.toString(retryAfterMs / 1e3));
+        }
+        send(NO_BODY);
+    }
+
+    @Override
+    public void fail(boolean timedOut) {
+        exchange.setStatusCode(timedOut ? StatusCodes.GATEWAY_TIME_OUT : StatusCodes.BAD_GATEWAY);
+        send(NO_BODY);
+    }
+
+    private void send(byte[] body) {
+        clientListener.responseStarts(exchange);
+        if (body.length == 0) {
+            exchange.endExchange();
+        } else {
+            exchange.getResponseSender().send(ByteBuffer.wrap(body), IoCallback.END_EXCHANGE);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/gatelock/http/RequestHeaders.java
@@ -0,0 +1,104 @@
+package gatelock.http;
+
+import gatelock.api.DecisionEngine;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HeaderMap;
+import io.undertow.util.Headers;
+import io.undertow.util.HttpString;
+import java.nio.charset.StandardCharsets;
+import java.util.Set;
+
+/** The request headers that the relay itself uses, and how their values are read. */
+final class RequestHeaders {
+    static final HttpString TRACE_ID = new HttpString("X-Trace-Id");
+    static final HttpString CUSTOMER = new HttpString("X-Customer");
+    static final HttpString EXPIRES_IN_MS = new HttpString("X-Expires-In-Ms");
+    static final HttpString SIZE_HINT = new HttpString("X-Size-Hint");
+    static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
+    /** The cookie that names the subject of a request. */
+    static final String KEY_COOKIE = "k";
+    /** Headers that hold for one connection only, or that the relay writes anew for each attempt. */
+    static final Set<HttpString> NOT_FORWARDED = Set.of(
+            Headers.CONNECTION,
+            Headers.KEEP_ALIVE,
+            Headers.TRANSFER_ENCODING,
+            Headers.CONTENT_LENGTH,
+            Headers.TE,
+            Headers.TRAILER,
+            Headers.UPGRADE,
+            Headers.EXPECT,
+            EXPIRES_IN_MS);
+
+    /** The longest number that is read; it fits an int. */
+    static final int MAX_DIGITS = 9;
+
+    private static final int MAX_ID_LENGTH = 256;
+    /** One hour, beyond which an announced cost counts as none. */
+    private static final long MAX_COST_US = 3_600_000_000L;
+    /** The parameters of the 64-bit FNV-1a hash. */
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+
+    private static final long FNV_PRIME = 0x100000001b3L;
+
+    private RequestHeaders() {}
+
+    /** The value of a header that must occur exactly once and be neither empty nor overlong; else null. */
+    static String single(HeaderMap headers, HttpString name) {
+        String value = headers.count(name) == 1 ? headers.getFirst(name) : null;
+        return value == null || value.isEmpty() || value.length() > MAX_ID_LENGTH ? null : value;
+    }
+
+    /**
+     * Reads how long a client waits.
+     *
+     * @param text the header's value
+     * @param routeTimeoutUs the timeout of the request's route, in microseconds; 0 if it has none
+     * @return milliseconds; 0 if the text is not a whole number from 1 up to ten times the route's timeout
+     */
+    static long expiresInMs(String text, long routeTimeoutUs) {
+        boolean digits = text.length() <= MAX_DIGITS && text.chars().allMatch(c -> c >= '0' && c <= '9');
+        long ms = digits && !text.isEmpty() ? Long.parseLong(text) : 0;
+        long maxMs = routeTimeoutUs / 100;
+        return routeTimeoutUs > 0 && ms > maxMs ? 0 : ms;
+    }
+
+    /** The host that a request names, without a port, or null. */
+    static String host(HttpServerExchange exchange) {
+        String host = exchange.getRequestHeaders().getFirst(Headers.HOST);
+        if (host == null || host.endsWith("]")) {
+            // An IPv6 address without a port ends with the bracket.
+            return host;
+        }
+        int colon = host.lastIndexOf(':');
+        return colon < 0 ? host : host.substring(0, colon);
+    }
+
+    /** The subject's key as a number that is not negative: hexadecimal digits by their value, anything else hashed. */
+    static long key(String text) {
+        if (text == null || text.isEmpty()) {
+            return DecisionEngine.NO_KEY;
+        }
+        try {
+            return Long.parseUnsignedLong(text, 16) & Long.MAX_VALUE;
+        } catch (NumberFormatException e) {
+            long hash = FNV_OFFSET_BASIS;
+            for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
+                hash = (hash ^ b) * FNV_PRIME;
+            }
+            return hash & Long.MAX_VALUE;
+        }
+    }
+
+    /** The announced cost in microseconds. It is only a hint, so that an invalid one counts as none: 0. */
+    static long costUs(String text) {
+        if (text == null) {
+            return 0;
+        }
+        try {
+            long us = Long.parseLong(text.trim());
+            return us > MAX_COST_US ? 0 : Math.max(0, us);
+        } catch (NumberFormatException e) {
+            return 0;
+        }
+    }
+}
--- a/src/main/java/gatelock/pipeline/ActionExecutor.java
+++ b/src/main/java/gatelock/pipeline/ActionExecutor.java
@@ -11,88 +11,106 @@
 import java.lang.System.Logger.Level;
 
 /**
- * What the decisions ask for. All of it is done right after the call that led to it, in order, so that no
- * stage is entered while the decisions are still at work.
+ * Carries out the actions that the decision engine orders. Each one is executed right after the engine call that ordered
+ * it, in order, so that no stage is entered while the engine is at work.
  */
 public final class ActionExecutor implements DecisionActions {
     private static final System.Logger LOG = System.getLogger("gatelock.decision");
 
-    private final EventLoop turn;
-    private final InFlightRequests open;
-    private EndpointResolver routeOut;
-    private ResponseWriter relayBack;
-    private OutcomeRecorder book;
+    private final EventLoop eventLoop;
+    private final InFlightRequests inFlight;
+    private EndpointResolver endpointResolver;
+    private ResponseWriter responseWriter;
+    private OutcomeRecorder outcomeRecorder;
     private ReleaseControllerClient controller;
     private DiscoveryClient discovery;
-    private DecisionEngine gate;
+    private DecisionEngine engine;
     private boolean stopped;
 
-    public ActionExecutor(EventLoop turn, InFlightRequests open) {
-        this.turn = turn;
-        this.open = open;
+    /**
+     * Creates an executor, which has to be bound to the stages before the first action.
+     *
+     * @param eventLoop the I/O thread
+     * @param inFlight the requests in flight
+     */
+    public ActionExecutor(EventLoop eventLoop, InFlightRequests inFlight) {
+        this.eventLoop = eventLoop;
+        this.inFlight = inFlight;
     }
 
-    /** Names who carries them out, before the first one is given. */
-    public void bind(DecisionEngine gate, EndpointResolver routeOut, ResponseWriter relayBack, OutcomeRecorder book) {
-        this.gate = gate;
-        this.routeOut = routeOut;
-        this.relayBack = relayBack;
-        this.book = book;
+    /**
+     * Sets the engine and the stages. They can't be passed to the constructor, as the engine needs the executor for its
+     * own.
+     *
+     * @param engine receives the timers
+     * @param endpointResolver sends attempts
+     * @param responseWriter gives final answers
+     * @param outcomeRecorder removes settled requests
+     */
+    public void bind(
+            DecisionEngine engine,
+            EndpointResolver endpointResolver,
+            ResponseWriter responseWriter,
+            OutcomeRecorder outcomeRecorder) {
+        this.engine = engine;
+        this.endpointResolver = endpointResolver;
+        this.responseWriter = responseWriter;
+        this.outcomeRecorder = outcomeRecorder;
     }
 
-    /** Names the platform; without one, votes and wishes for the list go nowhere. */
+    /** Sets the platform's services; before that, votes and subscriptions have no effect. */
     public void bind(ReleaseControllerClient controller, DiscoveryClient discovery) {
         this.controller = controller;
         this.discovery = discovery;
     }
 
-    /** From now on no timer calls the decisions any more. */
+    /** Drops all timers: none of them calls the engine any more. */
     public void stop() {
         stopped = true;
     }
 
     @Override
     public void send(String id, String endpoint, long timeoutUs) {
-        InFlightRequest request = open.get(id);
-        turn.soon(() -> routeOut.send(request, endpoint, timeoutUs));
+        InFlightRequest request = inFlight.get(id);
+        eventLoop.soon(() -> endpointResolver.send(request, endpoint, timeoutUs));
     }
 
     @Override
     public void shed(String id, long pauseUs) {
-        InFlightRequest request = open.get(id);
-        turn.soon(() -> {
-            relayBack.shed(request, pauseUs);
-            book.settle(request);
+        InFlightRequest request = inFlight.get(id);
+        eventLoop.soon(() -> {
+            responseWriter.reject(request, pauseUs);
+            outcomeRecorder.removeIfSettled(request);
         });
     }
 
     @Override
     public void error(String id) {
-        InFlightRequest request = open.get(id);
-        turn.soon(() -> {
-            relayBack.errored(request);
-            book.settle(request);
+        InFlightRequest request = inFlight.get(id);
+        eventLoop.soon(() -> {
+            responseWriter.fail(request);
+            outcomeRecorder.removeIfSettled(request);
         });
     }
 
     @Override
     public void cancel(String id, int attemptNo) {
-        InFlightRequest request = open.get(id);
-        turn.soon(() -> request.callOff(attemptNo).run());
+        InFlightRequest request = inFlight.get(id);
+        eventLoop.soon(() -> request.cancelAttempt(attemptNo));
     }
 
     @Override
     public void vote(int build, int stage, Verdict verdict) {
         if (controller != null) {
-            turn.soon(() -> controller.vote(build, stage, verdict));
+            eventLoop.soon(() -> controller.vote(build, stage, verdict));
         }
     }
 
     @Override
     public void timer(long inUs, long token) {
-        turn.in(inUs, () -> {
+        eventLoop.in(inUs, () -> {
             if (!stopped) {
-                gate.due(turn.nowUs(), token);
+                engine.due(eventLoop.nowUs(), token);
             }
         });
     }
@@ -100,7 +118,7 @@
     @Override
     public void followList() {
         if (discovery != null) {
-            turn.soon(discovery::follow);
+            eventLoop.soon(discovery::follow);
         }
     }
 
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -11,82 +11,107 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
 
-/** Fourth stage: one attempt goes out on a connection of its own for the time, and its ending is found. */
+/** Fourth stage: an attempt is written to a connection that it has for itself, and its result is determined. */
 public final class AttemptSender {
-    private static final long SEEN_US = 2_000;
+    /** How long after the connection of a cancelled attempt was closed its end is reported. */
+    private static final long CANCELLATION_DELAY_US = 2_000;
 
-    private final EventLoop turn;
-    private final ConnectionPool lines;
-    private final OutcomeRecorder book;
-    private BiConsumer<String, AttemptResult> hears = (endpoint, ending) -> {};
+    private static final int OK = 200;
+    private static final int SERVICE_UNAVAILABLE = 503;
+    private static final int GATEWAY_TIMEOUT = 504;
+    private static final String TIMEOUT_HEADER = "X-Expires-In-Ms";
+    /** With the value 1 on a 503 or 504, an endpoint's statement that it did not execute the request. */
+    private static final String NOT_EXECUTED_HEADER = "X-Never-Ran";
 
-    public AttemptSender(EventLoop turn, ConnectionPool lines, OutcomeRecorder book) {
-        this.turn = turn;
-        this.lines = lines;
-        this.book = book;
+    private final EventLoop eventLoop;
+    private final ConnectionPool pool;
+    private final OutcomeRecorder outcomeRecorder;
+    private BiConsumer<String, AttemptResult> attemptListener = (endpoint, result) -> {};
+
+    /**
+     * Creates the stage.
+     *
+     * @param eventLoop the I/O thread
+     * @param pool the connections to endpoints
+     * @param outcomeRecorder learns how each attempt ended
+     */
+    public AttemptSender(EventLoop eventLoop, ConnectionPool pool, OutcomeRecorder outcomeRecorder) {
+        this.eventLoop = eventLoop;
+        this.pool = pool;
+        this.outcomeRecorder = outcomeRecorder;
     }
 
-    /** Tells the endpoint and the ending of each attempt from now on. */
-    public void whenEnded(BiConsumer<String, AttemptResult> hears) {
-        this.hears = hears;
+    /** Sets the listener that receives the endpoint's name and the result of each attempt from now on. */
+    public void whenEnded(BiConsumer<String, AttemptResult> listener) {
+        attemptListener = listener;
     }
 
-    /** Numbers and sends an attempt; without an address it can't come to be connected. */
+    /** Registers and sends an attempt; without an address it ends as not connected. */
     void send(InFlightRequest request, String endpoint, InetSocketAddress address, long timeoutUs) {
-        Attempt rev = new Attempt(request, endpoint);
-        if (request.over() || turn.nowUs() >= request.endUs()) {
-            rev.end(AttemptResult.NOT_SENT, null);
+        Attempt attempt = new Attempt(request, endpoint);
+        if (request.over() || eventLoop.nowUs() >= request.endUs()) {
+            attempt.end(AttemptResult.NOT_SENT, null);
         } else if (address == null) {
-            rev.end(AttemptResult.NOT_CONNECTED, null);
+            attempt.end(AttemptResult.NOT_CONNECTED, null);
         } else {
-            rev.begin(address, timeoutUs);
+            attempt.begin(address, timeoutUs);
         }
     }
 
-    /** One try. */
+    private static AttemptResult resultOf(UpstreamResponse response) {
+        if (response.status() == OK) {
+            return AttemptResult.COMPLETED;
+        }
+        boolean mayStateIt = response.status() == SERVICE_UNAVAILABLE || response.status() == GATEWAY_TIMEOUT;
+        boolean notExecuted = mayStateIt && "1".equals(response.header(NOT_EXECUTED_HEADER));
+        return notExecuted ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED;
+    }
+
     private final class Attempt implements OutboundConnection.User {
         private final InFlightRequest request;
         private final String endpoint;
         private final int number;
-        private final long sentUs = turn.nowUs();
-        private OutboundConnection line;
+        private final long sentUs = eventLoop.nowUs();
+        private OutboundConnection connection;
         private boolean ended;
-        private boolean stopped;
+        /** The decision engine withdrew the attempt before its first byte was sent. */
+        private boolean withdrawn;
 
         Attempt(InFlightRequest request, String endpoint) {
             this.request = request;
             this.endpoint = endpoint;
-            this.number = request.addAttempt(this::callOff);
+            this.number = request.addAttempt(this::cancel);
         }
 
         private void begin(InetSocketAddress address, long timeoutUs) {
             long leftUs = request.endUs() - sentUs;
             long waitUs = timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs;
-            byte[] varying = ("X-Expires-In-Ms: " + Math.max(1, waitUs / 1000) + "\r\n\r\n")
+            byte[] headEnd = (TIMEOUT_HEADER + ": " + Math.max(1, waitUs / 1000) + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1);
-            // One buffer, so that an ordinary request leaves in one write.
-            ByteBuffer call = ByteBuffer.allocate(request.head().length + varying.length + request.body().length);
-            call.put(request.head()).put(varying).put(request.body()).flip();
-            line = lines.call(address, call, waitUs, this);
+            // One buffer, so that an ordinary request is sent with one write.
+            ByteBuffer message = ByteBuffer.allocate(request.head().length + headEnd.length + request.body().length);
+            message.put(request.head()).put(headEnd).put(request.body()).flip();
+            connection = pool.call(address, message, waitUs, this);
         }
 
         /**
-         * Closes the connection: that is how an endpoint learns that nobody waits any more. The ending is told an
-         * instant later. Guards against a retry that is read at another endpoint before this end is: two were
-         * seen out at once. Should hold for any two endpoints; costs a called off request that instant.
+         * Closes the connection, by which the endpoint learns that nobody waits any more, and reports the end a little
+         * later. The delay guards against a retry that another endpoint reads before this one reads the close: two
+         * attempts of one request were seen in execution at once. Should hold for any two endpoints; costs a cancelled
+         * request the delay.
          */
-        private void callOff() {
+        private void cancel() {
             if (!ended) {
                 ended = true;
-                line.drop();
-                turn.in(SEEN_US, () -> end(AttemptResult.CANCELLED, null));
+                connection.drop();
+                eventLoop.in(CANCELLATION_DELAY_US, () -> end(AttemptResult.CANCELLED, null));
             }
         }
 
         @Override
         public boolean mayGo() {
-            stopped = !request.handle().mayGo(turn.nowUs(), number);
-            return !stopped;
+            withdrawn = !request.handle().mayGo(eventLoop.nowUs(), number);
+            return !withdrawn;
         }
 
         @Override
@@ -95,28 +120,24 @@
         }
 
         @Override
-        public boolean answered(UpstreamResponse answer) {
-            boolean never =
-                    (answer.status() == 503 || answer.status() == 504) && "1".equals(answer.header("X-Never-Ran"));
-            end(
-                    answer.status() == 200
-                            ? AttemptResult.COMPLETED
-                            : never ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED,
-                    answer);
+        public boolean answered(UpstreamResponse response) {
+            end(resultOf(response), response);
             return true;
         }
 
         @Override
         public void broken(boolean written) {
-            end(
-                    written ? AttemptResult.BROKEN_OFF : stopped ? AttemptResult.NOT_SENT : AttemptResult.NOT_CONNECTED,
-                    null);
+            if (written) {
+                end(AttemptResult.BROKEN_OFF, null);
+            } else {
+                end(withdrawn ? AttemptResult.NOT_SENT : AttemptResult.NOT_CONNECTED, null);
+            }
         }
 
-        private void end(AttemptResult ending, UpstreamResponse answer) {
+        private void end(AttemptResult result, UpstreamResponse response) {
             ended = true;
-            hears.accept(endpoint, ending);
-            book.ended(request, number, ending, turn.nowUs() - sentUs, answer);
+            attemptListener.accept(endpoint, result);
+            outcomeRecorder.ended(request, number, result, eventLoop.nowUs() - sentUs, response);
         }
     }
 }
--- a/src/main/java/gatelock/pipeline/EndpointResolver.java
+++ b/src/main/java/gatelock/pipeline/EndpointResolver.java
@@ -4,23 +4,30 @@
 import gatelock.state.InFlightRequest;
 import java.net.InetSocketAddress;
 
-/** Third stage: the endpoint that was decided on becomes an address. */
+/** Third stage: the address of the chosen endpoint is looked up. */
 public final class EndpointResolver {
     private final EndpointAddresses addresses;
-    private final AttemptSender sendOff;
+    private final AttemptSender attemptSender;
 
-    public EndpointResolver(EndpointAddresses addresses, AttemptSender sendOff) {
+    /**
+     * Creates the stage.
+     *
+     * @param addresses the addresses of the endpoints
+     * @param attemptSender sends the attempts of ordinary requests
+     */
+    public EndpointResolver(EndpointAddresses addresses, AttemptSender attemptSender) {
         this.addresses = addresses;
-        this.sendOff = sendOff;
+        this.attemptSender = attemptSender;
     }
 
+    /** Starts an attempt; one at an endpoint that is not listed any more ends as not connected. */
     void send(InFlightRequest request, String endpoint, long timeoutUs) {
-        EndpointAddresses.Place place = addresses.get(endpoint);
-        InetSocketAddress address = place == null ? null : place.address();
+        EndpointAddresses.Entry entry = addresses.get(endpoint);
+        InetSocketAddress address = entry == null ? null : entry.address();
         if (request.opening() != null) {
             request.opening().send(address, endpoint, timeoutUs);
         } else {
-            sendOff.send(request, endpoint, address, timeoutUs);
+            attemptSender.send(request, endpoint, address, timeoutUs);
         }
     }
 }
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -8,49 +8,65 @@
 import gatelock.state.InFlightRequests;
 import gatelock.state.UpstreamResponse;
 
-/** Last stage: whatever ended is told to the decisions and counted, and what is settled is forgotten. */
+/** Last stage: the end of an attempt is counted and reported to the decision engine, and settled requests are removed. */
 public final class OutcomeRecorder {
-    private final EventLoop turn;
-    private final InFlightRequests open;
+    private final EventLoop eventLoop;
+    private final InFlightRequests inFlight;
     private final Counters counters;
-    private final ResponseWriter relayBack;
+    private final ResponseWriter responseWriter;
 
-    public OutcomeRecorder(EventLoop turn, InFlightRequests open, Counters counters, ResponseWriter relayBack) {
-        this.turn = turn;
-        this.open = open;
+    /**
+     * Creates the stage.
+     *
+     * @param eventLoop the I/O thread
+     * @param inFlight the requests in flight
+     * @param counters counts attempts by result
+     * @param responseWriter answers a request with its first complete response
+     */
+    public OutcomeRecorder(
+            EventLoop eventLoop, InFlightRequests inFlight, Counters counters, ResponseWriter responseWriter) {
+        this.eventLoop = eventLoop;
+        this.inFlight = inFlight;
         this.counters = counters;
-        this.relayBack = relayBack;
+        this.responseWriter = responseWriter;
     }
 
-    /** An attempt has ended; the first that completed is the request's answer. */
+    /**
+     * Records that an attempt has ended. The first one that completed answers the request.
+     *
+     * @param request the request
+     * @param attemptNo the number of the attempt
+     * @param result how it ended
+     * @param tookUs how long it took, in microseconds
+     * @param response the endpoint's response; required if {@code result} is {@link AttemptResult#COMPLETED}, else
+     *     unused
+     */
     public void ended(
-            InFlightRequest request, int attemptNo, AttemptResult ending, long tookUs, UpstreamResponse answer) {
-        counters.ended(ending);
-        if (ending == AttemptResult.COMPLETED && !request.over()) {
-            relayBack.completed(request, answer);
+            InFlightRequest request, int attemptNo, AttemptResult result, long tookUs, UpstreamResponse response) {
+        counters.attemptEnded(result);
+        if (result == AttemptResult.COMPLETED && !request.over()) {
+            responseWriter.forward(request, response);
         }
-        request.handle().ended(turn.nowUs(), attemptNo, ending, tookUs, request.over(), LoadReport.NONE);
-        settle(request);
+        request.handle().ended(eventLoop.nowUs(), attemptNo, result, tookUs, request.over(), LoadReport.NONE);
+        removeIfSettled(request);
     }
 
-    /** The caller has left. */
-    void left(InFlightRequest request) {
+    /** Records that the client of a request has left. */
+    void clientLeft(InFlightRequest request) {
         if (!request.over()) {
             counters.add("callers left");
-            open.close(request);
-            if (request.taken()) {
-                request.handle().concluded(turn.nowUs());
+            inFlight.markOver(request);
+            if (request.isAccepted()) {
+                request.handle().concluded(eventLoop.nowUs());
             }
-            settle(request);
+            removeIfSettled(request);
         }
     }
 
-    /**
-     * Forgets a request once it is answered and its last attempt has ended; an answer may still be on its way out.
-     */
-    void settle(InFlightRequest request) {
-        if (request.over() && (!request.taken() || request.handle().settled())) {
-            open.forget(request);
+    /** Removes a request that is over and whose last attempt has ended; its response may still be on its way out. */
+    void removeIfSettled(InFlightRequest request) {
+        if (request.over() && (!request.isAccepted() || request.handle().settled())) {
+            inFlight.remove(request);
         }
     }
 }
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -11,126 +11,151 @@
 import gatelock.state.InFlightRequests;
 
 /**
- * Second stage: a request in good form asks the plan's limits, where there is a plan, and is handed to the
- * decisions. It is
- * owed an answer from then on.
+ * Second stage: a valid request passes the limits of the configuration in force, if there is one, and is handed to the
+ * decision engine. From here on it is owed an answer.
  */
 public final class RequestAdmitter {
-    /** While somebody waits, limits are looked at so often at the least. */
-    private static final long LOOK_US = 10_000;
+    /** The longest time between two checks of the limits while a request is queued for them. */
+    private static final long MAX_CHECK_INTERVAL_US = 10_000;
 
-    private final EventLoop turn;
-    private final InFlightRequests open;
+    private final EventLoop eventLoop;
+    private final InFlightRequests inFlight;
     private final Counters counters;
-    private final OutcomeRecorder book;
-    private final ResponseWriter relayBack;
-    private final DecisionEngine gate;
+    private final OutcomeRecorder outcomeRecorder;
+    private final ResponseWriter responseWriter;
+    private final DecisionEngine engine;
     private final Admission admission;
-    private final long longestPauseUs;
-    private final StartupQueue<InFlightRequest> early = new StartupQueue<>();
-    private boolean looking;
+    private final long maxRetryAfterUs;
+    private final StartupQueue<InFlightRequest> startupQueue = new StartupQueue<>();
+    private boolean checkScheduled;
 
     /**
-     * @param admission what the plan in force means; null: there never is one
-     * @param longestPauseUs that a client hears of when it is told to come back; 0: none does
+     * Creates the stage; requests are queued until the endpoints are known.
+     *
+     * @param eventLoop the I/O thread
+     * @param inFlight where accepted requests are kept
+     * @param counters counts accepted and rejected requests
+     * @param outcomeRecorder learns of the requests that end here
+     * @param responseWriter answers the requests that are rejected here
+     * @param engine decides on the requests
+     * @param admission the limits of the configuration in force; null if the relay has no such configuration
+     * @param maxRetryAfterUs the longest Retry-After given to a client, in microseconds; 0 for none
      */
     public RequestAdmitter(
-            EventLoop turn,
-            InFlightRequests open,
+            EventLoop eventLoop,
+            InFlightRequests inFlight,
             Counters counters,
-            OutcomeRecorder book,
-            ResponseWriter relayBack,
-            DecisionEngine gate,
+            OutcomeRecorder outcomeRecorder,
+            ResponseWriter responseWriter,
+            DecisionEngine engine,
             Admission admission,
-            long longestPauseUs) {
-        this.turn = turn;
-        this.open = open;
+            long maxRetryAfterUs) {
+        this.eventLoop = eventLoop;
+        this.inFlight = inFlight;
         this.counters = counters;
-        this.book = book;
-        this.relayBack = relayBack;
-        this.gate = gate;
+        this.outcomeRecorder = outcomeRecorder;
+        this.responseWriter = responseWriter;
+        this.engine = engine;
         this.admission = admission;
-        this.longestPauseUs = longestPauseUs;
+        this.maxRetryAfterUs = maxRetryAfterUs;
     }
 
-    /** Whether a request of this id is still open, so that another can't be told from it. */
-    public boolean isOpen(String id) {
-        return open.get(id) != null;
+    /** Whether a request of this id is in flight, so that another of the same id could not be told from it. */
+    public boolean isInFlight(String id) {
+        return inFlight.get(id) != null;
     }
 
-    /** @param way where the plan leads it, or null: no plan, or none of its routes is for it */
-    public void admit(InFlightRequest request, Admission.Way way, int route, int tenant, long key, long costUs) {
+    /**
+     * Accepts a valid request; exactly one response will follow.
+     *
+     * @param request the request
+     * @param way where the configuration in force leads it; null if there is none, or if none of its routes matches
+     * @param profile what the decision engine learns of it
+     */
+    public void admit(InFlightRequest request, Admission.Way way, RequestProfile profile) {
         counters.add("taken");
-        open.add(request);
+        inFlight.add(request);
         if (way == null) {
-            decide(request, route, tenant, key, costUs, RequestConstraints.NONE);
+            decide(request, profile, RequestConstraints.NONE);
             return;
         }
-        Passage passage = new Passage(request, route, tenant, key, costUs);
-        Admission.Pass pass = admission.ask(turn.nowUs(), way, tenant, request.endUs(), passage);
-        passage.pass = pass;
+        LimitedRequest limited = new LimitedRequest(request, profile);
+        Admission.Pass pass = admission.ask(eventLoop.nowUs(), way, profile.tenant(), request.endUs(), limited);
+        limited.pass = pass;
         request.whenOver(() -> {
-            pass.over(turn.nowUs());
-            look();
+            pass.over(eventLoop.nowUs());
+            scheduleLimitCheck();
         });
         if (pass.shed()) {
-            passage.shed(turn.nowUs(), pass.pauseUs());
+            limited.shed(eventLoop.nowUs(), pass.pauseUs());
         } else if (pass.waits()) {
             counters.add("waited for limits");
-            look();
+            scheduleLimitCheck();
         } else {
-            decide(request, route, tenant, key, costUs, pass);
+            decide(request, profile, pass);
         }
     }
 
-    /** From now on the decisions know where requests may go; those that came before go first. Tells how many. */
+    /**
+     * Tells that the decision engine knows the endpoints from now on. Requests that were queued until now go first, in
+     * order.
+     *
+     * @return how many were queued
+     */
     public int open() {
-        return early.open();
+        return startupQueue.open();
     }
 
-    private void decide(
-            InFlightRequest request, int route, int tenant, long key, long costUs, RequestConstraints bounds) {
-        if (!early.isOpen()) {
-            long waitsUs = early.come(
-                    turn.nowUs(), request.endUs(), request, () -> decide(request, route, tenant, key, costUs, bounds));
-            turn.in(waitsUs, () -> {
-                if (early.leave(request)) {
-                    counters.add("given up before listed");
-                    relayBack.shed(request, Math.min(longestPauseUs, waitsUs));
-                    book.settle(request);
-                }
-            });
-            return;
+    private void decide(InFlightRequest request, RequestProfile profile, RequestConstraints constraints) {
+        if (startupQueue.isOpen()) {
+            long nowUs = eventLoop.nowUs();
+            request.accepted(engine.take(
+                    nowUs,
+                    request.id(),
+                    profile.route(),
+                    profile.tenant(),
+                    profile.key(),
+                    Math.max(1, request.endUs() - nowUs),
+                    profile.costUs(),
+                    constraints));
+            outcomeRecorder.removeIfSettled(request);
+        } else {
+            queueForStartup(request, () -> decide(request, profile, constraints));
         }
-        long nowUs = turn.nowUs();
-        request.taken(gate.take(
-                nowUs, request.id(), route, tenant, key, Math.max(1, request.endUs() - nowUs), costUs, bounds));
-        book.settle(request);
     }
 
-    /** A request on its way past its limits. */
-    private final class Passage implements QueuedRequest {
+    private void queueForStartup(InFlightRequest request, Runnable decision) {
+        long maxWaitUs = startupQueue.come(eventLoop.nowUs(), request.endUs(), request, decision);
+        eventLoop.in(maxWaitUs, () -> {
+            if (startupQueue.leave(request)) {
+                counters.add("given up before listed");
+                reject(request, maxWaitUs);
+            }
+        });
+    }
+
+    private void reject(InFlightRequest request, long pauseUs) {
+        responseWriter.reject(request, Math.min(pauseUs, maxRetryAfterUs));
+        outcomeRecorder.removeIfSettled(request);
+    }
+
+    /** A request subject to limits. */
+    private final class LimitedRequest implements QueuedRequest {
         private final InFlightRequest request;
-        private final int route;
-        private final int tenant;
-        private final long key;
-        private final long costUs;
+        private final RequestProfile profile;
         private Admission.Pass pass;
 
-        Passage(InFlightRequest request, int route, int tenant, long key, long costUs) {
+        LimitedRequest(InFlightRequest request, RequestProfile profile) {
             this.request = request;
-            this.route = route;
-            this.tenant = tenant;
-            this.key = key;
-            this.costUs = costUs;
+            this.profile = profile;
         }
 
         @Override
         public void passes(long nowUs) {
-            // Its turn may come while the decisions are at work on another.
-            turn.soon(() -> {
+            // This may be called while the decision engine is at work on another request, hence not at once.
+            eventLoop.soon(() -> {
                 if (!request.over()) {
-                    decide(request, route, tenant, key, costUs, pass);
+                    decide(request, profile, pass);
                 }
             });
         }
@@ -138,29 +163,31 @@
         @Override
         public void shed(long nowUs, long pauseUs) {
             counters.add("shed by limits");
-            turn.soon(() -> {
-                relayBack.shed(request, Math.min(pauseUs, longestPauseUs));
-                book.settle(request);
-            });
+            eventLoop.soon(() -> reject(request, pauseUs));
         }
     }
 
-    /** Looks at the limits again in time, as long as somebody waits. */
-    private void look() {
-        long nowUs = turn.nowUs();
-        long nextUs = looking ? Long.MAX_VALUE : admission.nextUs(nowUs);
-        if (nextUs < Long.MAX_VALUE) {
-            looking = true;
-            turn.in(Math.min(nextUs - nowUs, LOOK_US), () -> {
-                looking = false;
-                admission.due(turn.nowUs());
-                look();
-            });
+    /** Schedules the next check of the limits, if a request is queued for them and no check is scheduled yet. */
+    private void scheduleLimitCheck() {
+        if (checkScheduled) {
+            return;
+        }
+        long nowUs = eventLoop.nowUs();
+        long nextUs = admission.nextUs(nowUs);
+        if (nextUs == Long.MAX_VALUE) {
+            return;
         }
+        checkScheduled = true;
+        eventLoop.in(Math.min(nextUs - nowUs, MAX_CHECK_INTERVAL_US), () -> {
+            checkScheduled = false;
+            admission.due(eventLoop.nowUs());
+            scheduleLimitCheck();
+        });
     }
 
-    public void left(InFlightRequest request) {
-        early.leave(request);
-        book.left(request);
+    /** Tells that a request's client has left: nothing is owed any more. */
+    public void clientLeft(InFlightRequest request) {
+        startupQueue.leave(request);
+        outcomeRecorder.clientLeft(request);
     }
 }
--- a/src/main/java/gatelock/pipeline/ResponseWriter.java
+++ b/src/main/java/gatelock/pipeline/ResponseWriter.java
@@ -6,37 +6,47 @@
 import gatelock.state.InFlightRequests;
 import gatelock.state.UpstreamResponse;
 
-/** Fifth stage: the one final answer goes back to the caller. */
+/** Fifth stage: the one final answer goes back to the client. */
 public final class ResponseWriter {
-    private final EventLoop turn;
-    private final InFlightRequests open;
+    private final EventLoop eventLoop;
+    private final InFlightRequests inFlight;
     private final Counters counters;
 
-    public ResponseWriter(EventLoop turn, InFlightRequests open, Counters counters) {
-        this.turn = turn;
-        this.open = open;
+    /**
+     * Creates the stage.
+     *
+     * @param eventLoop the I/O thread
+     * @param inFlight the requests in flight
+     * @param counters counts the answers by kind
+     */
+    public ResponseWriter(EventLoop eventLoop, InFlightRequests inFlight, Counters counters) {
+        this.eventLoop = eventLoop;
+        this.inFlight = inFlight;
         this.counters = counters;
     }
 
-    void completed(InFlightRequest request, UpstreamResponse answer) {
+    /** Forwards the response of an endpoint to a request that is not over. */
+    void forward(InFlightRequest request, UpstreamResponse response) {
         counters.add("completed");
-        open.close(request);
-        request.caller().completed(answer);
+        inFlight.markOver(request);
+        request.responseSink().forward(response);
     }
 
-    void shed(InFlightRequest request, long pauseUs) {
+    /** Rejects a request, unless it is over; {@code retryAfterUs} is 0 for no advice. */
+    void reject(InFlightRequest request, long retryAfterUs) {
         if (!request.over()) {
             counters.add("shed");
-            open.close(request);
-            request.caller().shed(pauseUs);
+            inFlight.markOver(request);
+            request.responseSink().reject(retryAfterUs);
         }
     }
 
-    void errored(InFlightRequest request) {
+    /** Reports a request as failed, unless it is over. */
+    void fail(InFlightRequest request) {
         if (!request.over()) {
             counters.add("errored");
-            open.close(request);
-            request.caller().errored(turn.nowUs() >= request.endUs());
+            inFlight.markOver(request);
+            request.responseSink().fail(eventLoop.nowUs() >= request.endUs());
         }
     }
 }
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -10,304 +10,286 @@
 import java.util.Set;
 
 /**
- * All client connections, each in one state, and the one place that says whether one of them may be ended. A
- * connection that owes its client an answer is never ended here, and one that stands without a request only after
- * a
- * look at what has come on it and was not read yet.
+ * All client connections, each in one {@link ClientConnectionState}. This class alone decides whether a connection may be
+ * closed: never while its client is owed a response, and without a request under way only after a look at the bytes that
+ * have arrived but were not read yet.
  *
- * <p>Guards against a relay that is late: a request may lie unread while the timer that ends its connection is
- * due.
- * Should hold for any order of arrivals, timers and answers. Costs a client that is really idle nothing, and
- * one that
- * drips bytes at most one more look.
+ * <p>The look guards against a delayed I/O thread: a request may lie unread at the time when the timer that closes its
+ * connection fires. It holds for any order of arrivals, timers and responses. It costs an idle client nothing, and a
+ * client that sends single bytes at most one more look.
  *
  * @param <C> a connection; equal only to itself
  */
 public final class ClientConnections<C> {
     /**
-     * Guards against clients that say nothing, or never come to the end of a head or body, and those that
-     * don't
-     * read their answer: a connection has so long until its first request is whole, or a later one from its first
-     * byte.
-     * Should hold against any way of keeping a connection for nothing; could harm a client on a network so
-     * slow
-     * that one request takes as long.
+     * The time in which a request must be complete: the first one from accept, a later one from its first byte. Guards
+     * against clients that send nothing, that never complete a head or body, or that do not read their response. Could
+     * harm a client on a network so slow that one request takes as long.
      */
-    public static final long WHOLE_WITHIN_US = 2_500_000;
-    /** Between requests: so long from an answer. Guards against clients that ask once and stay. */
-    public static final long IDLE_US = 2_000_000;
-    /** A usual client says something sooner than this. */
-    static final long SOON_US = 300_000;
-    /** So many are looked at to make room for one; beyond that nothing goes this time. */
-    private static final int LOOKED_AT = 8;
-
-    /** What stands on a connection. */
-    public enum State {
-        /** Nothing has come on it yet. */
-        SILENT,
-        /** A request has begun to come: its head, or its body. */
-        COMING,
-        /** A request is whole and owed its answer. */
-        OWED,
-        /** An answer is on its way out, or a refusal. */
-        ANSWERING,
-        /** Its last answer has left, and nothing has come since. */
-        BETWEEN
-    }
-
-    /** Why a connection is ended. */
-    public enum Why {
-        SILENT("clients closed, no whole req"),
-        UNFINISHED("clients closed, no whole req"),
-        ANSWER_UNREAD("clients closed, answer unread"),
-        IDLE("clients closed, idle"),
-        ROOM_SILENT("clients closed for room, silent"),
-        ROOM_IDLE("clients closed for room, idle"),
-        LEAVING("clients closed, leaving"),
-        REFUSED("clients closed, refused"),
-        LEFT("clients closed, gone first");
-
-        private final String counted;
-
-        Why(String counted) {
-            this.counted = counted;
-        }
-    }
-
-    /** The connections themselves. */
-    public interface Sockets<C> {
-        /** Whether anything has come that was not read yet; if so it is to be read next. */
-        boolean unread(C connection);
+    public static final long REQUEST_TIMEOUT_US = 2_500_000;
+    /**
+     * The time from a response to the next request, and for the client to read a response. Guards against clients that
+     * send one request and stay.
+     */
+    public static final long IDLE_TIMEOUT_US = 2_000_000;
+    /** A connection without a request is evicted only when it is older than this; usual clients send one sooner. */
+    private static final long EVICTION_MIN_AGE_US = 300_000;
+    /** The connections that are examined in order to evict one; if none of them may be closed, none is evicted. */
+    private static final int MAX_EVICTION_CANDIDATES = 8;
 
-        /** Ends it; {@link ClientConnections#gone} follows, now or later. */
-        void end(C connection, State state, Why why);
-    }
+    private static final List<ClientConnectionState> STATES_WITH_TIMEOUT = List.of(
+            ClientConnectionState.AWAITING_FIRST_REQUEST,
+            ClientConnectionState.READING_REQUEST,
+            ClientConnectionState.WRITING_RESPONSE,
+            ClientConnectionState.IDLE);
 
-    private static final class Standing {
-        private State state = State.SILENT;
-        private long byUs;
-        /** Bytes of a next request came before the last answer had left. */
-        private boolean early;
-        /** Was overdue at the last look. */
-        private boolean spared;
+    private static final class Entry {
+        private ClientConnectionState state = ClientConnectionState.AWAITING_FIRST_REQUEST;
+        private long deadlineUs;
+        /** Whether bytes of the next request were read before the last response was written. */
+        private boolean nextRequestBegun;
+        /** Whether the deadline had passed at the last check, and the connection was left open. */
+        private boolean foundOverdue;
     }
 
     private final Counters counters;
-    private final Sockets<C> sockets;
-    private final int withEase;
-    private final int most;
-    private final Map<C, Standing> all = new HashMap<>();
-    /** Those of each state, the longest there first; in each, times to be done by only go up. */
-    private final Map<State, Set<C>> by = new EnumMap<>(State.class);
+    private final ClientSockets<C> sockets;
+    private final int softLimit;
+    private final int hardLimit;
+    private final Map<C, Entry> entries = new HashMap<>();
+    /** The connections of each state in the order in which they came into it. */
+    private final Map<ClientConnectionState, Set<C>> byState = new EnumMap<>(ClientConnectionState.class);
 
     /**
-     * @param withEase connections held at a time; beyond that idle ones make room
-     * @param most beyond that all that wait for a first request do
+     * Creates the bookkeeping for no connection yet.
+     *
+     * @param counters counts accepted and closed connections
+     * @param sockets the connections themselves
+     * @param softLimit the number of connections above which connections without a request are evicted once they are
+     *     idle or no longer new
+     * @param hardLimit the number above which any connection that awaits its first request may be evicted
      */
-    public ClientConnections(Counters counters, Sockets<C> sockets, int withEase, int most) {
+    public ClientConnections(Counters counters, ClientSockets<C> sockets, int softLimit, int hardLimit) {
         this.counters = counters;
         this.sockets = sockets;
-        this.withEase = withEase;
-        this.most = most;
-        for (State state : State.values()) {
-            by.put(state, new LinkedHashSet<>());
+        this.softLimit = softLimit;
+        this.hardLimit = hardLimit;
+        for (ClientConnectionState state : ClientConnectionState.values()) {
+            byState.put(state, new LinkedHashSet<>());
         }
     }
 
+    /** The number of open connections. */
     public int size() {
-        return all.size();
+        return entries.size();
     }
 
-    /** All that stand now. */
+    /** All open connections. */
     List<C> connections() {
-        return new ArrayList<>(all.keySet());
+        return new ArrayList<>(entries.keySet());
     }
 
-    /** Its state, or null once it is gone. */
-    public State state(C connection) {
-        Standing standing = all.get(connection);
-        return standing == null ? null : standing.state;
+    /** The state of a connection, or null once it is closed. */
+    ClientConnectionState state(C connection) {
+        Entry entry = entries.get(connection);
+        return entry == null ? null : entry.state;
     }
 
-    /** One was accepted. */
-    public void came(long nowUs, C connection) {
+    /** A connection was accepted. */
+    public void accepted(long nowUs, C connection) {
         counters.add("client connections");
-        Standing standing = new Standing();
-        standing.byUs = nowUs + WHOLE_WITHIN_US;
-        all.put(connection, standing);
-        by.get(State.SILENT).add(connection);
+        Entry entry = new Entry();
+        entry.deadlineUs = nowUs + REQUEST_TIMEOUT_US;
+        entries.put(connection, entry);
+        byState.get(ClientConnectionState.AWAITING_FIRST_REQUEST).add(connection);
     }
 
     /** Bytes from the client were read, whatever they mean. */
-    public void bytes(long nowUs, C connection) {
-        Standing standing = all.get(connection);
-        if (standing == null) {
+    public void bytesRead(long nowUs, C connection) {
+        Entry entry = entries.get(connection);
+        if (entry == null) {
             return;
         }
-        switch (standing.state) {
-            case SILENT -> move(connection, standing, State.COMING, standing.byUs);
-            case BETWEEN -> move(connection, standing, State.COMING, nowUs + WHOLE_WITHIN_US);
-            case OWED, ANSWERING -> standing.early = true;
-            case COMING -> {}
+        switch (entry.state) {
+            case AWAITING_FIRST_REQUEST ->
+                enter(ClientConnectionState.READING_REQUEST, connection, entry, entry.deadlineUs);
+            case IDLE -> enter(ClientConnectionState.READING_REQUEST, connection, entry, nowUs + REQUEST_TIMEOUT_US);
+            case AWAITING_RESPONSE, WRITING_RESPONSE -> entry.nextRequestBegun = true;
+            case READING_REQUEST -> {}
         }
     }
 
-    /** A request is whole: until it is answered, its connection stays. */
-    public void whole(C connection) {
-        Standing standing = all.get(connection);
-        if (standing != null) {
-            counters.holds(standing.state == State.COMING, "a req whole on a connection on which none was coming");
-            move(connection, standing, State.OWED, Long.MAX_VALUE);
+    /** A request is complete: its connection stays open until the response is written. */
+    public void requestCompleted(C connection) {
+        Entry entry = entries.get(connection);
+        if (entry != null) {
+            counters.checkInvariant(
+                    entry.state == ClientConnectionState.READING_REQUEST,
+                    "a req whole on a connection on which none was coming");
+            enter(ClientConnectionState.AWAITING_RESPONSE, connection, entry, Long.MAX_VALUE);
         }
     }
 
-    /** An answer begins to go out, to a whole request or as a refusal. */
-    public void answering(long nowUs, C connection) {
-        Standing standing = all.get(connection);
-        if (standing != null) {
-            move(connection, standing, State.ANSWERING, nowUs + IDLE_US);
+    /** A response begins to be written, to a complete request or as the rejection of an incomplete one. */
+    public void responseStarted(long nowUs, C connection) {
+        Entry entry = entries.get(connection);
+        if (entry != null) {
+            enter(ClientConnectionState.WRITING_RESPONSE, connection, entry, nowUs + IDLE_TIMEOUT_US);
         }
     }
 
-    /** The last byte of an answer has left; {@code more}: bytes behind its request were read together with it. */
-    public void answered(long nowUs, C connection, boolean more) {
-        Standing standing = all.get(connection);
-        if (standing != null && (standing.early || more)) {
-            standing.early = false;
-            move(connection, standing, State.COMING, nowUs + WHOLE_WITHIN_US);
-        } else if (standing != null) {
-            move(connection, standing, State.BETWEEN, nowUs + IDLE_US);
+    /**
+     * The last byte of a response was written.
+     *
+     * @param nowUs the current time
+     * @param connection the connection
+     * @param pipelined whether bytes of the next request were read together with the request
+     */
+    public void responseWritten(long nowUs, C connection, boolean pipelined) {
+        Entry entry = entries.get(connection);
+        if (entry == null) {
+            return;
+        }
+        if (entry.nextRequestBegun || pipelined) {
+            entry.nextRequestBegun = false;
+            enter(ClientConnectionState.READING_REQUEST, connection, entry, nowUs + REQUEST_TIMEOUT_US);
+        } else {
+            enter(ClientConnectionState.IDLE, connection, entry, nowUs + IDLE_TIMEOUT_US);
         }
     }
 
-    /** It has ended, whoever ended it. */
-    public void gone(C connection) {
-        Standing standing = all.remove(connection);
-        if (standing != null) {
-            by.get(standing.state).remove(connection);
+    /** Forgets a connection: it was closed by whichever side, or carries another protocol now. */
+    public void remove(C connection) {
+        Entry entry = entries.remove(connection);
+        if (entry != null) {
+            byState.get(entry.state).remove(connection);
         }
     }
 
-    private void move(C connection, Standing standing, State to, long byUs) {
-        by.get(standing.state).remove(connection);
-        standing.state = to;
-        standing.byUs = byUs;
-        standing.spared = false;
-        by.get(to).add(connection);
+    private void enter(ClientConnectionState state, C connection, Entry entry, long deadlineUs) {
+        byState.get(entry.state).remove(connection);
+        entry.state = state;
+        entry.deadlineUs = deadlineUs;
+        entry.foundOverdue = false;
+        byState.get(state).add(connection);
     }
 
     /**
-     * Ends those whose time is up. What is in the middle of something is ended at the second look after that:
-     * in
-     * between the relay has read and written what it could.
+     * Closes the connections whose deadline has passed. One that is in the middle of a request or response is closed only
+     * at the second check after its deadline: in between the relay has read and written what it could.
      */
-    public void endOverdue(long nowUs) {
-        for (State state : List.of(State.SILENT, State.COMING, State.ANSWERING, State.BETWEEN)) {
+    public void closeOverdue(long nowUs) {
+        for (ClientConnectionState state : STATES_WITH_TIMEOUT) {
             for (C connection : overdue(state, nowUs)) {
-                Standing standing = all.get(connection);
-                boolean midway = state == State.COMING || state == State.ANSWERING;
-                if (midway && !standing.spared) {
-                    standing.spared = true;
+                Entry entry = entries.get(connection);
+                if (!state.isQuiet() && !entry.foundOverdue) {
+                    entry.foundOverdue = true;
                 } else {
-                    end(
-                            nowUs,
-                            connection,
-                            switch (state) {
-                                case SILENT -> Why.SILENT;
-                                case COMING -> Why.UNFINISHED;
-                                case ANSWERING -> Why.ANSWER_UNREAD;
-                                default -> Why.IDLE;
-                            });
+                    close(nowUs, connection, ClientCloseReason.ofTimeoutIn(state));
                 }
             }
         }
     }
 
-    /**
-     * Of a first request the time runs from accept, of a later one from its first byte: only these are not in
-     * order.
-     */
-    private List<C> overdue(State state, long nowUs) {
-        List<C> due = new ArrayList<>();
-        for (C connection : by.get(state)) {
-            if (all.get(connection).byUs <= nowUs) {
-                due.add(connection);
-            } else if (state != State.COMING) {
+    private List<C> overdue(ClientConnectionState state, long nowUs) {
+        // The deadline of a first request runs from accept and of a later one from its first byte, so that only the
+        // deadlines of this state are not in the order of entry.
+        boolean inOrder = state != ClientConnectionState.READING_REQUEST;
+        List<C> overdue = new ArrayList<>();
+        for (C connection : byState.get(state)) {
+            if (entries.get(connection).deadlineUs <= nowUs) {
+                overdue.add(connection);
+            } else if (inOrder) {
                 break;
             }
         }
-        return due;
+        return overdue;
     }
 
     /**
-     * Guards against connections that keep others from being accepted, or clients from opening one more.
-     * Beyond
-     * what is held with ease, those that are silent for a while go first, then those between requests; beyond the
-     * most,
-     * any that is silent; the longest waiting first. A connection that has just come is silent only until its
-     * request is read. Could harm a client whose first request is slow to come while very many others connect.
+     * Evicts at most one connection if there are too many. Guards against connections that keep others from being
+     * accepted, and against clients that open ever more. Above the soft limit, connections that have waited for their
+     * first request for a while go first, then idle ones; above the hard limit, any that awaits its first request; the
+     * oldest first. A connection that has just been accepted awaits its first request only until that is read. Could
+     * harm a client whose first request is slow to arrive while very many others connect.
      */
-    public void makeRoom(long nowUs) {
-        if (all.size() > withEase
-                && !endFirst(nowUs, State.SILENT, nowUs + WHOLE_WITHIN_US - SOON_US, Why.ROOM_SILENT)
-                && !endFirst(nowUs, State.BETWEEN, Long.MAX_VALUE, Why.ROOM_IDLE)
-                && all.size() > most) {
-            endFirst(nowUs, State.SILENT, Long.MAX_VALUE, Why.ROOM_SILENT);
+    public void evictIfCrowded(long nowUs) {
+        if (entries.size() <= softLimit) {
+            return;
+        }
+        long agedBeforeUs = nowUs + REQUEST_TIMEOUT_US - EVICTION_MIN_AGE_US;
+        boolean evicted = evictOldest(
+                        nowUs,
+                        ClientConnectionState.AWAITING_FIRST_REQUEST,
+                        agedBeforeUs,
+                        ClientCloseReason.EVICTED_WITHOUT_REQUEST)
+                || evictOldest(nowUs, ClientConnectionState.IDLE, Long.MAX_VALUE, ClientCloseReason.EVICTED_IDLE);
+        if (!evicted && entries.size() > hardLimit) {
+            evictOldest(
+                    nowUs,
+                    ClientConnectionState.AWAITING_FIRST_REQUEST,
+                    Long.MAX_VALUE,
+                    ClientCloseReason.EVICTED_WITHOUT_REQUEST);
         }
     }
 
-    /** Ends the longest in a state that was to be done before that time; tells whether one went. */
-    private boolean endFirst(long nowUs, State state, long beforeUs, Why why) {
-        for (int looked = 0; looked < LOOKED_AT; looked++) {
-            Iterator<C> first = by.get(state).iterator();
-            if (!first.hasNext()) {
+    /** Closes the oldest connection of a state whose deadline is before a time; returns whether one was closed. */
+    private boolean evictOldest(
+            long nowUs, ClientConnectionState state, long deadlineBeforeUs, ClientCloseReason reason) {
+        for (int examined = 0; examined < MAX_EVICTION_CANDIDATES; examined++) {
+            // A candidate that may not be closed has changed its state, so that the next one is the first now.
+            Iterator<C> oldest = byState.get(state).iterator();
+            if (!oldest.hasNext()) {
                 return false;
             }
-            C connection = first.next();
-            if (all.get(connection).byUs >= beforeUs) {
+            C connection = oldest.next();
+            if (entries.get(connection).deadlineUs >= deadlineBeforeUs) {
                 return false;
             }
-            if (end(nowUs, connection, why)) {
+            if (close(nowUs, connection, reason)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Ends those on which nothing is under way. */
-    public void endIdle(long nowUs) {
-        for (State state : List.of(State.SILENT, State.BETWEEN)) {
-            for (C connection : new ArrayList<>(by.get(state))) {
-                end(nowUs, connection, Why.LEAVING);
+    /** Closes, for shutdown, the connections on which nothing is under way. */
+    public void closeQuiet(long nowUs) {
+        for (ClientConnectionState state :
+                List.of(ClientConnectionState.AWAITING_FIRST_REQUEST, ClientConnectionState.IDLE)) {
+            for (C connection : new ArrayList<>(byState.get(state))) {
+                close(nowUs, connection, ClientCloseReason.SHUTDOWN);
             }
         }
     }
 
     /**
-     * Ends one if that may be; tells whether it did. A client that left and one that was refused may be ended
-     * in
-     * any state: nothing is owed there.
+     * Closes a connection if that is allowed.
+     *
+     * @param nowUs the current time
+     * @param connection the connection
+     * @param reason why it is to be closed
+     * @return whether it was closed
      */
-    public boolean end(long nowUs, C connection, Why why) {
-        Standing standing = all.get(connection);
-        if (standing == null) {
+    public boolean close(long nowUs, C connection, ClientCloseReason reason) {
+        Entry entry = entries.get(connection);
+        if (entry == null) {
             return false;
         }
-        boolean owesNothing = why == Why.LEFT || why == Why.REFUSED;
-        if (!owesNothing && standing.state == State.OWED) {
-            counters.holds(false, "a connection to be ended that is owed an answer");
-            return false;
-        }
-        boolean standsStill = standing.state == State.SILENT || standing.state == State.BETWEEN;
-        if (!owesNothing && standsStill && sockets.unread(connection)) {
-            counters.add("clients kept, a req lay unread");
-            bytes(nowUs, connection);
-            return false;
+        if (!reason.appliesInAnyState()) {
+            if (entry.state == ClientConnectionState.AWAITING_RESPONSE) {
+                counters.checkInvariant(false, "a connection to be ended that is owed an answer");
+                return false;
+            }
+            if (entry.state.isQuiet() && sockets.hasUnreadBytes(connection)) {
+                counters.add("clients kept, a req lay unread");
+                bytesRead(nowUs, connection);
+                return false;
+            }
         }
-        counters.add(why.counted);
-        State was = standing.state;
-        gone(connection);
-        sockets.end(connection, was, why);
+        counters.add(reason.counter());
+        remove(connection);
+        sockets.close(connection, entry.state, reason);
         return true;
     }
 }
--- a/src/main/java/gatelock/state/Counters.java
+++ b/src/main/java/gatelock/state/Counters.java
@@ -5,29 +5,36 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts since the start, for the operators. */
+/** Event counts since the start, for the operators. The names are part of the log and of the operators' pages. */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
-    private final Map<AttemptResult, Long> endings = new EnumMap<>(AttemptResult.class);
+    private final Map<AttemptResult, Long> attemptsByResult = new EnumMap<>(AttemptResult.class);
 
-    public void add(String what) {
-        counts.merge(what, 1L, Long::sum);
+    /** Counts an event of this name. */
+    public void add(String name) {
+        counts.merge(name, 1L, Long::sum);
     }
 
-    public void ended(AttemptResult ending) {
-        endings.merge(ending, 1L, Long::sum);
+    /** Counts an attempt that ended so. */
+    public void attemptEnded(AttemptResult result) {
+        attemptsByResult.merge(result, 1L, Long::sum);
     }
 
-    /** What must hold: asserted in debug builds, counted in release builds. */
-    public void holds(boolean condition, String otherwise) {
-        assert condition : otherwise;
+    /**
+     * Checks an invariant: a violation fails an assertion where assertions are enabled, and is counted elsewhere.
+     *
+     * @param condition what must hold
+     * @param violation the name under which a violation is counted
+     */
+    public void checkInvariant(boolean condition, String violation) {
+        assert condition : violation;
         if (!condition) {
-            add("broken: " + otherwise);
+            add("broken: " + violation);
         }
     }
 
     @Override
     public String toString() {
-        return counts + " tries " + endings;
+        return counts + " tries " + attemptsByResult;
     }
 }
--- a/src/main/java/gatelock/state/EndpointAddresses.java
+++ b/src/main/java/gatelock/state/EndpointAddresses.java
@@ -2,52 +2,72 @@
 
 import gatelock.api.Endpoint;
 import java.net.InetSocketAddress;
+import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 
-/** Where each endpoint is to be reached, as discovery last told. */
+/** The address of each endpoint, as discovery listed it last. */
 public final class EndpointAddresses {
 
-    /** What stands behind an endpoint's name: its address, and the process and state that were listed there. */
-    public record Place(InetSocketAddress address, Endpoint listed) {}
+    /**
+     * What an endpoint's name stands for.
+     *
+     * @param address its address
+     * @param listed the entry, with the process and state that were listed there
+     */
+    public record Entry(InetSocketAddress address, Endpoint listed) {}
 
-    private final Map<String, Place> places = new HashMap<>();
+    private final Map<String, Entry> entries = new HashMap<>();
 
-    public Place get(String endpoint) {
-        return places.get(endpoint);
+    /** The address and entry of an endpoint, or null if it is not listed. */
+    public Entry get(String endpoint) {
+        return entries.get(endpoint);
     }
 
     /** How many endpoints are known. */
     public int size() {
-        return places.size();
+        return entries.size();
     }
 
-    /** Notes an entry; returns the addresses to which standing connections serve no more. */
+    /**
+     * Records an entry; one of an endpoint that has left removes it.
+     *
+     * @param address the endpoint's address
+     * @param listed its entry
+     * @return the addresses to which open connections must no longer be used
+     */
     public List<InetSocketAddress> put(InetSocketAddress address, Endpoint listed) {
-        Place place = new Place(address, listed);
-        Place before = listed.health() == Endpoint.Health.GONE
-                ? places.remove(listed.endpoint())
-                : places.put(listed.endpoint(), place);
+        Entry entry = new Entry(address, listed);
+        Entry before = listed.health() == Endpoint.Health.GONE
+                ? entries.remove(listed.endpoint())
+                : entries.put(listed.endpoint(), entry);
         if (before == null) {
-            // An address may come back under another name: whoever stood there before is another process.
+            // An address may come back under another name: the process that was there before is another one.
             return List.of(address);
         }
-        boolean same = listed.health() == Endpoint.Health.READY
+        boolean unchanged = listed.health() == Endpoint.Health.READY
                 && before.address.equals(address)
                 && before.listed.startUs() == listed.startUs()
                 && before.listed.build() == listed.build();
-        return same ? List.of() : List.of(before.address, address);
+        return unchanged ? List.of() : List.of(before.address, address);
     }
 
-    /** Forgets all endpoints but these; returns where those stood. */
+    /**
+     * Forgets all endpoints but these.
+     *
+     * @param endpoints the names of those that stay
+     * @return the addresses of the forgotten ones
+     */
     public List<InetSocketAddress> keepOnly(Set<String> endpoints) {
-        List<InetSocketAddress> left = places.entrySet().stream()
-                .filter(e -> !endpoints.contains(e.getKey()))
-                .map(e -> e.getValue().address)
-                .toList();
-        places.keySet().retainAll(endpoints);
-        return left;
+        List<InetSocketAddress> forgotten = new ArrayList<>();
+        entries.forEach((name, entry) -> {
+            if (!endpoints.contains(name)) {
+                forgotten.add(entry.address);
+            }
+        });
+        entries.keySet().retainAll(endpoints);
+        return List.copyOf(forgotten);
     }
 }
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -5,65 +5,87 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request that was taken and is not settled yet. What goes on to an endpoint stays the bytes that came. */
+/**
+ * A request that was read and whose attempts have not all ended yet. Its head and body are forwarded to endpoints byte for
+ * byte.
+ */
 public final class InFlightRequest {
     private final String id;
     private final byte[] head;
     private final byte[] body;
-    private final long endUs;
-    private final ResponseSink caller;
-    private final List<Runnable> calledOff = new ArrayList<>(2);
+    private final long deadlineUs;
+    private final ResponseSink responseSink;
+    private final List<Runnable> cancellations = new ArrayList<>(2);
     private RequestHandle handle;
     private boolean over;
     private Runnable whenOver;
     private Opening opening;
 
     /**
-     * @param head first line and headers as an endpoint gets them, all but those that change with each attempt
-     * @param endUs until when the caller waits
+     * Creates a request that the decision engine does not know yet.
+     *
+     * @param id its id, unique among the requests in flight
+     * @param head the request line and the headers as endpoints get them, without those that differ for each attempt and
+     *     without the empty line at the end
+     * @param body its body, which may be empty
+     * @param deadlineUs until when the client waits
+     * @param responseSink where the response goes
      */
-    public InFlightRequest(String id, byte[] head, byte[] body, long endUs, ResponseSink caller) {
+    public InFlightRequest(String id, byte[] head, byte[] body, long deadlineUs, ResponseSink responseSink) {
         this.id = id;
         this.head = head;
         this.body = body;
-        this.endUs = endUs;
-        this.caller = caller;
+        this.deadlineUs = deadlineUs;
+        this.responseSink = responseSink;
     }
 
+    /** The id that the client gave it. */
     public String id() {
         return id;
     }
 
+    /** The request line and the headers, without those that differ for each attempt; not to be changed. */
     public byte[] head() {
         return head;
     }
 
+    /** The body; not to be changed. */
     public byte[] body() {
         return body;
     }
 
+    /** Until when the client waits, on the clock of the event loop. */
     public long endUs() {
-        return endUs;
+        return deadlineUs;
     }
 
-    public ResponseSink caller() {
-        return caller;
+    /** Where the one response goes. */
+    public ResponseSink responseSink() {
+        return responseSink;
     }
 
+    /** The decision engine's handle, or null before {@link #accepted}. */
     public RequestHandle handle() {
         return handle;
     }
 
-    public void taken(RequestHandle handle) {
+    /** Records that the decision engine has accepted the request. */
+    public void accepted(RequestHandle handle) {
         this.handle = handle;
     }
 
-    /** Whether the final answer is given or the caller has left. */
+    /** Whether the decision engine has accepted it; not yet while it waits in a queue before that. */
+    public boolean isAccepted() {
+        return handle != null;
+    }
+
+    /** Whether the final answer was given or the client has left. */
     public boolean over() {
         return over;
     }
 
-    public void close() {
+    /** Marks the request as over and runs the action set for that. */
+    void markOver() {
         over = true;
         if (whenOver != null) {
             whenOver.run();
@@ -71,45 +93,54 @@
         }
     }
 
-    /** How tries of a request go out that is no ordinary one. */
+    /** Starts the attempts of a request that is not an ordinary HTTP exchange. */
     public interface Opening {
-        /** Makes one attempt at an endpoint; without an address it can't come to be connected. */
+        /**
+         * Makes one attempt.
+         *
+         * @param address the endpoint's address; null if it is not known any more, so that the attempt ends as not
+         *     connected
+         * @param endpoint the endpoint's name
+         * @param timeoutUs how long the attempt may take, in microseconds; 0 for as long as the request
+         */
         void send(InetSocketAddress address, String endpoint, long timeoutUs);
     }
 
-    /** Null for an ordinary request. */
+    /** What starts its attempts; null for an ordinary request. */
     public Opening opening() {
         return opening;
     }
 
+    /** Has all of its attempts started by this. */
     public void opensBy(Opening opening) {
         this.opening = opening;
     }
 
-    /** Takes over what is to be done once it is over; the request does it no more. May be null. */
+    /** Removes and returns the action set for the end of the request, which the caller now has to run; may be null. */
     public Runnable takeWhenOver() {
-        Runnable what = whenOver;
+        Runnable action = whenOver;
         whenOver = null;
-        return what;
-    }
-
-    /** What is to be done once it has its answer or its caller left. */
-    public void whenOver(Runnable what) {
-        whenOver = what;
+        return action;
     }
 
-    /** Whether the decisions have it: a request that waits for its limits is not theirs yet. */
-    public boolean taken() {
-        return handle != null;
+    /** Sets the action that runs once the request is over. */
+    public void whenOver(Runnable action) {
+        whenOver = action;
     }
 
-    /** Numbers a new try from 0 in the order sent; {@code callOff} gives it up. */
-    public int addAttempt(Runnable callOff) {
-        calledOff.add(callOff);
-        return calledOff.size() - 1;
+    /**
+     * Registers an attempt.
+     *
+     * @param cancellation cancels it
+     * @return its number, from 0 in the order sent
+     */
+    public int addAttempt(Runnable cancellation) {
+        cancellations.add(cancellation);
+        return cancellations.size() - 1;
     }
 
-    public Runnable callOff(int attemptNo) {
-        return calledOff.get(attemptNo);
+    /** Cancels an attempt; without effect if it has ended. */
+    public void cancelAttempt(int attemptNo) {
+        cancellations.get(attemptNo).run();
     }
 }
--- a/src/main/java/gatelock/state/InFlightRequests.java
+++ b/src/main/java/gatelock/state/InFlightRequests.java
@@ -3,34 +3,43 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All requests not settled yet, by id; a request whose caller has its answer stays until its last attempt has ended. */
+/** All requests in flight, by id. An answered request stays until its last attempt has ended. */
 public final class InFlightRequests {
     private final Map<String, InFlightRequest> byId = new HashMap<>();
     private final Counters counters;
 
+    /**
+     * Creates an empty set.
+     *
+     * @param counters counts violations of "one final answer"
+     */
     public InFlightRequests(Counters counters) {
         this.counters = counters;
     }
 
+    /** The request of this id, or null. */
     public InFlightRequest get(String id) {
         return byId.get(id);
     }
 
+    /** How many requests are in flight. */
     public int size() {
         return byId.size();
     }
 
+    /** Adds a request; its id must not be in use. */
     public void add(InFlightRequest request) {
         byId.put(request.id(), request);
     }
 
-    /** Notes that a request has its final answer or its caller left. */
-    public void close(InFlightRequest request) {
-        counters.holds(!request.over(), "a second final answer");
-        request.close();
+    /** Records that a request gets its final answer now or that its client has left. */
+    public void markOver(InFlightRequest request) {
+        counters.checkInvariant(!request.over(), "a second final answer");
+        request.markOver();
     }
 
-    public void forget(InFlightRequest request) {
+    /** Forgets a request to which nothing more can happen. */
+    public void remove(InFlightRequest request) {
         byId.remove(request.id());
     }
 }
--- a/src/main/java/gatelock/state/LogField.java
+++ b/src/main/java/gatelock/state/LogField.java
@@ -1,12 +1,15 @@
 package gatelock.state;
 
 /**
- * A value in a log line that bears a name, so that a structured log has it as a field. Goes among the
- * parameters of a
- * System.Logger call; a plain log shows the value.
+ * A named value among the parameters of a {@link System.Logger} call: a structured log shows it as a field of its own, a
+ * plain log shows the value only.
+ *
+ * @param name the field's name
+ * @param value the value; may be null
  */
 public record LogField(String name, Object value) {
 
+    /** Returns a field of this name and value. */
     public static LogField of(String name, Object value) {
         return new LogField(name, value);
     }
--- a/src/main/java/gatelock/state/ResponseSink.java
+++ b/src/main/java/gatelock/state/ResponseSink.java
@@ -1,14 +1,22 @@
 package gatelock.state;
 
-/** Whoever waits for a request's answer, in whatever protocol it came; gets exactly one. */
+/** Where the response to a client's request goes, whatever the protocol. Exactly one of the methods is called, once. */
 public interface ResponseSink {
 
-    /** Passes on what an endpoint answered. */
-    void completed(UpstreamResponse answer);
+    /** Forwards an endpoint's response. */
+    void forward(UpstreamResponse response);
 
-    /** Not done, trying again is harmless, best after {@code pauseUs} (0: no advice). */
-    void shed(long pauseUs);
+    /**
+     * Rejects the request: it was not executed, and may be retried without harm.
+     *
+     * @param retryAfterUs when the client had best retry, in microseconds from now; 0 for no advice
+     */
+    void reject(long retryAfterUs);
 
-    /** Errored, nothing promised. */
-    void errored(boolean late);
+    /**
+     * Reports that the request failed; it may have been executed.
+     *
+     * @param timedOut whether the client's time is over
+     */
+    void fail(boolean timedOut);
 }
--- a/src/main/java/gatelock/state/package-info.java
+++ b/src/main/java/gatelock/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a relay holds in memory: open requests, endpoint addresses, idle connections, counters. Nothing here speaks
- * or decides.
+ * What a relay holds in memory: requests in flight, client connections, endpoint addresses, idle connections, counters.
+ * Nothing here does I/O, and all of it is used by the one I/O thread only.
  */
 package gatelock.state;
--- a/src/test/java/gatelock/http/ClientListenerTest.java
+++ b/src/test/java/gatelock/http/ClientListenerTest.java
@@ -21,50 +21,50 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The listener alone, on an I/O thread that the test holds up. */
+/** The listener alone, on an I/O thread that the test delays. */
 final class ClientListenerTest {
-    private static final String REQ = "GET /read HTTP/1.1\r\nHost: x\r\n\r\n";
+    private static final String REQUEST = "GET /read HTTP/1.1\r\nHost: x\r\n\r\n";
 
     @Test
     void aRequestThatCameWhileTheThreadWasLateIsAnsweredThoughItsConnectionWasDueToEnd() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
-        List<Socket> standing = new ArrayList<>();
+        List<Socket> connected = new ArrayList<>();
         try {
-            EventLoop turn = new EventLoop(worker.getIoThread());
-            ClientListener front = new ClientListener(turn, new Counters(), 200, 300);
-            InetSocketAddress at = front.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            front.admit(
+            EventLoop eventLoop = new EventLoop(worker.getIoThread());
+            ClientListener listener = new ClientListener(eventLoop, new Counters(), 200, 300);
+            InetSocketAddress address = listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            listener.admit(
                     exchange -> {
-                        front.whole(exchange);
-                        front.last(exchange);
+                        listener.requestCompleted(exchange);
+                        listener.responseStarts(exchange);
                         exchange.getResponseSender().send("fine");
                     },
                     true);
             for (int i = 0; i < 60; i++) {
-                standing.add(new Socket(at.getAddress(), at.getPort()));
-                standing.get(i).getOutputStream().write(REQ.getBytes(StandardCharsets.US_ASCII));
-                assertThat(answered(standing.get(i))).isTrue();
+                connected.add(new Socket(address.getAddress(), address.getPort()));
+                connected.get(i).getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+                assertThat(answered(connected.get(i))).isTrue();
                 Thread.sleep(5);
             }
-            // All are due to end within half a second from about here.
+            // The idle timeouts of all connections pass within half a second from about here.
             Thread.sleep(1_500);
             for (int i = 0; i < 60; i += 5) {
-                CountDownLatch on = DelayedIoThread.hold(turn);
-                List<Socket> asking = new ArrayList<>();
-                for (Socket client : standing.subList(i, i + 5)) {
+                CountDownLatch release = DelayedIoThread.hold(eventLoop);
+                List<Socket> requesting = new ArrayList<>();
+                for (Socket client : connected.subList(i, i + 5)) {
                     if (!hasEnded(client)) {
-                        client.getOutputStream().write(REQ.getBytes(StandardCharsets.US_ASCII));
-                        asking.add(client);
+                        client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
+                        requesting.add(client);
                     }
                 }
                 Thread.sleep(80);
-                on.countDown();
-                for (Socket client : asking) {
+                release.countDown();
+                for (Socket client : requesting) {
                     assertThat(answered(client)).isTrue();
                 }
             }
         } finally {
-            for (Socket client : standing) {
+            for (Socket client : connected) {
                 client.close();
             }
             worker.shutdownNow();
@@ -83,7 +83,7 @@
         return false;
     }
 
-    /** Whether the end of a connection has come: while the thread is held up, no more ends than have come. */
+    /** Whether the relay has closed a connection; while the I/O thread is delayed it closes no more of them. */
     private static boolean hasEnded(Socket client) throws IOException {
         client.setSoTimeout(1);
         try {
--- a/src/test/java/gatelock/state/ClientConnectionsTest.java
+++ b/src/test/java/gatelock/state/ClientConnectionsTest.java
@@ -10,100 +10,98 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 
-/**
- * Random arrivals, partial reads, stalls, timers and answers against clients that know what they were owed.
- */
+/** Random arrivals, partial reads, stalls, timers and responses, checked by clients that know what they are owed. */
 final class ClientConnectionsTest {
     private static final int STEPS = 1_500;
+    private static final int PARTS = 3;
 
-    /** One client's side of a connection, and what the kernel holds for the relay. */
+    /** One client's side of a connection, with the bytes that the kernel holds for the relay. */
     private static final class Client {
         private boolean open = true;
-        /** Parts of a request written and, of these, read; three make it whole. */
+        /** How many parts of a request were written; {@code PARTS} make it complete. */
         private int written;
-
+        /** How many of these the relay has read. */
         private int read;
+
         private boolean answering;
-        /** From its first byte on a connection that stood, or from accept. */
+        /** When the request began: its first byte on an idle connection, else accept. */
         private long sinceUs;
 
-        private long wholeUs;
-        private ClientConnections.Why why;
+        private long completeUs;
+        private ClientCloseReason closeReason;
     }
 
-    private final class World implements ClientConnections.Sockets<Client> {
+    private static final class World implements ClientSockets<Client> {
         private final RandomGenerator random;
         private final List<Client> clients = new ArrayList<>();
-        private final ClientConnections<Client> kept;
+        private final ClientConnections<Client> connections;
         private long nowUs = 1;
         private int served;
 
-        World(long seed, int withEase, int most) {
+        World(long seed, int softLimit, int hardLimit) {
             random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-            kept = new ClientConnections<>(new Counters(), this, withEase, most);
+            connections = new ClientConnections<>(new Counters(), this, softLimit, hardLimit);
         }
 
         @Override
-        public boolean unread(Client c) {
+        public boolean hasUnreadBytes(Client c) {
             return c.written > c.read;
         }
 
         @Override
-        public void end(Client c, ClientConnections.State state, ClientConnections.Why why) {
-            boolean inTime = c.written == 3 && c.wholeUs - c.sinceUs <= ClientConnections.WHOLE_WITHIN_US;
-            assertThat(c.open && (inTime || c.answering) && why != ClientConnections.Why.ANSWER_UNREAD)
-                    .as("%s in %s, written %d, read %d", why, state, c.written, c.read)
+        public void close(Client c, ClientConnectionState state, ClientCloseReason closeReason) {
+            boolean completeInTime =
+                    c.written == PARTS && c.completeUs - c.sinceUs <= ClientConnections.REQUEST_TIMEOUT_US;
+            assertThat(c.open && (completeInTime || c.answering) && closeReason != ClientCloseReason.RESPONSE_NOT_READ)
+                    .as("%s in %s, written %d, read %d", closeReason, state, c.written, c.read)
                     .isFalse();
             c.open = false;
-            c.why = why;
+            c.closeReason = closeReason;
         }
 
-        /** What clients do, at any time, whether or not the relay runs. */
+        /** Has some of the clients write, at any time, whether or not the I/O thread runs. */
         private void write(double share) {
             for (Client c : clients) {
-                if (c.open && c.written < 3 && !c.answering && random.nextDouble() < share) {
-                    if (c.written == 0 && kept.state(c) != ClientConnections.State.SILENT) {
+                if (c.open && c.written < PARTS && !c.answering && random.nextDouble() < share) {
+                    if (c.written == 0 && connections.state(c) != ClientConnectionState.AWAITING_FIRST_REQUEST) {
                         c.sinceUs = nowUs;
                     }
-                    c.written = random.nextBoolean() ? 3 : c.written + 1;
-                    c.wholeUs = nowUs;
+                    c.written = random.nextBoolean() ? PARTS : c.written + 1;
+                    c.completeUs = nowUs;
                 }
             }
         }
 
-        /**
-         * One turn of the relay's thread: timers first, then what was accepted, then what can be read or
-         * written.
-         */
-        private void turn(int accepted) {
-            kept.endOverdue(nowUs);
+        /** One round of the I/O thread: timers first, then what was accepted, then what can be read or written. */
+        private void runOnce(int accepted) {
+            connections.closeOverdue(nowUs);
             for (int i = 0; i < accepted; i++) {
                 Client c = new Client();
                 c.sinceUs = nowUs;
                 clients.add(c);
-                kept.came(nowUs, c);
-                kept.makeRoom(nowUs);
+                connections.accepted(nowUs, c);
+                connections.evictIfCrowded(nowUs);
             }
             clients.removeIf(c -> !c.open);
             for (Client c : clients) {
                 if (c.read < c.written) {
                     c.read = c.written;
-                    kept.bytes(nowUs, c);
-                    if (c.read == 3) {
-                        kept.whole(c);
+                    connections.bytesRead(nowUs, c);
+                    if (c.read == PARTS) {
+                        connections.requestCompleted(c);
                     }
                 } else if (c.answering && random.nextInt(3) == 0) {
                     c.answering = false;
                     served++;
-                    kept.answered(nowUs, c, false);
-                } else if (kept.state(c) == ClientConnections.State.OWED && random.nextInt(4) == 0) {
+                    connections.responseWritten(nowUs, c, false);
+                } else if (connections.state(c) == ClientConnectionState.AWAITING_RESPONSE && random.nextInt(4) == 0) {
                     c.answering = true;
                     c.written = 0;
                     c.read = 0;
-                    kept.answering(nowUs, c);
+                    connections.responseStarted(nowUs, c);
                 } else if (random.nextInt(400) == 0) {
                     c.open = false;
-                    kept.gone(c);
+                    connections.remove(c);
                 }
             }
             clients.removeIf(c -> !c.open);
@@ -120,35 +118,36 @@
                     ? world.random.nextLong(1, 4_000_000)
                     : world.random.nextLong(1, 60_000);
             world.write(share);
-            world.turn(world.random.nextInt(4) == 0 ? world.random.nextInt(6) : 0);
-            assertThat(world.kept.connections()).containsExactlyInAnyOrderElementsOf(world.clients);
+            world.runOnce(world.random.nextInt(4) == 0 ? world.random.nextInt(6) : 0);
+            assertThat(world.connections.connections()).containsExactlyInAnyOrderElementsOf(world.clients);
         }
         assertThat(world.served).isPositive();
-        // When nobody says anything any more, all of them go, each within its time.
+        // Once no client writes any more, every connection is closed within its timeout.
         for (Client c : world.clients) {
-            c.written = c.read = 0;
+            c.written = 0;
+            c.read = 0;
         }
         List<Client> left = List.copyOf(world.clients);
         left.stream()
-                .filter(c -> world.kept.state(c) == ClientConnections.State.OWED)
-                .forEach(c -> world.kept.answering(world.nowUs, c));
+                .filter(c -> world.connections.state(c) == ClientConnectionState.AWAITING_RESPONSE)
+                .forEach(c -> world.connections.responseStarted(world.nowUs, c));
         for (int i = 0; i < 60; i++) {
             world.nowUs += 50_000;
-            world.kept.endOverdue(world.nowUs);
+            world.connections.closeOverdue(world.nowUs);
         }
-        assertThat(world.kept.size()).isZero();
+        assertThat(world.connections.size()).isZero();
     }
 
     @Property(tries = 20, seed = "16")
     void aDripOfBytesEndsInTime(@ForAll long seed) {
         World world = new World(seed, 20, 40);
-        world.turn(1);
+        world.runOnce(1);
         Client dripping = world.clients.get(0);
         for (int i = 0; i < 60 && dripping.open; i++) {
             world.nowUs += 50_000;
-            world.kept.endOverdue(world.nowUs);
-            world.kept.bytes(world.nowUs, dripping);
+            world.connections.closeOverdue(world.nowUs);
+            world.connections.bytesRead(world.nowUs, dripping);
         }
-        assertThat(dripping.why).isEqualTo(ClientConnections.Why.UNFINISHED);
+        assertThat(dripping.closeReason).isEqualTo(ClientCloseReason.REQUEST_INCOMPLETE);
     }
 }
