--- a/src/main/java/gatelock/api/DecisionEngine.java
+++ b/src/main/java/gatelock/api/DecisionEngine.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The decisions of one relay. The relay calls the engine from a single thread with its own clock, in microseconds, which
- * never goes back. Each call may order actions through the {@link DecisionActions} that the engine was built with,
- * before it returns.
+ * The decisions of one relay. The relay calls the engine from a single thread with its own clock, in microseconds,
+ * which never goes back. Each call may order actions through the {@link DecisionActions} that the engine was built
+ * with, before it returns.
  */
 public interface DecisionEngine {
 
--- a/src/main/java/gatelock/api/RequestHandle.java
+++ b/src/main/java/gatelock/api/RequestHandle.java
@@ -1,6 +1,8 @@
 package gatelock.api;
 
-/** A request that a {@link DecisionEngine} has accepted. Everything that happens to it later is a call on this handle. */
+/**
+ * A request that a {@link DecisionEngine} has accepted. Everything that happens to it later is a call on this handle.
+ */
 public interface RequestHandle {
 
     /**
--- a/src/main/java/gatelock/api/RolloutPolicy.java
+++ b/src/main/java/gatelock/api/RolloutPolicy.java
@@ -10,8 +10,8 @@
  * @param caps for each stage, the share of the requests that the canary may receive, from 0 to 1
  * @param guardedStages the number of stages, from the first, in which the canary receives only idempotent requests
  * @param perRoute whether the cap holds for each route by itself, not for all requests together
- * @param oneWay whether requests with a key that a build has served must not go to an earlier build, unless that build was
- *     rolled back
+ * @param oneWay whether requests with a key that a build has served must not go to an earlier build, unless that
+ *     build was rolled back
  * @param free the attempts that the canary may receive beyond the cap within any window
  * @param backVotes the number of votes that rolls a build back
  * @param votesPerS the votes per second that the release controller accepts from all relays together
--- a/src/main/java/gatelock/http/BodyReader.java
+++ b/src/main/java/gatelock/http/BodyReader.java
@@ -7,7 +7,9 @@
 import org.xnio.ChannelListener;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads the body of a request into memory. Undertow's own receiver reads byte by byte, which cost a third of the time. */
+/**
+ * Reads the body of a request into memory. Undertow's own receiver reads byte by byte, which cost a third of the time.
+ */
 final class BodyReader implements ChannelListener<StreamSourceChannel> {
     private static final int FIRST_CHUNKS_BYTES = 1024;
 
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -233,8 +233,8 @@
     }
 
     /**
-     * Answers a request that is incomplete and will not be read, with the status that is set. Undertow would read the rest
-     * before it answers; here the answer goes first, the rest stays unread, and the connection is closed soon.
+     * Answers a request that is incomplete and will not be read, with the status that is set. Undertow would read the
+     * rest before it answers; here the answer goes first, the rest stays unread, and the connection is closed soon.
      */
     void rejectUnread(HttpServerExchange exchange) {
         exchange.setPersistent(false);
@@ -264,9 +264,9 @@
     }
 
     /**
-     * Shuts down gracefully. New connections are accepted for a while, as the load balancer notices late that the relay is
-     * not ready. Open connections are served for as long as a request can still be answered before the process is killed.
-     * After that each response closes its connection, and the shutdown is complete when none is left.
+     * Shuts down gracefully. New connections are accepted for a while, as the load balancer notices late that the relay
+     * is not ready. Open connections are served for as long as a request can still be answered before the process is
+     * killed. After that each response closes its connection, and the shutdown is complete when none is left.
      *
      * @param killedUs how long the process will live at least, in microseconds from now
      * @param then runs when no connection is left
--- a/src/main/java/gatelock/http/ClientReadConduit.java
+++ b/src/main/java/gatelock/http/ClientReadConduit.java
@@ -8,8 +8,8 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The bytes from one client, below everything that Undertow puts on top of it. Reports each read that brought bytes, and
- * can look for unread bytes without losing them.
+ * The bytes from one client, below everything that Undertow puts on top of it. Reports each read that brought bytes,
+ * and can look for unread bytes without losing them.
  */
 final class ClientReadConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private static final int LOOKAHEAD_BYTES = 512;
--- a/src/main/java/gatelock/http/HttpResponseSink.java
+++ b/src/main/java/gatelock/http/HttpResponseSink.java
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Starts to watch for the end of the client's connection. Undertow does not read while a request awaits its response
-     * and would not notice it.
+     * Starts to watch for the end of the client's connection. Undertow does not read while a request awaits its
+     * response and would not notice it.
      */
     void watchForClose() {
         if (request.over()
--- a/src/main/java/gatelock/http/RequestValidator.java
+++ b/src/main/java/gatelock/http/RequestValidator.java
@@ -19,8 +19,8 @@
     }
 
     /**
-     * Checks a request. Undertow itself rejects one with two lengths, or with a length that is negative or not a number;
-     * a length beyond the range of a long it would misread, hence the check of the digits here.
+     * Checks a request. Undertow itself rejects one with two lengths, or with a length that is negative or not a
+     * number; a length beyond the range of a long it would misread, hence the check of the digits here.
      *
      * @param exchange the request
      * @param route the index of its route, or null if no route matches
--- a/src/main/java/gatelock/pipeline/ActionExecutor.java
+++ b/src/main/java/gatelock/pipeline/ActionExecutor.java
@@ -11,8 +11,8 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Carries out the actions that the decision engine orders. Each one is executed right after the engine call that ordered
- * it, in order, so that no stage is entered while the engine is at work.
+ * Carries out the actions that the decision engine orders. Each one is executed right after the engine call that
+ * ordered it, in order, so that no stage is entered while the engine is at work.
  */
 public final class ActionExecutor implements DecisionActions {
     private static final System.Logger LOG = System.getLogger("gatelock.decision");
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -8,7 +8,9 @@
 import gatelock.state.InFlightRequests;
 import gatelock.state.UpstreamResponse;
 
-/** Last stage: the end of an attempt is counted and reported to the decision engine, and settled requests are removed. */
+/**
+ * Last stage: the end of an attempt is counted and reported to the decision engine, and settled requests are removed.
+ */
 public final class OutcomeRecorder {
     private final EventLoop eventLoop;
     private final InFlightRequests inFlight;
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 
 /**
- * All client connections, each in one {@link ClientConnectionState}. This class alone decides whether a connection may be
- * closed: never while its client is owed a response, and without a request under way only after a look at the bytes that
- * have arrived but were not read yet.
+ * All client connections, each in one {@link ClientConnectionState}. This class alone decides whether a connection may
+ * be closed: never while its client is owed a response, and without a request under way only after a look at the bytes
+ * that have arrived but were not read yet.
  *
  * <p>The look guards against a delayed I/O thread: a request may lie unread at the time when the timer that closes its
  * connection fires. It holds for any order of arrivals, timers and responses. It costs an idle client nothing, and a
@@ -23,13 +23,13 @@
 public final class ClientConnections<C> {
     /**
      * The time in which a request must be complete: the first one from accept, a later one from its first byte. Guards
-     * against clients that send nothing, that never complete a head or body, or that do not read their response. Could
-     * harm a client on a network so slow that one request takes as long.
+     * against clients that send nothing, or that never complete a head or body. Could harm a client on a network so
+     * slow that one request takes as long.
      */
     public static final long REQUEST_TIMEOUT_US = 2_500_000;
     /**
      * The time from a response to the next request, and for the client to read a response. Guards against clients that
-     * send one request and stay.
+     * send one request and stay, or that do not read their response.
      */
     public static final long IDLE_TIMEOUT_US = 2_000_000;
     /** A connection without a request is evicted only when it is older than this; usual clients send one sooner. */
@@ -175,8 +175,8 @@
     }
 
     /**
-     * Closes the connections whose deadline has passed. One that is in the middle of a request or response is closed only
-     * at the second check after its deadline: in between the relay has read and written what it could.
+     * Closes the connections whose deadline has passed. One that is in the middle of a request or response is closed
+     * only at the second check after its deadline: in between the relay has read and written what it could.
      */
     public void closeOverdue(long nowUs) {
         for (ClientConnectionState state : STATES_WITH_TIMEOUT) {
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * A request that was read and whose attempts have not all ended yet. Its head and body are forwarded to endpoints byte for
- * byte.
+ * A request that was read and whose attempts have not all ended yet. Its body is forwarded to endpoints byte for
+ * byte, its head without the headers that hold for the client's connection only.
  */
 public final class InFlightRequest {
     private final String id;
@@ -18,15 +18,15 @@
     private final List<Runnable> cancellations = new ArrayList<>(2);
     private RequestHandle handle;
     private boolean over;
-    private Runnable whenOver;
-    private Opening opening;
+    private Runnable completionAction;
+    private Opening attemptLauncher;
 
     /**
      * Creates a request that the decision engine does not know yet.
      *
      * @param id its id, unique among the requests in flight
-     * @param head the request line and the headers as endpoints get them, without those that differ for each attempt and
-     *     without the empty line at the end
+     * @param head the request line and the headers as endpoints get them, without those that differ for each
+     *     attempt and without the empty line at the end
      * @param body its body, which may be empty
      * @param deadlineUs until when the client waits
      * @param responseSink where the response goes
@@ -87,9 +87,9 @@
     /** Marks the request as over and runs the action set for that. */
     void markOver() {
         over = true;
-        if (whenOver != null) {
-            whenOver.run();
-            whenOver = null;
+        if (completionAction != null) {
+            completionAction.run();
+            completionAction = null;
         }
     }
 
@@ -108,24 +108,24 @@
 
     /** What starts its attempts; null for an ordinary request. */
     public Opening opening() {
-        return opening;
+        return attemptLauncher;
     }
 
     /** Has all of its attempts started by this. */
-    public void opensBy(Opening opening) {
-        this.opening = opening;
+    public void opensBy(Opening attemptLauncher) {
+        this.attemptLauncher = attemptLauncher;
     }
 
     /** Removes and returns the action set for the end of the request, which the caller now has to run; may be null. */
     public Runnable takeWhenOver() {
-        Runnable action = whenOver;
-        whenOver = null;
+        Runnable action = completionAction;
+        completionAction = null;
         return action;
     }
 
     /** Sets the action that runs once the request is over. */
     public void whenOver(Runnable action) {
-        whenOver = action;
+        completionAction = action;
     }
 
     /**
--- a/src/main/java/gatelock/state/LogField.java
+++ b/src/main/java/gatelock/state/LogField.java
@@ -1,8 +1,8 @@
 package gatelock.state;
 
 /**
- * A named value among the parameters of a {@link System.Logger} call: a structured log shows it as a field of its own, a
- * plain log shows the value only.
+ * A named value among the parameters of a {@link System.Logger} call: a structured log shows it as a field of its own,
+ * a plain log shows the value only.
  *
  * @param name the field's name
  * @param value the value; may be null
