--- a/src/main/java/gatelock/session/Session.java
+++ b/src/main/java/gatelock/session/Session.java
@@ -4,141 +4,127 @@
 import java.util.Map;
 
 /**
- * The life of one session between a client and an endpoint. Whatever ends it, and in whatever order things happen,
- * each side that
- * can still hear gets exactly one close; a side that does not answer its close in time is cut off.
+ * The state machine of one session between a client and an endpoint. Whatever ends the session, and in whatever order
+ * events come, each side that can still receive gets exactly one close frame; a side that does not close in turn
+ * within {@link #CLOSE_TIMEOUT_US} is disconnected.
  */
 public final class Session {
-    /** A side that was told has so long to close in turn. */
-    static final long ANSWER_US = 1_000_000;
+    /** How long a side may take to answer its close frame. */
+    static final long CLOSE_TIMEOUT_US = 1_000_000;
 
-    /** The two ends. */
-    public enum Side {
-        CLIENT,
-        UNIT;
-
-        public Side other() {
-            return this == CLIENT ? UNIT : CLIENT;
-        }
-    }
-
-    /** What the decisions on a session have done. */
-    public interface Wires {
-        /** Says the one close to a side; messages on their way to it go first. */
-        void close(Side side, int code, String reason);
-
-        /** Ends a side's connection without a word: it has closed, or did not answer in time. */
-        void cut(Side side);
-    }
-
-    private enum End {
+    private enum SideState {
         OPEN,
-        TOLD,
-        GONE
+        /** The close frame was sent and the close of the side has not come yet. */
+        CLOSING,
+        DISCONNECTED
     }
 
-    private final Wires wires;
-    private final Map<Side, End> ends = new EnumMap<>(Map.of(Side.CLIENT, End.OPEN, Side.UNIT, End.OPEN));
-    private final int place;
+    private final SessionTransport transport;
+    private final Map<SessionSide, SideState> states =
+            new EnumMap<>(Map.of(SessionSide.CLIENT, SideState.OPEN, SessionSide.ENDPOINT, SideState.OPEN));
+    private final int id;
     private final String endpoint;
     private final int route;
-    private CloseReason cause;
-    private long endedUs;
+    private CloseReason closeReason;
+    private long closedAtUs;
 
-    Session(int place, String endpoint, int route, Wires wires) {
-        this.place = place;
+    Session(int id, String endpoint, int route, SessionTransport transport) {
+        this.id = id;
         this.endpoint = endpoint;
         this.route = route;
-        this.wires = wires;
+        this.transport = transport;
     }
 
+    /** Returns the name of the endpoint at which the session was opened. */
     public String endpoint() {
         return endpoint;
     }
 
+    /** Returns the index of the route by which the session was opened. */
     public int route() {
         return route;
     }
 
-    int place() {
-        return place;
+    int id() {
+        return id;
     }
 
-    /** Whether messages still go through. */
-    public boolean open() {
-        return cause == null;
+    /** Returns whether messages still pass. */
+    public boolean isOpen() {
+        return closeReason == null;
     }
 
-    /** Whether both sides are gone. */
-    public boolean over() {
-        return ends.get(Side.CLIENT) == End.GONE && ends.get(Side.UNIT) == End.GONE;
+    /** Returns whether both sides are disconnected. */
+    public boolean isFinished() {
+        return states.get(SessionSide.CLIENT) == SideState.DISCONNECTED
+                && states.get(SessionSide.ENDPOINT) == SideState.DISCONNECTED;
     }
 
-    /** Why it ended, or null. */
-    public CloseReason cause() {
-        return cause;
+    /** Returns why the session ended, or null while it is open. */
+    public CloseReason closeReason() {
+        return closeReason;
     }
 
-    /** The relay ends it. {@code afterMs} is when the client may come back, or 0: that is not its concern. */
-    public void end(long nowUs, CloseReason why, long afterMs) {
-        if (cause == null) {
-            cause = why;
-            endedUs = nowUs;
-            tell(
-                    Side.CLIENT,
-                    why.code(Side.CLIENT),
-                    afterMs > 0 ? why.reason() + " after " + afterMs + " ms" : why.reason());
-            tell(Side.UNIT, why.code(Side.UNIT), why.reason());
+    /**
+     * Ends the session on behalf of the relay. Without effect if it has ended already.
+     *
+     * @param reconnectAfterMs when the client may reconnect, told with the reason; 0: not told
+     */
+    public void end(long nowUs, CloseReason reason, long reconnectAfterMs) {
+        if (closeReason != null) {
+            return;
         }
-    }
-
-    /** A side has closed: with its own close if nothing was said to it before, or in answer to what was. */
-    public void closed(long nowUs, Side side, int code, String reason) {
-        if (cause == null) {
-            cause = CloseReason.CLOSED;
-            endedUs = nowUs;
-            // Each gets the code that came, where one may be sent on at all.
-            int told = sendable(code) ? code : code == 1005 ? 1000 : 1002;
-            tell(side, told, "");
-            tell(side.other(), told, reason);
+        closeReason = reason;
+        closedAtUs = nowUs;
+        String clientText = reconnectAfterMs > 0 ? reason.text() + " after " + reconnectAfterMs + " ms" : reason.text();
+        sendClose(SessionSide.CLIENT, reason.code(SessionSide.CLIENT), clientText);
+        sendClose(SessionSide.ENDPOINT, reason.code(SessionSide.ENDPOINT), reason.text());
+    }
+
+    /**
+     * Handles a close frame from a side: the first one ends the session and is forwarded to the other side, a later
+     * one answers the close frame that was sent. The side is disconnected either way.
+     */
+    public void closeReceived(long nowUs, SessionSide side, int code, String reason) {
+        if (closeReason == null) {
+            closeReason = CloseReason.CLOSED_BY_PEER;
+            closedAtUs = nowUs;
+            int answer = CloseCodes.answerTo(code);
+            sendClose(side, answer, "");
+            sendClose(side.other(), answer, reason);
         }
-        leave(side);
+        disconnect(side);
     }
 
-    /** A side's connection has ended. */
-    public void lost(long nowUs, Side side) {
-        if (ends.get(side) == End.GONE) {
+    /** Handles the end of the connection of a side; the other side gets a close frame if the session was open. */
+    public void connectionLost(long nowUs, SessionSide side) {
+        if (states.get(side) == SideState.DISCONNECTED) {
             return;
         }
-        ends.put(side, End.GONE);
-        end(nowUs, side == Side.CLIENT ? CloseReason.CLIENT_LOST : CloseReason.UNIT_LOST, 0);
+        states.put(side, SideState.DISCONNECTED);
+        end(nowUs, side == SessionSide.CLIENT ? CloseReason.CLIENT_LOST : CloseReason.ENDPOINT_LOST, 0);
     }
 
-    /** Cuts off what did not answer its close in time; tells whether both sides are gone. */
-    public boolean due(long nowUs) {
-        if (cause != null && nowUs - endedUs >= ANSWER_US) {
-            leave(Side.CLIENT);
-            leave(Side.UNIT);
+    /** Disconnects the sides that did not answer their close frame in time; returns {@link #isFinished()}. */
+    boolean disconnectOverdue(long nowUs) {
+        if (closeReason != null && nowUs - closedAtUs >= CLOSE_TIMEOUT_US) {
+            disconnect(SessionSide.CLIENT);
+            disconnect(SessionSide.ENDPOINT);
         }
-        return over();
+        return isFinished();
     }
 
-    private void tell(Side side, int code, String reason) {
-        if (ends.get(side) == End.OPEN) {
-            ends.put(side, End.TOLD);
-            wires.close(side, code, reason);
+    private void sendClose(SessionSide side, int code, String reason) {
+        if (states.get(side) == SideState.OPEN) {
+            states.put(side, SideState.CLOSING);
+            transport.close(side, code, reason);
         }
     }
 
-    private void leave(Side side) {
-        if (ends.get(side) != End.GONE) {
-            ends.put(side, End.GONE);
-            wires.cut(side);
+    private void disconnect(SessionSide side) {
+        if (states.get(side) != SideState.DISCONNECTED) {
+            states.put(side, SideState.DISCONNECTED);
+            transport.disconnect(side);
         }
     }
-
-    /** Codes that may stand in a close on the wire (RFC 6455, 7.4.1 and 7.4.2). */
-    public static boolean sendable(int code) {
-        return code >= 1000 && code <= 1003 || code >= 1007 && code <= 1014 || code >= 3000 && code <= 4999;
-    }
 }
--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/Sessions.java
@@ -2,7 +2,6 @@
 
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -13,193 +12,172 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All sessions of a relay: how many there may be, and which must leave their endpoint and when. Closes that
- * clients come back
- * from are paced: so many a second as the endpoints that stay can open, so that those who come back flood nobody.
+ * All sessions of a relay: how many there may be, and which of them must leave their endpoint and when. Closes after
+ * which clients reconnect are paced by {@link DrainQueue}.
  */
 public final class Sessions {
-    /** So many opens a second each ready endpoint is taken to bear, when nothing else is said. */
-    private final double opensPerEndpoint;
-
-    private final long drainUs;
-    private final int most;
-    private final RandomGenerator chance;
-    private final Map<Integer, Session> all = new LinkedHashMap<>();
-    private final Map<String, Set<Session>> byEndpoint = new HashMap<>();
+    private final long drainTimeoutUs;
+    private final int maxSessions;
+    private final RandomGenerator random;
+    private final DrainQueue drainQueue;
+    private final Map<Integer, Session> sessionsById = new LinkedHashMap<>();
+    private final Map<String, Set<Session>> sessionsByEndpoint = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
-    /** Those that must leave, in turn, each with its cause and the time by which it goes at the latest. */
-    private final ArrayDeque<Leaving> leaving = new ArrayDeque<>();
-
-    private final Map<Session, Leaving> due = new HashMap<>();
-    private double budget;
-    private long budgetUs;
-    private int nextPlace;
-    private boolean relayLeaves;
-    private int newest = -1;
-    private DecisionEngine.Phase phase = DecisionEngine.Phase.RELEASED;
-
-    private record Leaving(Session session, CloseReason cause, long byUs) {}
+    private int nextId;
+    private boolean relayShutsDown;
+    private int newestBuild = -1;
+    private DecisionEngine.Phase newestPhase = DecisionEngine.Phase.RELEASED;
 
     /**
-     * @param most sessions at a time
-     * @param opensPerEndpoint opens a second that each ready endpoint bears
-     * @param drainUs how long a drain may take at the most
+     * Creates a registry without sessions.
+     *
+     * @param maxSessions open sessions at a time
+     * @param opensPerEndpointPerS opens a second that each ready endpoint can bear
+     * @param drainTimeoutUs how long the drain of an endpoint may take at the most
+     * @param random spreads the closes of a shutdown and the times at which clients reconnect
      */
-    public Sessions(int most, double opensPerEndpoint, long drainUs, RandomGenerator chance) {
-        this.most = most;
-        this.opensPerEndpoint = opensPerEndpoint;
-        this.drainUs = drainUs;
-        this.chance = chance;
+    public Sessions(int maxSessions, double opensPerEndpointPerS, long drainTimeoutUs, RandomGenerator random) {
+        this.maxSessions = maxSessions;
+        this.drainTimeoutUs = drainTimeoutUs;
+        this.random = random;
+        this.drainQueue = new DrainQueue(opensPerEndpointPerS, random);
     }
 
+    /** Returns the number of sessions of which a side is still connected. */
     public int size() {
-        return all.size();
+        return sessionsById.size();
     }
 
-    public int mustLeave() {
-        return due.size();
+    /** Returns the number of sessions that wait for their turn to be closed. */
+    public int drainingCount() {
+        return drainQueue.size();
     }
 
-    /** Whether one more may be opened at all. */
-    public boolean room() {
-        return all.size() < most && !relayLeaves;
+    /** Returns whether one more session may be opened. */
+    public boolean hasCapacity() {
+        return sessionsById.size() < maxSessions && !relayShutsDown;
     }
 
-    /** One is open at an endpoint. */
-    public Session opened(long nowUs, String endpoint, int route, Session.Wires wires) {
-        Session session = new Session(nextPlace++, endpoint, route, wires);
-        all.put(session.place(), session);
-        byEndpoint.computeIfAbsent(endpoint, u -> new LinkedHashSet<>()).add(session);
-        Endpoint at = endpoints.get(endpoint);
-        if (at == null || at.health() != Endpoint.Health.READY) {
-            // It was asked for before the endpoint was known to leave.
-            leaves(session, CloseReason.DRAIN, nowUs + drainUs);
-        } else if (takenBack(at.build())) {
-            session.end(nowUs, CloseReason.TRIAL_BACK, back());
+    /**
+     * Registers a session that was opened at an endpoint. If the endpoint began to drain or its build was rolled back
+     * while the session was being opened, the session is drained or closed at once.
+     */
+    public Session register(long nowUs, String endpointName, int route, SessionTransport transport) {
+        Session session = new Session(nextId++, endpointName, route, transport);
+        sessionsById.put(session.id(), session);
+        sessionsByEndpoint
+                .computeIfAbsent(endpointName, name -> new LinkedHashSet<>())
+                .add(session);
+        Endpoint endpoint = endpoints.get(endpointName);
+        if (endpoint == null || endpoint.health() != Endpoint.Health.READY) {
+            drainQueue.add(session, CloseReason.ENDPOINT_DRAINING, nowUs + drainTimeoutUs);
+        } else if (isRolledBack(endpoint.build())) {
+            session.end(nowUs, CloseReason.BUILD_ROLLED_BACK, DrainQueue.reconnectDelayMs(random));
         }
         return session;
     }
 
     /**
-     * The list of endpoints, or a part of it: sessions at endpoints that drain, are gone or came back as others must
-     * leave.
+     * Takes in the endpoint list or a change of it. Sessions at endpoints that drain, are gone or came back as another
+     * incarnation or build are drained.
      */
-    public void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries) {
+    public void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> listed) {
         if (form == DecisionEngine.ListForm.FAILED) {
             return;
         }
         if (form != DecisionEngine.ListForm.DELTA) {
-            Set<String> named = new LinkedHashSet<>();
-            entries.forEach(l -> named.add(l.endpoint()));
-            List.copyOf(endpoints.keySet()).stream()
-                    .filter(u -> !named.contains(u))
-                    .forEach(u -> {
-                        endpoints.remove(u);
-                        allLeave(nowUs, u);
-                    });
+            removeUnlisted(nowUs, listed);
         }
-        for (Endpoint l : entries) {
-            Endpoint was = l.health() == Endpoint.Health.GONE
-                    ? endpoints.remove(l.endpoint())
-                    : endpoints.put(l.endpoint(), l);
-            boolean other = was != null && (was.startUs() != l.startUs() || was.build() != l.build());
-            if (l.health() != Endpoint.Health.READY || other) {
-                allLeave(nowUs, l.endpoint());
+        for (Endpoint endpoint : listed) {
+            Endpoint previous = endpoint.health() == Endpoint.Health.GONE
+                    ? endpoints.remove(endpoint.endpoint())
+                    : endpoints.put(endpoint.endpoint(), endpoint);
+            boolean replaced = previous != null
+                    && (previous.startUs() != endpoint.startUs() || previous.build() != endpoint.build());
+            if (endpoint.health() != Endpoint.Health.READY || replaced) {
+                drainEndpoint(nowUs, endpoint.endpoint());
             }
         }
     }
 
-    private void allLeave(long nowUs, String endpoint) {
-        byEndpoint.getOrDefault(endpoint, Set.of()).forEach(s -> leaves(s, CloseReason.DRAIN, nowUs + drainUs));
+    private void removeUnlisted(long nowUs, List<Endpoint> listed) {
+        Set<String> listedNames = new LinkedHashSet<>();
+        for (Endpoint endpoint : listed) {
+            listedNames.add(endpoint.endpoint());
+        }
+        for (String name : List.copyOf(endpoints.keySet())) {
+            if (!listedNames.contains(name)) {
+                endpoints.remove(name);
+                drainEndpoint(nowUs, name);
+            }
+        }
     }
 
-    private void leaves(Session session, CloseReason cause, long byUs) {
-        if (session.open() && !due.containsKey(session)) {
-            Leaving leaves = new Leaving(session, cause, byUs);
-            leaving.add(leaves);
-            due.put(session, leaves);
+    private void drainEndpoint(long nowUs, String endpointName) {
+        for (Session session : sessionsByEndpoint.getOrDefault(endpointName, Set.of())) {
+            drainQueue.add(session, CloseReason.ENDPOINT_DRAINING, nowUs + drainTimeoutUs);
         }
     }
 
     /**
-     * News of the newest build: once it goes back, its sessions end at once, as nothing may go there any
-     * more.
+     * Takes in the release state of the newest build. Once it is rolled back its sessions end at once, as no message
+     * may go to it any more.
      */
-    public void news(long nowUs, int build, DecisionEngine.Phase now) {
-        newest = build;
-        phase = now;
-        if (now == DecisionEngine.Phase.REVERTING || now == DecisionEngine.Phase.WITHDRAWN) {
-            for (Session s : List.copyOf(all.values())) {
-                Endpoint at = endpoints.get(s.endpoint());
-                if (at != null && takenBack(at.build())) {
-                    s.end(nowUs, CloseReason.TRIAL_BACK, back());
-                }
+    public void news(long nowUs, int build, DecisionEngine.Phase phase) {
+        newestBuild = build;
+        newestPhase = phase;
+        if (!isRolledBack(build)) {
+            return;
+        }
+        for (Session session : List.copyOf(sessionsById.values())) {
+            Endpoint endpoint = endpoints.get(session.endpoint());
+            if (endpoint != null && isRolledBack(endpoint.build())) {
+                session.end(nowUs, CloseReason.BUILD_ROLLED_BACK, DrainQueue.reconnectDelayMs(random));
             }
         }
     }
 
-    private boolean takenBack(int build) {
-        return build == newest && (phase == DecisionEngine.Phase.REVERTING || phase == DecisionEngine.Phase.WITHDRAWN);
+    private boolean isRolledBack(int build) {
+        return build == newestBuild
+                && (newestPhase == DecisionEngine.Phase.REVERTING || newestPhase == DecisionEngine.Phase.WITHDRAWN);
     }
 
-    /** The relay leaves: all must go by then. */
-    public void leave(long nowUs, long byUs) {
-        relayLeaves = true;
-        all.values().forEach(s -> leaves(s, CloseReason.LEAVING, byUs));
+    /** Begins the shutdown of the relay: no session is opened any more, and all end by the deadline. */
+    public void leave(long nowUs, long deadlineUs) {
+        relayShutsDown = true;
+        for (Session session : sessionsById.values()) {
+            drainQueue.add(session, CloseReason.RELAY_SHUTDOWN, deadlineUs);
+        }
     }
 
-    /** A message can't go to its endpoint any more, as that leaves: the session goes before its turn. */
-    public void unreachable(long nowUs, Session session) {
-        Endpoint at = endpoints.get(session.endpoint());
-        session.end(nowUs, at != null && takenBack(at.build()) ? CloseReason.TRIAL_BACK : CloseReason.DRAIN, back());
+    /** Ends a session at once because a message of it may not go to its endpoint any more. */
+    public void endUnreachable(long nowUs, Session session) {
+        Endpoint endpoint = endpoints.get(session.endpoint());
+        CloseReason reason = endpoint != null && isRolledBack(endpoint.build())
+                ? CloseReason.BUILD_ROLLED_BACK
+                : CloseReason.ENDPOINT_DRAINING;
+        session.end(nowUs, reason, DrainQueue.reconnectDelayMs(random));
     }
 
-    /**
-     * Ends those whose turn has come, and forgets those that are over; to be called some ten times a second.
-     * When a relay
-     * leaves, the rest goes evenly until the time is up, since its clients go to other relays.
-     */
+    /** Closes the sessions whose turn has come and forgets those that are finished; to be called ten times a second or more. */
     public void due(long nowUs) {
-        long ready = endpoints.values().stream()
-                .filter(l -> l.health() == Endpoint.Health.READY)
+        long readyEndpoints = endpoints.values().stream()
+                .filter(endpoint -> endpoint.health() == Endpoint.Health.READY)
                 .count();
-        double perUs = Math.max(1, ready) * opensPerEndpoint / 1e6;
-        budget = Math.min(Math.max(1, perUs * 100_000), budget + Math.max(0, nowUs - budgetUs) * perUs);
-        budgetUs = nowUs;
-        while (!leaving.isEmpty()) {
-            Leaving next = leaving.peek();
-            // Evenly over what time is left, where the pace alone would not be done by then.
-            boolean pressed = leaving.size() > (next.byUs - nowUs) * perUs;
-            boolean lastCall = nowUs >= next.byUs
-                    || pressed && relayLeaves && chance.nextDouble() < 100_000.0 / Math.max(100_000, next.byUs - nowUs);
-            if (next.session.open() && budget < 1 && !lastCall) {
-                break;
-            }
-            leaving.remove();
-            due.remove(next.session);
-            if (next.session.open()) {
-                budget = Math.max(0, budget - 1);
-                next.session.end(nowUs, next.cause, back());
-            }
-        }
-        for (Session s : new ArrayList<>(all.values())) {
-            if (s.due(nowUs)) {
-                forget(s);
+        drainQueue.closeDue(nowUs, readyEndpoints, relayShutsDown);
+        for (Session session : new ArrayList<>(sessionsById.values())) {
+            if (session.disconnectOverdue(nowUs)) {
+                forget(session);
             }
         }
     }
 
-    private void forget(Session s) {
-        all.remove(s.place());
-        due.remove(s);
-        byEndpoint.computeIfPresent(s.endpoint(), (u, some) -> {
-            some.remove(s);
-            return some.isEmpty() ? null : some;
+    private void forget(Session session) {
+        sessionsById.remove(session.id());
+        drainQueue.remove(session);
+        sessionsByEndpoint.computeIfPresent(session.endpoint(), (name, sessions) -> {
+            sessions.remove(session);
+            return sessions.isEmpty() ? null : sessions;
         });
     }
-
-    /** When a client may come back: spread, so that those told together do not come together. */
-    private long back() {
-        return 50 + chance.nextLong(950);
-    }
 }
--- a/src/main/java/gatelock/session/package-info.java
+++ b/src/main/java/gatelock/session/package-info.java
@@ -1,8 +1,7 @@
 /**
- * Sessions, all that is decided about them once they are open: how each ends, to whom that is said and with
- * which code,
- * which must leave an endpoint and when. No I/O and no clock; times are whole microseconds that the caller brings.
- * Which endpoint
- * one is opened at, and whether a message may go there now, is the decision module's.
+ * Decisions on open WebSocket sessions: how each one ends, which side gets which close code, and which session must
+ * leave its endpoint and when. There is no I/O and no clock here; times are whole microseconds passed in by the
+ * caller. At which endpoint a session is opened, and whether a message may go there now, is decided by
+ * {@link gatelock.api.DecisionEngine}.
  */
 package gatelock.session;
--- /dev/null
+++ b/src/main/java/gatelock/websocket/HandshakeRequest.java
@@ -0,0 +1,61 @@
+package gatelock.websocket;
+
+import io.undertow.server.HttpServerExchange;
+import io.undertow.util.HeaderValues;
+import io.undertow.util.HttpString;
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.URISyntaxException;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * What an opening handshake with an endpoint has of the one that the client sent.
+ *
+ * @param target path and query
+ * @param subprotocols those that the client offers and the route permits, in the client's order
+ * @param headers forwarded headers by name
+ */
+record HandshakeRequest(String target, List<String> subprotocols, Map<String, List<String>> headers) {
+    private static final HttpString SUBPROTOCOL = new HttpString("Sec-WebSocket-Protocol");
+    private static final List<String> FORWARDED_HEADERS =
+            List.of("X-Trace-Id", "X-Customer", "Cookie", "X-Size-Hint", "Origin");
+
+    /** Reads the handshake of a client. */
+    static HandshakeRequest of(HttpServerExchange exchange, Set<String> permittedSubprotocols) {
+        String query = exchange.getQueryString();
+        String target = exchange.getRequestURI() + (query.isEmpty() ? "" : "?" + query);
+        Map<String, List<String>> headers = new LinkedHashMap<>();
+        for (String name : FORWARDED_HEADERS) {
+            String value = exchange.getRequestHeaders().getFirst(name);
+            if (value != null) {
+                headers.put(name, List.of(value));
+            }
+        }
+        return new HandshakeRequest(target, subprotocols(exchange, permittedSubprotocols), headers);
+    }
+
+    private static List<String> subprotocols(HttpServerExchange exchange, Set<String> permitted) {
+        List<String> offered = new ArrayList<>();
+        HeaderValues values = exchange.getRequestHeaders().get(SUBPROTOCOL);
+        if (values == null) {
+            return offered;
+        }
+        for (String value : values) {
+            for (String name : value.split(",", -1)) {
+                if (permitted.contains(name.trim())) {
+                    offered.add(name.trim());
+                }
+            }
+        }
+        return offered;
+    }
+
+    /** Returns the URI at an endpoint. */
+    URI uri(InetSocketAddress address) throws URISyntaxException {
+        return new URI("ws://" + address.getAddress().getHostAddress() + ":" + address.getPort() + target);
+    }
+}
--- /dev/null
+++ b/src/main/java/gatelock/websocket/OpeningHandshake.java
@@ -0,0 +1,134 @@
+package gatelock.websocket;
+
+import gatelock.api.AttemptResult;
+import gatelock.net.EventLoop;
+import gatelock.state.InFlightRequest;
+import gatelock.state.UpstreamResponse;
+import io.undertow.websockets.client.WebSocketClient;
+import io.undertow.websockets.client.WebSocketClientNegotiation;
+import io.undertow.websockets.core.WebSocketChannel;
+import java.io.IOException;
+import java.net.ConnectException;
+import java.net.InetSocketAddress;
+import java.net.URI;
+import java.net.URISyntaxException;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.xnio.IoFuture;
+import org.xnio.IoUtils;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.XnioExecutor;
+
+/** One attempt at opening a session: an opening handshake with an endpoint, which ends with exactly one outcome. */
+final class OpeningHandshake {
+    private static final int SWITCHING_PROTOCOLS = 101;
+
+    private final SessionContext context;
+    private final EventLoop loop;
+    private final InFlightRequest request;
+    private final String endpointName;
+    private final Consumer<OpenedEndpoint> whenOpened;
+    private final int attemptNo;
+    private final long startUs;
+    private IoFuture<WebSocketChannel> connection;
+    private XnioExecutor.Key timeout;
+    private boolean ended;
+
+    /** @param whenOpened called before the outcome is recorded */
+    OpeningHandshake(
+            SessionContext context, InFlightRequest request, String endpointName, Consumer<OpenedEndpoint> whenOpened) {
+        this.context = context;
+        this.loop = context.loop();
+        this.request = request;
+        this.endpointName = endpointName;
+        this.whenOpened = whenOpened;
+        this.startUs = loop.nowUs();
+        this.attemptNo = request.addAttempt(() -> end(AttemptResult.CANCELLED));
+    }
+
+    /**
+     * Begins the handshake.
+     *
+     * @param address null where the endpoint cannot be connected to
+     * @param timeoutUs bounds the attempt within the time the request has left; 0: nothing else bounds it
+     */
+    void start(HandshakeRequest handshakeRequest, InetSocketAddress address, long timeoutUs) {
+        long leftUs = request.endUs() - startUs;
+        if (request.over() || leftUs <= 0) {
+            end(AttemptResult.NOT_SENT);
+            return;
+        }
+        if (address == null) {
+            end(AttemptResult.NOT_CONNECTED);
+            return;
+        }
+        URI uri;
+        try {
+            uri = handshakeRequest.uri(address);
+        } catch (URISyntaxException e) {
+            end(AttemptResult.NOT_SENT);
+            return;
+        }
+        timeout = loop.in(timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs, () -> end(AttemptResult.TIMED_OUT));
+        connect(handshakeRequest, uri);
+    }
+
+    private void connect(HandshakeRequest handshakeRequest, URI uri) {
+        WebSocketClientNegotiation negotiation =
+                new WebSocketClientNegotiation(handshakeRequest.subprotocols(), List.of()) {
+                    @Override
+                    public void beforeRequest(Map<String, List<String>> headers) {
+                        headers.putAll(handshakeRequest.headers());
+                    }
+                };
+        connection = WebSocketClient.connectionBuilder(loop.thread().getWorker(), context.buffers(), uri)
+                .setOptionMap(OptionMap.create(Options.TCP_NODELAY, true))
+                .setClientNegotiation(negotiation)
+                .connect();
+        connection.addNotifier(
+                new IoFuture.HandlingNotifier<WebSocketChannel, Void>() {
+                    @Override
+                    public void handleDone(WebSocketChannel channel, Void nothing) {
+                        loop.soon(() -> connected(channel, negotiation.getSelectedSubProtocol()));
+                    }
+
+                    @Override
+                    public void handleFailed(IOException failure, Void nothing) {
+                        boolean refused = failure instanceof ConnectException;
+                        loop.soon(() -> end(refused ? AttemptResult.NOT_CONNECTED : AttemptResult.ERRORED));
+                    }
+                },
+                null);
+    }
+
+    private void connected(WebSocketChannel channel, String selectedSubprotocol) {
+        if (ended || request.over()) {
+            IoUtils.safeClose(channel);
+            end(AttemptResult.CANCELLED);
+            return;
+        }
+        boolean noneSelected = selectedSubprotocol == null || selectedSubprotocol.isEmpty();
+        whenOpened.accept(new OpenedEndpoint(endpointName, channel, noneSelected ? null : selectedSubprotocol));
+        end(AttemptResult.COMPLETED);
+    }
+
+    /** Records the outcome, once. */
+    private void end(AttemptResult result) {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        if (timeout != null) {
+            timeout.remove();
+        }
+        boolean completed = result == AttemptResult.COMPLETED;
+        if (connection != null && !completed) {
+            connection.cancel();
+        }
+        UpstreamResponse response =
+                completed ? new UpstreamResponse(SWITCHING_PROTOCOLS, List.of(), new byte[0]) : null;
+        context.recorder().ended(request, attemptNo, result, loop.nowUs() - startUs, response);
+    }
+}
--- /dev/null
+++ b/src/main/java/gatelock/websocket/SessionOpening.java
@@ -0,0 +1,72 @@
+package gatelock.websocket;
+
+import gatelock.config.SessionPolicy;
+import gatelock.state.InFlightRequest;
+import io.undertow.server.HttpServerExchange;
+import io.undertow.websockets.WebSocketConnectionCallback;
+import io.undertow.websockets.WebSocketProtocolHandshakeHandler;
+import io.undertow.websockets.core.protocol.Handshake;
+import io.undertow.websockets.core.protocol.version13.Hybi13Handshake;
+import java.lang.System.Logger.Level;
+import java.net.InetSocketAddress;
+import java.util.List;
+import java.util.Set;
+import org.xnio.IoUtils;
+
+/** One request that opens a session, through all of its attempts until the handshake of its client is answered. */
+final class SessionOpening implements InFlightRequest.Opening {
+    private static final System.Logger LOG = System.getLogger("gatelock.websocket");
+
+    private final SessionContext context;
+    private final InFlightRequest request;
+    private final SessionPolicy policy;
+    private final int route;
+    private final HandshakeRequest handshakeRequest;
+    private OpenedEndpoint opened;
+    /** Releases what the session holds of its route's limits. */
+    private Runnable whenFinished;
+
+    SessionOpening(
+            SessionContext context,
+            InFlightRequest request,
+            SessionPolicy policy,
+            int route,
+            HandshakeRequest handshakeRequest) {
+        this.context = context;
+        this.request = request;
+        this.policy = policy;
+        this.route = route;
+        this.handshakeRequest = handshakeRequest;
+    }
+
+    @Override
+    public void send(InetSocketAddress address, String endpointName, long timeoutUs) {
+        new OpeningHandshake(context, request, endpointName, this::endpointOpened)
+                .start(handshakeRequest, address, timeoutUs);
+    }
+
+    private void endpointOpened(OpenedEndpoint endpoint) {
+        opened = endpoint;
+        // The session holds what the request held of its limits until it is finished.
+        whenFinished = request.takeWhenOver();
+        context.counters().add("sessions opened");
+    }
+
+    /** Answers the handshake of the client and couples the two sides; called once an endpoint has opened. */
+    void answerClient(HttpServerExchange exchange) {
+        Set<String> subprotocols = opened.subprotocol() == null ? Set.of() : Set.of(opened.subprotocol());
+        Handshake handshake = new Hybi13Handshake(subprotocols, false);
+        WebSocketConnectionCallback startSession = (facade, clientChannel) ->
+                new WebSocketProxySession(context, policy, route, clientChannel, opened, whenFinished).start();
+        try {
+            new WebSocketProtocolHandshakeHandler(List.of(handshake), startSession).handleRequest(exchange);
+        } catch (Exception e) {
+            LOG.log(Level.DEBUG, () -> "a client's upgrade failed: " + e);
+            IoUtils.safeClose(opened.channel(), exchange.getConnection());
+            if (whenFinished != null) {
+                whenFinished.run();
+                whenFinished = null;
+            }
+        }
+    }
+}
--- a/src/main/java/gatelock/websocket/package-info.java
+++ b/src/main/java/gatelock/websocket/package-info.java
@@ -1,2 +1,5 @@
-/** WebSocket on the wire, on Undertow's own support: upgrades, frames, signs of life. Decides nothing. */
+/**
+ * WebSocket I/O on Undertow: upgrades, opening handshakes with endpoints, frames, pings. What happens to an open
+ * session is decided in {@link gatelock.session}.
+ */
 package gatelock.websocket;
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -18,26 +18,27 @@
 /** Sessions under events in any order. */
 final class SessionTest {
     private static final long SECOND = 1_000_000;
+    private static final List<CloseReason> REASONS = List.of(CloseReason.values());
 
     /** Both peers as they see it. */
-    private static final class Peers implements Session.Wires {
-        private final Map<Session.Side, Integer> closes = new EnumMap<>(Session.Side.class);
-        private final Set<Session.Side> cut = new HashSet<>();
-        private final Set<Session.Side> lost = new HashSet<>();
+    private static final class Peers implements SessionTransport {
+        private final Map<SessionSide, Integer> closes = new EnumMap<>(SessionSide.class);
+        private final Set<SessionSide> cut = new HashSet<>();
+        private final Set<SessionSide> lost = new HashSet<>();
         private String reason;
 
         @Override
-        public void close(Session.Side side, int code, String reason) {
-            assertThat(Session.sendable(code)).as("%d", code).isTrue();
+        public void close(SessionSide side, int code, String reason) {
+            assertThat(CloseCodes.sendable(code)).as("%d", code).isTrue();
             assertThat(closes.put(side, code)).as("a second close to %s", side).isNull();
             assertThat(cut).doesNotContain(side);
             assertThat(lost).as("nobody is there").doesNotContain(side);
             assertThat(reason.length()).isLessThanOrEqualTo(123);
-            this.reason = side == Session.Side.CLIENT ? reason : this.reason;
+            this.reason = side == SessionSide.CLIENT ? reason : this.reason;
         }
 
         @Override
-        public void cut(Session.Side side) {
+        public void disconnect(SessionSide side) {
             assertThat(closes).as("cut without a word").containsKey(side);
             assertThat(cut.add(side)).isTrue();
         }
@@ -51,36 +52,32 @@
         long nowUs = 1;
         for (int i = 0; i < 12; i++) {
             nowUs += random.nextLong(400_000);
-            Session.Side side = random.nextBoolean() ? Session.Side.CLIENT : Session.Side.UNIT;
+            SessionSide side = random.nextBoolean() ? SessionSide.CLIENT : SessionSide.ENDPOINT;
             boolean there = !peers.lost.contains(side) && !peers.cut.contains(side);
             switch (random.nextInt(4)) {
-                case 0 ->
-                    session.end(
-                            nowUs,
-                            CloseReason.values()[random.nextInt(CloseReason.values().length)],
-                            random.nextInt(2) * 100);
+                case 0 -> session.end(nowUs, REASONS.get(random.nextInt(REASONS.size())), random.nextInt(2) * 100L);
                 case 1 -> {
                     if (there) {
-                        session.closed(nowUs, side, random.nextInt(5_100), "x");
+                        session.closeReceived(nowUs, side, random.nextInt(5_100), "x");
                     }
                 }
                 case 2 -> {
                     if (there) {
                         peers.lost.add(side);
-                        session.lost(nowUs, side);
+                        session.connectionLost(nowUs, side);
                     }
                 }
-                default -> session.due(nowUs);
+                default -> session.disconnectOverdue(nowUs);
             }
-            boolean ended = session.cause() != null;
-            assertThat(session.open()).isEqualTo(!ended);
-            for (Session.Side s : Session.Side.values()) {
+            boolean ended = session.closeReason() != null;
+            assertThat(session.isOpen()).isEqualTo(!ended);
+            for (SessionSide s : SessionSide.values()) {
                 assertThat(peers.closes.containsKey(s))
                         .isEqualTo(ended && (peers.closes.containsKey(s) || !peers.lost.contains(s)));
             }
         }
-        session.end(nowUs, CloseReason.IDLE, 0);
-        assertThat(session.due(nowUs + 2 * SECOND)).isTrue();
+        session.end(nowUs, CloseReason.IDLE_TIMEOUT, 0);
+        assertThat(session.disconnectOverdue(nowUs + 2 * SECOND)).isTrue();
     }
 
     private static Endpoint endpoint(String name, int build, Endpoint.Health health) {
@@ -101,14 +98,14 @@
         for (int i = 0; i < 600; i++) {
             Peers peers = new Peers();
             at.add(peers);
-            sessions.opened(2, "a", 0, peers);
+            sessions.register(2, "a", 0, peers);
         }
         sessions.listed(SECOND, DecisionEngine.ListForm.DELTA, List.of(endpoint("a", 1, Endpoint.Health.DRAINING)));
         long closedBefore = 0;
         for (long us = SECOND; us < 12 * SECOND; us += 100_000) {
             sessions.due(us);
             long closed = at.stream()
-                    .filter(p -> p.closes.containsKey(Session.Side.CLIENT))
+                    .filter(p -> p.closes.containsKey(SessionSide.CLIENT))
                     .count();
             if (us < 11 * SECOND) {
                 assertThat(closed - closedBefore).as("at %d", us).isLessThanOrEqualTo(5);
@@ -118,10 +115,10 @@
         // Two endpoints at 20 a second bear 400 in 10 s; what is left then goes all the same.
         assertThat(closedBefore).isEqualTo(600);
         assertThat(at)
-                .allMatch(p -> p.closes.get(Session.Side.CLIENT) == 1012 && p.reason.matches(".* after [0-9]+ ms"));
+                .allMatch(p -> p.closes.get(SessionSide.CLIENT) == 1012 && p.reason.matches(".* after [0-9]+ ms"));
         sessions.due(14 * SECOND);
         assertThat(sessions.size()).isZero();
-        assertThat(sessions.mustLeave()).isZero();
+        assertThat(sessions.drainingCount()).isZero();
     }
 
     @Test
@@ -134,14 +131,14 @@
         sessions.news(1, 2, DecisionEngine.Phase.TRIAL);
         Peers old = new Peers();
         Peers canary = new Peers();
-        sessions.opened(2, "a", 0, old);
-        sessions.opened(2, "b", 0, canary);
+        sessions.register(2, "a", 0, old);
+        sessions.register(2, "b", 0, canary);
         sessions.news(3, 2, DecisionEngine.Phase.REVERTING);
-        assertThat(canary.closes).containsEntry(Session.Side.CLIENT, 1012);
+        assertThat(canary.closes).containsEntry(SessionSide.CLIENT, 1012);
         assertThat(old.closes).isEmpty();
         Peers late = new Peers();
-        sessions.opened(4, "b", 0, late);
-        assertThat(late.closes).as("its opening crossed the news").containsEntry(Session.Side.CLIENT, 1012);
+        sessions.register(4, "b", 0, late);
+        assertThat(late.closes).as("its opening crossed the news").containsEntry(SessionSide.CLIENT, 1012);
     }
 
     @Test
@@ -152,13 +149,13 @@
         for (int i = 0; i < 2_000; i++) {
             Peers peers = new Peers();
             at.add(peers);
-            sessions.opened(2, "a", 0, peers);
+            sessions.register(2, "a", 0, peers);
         }
         sessions.leave(SECOND, 3 * SECOND);
-        assertThat(sessions.room()).isFalse();
+        assertThat(sessions.hasCapacity()).isFalse();
         for (long us = SECOND; us <= 3 * SECOND; us += 50_000) {
             sessions.due(us);
         }
-        assertThat(at).allMatch(p -> p.closes.get(Session.Side.CLIENT) == 1012);
+        assertThat(at).allMatch(p -> p.closes.get(SessionSide.CLIENT) == 1012);
     }
 }
