--- /dev/null
+++ b/src/test/java/gatelock/ClientConnectionLimitsTest.java
@@ -0,0 +1,80 @@
+package gatelock;
+
+import static gatelock.standin.RawHttp.isClosedByPeer;
+import static gatelock.standin.RawHttp.readMessage;
+import static gatelock.standin.RawHttp.sendRequest;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gatelock.standin.HttpMessage;
+import gatelock.standin.RawHttp;
+import gatelock.standin.RelayTestCase;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** How many client connections the relay keeps, and which of them it closes. */
+final class ClientConnectionLimitsTest extends RelayTestCase {
+    @Test
+    void clientsThatSayNothingMakeRoomAndAreClosed() throws Exception {
+        relay.replaceInConfig("\"sockets\": 1024", "\"sockets\": 128");
+        startRelay();
+        List<Socket> silent = new ArrayList<>();
+        for (int i = 0; i < 120; i++) {
+            silent.add(relay.connect());
+        }
+        try (Socket client = relay.connect();
+                Socket slow = relay.connect()) {
+            sendRequest(client, "GET /read", "usual", "", "");
+            endpoint.awaitCall().respond("200 OK", "", "fine");
+            assertThat(readMessage(client).body()).isEqualTo("fine");
+            RawHttp.write(slow, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: 9\r\n\r\nhalf");
+            assertThat(isClosedByPeer(slow)).isTrue();
+            assertThat(isClosedByPeer(client)).isTrue();
+        }
+        for (Socket s : silent) {
+            assertThat(isClosedByPeer(s)).isTrue();
+            s.close();
+        }
+    }
+
+    @Test
+    void clientsThatAskOnceAndStayMakeRoomForThoseThatHaveJustCome() throws Exception {
+        relay.replaceInConfig("\"sockets\": 1024", "\"sockets\": 128");
+        startRelay();
+        List<Socket> staying = new ArrayList<>();
+        for (int i = 0; i < 60; i++) {
+            Socket client = relay.connect();
+            staying.add(client);
+            sendRequest(client, "GET /read", "stays" + i, "", "");
+            endpoint.awaitCall().respond("200 OK", "", "fine");
+            assertThat(readMessage(client).body()).isEqualTo("fine");
+        }
+        try (Socket first = relay.connect();
+                Socket second = relay.connect()) {
+            for (Socket client : List.of(second, first)) {
+                sendRequest(client, "GET /read", "comes", "", "");
+                endpoint.awaitCall().respond("200 OK", "", "mine");
+                assertThat(readMessage(client).body()).isEqualTo("mine");
+            }
+        }
+        for (Socket s : staying) {
+            s.close();
+        }
+    }
+
+    @Test
+    void aClientThatLeavesHarmsNoOther() throws Exception {
+        startRelay();
+        Socket leaving = relay.connect();
+        sendRequest(leaving, "POST /claim", "left", "", "x");
+        HttpMessage at = endpoint.awaitCall();
+        leaving.close();
+        at.respond("200 OK", "", "late");
+        try (Socket client = relay.connect()) {
+            sendRequest(client, "GET /read", "stays", "", "");
+            endpoint.awaitCall().respond("200 OK", "", "mine");
+            assertThat(readMessage(client).body()).isEqualTo("mine");
+        }
+    }
+}
--- a/src/test/java/gatelock/EndingsTest.java
+++ b/src/test/java/gatelock/EndingsTest.java
@@ -1,105 +1,93 @@
 package gatelock;
 
-import static gatelock.StandIns.ask;
-import static gatelock.StandIns.read;
+import static gatelock.standin.EndpointListJson.listOnly;
+import static gatelock.standin.RawHttp.readMessage;
+import static gatelock.standin.RawHttp.sendRequest;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import gatelock.standin.FakeServer;
+import gatelock.standin.HttpMessage;
+import gatelock.standin.RawHttp;
+import gatelock.standin.RelayTestCase;
 import java.io.IOException;
 import java.net.Socket;
-import java.nio.file.Files;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.AfterEach;
-import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /**
- * The program at the instants at which something ends; the crossing is forced by a side that holds back. The rows of
- * docs/design/endings.md.
+ * Races at the end of a request, a connection or the process. A stand-in that waits forces each of them. They are the
+ * rows of docs/design/endings.md.
  */
-final class EndingsTest {
-    private StandIns all;
-
-    @BeforeEach
-    void stand() throws Exception {
-        all = new StandIns();
-    }
-
-    @AfterEach
-    void leave() throws Exception {
-        all.close();
-    }
-
-    /** Everything that came before this has been dealt with once the relay answers it, on a connection of its own. */
-    private void relayHasTurned() throws Exception {
+final class EndingsTest extends RelayTestCase {
+    /** Waits until the relay has handled all that came before: its event loop answers a request on a new connection. */
+    private void awaitRelayIdle() throws Exception {
         for (int i = 0; i < 2; i++) {
-            try (Socket client = all.connect()) {
-                StandIns.write(client, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n");
-                assertThat(read(client).head()).startsWith("HTTP/1.1 200");
+            try (Socket client = relay.connect()) {
+                RawHttp.write(client, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n");
+                assertThat(readMessage(client).head()).startsWith("HTTP/1.1 200");
             }
         }
     }
 
-    private void served(Socket client, String line, String id, StandIns.Party by) throws Exception {
-        ask(client, line, id, "X-Expires-In-Ms: 10000\r\n", line.startsWith("GET") ? "" : "x");
-        StandIns.Came at = by.next();
+    private static void assertServed(Socket client, String line, String id, FakeServer by) throws Exception {
+        sendRequest(client, line, id, "X-Expires-In-Ms: 10000\r\n", line.startsWith("GET") ? "" : "x");
+        HttpMessage at = by.awaitCall();
         assertThat(at.header("X-Trace-Id")).isEqualTo(id);
-        at.answer("200 OK", "", "for " + id);
-        assertThat(read(client).body()).isEqualTo("for " + id);
+        at.respond("200 OK", "", "for " + id);
+        assertThat(readMessage(client).body()).isEqualTo("for " + id);
     }
 
     // ---- Clients ----
 
     @Test
     void aRequestWhoseClientLeftWhileAConnectionCameUpNeverGoesOut() throws Exception {
-        Files.writeString(
-                all.config,
-                Files.readString(all.config).replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000"));
-        try (StandIns.Party late = StandIns.Party.thatAcceptsLater()) {
-            all.startUnlisted();
-            StandIns.tell(all.discovery.next(), 1, late);
-            all.discovery.next();
-            Socket leaving = all.connect();
-            ask(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
-            relayHasTurned();
+        relay.replaceInConfig("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000");
+        try (FakeServer late = FakeServer.thatAcceptsLater()) {
+            relay.launchCold();
+            listOnly(discovery.awaitCall(), 1, late);
+            discovery.awaitCall();
+            Socket leaving = relay.connect();
+            sendRequest(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
+            awaitRelayIdle();
             leaving.close();
-            relayHasTurned();
+            awaitRelayIdle();
             late.accept();
             // Longer than the system takes to try a connection again.
-            assertThat(late.calls.poll(4, TimeUnit.SECONDS)).isNull();
+            assertThat(late.calls().poll(4, TimeUnit.SECONDS)).isNull();
         }
-        assertThat(all.log()).doesNotContain("unexpected");
+        assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     @Test
     void aClientThatLeavesDuringItsAttemptOrItsAnswerIsOwedNothingMore() throws Exception {
-        all.start();
+        startRelay();
         for (boolean half : new boolean[] {false, true}) {
-            Socket leaving = all.connect();
-            ask(leaving, "POST /claim", "left" + half, "", "x");
-            StandIns.Came at = all.endpoint.next();
+            Socket leaving = relay.connect();
+            sendRequest(leaving, "POST /claim", "left" + half, "", "x");
+            HttpMessage at = endpoint.awaitCall();
             if (half) {
-                StandIns.write(at.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
+                RawHttp.write(at.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
             }
             leaving.close();
-            relayHasTurned();
-            StandIns.write(at.socket(), half ? "lf" : "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
-            try (Socket client = all.connect()) {
-                served(client, "POST /claim", "next" + half, all.endpoint);
+            awaitRelayIdle();
+            RawHttp.write(at.socket(), half ? "lf" : "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+            try (Socket client = relay.connect()) {
+                assertServed(client, "POST /claim", "next" + half, endpoint);
             }
         }
-        assertThat(all.log()).doesNotContain("unexpected");
+        assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     @Test
     void aFloodOfConnectionsLeavesThoseThatWereTakenTheirAnswers() throws Exception {
-        Files.writeString(all.config, Files.readString(all.config).replace("\"sockets\": 1024", "\"sockets\": 128"));
-        all.start();
+        relay.replaceInConfig("\"sockets\": 1024", "\"sockets\": 128");
+        startRelay();
         List<Socket> flood = new ArrayList<>();
-        try (Socket taken = all.connect()) {
-            ask(taken, "POST /claim", "taken", "X-Expires-In-Ms: 10000\r\n", "x");
-            StandIns.Came at = all.endpoint.next();
+        try (Socket taken = relay.connect()) {
+            sendRequest(taken, "POST /claim", "taken", "X-Expires-In-Ms: 10000\r\n", "x");
+            HttpMessage at = endpoint.awaitCall();
             for (int i = 0; i < 300; i++) {
                 Socket one = new Socket();
                 flood.add(one);
@@ -109,28 +97,28 @@
                     break;
                 }
             }
-            at.answer("200 OK", "", "answered");
-            assertThat(read(taken).body()).isEqualTo("answered");
+            at.respond("200 OK", "", "answered");
+            assertThat(readMessage(taken).body()).isEqualTo("answered");
         } finally {
             for (Socket one : flood) {
                 one.close();
             }
         }
-        try (Socket client = all.connect()) {
-            served(client, "POST /claim", "after", all.endpoint);
+        try (Socket client = relay.connect()) {
+            assertServed(client, "POST /claim", "after", endpoint);
         }
-        assertThat(all.log()).doesNotContain("unexpected");
+        assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     // ---- Endpoints ----
 
     @Test
     void anIdleConnectionThatAnEndpointClosedCarriesNoRequest() throws Exception {
-        all.start();
-        try (Socket client = all.connect()) {
+        startRelay();
+        try (Socket client = relay.connect()) {
             for (int i = 0; i < 5; i++) {
-                served(client, "POST /claim", "once" + i, all.endpoint);
-                for (Socket s : all.endpoint.connections) {
+                assertServed(client, "POST /claim", "once" + i, endpoint);
+                for (Socket s : endpoint.connections()) {
                     s.close();
                 }
             }
@@ -139,175 +127,175 @@
 
     @Test
     void aSecondAnswerOnAnIdleConnectionIsNeverTheNextRequests() throws Exception {
-        all.start();
-        try (Socket client = all.connect()) {
+        startRelay();
+        try (Socket client = relay.connect()) {
             for (int i = 0; i < 5; i++) {
-                ask(client, "POST /claim", "first" + i, "X-Expires-In-Ms: 10000\r\n", "x");
-                StandIns.Came at = all.endpoint.next();
-                at.answer("200 OK", "", "first");
-                assertThat(read(client).body()).isEqualTo("first");
-                at.answer("200 OK", "", "again");
-                assertThat(all.endpoint.ended.poll(20, TimeUnit.SECONDS)).isSameAs(at.socket());
-                served(client, "POST /claim", "second" + i, all.endpoint);
+                sendRequest(client, "POST /claim", "first" + i, "X-Expires-In-Ms: 10000\r\n", "x");
+                HttpMessage at = endpoint.awaitCall();
+                at.respond("200 OK", "", "first");
+                assertThat(readMessage(client).body()).isEqualTo("first");
+                at.respond("200 OK", "", "again");
+                assertThat(endpoint.closedConnections().poll(20, TimeUnit.SECONDS))
+                        .isSameAs(at.socket());
+                assertServed(client, "POST /claim", "second" + i, endpoint);
             }
         }
     }
 
     @Test
     void aNonRetriableRequestWhoseAnswerIsCutOrLateIsErroredOnceAndNeverRepeated() throws Exception {
-        all.start();
+        startRelay();
         String whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
         for (String cut : new String[] {"", "HTTP/1.1 2", whole, whole + "ha"}) {
-            try (Socket client = all.connect()) {
-                ask(client, "POST /claim", "cut", "", "x");
-                StandIns.Came at = all.endpoint.next();
-                StandIns.write(at.socket(), cut);
+            try (Socket client = relay.connect()) {
+                sendRequest(client, "POST /claim", "cut", "", "x");
+                HttpMessage at = endpoint.awaitCall();
+                RawHttp.write(at.socket(), cut);
                 at.socket().close();
-                assertThat(read(client).head()).as(cut).startsWith("HTTP/1.1 502");
+                assertThat(readMessage(client).head()).as(cut).startsWith("HTTP/1.1 502");
                 for (int i = 0; i < 3; i++) {
                     // Else the decisions would leave the endpoint out.
-                    served(client, "POST /claim", "good" + i, all.endpoint);
+                    assertServed(client, "POST /claim", "good" + i, endpoint);
                 }
-                ask(client, "POST /claim", "late", "X-Expires-In-Ms: 300\r\n", "x");
-                at = all.endpoint.next();
-                StandIns.write(at.socket(), cut);
-                assertThat(read(client).head()).as(cut).startsWith("HTTP/1.1 504");
-                assertThat(all.endpoint.ended.poll(20, TimeUnit.SECONDS)).isNotNull();
-                all.endpoint.ended.clear();
+                sendRequest(client, "POST /claim", "late", "X-Expires-In-Ms: 300\r\n", "x");
+                at = endpoint.awaitCall();
+                RawHttp.write(at.socket(), cut);
+                assertThat(readMessage(client).head()).as(cut).startsWith("HTTP/1.1 504");
+                assertThat(endpoint.closedConnections().poll(20, TimeUnit.SECONDS))
+                        .isNotNull();
+                endpoint.closedConnections().clear();
                 for (int i = 0; i < 3; i++) {
-                    served(client, "POST /claim", "after" + i, all.endpoint);
+                    assertServed(client, "POST /claim", "after" + i, endpoint);
                 }
             }
-            all.endpoint.ended.clear();
+            endpoint.closedConnections().clear();
         }
-        assertThat(all.endpoint.calls).isEmpty();
+        assertThat(endpoint.calls()).isEmpty();
     }
 
-    // ---- Leaving ----
+    // ---- Shutdown ----
 
     @Test
     void onSigtermWhatIsHalfReadOrHasItsAnswerHalfWrittenIsAnsweredWhole() throws Exception {
-        all.start();
-        try (Socket reading = all.connect();
-                Socket answering = all.connect()) {
-            StandIns.write(
+        startRelay();
+        try (Socket reading = relay.connect();
+                Socket answering = relay.connect()) {
+            RawHttp.write(
                     reading, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: reading\r\nContent-Length: 4\r\n\r\nha");
-            ask(answering, "POST /claim", "answering", "", "x");
-            StandIns.Came half = all.endpoint.next();
-            StandIns.write(half.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
-            all.process.destroy();
-            all.signal("TERM");
-            all.signal("HUP");
-            all.awaitLog("SIGHUP, discovery at");
-            StandIns.write(reading, "lf");
-            StandIns.write(half.socket(), "lf");
-            assertThat(read(answering).body()).isEqualTo("half");
-            StandIns.Came at = all.endpoint.next();
+            sendRequest(answering, "POST /claim", "answering", "", "x");
+            HttpMessage half = endpoint.awaitCall();
+            RawHttp.write(half.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
+            relay.process().destroy();
+            relay.signal("TERM");
+            relay.signal("HUP");
+            relay.awaitLog("SIGHUP, discovery at");
+            RawHttp.write(reading, "lf");
+            RawHttp.write(half.socket(), "lf");
+            assertThat(readMessage(answering).body()).isEqualTo("half");
+            HttpMessage at = endpoint.awaitCall();
             assertThat(at.body()).isEqualTo("half");
-            at.answer("200 OK", "", "whole");
-            assertThat(read(reading).body()).isEqualTo("whole");
+            at.respond("200 OK", "", "whole");
+            assertThat(readMessage(reading).body()).isEqualTo("whole");
             // New connections go on coming for a while.
-            try (Socket comes = all.connect()) {
-                served(comes, "POST /claim", "comes", all.endpoint);
+            try (Socket comes = relay.connect()) {
+                assertServed(comes, "POST /claim", "comes", endpoint);
             }
         }
-        assertThat(all.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(all.log()).contains("ends:").doesNotContain("unexpected");
+        assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
+        assertThat(relay.log()).contains("ends:").doesNotContain("unexpected");
     }
 
     @Test
     void onSigtermWhatWaitsForItsConnectionOrItsListIsStillAnswered() throws Exception {
-        Files.writeString(
-                all.config,
-                Files.readString(all.config).replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000"));
-        try (StandIns.Party late = StandIns.Party.thatAcceptsLater();
+        relay.replaceInConfig("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000");
+        try (FakeServer late = FakeServer.thatAcceptsLater();
                 Socket held = connectUnlisted();
-                Socket dials = all.connect()) {
-            StandIns.Came asked = all.discovery.next();
+                Socket dials = relay.connect()) {
+            HttpMessage asked = discovery.awaitCall();
             for (Socket client : List.of(held, dials)) {
-                ask(client, "POST /claim", client == held ? "held" : "dials", "X-Expires-In-Ms: 20000\r\n", "x");
+                sendRequest(
+                        client, "POST /claim", client == held ? "held" : "dials", "X-Expires-In-Ms: 20000\r\n", "x");
             }
-            relayHasTurned();
-            all.process.destroy();
-            StandIns.tell(asked, 1, late);
-            all.discovery.next();
+            awaitRelayIdle();
+            relay.process().destroy();
+            listOnly(asked, 1, late);
+            discovery.awaitCall();
             late.accept();
             for (int i = 0; i < 2; i++) {
-                late.next().answer("200 OK", "", "served");
+                late.awaitCall().respond("200 OK", "", "served");
             }
-            assertThat(read(held).body()).isEqualTo("served");
-            assertThat(read(dials).body()).isEqualTo("served");
+            assertThat(readMessage(held).body()).isEqualTo("served");
+            assertThat(readMessage(dials).body()).isEqualTo("served");
         }
-        assertThat(all.process.waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(all.log()).contains("ends:").doesNotContain("unexpected");
+        assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
+        assertThat(relay.log()).contains("ends:").doesNotContain("unexpected");
     }
 
     private Socket connectUnlisted() throws Exception {
-        all.startUnlisted();
-        return all.connectSoon();
+        relay.launchCold();
+        return relay.connectWhenListening();
     }
 
-    // ---- The list ----
+    // ---- Discovery ----
 
     @Test
     void aWatchThatFallsSilentOrStopsHalfwayIsOpenedAnewFromWhereItStood() throws Exception {
-        all.startUnlisted();
-        StandIns.tell(all.discovery.next(), 7, all.endpoint);
+        relay.launchCold();
+        listOnly(discovery.awaitCall(), 7, endpoint);
         for (String half : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\":9,"}) {
-            StandIns.Came watch = all.discovery.next();
+            HttpMessage watch = discovery.awaitCall();
             assertThat(watch.head()).startsWith("GET /api/targets?from=7&");
-            StandIns.write(watch.socket(), half);
-            assertThat(all.discovery.ended.poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
+            RawHttp.write(watch.socket(), half);
+            assertThat(discovery.closedConnections().poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
         }
-        StandIns.Came again = all.discovery.next();
+        HttpMessage again = discovery.awaitCall();
         assertThat(again.head()).startsWith("GET /api/targets?from=7&");
         // An index that goes back is another life of discovery: what it says now holds.
-        StandIns.tell(again, 2, all.other);
-        assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=2&");
-        try (Socket client = all.connect()) {
-            served(client, "POST /claim", "moved", all.other);
+        listOnly(again, 2, otherEndpoint);
+        assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=2&");
+        try (Socket client = relay.connect()) {
+            assertServed(client, "POST /claim", "moved", otherEndpoint);
         }
-        assertThat(all.endpoint.calls).isEmpty();
+        assertThat(endpoint.calls()).isEmpty();
     }
 
     @Test
     void aMoveOfDiscoveryIsFoundWithoutSighupOnceTheOldOneIsSilent() throws Exception {
-        all.startUnlisted();
-        StandIns.tell(all.discovery.next(), 7, all.endpoint);
-        assertThat(all.discovery.next().head()).startsWith("GET /api/targets?from=7&");
-        String first = Files.readString(all.config);
-        try (StandIns.Party moved = new StandIns.Party()) {
-            Files.writeString(all.config, first.substring(0, first.length() / 2));
+        relay.launchCold();
+        listOnly(discovery.awaitCall(), 7, endpoint);
+        assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=7&");
+        String first = relay.configText();
+        try (FakeServer moved = new FakeServer()) {
+            relay.writeConfig(first.substring(0, first.length() / 2));
             // The watch fails, and the file can't be read: what was in force stays.
-            StandIns.Came again = all.discovery.next();
-            Files.writeString(all.config, first.replace(all.discovery.address(), moved.address()));
+            HttpMessage again = discovery.awaitCall();
+            relay.writeConfig(first.replace(discovery.address(), moved.address()));
             again.socket().close();
-            StandIns.tell(moved.next(), 1, all.other);
-            try (Socket client = all.connect()) {
-                served(client, "POST /claim", "moved", all.other);
+            listOnly(moved.awaitCall(), 1, otherEndpoint);
+            try (Socket client = relay.connect()) {
+                assertServed(client, "POST /claim", "moved", otherEndpoint);
             }
         }
-        assertThat(all.endpoint.calls).isEmpty();
-        assertThat(all.log()).contains("discovery failed, discovery at").doesNotContain("unexpected");
+        assertThat(endpoint.calls()).isEmpty();
+        assertThat(relay.log()).contains("discovery failed, discovery at").doesNotContain("unexpected");
     }
 
     @Test
     void afterAMoveTheOldDiscoveryIsNotHeardAnyMore() throws Exception {
-        all.startUnlisted();
-        StandIns.tell(all.discovery.next(), 7, all.endpoint);
-        StandIns.Came watch = all.discovery.next();
-        try (StandIns.Party moved = new StandIns.Party()) {
-            Files.writeString(
-                    all.config, Files.readString(all.config).replace(all.discovery.address(), moved.address()));
-            all.hangUp();
-            StandIns.Came asked = moved.next();
-            assertThat(all.discovery.ended.poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
-            StandIns.tell(asked, 1, all.other);
-            assertThat(moved.next().head()).startsWith("GET /api/targets?from=1&");
-            try (Socket client = all.connect()) {
-                served(client, "POST /claim", "moved", all.other);
+        relay.launchCold();
+        listOnly(discovery.awaitCall(), 7, endpoint);
+        HttpMessage watch = discovery.awaitCall();
+        try (FakeServer moved = new FakeServer()) {
+            relay.writeConfig(relay.configText().replace(discovery.address(), moved.address()));
+            relay.signal("HUP");
+            HttpMessage asked = moved.awaitCall();
+            assertThat(discovery.closedConnections().poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
+            listOnly(asked, 1, otherEndpoint);
+            assertThat(moved.awaitCall().head()).startsWith("GET /api/targets?from=1&");
+            try (Socket client = relay.connect()) {
+                assertServed(client, "POST /claim", "moved", otherEndpoint);
             }
         }
-        assertThat(all.endpoint.calls).isEmpty();
+        assertThat(endpoint.calls()).isEmpty();
     }
 }
--- /dev/null
+++ b/src/test/java/gatelock/RequestValidationTest.java
@@ -0,0 +1,129 @@
+package gatelock;
+
+import static gatelock.standin.RawHttp.isClosedByPeer;
+import static gatelock.standin.RawHttp.readMessage;
+import static gatelock.standin.RawHttp.sendRequest;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gatelock.standin.BackgroundTask;
+import gatelock.standin.HttpMessage;
+import gatelock.standin.RawHttp;
+import gatelock.standin.RelayTestCase;
+import java.io.IOException;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import org.junit.jupiter.api.Test;
+
+/** Requests that are malformed, too large or of no route are rejected and never forwarded. */
+final class RequestValidationTest extends RelayTestCase {
+    @Test
+    void aRequestOfNoUseIsToldSoAndHarmsNobody() throws Exception {
+        startRelay();
+        String[][] odd = {
+            {"GET /nothing", "a", "", "404"},
+            {"GET /claim", "b", "", "405"},
+            {"POST /post", "c", "", "400"},
+            {"GET /read", "", "", "400"}
+        };
+        for (String[] o : odd) {
+            try (Socket client = relay.connect()) {
+                sendRequest(client, o[0], o[1], o[2], "x");
+                assertThat(readMessage(client).head()).as(o[0]).startsWith("HTTP/1.1 " + o[3]);
+            }
+        }
+        try (Socket client = relay.connect()) {
+            RawHttp.write(client, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: 70000\r\n\r\n");
+            assertThat(readMessage(client).head()).startsWith("HTTP/1.1 413");
+        }
+        try (Socket client = relay.connect()) {
+            sendRequest(client, "GET /read", "e", "X-Size-Hint: much\r\nX-Props: \r\n", "");
+            endpoint.awaitCall().respond("200 OK", "", "fine");
+            assertThat(readMessage(client).body()).isEqualTo("fine");
+        }
+    }
+
+    @Test
+    void whatNoUsualClientSendsIsTurnedAwayAndNeverPassedOn() throws Exception {
+        startRelay();
+        try (Socket open = relay.connect();
+                Socket same = relay.connect()) {
+            sendRequest(open, "POST /claim", "open", "", "x");
+            HttpMessage at = endpoint.awaitCall();
+            sendRequest(same, "POST /claim", "open", "", "y");
+            assertThat(readMessage(same).head()).startsWith("HTTP/1.1 400");
+            at.respond("200 OK", "", "mine");
+            assertThat(readMessage(open).body()).isEqualTo("mine");
+        }
+        String post = "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: odd\r\n";
+        String get = "GET /read HTTP/1.1\r\nHost: x\r\n";
+        String hidden = get + "X-Trace-Id: hidden\r\n\r\n";
+        for (String odd : new String[] {
+            "noise\r\n\r\n",
+            "\u0000\u0001\u0002",
+            get + "X-Pad: p\r\n".repeat(5000),
+            get,
+            get + "\r\n",
+            get + "X-Trace-Id: a\r\nX-Trace-Id: b\r\n\r\n",
+            get + "X-Trace-Id: odd\r\nContent-Length: 1\r\n\r\nx",
+            get.replace("read", "%72ead") + "X-Trace-Id: odd\r\n\r\n",
+            hidden.replace("GET", "HEAD"),
+            get.replace("/read", "http://x/read") + "X-Trace-Id: odd\r\n\r\n",
+            post + "Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
+            post + "Content-Length: 1\r\nContent-Length: 2\r\n\r\nx",
+            post + "Content-Length: -1\r\n\r\nx",
+            post + "Content-Length: one\r\n\r\nx",
+            post + "Content-Length: 18446744073709551617\r\n\r\nx",
+            post + "Transfer-Encoding: gzip\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+            post + "Transfer-Encoding: chunked\r\n\r\nzz\r\n",
+            post + "Transfer-Encoding: chunked\r\n\r\n5\r\nab",
+            post + "Content-Length: 9\r\n\r\nhalf",
+            post + "\r\n",
+            post + "X-Expires-In-Ms: soon\r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: -5\r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: 0\r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: \r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: 99999999999999999999\r\nContent-Length: 1\r\n\r\nx",
+            post + "X-Expires-In-Ms: 999999999\r\nContent-Length: 1\r\n\r\nx",
+            post + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\n"
+        }) {
+            try (Socket client = relay.connect()) {
+                RawHttp.write(client, odd);
+                assertThat(isRejected(client)).as(odd).isTrue();
+            }
+            try (Socket client = relay.connect()) {
+                RawHttp.write(client, odd);
+                client.shutdownOutput();
+                assertThat(isRejected(client)).as(odd).isTrue();
+            }
+        }
+        assertThat(endpoint.calls()).isEmpty();
+    }
+
+    @Test
+    void aBodyOfManyMegabytesIsRefusedWhileItComes() throws Exception {
+        startRelay();
+        try (Socket client = relay.connect()) {
+            RawHttp.write(
+                    client, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: 62914560\r\n\r\n");
+            BackgroundTask.start(() -> {
+                for (int i = 0; i < 60; i++) {
+                    client.getOutputStream().write(new byte[1024 * 1024]);
+                }
+            });
+            assertThat(readMessage(client).head()).startsWith("HTTP/1.1 413").contains("Connection: close");
+            assertThat(isClosedByPeer(client)).isTrue();
+        }
+    }
+
+    /** Returns whether the relay closes a connection or answers with an error. */
+    private static boolean isRejected(Socket socket) {
+        try {
+            HttpMessage response = readMessage(socket);
+            return response == null || response.head().matches("HTTP/1.1 [45](?s:.*)");
+        } catch (SocketTimeoutException e) {
+            return false;
+        } catch (IOException e) {
+            return true;
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/gatelock/ScenarioValues.java
@@ -0,0 +1,62 @@
+package gatelock;
+
+import java.util.HashMap;
+import java.util.Locale;
+import java.util.Map;
+
+/** The named values of a scenario's step, such as {@code cap=0.2 ago=1s}. */
+final class ScenarioValues {
+    private final Map<String, String> values = new HashMap<>();
+
+    /** Reads the words that have an equals sign. */
+    static ScenarioValues of(String[] words) {
+        ScenarioValues named = new ScenarioValues();
+        for (String word : words) {
+            int equals = word.indexOf('=');
+            if (equals >= 0) {
+                named.values.put(word.substring(0, equals), word.substring(equals + 1));
+            }
+        }
+        return named;
+    }
+
+    void putAll(ScenarioValues others) {
+        values.putAll(others.values);
+    }
+
+    boolean has(String name) {
+        return values.containsKey(name);
+    }
+
+    String text(String name, String defaultValue) {
+        return values.getOrDefault(name, defaultValue);
+    }
+
+    double number(String name, double defaultValue) {
+        return has(name) ? Double.parseDouble(values.get(name)) : defaultValue;
+    }
+
+    int integer(String name, int defaultValue) {
+        return (int) number(name, defaultValue);
+    }
+
+    /** Returns a time such as {@code 20ms} or {@code 1.5s} in microseconds. */
+    long timeUs(String name, String defaultValue) {
+        return parseTimeUs(text(name, defaultValue));
+    }
+
+    <E extends Enum<E>> E constant(Class<E> type, String name, String defaultValue) {
+        return parseConstant(type, text(name, defaultValue));
+    }
+
+    static long parseTimeUs(String time) {
+        return time.endsWith("ms")
+                ? Math.round(Double.parseDouble(time.replace("ms", "")) * 1000)
+                : Math.round(Double.parseDouble(time.replace("s", "")) * 1_000_000);
+    }
+
+    /** Returns the constant that a scenario names in lower case and with hyphens. */
+    static <E extends Enum<E>> E parseConstant(Class<E> type, String name) {
+        return Enum.valueOf(type, name.toUpperCase(Locale.ROOT).replace('-', '_'));
+    }
+}
--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/StateRetentionTest.java
@@ -15,6 +15,7 @@
 import gatelock.state.EndpointAddresses;
 import gatelock.state.IdleConnections;
 import java.lang.reflect.Field;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -23,8 +24,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints, builds, addresses, keys and requests that come and go through a long day leave nothing behind. */
-final class LongDayTest {
+/** Endpoints, builds, addresses, keys and requests that come and go for long leave no state behind. */
+final class StateRetentionTest {
     private final List<String> sentTo = new ArrayList<>();
 
     @Test
@@ -62,7 +63,7 @@
                         0,
                         0,
                         rollout),
-                new Noting());
+                new SendRecorder());
         long nowUs = 1_000_000;
         gate.start(nowUs);
         for (int build = 1; build <= 200; build++) {
@@ -84,7 +85,7 @@
                 gate.due(nowUs, 0);
             }
         }
-        bounded(gate, 100);
+        assertBounded(gate, 100);
     }
 
     @Test
@@ -92,7 +93,7 @@
         EndpointAddresses addresses = new EndpointAddresses();
         IdleConnections<Object> idle = new IdleConnections<>(50, c -> {});
         for (int i = 0; i < 1000; i++) {
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", 1 + i);
+            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + i);
             addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, Endpoint.Health.READY, 0));
             addresses.put(
                     at,
@@ -100,21 +101,27 @@
             idle.put(i, at, "connection" + i);
         }
         addresses.keepOnly(Set.of("a1"));
-        bounded(addresses, 1);
-        bounded(idle, 50);
+        assertBounded(addresses, 1);
+        assertBounded(idle, 50);
     }
 
-    private static void bounded(Object holder, int most) throws Exception {
+    private static void assertBounded(Object holder, int maxSize) throws Exception {
         for (Field field : holder.getClass().getDeclaredFields()) {
             field.setAccessible(true);
             Object held = field.get(holder);
-            int size = held instanceof Map<?, ?> map ? map.size() : held instanceof Collection<?> c ? c.size() : 0;
-            assertThat(size).as(field.getName()).isLessThanOrEqualTo(most);
+            assertThat(sizeOf(held)).as(field.getName()).isLessThanOrEqualTo(maxSize);
         }
     }
 
-    /** Notes where tries go. */
-    private final class Noting implements NoOpActions {
+    private static int sizeOf(Object held) {
+        if (held instanceof Map<?, ?> map) {
+            return map.size();
+        }
+        return held instanceof Collection<?> collection ? collection.size() : 0;
+    }
+
+    /** Records the endpoints that attempts are sent to. */
+    private final class SendRecorder implements NoOpActions {
         @Override
         public void send(String id, String endpoint, long timeoutUs) {
             sentTo.add(endpoint);
--- a/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -1,95 +1,82 @@
 package gatelock.standin;
 
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures service through a relay while 200 versions a second come, against none. Not a test: run by
- * {@code make measure-swarm}. Requests are sent at set times, 400 a second, and timed from these, so that a stall
- * counts for
- * all that should have been sent in it.
+ * Measures service through a relay while 200 configuration versions a second are offered, against none. Not a test: run
+ * by {@code make measure-swarm}. Requests are sent at set times, 400 a second, and timed from these, so that a stall
+ * counts for all that should have been sent in it.
  */
 public final class ConfigUpdateBenchmark {
     private static final int CLIENTS = 16;
-    private static final int A_SECOND = 400;
+    private static final int REQUESTS_PER_S = 400;
     private static final int SECONDS = 10;
+    private static final int VERSIONS_PER_S = 200;
+    private static final int VERSIONS = SECONDS * VERSIONS_PER_S;
+    private static final List<String> FLAGS =
+            List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms96m", "-Xmx96m");
 
     private ConfigUpdateBenchmark() {}
 
+    /** Prints the table; takes no arguments. */
     public static void main(String[] args) throws Exception {
         Path directory = Files.createTempDirectory("gatelock-swarm");
-        int port;
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
-        }
-        try (FakeDeployment village = new FakeDeployment(4);
+        int port = RelayProcess.freePort();
+        try (FakeDeployment deployment = new FakeDeployment(4);
                 ControlService control = new ControlService()) {
-            Path config = directory.resolve("relay.json");
-            Files.writeString(
-                    config,
-                    village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port));
+            String configuration =
+                    deployment.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
             Path operator = directory.resolve("operator.json");
             Files.writeString(
                     operator, "{\"control\": {\"services\": [\"" + control.address() + "\"], \"holdMs\": 1000}}");
-            control.offer(1, "m", 1, plan(1, 100));
-            ProcessBuilder builder = new ProcessBuilder(
-                            "java",
-                            "-XX:+UseSerialGC",
-                            "-XX:TieredStopAtLevel=1",
-                            "-Xms96m",
-                            "-Xmx96m",
-                            "-jar",
-                            "target/gatelock.jar",
-                            "serve",
-                            "--operator",
-                            operator.toString())
-                    .redirectError(directory.resolve("relay.log").toFile());
-            builder.environment().put("PROXY_CONFIG", config.toString());
-            Process relay = builder.start();
-            try {
-                control.report("1/1");
+            control.offer(1, "m", 1, version(1, 100));
+            List<String> arguments = List.of("--operator", operator.toString());
+            try (RelayProcess relay = RelayProcess.start(directory, port, configuration, FLAGS, arguments)) {
+                control.awaitReport("1/1");
                 TimeUnit.SECONDS.sleep(2);
-                load(port, 5);
-                System.out.println("| versions | reqs | in 250 ms | p50 ms | p99 ms | most ms |");
-                System.out.println("| --- | --- | --- | --- | --- | --- |");
-                say("none", load(port, SECONDS));
-                for (int routes : new int[] {100, 1_000}) {
-                    int at = routes * 1_000;
-                    Thread swarm = new Thread(() -> {
-                        for (int i = 1; !Thread.currentThread().isInterrupted() && i <= SECONDS * 200; i++) {
-                            control.offer(1, "m", at + i, plan(at + i, routes));
-                            try {
-                                Thread.sleep(5);
-                            } catch (InterruptedException e) {
-                                return;
-                            }
-                        }
-                    });
-                    swarm.start();
-                    say("200 a second offered, " + routes + " routes each", load(port, SECONDS));
-                    swarm.join();
-                    long held = 0;
-                    while (held < at + SECONDS * 200) {
-                        held = ((Number) control.report().get("version")).longValue();
-                    }
-                }
-            } finally {
-                relay.destroy();
-                relay.waitFor();
+                measure(control, relay.port);
             }
         }
         System.exit(0);
     }
 
-    private static String plan(int number, int routes) {
+    private static void measure(ControlService control, int port) throws InterruptedException {
+        load(port, 5);
+        System.out.println("| versions | reqs | in 250 ms | p50 ms | p99 ms | most ms |");
+        System.out.println("| --- | --- | --- | --- | --- | --- |");
+        printRow("none", load(port, SECONDS));
+        for (int routes : new int[] {100, 1_000}) {
+            int firstNumber = routes * 1_000;
+            Thread offers = new Thread(() -> offerVersions(control, firstNumber, routes));
+            offers.start();
+            printRow("200 a second offered, " + routes + " routes each", load(port, SECONDS));
+            offers.join();
+            long inForce = 0;
+            while (inForce < firstNumber + VERSIONS) {
+                inForce = ((Number) control.awaitReport().get("version")).longValue();
+            }
+        }
+    }
+
+    private static void offerVersions(ControlService control, int firstNumber, int routes) {
+        for (int i = 1; !Thread.currentThread().isInterrupted() && i <= VERSIONS; i++) {
+            control.offer(1, "m", firstNumber + i, version(firstNumber + i, routes));
+            try {
+                Thread.sleep(1_000 / VERSIONS_PER_S);
+            } catch (InterruptedException e) {
+                return;
+            }
+        }
+    }
+
+    private static String version(int number, int routes) {
         StringBuilder text = new StringBuilder("{\"format\": 1, \"note\": \"" + number
-                + "\", \"pools\": {\"all\": {}}, \"limits\": "
-                + "{\"l\": {\"ratePerS\": 100000}}, \"routes\": [{\"name\": \"reads\", \"path\": \"/read\", "
-                + "\"class\": \"read\", "
+                + "\", \"pools\": {\"all\": {}}, \"limits\": {\"l\": {\"ratePerS\": 100000}}, "
+                + "\"routes\": [{\"name\": \"reads\", \"path\": \"/read\", \"class\": \"read\", "
                 + "\"pool\": \"all\", \"limits\": [\"l\"]}");
         for (int i = 1; i < routes; i++) {
             text.append(", {\"name\": \"r")
@@ -101,19 +88,19 @@
         return text.append("]}").toString();
     }
 
-    /** Times of requests from when each was due; one that got no 200 is told. */
+    /** Returns response times in microseconds, each from when its request was due; prints how many got no 200. */
     static Histogram load(int port, int seconds) throws InterruptedException {
-        OpenLoop.Result result = OpenLoop.run(new int[] {port}, CLIENTS, A_SECOND, seconds);
+        OpenLoop.Result result = OpenLoop.run(new int[] {port}, CLIENTS, REQUESTS_PER_S, seconds);
         if (result.other() > 0) {
             System.out.println(result.other() + " reqs got no 200");
         }
         return result.us();
     }
 
-    private static void say(String what, Histogram us) {
+    private static void printRow(String versions, Histogram us) {
         System.out.printf(
                 "| %s | %d | %.2f%% | %.2f | %.2f | %.2f |%n",
-                what,
+                versions,
                 us.getTotalCount(),
                 us.getPercentileAtOrBelowValue(250_000),
                 us.getValueAtPercentile(50) / 1e3,
--- a/src/test/java/gatelock/standin/ControlService.java
+++ b/src/test/java/gatelock/standin/ControlService.java
@@ -5,131 +5,115 @@
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.io.OutputStream;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.ExecutorService;
-import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/**
- * A control service: holds one version, hands it to whoever holds another, and notes all that relays tell it.
- */
+/** A control service: holds one configuration version, sends it to relays that poll, and queues their reports. */
 public final class ControlService implements AutoCloseable {
-    /** How it serves a call. */
-    public enum Manner {
-        /** A later version at once, or when there is one; 204 when the hold is over. */
-        USUAL,
-        /** No answer at all. */
+    private static final int REPORT_TIMEOUT_S = 20;
+
+    /** How a poll is answered. */
+    public enum Behavior {
+        /** With a later version at once, or as soon as there is one; 204 when the hold of the poll is over. */
+        NORMAL,
+        /** Not at all. */
         SILENT,
-        /** Its version whatever the relay holds. */
-        STUBBORN,
-        /** Half of a version, then the connection ends. */
-        CUT,
-        /** 204 at once, whatever hold was asked for. */
-        HASTY,
-        /** A version whose hash is another's. */
-        DAMAGED,
-        /** 500. */
-        FAILING
+        /** With the version, whatever the relay has. */
+        REPEATS_VERSION,
+        /** With half of the version; then the connection ends. */
+        TRUNCATES,
+        /** With 204 at once, whatever hold the poll asks for. */
+        IGNORES_HOLD,
+        /** With the version and a hash that is not its own. */
+        WRONG_HASH,
+        /** With 500. */
+        FAILS
     }
 
-    private static final class Version {
-        private final long born;
-        private final String id;
-        private final long number;
-        private final byte[] text;
-
-        Version(long born, String id, long number, byte[] text) {
-            this.born = born;
-            this.id = id;
-            this.number = number;
-            this.text = text;
+    /** A version; an epoch is named by the time it began and an id. */
+    private record Version(long epochStart, String epochId, long number, String text) {
+        boolean isLaterThan(Map<String, Object> poll) {
+            return !(epochStart + "-" + epochId).equals(poll.get("epoch"))
+                    || number > ((Number) poll.get("version")).longValue();
         }
     }
 
+    private final ExecutorService threads = LoopbackHttpServer.daemonThreads("control service");
     private final HttpServer server;
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "control service");
-        thread.setDaemon(true);
-        return thread;
-    });
     private final BlockingQueue<Map<String, Object>> reports = new LinkedBlockingQueue<>();
     private Version version;
-    private Manner manner = Manner.USUAL;
-    private int calls;
+    private Behavior behavior = Behavior.NORMAL;
+    private int pollCount;
     private boolean closed;
 
+    /** Starts a service that has no version yet. */
     public ControlService() throws IOException {
-        this(0);
-    }
-
-    /** On a port of loopback; 0: any that is free. */
-    public ControlService(int port) throws IOException {
-        server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 100);
-        server.setExecutor(threads);
+        server = LoopbackHttpServer.start(threads);
         server.createContext("/v1/plans", this::handle);
-        server.start();
     }
 
+    /** Returns where the service listens. */
     public String address() {
-        return "127.0.0.1:" + server.getAddress().getPort();
+        return LoopbackHttpServer.address(server);
     }
 
-    /** From now on this is the version to be had. */
-    public synchronized void offer(long born, String id, long number, String text) {
-        version = new Version(born, id, number, text.getBytes(StandardCharsets.UTF_8));
+    /** Replaces the version that is sent. */
+    public synchronized void offer(long epochStart, String epochId, long number, String text) {
+        version = new Version(epochStart, epochId, number, text);
         notifyAll();
     }
 
-    public synchronized void manner(Manner manner) {
-        this.manner = manner;
+    /** Sets how polls are answered from now on, also those that wait. */
+    public synchronized void behave(Behavior newBehavior) {
+        behavior = newBehavior;
         notifyAll();
     }
 
-    public synchronized int calls() {
-        return calls;
+    /** Returns the number of polls so far. */
+    public synchronized int pollCount() {
+        return pollCount;
     }
 
-    /** The next call that told what came of a version. */
-    public Map<String, Object> report() throws InterruptedException {
-        Map<String, Object> report = reports.poll(20, TimeUnit.SECONDS);
+    /** Returns the next report of a relay on a version; fails if none comes in time. */
+    public Map<String, Object> awaitReport() throws InterruptedException {
+        Map<String, Object> report = reports.poll(REPORT_TIMEOUT_S, TimeUnit.SECONDS);
         if (report == null) {
-            throw new AssertionError("no relay told anything");
+            throw new AssertionError("no report came");
         }
         return report;
     }
 
-    /** Waits for the report on that nonce. */
-    public Map<String, Object> report(String nonce) throws InterruptedException {
-        Map<String, Object> report = report();
+    /** Returns the next report on the version with this nonce, which is {@code EPOCH_START/NUMBER}. */
+    public Map<String, Object> awaitReport(String nonce) throws InterruptedException {
+        Map<String, Object> report = awaitReport();
         while (!nonce.equals(report.get("nonce"))) {
-            report = report();
+            report = awaitReport();
         }
         return report;
     }
 
     private void handle(HttpExchange call) throws IOException {
-        Map<String, Object> said = JSON.std.mapFrom(call.getRequestBody().readAllBytes());
-        if (said.containsKey("nonce")) {
-            reports.add(said);
+        Map<String, Object> poll = JSON.std.mapFrom(call.getRequestBody().readAllBytes());
+        if (poll.containsKey("nonce")) {
+            reports.add(poll);
         }
         Version answer;
-        Manner how;
+        Behavior how;
         synchronized (this) {
-            calls++;
+            pollCount++;
             try {
-                answer = await(said);
+                answer = awaitAnswer(poll);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
-            how = manner;
+            how = behavior;
         }
-        if (how == Manner.FAILING) {
+        if (how == Behavior.FAILS) {
             call.sendResponseHeaders(500, -1);
         } else if (answer == null) {
             call.sendResponseHeaders(204, -1);
@@ -139,22 +123,22 @@
         call.close();
     }
 
-    private Version await(Map<String, Object> said) throws InterruptedException {
-        long untilNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(((Number) said.get("hold_ms")).longValue());
+    /** Returns the version that answers a poll, or null for none; waits as the behavior has it. */
+    private synchronized Version awaitAnswer(Map<String, Object> poll) throws InterruptedException {
+        long holdMs = ((Number) poll.get("hold_ms")).longValue();
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(holdMs);
         while (!closed) {
-            long leftMs = TimeUnit.NANOSECONDS.toMillis(untilNs - System.nanoTime());
-            boolean later = version != null
-                    && (!(version.born + "-" + version.id).equals(said.get("epoch"))
-                            || version.number > ((Number) said.get("version")).longValue());
-            switch (manner) {
+            long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
+            switch (behavior) {
                 case SILENT -> wait();
-                case STUBBORN, CUT, DAMAGED -> {
+                case REPEATS_VERSION, TRUNCATES, WRONG_HASH -> {
                     return version;
                 }
-                case HASTY, FAILING -> {
+                case IGNORES_HOLD, FAILS -> {
                     return null;
                 }
-                case USUAL -> {
+                case NORMAL -> {
+                    boolean later = version != null && version.isLaterThan(poll);
                     if (later || leftMs <= 0) {
                         return later ? version : null;
                     }
@@ -165,17 +149,18 @@
         return null;
     }
 
-    private static void send(HttpExchange call, Version v, Manner how) throws IOException {
-        call.getResponseHeaders().set("X-Plan-Epoch-Born", "" + v.born);
-        call.getResponseHeaders().set("X-Plan-Epoch-Id", v.id);
-        call.getResponseHeaders().set("X-Plan-Version", "" + v.number);
-        call.getResponseHeaders().set("X-Plan-Nonce", v.born + "/" + v.number);
-        if (how == Manner.DAMAGED) {
+    private static void send(HttpExchange call, Version version, Behavior how) throws IOException {
+        call.getResponseHeaders().set("X-Plan-Epoch-Born", "" + version.epochStart);
+        call.getResponseHeaders().set("X-Plan-Epoch-Id", version.epochId);
+        call.getResponseHeaders().set("X-Plan-Version", "" + version.number);
+        call.getResponseHeaders().set("X-Plan-Nonce", version.epochStart + "/" + version.number);
+        if (how == Behavior.WRONG_HASH) {
             call.getResponseHeaders().set("X-Plan-Hash", "0".repeat(64));
         }
-        call.sendResponseHeaders(200, v.text.length);
+        byte[] body = version.text.getBytes(StandardCharsets.UTF_8);
+        call.sendResponseHeaders(200, body.length);
         try (OutputStream out = call.getResponseBody()) {
-            out.write(v.text, 0, how == Manner.CUT ? v.text.length / 2 : v.text.length);
+            out.write(body, 0, how == Behavior.TRUNCATES ? body.length / 2 : body.length);
             out.flush();
         }
     }
--- a/src/test/java/gatelock/standin/Demo.java
+++ b/src/test/java/gatelock/standin/Demo.java
@@ -3,21 +3,22 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.net.HttpURLConnection;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.net.URI;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Versions on their way to a relay that serves, to look at: stand-ins for endpoints, discovery, release controller and control
- * service, the
- * built program, requests all the time. Run by {@code make demo}.
+ * A demonstration: configuration versions on their way to a relay that serves, with stand-ins for endpoints, discovery,
+ * release controller and control service, the built program, and requests all the time. Run by {@code make demo}.
  */
-public final class Demo {
-    private static final String SOUND = """
+public final class Demo implements AutoCloseable {
+    private static final int ENDPOINTS = 4;
+    private static final int REQUESTS = 100;
+    private static final String VERSION = """
         {"format": 1, "by": "demo", "note": "%s", "unmatched": "refuse",
          "pools": {"near": {"zones": ["east"], "fallback": "all", "leastShare": 0.5}, "all": {}},
          "limits": {"reads": {"per": "tenant", "ratePerS": %s, "burst": 5, "queue": {"length": 20, "waitMs": 100}}},
@@ -26,115 +27,111 @@
           {"name": "claims", "path": "/claim", "class": "claim", "retries": "%s"}]}
         """;
 
-    private final Map<String, Integer> answers = new TreeMap<>();
-    private int sent;
+    private final FakeDeployment deployment = new FakeDeployment(ENDPOINTS);
+    private final ControlService control = new ControlService();
+    private final Map<Integer, Integer> responsesByStatus = new TreeMap<>();
+    private final long epochStart = System.currentTimeMillis();
+    private final int port;
+    private final int adminPort;
+    private int requestCount;
 
-    private Demo() {}
+    private Demo() throws IOException {
+        int[] ports = RelayProcess.freePorts(2);
+        port = ports[0];
+        adminPort = ports[1];
+    }
 
+    /** Plays the demonstration; takes no arguments. */
     public static void main(String[] args) throws Exception {
-        new Demo().play(Path.of("target/gatelock.jar"));
+        try (Demo demo = new Demo()) {
+            demo.play();
+        }
     }
 
-    private void play(Path jar) throws Exception {
+    private void play() throws Exception {
         Path directory = Files.createTempDirectory("gatelock-demo");
-        int port;
-        int window;
-        try (ServerSocket one = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                ServerSocket two = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = one.getLocalPort();
-            window = two.getLocalPort();
-        }
-        try (FakeDeployment village = new FakeDeployment(4);
-                ControlService control = new ControlService()) {
-            Path config = directory.resolve("relay.json");
-            Files.writeString(
-                    config,
-                    village.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port));
-            Path operator = directory.resolve("operator.json");
-            Files.writeString(
-                    operator,
-                    "{\"control\": {\"services\": [\"" + control.address()
-                            + "\"], \"holdMs\": 1000},"
-                            + " \"listener\": \"127.0.0.1:" + window + "\"}");
-            long born = System.currentTimeMillis();
-            control.offer(
-                    born, "demo", 1, String.format(SOUND, "reads go to zone east, 50 a second", 50, "near", "proven"));
-            ProcessBuilder builder = new ProcessBuilder(
-                            "java", "-jar", jar.toString(), "serve", "--cold", "--operator", operator.toString())
-                    .redirectError(directory.resolve("relay.log").toFile());
-            builder.environment().put("PROXY_CONFIG", config.toString());
-            Process relay = builder.start();
-            try {
-                say("a relay with 4 units and a control service; its log is " + directory.resolve("relay.log"));
-                while (ask(port, "GET", "/-/ready") != 200) {
-                    Thread.sleep(50);
-                }
-                show(control, born, 1, port, village);
-                control.offer(born, "demo", 2, String.format(SOUND, "claims are tried again", 50, "near", "again"));
-                show(control, born, 2, port, village);
-                control.offer(
-                        born, "demo", 3, String.format(SOUND, "reads go everywhere, 10 a second", 10, "all", "proven"));
-                show(control, born, 3, port, village);
-                control.manner(ControlService.Manner.SILENT);
-                say("the control service falls silent");
-                traffic(port, village);
-                control.manner(ControlService.Manner.USUAL);
-                control.offer(born - 1000, "demo", 9, String.format(SOUND, "an old copy", 500, "all", "proven"));
-                show(control, born - 1000, 9, port, village);
-                say("status: "
-                        + new String(URI.create("http://127.0.0.1:" + window + "/status")
-                                .toURL()
-                                .openStream()
-                                .readAllBytes()));
-                say(sent + " reqs, answers by status " + answers + ", every one answered");
-            } finally {
-                relay.destroy();
-                relay.waitFor();
+        Path operator = directory.resolve("operator.json");
+        Files.writeString(
+                operator,
+                "{\"control\": {\"services\": [\"" + control.address()
+                        + "\"], \"holdMs\": 1000}, \"listener\": \"127.0.0.1:" + adminPort + "\"}");
+        offer(epochStart, 1, "reads go to zone east, 50 a second", 50, "near", "proven");
+        String configuration =
+                deployment.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
+        List<String> arguments = List.of("--cold", "--operator", operator.toString());
+        try (RelayProcess relay = RelayProcess.start(directory, port, configuration, List.of(), arguments)) {
+            print("a relay with 4 units and a control service; its log is " + relay.logFile());
+            while (sendRequest("GET", "/-/ready") != 200) {
+                Thread.sleep(50);
             }
+            playVersions();
+            print("status: " + status());
+            print(requestCount + " reqs, answers by status " + responsesByStatus + ", every one answered");
+            relay.stop();
         }
     }
 
-    private void show(ControlService control, long born, int number, int port, FakeDeployment village)
-            throws Exception {
-        Map<String, Object> report = control.report(born + "/" + number);
-        say("version " + number + ": "
-                + (Boolean.TRUE.equals(report.get("accepted"))
-                        ? "in force"
-                        : "turned down ("
-                                + report.get("answer") + "), " + report.get("version") + " stays"
-                                + (report.containsKey("findings") ? ": " + report.get("findings") : "")));
-        traffic(port, village);
+    private void playVersions() throws InterruptedException {
+        showReport(epochStart, 1);
+        offer(epochStart, 2, "claims are tried again", 50, "near", "again");
+        showReport(epochStart, 2);
+        offer(epochStart, 3, "reads go everywhere, 10 a second", 10, "all", "proven");
+        showReport(epochStart, 3);
+        control.behave(ControlService.Behavior.SILENT);
+        print("the control service falls silent");
+        showTraffic();
+        control.behave(ControlService.Behavior.NORMAL);
+        offer(epochStart - 1000, 9, "an old copy", 500, "all", "proven");
+        showReport(epochStart - 1000, 9);
+    }
+
+    private void offer(long epoch, int number, String note, int readsPerS, String pool, String retries) {
+        control.offer(epoch, "demo", number, String.format(VERSION, note, readsPerS, pool, retries));
+    }
+
+    /** Prints what the relay reports on a version, then how requests fare. */
+    private void showReport(long epoch, int number) throws InterruptedException {
+        Map<String, Object> report = control.awaitReport(epoch + "/" + number);
+        if (Boolean.TRUE.equals(report.get("accepted"))) {
+            print("version " + number + ": in force");
+        } else {
+            String findings = report.containsKey("findings") ? ": " + report.get("findings") : "";
+            print("version " + number + ": turned down (" + report.get("answer") + "), " + report.get("version")
+                    + " stays" + findings);
+        }
+        showTraffic();
     }
 
-    private void traffic(int port, FakeDeployment village) throws Exception {
-        Map<Integer, Integer> now = new TreeMap<>();
-        long[] before = new long[4];
-        for (int i = 0; i < 4; i++) {
-            before[i] = village.did(i);
+    private void showTraffic() {
+        Map<Integer, Integer> statuses = new TreeMap<>();
+        long[] countsBefore = new long[ENDPOINTS];
+        for (int i = 0; i < ENDPOINTS; i++) {
+            countsBefore[i] = deployment.requestCount(i);
         }
-        for (int i = 0; i < 100; i++) {
-            int status = i % 5 == 0 ? ask(port, "POST", "/claim/" + i) : ask(port, "GET", "/read/" + i);
-            now.merge(status, 1, Integer::sum);
-            answers.merge("" + status, 1, Integer::sum);
-            sent++;
+        for (int i = 0; i < REQUESTS; i++) {
+            int status = i % 5 == 0 ? sendRequest("POST", "/claim/" + i) : sendRequest("GET", "/read/" + i);
+            statuses.merge(status, 1, Integer::sum);
+            responsesByStatus.merge(status, 1, Integer::sum);
+            requestCount++;
         }
         StringBuilder endpoints = new StringBuilder();
-        for (int i = 0; i < 4; i++) {
+        for (int i = 0; i < ENDPOINTS; i++) {
             endpoints
                     .append(endpoints.length() == 0 ? "" : ", ")
                     .append((char) ('a' + i))
                     .append(' ')
-                    .append(village.did(i) - before[i]);
+                    .append(deployment.requestCount(i) - countsBefore[i]);
         }
-        say("   100 reqs: answers " + now + "; units " + endpoints);
+        print("   100 reqs: answers " + statuses + "; units " + endpoints);
     }
 
-    private int ask(int port, String method, String path) {
+    /** Sends a request; returns the status of its response, or 0 if none came. */
+    private int sendRequest(String method, String path) {
         try {
             HttpURLConnection call = (HttpURLConnection)
                     URI.create("http://127.0.0.1:" + port + path).toURL().openConnection();
             call.setRequestMethod(method);
-            call.setRequestProperty("X-Trace-Id", "demo-" + sent + "-" + System.nanoTime());
+            call.setRequestProperty("X-Trace-Id", "demo-" + requestCount + "-" + System.nanoTime());
             call.setRequestProperty("X-Customer", "acme");
             if (method.equals("POST")) {
                 call.setDoOutput(true);
@@ -142,14 +139,29 @@
             }
             int status = call.getResponseCode();
             InputStream body = status < 400 ? call.getInputStream() : call.getErrorStream();
-            (body == null ? InputStream.nullInputStream() : body).readAllBytes();
+            if (body != null) {
+                body.readAllBytes();
+            }
             return status;
         } catch (IOException e) {
             return 0;
         }
     }
 
-    private static void say(String line) {
+    private String status() throws IOException {
+        URI uri = URI.create("http://127.0.0.1:" + adminPort + "/status");
+        try (InputStream body = uri.toURL().openStream()) {
+            return new String(body.readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    private static void print(String line) {
         System.out.println(line);
     }
+
+    @Override
+    public void close() {
+        deployment.close();
+        control.close();
+    }
 }
--- a/src/test/java/gatelock/standin/FakeDeployment.java
+++ b/src/test/java/gatelock/standin/FakeDeployment.java
@@ -1,5 +1,6 @@
 package gatelock.standin;
 
+import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -10,110 +11,118 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All that a relay of examples/relay.json speaks to, on free ports: endpoints that take 5 ms if nothing else is said,
- * discovery, the release controller.
+ * All that a relay of examples/relay.json speaks to, on free ports: endpoints, discovery and the release controller.
+ * They answer by themselves.
  */
 public final class FakeDeployment implements AutoCloseable {
-    private static final String NEWS =
+    private static final long DEFAULT_WORK_MS = 5;
+    private static final long HEARTBEAT_MS = 1_000;
+    private static final String RELEASED_STATE =
             "{\"release\":1,\"tranche\":0,\"mode\":\"released\",\"exposure\":1.0,\"old_ms\":60000}";
 
-    private final ExecutorService threads = HttpStandIn.threads("village");
+    private final ExecutorService threads = LoopbackHttpServer.daemonThreads("deployment");
     private final List<HttpServer> servers = new ArrayList<>();
     private final List<HttpServer> endpoints = new ArrayList<>();
-    private final AtomicLong[] did;
+    private final List<AtomicLong> requestCounts = new ArrayList<>();
     private final HttpServer discovery;
     private final HttpServer controller;
 
-    /** As many endpoints, named a, b, c and so on, by turns in zone east and west. */
-    public FakeDeployment(int howMany) throws IOException {
-        this(howMany, 5);
+    /** Starts so many endpoints, named a, b, c and so on, by turns in zone east and west; each takes 5 ms a request. */
+    public FakeDeployment(int endpointCount) throws IOException {
+        this(endpointCount, DEFAULT_WORK_MS);
     }
 
-    /** The same with endpoints that take so long; 0: as long as they need to answer. */
-    public FakeDeployment(int howMany, long workMs) throws IOException {
-        did = new AtomicLong[howMany];
-        for (int i = 0; i < howMany; i++) {
-            AtomicLong mine = new AtomicLong();
-            did[i] = mine;
-            HttpServer endpoint = server();
-            String name = name(i);
-            endpoint.createContext("/", call -> {
-                call.getRequestBody().readAllBytes();
-                sleep(workMs);
-                mine.incrementAndGet();
-                HttpStandIn.answer(
-                        call, "unit " + name + " did " + call.getRequestMethod() + " " + call.getRequestURI() + "\n");
-            });
-            endpoints.add(endpoint);
+    /** Starts endpoints that take so long a request; 0: as long as they need to answer. */
+    public FakeDeployment(int endpointCount, long workMs) throws IOException {
+        for (int i = 0; i < endpointCount; i++) {
+            endpoints.add(startEndpoint(name(i), workMs));
         }
-        discovery = server();
-        discovery.createContext("/api/targets", call -> {
-            String query = call.getRequestURI().getQuery();
-            if (query != null) {
-                sleep(Long.parseLong(query.replaceAll(".*hold_ms=", "")));
-            }
-            HttpStandIn.answer(call, query == null ? list() : "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
+        discovery = start();
+        discovery.createContext("/api/targets", this::answerDiscovery);
+        controller = start();
+        controller.createContext(
+                "/v2/projects/main/judgements", call -> LoopbackHttpServer.respond(call, RELEASED_STATE));
+        controller.createContext("/v2/projects/main/changes", FakeDeployment::streamReleaseState);
+    }
+
+    private HttpServer start() throws IOException {
+        HttpServer server = LoopbackHttpServer.start(threads);
+        servers.add(server);
+        return server;
+    }
+
+    private HttpServer startEndpoint(String name, long workMs) throws IOException {
+        AtomicLong requestCount = new AtomicLong();
+        requestCounts.add(requestCount);
+        HttpServer endpoint = start();
+        endpoint.createContext("/", call -> {
+            call.getRequestBody().readAllBytes();
+            sleep(workMs);
+            requestCount.incrementAndGet();
+            LoopbackHttpServer.respond(
+                    call, "unit " + name + " did " + call.getRequestMethod() + " " + call.getRequestURI() + "\n");
         });
-        controller = server();
-        controller.createContext("/v2/projects/main/judgements", call -> HttpStandIn.answer(call, NEWS));
-        controller.createContext("/v2/projects/main/changes", call -> {
-            call.sendResponseHeaders(200, 0);
-            try (OutputStream out = call.getResponseBody()) {
-                out.write(("{\"type\":\"news\",\"object\":" + NEWS + "}\n").getBytes(StandardCharsets.US_ASCII));
-                while (true) {
-                    out.flush();
-                    sleep(1000);
-                    out.write("{}\n".getBytes(StandardCharsets.US_ASCII));
-                }
+        return endpoint;
+    }
+
+    /** Answers a call for the whole list at once, and a watch with an empty change when its hold is over. */
+    private void answerDiscovery(HttpExchange call) throws IOException {
+        String query = call.getRequestURI().getQuery();
+        if (query == null) {
+            LoopbackHttpServer.respond(call, "{\"index\":1,\"snapshot\":true,\"endpoints\":" + entries() + "}");
+        } else {
+            sleep(Long.parseLong(query.replaceAll(".*hold_ms=", "")));
+            LoopbackHttpServer.respond(call, "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}");
+        }
+    }
+
+    private static void streamReleaseState(HttpExchange call) throws IOException {
+        call.sendResponseHeaders(200, 0);
+        try (OutputStream out = call.getResponseBody()) {
+            out.write(("{\"type\":\"news\",\"object\":" + RELEASED_STATE + "}\n").getBytes(StandardCharsets.US_ASCII));
+            while (true) {
+                out.flush();
+                sleep(HEARTBEAT_MS);
+                out.write("{}\n".getBytes(StandardCharsets.US_ASCII));
             }
-        });
+        }
     }
 
-    private static String name(int i) {
-        return "" + (char) ('a' + i);
+    private static String name(int endpoint) {
+        return "" + (char) ('a' + endpoint);
     }
 
-    /** Where an endpoint is to be reached. */
+    /** Returns where an endpoint listens. */
     public String address(int endpoint) {
-        return HttpStandIn.at(endpoints.get(endpoint));
+        return LoopbackHttpServer.address(endpoints.get(endpoint));
     }
 
-    /** How many requests an endpoint has done. */
-    public long did(int endpoint) {
-        return did[endpoint].get();
+    /** Returns how many requests an endpoint has served. */
+    public long requestCount(int endpoint) {
+        return requestCounts.get(endpoint).get();
     }
 
-    /** The example's configuration with this village's addresses, two zones, and the relay's own address. */
+    /** Returns the example's configuration with the addresses of this deployment, two zones, and the relay's address. */
     public String configuration(String example, String listen) {
         String known = "{\"index\": 1, \"snapshot\": true, \"endpoints\": " + entries() + "},\n  \"settings\"";
         return example.replace("127.0.0.1:8480", listen)
-                .replace("127.0.0.1:8500", HttpStandIn.at(discovery))
-                .replace("127.0.0.1:8501", HttpStandIn.at(controller))
+                .replace("127.0.0.1:8500", LoopbackHttpServer.address(discovery))
+                .replace("127.0.0.1:8501", LoopbackHttpServer.address(controller))
                 .replace("\"zones\": [\"east\"]", "\"zones\": [\"east\", \"west\"]")
                 .replaceFirst("(?s)\\{\"index\".*?\\]\\},\\s*\"settings\"", known);
     }
 
-    private String list() {
-        return "{\"index\":1,\"snapshot\":true,\"endpoints\":" + entries() + "}";
-    }
-
     private String entries() {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
             entries.add(String.format(
                     "{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"%s\",\"type\":\"small\",\"group\":0,"
                             + "\"status\":\"in_service\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}",
-                    name(i), HttpStandIn.at(endpoints.get(i)), i % 2 == 0 ? "east" : "west"));
+                    name(i), address(i), i % 2 == 0 ? "east" : "west"));
         }
         return entries.toString();
     }
 
-    private HttpServer server() throws IOException {
-        HttpServer server = HttpStandIn.server(threads);
-        servers.add(server);
-        return server;
-    }
-
     private static void sleep(long ms) {
         try {
             if (ms > 0) {
@@ -126,7 +135,7 @@
 
     @Override
     public void close() {
-        servers.forEach(s -> s.stop(0));
+        servers.forEach(server -> server.stop(0));
         threads.shutdownNow();
     }
 }
--- a/src/test/java/gatelock/standin/LongListDiscovery.java
+++ b/src/test/java/gatelock/standin/LongListDiscovery.java
@@ -18,29 +18,30 @@
 import java.util.function.IntFunction;
 
 /**
- * A discovery with a list of any length, of which only what changed is held: the rest is worked out each time it
- * is written. Each relay has an address of its own, as the agent on its machine, so that what it asks for tells
- * what it has: a watch from an index means that the relay holds the list of that index.
+ * A discovery with a list of any length. Only the entries that changed are stored; the others are computed each time they
+ * are written. Each relay has an address of its own, as of the agent on its machine, so that a watch from an index shows
+ * that this relay has the list of that index.
  */
 public final class LongListDiscovery implements AutoCloseable {
-    /** Beginning of a watch's answers and whole lists, and what ends them. */
     private static final String HEAD = "{\"index\":%d,\"snapshot\":%b,\"endpoints\":[";
 
     private static final String END = "]}";
     private static final int BUFFER_BYTES = 64 * 1024;
 
-    /** An entry that is not as it was at the start; not listed: it has left. */
+    /** An entry that is not as it was at the start; one that is not listed was removed. */
     private record Changed(long index, String text, boolean listed) {}
 
-    private final ExecutorService threads = HttpStandIn.threads("long list");
-    private final List<HttpServer> doors = new ArrayList<>();
+    private final ExecutorService threads = LoopbackHttpServer.daemonThreads("discovery");
+    private final List<HttpServer> servers = new ArrayList<>();
     private final int size;
     private final IntFunction<String> entries;
     private final long sizeBytes;
-    /** By the entry's number, in order; those past the first size came later. */
+    /** By the number of the entry; those from the first size on were added later. */
     private final TreeMap<Integer, Changed> changed = new TreeMap<>();
 
-    private final Map<String, Map<Long, Long>> holds = new HashMap<>();
+    /** By relay and index: when the relay first watched from that index, by System.nanoTime. */
+    private final Map<String, Map<Long, Long>> watchedSinceNs = new HashMap<>();
+
     private long index = 1;
     private long wholes;
     private long watches;
@@ -48,7 +49,11 @@
     private final LongAdder bytesOut = new LongAdder();
     private boolean closed;
 
-    /** @param entries the text of each entry as it is at the start, a JSON object in ASCII */
+    /**
+     * Creates a discovery that listens nowhere yet.
+     *
+     * @param entries the text of each entry as it is at the start, a JSON object in ASCII
+     */
     public LongListDiscovery(int size, IntFunction<String> entries) {
         this.size = size;
         this.entries = entries;
@@ -59,7 +64,7 @@
         sizeBytes = bytes;
     }
 
-    /** An entry as the platform gives them, about 190 bytes with the field that names its service. */
+    /** Returns an entry as the platform has them, about 190 bytes with the field that names its service. */
     public static String entry(
             int number, String address, String zone, String service, String status, long sinceMs, int build) {
         return "{\"name\":\"" + name(number) + "\",\"address\":\"" + address + "\",\"zone\":\"" + zone
@@ -68,24 +73,25 @@
                 + (service == null ? "" : ",\"service\":\"" + service + "\"") + "}";
     }
 
+    /** Returns the name of an entry. */
     public static String name(int number) {
         return String.format("s-%08x", number * 0x9E3779B1);
     }
 
-    /** Where one more relay finds the list. */
+    /** Returns an address at which one more relay finds the list. */
     public synchronized String address(String relay) throws IOException {
-        HttpServer door = HttpStandIn.server(threads);
-        door.createContext("/api/targets", call -> handle(relay, call));
-        doors.add(door);
-        return HttpStandIn.at(door);
+        HttpServer server = LoopbackHttpServer.start(threads);
+        server.createContext("/api/targets", call -> handle(relay, call));
+        servers.add(server);
+        return LoopbackHttpServer.address(server);
     }
 
-    /** From now on an entry reads so; tells the index with which it does. A number past the size is a new entry. */
+    /** Replaces an entry, or adds one; returns the index of the change. */
     public synchronized long change(int number, String text) {
         return changed(number, text, true);
     }
 
-    /** An entry is told once more, with the status it ends with, and is no part of whole lists from now on. */
+    /** Removes an entry: watches get it once more, with its last status. Returns the index of the change. */
     public synchronized long leave(int number, String text) {
         return changed(number, text, false);
     }
@@ -137,7 +143,8 @@
         int last = now.isEmpty() ? size : Math.max(size, now.lastKey() + 1);
         for (int i = 0; i < last; i++) {
             Changed other = now.get(i);
-            if (other == null && i < size || other != null && other.listed) {
+            boolean listed = other == null ? i < size : other.listed;
+            if (listed) {
                 write(out, comma);
                 write(out, other == null ? entries.apply(i) : other.text);
                 comma = ",";
@@ -166,10 +173,10 @@
         out.close();
     }
 
-    /** What changed since an index, as soon as something has or the hold is over; null: that index is not ours. */
+    /** Waits for a change after an index, or until the hold is over; returns the answer, or null if the index is not ours. */
     private synchronized String changes(String relay, long from, long holdMs) throws InterruptedException {
         watches++;
-        holds.computeIfAbsent(relay, r -> new LinkedHashMap<>()).putIfAbsent(from, System.nanoTime());
+        watchedSinceNs.computeIfAbsent(relay, r -> new LinkedHashMap<>()).putIfAbsent(from, System.nanoTime());
         notifyAll();
         if (from > index) {
             return null;
@@ -182,9 +189,9 @@
         }
         StringBuilder text = new StringBuilder(String.format(HEAD, index, false));
         String comma = "";
-        for (Changed c : changed.values()) {
-            if (c.index > from) {
-                text.append(comma).append(c.text);
+        for (Changed change : changed.values()) {
+            if (change.index > from) {
+                text.append(comma).append(change.text);
                 comma = ",";
             }
         }
@@ -196,10 +203,10 @@
         bytesOut.add(text.length());
     }
 
-    /** When each relay that has it came to hold this index or a later one, by System.nanoTime. */
+    /** Returns since when each relay that has this index or a later one has it, by System.nanoTime. */
     public synchronized Map<String, Long> holding(long index) {
         Map<String, Long> since = new TreeMap<>();
-        holds.forEach((relay, held) -> held.entrySet().stream()
+        watchedSinceNs.forEach((relay, held) -> held.entrySet().stream()
                 .filter(e -> e.getKey() >= index)
                 .mapToLong(Map.Entry::getValue)
                 .min()
@@ -207,7 +214,7 @@
         return since;
     }
 
-    /** Waits until so many relays hold this index or a later one, or the time is over; tells which do. */
+    /** Waits until so many relays have this index or a later one, or the time is over; returns those that have it. */
     public synchronized Map<String, Long> await(long index, int relays, long withinMs) throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
         for (long leftNs = endNs - System.nanoTime();
@@ -218,26 +225,27 @@
         return holding(index);
     }
 
+    /** Returns the index of the last change. */
     public synchronized long index() {
         return index;
     }
 
-    /** Calls for the whole list. */
+    /** Returns the number of calls for the whole list. */
     public synchronized long wholes() {
         return wholes;
     }
 
-    /** Calls that wait for a change. */
+    /** Returns the number of calls that waited for a change. */
     public synchronized long watches() {
         return watches;
     }
 
-    /** Answers that the relay did not take to the end. */
+    /** Returns the number of answers that a relay did not read to the end. */
     public synchronized long brokenOff() {
         return brokenOff;
     }
 
-    /** Bytes of bodies handed to the sockets so far; heads not counted. */
+    /** Returns the bytes of bodies written so far, without heads. */
     public long bytesOut() {
         return bytesOut.sum();
     }
@@ -248,7 +256,7 @@
             closed = true;
             notifyAll();
         }
-        doors.forEach(d -> d.stop(0));
+        servers.forEach(d -> d.stop(0));
         threads.shutdownNow();
     }
 }
--- a/src/test/java/gatelock/standin/HttpStandIn.java
+++ b/src/test/java/gatelock/standin/LoopbackHttpServer.java
@@ -10,15 +10,18 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** What the stand-ins that speak HTTP share: listeners on loopback, answers. */
-final class HttpStandIn {
+/** What the stand-ins on the JDK's HTTP server share. */
+final class LoopbackHttpServer {
+    private static final int BACKLOG = 100;
+
     static {
         System.setProperty("sun.net.httpserver.nodelay", "true");
     }
 
-    private HttpStandIn() {}
+    private LoopbackHttpServer() {}
 
-    static ExecutorService threads(String name) {
+    /** Returns an executor of daemon threads with this name. */
+    static ExecutorService daemonThreads(String name) {
         return Executors.newCachedThreadPool(task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -26,19 +29,21 @@
         });
     }
 
-    /** A listener on a free port. */
-    static HttpServer server(ExecutorService threads) throws IOException {
-        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 100);
+    /** Starts a server on a free port. */
+    static HttpServer start(ExecutorService threads) throws IOException {
+        HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         server.setExecutor(threads);
         server.start();
         return server;
     }
 
-    static String at(HttpServer server) {
+    /** Returns where a server listens. */
+    static String address(HttpServer server) {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    static void answer(HttpExchange call, String body) throws IOException {
+    /** Answers a call with 200. */
+    static void respond(HttpExchange call, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         call.sendResponseHeaders(200, bytes.length);
         try (OutputStream out = call.getResponseBody()) {
--- a/src/test/java/gatelock/standin/OpenLoop.java
+++ b/src/test/java/gatelock/standin/OpenLoop.java
@@ -8,108 +8,137 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.LongAdder;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that send requests at set times, whatever has come back by then, as long as one of them is free. Each request is
- * timed from when it was due, so that a stall counts for all that should have been sent in it.
+ * An open-loop load generator: clients send requests at set times, whatever responses have come by then, as long as one
+ * of them is free. Each request is timed from when it was due, so that a stall counts for all that should have been sent
+ * in it.
  */
 public final class OpenLoop {
+    private static final int TIMEOUT_MS = 20_000;
+    private static final int MAX_HEAD_CHARS = 16_384;
+    private static final long FIRST_DUE_NS = 100_000_000;
+    private static final long NS_PER_S = 1_000_000_000;
 
     /**
-     * @param us of the requests answered with 200
-     * @param other requests with another answer, or none
+     * What came of a load.
+     *
+     * @param us response times of the requests answered with 200, in microseconds
+     * @param other requests with another response, or none
      */
     public record Result(Histogram us, long other) {}
 
-    private OpenLoop() {}
+    /**
+     * A response.
+     *
+     * @param bytes of head and body together
+     */
+    public record Answer(int status, long bytes, String head) {}
+
+    private final Histogram responseTimesUs = new ConcurrentHistogram(3);
+    private final LongAdder failures = new LongAdder();
+    private final int clients;
+    private final int requestsPerS;
+    private final int seconds;
+    private final long startNs = System.nanoTime() + FIRST_DUE_NS;
 
-    /** So many requests a second for so long, from clients that share the ports by turns. */
-    public static Result run(int[] ports, int clients, int perS, int seconds) throws InterruptedException {
-        Histogram us = new ConcurrentHistogram(3);
-        LongAdder other = new LongAdder();
+    private OpenLoop(int clients, int requestsPerS, int seconds) {
+        this.clients = clients;
+        this.requestsPerS = requestsPerS;
+        this.seconds = seconds;
+    }
+
+    /** Sends a load from clients that are spread over the ports, and waits until all requests have ended. */
+    public static Result run(int[] ports, int clients, int requestsPerS, int seconds) throws InterruptedException {
+        OpenLoop load = new OpenLoop(clients, requestsPerS, seconds);
         List<Thread> threads = new ArrayList<>();
-        long fromNs = System.nanoTime() + 100_000_000;
-        for (int c = 0; c < clients; c++) {
-            int mine = c;
-            Thread client = new Thread(() -> {
-                Socket socket = null;
-                for (int i = mine; i < seconds * perS; i += clients) {
-                    long dueNs = fromNs + i * 1_000_000_000L / perS;
-                    try {
-                        for (long now = System.nanoTime(); now < dueNs; now = System.nanoTime()) {
-                            TimeUnit.NANOSECONDS.sleep(dueNs - now);
-                        }
-                        socket = socket == null ? open(ports[mine % ports.length]) : socket;
-                        if (ask(socket, fromNs + "-" + i) == 200) {
-                            us.recordValue((System.nanoTime() - dueNs) / 1_000);
-                        } else {
-                            other.increment();
-                        }
-                    } catch (IOException e) {
-                        other.increment();
-                        socket = closed(socket);
-                    } catch (InterruptedException e) {
-                        break;
-                    }
+        for (int i = 0; i < clients; i++) {
+            int clientNo = i;
+            int port = ports[clientNo % ports.length];
+            Thread thread = new Thread(() -> load.runClient(clientNo, port));
+            thread.start();
+            threads.add(thread);
+        }
+        for (Thread thread : threads) {
+            thread.join();
+        }
+        return new Result(load.responseTimesUs, load.failures.sum());
+    }
+
+    /** Sends every request whose number falls to this client. */
+    private void runClient(int clientNo, int port) {
+        Socket socket = null;
+        for (int i = clientNo; i < seconds * requestsPerS; i += clients) {
+            long dueNs = startNs + i * NS_PER_S / requestsPerS;
+            try {
+                sleepUntil(dueNs);
+                socket = socket == null ? open(port) : socket;
+                if (ask(socket, startNs + "-" + i) == 200) {
+                    responseTimesUs.recordValue((System.nanoTime() - dueNs) / 1_000);
+                } else {
+                    failures.increment();
                 }
-                closed(socket);
-            });
-            client.start();
-            threads.add(client);
+            } catch (IOException e) {
+                failures.increment();
+                close(socket);
+                socket = null;
+            } catch (InterruptedException e) {
+                break;
+            }
         }
-        for (Thread client : threads) {
-            client.join();
+        close(socket);
+    }
+
+    private static void sleepUntil(long dueNs) throws InterruptedException {
+        for (long nowNs = System.nanoTime(); nowNs < dueNs; nowNs = System.nanoTime()) {
+            TimeUnit.NANOSECONDS.sleep(dueNs - nowNs);
         }
-        return new Result(us, other.sum());
     }
 
-    /** A client's connection. */
+    /** Connects as a client. */
     public static Socket open(int port) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setTcpNoDelay(true);
-        socket.setSoTimeout(20_000);
+        socket.setSoTimeout(TIMEOUT_MS);
         return socket;
     }
 
-    private static Socket closed(Socket socket) {
+    private static void close(Socket socket) {
         try {
             if (socket != null) {
                 socket.close();
             }
         } catch (IOException e) {
-            // it is gone either way
+            // The connection is gone either way.
         }
-        return null;
     }
 
-    /** One request of the class 'read'; the status of its answer, which is read to its end. */
-    public static int ask(Socket socket, String id) throws IOException {
-        return call(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\n\r\n")
+    /** Sends a request of the class 'read'; returns the status of its response, which is read to its end. */
+    public static int ask(Socket socket, String traceId) throws IOException {
+        return call(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + traceId + "\r\n\r\n")
                 .status();
     }
 
-    /** What came: the bytes of head and body together. */
-    public record Answer(int status, long bytes, String head) {}
-
-    /** One call on a connection that bears no other; its answer names its length. */
-    public static Answer call(Socket socket, String call) throws IOException {
-        socket.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
+    /** Sends a request on a connection that carries no other; the response must have a content length. */
+    public static Answer call(Socket socket, String request) throws IOException {
+        socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         InputStream in = new BufferedInputStream(socket.getInputStream());
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int b = in.read();
-            if (b < 0 || head.length() > 16_384) {
-                throw new IOException("no answer: " + head);
+            int next = in.read();
+            if (next < 0 || head.length() > MAX_HEAD_CHARS) {
+                throw new IOException("no response: " + head);
             }
-            head.append((char) b);
+            head.append((char) next);
         }
-        String length = head.toString().toLowerCase().replaceAll("(?s).*\r\ncontent-length: *(\\d+)\r\n.*", "$1");
-        long body = Long.parseLong(length);
-        in.skipNBytes(body);
-        return new Answer(Integer.parseInt(head.substring(9, 12)), head.length() + body, head.toString());
+        String lowerCase = head.toString().toLowerCase(Locale.ROOT);
+        long bodyBytes = Long.parseLong(lowerCase.replaceAll("(?s).*\r\ncontent-length: *(\\d+)\r\n.*", "$1"));
+        in.skipNBytes(bodyBytes);
+        return new Answer(Integer.parseInt(head.substring(9, 12)), head.length() + bodyBytes, head.toString());
     }
 }
--- a/src/test/java/gatelock/standin/RelayProcess.java
+++ b/src/test/java/gatelock/standin/RelayProcess.java
@@ -14,9 +14,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A relay as the platform starts it: the program's jar with the flags of deploy/balancer.toml. */
+/** A relay as the platform starts it, from the program's jar, and what the system and the JDK report of it. */
 public final class RelayProcess implements AutoCloseable {
+    private static final Path PLATFORM_CONFIG = Path.of("deploy/balancer.toml");
+    private static final Pattern RUN_LINE =
+            Pattern.compile("(?m)^run = \"exec java (.*) -jar (\\S+) serve( --operator \\S+)?\"$");
+    private static final Pattern OLD_GENERATION = Pattern.compile("tenured generation\\s+total \\d+K, used (\\d+)K");
+    private static final int READY_POLL_MS = 5;
+
+    /** The port on which clients connect. */
     public final int port;
+
     private final long startNs = System.nanoTime();
     private final Path log;
     private final Process process;
@@ -27,23 +35,47 @@
         this.process = process;
     }
 
-    /** The run line's words between the program's name and the jar. */
+    /** Returns the JVM flags of the platform's run line. */
     public static List<String> flags() throws IOException {
-        Matcher run = Pattern.compile("(?m)^run = \"exec java (.*) -jar (\\S+) serve\"$")
-                .matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        return flags(PLATFORM_CONFIG);
+    }
+
+    /** Returns the JVM flags of the run line in a file of the platform's form. */
+    static List<String> flags(Path platformConfig) throws IOException {
+        Matcher run = RUN_LINE.matcher(Files.readString(platformConfig));
         if (!run.find()) {
-            throw new IOException("deploy/balancer.toml has no run line of the usual form");
+            throw new IOException(platformConfig + " has no run line of the usual form");
         }
-        return List.of(run.group(1).split(" "));
+        return List.of(run.group(1).split(" ", -1));
     }
 
-    /** @param configuration as text, with this port as where it listens */
+    /**
+     * Starts a relay with the platform's flags.
+     *
+     * @param directory for its configuration and log
+     * @param configuration as text, which names this port
+     */
     public static RelayProcess start(Path directory, int port, String configuration) throws IOException {
+        return start(directory, port, configuration, flags(), List.of());
+    }
+
+    /**
+     * Starts a relay.
+     *
+     * @param directory for its configuration and log
+     * @param configuration as text, which names this port
+     * @param flags for the JVM
+     * @param arguments behind {@code serve}
+     */
+    static RelayProcess start(
+            Path directory, int port, String configuration, List<String> flags, List<String> arguments)
+            throws IOException {
         Path config = directory.resolve("relay-" + port + ".json");
         Files.writeString(config, configuration);
-        List<String> command = new ArrayList<>(List.of(tool("java")));
-        command.addAll(flags());
+        List<String> command = new ArrayList<>(List.of(jdkTool("java")));
+        command.addAll(flags);
         command.addAll(List.of("-jar", "target/gatelock.jar", "serve"));
+        command.addAll(arguments);
         Path log = directory.resolve("relay-" + port + ".log");
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectErrorStream(true).redirectOutput(log.toFile());
@@ -51,15 +83,20 @@
         return new RelayProcess(port, log, builder.start());
     }
 
-    private static String tool(String name) {
+    private static String jdkTool(String name) {
         return Path.of(System.getProperty("java.home"), "bin", name).toString();
     }
 
-    /** Ports that are free together. */
-    public static int[] freePorts(int howMany) throws IOException {
+    /** Returns a port that is free now. */
+    public static int freePort() throws IOException {
+        return freePorts(1)[0];
+    }
+
+    /** Returns ports that are free together. */
+    public static int[] freePorts(int count) throws IOException {
         List<ServerSocket> taken = new ArrayList<>();
         try {
-            for (int i = 0; i < howMany; i++) {
+            for (int i = 0; i < count; i++) {
                 taken.add(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
             }
             return taken.stream().mapToInt(ServerSocket::getLocalPort).toArray();
@@ -70,19 +107,18 @@
         }
     }
 
-    /** Waits until it is ready; milliseconds from its start, or -1: it was not in time, or has ended. */
-    public long ready(long withinMs) throws InterruptedException {
-        while (process.isAlive() && sinceStartMs() < withinMs) {
+    /** Waits until the relay is ready; returns the milliseconds since its start, or -1 if it is not in time or ended. */
+    public long ready(long timeoutMs) throws InterruptedException {
+        while (process.isAlive() && sinceStartMs() < timeoutMs) {
             try (Socket socket = OpenLoop.open(port)) {
-                if (OpenLoop.call(socket, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                                .status()
-                        == 200) {
+                OpenLoop.Answer response = OpenLoop.call(socket, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+                if (response.status() == 200) {
                     return sinceStartMs();
                 }
             } catch (IOException | NumberFormatException e) {
-                // not listening yet, or no whole answer
+                // It does not listen yet, or the response is not whole.
             }
-            TimeUnit.MILLISECONDS.sleep(5);
+            TimeUnit.MILLISECONDS.sleep(READY_POLL_MS);
         }
         return -1;
     }
@@ -91,49 +127,71 @@
         return (System.nanoTime() - startNs) / 1_000_000;
     }
 
-    /** Processor time so far, of all its threads; the system counts it in steps of 10 ms. */
+    /** Returns the processor time of all threads so far; the system counts it in steps of 10 ms. */
     public long cpuUs() {
-        return process.toHandle()
-                        .info()
-                        .totalCpuDuration()
-                        .orElse(Duration.ZERO)
-                        .toNanos()
-                / 1_000;
+        Duration cpu = process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO);
+        return cpu.toNanos() / 1_000;
     }
 
+    /** Returns the resident memory in MB. */
     public double residentMb() throws IOException {
+        return memoryMb("VmRSS");
+    }
+
+    /** Returns the highest resident memory so far in MB. */
+    double peakResidentMb() throws IOException {
+        return memoryMb("VmHWM");
+    }
+
+    private double memoryMb(String field) throws IOException {
         String status = Files.readString(Path.of("/proc/" + process.pid() + "/status"));
-        return Long.parseLong(status.replaceAll("(?s).*VmRSS:\\s*(\\d+) kB.*", "$1")) / 1024.0;
+        return Long.parseLong(status.replaceAll("(?s).*" + field + ":\\s*(\\d+) kB.*", "$1")) / 1024.0;
     }
 
-    /** What the JDK's own tool tells of it, e.g. GC.class_histogram, which collects garbage first. */
-    public String jcmd(String what) throws IOException, InterruptedException {
-        Process asked = new ProcessBuilder(tool("jcmd"), "" + process.pid(), what)
+    /** Returns what jcmd reports, e.g. on GC.class_histogram, which collects garbage first. */
+    public String jcmd(String command) throws IOException, InterruptedException {
+        Process jcmd = new ProcessBuilder(jdkTool("jcmd"), "" + process.pid(), command)
                 .redirectErrorStream(true)
                 .start();
-        String said = new String(asked.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        if (asked.waitFor() != 0) {
-            throw new IOException("jcmd " + what + ": " + said);
+        String output = new String(jcmd.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        if (jcmd.waitFor() != 0) {
+            throw new IOException("jcmd " + command + ": " + output);
         }
-        return said;
+        return output;
     }
 
-    /** Of the old generation, in MB; what young objects hold is not in it. */
+    /** Returns what the old generation holds, in MB. Young objects are not in it. */
     public double oldHeapMb() throws IOException, InterruptedException {
-        Matcher used = Pattern.compile("tenured generation\\s+total \\d+K, used (\\d+)K")
-                .matcher(jcmd("GC.heap_info"));
+        Matcher used = OLD_GENERATION.matcher(jcmd("GC.heap_info"));
         if (!used.find()) {
             throw new IOException("no tenured generation");
         }
         return Long.parseLong(used.group(1)) / 1024.0;
     }
 
+    /** Returns all output of the process. */
     public String log() throws IOException {
         return Files.readString(log);
     }
 
+    /** Returns the file of the output. */
+    Path logFile() {
+        return log;
+    }
+
+    /** Stops the relay with SIGTERM and waits until it has ended. */
+    void stop() throws InterruptedException {
+        process.destroy();
+        process.waitFor();
+    }
+
+    /** Kills the relay and waits until it has ended; an interrupt ends the wait. */
     @Override
-    public void close() throws InterruptedException {
-        process.destroyForcibly().waitFor();
+    public void close() {
+        try {
+            process.destroyForcibly().waitFor();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
     }
 }
--- a/src/test/java/gatelock/standin/WebSocketEndpoint.java
+++ b/src/test/java/gatelock/standin/WebSocketEndpoint.java
@@ -5,6 +5,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.security.GeneralSecurityException;
 import java.security.MessageDigest;
 import java.util.Base64;
 import java.util.List;
@@ -13,138 +14,131 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An endpoint that speaks WebSocket: opens sessions, echoes texts, and notes with its time all that came. */
+/** An endpoint that speaks WebSocket: opens sessions, echoes messages, and records with its time all that it received. */
 public final class WebSocketEndpoint implements AutoCloseable {
-    /** What came on one session, when. */
-    public record Came(long ns, String what) {}
+    private static final int BACKLOG = 500;
+    private static final int SESSION_TIMEOUT_S = 20;
+    /** Of RFC 6455, 1.3. */
+    private static final String ACCEPT_GUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
 
-    private final ServerSocket listener = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
-    private final List<Came> log = new CopyOnWriteArrayList<>();
-    private final BlockingQueue<WebSocketPeer> opened = new LinkedBlockingQueue<>();
+    /**
+     * What was received on a session.
+     *
+     * @param atNs by System.nanoTime
+     * @param what the text of a message, {@code open}, {@code close CODE}, or {@code ended} without a close frame
+     */
+    public record Received(long atNs, String what) {}
+
+    private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
+    private final List<Received> received = new CopyOnWriteArrayList<>();
+    private final BlockingQueue<WebSocketPeer> openedSessions = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private volatile boolean refuses;
+    private volatile boolean rejects;
     private volatile boolean echoes = true;
 
+    /** Starts an endpoint that opens and echoes. */
     public WebSocketEndpoint() throws IOException {
-        thread(() -> {
+        BackgroundTask.start(() -> {
             while (!listener.isClosed()) {
                 Socket socket = listener.accept();
                 socket.setTcpNoDelay(true);
                 sockets.add(socket);
-                thread(() -> serve(socket));
+                BackgroundTask.start(() -> serve(socket));
             }
         });
     }
 
-    private interface Work {
-        void run() throws Exception;
-    }
-
-    private static void thread(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                // the connection or the hive has ended
-            }
-        });
-        thread.setDaemon(true);
-        thread.start();
+    /** Returns where the endpoint listens. */
+    public String address() {
+        return "127.0.0.1:" + port();
     }
 
-    public String address() {
-        return "127.0.0.1:" + listener.getLocalPort();
+    /** Returns the port on which the endpoint listens. */
+    public int port() {
+        return listener.getLocalPort();
     }
 
-    /** From now on openings are answered 503, never run. */
-    public void refuse() {
-        refuses = true;
+    /** From now on answers all requests with 503 and the header that says that they never ran. */
+    public void rejectRequests() {
+        rejects = true;
     }
 
-    /** From now on the test reads what comes on sessions opened later. */
-    public void stay() {
+    /** From now on leaves the sessions that are opened to the test, which gets them by {@link #awaitSession}. */
+    public void stopEchoing() {
         echoes = false;
     }
 
-    public List<Came> log() {
-        return log;
+    /** Returns all that was received so far. */
+    public List<Received> received() {
+        return received;
     }
 
-    /** This endpoint's end of the session that was opened next. */
-    public WebSocketPeer next() throws InterruptedException {
-        WebSocketPeer tablet = opened.poll(20, TimeUnit.SECONDS);
-        if (tablet == null) {
+    /** Returns this side of the session that was opened next; fails if none is in time. */
+    public WebSocketPeer awaitSession() throws InterruptedException {
+        WebSocketPeer session = openedSessions.poll(SESSION_TIMEOUT_S, TimeUnit.SECONDS);
+        if (session == null) {
             throw new AssertionError("no session was opened");
         }
-        return tablet;
-    }
-
-    private static String head(Socket socket) throws IOException {
-        StringBuilder head = new StringBuilder();
-        while (!head.toString().endsWith("\r\n\r\n")) {
-            int b = socket.getInputStream().read();
-            if (b < 0) {
-                throw new IOException("it ended");
-            }
-            head.append((char) b);
-        }
-        return head.toString();
-    }
-
-    private static void write(Socket socket, String text) throws IOException {
-        socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+        return session;
     }
 
-    private void serve(Socket socket) throws Exception {
+    private void serve(Socket socket) throws IOException, GeneralSecurityException {
         String key = null;
         while (key == null) {
-            String head = head(socket);
-            key = head.lines()
-                    .filter(l -> l.toLowerCase().startsWith("sec-websocket-key:"))
-                    .map(l -> l.substring(18).trim())
-                    .findFirst()
-                    .orElse(null);
-            if (refuses) {
-                write(socket, "HTTP/1.1 503 No\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
+            HttpMessage request = RawHttp.readMessage(socket);
+            if (request == null) {
+                return;
+            }
+            if (rejects) {
+                request.respond("503 No", "X-Never-Ran: 1\r\n", "");
                 socket.close();
                 return;
             }
+            key = request.header("Sec-WebSocket-Key");
             if (key == null) {
-                // An ordinary request.
-                write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\ndone\n");
+                request.respond("200 OK", "", "done\n");
             }
         }
-        log.add(new Came(System.nanoTime(), "open"));
-        String accept = Base64.getEncoder()
-                .encodeToString(MessageDigest.getInstance("SHA-1")
-                        .digest((key + "258EAFA5-E914-47DA-95CA-C5AB0DC85B11").getBytes(StandardCharsets.US_ASCII)));
-        socket.getOutputStream()
-                .write(("HTTP/1.1 101 Switching Protocols\r\nUpgrade: "
-                                + "websocket\r\nConnection: Upgrade\r\n"
-                                + "Sec-WebSocket-Accept: " + accept + "\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
-        WebSocketPeer end = new WebSocketPeer(socket, false);
-        opened.add(end);
+        record("open");
+        RawHttp.write(
+                socket,
+                "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"
+                        + "Sec-WebSocket-Accept: " + accept(key) + "\r\n\r\n");
+        WebSocketPeer session = new WebSocketPeer(socket, false);
+        openedSessions.add(session);
         if (echoes) {
-            for (WebSocketPeer.Frame f = end.frame(); f.opcode() >= 0; f = end.frame()) {
-                log.add(new Came(
-                        System.nanoTime(), f.opcode() == WebSocketPeer.CLOSE ? "close " + f.code() : f.text()));
-                if (f.opcode() == WebSocketPeer.CLOSE) {
-                    end.frame(0x80 | WebSocketPeer.CLOSE, f.body());
-                    socket.close();
-                    return;
-                }
-                end.frame(0x80 | f.opcode(), f.body());
+            echo(session, socket);
+        }
+    }
+
+    private static String accept(String key) throws GeneralSecurityException {
+        byte[] bytes = (key + ACCEPT_GUID).getBytes(StandardCharsets.US_ASCII);
+        return Base64.getEncoder()
+                .encodeToString(MessageDigest.getInstance("SHA-1").digest(bytes));
+    }
+
+    private void echo(WebSocketPeer session, Socket socket) throws IOException {
+        for (WebSocketPeer.Frame frame = session.readMessage(); !frame.isEnd(); frame = session.readMessage()) {
+            boolean isClose = frame.opcode() == WebSocketPeer.CLOSE;
+            record(isClose ? "close " + frame.code() : frame.text());
+            session.sendFrame(WebSocketPeer.FINAL | frame.opcode(), frame.body());
+            if (isClose) {
+                socket.close();
+                return;
             }
-            log.add(new Came(System.nanoTime(), "ended"));
         }
+        record("ended");
+    }
+
+    private void record(String what) {
+        received.add(new Received(System.nanoTime(), what));
     }
 
     @Override
     public void close() throws IOException {
         listener.close();
-        for (Socket s : sockets) {
-            s.close();
+        for (Socket socket : sockets) {
+            socket.close();
         }
     }
 }
--- a/src/test/java/gatelock/standin/WebSocketPeer.java
+++ b/src/test/java/gatelock/standin/WebSocketPeer.java
@@ -4,180 +4,210 @@
 import java.io.DataInputStream;
 import java.io.EOFException;
 import java.io.IOException;
-import java.io.OutputStream;
 import java.net.InetAddress;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 
 /**
- * One side of a WebSocket connection, byte by byte as RFC 6455 has it, so that a test can also send what
- * nobody should. As a
- * client it masks its frames, as a server it does not.
+ * One side of a WebSocket connection, byte by byte as in RFC 6455, so that a test can also send what no peer should. As
+ * a client it masks its frames, as a server it does not.
  */
 public final class WebSocketPeer implements AutoCloseable {
+    /** Opcode of a text frame. */
     public static final int TEXT = 1;
+    /** Opcode of a binary frame. */
     public static final int BINARY = 2;
+    /** Opcode of a close frame. */
     public static final int CLOSE = 8;
+    /** Opcode of a ping. */
     public static final int PING = 9;
+    /** Opcode of a pong. */
     public static final int PONG = 10;
+    /** In the first byte of a frame: the last one of its message. */
+    public static final int FINAL = 0x80;
+
+    private static final int MASKED = 0x80;
+    private static final int LENGTH_16_BITS = 126;
+    private static final int LENGTH_64_BITS = 127;
+    private static final byte[] MASK = {0x11, 0x22, 0x33, 0x44};
+    private static final int TIMEOUT_MS = 20_000;
+    /** The example of RFC 6455, 1.3. */
+    private static final String KEY = "dGhlIHNhbXBsZSBub25jZQ==";
+
+    private static final String ACCEPT = "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=";
+
+    /** A frame as it was read; opcode -1 stands for the end of the connection. */
+    // Frames are never compared, so that the array's lack of equality does no harm.
+    @SuppressWarnings("ArrayRecordComponent")
+    public record Frame(int opcode, byte[] body) {
+        private static final int END = -1;
+        private static final int NO_STATUS = 1005;
+
+        /** Returns whether this stands for the end of the connection. */
+        public boolean isEnd() {
+            return opcode == END;
+        }
 
-    /** One frame as it came; {@code opcode} -1: the connection ended. */
-    public record Frame(int opcode, boolean last, byte[] body) {
+        /** Returns the body as text. */
         public String text() {
             return new String(body, StandardCharsets.UTF_8);
         }
 
-        /** The code of a close, 1005 where it has none, or -1. */
+        /** Returns the code of a close frame, 1005 if it has none, or -1 for any other frame. */
         public int code() {
-            return opcode != CLOSE ? -1 : body.length < 2 ? 1005 : (body[0] & 0xff) << 8 | body[1] & 0xff;
+            if (opcode != CLOSE) {
+                return -1;
+            }
+            return body.length < 2 ? NO_STATUS : ((body[0] & 0xff) << 8) | (body[1] & 0xff);
         }
 
+        /** Returns the reason of a close frame. */
         public String reason() {
             return body.length < 2 ? "" : new String(body, 2, body.length - 2, StandardCharsets.UTF_8);
         }
     }
 
+    /** A response other than 101 to an opening handshake; the message is its head. */
+    public static final class HandshakeRejected extends IOException {
+        private static final long serialVersionUID = 1L;
+
+        HandshakeRejected(String head) {
+            super(head);
+        }
+    }
+
     private final Socket socket;
     private final DataInputStream in;
     private final boolean masks;
 
-    /** On a connection whose opening handshake is done. */
+    /** Takes a connection whose opening handshake is done. */
     public WebSocketPeer(Socket socket, boolean masks) throws IOException {
         this.socket = socket;
         this.masks = masks;
         this.in = new DataInputStream(socket.getInputStream());
     }
 
-    /** Opens a session through a relay; an answer other than 101 is a {@link Refused}. */
-    public static WebSocketPeer open(int port, String path, String id, String headers) throws IOException {
+    /**
+     * Opens a session as a client.
+     *
+     * @param headers further headers, each of which ends with CR LF
+     * @throws HandshakeRejected if the response is not 101
+     */
+    public static WebSocketPeer open(int port, String path, String traceId, String headers) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout(20_000);
+        socket.setSoTimeout(TIMEOUT_MS);
         socket.setTcpNoDelay(true);
-        socket.getOutputStream()
-                .write(("GET " + path + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id
-                                + "\r\nUpgrade: websocket\r\n"
-                                + "Connection: Upgrade\r\nSec-WebSocket-Key: "
-                                + "dGhlIHNhbXBsZSBub25jZQ==\r\nSec-WebSocket-Version: 13\r\n" + headers
-                                + "\r\n")
-                        .getBytes(StandardCharsets.ISO_8859_1));
-        WebSocketPeer tablet = new WebSocketPeer(socket, true);
-        StringBuilder head = new StringBuilder();
-        while (!head.toString().endsWith("\r\n\r\n")) {
-            head.append((char) tablet.in.readByte());
-        }
-        if (!head.toString().startsWith("HTTP/1.1 101")) {
+        RawHttp.write(
+                socket,
+                "GET " + path + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + traceId
+                        + "\r\nUpgrade: websocket\r\nConnection: Upgrade\r\nSec-WebSocket-Key: " + KEY
+                        + "\r\nSec-WebSocket-Version: 13\r\n" + headers + "\r\n");
+        HttpMessage response = RawHttp.readHead(socket);
+        if (response == null) {
             socket.close();
-            throw new Refused(head.toString());
+            throw new EOFException("the connection ended before a response");
         }
-        // The example of RFC 6455, 1.3.
-        if (!head.toString().contains("s3pPLMBiTxaQ9kYGzzhZRbK+xOo=")) {
-            throw new IOException("a wrong accept: " + head);
+        if (!response.head().startsWith("HTTP/1.1 101")) {
+            socket.close();
+            throw new HandshakeRejected(response.head());
         }
-        return tablet;
-    }
-
-    /** A plain answer in place of a session. */
-    public static final class Refused extends IOException {
-        private static final long serialVersionUID = 1L;
-
-        Refused(String head) {
-            super(head);
+        if (!ACCEPT.equals(response.header("Sec-WebSocket-Accept"))) {
+            socket.close();
+            throw new IOException("a wrong accept: " + response.head());
         }
+        return new WebSocketPeer(socket, true);
     }
 
-    public void text(String text) throws IOException {
-        frame(0x80 | TEXT, text.getBytes(StandardCharsets.UTF_8));
+    /** Sends a text message in one frame. */
+    public void sendText(String text) throws IOException {
+        sendFrame(FINAL | TEXT, text.getBytes(StandardCharsets.UTF_8));
     }
 
-    public void close(int code, String reason) throws IOException {
-        byte[] words = reason.getBytes(StandardCharsets.UTF_8);
-        byte[] body = new byte[2 + words.length];
+    /** Sends a close frame. */
+    public void sendClose(int code, String reason) throws IOException {
+        byte[] text = reason.getBytes(StandardCharsets.UTF_8);
+        byte[] body = new byte[2 + text.length];
         body[0] = (byte) (code >> 8);
         body[1] = (byte) code;
-        System.arraycopy(words, 0, body, 2, words.length);
-        frame(0x80 | CLOSE, body);
+        System.arraycopy(text, 0, body, 2, text.length);
+        sendFrame(FINAL | CLOSE, body);
     }
 
-    /** A frame whose first byte is given whole: last bit, reserved bits and opcode. */
-    public void frame(int first, byte[] body) throws IOException {
-        byte[] head = new byte[14];
-        head[0] = (byte) first;
-        int at = 2;
-        if (body.length < 126) {
-            head[1] = (byte) body.length;
+    /** Sends a frame whose first byte is given whole: final bit, reserved bits and opcode. */
+    public void sendFrame(int firstByte, byte[] body) throws IOException {
+        ByteArrayOutputStream frame = new ByteArrayOutputStream(body.length + 14);
+        frame.write(firstByte);
+        int maskBit = masks ? MASKED : 0;
+        if (body.length < LENGTH_16_BITS) {
+            frame.write(maskBit | body.length);
         } else if (body.length < 65_536) {
-            head[1] = 126;
-            head[at++] = (byte) (body.length >> 8);
-            head[at++] = (byte) body.length;
+            frame.write(maskBit | LENGTH_16_BITS);
+            writeNumber(frame, body.length, 2);
         } else {
-            head[1] = 127;
-            at += 4;
-            for (int shift = 24; shift >= 0; shift -= 8) {
-                head[at++] = (byte) (body.length >> shift);
-            }
+            frame.write(maskBit | LENGTH_64_BITS);
+            writeNumber(frame, body.length, 8);
         }
-        byte[] sent = body.clone();
         if (masks) {
-            head[1] |= (byte) 0x80;
-            for (int i = 0; i < 4; i++) {
-                head[at++] = (byte) (0x11 * (i + 1));
-            }
-            for (int i = 0; i < sent.length; i++) {
-                sent[i] ^= (byte) (0x11 * (i % 4 + 1));
+            frame.writeBytes(MASK);
+            for (int i = 0; i < body.length; i++) {
+                frame.write(body[i] ^ MASK[i % MASK.length]);
             }
+        } else {
+            frame.writeBytes(body);
         }
-        raw(Arrays.copyOf(head, at), sent);
+        socket.getOutputStream().write(frame.toByteArray());
+        socket.getOutputStream().flush();
     }
 
-    public void raw(byte[]... parts) throws IOException {
-        ByteArrayOutputStream whole = new ByteArrayOutputStream();
-        for (byte[] part : parts) {
-            whole.writeBytes(part);
+    private static void writeNumber(ByteArrayOutputStream out, long number, int bytes) {
+        for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8) {
+            out.write((int) (number >> shift));
         }
-        OutputStream out = socket.getOutputStream();
-        out.write(whole.toByteArray());
-        out.flush();
     }
 
-    /** The next frame of any kind. */
-    public Frame next() throws IOException {
+    /** Reads the next frame of any kind. */
+    public Frame readFrame() throws IOException {
         try {
-            int first = in.readUnsignedByte();
-            int second = in.readUnsignedByte();
-            long length = second & 0x7f;
-            length = length == 126 ? in.readUnsignedShort() : length == 127 ? in.readLong() : length;
-            byte[] mask = new byte[4];
-            if ((second & 0x80) != 0) {
-                in.readFully(mask);
-            }
-            byte[] body = new byte[(int) length];
-            in.readFully(body);
-            for (int i = 0; (second & 0x80) != 0 && i < body.length; i++) {
-                body[i] ^= mask[i % 4];
+            int firstByte = in.readUnsignedByte();
+            int secondByte = in.readUnsignedByte();
+            byte[] body = new byte[(int) readLength(secondByte & 0x7f)];
+            if ((secondByte & MASKED) == 0) {
+                in.readFully(body);
+            } else {
+                byte[] mask = in.readNBytes(MASK.length);
+                in.readFully(body);
+                for (int i = 0; i < body.length; i++) {
+                    body[i] ^= mask[i % mask.length];
+                }
             }
-            return new Frame(first & 0x0f, (first & 0x80) != 0, body);
-        } catch (EOFException | java.net.SocketException e) {
-            return new Frame(-1, true, new byte[0]);
+            return new Frame(firstByte & 0x0f, body);
+        } catch (EOFException | SocketException e) {
+            return new Frame(Frame.END, new byte[0]);
         }
     }
 
-    /** The next frame that is no sign of life; pings are answered. */
-    public Frame frame() throws IOException {
-        Frame frame = next();
+    private long readLength(int lengthField) throws IOException {
+        return switch (lengthField) {
+            case LENGTH_16_BITS -> in.readUnsignedShort();
+            case LENGTH_64_BITS -> in.readLong();
+            default -> lengthField;
+        };
+    }
+
+    /** Reads the next frame that is neither ping nor pong; answers the pings before it. */
+    public Frame readMessage() throws IOException {
+        Frame frame = readFrame();
         while (frame.opcode == PING || frame.opcode == PONG) {
             if (frame.opcode == PING) {
-                frame(0x80 | PONG, frame.body);
+                sendFrame(FINAL | PONG, frame.body);
             }
-            frame = next();
+            frame = readFrame();
         }
         return frame;
     }
 
-    public Socket socket() {
-        return socket;
-    }
-
+    /** Ends the connection without a close frame. */
     @Override
     public void close() throws IOException {
         socket.close();
