--- a/src/test/java/gatelock/LongDayTest.java
+++ b/src/test/java/gatelock/StateRetentionTest.java
@@ -16,6 +16,7 @@
 import gatelock.state.IdleConnections;
 import java.lang.reflect.Field;
 import java.lang.reflect.Modifier;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -28,8 +29,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints, builds, addresses, keys and requests that come and go through a long day leave nothing behind. */
-final class LongDayTest {
+/** Endpoints, builds, addresses, keys and requests that come and go for long leave no state behind. */
+final class StateRetentionTest {
     private final List<String> sentTo = new ArrayList<>();
 
     @Test
@@ -67,7 +68,7 @@
                         0,
                         0,
                         rollout),
-                new Noting());
+                new SendRecorder());
         long nowUs = 1_000_000;
         gate.start(nowUs);
         for (int build = 1; build <= 200; build++) {
@@ -89,7 +90,7 @@
                 gate.due(nowUs, 0);
             }
         }
-        bounded(gate, 100);
+        assertBounded(gate, 100);
     }
 
     @Test
@@ -97,7 +98,7 @@
         EndpointAddresses addresses = new EndpointAddresses();
         IdleConnections<Object> idle = new IdleConnections<>(50, c -> {});
         for (int i = 0; i < 1000; i++) {
-            InetSocketAddress at = new InetSocketAddress("127.0.0.1", 1 + i);
+            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + i);
             addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, Endpoint.Health.READY, 0));
             addresses.put(
                     at,
@@ -105,12 +106,12 @@
             idle.put(i, at, "connection" + i);
         }
         addresses.keepOnly(Set.of("a1"));
-        bounded(addresses, 1);
-        bounded(idle, 50);
+        assertBounded(addresses, 1);
+        assertBounded(idle, 50);
     }
 
     /** Every collection of an object, and of the project's objects that it holds directly or through others. */
-    private static void bounded(Object holder, int most) throws Exception {
+    private static void assertBounded(Object holder, int maxSize) throws Exception {
         Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
         ArrayDeque<Object> toVisit = new ArrayDeque<>(List.of(holder));
         while (!toVisit.isEmpty()) {
@@ -122,7 +123,7 @@
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
                     Collection<?> elements = elements(field.get(visited));
-                    assertThat(elements.size()).as(field.toString()).isLessThanOrEqualTo(most);
+                    assertThat(elements.size()).as(field.toString()).isLessThanOrEqualTo(maxSize);
                     elements.stream().filter(Objects::nonNull).forEach(toVisit::add);
                 }
             }
@@ -137,8 +138,8 @@
         return held instanceof Collection<?> collection ? collection : Collections.singletonList(held);
     }
 
-    /** Notes where tries go. */
-    private final class Noting implements NoOpActions {
+    /** Records the endpoints that attempts are sent to. */
+    private final class SendRecorder implements NoOpActions {
         @Override
         public void send(String id, String endpoint, long timeoutUs) {
             sentTo.add(endpoint);
--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -70,7 +70,7 @@
         }
 
         private String describe(Endpoint endpoint) {
-            EndpointAddresses.Place place = addresses.get(endpoint.endpoint());
+            EndpointAddresses.Entry place = addresses.get(endpoint.endpoint());
             String port = place == null ? "none" : "" + place.address().getPort();
             return String.format(
                     ENDPOINT_FORMAT,
