--- a/src/test/java/gatelock/fleet/CpuMeter.java
+++ b/src/test/java/gatelock/fleet/CpuMeter.java
@@ -2,76 +2,83 @@
 
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
+import java.util.EnumMap;
+import java.util.Map;
 
 /**
- * Processor time of the one thread that plays a fleet, by what it did, and the heap that relays take. Collecting
- * garbage is done by other threads and does not count here. Off, it costs nothing and says nothing.
+ * Processor time of the one thread that simulates a fleet, by the kind of work, and the heap that relays take. Garbage
+ * collection runs on other threads and does not count. A meter that is off costs nothing and reports zeros.
  */
 final class CpuMeter {
-    /** Whose work it is: the world's around the relays, or one of a relay's own. */
+    /** The kinds of work. */
     enum Role {
-        WORLD,
-        LIST,
-        SCOPE,
-        BEAT,
-        REQS
+        /** The world around the relays, and the simulation itself. */
+        SIMULATION,
+        /** A relay's endpoint list. */
+        ENDPOINT_LIST,
+        /** A relay's subset of the list. */
+        SUBSET,
+        /** The periodic tick of a relay's decisions. */
+        TICK,
+        /** A relay's requests. */
+        REQUESTS
     }
 
-    private final boolean on;
-    private final ThreadMXBean thread = ManagementFactory.getThreadMXBean();
-    private final long[] ns = new long[Role.values().length];
-    private Role role = Role.WORLD;
+    private final boolean enabled;
+    private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
+    private final Map<Role, Long> cpuNsByRole = new EnumMap<>(Role.class);
+    private Role role = Role.SIMULATION;
     private boolean running;
-    private long fromNs;
-    private long heapBefore;
-    private long heapTaken;
+    private long switchedNs;
+    private long heapBeforeBytes;
+    private long heapAllocatedBytes;
 
-    CpuMeter(boolean on) {
-        this.on = on;
+    CpuMeter(boolean enabled) {
+        this.enabled = enabled;
     }
 
-    /** What follows is this one's work; returns whose it was until now. */
-    Role in(Role next) {
-        Role before = role;
-        if (running && next != before) {
-            long now = thread.getCurrentThreadCpuTime();
-            ns[before.ordinal()] += now - fromNs;
-            fromNs = now;
+    /** Counts what follows to a role; returns the role until now, to switch back to. */
+    Role switchTo(Role next) {
+        Role previous = role;
+        if (running && next != previous) {
+            long nowNs = threads.getCurrentThreadCpuTime();
+            cpuNsByRole.merge(previous, nowNs - switchedNs, Long::sum);
+            switchedNs = nowNs;
         }
         role = next;
-        return before;
+        return previous;
     }
 
     /** Times count from now until {@link #stop}. */
-    void begin() {
-        running = on;
-        fromNs = on ? thread.getCurrentThreadCpuTime() : 0;
+    void start() {
+        running = enabled;
+        switchedNs = enabled ? threads.getCurrentThreadCpuTime() : 0;
     }
 
     void stop() {
         running = false;
     }
 
-    /** Microseconds of processor time since {@link #begin}. */
-    double us(Role of) {
-        return ns[of.ordinal()] / 1000.0;
+    /** Processor time of a role, in microseconds. */
+    double cpuUs(Role of) {
+        return cpuNsByRole.getOrDefault(of, 0L) / 1000.0;
     }
 
-    void heapBefore() {
-        heapBefore = used();
+    void beforeAllocation() {
+        heapBeforeBytes = usedHeapBytes();
     }
 
-    void heapAfter() {
-        heapTaken = used() - heapBefore;
+    void afterAllocation() {
+        heapAllocatedBytes = usedHeapBytes() - heapBeforeBytes;
     }
 
-    /** Bytes of heap taken between the two calls above. */
-    long heapTaken() {
-        return heapTaken;
+    /** Heap that was taken between {@link #beforeAllocation} and {@link #afterAllocation}. */
+    long heapAllocatedBytes() {
+        return heapAllocatedBytes;
     }
 
-    private long used() {
-        if (!on) {
+    private long usedHeapBytes() {
+        if (!enabled) {
             return 0;
         }
         System.gc();
--- a/src/test/java/gatelock/fleet/FleetScenario.java
+++ b/src/test/java/gatelock/fleet/FleetScenario.java
@@ -2,87 +2,93 @@
 
 import java.util.List;
 
-/** What is played at a step; each brings its own course of events, and ends with everything at rest. */
+/** What happens to the machines of a fleet in a run at a step of the ladder; at the end of each everything is at rest. */
 enum FleetScenario {
-    /** Restarts and failures at the target's daily rates for all endpoints, whatever the step's part of them. */
+    /** Restarts and failures at the daily rates of the whole target, whatever the step's share of it. */
     DAY {
         @Override
-        void events(SimulatedFleet fleet, ScaleStep step) {
-            double perS = (step.restartsPerS() + step.failuresPerS()) * squeeze(step);
-            int events = (int) Math.round(perS * SPAN_S);
-            int lost = (int) Math.max(1, Math.round(step.failuresPerS() * squeeze(step) * SPAN_S));
+        void play(SimulatedFleet fleet, ScaleStep step) {
+            double eventsPerS = (step.restartsPerS() + step.failuresPerS()) * compression(step);
+            int events = (int) Math.round(eventsPerS * DAY_SPAN_S);
+            int failures = (int) Math.max(1, Math.round(step.failuresPerS() * compression(step) * DAY_SPAN_S));
+            int eventsPerFailure = events / failures;
             for (int i = 0; i < events; i++) {
-                fleet.run(SPAN_S * SimulatedFleet.S / events);
-                if (i % (events / lost) == events / lost / 2) {
-                    fleet.loseOne();
+                fleet.run(DAY_SPAN_S * VirtualClock.SECOND_US / events);
+                if (i % eventsPerFailure == eventsPerFailure / 2) {
+                    fleet.outages().loseOne();
                 } else {
-                    fleet.replaceOne();
+                    fleet.outages().replaceOne();
                 }
             }
-            fleet.run(14 * SimulatedFleet.S);
+            fleet.run(AFTER_DAY_S * VirtualClock.SECOND_US);
         }
 
         @Override
-        double squeeze(ScaleStep step) {
-            return 1 / step.part();
+        double compression(ScaleStep step) {
+            return 1 / step.targetShare();
         }
     },
     /** All endpoints under a switch are lost, and back cold. */
     RACK {
         @Override
-        void events(SimulatedFleet fleet, ScaleStep step) {
-            fleet.loseRack(0, step.rackEndpoints(), BACK_S * SimulatedFleet.S);
-            fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
+        void play(SimulatedFleet fleet, ScaleStep step) {
+            fleet.outages().loseRack(0, step.rackEndpoints(), DOWNTIME_S * VirtualClock.SECOND_US);
+            fleet.run((DOWNTIME_S + AFTER_S) * VirtualClock.SECOND_US);
         }
     },
     /** All endpoints and relays of a zone are lost, and back cold. */
     ZONE {
         @Override
-        void events(SimulatedFleet fleet, ScaleStep step) {
-            fleet.loseZone(0, BACK_S * SimulatedFleet.S);
-            fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
+        void play(SimulatedFleet fleet, ScaleStep step) {
+            fleet.outages().loseZone(0, DOWNTIME_S * VirtualClock.SECOND_US);
+            fleet.run((DOWNTIME_S + AFTER_S) * VirtualClock.SECOND_US);
         }
     },
-    /** Everything is started anew at once: relays are back after 3 s, endpoints from 5 to 7 s. */
+    /** Everything restarts at once: relays are back after 3 s, endpoints from 5 to 7 s. */
     RESTART {
         @Override
-        void events(SimulatedFleet fleet, ScaleStep step) {
-            fleet.restartAll(3 * SimulatedFleet.S, 5 * SimulatedFleet.S);
-            fleet.run((BACK_S + AFTER_S) * SimulatedFleet.S);
+        void play(SimulatedFleet fleet, ScaleStep step) {
+            fleet.outages().restartAll(3 * VirtualClock.SECOND_US, 5 * VirtualClock.SECOND_US);
+            fleet.run((DOWNTIME_S + AFTER_S) * VirtualClock.SECOND_US);
         }
     };
 
-    private static final int SPAN_S = 25;
-    private static final int BACK_S = 12;
+    private static final int DAY_SPAN_S = 25;
+    private static final int AFTER_DAY_S = 14;
+    private static final int DOWNTIME_S = 12;
     private static final int AFTER_S = 12;
-    private static final int BEFORE_S = 6;
+    /** Time to settle before the events begin. */
+    private static final int SETTLE_S = 6;
 
-    abstract void events(SimulatedFleet fleet, ScaleStep step);
+    /** Plays the events of the scenario on a fleet that has settled. */
+    abstract void play(SimulatedFleet fleet, ScaleStep step);
 
-    /** How many times as often as in an ordinary day of that step. */
-    double squeeze(ScaleStep step) {
+    /** How many times as often events come as on an ordinary day of that step. */
+    double compression(ScaleStep step) {
         return 1;
     }
 
-    /** What came of a play. */
-    record Result(SimulatedFleet fleet, CpuMeter meter, List<String> broken, double spanS, double wallS) {
-        long count(String rule) {
-            return broken.stream().filter(b -> b.startsWith(rule)).count();
+    /** What came of a run; {@code spanS} is simulated time and {@code wallS} the time that it took. */
+    record Result(SimulatedFleet fleet, CpuMeter cpuMeter, List<RuleViolation> violations, double spanS, double wallS) {
+        long count(FleetRule rule) {
+            return violations.stream()
+                    .filter(violation -> violation.rule() == rule)
+                    .count();
         }
     }
 
-    /** One play; the meter is on where figures of time and memory are wanted. */
-    Result play(ScaleStep step, SimulatedFleet.Terms terms, CpuMeter meter) {
-        long wall = System.nanoTime();
-        SimulatedFleet fleet = new SimulatedFleet(terms, meter);
-        fleet.run(BEFORE_S * SimulatedFleet.S);
-        meter.begin();
+    /** One run; the meter is on where figures of time and memory are wanted. */
+    Result run(ScaleStep step, FleetParameters parameters, CpuMeter cpuMeter) {
+        long startedNs = System.nanoTime();
+        SimulatedFleet fleet = new SimulatedFleet(parameters, cpuMeter);
+        fleet.run(SETTLE_S * VirtualClock.SECOND_US);
+        cpuMeter.start();
         long fromUs = fleet.nowUs();
-        events(fleet, step);
-        double spanS = (fleet.nowUs() - fromUs) / (double) SimulatedFleet.S;
-        meter.in(CpuMeter.Role.WORLD);
-        meter.stop();
-        List<String> broken = fleet.broken();
-        return new Result(fleet, meter, broken, spanS, (System.nanoTime() - wall) / 1e9);
+        play(fleet, step);
+        double spanS = (fleet.nowUs() - fromUs) / (double) VirtualClock.SECOND_US;
+        cpuMeter.switchTo(CpuMeter.Role.SIMULATION);
+        cpuMeter.stop();
+        List<RuleViolation> violations = fleet.finish();
+        return new Result(fleet, cpuMeter, violations, spanS, (System.nanoTime() - startedNs) / 1e9);
     }
 }
--- a/src/test/java/gatelock/fleet/ScaleRunTest.java
+++ b/src/test/java/gatelock/fleet/ScaleRunTest.java
@@ -11,86 +11,90 @@
 final class ScaleRunTest {
     private static final ScaleStep SMALLEST = ScaleStep.LADDER.get(0);
 
-    private static FleetScenario.Result play(FleetScenario play, SimulatedFleet.Fault fault) {
-        return play(play, fault, false);
+    private static FleetScenario.Result run(FleetScenario scenario, PlantedFault plantedFault) {
+        return run(scenario, plantedFault, false);
     }
 
-    private static FleetScenario.Result play(FleetScenario play, SimulatedFleet.Fault fault, boolean scoped) {
-        SimulatedFleet.Terms terms = SMALLEST.terms(0, 36);
-        terms.fault = fault;
-        terms.scoped = scoped;
-        // So few relays would use all endpoints.
-        terms.leastHolders = 0;
-        return play.play(SMALLEST, terms, new CpuMeter(false));
+    private static FleetScenario.Result run(FleetScenario scenario, PlantedFault plantedFault, boolean subsetting) {
+        FleetParameters parameters = SMALLEST.parameters(0, 36);
+        parameters.plantedFault = plantedFault;
+        parameters.subsetting = subsetting;
+        // With the default, so few relays would hold all endpoints.
+        parameters.minHolders = 0;
+        return scenario.run(SMALLEST, parameters, new CpuMeter(false));
     }
 
     @ParameterizedTest
     @EnumSource(FleetScenario.class)
-    void smallestStepKeepsTheRulesAndTellsEveryRelay(FleetScenario play) {
-        keepsAll(play(play, SimulatedFleet.Fault.NONE));
+    void smallestStepKeepsTheRulesAndReachesEveryRelay(FleetScenario scenario) {
+        assertAllRulesKept(run(scenario, PlantedFault.NONE));
     }
 
     @ParameterizedTest
     @EnumSource(FleetScenario.class)
-    void smallestStepKeepsTheRulesWithAScope(FleetScenario play) {
-        FleetScenario.Result result = play(play, SimulatedFleet.Fault.NONE, true);
-        keepsAll(result);
-        assertThat(result.fleet().records.held).isNotEmpty();
+    void smallestStepKeepsTheRulesWithSubsets(FleetScenario scenario) {
+        FleetScenario.Result result = run(scenario, PlantedFault.NONE, true);
+        assertAllRulesKept(result);
+        assertThat(result.fleet().records().holderCounts).isNotEmpty();
     }
 
-    /** Of few relays each has to use more endpoints than its least, or endpoints stand idle beside full ones. */
+    /** With few relays each has to hold more than its minimum, or endpoints stay idle beside full ones. */
     @ParameterizedTest
     @EnumSource(FleetScenario.class)
-    void fewRelaysRefuseNoMoreWithAScopeThanWithoutOne(FleetScenario play) {
-        SimulatedFleet.Terms terms = SMALLEST.terms(0, 36);
-        terms.scoped = true;
-        FleetScenario.Result with = play.play(SMALLEST, terms, new CpuMeter(false));
-        keepsAll(with);
-        FleetRecords without = play(play, SimulatedFleet.Fault.NONE).fleet().records;
-        assertThat(with.fleet().records.refused()).isLessThan(without.refused() * 6 / 5 + 20);
+    void fewRelaysRejectNoMoreWithSubsetsThanWithoutThem(FleetScenario scenario) {
+        FleetParameters parameters = SMALLEST.parameters(0, 36);
+        parameters.subsetting = true;
+        FleetScenario.Result with = scenario.run(SMALLEST, parameters, new CpuMeter(false));
+        assertAllRulesKept(with);
+        FleetRecords without = run(scenario, PlantedFault.NONE).fleet().records();
+        assertThat(with.fleet().records().rejectedRequests()).isLessThan(without.rejectedRequests() * 6 / 5 + 20);
     }
 
-    private static void keepsAll(FleetScenario.Result result) {
-        assertThat(result.broken()).isEmpty();
-        FleetRecords records = result.fleet().records;
-        assertThat(records.taken).hasSizeGreaterThan(10_000);
-        assertThat(records.sent).hasSizeGreaterThan(10_000);
-        assertThat(records.onTheWay()).isZero();
-        assertThat(records.messages).isNotEmpty();
-        long[] reached = records.reachedUs();
-        assertThat(reached[reached.length - 1]).isLessThan(7 * SimulatedFleet.S);
+    private static void assertAllRulesKept(FleetScenario.Result result) {
+        assertThat(result.violations()).isEmpty();
+        FleetRecords records = result.fleet().records();
+        assertThat(records.requests).hasSizeGreaterThan(10_000);
+        assertThat(records.attempts).hasSizeGreaterThan(10_000);
+        assertThat(records.undelivered()).isZero();
+        assertThat(records.deliveries).isNotEmpty();
+        long[] delaysUs = records.deliveryDelaysUs();
+        assertThat(delaysUs[delaysUs.length - 1]).isLessThan(7 * VirtualClock.SECOND_US);
     }
 
     @Test
-    void oneSeedIsOneDigest() {
-        assertThat(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE)
+    void oneSeedGivesOneDigest() {
+        assertThat(run(FleetScenario.ZONE, PlantedFault.NONE).fleet().records().digest())
+                .isEqualTo(run(FleetScenario.ZONE, PlantedFault.NONE)
                         .fleet()
-                        .records
-                        .digest())
-                .isEqualTo(play(FleetScenario.ZONE, SimulatedFleet.Fault.NONE)
-                        .fleet()
-                        .records
+                        .records()
                         .digest());
     }
 
     @Test
-    void changeThatOneRelayNeverGetsIsFound() {
-        List<String> broken =
-                play(FleetScenario.DAY, SimulatedFleet.Fault.CHANGE_MISSED).broken();
-        assertThat(broken).filteredOn(b -> b.startsWith("change")).containsExactly("change 3: relay 0 never had it");
+    void changeThatOneRelayNeverReceivesIsFound() {
+        List<RuleViolation> violations =
+                run(FleetScenario.DAY, PlantedFault.MISSED_CHANGE).violations();
+        assertThat(violations)
+                .filteredOn(violation -> violation.rule() == FleetRule.CHANGE_DELIVERY)
+                .containsExactly(new RuleViolation(FleetRule.CHANGE_DELIVERY, "relay 0 never received change 3"));
     }
 
     @Test
-    void drainThatIsToldLateIsFound() {
-        List<String> broken =
-                play(FleetScenario.DAY, SimulatedFleet.Fault.DRAIN_LATE).broken();
-        assertThat(broken).isNotEmpty().allMatch(b -> b.startsWith("told late: relay 0 sent to"));
+    void lateDrainNoticeIsFound() {
+        List<RuleViolation> violations =
+                run(FleetScenario.DAY, PlantedFault.LATE_DRAIN_NOTICE).violations();
+        assertThat(violations)
+                .isNotEmpty()
+                .allMatch(violation -> violation.rule() == FleetRule.PROPAGATION_DELAY)
+                .allMatch(violation -> violation.description().startsWith("relay 0 sent to"));
     }
 
     @Test
-    void endpointThatAllRelaysHoldIsFound() {
-        List<String> broken =
-                play(FleetScenario.RACK, SimulatedFleet.Fault.HELD_BY_ALL, true).broken();
-        assertThat(broken).filteredOn(b -> b.startsWith("held")).containsExactly("held: s1-u0 by 6 of 6 relays");
+    void endpointHeldByAllRelaysIsFound() {
+        List<RuleViolation> violations =
+                run(FleetScenario.RACK, PlantedFault.ENDPOINT_HELD_BY_ALL, true).violations();
+        assertThat(violations)
+                .filteredOn(violation -> violation.rule() == FleetRule.HOLDER_LIMIT)
+                .containsExactly(new RuleViolation(FleetRule.HOLDER_LIMIT, "s1-u0 by 6 of 6 relays"));
     }
 }
--- a/src/test/java/gatelock/fleet/ScaleStep.java
+++ b/src/test/java/gatelock/fleet/ScaleStep.java
@@ -3,10 +3,14 @@
 import java.util.List;
 
 /**
- * A step of the ladder to the target of docs/capacity/target.json: how many relays, endpoints and services, in how many
- * zones; {@code requestsShare}: of the target's requests for each endpoint, what is played, with four times the work each.
+ * A step of the ladder to the target of docs/capacity/target.json.
+ *
+ * @param name as the command line and the page write it
+ * @param targetShare the share of the target
+ * @param requestsShare the share of the target's requests for each endpoint that is simulated, with four times the work
  */
-record ScaleStep(String name, double part, int relays, int endpoints, int services, int zones, double requestsShare) {
+record ScaleStep(
+        String name, double targetShare, int relays, int endpoints, int services, int zones, double requestsShare) {
     static final List<ScaleStep> LADDER = List.of(
             new ScaleStep("1/1000", 0.001, 6, 200, 7, 3, 0.25),
             new ScaleStep("1/100", 0.01, 57, 2_000, 72, 19, 0.25),
@@ -14,57 +18,62 @@
             new ScaleStep("1/3", 1 / 3.0, 1_900, 66_667, 2_400, 19, 0.01),
             new ScaleStep("1", 1, 5_700, 200_000, 7_200, 19, 0.01));
 
-    /** Of the target, at its peak. */
-    private static final double REQS_PER_UNIT_S = 24.5;
+    /** Requests for each endpoint of the target at its peak. */
+    private static final double REQUESTS_PER_ENDPOINT_S = 24.5;
 
-    private static final double WORK_US = 280 * SimulatedFleet.MS;
+    private static final double MEAN_WORK_US = 280 * VirtualClock.MILLISECOND_US;
     private static final long LINK_BYTES_PER_S = 23_000;
-    /** Of the target, in a day. */
-    private static final double RESTARTS = 41_000;
+    /** Restarts of endpoints in a day of the whole target. */
+    private static final double RESTARTS_PER_DAY = 41_000;
+    /** Lost endpoints in a day of the whole target. */
+    private static final double FAILURES_PER_DAY = 1_200;
 
-    private static final double FAILURES = 1_200;
-    private static final double DAY_S = 86_400;
-    /** Assumed: this many endpoints under one switch, but never more than so much of all. */
-    private static final int RACK_UNITS = 40;
+    private static final double SECONDS_PER_DAY = 86_400;
+    /** Assumed: this many endpoints are under one switch, but no more than a share of all. */
+    private static final int MAX_RACK_ENDPOINTS = 40;
+    /** All endpoints fill at least so many racks. */
+    private static final int MIN_RACKS = 20;
+    /** Assumed: the Zipf exponent by which endpoints and requests are spread over services. */
+    private static final double SERVICE_ZIPF_EXPONENT = 0.6;
 
-    private static final int LEAST_RACKS = 20;
-    /** Assumed: how endpoints and requests fall on services, as an exponent of Zipf. */
-    private static final double SKEW = 0.6;
+    private static final double RELAY_LOAD_SPREAD = 1.5;
 
+    /** @throws IllegalArgumentException for a name that is no step */
     static ScaleStep of(String name) {
         return LADDER.stream()
-                .filter(s -> s.name.equals(name))
+                .filter(step -> step.name.equals(name))
                 .findFirst()
                 .orElseThrow(() -> new IllegalArgumentException(
                         "STEP is one of " + LADDER.stream().map(ScaleStep::name).toList()));
     }
 
-    /** The fleet of this step of which so many relays are played. */
-    SimulatedFleet.Terms terms(int played, long seed) {
-        SimulatedFleet.Terms t = new SimulatedFleet.Terms();
-        t.relays = relays;
-        t.relaysPlayed = played;
-        t.endpoints = endpoints;
-        t.services = services;
-        t.serviceSkew = SKEW;
-        t.zones = zones;
-        t.seed = seed;
-        t.uneven = 1.5;
-        t.workUs = WORK_US;
-        t.requestsPerS = REQS_PER_UNIT_S * requestsShare * endpoints * t.played() / relays;
-        t.linkBytesPerS = LINK_BYTES_PER_S;
-        return t;
+    /** The parameters of this step's fleet, of which only some relays are simulated; 0: all. */
+    FleetParameters parameters(int simulatedRelays, long seed) {
+        FleetParameters parameters = new FleetParameters();
+        parameters.relays = relays;
+        parameters.simulatedRelays = simulatedRelays;
+        parameters.endpoints = endpoints;
+        parameters.services = services;
+        parameters.serviceZipfExponent = SERVICE_ZIPF_EXPONENT;
+        parameters.zones = zones;
+        parameters.seed = seed;
+        parameters.relayLoadSpread = RELAY_LOAD_SPREAD;
+        parameters.meanWorkUs = MEAN_WORK_US;
+        parameters.requestsPerS =
+                REQUESTS_PER_ENDPOINT_S * requestsShare * endpoints * parameters.simulatedRelayCount() / relays;
+        parameters.discoveryLinkBytesPerS = LINK_BYTES_PER_S;
+        return parameters;
     }
 
     int rackEndpoints() {
-        return Math.min(RACK_UNITS, endpoints / LEAST_RACKS);
+        return Math.min(MAX_RACK_ENDPOINTS, endpoints / MIN_RACKS);
     }
 
     double restartsPerS() {
-        return RESTARTS / DAY_S * part;
+        return RESTARTS_PER_DAY / SECONDS_PER_DAY * targetShare;
     }
 
     double failuresPerS() {
-        return FAILURES / DAY_S * part;
+        return FAILURES_PER_DAY / SECONDS_PER_DAY * targetShare;
     }
 }
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -1,6 +1,7 @@
 package gatelock.fleet;
 
 import gatelock.api.Endpoint;
+import gatelock.membership.EndpointEntry;
 import java.util.AbstractList;
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -9,10 +10,15 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.Collectors;
 
-/** The list of endpoints as discovery holds it, its changes by index, and what a relay is sent of them. */
+/** The endpoint list as discovery holds it, with an index that counts its changes, and the messages it sends. */
 final class SimulatedDiscovery {
-    /** An entry as it was at one time, shared by all relays, and what the decisions take of it. */
-    record Entry(gatelock.membership.EndpointEntry told, Endpoint listed) {
+    /**
+     * An entry as it was at one time, shared by all relays.
+     *
+     * @param listed the entry as a relay reads it from discovery
+     * @param endpoint the same as the decisions take it
+     */
+    record Entry(EndpointEntry listed, Endpoint endpoint) {
         private static final Map<Endpoint.Health, String> STATUS = Map.of(
                 Endpoint.Health.READY,
                 "in_service",
@@ -21,12 +27,20 @@
                 Endpoint.Health.GONE,
                 "terminated");
 
-        Entry(gatelock.membership.EndpointEntry told) {
-            this(told, told.listed());
+        Entry(EndpointEntry listed) {
+            this(listed, listed.listed());
+        }
+
+        String name() {
+            return endpoint.endpoint();
         }
 
         String service() {
-            return told.service();
+            return listed.service();
+        }
+
+        boolean isReady() {
+            return endpoint.health() == Endpoint.Health.READY;
         }
 
         /** As it stands in a list on the wire. */
@@ -35,126 +49,141 @@
                     "{\"name\":\"%s\",\"service\":\"%s\",\"address\":\"%s\",\"status\":\"%s\","
                             + "\"weight\":1.0,\"since_ms\":%d,\"image_id\":%d,\"zone\":\"zone-%02d\",\"type\":\"standard\","
                             + "\"group\":%d},",
-                    listed.endpoint(),
+                    name(),
                     service(),
-                    told.address(),
-                    STATUS.get(listed.health()),
-                    listed.startUs() / 1000,
-                    listed.build(),
-                    listed.zone(),
-                    listed.cell());
+                    listed.address(),
+                    STATUS.get(endpoint.health()),
+                    endpoint.startUs() / 1000,
+                    endpoint.build(),
+                    endpoint.zone(),
+                    endpoint.cell());
         }
     }
 
-    /** An answer to a relay's watch: what changed, or the whole list as of an index. */
-    record Message(long index, boolean whole, List<Entry> entries, long bytes, FleetRecords.Message record) {}
+    /**
+     * An answer to a relay's watch: what changed, or the whole list as of an index.
+     *
+     * @param bytes its length on the wire
+     * @param delivery the record of which relays are to receive it and which did
+     */
+    record Message(long index, boolean whole, List<Entry> entries, long bytes, FleetRecords.Delivery delivery) {}
 
-    /** Around the entries of an answer: its head, its index and whether it is the whole. */
+    /** Length of an answer without its entries: its headers, its index and whether it is the whole list. */
     private static final int ANSWER_BYTES = 160;
 
-    private final SimulatedFleet.Terms terms;
+    private final FleetParameters parameters;
     private final FleetRecords records;
-    private final Map<String, Entry> list = new LinkedHashMap<>();
-    private List<Entry> whole;
+    private final Map<String, Entry> entriesByName = new LinkedHashMap<>();
+    /** The list as it is now; null after a change until it is asked for. */
+    private List<Entry> snapshot;
+    /** By the number of an endpoint: how many relays hold it. */
     private int[] holders = new int[0];
+
     private long index;
-    private long bytes;
+    private long listBytes;
 
-    SimulatedDiscovery(SimulatedFleet.Terms terms, FleetRecords records) {
-        this.terms = terms;
+    SimulatedDiscovery(FleetParameters parameters, FleetRecords records) {
+        this.parameters = parameters;
         this.records = records;
     }
 
-    /** What is listed at the beginning. */
-    void holds(List<Entry> entries) {
+    /** Sets what is listed at the beginning. */
+    void initialize(List<Entry> entries) {
         entries.forEach(this::put);
-        whole = null;
+        snapshot = null;
     }
 
     private void put(Entry entry) {
-        Entry before = entry.listed.health() == Endpoint.Health.GONE
-                ? list.remove(entry.listed.endpoint())
-                : list.put(entry.listed.endpoint(), entry);
-        bytes += (entry.listed.health() == Endpoint.Health.GONE ? 0 : length(entry))
-                - (before == null ? 0 : length(before));
+        boolean gone = entry.endpoint.health() == Endpoint.Health.GONE;
+        Entry previous = gone ? entriesByName.remove(entry.name()) : entriesByName.put(entry.name(), entry);
+        listBytes += gone ? 0 : length(entry);
+        listBytes -= previous == null ? 0 : length(previous);
     }
 
+    /** Length of an entry on the wire; not counted where links carry any amount. */
     private long length(Entry entry) {
-        return terms.linkBytesPerS > 0 ? entry.json().length() : 0;
+        return parameters.discoveryLinkBytesPerS > 0 ? entry.json().length() : 0;
     }
 
-    /** All that is listed now; the same list until it changes. */
+    /** All that is listed now; the same object until the list changes. */
     List<Entry> list() {
-        if (whole == null) {
-            whole = List.copyOf(list.values());
+        if (snapshot == null) {
+            snapshot = List.copyOf(entriesByName.values());
         }
-        return whole;
-    }
-
-    static String address(int number) {
-        return "10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255) + ":8080";
+        return snapshot;
     }
 
+    /** The number of changes so far. */
     long index() {
         return index;
     }
 
-    Message changed(long nowUs, List<Entry> entries) {
+    static String address(int number) {
+        return "10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255) + ":8080";
+    }
+
+    /** Applies changed entries; returns the message that tells of them. */
+    Message update(long nowUs, List<Entry> entries) {
         entries.forEach(this::put);
-        whole = null;
+        snapshot = null;
         index++;
-        entries.forEach(e -> (e.listed.health() == Endpoint.Health.READY ? records.ups : records.downs)
-                .add(new FleetRecords.Known(e.listed.endpoint(), nowUs)));
-        long length = ANSWER_BYTES + entries.stream().mapToLong(this::length).sum();
-        return new Message(index, false, entries, length, records.message(index, nowUs, length));
+        for (Entry entry : entries) {
+            List<FleetRecords.StatusChange> changes = entry.isReady() ? records.becameReady : records.becameNotReady;
+            changes.add(new FleetRecords.StatusChange(entry.name(), nowUs));
+        }
+        long bytes = ANSWER_BYTES + entries.stream().mapToLong(this::length).sum();
+        return new Message(index, false, entries, bytes, records.addDelivery(index, nowUs, bytes));
     }
 
-    Message whole(long nowUs) {
-        long length = ANSWER_BYTES + bytes;
-        return new Message(index, true, list(), length, records.message(index, nowUs, length));
+    /** The message with the whole list as it is now. */
+    Message fullList(long nowUs) {
+        long bytes = ANSWER_BYTES + listBytes;
+        return new Message(index, true, list(), bytes, records.addDelivery(index, nowUs, bytes));
     }
 
-    /** Mean bytes of an entry. */
-    double entryBytes() {
-        return bytes / (double) Math.max(1, list.size());
+    /** Mean length of an entry on the wire. */
+    double meanEntryBytes() {
+        return listBytes / (double) Math.max(1, entriesByName.size());
     }
 
-    /** One relay more or less holds this endpoint. */
-    void holders(int endpoint, int by) {
+    /** So many more relays hold the endpoint of a number; negative: fewer. */
+    void addHolders(int endpoint, int change) {
         if (endpoint >= holders.length) {
             holders = Arrays.copyOf(holders, Math.max(endpoint + 1, holders.length * 2));
         }
-        holders[endpoint] += by;
+        holders[endpoint] += change;
     }
 
-    /** Records how many relays hold each ready endpoint, where they hold less than all; {@code number}: by name. */
-    void countHolders(int relays, ToIntFunction<String> number) {
-        if (!terms.scoped) {
+    /**
+     * Records how many relays hold each listed endpoint, where relays hold a subset.
+     *
+     * @param relays how many relays there are
+     * @param numberOf the number of the endpoint of a name
+     */
+    void recordHolders(int relays, ToIntFunction<String> numberOf) {
+        if (!parameters.subsetting) {
             return;
         }
-        Map<String, Long> ready = list().stream()
-                .filter(e -> e.listed.health() == Endpoint.Health.READY)
+        Map<String, Long> readyByService = list().stream()
+                .filter(Entry::isReady)
                 .collect(Collectors.groupingBy(Entry::service, Collectors.counting()));
-        for (Entry e : list()) {
-            int endpoint = number.applyAsInt(e.listed.endpoint());
-            if (endpoint < holders.length && holders[endpoint] > 0) {
-                int its = ready.getOrDefault(e.service(), 0L).intValue();
-                records.held.add(new FleetRecords.Held(
-                        e.listed.endpoint(),
-                        its,
-                        holders[endpoint],
-                        relays,
-                        terms.scope(0).aim(its)));
+        for (Entry entry : list()) {
+            int number = numberOf.applyAsInt(entry.name());
+            if (number < holders.length && holders[number] > 0) {
+                int ready = readyByService.getOrDefault(entry.service(), 0L).intValue();
+                int aim = parameters.subsetTerms(0).aim(ready);
+                records.holderCounts.add(
+                        new FleetRecords.HolderCount(entry.name(), ready, holders[number], relays, aim));
             }
         }
     }
 
-    /** The entries as the decisions take them, without a copy for each relay. */
-    static List<Endpoint> listed(List<Entry> entries) {
+    /** A view of the entries as the decisions take them, without a copy for each relay. */
+    static List<Endpoint> endpoints(List<Entry> entries) {
         return new AbstractList<>() {
             @Override
             public Endpoint get(int i) {
-                return entries.get(i).listed;
+                return entries.get(i).endpoint;
             }
 
             @Override
--- a/src/test/java/gatelock/fleet/VerdictRates.java
+++ b/src/test/java/gatelock/fleet/VerdictRates.java
@@ -4,15 +4,28 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** How often bad builds are released and good ones sent back, over many seeds; a table, no test. */
+/** How often bad builds are released and good ones rolled back, over many seeds: prints a table, tests nothing. */
 final class VerdictRates {
-    private static final long S = SimulatedFleet.S;
+    private static final int[] DEFAULT_FLEET_SIZES = {14, 50, 100};
+    private static final double REQUESTS_PER_S = 340;
+    private static final long BEFORE_OFFER_US = 10 * VirtualClock.SECOND_US;
+    private static final int PERIODS = 6;
+    private static final long PERIOD_US = 5 * VirtualClock.SECOND_US;
+    private static final double BURST_FACTOR = 1.5;
+    private static final int BURST_START = 1;
+    private static final int BURST_END = 3;
 
-    /** A build on offer, and what happens beside it. */
+    /** A canary build, and what happens beside it. */
     private record Case(
-            String name, double fails, double work, long badFromUs, double badFromBusy, boolean pauses, boolean burst) {
-        Case(String name, double fails, double work) {
-            this(name, fails, work, 0, 0, false, false);
+            String name,
+            double errorRate,
+            double workFactor,
+            long faultAgeUs,
+            double faultUtilization,
+            boolean pauses,
+            boolean burst) {
+        Case(String name, double errorRate, double workFactor) {
+            this(name, errorRate, workFactor, 0, 0, false, false);
         }
     }
 
@@ -27,73 +40,82 @@
             new Case("work x1.7", 0, 1.7),
             new Case("work x2", 0, 2),
             new Case("work x3", 0, 3),
-            new Case("work x2.5 from 6 s on", 0, 2.5, 6 * S, 0, false, false),
-            new Case("errors 10% from 6 s on", 0.1, 1, 6 * S, 0, false, false),
+            new Case("work x2.5 from 6 s on", 0, 2.5, 6 * VirtualClock.SECOND_US, 0, false, false),
+            new Case("errors 10% from 6 s on", 0.1, 1, 6 * VirtualClock.SECOND_US, 0, false, false),
             new Case("work x2.5 when busy", 0, 2.5, 0, 0.4, false, false));
 
     private VerdictRates() {}
 
-    /** The first word is how many seeds, any further ones are sizes of fleets. */
+    /** The first argument is the number of seeds, any further ones are sizes of fleets. */
     public static void main(String[] args) {
         int seeds = Integer.parseInt(args[0]);
-        int[] sizes = args.length == 1
-                ? new int[] {14, 50, 100}
+        int[] fleetSizes = args.length == 1
+                ? DEFAULT_FLEET_SIZES
                 : IntStream.range(1, args.length)
                         .map(i -> Integer.parseInt(args[i]))
                         .toArray();
         System.out.println("| relays | build | back before release | back after | stays | a stage, s |");
-        for (int relays : sizes) {
-            for (Case c : CASES) {
-                List<SimulatedFleet> played = IntStream.rangeClosed(1, seeds)
+        for (int relays : fleetSizes) {
+            for (Case buildCase : CASES) {
+                List<SimulatedFleet> fleets = IntStream.rangeClosed(1, seeds)
                         .parallel()
-                        .mapToObj(seed -> play(relays, seed, c))
+                        .mapToObj(seed -> run(relays, seed, buildCase))
                         .toList();
-                long gone = played.stream().filter(VerdictRates::isBack).count();
-                long late =
-                        played.stream().filter(f -> isBack(f) && wasReleased(f)).count();
-                long stays = played.stream()
-                        .filter(f -> !isBack(f) && wasReleased(f))
-                        .count();
-                double us = played.stream()
-                        .flatMap(f -> f.controller.stageUs.stream())
-                        .mapToLong(x -> x)
-                        .average()
-                        .orElse(0);
-                System.out.printf(
-                        "| %d | %s | %d | %d | %d | %.2f |%n", relays, c.name, gone - late, late, stays, us / S);
+                printRow(relays, buildCase.name, fleets);
             }
         }
     }
 
-    private static boolean isBack(SimulatedFleet f) {
-        return f.controller.phase() == DecisionEngine.Phase.REVERTING;
+    private static void printRow(int relays, String name, List<SimulatedFleet> fleets) {
+        long rolledBack = fleets.stream().filter(VerdictRates::isRolledBack).count();
+        long rolledBackLate = fleets.stream()
+                .filter(fleet -> isRolledBack(fleet) && wasReleased(fleet))
+                .count();
+        long stays = fleets.stream()
+                .filter(fleet -> !isRolledBack(fleet) && wasReleased(fleet))
+                .count();
+        double meanStageUs = fleets.stream()
+                .flatMap(fleet -> fleet.releaseController().stageDurationsUs().stream())
+                .mapToLong(Long::longValue)
+                .average()
+                .orElse(0);
+        System.out.printf(
+                "| %d | %s | %d | %d | %d | %.2f |%n",
+                relays, name, rolledBack - rolledBackLate, rolledBackLate, stays, meanStageUs / VirtualClock.SECOND_US);
     }
 
-    private static boolean wasReleased(SimulatedFleet f) {
-        return f.controller.stageUs.size() == f.terms.shares.length;
+    private static boolean isRolledBack(SimulatedFleet fleet) {
+        return fleet.releaseController().phase() == DecisionEngine.Phase.REVERTING;
     }
 
-    private static SimulatedFleet play(int relays, long seed, Case c) {
-        SimulatedFleet.Terms t = new SimulatedFleet.Terms();
-        t.relays = relays;
-        t.seed = seed;
-        t.newFails = c.fails;
-        t.newWork = c.work;
-        t.badFromUs = c.badFromUs;
-        t.badFromBusy = c.badFromBusy;
-        t.requestsPerS = 340;
-        SimulatedFleet f = new SimulatedFleet(t);
-        f.run(10 * S);
-        f.controller.offer();
-        for (int i = 0; i < 6; i++) {
-            f.run(5 * S);
-            if (c.pauses) {
-                f.pauseSome(0.15, 600 * SimulatedFleet.MS, 2 * S);
+    private static boolean wasReleased(SimulatedFleet fleet) {
+        return fleet.releaseController().passedAllStages();
+    }
+
+    private static SimulatedFleet run(int relays, long seed, Case buildCase) {
+        FleetParameters parameters = new FleetParameters();
+        parameters.relays = relays;
+        parameters.seed = seed;
+        parameters.canaryErrorRate = buildCase.errorRate;
+        parameters.canaryWorkFactor = buildCase.workFactor;
+        parameters.canaryFaultAgeUs = buildCase.faultAgeUs;
+        parameters.canaryFaultUtilization = buildCase.faultUtilization;
+        parameters.requestsPerS = REQUESTS_PER_S;
+        SimulatedFleet fleet = new SimulatedFleet(parameters);
+        fleet.run(BEFORE_OFFER_US);
+        fleet.releaseController().offerNextBuild();
+        for (int period = 0; period < PERIODS; period++) {
+            fleet.run(PERIOD_US);
+            if (buildCase.pauses) {
+                fleet.outages().pauseSome(0.15, 600 * VirtualClock.MILLISECOND_US, 2 * VirtualClock.SECOND_US);
+            }
+            if (buildCase.burst && period == BURST_START) {
+                fleet.scaleLoad(BURST_FACTOR);
             }
-            if (c.burst) {
-                f.load(i == 1 ? 1.5 : i == 3 ? 1 / 1.5 : 1);
+            if (buildCase.burst && period == BURST_END) {
+                fleet.scaleLoad(1 / BURST_FACTOR);
             }
         }
-        return f;
+        return fleet;
     }
 }
