--- a/Makefile
+++ b/Makefile
@@ -80,7 +80,7 @@
 # The tables and the chart of docs/CAPACITY.md, from the files in docs/capacity/.
 capacity:
 	mvn -B -q -DskipTests package dependency:build-classpath -Dmdep.outputFile=target/test.classpath
-	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.capacity.Page
+	java -cp "target/classes:target/test-classes:$$(cat target/test.classpath)" gatelock.capacity.CapacityPage
 
 # The slopes of docs/capacity/slopes.json, measured anew.
 measure-capacity:
--- a/src/test/java/gatelock/capacity/CapacityPageTest.java
+++ b/src/test/java/gatelock/capacity/CapacityPageTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** docs/CAPACITY.md holds what its files give, and every way in which it might not is seen. */
+/** docs/CAPACITY.md has what its files give, and every way in which it might not is reported. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
     private static final Path DATA = Path.of("docs/capacity");
@@ -26,7 +26,7 @@
     @TempDir
     private Path scratch;
 
-    private Page page;
+    private CapacityPage page;
 
     /** A copy of the page on invented runs, written out and agreeing. */
     @BeforeAll
@@ -37,7 +37,7 @@
         Files.copy(FIXTURES.resolve("slopes.json"), agreed.resolve("slopes.json"));
         Files.copy(FIXTURES.resolve("membership.json"), agreed.resolve("membership.json"));
         Files.copy(FIXTURES.resolve("scale.json"), agreed.resolve("scale.json"));
-        Page page = new Page(agreed.resolve("CAPACITY.md"), agreed);
+        CapacityPage page = new CapacityPage(agreed.resolve("CAPACITY.md"), agreed);
         page.write();
         assertThat(page.problems()).isEmpty();
     }
@@ -49,7 +49,7 @@
                 Files.copy(file, scratch.resolve(file.getFileName()));
             }
         }
-        page = new Page(scratch.resolve("CAPACITY.md"), scratch);
+        page = new CapacityPage(scratch.resolve("CAPACITY.md"), scratch);
     }
 
     private void change(String file, String from, String to) throws IOException {
@@ -61,7 +61,7 @@
 
     @Test
     void thePageHoldsWhatItsFilesGive() throws IOException {
-        assertThat(new Page(PAGE, DATA).problems()).isEmpty();
+        assertThat(new CapacityPage(PAGE, DATA).problems()).isEmpty();
     }
 
     @Test
@@ -165,36 +165,41 @@
     /** A misspelt name would pass for a slope that was not measured. */
     @Test
     void formulasUseNamesThatAreKnown() throws IOException {
-        Target target = Target.read(DATA.resolve("target.json"));
-        Lines lines = Lines.read(DATA.resolve("lines.json"));
+        CapacityTarget target = CapacityTarget.read(DATA.resolve("target.json"));
+        CapacityModel model = CapacityModel.read(DATA.resolve("lines.json"));
         Set<String> known = new HashSet<>(target.inputs().keySet());
         target.bounds().keySet().forEach(b -> known.add(b + "Bound"));
-        known.addAll(lines.derived().keySet());
-        lines.loads().values().forEach(l -> known.addAll(l.set().keySet()));
-        known.addAll(Measured.KNOWN);
-        Measured.KNOWN.forEach(k -> known.add(k + "0"));
-        for (Lines.Line line : lines.lines()) {
-            assertThat(known).as(line.id()).containsAll(Formulas.names(line.formula()));
-            assertThat(known).as(line.id()).containsAll(line.after() == null ? Set.of() : Formulas.names(line.after()));
-            assertThat(line.bound() == null || target.bounds().containsKey(line.bound()))
-                    .as(line.id())
+        known.addAll(model.derived().keySet());
+        model.loads().values().forEach(l -> known.addAll(l.variables().keySet()));
+        known.addAll(MeasurementRun.KNOWN_NAMES);
+        MeasurementRun.KNOWN_NAMES.forEach(k -> known.add(k + "0"));
+        for (CapacityModel.Metric metric : model.metrics()) {
+            assertThat(known).as(metric.id()).containsAll(FormulaEvaluator.names(metric.formula()));
+            assertThat(known)
+                    .as(metric.id())
+                    .containsAll(
+                            metric.formulaWithSubsets() == null
+                                    ? Set.of()
+                                    : FormulaEvaluator.names(metric.formulaWithSubsets()));
+            assertThat(metric.bound() == null || target.bounds().containsKey(metric.bound()))
+                    .as(metric.id())
                     .isTrue();
-            assertThat(line.ladder() == null || line.bound() != null && line.lost() != null)
-                    .as(line.id())
+            assertThat(metric.ladderLoad() == null || (metric.bound() != null && metric.lossBeyondBound() != null))
+                    .as(metric.id())
                     .isTrue();
         }
-        assertThat(lines.lines().stream().map(Lines.Line::id)).doesNotHaveDuplicates();
-        Measured.KNOWN.forEach(k -> assertThat(target.inputs()).doesNotContainKey(k));
+        assertThat(model.metrics().stream().map(CapacityModel.Metric::id)).doesNotHaveDuplicates();
+        MeasurementRun.KNOWN_NAMES.forEach(k -> assertThat(target.inputs()).doesNotContainKey(k));
     }
 
     @Test
     void everyInputHasASourceAndAnAssumedOneSaysSo() throws IOException {
-        Target target = Target.read(DATA.resolve("target.json"));
+        CapacityTarget target = CapacityTarget.read(DATA.resolve("target.json"));
         assertThat(target.inputs().values())
                 .allSatisfy(i -> assertThat(i.source()).isNotBlank());
         assertThat(target.inputs().values())
                 .filteredOn(i -> i.source().startsWith("ours") || i.source().startsWith("hive-scale-lk"))
-                .allMatch(Target.Input::assumed);
+                .allMatch(CapacityTarget.Input::assumed);
         assertThat(target.bounds().values()).allSatisfy(b -> {
             assertThat(b.source()).isNotBlank();
             assertThat(b.value() == null).isNotEqualTo(b.formula() == null);
--- a/src/test/java/gatelock/capacity/ClassHistogram.java
+++ b/src/test/java/gatelock/capacity/ClassHistogram.java
@@ -8,11 +8,13 @@
 import javax.management.JMException;
 import javax.management.ObjectName;
 
-/** Bytes that live objects hold, by class, as the JVM's class histogram gives them after a full collection. */
+/** Bytes of heap that live objects take, by class, as the JVM's class histogram gives them after a full collection. */
 record ClassHistogram(Map<String, Long> bytes) {
+    /** A rank, the number of instances, their bytes and the name of their class. */
     private static final Pattern LINE = Pattern.compile("(?m)^ *\\d+: +\\d+ +(\\d+) +(\\S+)");
 
-    static ClassHistogram read(String text) {
+    /** Reads the text that {@code jcmd GC.class_histogram} prints. */
+    static ClassHistogram parse(String text) {
         Map<String, Long> bytes = new LinkedHashMap<>();
         Matcher line = LINE.matcher(text);
         while (line.find()) {
@@ -21,28 +23,28 @@
         return new ClassHistogram(bytes);
     }
 
-    /** Of this process. */
-    static ClassHistogram here() {
+    static ClassHistogram ofThisProcess() {
         try {
-            return read((String) ManagementFactory.getPlatformMBeanServer()
+            return parse((String) ManagementFactory.getPlatformMBeanServer()
                     .invoke(
                             new ObjectName("com.sun.management:type=DiagnosticCommand"),
                             "gcClassHistogram",
                             new Object[] {new String[0]},
                             new String[] {String[].class.getName()}));
         } catch (JMException e) {
-            throw new IllegalStateException("this JVM tells no class histogram", e);
+            throw new IllegalStateException("this JVM gives no class histogram", e);
         }
     }
 
-    long total() {
+    /** Bytes of all classes. */
+    long totalBytes() {
         return bytes.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** What this one holds more than another. */
+    /** By class, the bytes that this histogram has more than an earlier one; negative: fewer. */
     ClassHistogram since(ClassHistogram before) {
-        Map<String, Long> more = new LinkedHashMap<>(bytes);
-        before.bytes.forEach((name, held) -> more.merge(name, -held, Long::sum));
-        return new ClassHistogram(more);
+        Map<String, Long> difference = new LinkedHashMap<>(bytes);
+        before.bytes.forEach((name, heldBefore) -> difference.merge(name, -heldBefore, Long::sum));
+        return new ClassHistogram(difference);
     }
 }
--- a/src/test/java/gatelock/capacity/ClassHistogramTest.java
+++ b/src/test/java/gatelock/capacity/ClassHistogramTest.java
@@ -5,6 +5,7 @@
 import java.lang.ref.Reference;
 import org.junit.jupiter.api.Test;
 
+/** The histogram is read from its text, and finds what this process allocated. */
 class ClassHistogramTest {
     private static final String TEXT = """
          num     #instances         #bytes  class name (module)
@@ -16,16 +17,20 @@
 
     @Test
     void linesAreReadByClass() {
-        ClassHistogram read = ClassHistogram.read(TEXT);
-        assertThat(read.bytes()).containsEntry("[B", 2_216_344L).containsEntry("gatelock.api.Listed", 2_400L);
-        assertThat(read.total()).isEqualTo(2_218_744);
+        ClassHistogram histogram = ClassHistogram.parse(TEXT);
+        assertThat(histogram.bytes()).containsEntry("[B", 2_216_344L).containsEntry("gatelock.api.Listed", 2_400L);
+        assertThat(histogram.totalBytes()).isEqualTo(2_218_744);
     }
 
     @Test
-    void whatIsHeldMoreSinceThenIsFound() {
-        ClassHistogram before = ClassHistogram.here();
+    void differenceHoldsWhatWasAllocatedSince() {
+        ClassHistogram before = ClassHistogram.ofThisProcess();
         long[] held = new long[1_000_000];
-        assertThat(ClassHistogram.here().since(before).bytes().get("[J")).isBetween(8_000_000L, 8_100_000L);
-        Reference.reachabilityFence(held);
+        try {
+            assertThat(ClassHistogram.ofThisProcess().since(before).bytes().get("[J"))
+                    .isBetween(8_000_000L, 8_100_000L);
+        } finally {
+            Reference.reachabilityFence(held);
+        }
     }
 }
--- /dev/null
+++ b/src/test/java/gatelock/capacity/DecisionHarness.java
@@ -0,0 +1,190 @@
+package gatelock.capacity;
+
+import gatelock.api.AttemptResult;
+import gatelock.api.DecisionActions;
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
+import gatelock.api.LoadReport;
+import gatelock.api.RelaySettings;
+import gatelock.api.RequestConstraints;
+import gatelock.api.RequestHandle;
+import gatelock.api.RolloutPolicy;
+import gatelock.api.RoutePolicy;
+import gatelock.decision.ReleaseGate;
+import gatelock.standin.EndpointRestriction;
+import gatelock.standin.LongListDiscovery;
+import gatelock.standin.NoOpActions;
+import java.lang.management.ManagementFactory;
+import java.lang.management.ThreadMXBean;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/**
+ * The decision module alone, with so many endpoints: 860 requests a second of its own virtual time, each of which
+ * completes once some further ones have been sent.
+ */
+final class DecisionHarness implements NoOpActions {
+    /** Endpoints of a service, as the target has them on the mean. */
+    static final int ENDPOINTS_PER_SERVICE = 28;
+
+    private static final long REQUEST_INTERVAL_US = 1_163;
+    /** Requests between two readings of the processor time. */
+    private static final int BATCH = 16;
+
+    private static final int MAX_IN_FLIGHT = 4;
+    private static final long TIMEOUT_US = 1_000_000;
+    private static final long TICK_US = 250_000;
+    private static final long EXPECTED_WORK_US = 5_000;
+    /** Enough of them that verdicts are weighed as in a fleet. */
+    private static final int RELAYS = 100;
+
+    private static final List<RoutePolicy> ROUTES = List.of(
+            new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
+            new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 5_000_000, 400_000, 3),
+            new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3));
+
+    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+
+    private record InFlight(RequestHandle handle, long sentUs) {}
+
+    private final DecisionEngine engine;
+    private final List<Set<String>> services = new ArrayList<>();
+    private final SplittableRandom random = new SplittableRandom(17);
+    private final ArrayDeque<InFlight> inFlight = new ArrayDeque<>();
+    private long nowUs = 1_000_000_000_000L;
+    private long tickToken = -1;
+    private long nextId;
+    private long sent;
+
+    /** Decisions that know so many ready endpoints of a released build. */
+    DecisionHarness(int endpoints) {
+        engine = newEngine(this, List.of());
+        engine.start(nowUs);
+        List<Endpoint> list = new ArrayList<>();
+        for (int i = 0; i < endpoints; i++) {
+            if (i % ENDPOINTS_PER_SERVICE == 0) {
+                services.add(new HashSet<>());
+            }
+            String name = LongListDiscovery.name(i);
+            services.get(services.size() - 1).add(name);
+            list.add(new Endpoint(name, 1, i % 3, 0, i % 10, Endpoint.Health.READY, 0));
+        }
+        engine.listed(nowUs, DecisionEngine.ListForm.FULL, list);
+        engine.news(nowUs, 1, 0, DecisionEngine.Phase.RELEASED, 1, 60_000_000, DecisionEngine.VoteAnswer.NOT_ASKED);
+    }
+
+    /** Decisions with the settings of examples/relay.json. */
+    static DecisionEngine newEngine(DecisionActions actions, List<RelaySettings.Tenant> tenants) {
+        RelaySettings settings = new RelaySettings(
+                17,
+                RELAYS,
+                0,
+                ROUTES,
+                tenants,
+                0.5,
+                3,
+                true,
+                true,
+                2_000_000,
+                false,
+                0.4,
+                3_000_000,
+                2.5,
+                1_000_000,
+                0,
+                22_500_000,
+                rollout());
+        return new ReleaseGate(settings, actions);
+    }
+
+    private static RolloutPolicy rollout() {
+        return new RolloutPolicy(
+                RolloutPolicy.Gatekeeping.COUNT,
+                1_000_000,
+                6_000_000,
+                2_000_000,
+                new double[] {0.2, 0.6, 1},
+                0,
+                false,
+                false,
+                2,
+                1,
+                10,
+                false);
+    }
+
+    /**
+     * Sends requests, up to a number or a second of processor time; the ticks between them do not count.
+     *
+     * @param restricted each request reaches only the endpoints of one service
+     * @return microseconds of processor time for one request
+     */
+    double requestUs(boolean restricted, int maxRequests) {
+        long cpuNs = 0;
+        long requests = 0;
+        long sentBefore = sent;
+        long nextTickUs = nowUs + TICK_US;
+        while (requests < maxRequests && cpuNs < 1_000_000_000) {
+            long startedNs = THREADS.getCurrentThreadCpuTime();
+            for (int i = 0; i < BATCH; i++) {
+                nowUs += REQUEST_INTERVAL_US;
+                request(restricted);
+            }
+            requests += BATCH;
+            cpuNs += THREADS.getCurrentThreadCpuTime() - startedNs;
+            if (nowUs >= nextTickUs) {
+                tick();
+                nextTickUs += TICK_US;
+            }
+        }
+        if (sent - sentBefore < requests * 0.99) {
+            throw new IllegalStateException("of " + requests + " requests only " + (sent - sentBefore) + " were sent");
+        }
+        return cpuNs / 1e3 / requests;
+    }
+
+    private void request(boolean restricted) {
+        Set<String> service = services.get(random.nextInt(services.size()));
+        EndpointRestriction ofService = service::contains;
+        RequestConstraints constraints = restricted ? ofService : RequestConstraints.NONE;
+        long sentBefore = sent;
+        RequestHandle handle = engine.take(
+                nowUs, "r" + nextId++, 0, 0, DecisionEngine.NO_KEY, TIMEOUT_US, EXPECTED_WORK_US, constraints);
+        if (sent > sentBefore) {
+            inFlight.add(new InFlight(handle, nowUs));
+        }
+        if (inFlight.size() > MAX_IN_FLIGHT) {
+            InFlight first = inFlight.poll();
+            first.handle.ended(nowUs, 0, AttemptResult.COMPLETED, nowUs - first.sentUs, true, LoadReport.NONE);
+        }
+    }
+
+    private void tick() {
+        engine.due(nowUs, tickToken);
+    }
+
+    /** Runs so many ticks; microseconds of processor time for one. */
+    double tickUs(int ticks) {
+        long startedNs = THREADS.getCurrentThreadCpuTime();
+        for (int i = 0; i < ticks; i++) {
+            nowUs += TICK_US;
+            tick();
+        }
+        return (THREADS.getCurrentThreadCpuTime() - startedNs) / 1e3 / ticks;
+    }
+
+    @Override
+    public void send(String id, String endpoint, long timeoutUs) {
+        sent++;
+    }
+
+    /** The first timer is the tick's; a request's is due only after its end, when it does nothing. */
+    @Override
+    public void timer(long inUs, long token) {
+        tickToken = tickToken < 0 ? token : tickToken;
+    }
+}
--- /dev/null
+++ b/src/test/java/gatelock/capacity/EndpointListHarness.java
@@ -0,0 +1,196 @@
+package gatelock.capacity;
+
+import gatelock.api.DecisionEngine;
+import gatelock.config.Admission;
+import gatelock.discovery.DiscoveryClient;
+import gatelock.net.ConnectionPool;
+import gatelock.net.EventLoop;
+import gatelock.net.JsonObject;
+import gatelock.standin.LongListDiscovery;
+import gatelock.standin.NoOpActions;
+import gatelock.state.Counters;
+import gatelock.state.EndpointAddresses;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.lang.management.ManagementFactory;
+import java.lang.management.ThreadMXBean;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
+import org.xnio.OptionMap;
+import org.xnio.Options;
+import org.xnio.Xnio;
+import org.xnio.XnioWorker;
+
+/**
+ * The part of a relay that follows the endpoint list, in this process and on real sockets, with no bound on the size of
+ * the list: its discovery client, addresses and decisions against a discovery with so many entries.
+ */
+final class EndpointListHarness implements AutoCloseable {
+    private static final int MAX_RESPONSE_BYTES = 256 << 20;
+    private static final long CONNECT_TIMEOUT_US = 1_000_000;
+    private static final long RESPONSE_TIMEOUT_US = 4_000_000;
+    private static final int MAX_CONNECTIONS = 8;
+    private static final long FOLLOWED_WITHIN_MS = 60_000;
+    private static final long STOP_WITHIN_MS = 5_000;
+    private static final long RELEASED_SINCE_US = 60_000_000;
+    private static final long SINCE_MS = 1_764_000_000_000L;
+    /** A prime stride, so that changes go over all of the list. */
+    private static final long CHANGE_STRIDE = 7_919;
+
+    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+
+    private final LongListDiscovery list;
+    private final int size;
+    private final XnioWorker worker;
+    private final EventLoop eventLoop;
+    private final ConnectionPool discoveryConnections;
+    private final ConnectionPool endpointConnections;
+    private final DiscoveryClient discovery;
+    private final DecisionEngine engine;
+    private final double readUs;
+
+    /** Follows a list of so many entries; when this returns, all of it has been taken in. */
+    EndpointListHarness(int size, Admission admission) throws IOException, InterruptedException {
+        this.size = size;
+        list = new LongListDiscovery(size, number -> entry(number, 0));
+        worker = Xnio.getInstance()
+                .createWorker(OptionMap.builder()
+                        .set(Options.WORKER_IO_THREADS, 1)
+                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                        .getMap());
+        eventLoop = new EventLoop(worker.getIoThread());
+        Counters counters = new Counters();
+        discoveryConnections = new ConnectionPool(
+                eventLoop, counters, CONNECT_TIMEOUT_US, RESPONSE_TIMEOUT_US, 0, MAX_CONNECTIONS, MAX_RESPONSE_BYTES);
+        endpointConnections =
+                new ConnectionPool(eventLoop, counters, CONNECT_TIMEOUT_US, RESPONSE_TIMEOUT_US, 0, MAX_CONNECTIONS);
+        discovery = new DiscoveryClient(
+                eventLoop,
+                counters,
+                discoveryConnections,
+                RelayHarness.loopback(RelayHarness.port(list.address("r"))),
+                new EndpointAddresses(),
+                endpointConnections,
+                List.of("east", "west"),
+                List.of("small"),
+                false,
+                new SplittableRandom(17),
+                null);
+        engine = DecisionHarness.newEngine(new ListOnlyActions(), List.of());
+        long startedNs = cpuNs();
+        eventLoop.soon(() -> start(admission));
+        awaitFollowed(1);
+        readUs = (cpuNs() - startedNs) / 1e3;
+    }
+
+    private void start(Admission admission) {
+        try {
+            engine.start(eventLoop.nowUs());
+            discovery.start(
+                    engine, admission, JsonObject.read("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
+            engine.news(
+                    eventLoop.nowUs(),
+                    1,
+                    0,
+                    DecisionEngine.Phase.RELEASED,
+                    1,
+                    RELEASED_SINCE_US,
+                    DecisionEngine.VoteAnswer.NOT_ASKED);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
+
+    /** An entry of about 190 bytes, as the target has them; each change is of a later start of the endpoint. */
+    static String entry(int number, int change) {
+        return LongListDiscovery.entry(
+                number,
+                "10." + number / 65_536 + "." + number / 256 % 256 + "." + number % 256 + ":8443",
+                number % 2 == 0 ? "east" : "west",
+                "svc-" + number / DecisionHarness.ENDPOINTS_PER_SERVICE,
+                "in_service",
+                SINCE_MS + change,
+                1);
+    }
+
+    private long cpuNs() {
+        return THREADS.getThreadCpuTime(eventLoop.thread().getId());
+    }
+
+    /** Waits until the client has the list up to an index. */
+    private void awaitFollowed(long index) throws InterruptedException {
+        if (list.await(index, 1, FOLLOWED_WITHIN_MS).isEmpty()) {
+            throw new IllegalStateException("a list of " + size + " entries is not followed up to " + index + " after "
+                    + FOLLOWED_WITHIN_MS + " ms; full reads: " + list.wholes());
+        }
+    }
+
+    /** Processor time of the I/O thread to read the whole list and take it in, in microseconds. */
+    double readUs() {
+        return readUs;
+    }
+
+    /** How often the client has read the whole list. */
+    long fullReads() {
+        return list.wholes();
+    }
+
+    /** Restarts so many endpoints, one after the other; the median of the I/O thread's processor time for one. */
+    double changeUs(int changes) throws InterruptedException {
+        List<Long> changeNs = new ArrayList<>();
+        for (int i = 1; i <= changes; i++) {
+            int number = (int) (i * CHANGE_STRIDE % size);
+            long startedNs = cpuNs();
+            awaitFollowed(list.change(number, entry(number, i)));
+            changeNs.add(cpuNs() - startedNs);
+        }
+        Collections.sort(changeNs);
+        return changeNs.get(changes / 2) / 1e3;
+    }
+
+    @Override
+    public void close() {
+        eventLoop.soon(discoveryConnections::stop);
+        eventLoop.soon(endpointConnections::stop);
+        list.close();
+        worker.shutdownNow();
+        try {
+            worker.awaitTermination(STOP_WITHIN_MS, TimeUnit.MILLISECONDS);
+            eventLoop.thread().join(STOP_WITHIN_MS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** No request is accepted, and no timer runs: only the list is measured. */
+    private static final class ListOnlyActions implements NoOpActions {
+        private static IllegalStateException unexpected() {
+            return new IllegalStateException("no request was accepted");
+        }
+
+        @Override
+        public void send(String id, String endpoint, long timeoutUs) {
+            throw unexpected();
+        }
+
+        @Override
+        public void shed(String id, long pauseUs) {
+            throw unexpected();
+        }
+
+        @Override
+        public void error(String id) {
+            throw unexpected();
+        }
+
+        @Override
+        public void cancel(String id, int attemptNo) {
+            throw unexpected();
+        }
+    }
+}
--- a/src/test/java/gatelock/capacity/Fit.java
+++ b/src/test/java/gatelock/capacity/Fit.java
@@ -9,28 +9,43 @@
  */
 public record Fit(double slope, double intercept, double residual) {
 
-    /** @param points of x and y; at least two values of x differ */
+    /** A point that a line is fitted to. */
+    record Point(double x, double y) {}
+
+    /**
+     * Fits a line to points that are given as pairs of x and y.
+     *
+     * @param points at least two values of x differ
+     */
     public static Fit of(List<double[]> points) {
-        double meanX = points.stream().mapToDouble(p -> p[0]).average().orElseThrow();
-        double meanY = points.stream().mapToDouble(p -> p[1]).average().orElseThrow();
-        double xx = points.stream()
-                .mapToDouble(p -> (p[0] - meanX) * (p[0] - meanX))
-                .sum();
-        if (xx == 0) {
+        return through(points.stream().map(p -> new Point(p[0], p[1])).toList());
+    }
+
+    /**
+     * Fits a line to points.
+     *
+     * @param points at least two values of x differ
+     */
+    static Fit through(List<Point> points) {
+        double meanX = points.stream().mapToDouble(Point::x).average().orElseThrow();
+        double meanY = points.stream().mapToDouble(Point::y).average().orElseThrow();
+        double sumXx =
+                points.stream().mapToDouble(p -> (p.x - meanX) * (p.x - meanX)).sum();
+        if (sumXx == 0) {
             throw new IllegalArgumentException("a line needs two values of x");
         }
-        double slope = points.stream()
-                        .mapToDouble(p -> (p[0] - meanX) * (p[1] - meanY))
-                        .sum()
-                / xx;
+        double sumXy =
+                points.stream().mapToDouble(p -> (p.x - meanX) * (p.y - meanY)).sum();
+        double slope = sumXy / sumXx;
         double intercept = meanY - slope * meanX;
         double residual = points.stream()
-                .mapToDouble(p -> {
-                    double fit = intercept + slope * p[0];
-                    return p[1] == fit ? 0 : Math.abs((p[1] - fit) / fit);
-                })
+                .mapToDouble(p -> relativeDistance(p.y, intercept + slope * p.x))
                 .max()
                 .orElseThrow();
         return new Fit(slope, intercept, residual);
     }
+
+    private static double relativeDistance(double value, double fitted) {
+        return value == fitted ? 0 : Math.abs((value - fitted) / fitted);
+    }
 }
--- a/src/test/java/gatelock/capacity/Table.java
+++ b/src/test/java/gatelock/capacity/MarkdownTable.java
@@ -6,17 +6,18 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A Markdown table, and figures as the page writes them: three places that count. */
-final class Table {
+/** A Markdown table, and figures as the page writes them: with three significant digits. */
+final class MarkdownTable {
     private final List<String> rows = new ArrayList<>();
 
-    Table(String... head) {
-        row((Object[]) head);
-        rows.add("|" + " --- |".repeat(head.length));
+    /** A table with a heading for each column. */
+    MarkdownTable(String... headings) {
+        row((Object[]) headings);
+        rows.add("|" + " --- |".repeat(headings.length));
     }
 
-    /** Texts as they are, figures by {@link #figure}. */
-    Table row(Object... cells) {
+    /** Adds a row: numbers as {@link #figure} writes them, all else as text. */
+    MarkdownTable row(Object... cells) {
         StringBuilder row = new StringBuilder("|");
         for (Object cell : cells) {
             String text = cell instanceof Number n ? figure(n.doubleValue()) : String.valueOf(cell);
@@ -28,6 +29,7 @@
         return this;
     }
 
+    /** The number of rows below the headings. */
     int size() {
         return rows.size() - 2;
     }
@@ -37,6 +39,7 @@
         return String.join("\n", rows);
     }
 
+    /** A figure with three significant digits; NaN: not measured, infinite: never. */
     static String figure(double value) {
         if (Double.isNaN(value)) {
             return "not measured";
@@ -58,7 +61,7 @@
         return rounded.toPlainString();
     }
 
-    /** A share of the target as a fraction: 1/18. */
+    /** A share of the target as a fraction, such as 1/18; NaN: not measured, infinite: not crossed. */
     static String share(double share) {
         if (Double.isNaN(share)) {
             return "not measured";
@@ -66,12 +69,20 @@
         if (Double.isInfinite(share)) {
             return "not crossed";
         }
-        double parts = 1 / share;
-        return share <= Ladder.LEAST
-                ? "below 1/10000"
-                : "1/"
-                        + (parts < 9.95
-                                ? String.format(Locale.ROOT, "%.1f", parts)
-                                : String.format(Locale.ROOT, "%.0f", parts));
+        if (share <= ScaleLadder.MIN_SHARE) {
+            return "below 1/10000";
+        }
+        double denominator = 1 / share;
+        return "1/" + String.format(Locale.ROOT, denominator < 9.95 ? "%.1f" : "%.0f", denominator);
+    }
+
+    /** A share in per cent. */
+    static String percent(double share) {
+        return figure(share * 100) + "%";
+    }
+
+    /** A ratio of a figure to its bound, in bold where it is over it. */
+    static String ratio(double ratio) {
+        return ratio > 1 ? "**" + figure(ratio) + "**" : figure(ratio);
     }
 }
--- a/src/test/java/gatelock/capacity/Measured.java
+++ b/src/test/java/gatelock/capacity/MeasurementRun.java
@@ -16,13 +16,13 @@
 import java.util.TreeMap;
 
 /**
- * What a run has measured: docs/capacity/slopes.json, membership.json and scale.json. Whatever such a file lacks is not measured; the
- * id of its run it must have.
+ * What a run has measured, from docs/capacity/slopes.json, membership.json or scale.json. Whatever such a file lacks is
+ * not measured; it must have the id of its run.
  */
-final class Measured {
+final class MeasurementRun {
     static final String NO_RUN = "not run";
-    /** Names that formulas may use whether or not a run has given them; with a 0 behind: the intercept. */
-    static final Set<String> KNOWN = Set.of(
+    /** Slopes that formulas may use whether or not a run has measured them; with a 0 behind the name: the intercept. */
+    static final Set<String> KNOWN_NAMES = Set.of(
             "heapPerUnit",
             "heapPerRoute",
             "heapPerTenant",
@@ -47,27 +47,31 @@
             "operatorCpuPerScrapeUs");
 
     private final JsonNode file;
-    /** Of this run, and of others whose slopes stand beside. */
+    /** The slopes of this run, and of others that were added to it. */
     private final ArrayNode slopes;
 
-    private Measured(JsonNode file, ArrayNode slopes) {
+    private MeasurementRun(JsonNode file, ArrayNode slopes) {
         this.file = file;
         this.slopes = slopes;
     }
 
-    private static Measured of(JsonNode file) {
+    private static MeasurementRun of(JsonNode file) {
         ArrayNode slopes = JsonNodeFactory.instance.arrayNode();
         file.path("slopes").forEach(slopes::add);
-        return new Measured(file, slopes);
+        return new MeasurementRun(file, slopes);
     }
 
-    /** This run with the slopes of another one behind its own. */
-    Measured with(Measured other) {
-        return new Measured(file, slopes.deepCopy().addAll(other.slopes));
+    /** This run with the slopes of another one after its own. */
+    MeasurementRun withSlopesOf(MeasurementRun other) {
+        return new MeasurementRun(file, slopes.deepCopy().addAll(other.slopes));
     }
 
-    /** @throws IOException where the file is there and can't be read, or names no run */
-    static Measured read(Path file) throws IOException {
+    /**
+     * Reads a file; one that does not exist gives a run that has measured nothing.
+     *
+     * @throws IOException where the file can't be read, or has no id of its run
+     */
+    static MeasurementRun read(Path file) throws IOException {
         if (!Files.exists(file)) {
             return of(MissingNode.getInstance());
         }
@@ -78,15 +82,18 @@
         return of(read);
     }
 
+    /** The id of the run; {@link #NO_RUN} where there is no file. */
     String runId() {
         return file.isMissingNode() ? NO_RUN : file.path("run").path("id").asText();
     }
 
+    /** When, where and of which commit the run was. */
     JsonNode run() {
         return file.path("run");
     }
 
-    JsonNode rows(String name) {
+    /** A section of the file; a missing node where there is none. */
+    JsonNode section(String name) {
         return name.equals("slopes") ? slopes : file.path(name);
     }
 
@@ -116,32 +123,30 @@
         return Double.NaN;
     }
 
-    /** Milliseconds added for 99 in 100 at a rate, between the two rates measured beside it; NaN outside. */
-    double addedP99Ms(double perS) {
-        TreeMap<Double, Double> byRate = new TreeMap<>();
-        file.path("latency")
-                .forEach(l ->
-                        byRate.put(l.path("perS").asDouble(), l.path("p99Us").asDouble() / 1000));
-        Map.Entry<Double, Double> below = byRate.floorEntry(perS);
-        Map.Entry<Double, Double> above = byRate.ceilingEntry(perS);
+    /** The added p99 latency in milliseconds at a rate, interpolated between measured rates; NaN outside of them. */
+    double addedP99Ms(double requestsPerS) {
+        TreeMap<Double, Double> p99MsByRate = new TreeMap<>();
+        for (JsonNode row : file.path("latency")) {
+            p99MsByRate.put(row.path("perS").asDouble(), row.path("p99Us").asDouble() / 1000);
+        }
+        Map.Entry<Double, Double> below = p99MsByRate.floorEntry(requestsPerS);
+        Map.Entry<Double, Double> above = p99MsByRate.ceilingEntry(requestsPerS);
         if (below == null || above == null) {
             return Double.NaN;
         }
         double width = above.getKey() - below.getKey();
-        double part = width == 0 ? 0 : (perS - below.getKey()) / width;
-        return below.getValue() + part * (above.getValue() - below.getValue());
+        double position = width == 0 ? 0 : (requestsPerS - below.getKey()) / width;
+        return below.getValue() + position * (above.getValue() - below.getValue());
     }
 
-    /** The points of a slope as {x, y}; given as pairs or as objects. */
-    static List<double[]> points(JsonNode slope) {
-        List<double[]> points = new ArrayList<>();
-        slope.path("points")
-                .forEach(p -> points.add(
-                        p.isArray()
-                                ? new double[] {p.path(0).asDouble(), p.path(1).asDouble()}
-                                : new double[] {
-                                    p.path("x").asDouble(), p.path("y").asDouble()
-                                }));
+    /** The points of a slope, which are given as pairs or as objects with x and y. */
+    static List<Fit.Point> points(JsonNode slope) {
+        List<Fit.Point> points = new ArrayList<>();
+        for (JsonNode point : slope.path("points")) {
+            JsonNode x = point.isArray() ? point.path(0) : point.path("x");
+            JsonNode y = point.isArray() ? point.path(1) : point.path("y");
+            points.add(new Fit.Point(x.asDouble(), y.asDouble()));
+        }
         return points;
     }
 }
--- /dev/null
+++ b/src/test/java/gatelock/capacity/RealRelays.java
@@ -0,0 +1,224 @@
+package gatelock.capacity;
+
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import gatelock.standin.FakeDeployment;
+import gatelock.standin.LongListDiscovery;
+import gatelock.standin.OpenLoop;
+import gatelock.standin.RelayProcess;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import org.HdrHistogram.Histogram;
+
+/** How relay processes fare on long endpoint lists, one at a time and some tens at once. */
+final class RealRelays {
+    private static final int[] START_SIZES = {1_000, 2_500, 5_000, 10_000};
+    private static final int STARTS = 3;
+    private static final int[] LIST_SIZES = {1_000, 10_000, 100_000, 200_000};
+    private static final int CLIENTS = 16;
+    private static final int REQUESTS_PER_S = 200;
+    private static final int SERVING_S = 4;
+    private static final int IDLE_S = 3;
+    private static final double MIB = 1 << 20;
+
+    private static final int MANY_RELAYS = 40;
+    /** Relays that start at the same time. */
+    private static final int START_BATCH = 8;
+
+    private static final int MANY_LIST_SIZE = 1_000;
+    private static final int MANY_CHANGES = 20;
+    private static final int MANY_IDLE_S = 4;
+    private static final long MANY_WITHIN_MS = 10_000;
+    private static final long CHANGE_INTERVAL_MS = 100;
+
+    private final SlopeResults results;
+    private final RelayHarness harness;
+
+    RealRelays(SlopeResults results, RelayHarness harness) {
+        this.results = results;
+        this.harness = harness;
+    }
+
+    // ---- One relay -----------------------------------------------------------------------------------------
+
+    void measureLongLists() throws Exception {
+        List<Fit.Point> starts = new ArrayList<>();
+        for (int size : START_SIZES) {
+            starts.add(new Fit.Point(size, medianStartMs(size)));
+        }
+        results.addSlope(
+                new SlopeResults.Description(
+                        "startPerEntry",
+                        "from a process's start to its first 200 on /-/ready, the median of three",
+                        "units",
+                        "ms",
+                        "Slopes.real: processes with the platform's flags, rehearsal included"),
+                starts);
+        for (int size : LIST_SIZES) {
+            results.addRealRelay(measureLongList(size));
+        }
+    }
+
+    private long medianStartMs(int size) throws Exception {
+        List<Long> startsMs = new ArrayList<>();
+        try (FakeDeployment deployment = RelayHarness.deployment();
+                LongListDiscovery list = RelayHarness.list(deployment, size)) {
+            for (int i = 0; i < STARTS; i++) {
+                try (RelayProcess relay = harness.start(deployment, list, "r" + i, 1)) {
+                    startsMs.add(RelayHarness.awaitReady(relay));
+                    if (list.await(1, i + 1, 100).size() <= i) {
+                        throw new IOException("a list of " + size + " was not taken: " + relay.log());
+                    }
+                }
+            }
+        }
+        Collections.sort(startsMs);
+        return startsMs.get(STARTS / 2);
+    }
+
+    private ObjectNode measureLongList(int size) throws Exception {
+        ObjectNode row = JsonNodeFactory.instance.objectNode();
+        row.put("entries", size);
+        try (FakeDeployment deployment = RelayHarness.deployment();
+                LongListDiscovery list = RelayHarness.list(deployment, size);
+                RelayProcess relay = harness.start(deployment, list, "r", 1)) {
+            long readyMs = relay.ready(RelayHarness.READY_WITHIN_MS);
+            boolean accepted = !list.await(1, 1, 1_000).isEmpty();
+            row.put("taken", accepted);
+            if (readyMs < 0) {
+                row.putNull("readyS");
+            } else {
+                row.put("readyS", readyMs / 1e3);
+                putService(row, relay);
+                putChange(row, deployment, list, accepted);
+            }
+            putResources(row, relay);
+            row.put("wholeLists", list.wholes());
+            row.put("brokenOff", list.brokenOff());
+            row.put(
+                    "log",
+                    relay.log()
+                            .lines()
+                            .filter(line -> line.contains("discovery"))
+                            .findFirst()
+                            .orElse(""));
+        }
+        return row;
+    }
+
+    private static void putService(ObjectNode row, RelayProcess relay) throws InterruptedException {
+        OpenLoop.Result served = OpenLoop.run(new int[] {relay.port}, CLIENTS, REQUESTS_PER_S, SERVING_S);
+        row.put("served", served.us().getTotalCount());
+        row.put("no200", served.other());
+    }
+
+    /** How long until the relay has a change of the list; null: it did not within 5 s, or holds no list. */
+    private static void putChange(ObjectNode row, FakeDeployment deployment, LongListDiscovery list, boolean accepted)
+            throws InterruptedException {
+        long changedNs = System.nanoTime();
+        long index = list.change(7, RelayHarness.entry(deployment, 7, 1));
+        Map<String, Long> received = accepted ? list.await(index, 1, 5_000) : Map.of();
+        if (received.isEmpty()) {
+            row.putNull("heardAllMs");
+        } else {
+            row.put("heardAllMs", SlopeResults.round((received.get("r") - changedNs) / 1e6));
+        }
+    }
+
+    private static void putResources(ObjectNode row, RelayProcess relay) throws IOException, InterruptedException {
+        long cpuBeforeUs = relay.cpuUs();
+        TimeUnit.SECONDS.sleep(IDLE_S);
+        row.put("idleCpuShare", SlopeResults.round((relay.cpuUs() - cpuBeforeUs) / (IDLE_S * 1e6)));
+        row.put("residentMb", SlopeResults.round(relay.residentMb()));
+        row.put("cpuS", SlopeResults.round(relay.cpuUs() / 1e6));
+        row.put("liveHeapMb", SlopeResults.round(RelayHarness.liveHeapBytes(relay) / MIB));
+        row.put("oldHeapMb", SlopeResults.round(relay.oldHeapMb()));
+    }
+
+    // ---- Some tens of relays -------------------------------------------------------------------------------
+
+    /** Some tens of relays on one list: how long until each has a change, and what each holds. */
+    void measureManyRelays() throws Exception {
+        List<RelayProcess> relays = new ArrayList<>();
+        try (FakeDeployment deployment = RelayHarness.deployment();
+                LongListDiscovery list = RelayHarness.list(deployment, MANY_LIST_SIZE)) {
+            startMany(relays, deployment, list);
+            int haveFirstList = list.await(1, MANY_RELAYS, MANY_WITHIN_MS).size();
+            double idleCpuShare = idleCpuShare(relays);
+            Histogram eachUs = new Histogram(3);
+            Histogram lastUs = new Histogram(3);
+            for (int change = 1; change <= MANY_CHANGES; change++) {
+                measureChange(change, deployment, list, eachUs, lastUs);
+                TimeUnit.MILLISECONDS.sleep(CHANGE_INTERVAL_MS);
+            }
+            List<Double> residentMb = new ArrayList<>();
+            for (RelayProcess relay : relays) {
+                residentMb.add(SlopeResults.round(relay.residentMb()));
+            }
+            ObjectNode figures = JsonNodeFactory.instance.objectNode();
+            figures.put("relays", MANY_RELAYS);
+            figures.put("entries", MANY_LIST_SIZE);
+            figures.put("heardFirstList", haveFirstList);
+            figures.put("changes", MANY_CHANGES);
+            figures.put("heardP50Ms", eachUs.getValueAtPercentile(50) / 1e3);
+            figures.put("heardP99Ms", eachUs.getValueAtPercentile(99) / 1e3);
+            figures.put("heardLastMs", eachUs.getMaxValue() / 1e3);
+            figures.put("lastOfAChangeP50Ms", lastUs.getValueAtPercentile(50) / 1e3);
+            figures.put("residentMbLeast", Collections.min(residentMb));
+            figures.put("residentMbMost", Collections.max(residentMb));
+            figures.put("idleCpuShareOfEach", SlopeResults.round(idleCpuShare));
+            figures.put("bytesOut", list.bytesOut());
+            results.setManyRelays(figures);
+        } finally {
+            for (RelayProcess relay : relays) {
+                relay.close();
+            }
+        }
+    }
+
+    private void startMany(List<RelayProcess> relays, FakeDeployment deployment, LongListDiscovery list)
+            throws IOException, InterruptedException {
+        while (relays.size() < MANY_RELAYS) {
+            int first = relays.size();
+            for (int i = first; i < first + START_BATCH; i++) {
+                relays.add(harness.start(deployment, list, "r" + i, 1));
+            }
+            for (RelayProcess relay : relays.subList(first, relays.size())) {
+                RelayHarness.awaitReady(relay);
+            }
+        }
+    }
+
+    /** The mean share of a core that an idle relay uses. */
+    private static double idleCpuShare(List<RelayProcess> relays) throws InterruptedException {
+        long[] beforeUs = relays.stream().mapToLong(RelayProcess::cpuUs).toArray();
+        long startedNs = System.nanoTime();
+        TimeUnit.SECONDS.sleep(MANY_IDLE_S);
+        double spanS = (System.nanoTime() - startedNs) / 1e9;
+        long usedUs = 0;
+        for (int i = 0; i < beforeUs.length; i++) {
+            usedUs += relays.get(i).cpuUs() - beforeUs[i];
+        }
+        return usedUs / 1e6 / spanS / relays.size();
+    }
+
+    /** Makes one change; records how long it takes to each relay, and to the last one. */
+    private void measureChange(
+            int change, FakeDeployment deployment, LongListDiscovery list, Histogram eachUs, Histogram lastUs)
+            throws InterruptedException {
+        long changedNs = System.nanoTime();
+        long index = list.change(change, RelayHarness.entry(deployment, change, change));
+        Map<String, Long> received = list.await(index, MANY_RELAYS, MANY_WITHIN_MS);
+        if (received.size() < MANY_RELAYS) {
+            results.note(
+                    "many",
+                    "change " + change + " reached " + received.size() + " of " + MANY_RELAYS + " relays in 10 s");
+        }
+        received.values().forEach(ns -> eachUs.recordValue((ns - changedNs) / 1_000));
+        lastUs.recordValue((Collections.max(received.values()) - changedNs) / 1_000);
+    }
+}
--- /dev/null
+++ b/src/test/java/gatelock/capacity/RequestCosts.java
@@ -0,0 +1,83 @@
+package gatelock.capacity;
+
+import com.fasterxml.jackson.databind.node.JsonNodeFactory;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import gatelock.standin.FakeDeployment;
+import gatelock.standin.LongListDiscovery;
+import gatelock.standin.OpenLoop;
+import gatelock.standin.RelayProcess;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import org.HdrHistogram.Histogram;
+
+/** Processor time and added latency of requests through a relay process, at several rates. */
+final class RequestCosts {
+    private static final int CLIENTS = 16;
+    private static final int WARM_UP_PER_S = 1_000;
+    private static final int WARM_UP_S = 3;
+    private static final int[] RATES_PER_S = {100, 300, 1_000};
+
+    private final SlopeResults results;
+    private final RelayHarness harness;
+
+    RequestCosts(SlopeResults results, RelayHarness harness) {
+        this.results = results;
+        this.harness = harness;
+    }
+
+    void measure() throws Exception {
+        List<Fit.Point> cpu = new ArrayList<>();
+        try (FakeDeployment deployment = RelayHarness.deployment();
+                LongListDiscovery list = RelayHarness.list(deployment, RelayHarness.SERVING_ENDPOINTS);
+                RelayProcess relay = harness.start(deployment, list, "r", 1)) {
+            RelayHarness.awaitReady(relay);
+            int[] direct = new int[RelayHarness.SERVING_ENDPOINTS];
+            Arrays.setAll(direct, i -> RelayHarness.port(deployment.address(i)));
+            OpenLoop.run(direct, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
+            OpenLoop.run(new int[] {relay.port}, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
+            for (int perS : RATES_PER_S) {
+                cpu.add(measure(relay, direct, perS));
+            }
+        }
+        results.addSlope(
+                new SlopeResults.Description(
+                        "cpuPerReqUs",
+                        "processor time of the relay's process for one req served, on real sockets; the "
+                                + "intercept is what a second without reqs costs",
+                        "reqs a second",
+                        "us",
+                        "Slopes.reqs: open loop, /proc CPU time of a process with the platform's flags, "
+                                + "4 units listed"),
+                cpu);
+    }
+
+    /** Adds the latency at a rate; returns the requests per second and the processor time per second. */
+    private Fit.Point measure(RelayProcess relay, int[] direct, int perS) throws InterruptedException {
+        int seconds = perS < 1_000 ? 5 : 8;
+        Histogram directUs = OpenLoop.run(direct, CLIENTS, perS, seconds).us();
+        long cpuBeforeUs = relay.cpuUs();
+        long startedNs = System.nanoTime();
+        OpenLoop.Result relayed = OpenLoop.run(new int[] {relay.port}, CLIENTS, perS, seconds);
+        double spanS = (System.nanoTime() - startedNs) / 1e9;
+        long cpuUs = relay.cpuUs() - cpuBeforeUs;
+        Histogram none = new Histogram(3);
+        ObjectNode row = JsonNodeFactory.instance.objectNode();
+        row.put("perS", perS);
+        row.put("reqs", relayed.us().getTotalCount());
+        row.put("no200", relayed.other());
+        putQuantiles(row, relayed.us(), directUs);
+        putQuantiles(row.putObject("relayed"), relayed.us(), none);
+        putQuantiles(row.putObject("direct"), directUs, none);
+        results.addLatency(row);
+        return new Fit.Point(relayed.us().getTotalCount() / spanS, cpuUs / spanS);
+    }
+
+    /** Quantiles of one histogram less those of another. */
+    private static void putQuantiles(ObjectNode row, Histogram us, Histogram less) {
+        row.put("p50Us", us.getValueAtPercentile(50) - less.getValueAtPercentile(50));
+        row.put("p99Us", us.getValueAtPercentile(99) - less.getValueAtPercentile(99));
+        row.put("p999Us", us.getValueAtPercentile(99.9) - less.getValueAtPercentile(99.9));
+        row.put("maxUs", us.getMaxValue() - less.getMaxValue());
+    }
+}
--- a/src/test/java/gatelock/capacity/ZipfTest.java
+++ b/src/test/java/gatelock/capacity/ZipfDistributionTest.java
@@ -10,31 +10,31 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Shares by rank, and how many are met. */
-class ZipfTest {
+/** Shares by rank, and how many ranks are drawn. */
+class ZipfDistributionTest {
 
     @Test
     void sharesFallWithTheRank() {
-        Zipf zipf = new Zipf(3, 1);
+        ZipfDistribution zipf = new ZipfDistribution(3, 1);
         assertThat(zipf.share(1)).isCloseTo(6 / 11.0, within(1e-12));
         assertThat(zipf.share(3)).isCloseTo(2 / 11.0, within(1e-12));
-        assertThat(zipf.partWith(3 / 11.0)).isCloseTo(2 / 3.0, within(1e-12));
+        assertThat(zipf.proportionWithShare(3 / 11.0)).isCloseTo(2 / 3.0, within(1e-12));
     }
 
     @Property(tries = 200)
-    void allSharesAreOneAndNoMoreAreMetThanDrawnOrThere(
+    void sharesSumToOneAndDistinctRanksAreAtMostDrawsAndCount(
             @ForAll @IntRange(min = 1, max = 500) int count,
             @ForAll @DoubleRange(max = 2) double exponent,
-            @ForAll @DoubleRange(max = 5000) double drawn) {
-        Zipf zipf = new Zipf(count, exponent);
+            @ForAll @DoubleRange(max = 5000) double draws) {
+        ZipfDistribution zipf = new ZipfDistribution(count, exponent);
         assertThat(IntStream.rangeClosed(1, count).mapToDouble(zipf::share).sum())
                 .isCloseTo(1, within(1e-9));
-        assertThat(zipf.distinct(drawn)).isLessThanOrEqualTo(Math.min(drawn, count) + 1e-9);
+        assertThat(zipf.expectedDistinct(draws)).isLessThanOrEqualTo(Math.min(draws, count) + 1e-9);
     }
 
     @Test
-    void moreThanTheMostOfAPoissonIsRareInItsTail() {
-        assertThat(Questions.poissonAbove(1, 0)).isCloseTo(1 - Math.exp(-1), within(1e-12));
-        assertThat(Questions.poissonAbove(26, 48)).isLessThan(1e-4);
+    void tailOfAPoissonDistribution() {
+        assertThat(HolderTables.poissonTail(1, 0)).isCloseTo(1 - Math.exp(-1), within(1e-12));
+        assertThat(HolderTables.poissonTail(26, 48)).isLessThan(1e-4);
     }
 }
--- a/src/test/java/gatelock/capacity/package-info.java
+++ b/src/test/java/gatelock/capacity/package-info.java
@@ -1,2 +1,5 @@
-/** What a relay costs: slopes of memory, processor time, bytes and start, measured on this machine. */
+/**
+ * The capacity page: measures what a relay costs, evaluates the capacity model on the results, and writes the tables and
+ * the chart of docs/CAPACITY.md.
+ */
 package gatelock.capacity;
--- a/src/test/java/gatelock/fleet/ScaleRun.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -45,6 +45,7 @@
 
     private ScaleRun() {}
 
+    /** Runs the scenarios and modes that are asked for, and prints and merges each result. */
     public static void main(String[] args) throws IOException {
         if (Runtime.getRuntime().maxMemory() > machineMemoryBytes() / 2.0 * HEAP_TOLERANCE) {
             throw new IllegalStateException("the heap is more than half of this machine's memory");
