--- a/src/test/java/gatelock/ci/KnownRedTest.java
+++ b/src/test/java/gatelock/ci/KnownRedTest.java
@@ -4,13 +4,12 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which runs CI lets pass, told from reports of the form that Surefire writes. */
+/** Which runs pass, by reports in the form that Surefire writes. */
 final class KnownRedTest {
     private static final String LINE = "a.OneTest.fails | the list is read late | issue 32\n";
 
@@ -20,7 +19,7 @@
     private Path list;
 
     @BeforeEach
-    void aRunWithOneFailure() throws Exception {
+    void writeReportWithOneFailure() throws Exception {
         list = dir.resolve("KNOWN-RED.txt");
         report(
                 "a.OneTest",
@@ -33,44 +32,42 @@
                 dir.resolve("TEST-" + type + ".xml"), "<?xml version='1.0'?><testsuite>" + cases + "</testsuite>");
     }
 
-    private List<String> wrong() throws Exception {
-        List<String> wrong = new ArrayList<>();
-        KnownRed.judge(list, dir, wrong);
-        return wrong;
+    private List<String> problems() throws Exception {
+        return KnownRed.judge(list, dir).problems();
     }
 
     @Test
-    void aNamedFailurePassesAndIsTold() throws Exception {
+    void aNamedFailurePassesAndIsReported() throws Exception {
         Files.writeString(list, LINE);
-        List<String> wrong = new ArrayList<>();
-        assertThat(KnownRed.judge(list, dir, wrong)).containsExactly(LINE.trim());
-        assertThat(wrong).isEmpty();
+        KnownRed.Verdict verdict = KnownRed.judge(list, dir);
+        assertThat(verdict.knownFailures()).containsExactly(LINE.trim());
+        assertThat(verdict.problems()).isEmpty();
     }
 
     @Test
-    void aFailureThatNobodyNamedFails() throws Exception {
-        assertThat(wrong()).containsExactly("a.OneTest.fails");
+    void aFailureThatIsNotNamedFails() throws Exception {
+        assertThat(problems()).containsExactly("a.OneTest.fails");
         Files.writeString(list, LINE);
         report("a.TwoTest", "<testcase name='breaks' classname='a.TwoTest'><error type='x'>no</error></testcase>");
-        assertThat(wrong()).containsExactly("a.TwoTest.breaks");
+        assertThat(problems()).containsExactly("a.TwoTest.breaks");
     }
 
     @Test
     void aLineForNoTestThatRanFails() throws Exception {
         Files.writeString(list, LINE + LINE.replace("fails", "gone"));
-        assertThat(wrong())
+        assertThat(problems())
                 .containsExactly("names no test that ran: " + LINE.trim().replace("fails", "gone"));
         report("a.TwoTest", "<testcase name='left' classname='a.TwoTest'><skipped/></testcase>");
         Files.writeString(list, LINE + LINE.replace("OneTest.fails", "TwoTest.left"));
-        assertThat(wrong()).singleElement().asString().startsWith("names no test that ran: a.TwoTest.left");
+        assertThat(problems()).singleElement().asString().startsWith("names no test that ran: a.TwoTest.left");
     }
 
     @Test
     void aFourthLineFails() throws Exception {
         Files.writeString(list, LINE.repeat(3));
-        assertThat(wrong()).isEmpty();
+        assertThat(problems()).isEmpty();
         Files.writeString(list, LINE.repeat(4));
-        assertThat(wrong()).containsExactly("4 lines in KNOWN-RED.txt, 3 at most");
+        assertThat(problems()).containsExactly("4 lines in KNOWN-RED.txt, 3 at most");
     }
 
     @Test
@@ -78,13 +75,13 @@
         for (String line :
                 new String[] {"a.OneTest.fails", "a.OneTest.fails | cause", "a.OneTest.fails | | issue 32"}) {
             Files.writeString(list, line);
-            assertThat(wrong()).containsExactly("not of the form test | cause | issue: " + line);
+            assertThat(problems()).containsExactly("not of the form test | cause | issue: " + line);
         }
     }
 
     @Test
     void aRunWithoutAnyTestFails() throws Exception {
         Files.delete(dir.resolve("TEST-a.OneTest.xml"));
-        assertThat(wrong()).containsExactly("no test ran");
+        assertThat(problems()).containsExactly("no test ran");
     }
 }
--- a/src/test/java/gatelock/ci/package-info.java
+++ b/src/test/java/gatelock/ci/package-info.java
@@ -1,2 +1,2 @@
-/** What CI asks beyond the tests themselves. */
+/** Programs that only CI runs. */
 package gatelock.ci;
