--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -187,9 +187,10 @@
      */
     public Pass ask(long nowUs, Way matched, int tenant, long deadlineUs, QueuedRequest request) {
         changeGuard.recordRequest(nowUs, matched.route.name());
-        Pass pass = new Pass(nowUs, matched);
-        pass.decision = limiter.admit(nowUs, currentLimits(matched), matched.route.name(), tenant, deadlineUs, request);
-        return pass;
+        Pass routed = new Pass(nowUs, matched);
+        routed.decision =
+                limiter.admit(nowUs, currentLimits(matched), matched.route.name(), tenant, deadlineUs, request);
+        return routed;
     }
 
     /** A limit applies with the active version's figures, also to a request that an earlier version matched. */
--- a/src/main/java/gatelock/config/TenantFairQueue.java
+++ b/src/main/java/gatelock/config/TenantFairQueue.java
@@ -9,7 +9,7 @@
 /**
  * A queue in which tenants take turns, and requests of one tenant keep their order.
  *
- * @param <T> what waits; compared by identity
+ * @param <T> what waits; equal only to itself
  */
 final class TenantFairQueue<T> {
     /** By tenant, in the order of turns; a tenant without anything that waits is not in it. */
--- a/src/test/java/gatelock/config/AdmissionTest.java
+++ b/src/test/java/gatelock/config/AdmissionTest.java
@@ -58,19 +58,19 @@
     void aPoolReachesItsEndpointsAndFallsBackWhenTooFewAreLeft() {
         listReady(10, 5);
         admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
-        Admission.Pass pass = admit("/read/x");
-        assertThat(pass.reaches("e0")).isTrue();
-        assertThat(pass.reaches("w0")).isFalse();
-        assertThat(pass.reaches("unheard of")).isFalse();
+        Admission.Pass request = admit("/read/x");
+        assertThat(request.reaches("e0")).isTrue();
+        assertThat(request.reaches("w0")).isFalse();
+        assertThat(request.reaches("unheard of")).isFalse();
         nowUs += SECOND;
         listReady(5, 5);
         assertThat(admit("/read").reaches("e0")).as("half of them are enough").isTrue();
         listReady(4, 5);
-        Admission.Pass fallen = admit("/read");
-        assertThat(fallen.reaches("e0")).isFalse();
-        assertThat(fallen.reaches("w0")).as("has the label").isTrue();
-        assertThat(fallen.reaches("w1")).isFalse();
-        assertThat(pass.reaches("e0"))
+        Admission.Pass redirected = admit("/read");
+        assertThat(redirected.reaches("e0")).isFalse();
+        assertThat(redirected.reaches("w0")).as("has the label").isTrue();
+        assertThat(redirected.reaches("w1")).isFalse();
+        assertThat(request.reaches("e0"))
                 .as("a request that came before stays with its pool")
                 .isTrue();
         listReady(5, 5);
@@ -94,10 +94,10 @@
     void retriesAreNarrowedByPolicyAndBudget() {
         listReady(2, 2);
         admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
-        Admission.Pass pass = admit("/read");
-        assertThat(pass.mostAttempts()).isEqualTo(2);
-        assertThat(pass.attemptUs()).isEqualTo(100_000);
-        assertThat(pass.goesOn(nowUs, AttemptResult.TIMED_OUT)).isFalse();
+        Admission.Pass request = admit("/read");
+        assertThat(request.mostAttempts()).isEqualTo(2);
+        assertThat(request.attemptUs()).isEqualTo(100_000);
+        assertThat(request.goesOn(nowUs, AttemptResult.TIMED_OUT)).isFalse();
         int retries = 0;
         for (int i = 0; i < 1_000; i++) {
             nowUs += 1_000;
@@ -121,14 +121,14 @@
     void aRequestIsFinishedUnderTheVersionThatMatchedIt() {
         listReady(2, 2);
         admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
-        Admission.Pass pass = admit("/read");
+        Admission.Pass request = admit("/read");
         admission.follow(nowUs, SampleConfigs.compileValid("""
             {'format': 1, 'pools': {'east': {'zones': ['west']}}, 'removes': ['w'],
              'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'east'}]}
             """));
-        assertThat(pass.reaches("e0")).isTrue();
-        assertThat(pass.reaches("w0")).isFalse();
-        assertThat(pass.mostAttempts()).isEqualTo(2);
+        assertThat(request.reaches("e0")).isTrue();
+        assertThat(request.reaches("w0")).isFalse();
+        assertThat(request.mostAttempts()).isEqualTo(2);
         assertThat(admit("/read").reaches("w0")).isTrue();
     }
 
