--- a/src/test/java/gatelock/capacity/CapacityPageTest.java
+++ b/src/test/java/gatelock/capacity/CapacityPageTest.java
@@ -60,25 +60,25 @@
     }
 
     @Test
-    void thePageHoldsWhatItsFilesGive() throws IOException {
+    void thePageHasWhatItsFilesGive() throws IOException {
         assertThat(new CapacityPage(PAGE, DATA).problems()).isEmpty();
     }
 
     @Test
-    void writingItAgainChangesNothing() throws IOException {
+    void writingThePageAgainChangesNothing() throws IOException {
         String once = Files.readString(scratch.resolve("CAPACITY.md"));
         page.write();
         assertThat(Files.readString(scratch.resolve("CAPACITY.md"))).isEqualTo(once);
     }
 
     @Test
-    void aFigureChangedInThePageIsSeen() throws IOException {
+    void aFigureChangedInThePageIsReported() throws IOException {
         change("CAPACITY.md", "| relays | 5,700 |", "| relays | 5,701 |");
         assertThat(page.problems()).singleElement().asString().contains("table inputs");
     }
 
     @Test
-    void aFigureChangedInTheTargetIsSeen() throws IOException {
+    void aFigureChangedInTheTargetIsReported() throws IOException {
         change("target.json", "\"value\": 200000", "\"value\": 200001");
         assertThat(page.problems())
                 .anyMatch(p -> p.contains("table inputs"))
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aSlopeChangedInItsFileIsSeen() throws IOException {
+    void aSlopeChangedInItsFileIsReported() throws IOException {
         change("slopes.json", "\"slope\": 2000", "\"slope\": 2100");
         assertThat(page.problems())
                 .anyMatch(p -> p.contains("table slopes"))
@@ -95,19 +95,19 @@
     }
 
     @Test
-    void aFormulaChangedIsSeen() throws IOException {
+    void aFormulaChangedIsReported() throws IOException {
         change("lines.json", "\"units*heapPerUnit/1000000\"", "\"units*heapPerUnit/1048576\"");
         assertThat(page.problems()).anyMatch(p -> p.contains("table role-relay"));
     }
 
     @Test
-    void slopesOfAnotherRunAreSeen() throws IOException {
+    void slopesOfAnotherRunAreReported() throws IOException {
         change("slopes.json", "fixture-1", "fixture-9");
         assertThat(page.problems()).contains("the page names run fixture-1 for slopes, the file is of run fixture-9");
     }
 
     @Test
-    void slopesOfAScopeOfAnotherRunOrChangedAreSeen() throws IOException {
+    void slopesOfAScopeOfAnotherRunOrChangedAreReported() throws IOException {
         change("membership.json", "fixture-3", "fixture-9");
         assertThat(page.problems())
                 .contains("the page names run fixture-3 for membership, the file is of run fixture-9");
@@ -118,13 +118,13 @@
     }
 
     @Test
-    void scaleOfAnotherRunIsSeen() throws IOException {
+    void scaleOfAnotherRunIsReported() throws IOException {
         change("scale.json", "fixture-2", "fixture-9");
         assertThat(page.problems()).contains("the page names run fixture-2 for scale, the file is of run fixture-9");
     }
 
     @Test
-    void aRunThatIsNoLongerThereIsSeen() throws IOException {
+    void aRunThatIsNoLongerThereIsReported() throws IOException {
         Files.delete(scratch.resolve("scale.json"));
         assertThat(page.problems()).contains("the page names run fixture-2 for scale, the file is of run not run");
     }
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void aChartChangedOrGoneIsSeen() throws IOException {
+    void aChartChangedOrGoneIsReported() throws IOException {
         change("ladder.svg", "stroke-width=\"1.5\"", "stroke-width=\"1.6\"");
         assertThat(page.problems()).singleElement().asString().contains("chart");
         Files.delete(scratch.resolve("ladder.svg"));
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void aTableTakenOutOrUnknownOrTwiceIsSeen() throws IOException {
+    void aMissingUnknownOrRepeatedTableIsReported() throws IOException {
         change("CAPACITY.md", "<!-- table:over -->", "<!-- table:under -->");
         assertThat(page.problems()).contains("table under is none that the files give", "table over is missing");
         change("CAPACITY.md", "<!-- table:under -->", "<!-- table:inputs -->");
@@ -152,7 +152,7 @@
     }
 
     @Test
-    void whatIsOverItsBoundNeedsAMechanismAndAMechanismItsText() throws IOException {
+    void aMetricOverItsBoundNeedsAMechanismAndAMechanismNeedsAHeading() throws IOException {
         change(
                 "lines.json",
                 "\"mechanism\": \"membership by scope\", \"ladder\": \"anew\", \"after\": " + "\"entryBytes/1000000\"",
@@ -164,7 +164,7 @@
 
     /** A misspelt name would pass for a slope that was not measured. */
     @Test
-    void formulasUseNamesThatAreKnown() throws IOException {
+    void formulasUseKnownNames() throws IOException {
         CapacityTarget target = CapacityTarget.read(DATA.resolve("target.json"));
         CapacityModel model = CapacityModel.read(DATA.resolve("lines.json"));
         Set<String> known = new HashSet<>(target.inputs().keySet());
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void everyInputHasASourceAndAnAssumedOneSaysSo() throws IOException {
+    void everyInputHasASourceAndIsMarkedIfAssumed() throws IOException {
         CapacityTarget target = CapacityTarget.read(DATA.resolve("target.json"));
         assertThat(target.inputs().values())
                 .allSatisfy(i -> assertThat(i.source()).isNotBlank());
--- a/src/test/java/gatelock/capacity/ScaleLadderTest.java
+++ b/src/test/java/gatelock/capacity/ScaleLadderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Where bounds are crossed, with inputs small enough to see it by eye. */
+/** Where bounds are crossed, with inputs small enough to check by hand. */
 class ScaleLadderTest {
     private static final List<CapacityTarget.Step> STEPS = List.of(
             new CapacityTarget.Step("1/100", 0.01),
@@ -23,24 +23,24 @@
     private Path scratch;
 
     @Test
-    void aFigureThatGrowsWithTheShareIsCrossedAtItsBound() {
+    void aGrowingRatioCrossesItsBoundWhereItPassesOne() {
         assertThat(ScaleLadder.crossing(share -> 18 * share)).isCloseTo(1 / 18.0, within(1e-6));
         assertThat(ScaleLadder.crossing(share -> 25 * share * share)).isCloseTo(0.2, within(1e-6));
     }
 
     @Test
-    void oneThatFallsIsCrossedAtTheFirstShareOverIt() {
+    void aFallingRatioCrossesItsBoundAtTheSmallestShare() {
         assertThat(ScaleLadder.crossing(share -> 0.01 / share)).isEqualTo(ScaleLadder.MIN_SHARE);
     }
 
     @Test
-    void oneThatStaysBelowIsNeverCrossedAndOneNotMeasuredIsSaidSo() {
+    void aRatioThatStaysBelowNeverCrossesAndOneNotMeasuredIsNotKnown() {
         assertThat(ScaleLadder.crossing(share -> 1)).isInfinite();
         assertThat(ScaleLadder.crossing(share -> Double.NaN)).isNaN();
     }
 
     @Test
-    void theStepIsTheFirstOverItsBound() {
+    void theFirstStepOverTheBoundIsFound() {
         assertThat(ScaleLadder.firstStepOver(STEPS, List.of(0.5, 1.5, 15.0))).contains("1/10");
         assertThat(ScaleLadder.firstStepOver(STEPS, List.of(0.1, 0.5, 1.0))).isEmpty();
         assertThat(ScaleLadder.firstStepOver(STEPS, List.of(2.0, 20.0, 200.0))).contains("1/100");
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void boundsStandInTheOrderInWhichTheyAreCrossed() throws IOException {
+    void rungsAreInTheOrderInWhichTheirBoundsAreCrossed() throws IOException {
         List<ScaleLadder.Rung> rungs = ScaleLadder.rungs(evaluator());
         assertThat(rungs).extracting(r -> r.metric().id()).containsExactly("few", "early", "heap", "never", "late");
         ScaleLadder.Rung heap = rungs.get(2);
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aBoundThatIsALeastIsOverWhereTheFigureIsBelowIt() throws IOException {
+    void aMinimumIsPassedWhereTheFigureIsBelowIt() throws IOException {
         CapacityEvaluator evaluator = evaluator();
         CapacityModel.Metric few = evaluator.model().metric("few");
         assertThat(evaluator.evaluate(few, 1, "day").ratio()).isEqualTo(0.1);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void timeAddedLiesBetweenTheRatesMeasuredAndIsNotKnownOutside() throws IOException {
+    void addedLatencyIsInterpolatedBetweenMeasuredRatesAndNotKnownOutside() throws IOException {
         Path slopes = scratch.resolve("latency.json");
         Files.writeString(
                 slopes,
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void figuresAreWrittenWithThreePlacesThatCount() {
+    void figuresAreWrittenWithThreeSignificantDigits() {
         assertThat(MarkdownTable.figure(1234567)).isEqualTo("1,234,567");
         assertThat(MarkdownTable.figure(0.012345)).isEqualTo("0.0123");
         assertThat(MarkdownTable.figure(40)).isEqualTo("40");
