--- a/src/test/java/gatelock/fleet/SimulatedRelay.java
+++ b/src/test/java/gatelock/fleet/SimulatedRelay.java
@@ -5,10 +5,8 @@
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
 import gatelock.api.LoadReport;
-import gatelock.api.RelaySettings;
 import gatelock.api.RequestConstraints;
 import gatelock.api.RequestHandle;
-import gatelock.api.RolloutPolicy;
 import gatelock.api.Verdict;
 import gatelock.decision.ReleaseGate;
 import java.util.ArrayList;
@@ -93,7 +91,10 @@
     void start() {
         boolean fromCache = simulation.parameters().discoveryLinkBytesPerS > 0 && cachedList != null;
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.ENDPOINT_LIST);
-        engine = new ReleaseGate(settings(), this);
+        engine = new ReleaseGate(
+                SimulatedRelaySettings.of(
+                        simulation.parameters(), number, incarnation, environment.releaseController.stageCaps()),
+                this);
         endpointList.start(engine);
         up = true;
         engine.start(simulation.nowUs());
@@ -110,42 +111,6 @@
         }
     }
 
-    private RelaySettings settings() {
-        FleetParameters parameters = simulation.parameters();
-        RolloutPolicy rollout = new RolloutPolicy(
-                RolloutPolicy.Gatekeeping.COUNT,
-                parameters.bakeTimeUs,
-                SimulatedReleaseController.VOTE_LIFETIME_US,
-                2 * VirtualClock.SECOND_US,
-                environment.releaseController.stageCaps(),
-                0,
-                false,
-                false,
-                parameters.freeCanaryAttempts,
-                parameters.votesNeeded(parameters.rollbackShare),
-                parameters.votesPerS,
-                false);
-        return new RelaySettings(
-                parameters.seed * 1000 + number * 31L + incarnation,
-                parameters.relays,
-                number,
-                ClientLoad.routePolicies(),
-                List.of(),
-                1,
-                5,
-                true,
-                true,
-                2 * VirtualClock.SECOND_US,
-                false,
-                parameters.coldCapacityShare,
-                parameters.warmUpUs,
-                parameters.coldLoadLimit,
-                parameters.coldWindowUs,
-                parameters.newConnectionCost,
-                KeepAliveConnections.IDLE_TIMEOUT_US,
-                rollout);
-    }
-
     /** Runs the action after a delay, unless this process of the relay has ended by then. */
     void scheduleWhileUp(long delayUs, Runnable action) {
         int scheduledBy = incarnation;
