--- a/src/main/java/gatelock/decision/BarComparison.java
+++ b/src/main/java/gatelock/decision/BarComparison.java
@@ -1,6 +1,7 @@
 package gatelock.decision;
 
 import java.util.List;
+import java.util.Optional;
 
 /** Compares a build's bootstrapped intervals of errors and of relative latency with bars set by the earlier build. */
 final class BarComparison {
@@ -34,7 +35,13 @@
         this.context = context;
     }
 
-    /** How strictly outcomes are compared. */
+    /**
+     * How strictly outcomes are compared.
+     *
+     * @param margin how many times the earlier build's figures the bars are
+     * @param widening how many times as far from the median an interval's lower end is
+     * @param minOutcomes with fewer outcomes there is no verdict
+     */
     record Strictness(double margin, double widening, int minOutcomes) {}
 
     /** Compares a build's outcomes with those of the earlier one. */
@@ -49,20 +56,12 @@
         if (errors.isAbove() && enoughSlices) {
             return new Finding(Assessment.ERRORS, errorEvidence);
         }
-        LatencyByLoad usual = new LatencyByLoad(earlier, MIN_OUTCOMES_PER_LOAD);
-        RelativeLatency[] earlierLatencies = usual.relativeTo(earlier, 0);
-        RelativeLatency[] latencies = usual.relativeTo(windows, warmUpUs());
-        if (latencies.length < strictness.minOutcomes() || earlierLatencies.length == 0) {
+        Optional<Evidence.Comparison> slowness = compareSlowness(windows, earlier, strictness);
+        if (slowness.isEmpty()) {
             return new Finding(Assessment.NO_VERDICT, errorEvidence);
         }
-        double latencyBar = strictness.margin() * percentile(earlierLatencies, earlier.size());
-        Bootstrap.Interval slownessInterval = Bootstrap.interval(
-                windows.size(),
-                strictness.widening(),
-                context.random(),
-                multiplicities -> Bootstrap.percentile(latencies, multiplicities, PERCENTILE));
-        Evidence.Comparison slowness = new Evidence.Comparison(slownessInterval, latencyBar);
-        return new Finding(assess(errors, slowness, enoughSlices), new Evidence.Intervals(outcomes, errors, slowness));
+        return new Finding(
+                assess(errors, slowness.get(), enoughSlices), new Evidence.Intervals(outcomes, errors, slowness.get()));
     }
 
     private static Assessment assess(Evidence.Comparison errors, Evidence.Comparison slowness, boolean enoughSlices) {
@@ -84,6 +83,24 @@
         return new Evidence.Comparison(interval, bar);
     }
 
+    /** Empty where too few outcomes have a usual latency under like load to be set against. */
+    private Optional<Evidence.Comparison> compareSlowness(
+            List<OutcomeWindow> windows, List<OutcomeWindow> earlier, Strictness strictness) {
+        LatencyByLoad usual = new LatencyByLoad(earlier, MIN_OUTCOMES_PER_LOAD);
+        RelativeLatency[] earlierLatencies = usual.relativeTo(earlier, 0);
+        RelativeLatency[] latencies = usual.relativeTo(windows, warmUpUs());
+        if (latencies.length < strictness.minOutcomes() || earlierLatencies.length == 0) {
+            return Optional.empty();
+        }
+        double bar = strictness.margin() * percentile(earlierLatencies, earlier.size());
+        Bootstrap.Interval interval = Bootstrap.interval(
+                windows.size(),
+                strictness.widening(),
+                context.random(),
+                multiplicities -> Bootstrap.percentile(latencies, multiplicities, PERCENTILE));
+        return Optional.of(new Evidence.Comparison(interval, bar));
+    }
+
     /** The error bar: what strikes both builds is not held against one, but faulty earlier endpoints are no excuse. */
     private static double errorBar(List<OutcomeWindow> earlier, double margin) {
         ErrorCount[] counts = OutcomeWindow.errorCounts(OutcomeWindow.without(earlier, faultyEndpoints(earlier)));
--- a/src/test/java/gatelock/decision/ExactIntervalTable.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTable.java
@@ -1,45 +1,47 @@
 package gatelock.decision;
 
 /**
- * What one relay's exact interval can find, as {@link EndpointCountAnalysis} asks it: so many outcomes, of which so many
- * endpoints were past a bar. The arithmetic is that of {@link Bootstrap}.
+ * What the exact binomial test of {@link EndpointCountAnalysis} can find with the outcomes that one relay sees. The
+ * arithmetic is that of {@link Bootstrap}.
  */
 public final class ExactIntervalTable {
 
     private ExactIntervalTable() {}
 
-    /** How often one relay of some may be wrong, so that as many voices as asked for are together wrong so rarely. */
-    public static double level(double together, int relays, int voices) {
-        return Math.exp(Bootstrap.logErrorLevel(together, relays, Math.max(1, voices)));
+    /** How often one relay may be wrong, so that a quorum of so many relays is wrong together only so rarely. */
+    public static double level(double together, int relays, int quorum) {
+        return Math.exp(Bootstrap.logErrorLevel(together, relays, Math.max(1, quorum)));
     }
 
-    /** The probability of at least so many cases, each as likely and by itself. */
-    public static double tail(int among, int cases, double each) {
-        return Bootstrap.binomialTail(among, cases, each);
+    /** The binomial probability of at least so many cases in so many trials. */
+    public static double tail(int trials, int cases, double probability) {
+        return Bootstrap.binomialTail(trials, cases, probability);
     }
 
-    /** The fewest endpoints past the bar, two at least, that among so many outcomes are rarer than the level. */
-    public static int fewestPast(int seen, double bar, double level) {
+    /** The fewest endpoints past the bar, two at least, that are rarer than the level among so many outcomes. */
+    public static int fewestPast(int outcomes, double bar, double level) {
         int cases = 2;
-        while (cases <= seen && Bootstrap.binomialTail(seen, cases, bar) >= level) {
+        while (cases <= outcomes && Bootstrap.binomialTail(outcomes, cases, bar) >= level) {
             cases++;
         }
         return cases;
     }
 
-    /** How likely it is that a build with such a share of errors is found, outcomes lying evenly over its endpoints. */
-    public static double found(int seen, int endpoints, double errors, double bar, double level) {
-        int among = Math.min(seen, endpoints);
-        int cases = fewestPast(seen, bar, level);
-        double each = 1 - Math.pow(1 - errors, Math.max(1, (double) seen / endpoints));
-        return cases > among ? 0 : Bootstrap.binomialTail(among, cases, each);
+    /** How likely it is that a build with such a share of errors is found, its outcomes spread evenly over endpoints. */
+    public static double found(int outcomes, int endpoints, double errorShare, double bar, double level) {
+        int endpointsSeen = Math.min(outcomes, endpoints);
+        int cases = fewestPast(outcomes, bar, level);
+        double outcomesPerEndpoint = Math.max(1, (double) outcomes / endpoints);
+        double probability = 1 - Math.pow(1 - errorShare, outcomesPerEndpoint);
+        return cases > endpointsSeen ? 0 : Bootstrap.binomialTail(endpointsSeen, cases, probability);
     }
 
-    /** The fewest outcomes with which it is found so likely; -1: not with up to so many. */
-    public static int outcomesNeeded(int endpoints, double errors, double bar, double level, double likely, int most) {
-        for (int seen = 2; seen <= most; seen++) {
-            if (found(seen, endpoints, errors, bar, level) >= likely) {
-                return seen;
+    /** The fewest outcomes with which such a build is found with this probability; -1 if {@code max} are too few. */
+    public static int outcomesNeeded(
+            int endpoints, double errorShare, double bar, double level, double probability, int max) {
+        for (int outcomes = 2; outcomes <= max; outcomes++) {
+            if (found(outcomes, endpoints, errorShare, bar, level) >= probability) {
+                return outcomes;
             }
         }
         return -1;
