--- a/src/main/java/gatelock/decision/AdmissionControl.java
+++ b/src/main/java/gatelock/decision/AdmissionControl.java
@@ -64,7 +64,7 @@
         inFlight--;
     }
 
-    /** Whether one more attempt of a request is within the limits; fractions of a place are drawn by chance. */
+    /** Whether one more attempt of a request is within the limits; fractions of a place are decided at random. */
     boolean admits(RequestState request) {
         double limit = capacityShare(request) * limit(request.policy());
         boolean isWithinTotal = inFlight + context.random().nextDouble() < limit;
--- a/src/main/java/gatelock/decision/BuildState.java
+++ b/src/main/java/gatelock/decision/BuildState.java
@@ -8,7 +8,7 @@
     /** The page's slices: outcomes are bootstrapped over slices of this length. */
     static final long SLICE_US = DecisionClock.SECOND_US;
 
-    /** Slices that are kept, so many of the earlier build are compared. */
+    /** How many slices are kept; all that are kept of the earlier build are compared. */
     private static final int KEPT_SLICES = 20;
 
     /** Outcomes kept of a slice; a fair sample of more keeps a comparison quick. */
--- a/src/main/java/gatelock/decision/ConnectFailures.java
+++ b/src/main/java/gatelock/decision/ConnectFailures.java
@@ -23,7 +23,7 @@
         errors.add(clock.nowUs(), isError ? 1 : 0);
     }
 
-    /** The share of failed attempts that were errors of an endpoint; 1 where none failed of late. */
+    /** The share of failed attempts that were errors of an endpoint; 1 where none failed recently. */
     double errorShareOfFailures() {
         return errors.mean(clock.nowUs(), 1);
     }
--- a/src/main/java/gatelock/decision/DecisionContext.java
+++ b/src/main/java/gatelock/decision/DecisionContext.java
@@ -6,7 +6,7 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What all modules of one relay's decisions share: settings, the way out, the random generator, the clock, the state of
+ * What all modules of one relay's decisions share: settings, actions, the random generator, the clock, the state of
  * the rollout and the relay's measurements. It decides nothing.
  */
 record DecisionContext(
--- a/src/main/java/gatelock/decision/EndpointSelector.java
+++ b/src/main/java/gatelock/decision/EndpointSelector.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Endpoint selection by power of two choices: of two endpoints drawn by chance that may take the request, the one with the
+ * Endpoint selection by power of two choices: of two endpoints drawn at random that may take the request, the one with the
  * shorter expected wait. More than two are looked at where one is refused.
  */
 final class EndpointSelector {
--- a/src/main/java/gatelock/decision/EndpointState.java
+++ b/src/main/java/gatelock/decision/EndpointState.java
@@ -132,12 +132,12 @@
         return answers.count(context.nowUs()) / Throughput.RATE_MEMORY_US;
     }
 
-    /** How many attempts failed or were overdue of late. */
+    /** How many attempts recently failed or were overdue; decays. */
     double recentFailures() {
         return failures.count(context.nowUs());
     }
 
-    /** How many answers told of its slowness of late. */
+    /** From how many recent answers its slowness was measured; decays. */
     double recentAnswers() {
         return slowness.count(context.nowUs());
     }
@@ -148,7 +148,7 @@
         return queueLengths.shrunkMean(context.nowUs(), ofBuild, LatencyEstimates.PRIOR_WEIGHT);
     }
 
-    /** The queue that the endpoint reported of late, 0 where it did not. */
+    /** The queue that the endpoint reported within the last second, else 0. */
     double reportedQueue() {
         return context.nowUs() - reportedAtUs < REPORT_LIFE_US ? reportedQueue : 0;
     }
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -36,7 +36,7 @@
     private final VoteCaster voteCaster;
     private final VotePolicy votePolicy;
 
-    /** The decisions of one relay, from the settings that it is given at its start and its way out. */
+    /** The decisions of one relay, from its settings and with the actions that it can take. */
     public ReleaseGate(RelaySettings settings, DecisionActions actions) {
         context = DecisionContext.of(settings, actions);
         registry = new EndpointRegistry(context);
@@ -78,7 +78,7 @@
         return router.take(new RequestState.Arrival(id, route, tenant, key, nowUs + leftUs, costUs, bounds), leftUs);
     }
 
-    /** Rules 3 and 5 for what is not placed: nothing to an endpoint that leaves, to the canary within its cap. */
+    /** Rules 3 and 5 for a message, whose endpoint is given: nothing to a draining endpoint, to the canary within its cap. */
     @Override
     public Passing message(long nowUs, String endpointId, int route, boolean first) {
         context.clock().advanceTo(nowUs);
--- a/src/main/java/gatelock/decision/SlowStart.java
+++ b/src/main/java/gatelock/decision/SlowStart.java
@@ -3,7 +3,7 @@
 /**
  * Slow start of cold and canary endpoints: a budget of work at each, for all relays together. Each relay sends its part of
  * the work that one place bears, times what an endpoint of its age surely can do; the parts add up to a multiple of what
- * the fleet completes. A part that is under one request waits, from a start drawn by chance.
+ * the fleet completes. A part of less than one request accumulates, from a random start.
  */
 final class SlowStart {
     /** Times the work of one place that a canary endpoint may be sent. */
--- a/src/main/java/gatelock/decision/Throughput.java
+++ b/src/main/java/gatelock/decision/Throughput.java
@@ -1,6 +1,6 @@
 package gatelock.decision;
 
-/** This relay's rate of answers, and the announced work of the requests that arrive and complete, of late. */
+/** This relay's rate of answers, and the announced work of the requests that recently arrived and completed. */
 final class Throughput {
     /** Rates of answers fade over this time. */
     static final double RATE_MEMORY_US = 3.0 * DecisionClock.SECOND_US;
@@ -8,7 +8,7 @@
     /** Work fades over this time. */
     static final double WORK_MEMORY_US = 6.0 * DecisionClock.SECOND_US;
 
-    /** Work that arrives counts in this part where less was completed of late. */
+    /** Work that arrives counts in this part where less was completed recently. */
     private static final double ARRIVED_PART = 0.25;
 
     /** The fleet is set against its own past only while no more work arrives than this many times that of then. */
@@ -53,7 +53,7 @@
         return steadyArrivedWork() > MORE_WORK * arrivedBeforeCanary;
     }
 
-    /** The work that arrived of late, scaled as if it had come at the same rate since long before the start. */
+    /** The work that arrived recently, scaled as if it had come at the same rate since long before the start. */
     private double steadyArrivedWork() {
         double elapsedPart = 1 - Math.exp((clock.startUs() - clock.nowUs() - 1) / WORK_MEMORY_US);
         return arrivedWork.sum(clock.nowUs()) / elapsedPart;
--- a/src/main/java/gatelock/decision/VoteCaster.java
+++ b/src/main/java/gatelock/decision/VoteCaster.java
@@ -11,7 +11,7 @@
     /** A vote is renewed after this share of its life. */
     private static final double RENEW_SHARE = 0.6;
 
-    /** The least wait after a vote that was rejected; up to as much again is drawn by chance. */
+    /** The least wait after a vote that was rejected; up to as much again is added at random. */
     private static final long REJECTED_WAIT_US = 400_000;
 
     /** Votes at once, in seconds of the release controller's rate; it takes two seconds' worth. */
