--- a/src/main/java/gatelock/membership/CandidateSelector.java
+++ b/src/main/java/gatelock/membership/CandidateSelector.java
@@ -62,7 +62,7 @@
         return preferred;
     }
 
-    /** The next candidates behind the service's search position that are not in the subset, some of either kind. */
+    /** The next candidates behind the service's search position that are not in the subset. */
     Ranked next(ServiceState service, int limit) {
         return first(service, limit, service.search);
     }
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -86,38 +86,38 @@
     private long changedUs;
     private long index = -1;
 
-    /** An empty subset that follows these terms; nothing is listed yet. */
-    public EndpointSubset(Terms terms) {
-        this(terms, new RendezvousRanking(terms.relayNumber()));
+    /** An empty subset that follows a policy; nothing is listed yet. */
+    public EndpointSubset(Terms policy) {
+        this(policy, new RendezvousRanking(policy.relayNumber()));
     }
 
     /** For tests: with a ranking in which names can be made to collide. */
-    EndpointSubset(Terms terms, RendezvousRanking ranking) {
+    EndpointSubset(Terms policy, RendezvousRanking ranking) {
         this.ranking = ranking;
         listed = new ListedServices(ranking);
         EvictionQueue evictions = new EvictionQueue();
-        members = new SubsetMembers(terms.most(), listed, changes, evictions);
+        members = new SubsetMembers(policy.most(), listed, changes, evictions);
         RecoverySchedule recovery = new RecoverySchedule();
-        budget = new EndpointBudget(terms, listed, recovery);
-        CandidateSelector selector = new CandidateSelector(terms, ranking, listed, budget, members);
-        applier = new ListApplier(terms, listed, members, selector, changes);
-        reconciler = new SubsetReconciler(terms, listed, members, evictions, recovery, budget, selector);
+        budget = new EndpointBudget(policy, listed, recovery);
+        CandidateSelector selector = new CandidateSelector(policy, ranking, listed, budget, members);
+        applier = new ListApplier(policy, listed, members, selector, changes);
+        reconciler = new SubsetReconciler(policy, listed, members, evictions, recovery, budget, selector);
     }
 
     // Input
 
-    /** Begins a full list ({@code whole}) or a change of it; nothing changes until it is taken. */
-    public Reading read(boolean whole) {
-        return new Reading(whole);
+    /** Begins a full list ({@code full}) or a change of it; nothing changes until it is taken. */
+    public Reading read(boolean full) {
+        return new Reading(full);
     }
 
     /** A list or a change that is being received. To drop it instead of taking it changes nothing. */
     public final class Reading {
-        private final boolean whole;
+        private final boolean full;
         private EndpointStore staged = new EndpointStore(ranking);
 
-        private Reading(boolean whole) {
-            this.whole = whole;
+        private Reading(boolean full) {
+            this.full = full;
         }
 
         /**
@@ -127,7 +127,7 @@
          *     large; the reading must be dropped then
          */
         public void add(EndpointEntry entry) {
-            if (whole && staged.find(entry.name()) != RecordArena.NONE) {
+            if (full && staged.find(entry.name()) != RecordArena.NONE) {
                 throw new IllegalArgumentException("expected each endpoint once, found twice " + entry.name());
             }
             staged.put(entry);
@@ -144,7 +144,7 @@
         public Change take(long nowUs, long index) {
             EndpointStore received = staged;
             staged = null;
-            if (whole) {
+            if (full) {
                 applier.applyFull(received);
             } else {
                 applier.applyChange(received);
@@ -153,7 +153,7 @@
             changedUs = nowUs;
             reconciler.reconcile(nowUs);
             List<EndpointEntry> changed = changes.drain();
-            return new Change(whole, whole ? members.entries() : changed);
+            return new Change(full, full ? members.entries() : changed);
         }
     }
 
@@ -161,11 +161,11 @@
      * Records that an attempt at an endpoint, or a connection to it, has ended; of no effect for an endpoint that is not
      * in the subset.
      *
-     * @param heard whether the endpoint answered anything at all
+     * @param answered whether the endpoint answered anything at all
      */
-    public void ended(long nowUs, String endpoint, boolean heard) {
+    public void ended(long nowUs, String endpoint, boolean answered) {
         SubsetMember member = members.find(endpoint);
-        if (member != null && member.recordAttempt(heard)) {
+        if (member != null && member.recordAttempt(answered)) {
             listed.markDirty(member.service());
         }
     }
@@ -204,7 +204,7 @@
         return budget.servicesWithoutPlace();
     }
 
-    /** Endpoints aimed at for any service: less than the terms say where {@code maxEndpoints} does not suffice. */
+    /** Endpoints aimed at for any service: less than the policy says where {@code maxEndpoints} does not suffice. */
     int targetPerService() {
         return budget.targetPerService();
     }
--- a/src/main/java/gatelock/membership/SubsetReconciler.java
+++ b/src/main/java/gatelock/membership/SubsetReconciler.java
@@ -36,7 +36,7 @@
         replacer = new SilentEndpointReplacer(budget, listed, members, selector);
     }
 
-    /** Reconciles the subset with what is listed and what was heard of its members. */
+    /** Reconciles the subset with what is listed and what its members answered. */
     void reconcile(long nowUs) {
         budget.update(nowUs);
         startRecoveries(nowUs);
--- a/src/test/java/gatelock/membership/SubsetBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetBenchmark.java
@@ -32,7 +32,7 @@
         SubsetOptionsBenchmark.printEvenness();
         SubsetOptionsBenchmark.printWeights();
         SubsetOptionsBenchmark.printMovedConnections();
-        SubsetOptionsBenchmark.printZones();
+        SubsetZonesBenchmark.print();
         SubsetOptionsBenchmark.printReleaseStages();
     }
 }
