--- a/src/test/java/gatelock/ConfigUpdateTest.java
+++ b/src/test/java/gatelock/ConfigUpdateTest.java
@@ -195,7 +195,7 @@
         assertThat(control.awaitReport(EPOCH + "/2")).containsEntry("accepted", false);
         int calls = control.pollCount();
         Thread.sleep(2_000);
-        // Waits grow to 0.4 s here, drawn evenly: some ten calls, where a circle would make thousands.
+        // The backoff grows to 0.4 s here, with full jitter: about ten polls, where a busy loop would make thousands.
         assertThat(control.pollCount() - calls).isBetween(2, 60);
         assertThat(relay.log().split("is turned down", -1)).hasSize(2);
         control.behave(ControlService.Behavior.IGNORES_HOLD);
@@ -255,7 +255,7 @@
             waiting.add(relay.connect());
             sendRequest(waiting.get(i), "GET /read", "waits" + i, "X-Expires-In-Ms: 5000\r\n", "");
         }
-        // Of four one finds no place and is shed at once, with a time to come back.
+        // The queue has three places: one of the four requests is shed at once, with a Retry-After.
         HttpMessage shed = firstResponse(waiting);
         assertThat(shed.head()).startsWith("HTTP/1.1 503");
         assertThat(Double.parseDouble(shed.header("Retry-After"))).isPositive();
@@ -345,7 +345,7 @@
             report = control.awaitReport(EPOCH + "/3");
         }
         assertServed("POST /claim", "c1");
-        // Each line of the control path has its version as a field of its own.
+        // Each log line on configuration updates has the version as a field of its own.
         assertThat(relay.log().lines().filter(l -> l.startsWith("{") && l.contains("in force, ")))
                 .hasSizeGreaterThanOrEqualTo(4)
                 .allMatch(l -> l.contains("\"version\""));
--- a/src/test/java/gatelock/DiscoveryTest.java
+++ b/src/test/java/gatelock/DiscoveryTest.java
@@ -57,7 +57,7 @@
         HttpMessage watch = discovery.awaitCall();
         assertThat(watch.head()).startsWith("GET /api/targets?from=5&");
         assertServedBy(otherEndpoint, "whole");
-        // All of them as one change.
+        // All of the entries as one change.
         watch.respond(
                 "200 OK",
                 "",
--- a/src/test/java/gatelock/EndingsTest.java
+++ b/src/test/java/gatelock/EndingsTest.java
@@ -22,7 +22,7 @@
  */
 final class EndingsTest extends RelayTestCase {
     /** Waits until the relay has handled all that came before: its event loop answers a request on a new connection. */
-    private void awaitRelayIdle() throws Exception {
+    private void awaitEventLoopTurn() throws Exception {
         for (int i = 0; i < 2; i++) {
             try (Socket client = relay.connect()) {
                 RawHttp.write(client, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -50,11 +50,11 @@
             discovery.awaitCall();
             Socket leaving = relay.connect();
             sendRequest(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
-            awaitRelayIdle();
+            awaitEventLoopTurn();
             leaving.close();
-            awaitRelayIdle();
+            awaitEventLoopTurn();
             late.accept();
-            // Longer than the system takes to try a connection again.
+            // The wait is longer than TCP takes to retry a SYN.
             assertThat(late.calls().poll(4, TimeUnit.SECONDS)).isNull();
         }
         assertThat(relay.log()).doesNotContain("unexpected");
@@ -71,7 +71,7 @@
                 RawHttp.write(at.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
             }
             leaving.close();
-            awaitRelayIdle();
+            awaitEventLoopTurn();
             RawHttp.write(at.socket(), half ? "lf" : "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             try (Socket client = relay.connect()) {
                 assertServed(client, "POST /claim", "next" + half, endpoint);
@@ -154,7 +154,7 @@
                 at.socket().close();
                 assertThat(readMessage(client).head()).as(cut).startsWith("HTTP/1.1 502");
                 for (int i = 0; i < 3; i++) {
-                    // Else the decisions would leave the endpoint out.
+                    // Good responses keep the endpoint from being ejected as an outlier.
                     assertServed(client, "POST /claim", "good" + i, endpoint);
                 }
                 sendRequest(client, "POST /claim", "late", "X-Expires-In-Ms: 300\r\n", "x");
@@ -196,7 +196,7 @@
             assertThat(at.body()).isEqualTo("half");
             at.respond("200 OK", "", "whole");
             assertThat(readMessage(reading).body()).isEqualTo("whole");
-            // New connections go on coming for a while.
+            // New connections are accepted for a while.
             try (Socket comes = relay.connect()) {
                 assertServed(comes, "POST /claim", "comes", endpoint);
             }
@@ -216,7 +216,7 @@
                 sendRequest(
                         client, "POST /claim", client == held ? "held" : "dials", "X-Expires-In-Ms: 20000\r\n", "x");
             }
-            awaitRelayIdle();
+            awaitEventLoopTurn();
             relay.process().destroy();
             listOnly(asked, 1, late);
             discovery.awaitCall();
@@ -250,7 +250,7 @@
         }
         HttpMessage again = discovery.awaitCall();
         assertThat(again.head()).startsWith("GET /api/targets?from=7&");
-        // An index that goes back is another life of discovery: what it says now holds.
+        // An index that goes back shows that discovery restarted: its new list is in force.
         listOnly(again, 2, otherEndpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=2&");
         try (Socket client = relay.connect()) {
@@ -267,7 +267,7 @@
         String first = relay.configText();
         try (FakeServer moved = new FakeServer()) {
             relay.writeConfig(first.substring(0, first.length() / 2));
-            // The watch fails, and the file can't be read: what was in force stays.
+            // The watch fails while the file cannot be read: the previous configuration stays in force.
             HttpMessage again = discovery.awaitCall();
             relay.writeConfig(first.replace(discovery.address(), moved.address()));
             again.socket().close();
--- a/src/test/java/gatelock/EndpointSubsetRelayTest.java
+++ b/src/test/java/gatelock/EndpointSubsetRelayTest.java
@@ -65,16 +65,16 @@
 
     /** Returns the endpoints that the subset of this relay has, as its own decisions choose them. */
     private static Set<Integer> subset() {
-        EndpointSubset scope =
+        EndpointSubset endpointSubset =
                 new EndpointSubset(new EndpointSubset.Terms(RELAY_NUMBER, -1, MAX_ENDPOINTS, SUBSET_SIZE, 0, 0, 0));
-        EndpointSubset.Reading reading = scope.read(true);
+        EndpointSubset.Reading reading = endpointSubset.read(true);
         for (int i = 0; i < LISTED_ENDPOINTS; i++) {
             reading.add(new EndpointEntry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Endpoint.Health.READY, 0));
         }
         Set<Integer> subset = new HashSet<>();
         reading.take(0, 5)
                 .entries()
-                .forEach(e -> subset.add(Integer.parseInt(e.name().replaceAll(".*-", ""))));
+                .forEach(entry -> subset.add(Integer.parseInt(entry.name().replaceAll(".*-", ""))));
         assertThat(subset).hasSize(SUBSET_SIZE);
         return subset;
     }
@@ -108,6 +108,7 @@
         return watch;
     }
 
+    /** Checks that one server serves a dozen requests. */
     private void assertAllServedBy(FakeServer to, String id) throws Exception {
         try (Socket client = relay.connect()) {
             for (int i = 0; i < 12; i++) {
@@ -151,7 +152,7 @@
                 answerList(discovery.awaitCall(), withSnapshotFieldLast(list(5, endpoint, otherEndpoint)), 5);
         assertAllServedBy(endpoint, "first");
         assertThat(otherEndpoint.connections()).isEmpty();
-        // Of those in scope all leave: others of the list take their place, told by nobody anew.
+        // All endpoints of the subset drain: others of the list replace them without being listed again.
         List<String> drained = new ArrayList<>();
         subset().forEach(i -> drained.add(entry(i, endpoint, "terminating")));
         watch.respond(
@@ -160,10 +161,11 @@
         assertThat(next.head()).startsWith("GET /api/targets?from=6&");
         assertAllServedBy(otherEndpoint, "drained");
         assertThat(endpoint.calls()).isEmpty();
-        // An index that goes back, and a whole list in place of a change.
+        // The index goes back, and the watch is answered with a whole list instead of a change.
         HttpMessage anew = answerList(next, list(2, otherEndpoint, endpoint), 2);
         awaitOnlyServedBy(otherEndpoint, endpoint);
-        // A watch is answered by what tells only behind it that it is whole: it is asked for as such.
+        // The watch is answered with a list that says only at its end that it is whole: the relay calls for the whole
+        // list.
         anew.respond("200 OK", "", withSnapshotFieldLast(list(9, endpoint, otherEndpoint)));
         HttpMessage whole = discovery.awaitCall();
         assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
--- a/src/test/java/gatelock/LateConnectionsTest.java
+++ b/src/test/java/gatelock/LateConnectionsTest.java
@@ -88,7 +88,7 @@
         writeChunk(states, String.format(state, "trial", "1.0"));
         Thread.sleep(200);
         try (Socket client = relay.connect()) {
-            // A canary endpoint gets a part of what was completed; the first that nobody hears of went there.
+            // A canary endpoint gets a part of the requests; the first one that reaches no server was sent there.
             HttpMessage usual;
             int i = 0;
             do {
--- a/src/test/java/gatelock/ReloadTest.java
+++ b/src/test/java/gatelock/ReloadTest.java
@@ -38,7 +38,7 @@
             assertThat(movedDiscovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
             HttpMessage moved = movedController.awaitCall();
             assertThat(moved.head()).startsWith("GET /v2/projects/main/changes");
-            // The old connection stands until the new one speaks.
+            // The old connection is kept until the first data comes on the new one.
             assertThat(controller.closedConnections()).isEmpty();
             writeChunk(startChunkedResponse(moved), "{}\n");
             assertThat(controller.closedConnections().poll(20, TimeUnit.SECONDS))
@@ -54,7 +54,7 @@
     void aSighupThatComesWhileTheConfigurationIsReadForTheFirstTimeIsNotLost() throws Exception {
         String first = relay.configText();
         try (FakeServer moved = new FakeServer()) {
-            // The program reads a pipe, and so waits in the middle of its start for as long as is wanted.
+            // The configuration is a pipe, so that the start of the program waits for as long as the test needs.
             Path pipe = Files.createTempDirectory("gatelock").resolve("configuration");
             Path next = pipe.resolveSibling("next");
             assertThat(new ProcessBuilder("mkfifo", pipe.toString(), next.toString())
@@ -64,7 +64,8 @@
             relay.launchOn(pipe, "serve", "cold");
             try (OutputStream starts = Files.newOutputStream(pipe)) {
                 relay.signal("HUP");
-                // Another pipe for the second reading: on the first one, what is written next could still join it.
+                // The second reading gets another pipe: on the first one it could still read what belongs to the first
+                // reading.
                 Files.move(next, pipe, StandardCopyOption.ATOMIC_MOVE);
                 starts.write(first.getBytes(StandardCharsets.UTF_8));
             }
--- a/src/test/java/gatelock/RequestForwardingTest.java
+++ b/src/test/java/gatelock/RequestForwardingTest.java
@@ -38,7 +38,8 @@
                 assertThat(answer.body()).isEqualTo("done");
             }
         }
-        // One rests for an instant between two requests, so there may be some, but not one for each request.
+        // A connection is unavailable for an instant after each request, so there may be some, but not one for each
+        // request.
         assertThat(endpoint.connections()).hasSizeLessThan(10);
     }
 
@@ -143,7 +144,7 @@
                         .as(spoilt)
                         .isSameAs(at.socket());
                 for (int i = 0; i < 3; i++) {
-                    // Else the decisions would leave the endpoint out.
+                    // Good responses keep the endpoint from being ejected as an outlier.
                     sendRequest(client, "POST /claim", "good", "", "x");
                     endpoint.awaitCall().respond("200 OK", "", "good");
                     assertThat(readMessage(client).body()).as(spoilt).isEqualTo("good");
--- a/src/test/java/gatelock/RequestValidationTest.java
+++ b/src/test/java/gatelock/RequestValidationTest.java
@@ -12,23 +12,25 @@
 import java.io.IOException;
 import java.net.Socket;
 import java.net.SocketTimeoutException;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Requests that are malformed, too large or of no route are rejected and never forwarded. */
 final class RequestValidationTest extends RelayTestCase {
+    private record InvalidRequest(String line, String traceId, int status) {}
+
     @Test
     void aRequestOfNoUseIsToldSoAndHarmsNobody() throws Exception {
         startRelay();
-        String[][] odd = {
-            {"GET /nothing", "a", "", "404"},
-            {"GET /claim", "b", "", "405"},
-            {"POST /post", "c", "", "400"},
-            {"GET /read", "", "", "400"}
-        };
-        for (String[] o : odd) {
+        List<InvalidRequest> invalidRequests = List.of(
+                new InvalidRequest("GET /nothing", "a", 404),
+                new InvalidRequest("GET /claim", "b", 405),
+                new InvalidRequest("POST /post", "c", 400),
+                new InvalidRequest("GET /read", "", 400));
+        for (InvalidRequest invalid : invalidRequests) {
             try (Socket client = relay.connect()) {
-                sendRequest(client, o[0], o[1], o[2], "x");
-                assertThat(readMessage(client).head()).as(o[0]).startsWith("HTTP/1.1 " + o[3]);
+                sendRequest(client, invalid.line, invalid.traceId, "", "x");
+                assertThat(readMessage(client).head()).as(invalid.line).startsWith("HTTP/1.1 " + invalid.status);
             }
         }
         try (Socket client = relay.connect()) {
--- /dev/null
+++ b/src/test/java/gatelock/ScenarioRecord.java
@@ -0,0 +1,115 @@
+package gatelock;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gatelock.api.Verdict;
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** What the decision module did in a scenario, and the expectations on it. */
+final class ScenarioRecord {
+    /** An attempt that the module sent. */
+    record Attempt(long sentUs, String requestId, String endpoint, int attemptNo) {}
+
+    /** Builds by endpoint. */
+    final Map<String, Integer> buildOf = new HashMap<>();
+    /** Zones by endpoint. */
+    final Map<String, Integer> zoneOf = new HashMap<>();
+    /** Final answers by request: completed, shed or error. */
+    final Map<String, String> answers = new LinkedHashMap<>();
+
+    final List<Attempt> attempts = new ArrayList<>();
+    final List<Long> takenUs = new ArrayList<>();
+    final List<Verdict> votes = new ArrayList<>();
+    final List<String> cancelledIds = new ArrayList<>();
+    int listFollows;
+
+    /** Checks one expectation on what was recorded. */
+    void expect(String[] words, ScenarioValues named, String where) {
+        switch (words[1]) {
+            case "sent" ->
+                assertThat(lastAttempt(words[2]))
+                        .as(where)
+                        .isNotNull()
+                        .extracting(Attempt::endpoint)
+                        .asString()
+                        .startsWith(words.length > 3 ? words[3] : "");
+            case "tries" -> assertThat(attemptsOf(words[2])).as(where).isEqualTo(Long.parseLong(words[3]));
+            case "answered" -> assertWithin(Collections.frequency(answers.values(), words[2]), named, where);
+            case "shed", "error" -> assertThat(answers.get(words[2])).as(where).isEqualTo(words[1]);
+            case "open" -> assertThat(answers.get(words[2])).as(where).isNull();
+            case "vote" -> assertThat(votes).as(where).contains(verdict(words[2]));
+            case "no-vote" -> assertThat(votes).as(where).doesNotContain(verdict(words[2]));
+            case "votes" -> assertWithin(votes.size(), named, where);
+            case "cancelled" -> assertThat(cancelledIds).as(where).contains(words[2]);
+            case "cancels" -> assertWithin(cancelledIds.size(), named, where);
+            case "follows" -> assertWithin(listFollows, named, where);
+            case "share" -> {
+                double there = attempts.stream()
+                        .filter(attempt -> matches(attempt.endpoint, words[2]))
+                        .count();
+                assertWithin(there / Math.max(1, attempts.size()), named, where);
+            }
+            default -> throw new IllegalArgumentException("no such expectation: " + where);
+        }
+    }
+
+    private static Verdict verdict(String name) {
+        return ScenarioValues.parseConstant(Verdict.class, name);
+    }
+
+    private static void assertWithin(double figure, ScenarioValues named, String where) {
+        assertThat(figure).as(where).isBetween(named.number("min", 0), named.number("max", 1e9));
+    }
+
+    /** Checks that in every window the attempts at a build stay within free + cap x requests taken. */
+    void assertExposure(ScenarioValues charter, ScenarioValues named, String where) {
+        long windowUs = charter.timeUs("window", "2s");
+        int build = named.integer("build", 2);
+        List<Attempt> there = attempts.stream()
+                .filter(attempt -> buildOf.get(attempt.endpoint) == build)
+                .toList();
+        for (Attempt first : there) {
+            long fromUs = first.sentUs;
+            long endUs = fromUs + windowUs;
+            long attemptsInWindow = there.stream()
+                    .filter(attempt -> attempt.sentUs >= fromUs && attempt.sentUs < endUs)
+                    .count();
+            long takenInWindow = takenUs.stream()
+                    .filter(atUs -> atUs >= fromUs && atUs < endUs)
+                    .count();
+            assertThat((double) attemptsInWindow)
+                    .as(where)
+                    .isLessThanOrEqualTo(charter.number("free", 2) + named.number("cap", 0.2) * takenInWindow + 1e-9);
+        }
+    }
+
+    private boolean matches(String endpoint, String pattern) {
+        if (pattern.startsWith("zone")) {
+            return zoneOf.get(endpoint) == Integer.parseInt(pattern.substring("zone".length()));
+        }
+        if (pattern.startsWith("build")) {
+            return buildOf.get(endpoint) == Integer.parseInt(pattern.substring("build".length()));
+        }
+        return endpoint.equals(pattern);
+    }
+
+    /** Returns the number of attempts of a request. */
+    long attemptsOf(String requestId) {
+        return attempts.stream()
+                .filter(attempt -> attempt.requestId.equals(requestId))
+                .count();
+    }
+
+    /** Returns the last attempt of a request, or null. */
+    Attempt lastAttempt(String requestId) {
+        return attempts.stream()
+                .filter(attempt -> attempt.requestId.equals(requestId))
+                .reduce((earlier, later) -> later)
+                .orElse(null);
+    }
+}
--- a/src/test/java/gatelock/ScenarioRunner.java
+++ b/src/test/java/gatelock/ScenarioRunner.java
@@ -24,27 +24,16 @@
 
 /** Plays one scenario: the decision module of one relay, a simulated clock, and a record of all that was decided. */
 final class ScenarioRunner implements DecisionActions {
-    private record Attempt(long sentUs, String requestId, String endpoint, int attemptNo) {}
-
     private record Event(long atUs, long order, Runnable action) {}
 
     private final ScenarioValues charter = new ScenarioValues();
-    private final Map<String, Integer> buildOf = new HashMap<>();
-    private final Map<String, Integer> zoneOf = new HashMap<>();
+    private final ScenarioRecord outcome = new ScenarioRecord();
     /** How endpoints, or all of a build ({@code build2}), respond by themselves. */
     private final Map<String, ScenarioValues> responders = new LinkedHashMap<>();
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atUs).thenComparingLong(Event::order));
     private final Map<String, RequestHandle> requests = new HashMap<>();
-    /** Final answers by request: completed, shed or error. */
-    private final Map<String, String> answers = new LinkedHashMap<>();
-
-    private final List<Attempt> attempts = new ArrayList<>();
-    private final List<Long> takenUs = new ArrayList<>();
-    private final List<Verdict> votes = new ArrayList<>();
-    private final List<String> cancelledIds = new ArrayList<>();
-    private int listFollows;
     private DecisionEngine engine;
     private long nowUs = 1_000_000_000L;
     private final long startUs = nowUs;
@@ -88,9 +77,9 @@
             case "silent-time-out" -> timeOutSilent();
             case "complaint" -> engine().complaint(nowUs, words[1], 0, named.timeUs("ago", "0s"));
             case "forget" -> {
-                attempts.clear();
-                votes.clear();
-                takenUs.clear();
+                outcome.attempts.clear();
+                outcome.votes.clear();
+                outcome.takenUs.clear();
             }
             case "expect" -> expect(words, named, where);
             default -> throw new IllegalArgumentException("no such step: " + where);
@@ -125,80 +114,17 @@
 
     private void expect(String[] words, ScenarioValues named, String where) {
         switch (words[1]) {
-            case "sent" ->
-                assertThat(lastAttempt(words[2]))
-                        .as(where)
-                        .isNotNull()
-                        .extracting(Attempt::endpoint)
-                        .asString()
-                        .startsWith(words.length > 3 ? words[3] : "");
-            case "tries" -> assertThat(attemptsOf(words[2])).as(where).isEqualTo(Long.parseLong(words[3]));
-            case "answered" ->
-                assertWithin(answers.values().stream().filter(words[2]::equals).count(), named, where);
-            case "shed", "error" -> assertThat(answers.get(words[2])).as(where).isEqualTo(words[1]);
-            case "open" -> assertThat(answers.get(words[2])).as(where).isNull();
-            case "vote" -> assertThat(votes).as(where).contains(verdict(words[2]));
-            case "no-vote" -> assertThat(votes).as(where).doesNotContain(verdict(words[2]));
-            case "votes" -> assertWithin(votes.size(), named, where);
             case "may-go" -> assertThat(mayGo(words[2])).as(where).isTrue();
             case "stays" -> assertThat(mayGo(words[2])).as(where).isFalse();
-            case "cancelled" -> assertThat(cancelledIds).as(where).contains(words[2]);
-            case "cancels" -> assertWithin(cancelledIds.size(), named, where);
-            case "follows" -> assertWithin(listFollows, named, where);
-            case "share" -> {
-                double there = attempts.stream()
-                        .filter(attempt -> matches(attempt.endpoint, words[2]))
-                        .count();
-                assertWithin(there / Math.max(1, attempts.size()), named, where);
-            }
-            case "exposure" -> assertExposure(named, where);
-            default -> throw new IllegalArgumentException("no such expectation: " + where);
+            case "exposure" -> outcome.assertExposure(charter, named, where);
+            default -> outcome.expect(words, named, where);
         }
     }
 
-    private static Verdict verdict(String name) {
-        return ScenarioValues.parseConstant(Verdict.class, name);
-    }
-
     /** Returns whether the last attempt of a request may still go, which is asked once its connection is established. */
     private boolean mayGo(String requestId) {
-        return requests.get(requestId).mayGo(nowUs, lastAttempt(requestId).attemptNo);
-    }
-
-    private static void assertWithin(double figure, ScenarioValues named, String where) {
-        assertThat(figure).as(where).isBetween(named.number("min", 0), named.number("max", 1e9));
-    }
-
-    /** Checks that in every window the attempts at a build stay within free + cap x requests taken. */
-    private void assertExposure(ScenarioValues named, String where) {
-        long windowUs = charter.timeUs("window", "2s");
-        int build = named.integer("build", 2);
-        List<Attempt> there = attempts.stream()
-                .filter(attempt -> buildOf.get(attempt.endpoint) == build)
-                .toList();
-        for (Attempt first : there) {
-            long fromUs = first.sentUs;
-            long endUs = fromUs + windowUs;
-            long attemptsInWindow = there.stream()
-                    .filter(attempt -> attempt.sentUs >= fromUs && attempt.sentUs < endUs)
-                    .count();
-            long takenInWindow = takenUs.stream()
-                    .filter(atUs -> atUs >= fromUs && atUs < endUs)
-                    .count();
-            assertThat((double) attemptsInWindow)
-                    .as(where)
-                    .isLessThanOrEqualTo(charter.number("free", 2) + named.number("cap", 0.2) * takenInWindow + 1e-9);
-        }
-    }
-
-    private boolean matches(String endpoint, String pattern) {
-        if (pattern.startsWith("zone")) {
-            return zoneOf.get(endpoint) == Integer.parseInt(pattern.substring("zone".length()));
-        }
-        if (pattern.startsWith("build")) {
-            return buildOf.get(endpoint) == Integer.parseInt(pattern.substring("build".length()));
-        }
-        return endpoint.equals(pattern);
+        return requests.get(requestId)
+                .mayGo(nowUs, outcome.lastAttempt(requestId).attemptNo());
     }
 
     /** Takes requests at a constant rate. */
@@ -212,7 +138,7 @@
     }
 
     private void take(String requestId, ScenarioValues named) {
-        takenUs.add(nowUs);
+        outcome.takenUs.add(nowUs);
         RequestHandle request = engine().take(
                         nowUs,
                         requestId,
@@ -225,69 +151,59 @@
     }
 
     /** Lets an endpoint that responds by itself respond after its time, every nth time with an error. */
-    private void scheduleResponse(Attempt attempt) {
-        ScenarioValues responder =
-                responders.getOrDefault(attempt.endpoint, responders.get("build" + buildOf.get(attempt.endpoint)));
-        if (responder == null || !attempt.requestId.startsWith("f") || responder.has("silent")) {
+    private void scheduleResponse(ScenarioRecord.Attempt attempt) {
+        ScenarioValues responder = responders.getOrDefault(
+                attempt.endpoint(), responders.get("build" + outcome.buildOf.get(attempt.endpoint())));
+        if (responder == null || !attempt.requestId().startsWith("f") || responder.has("silent")) {
             return;
         }
         int failsEach = responder.integer("fails-each", 0);
-        long attemptsThere = attempts.stream()
-                .filter(other -> other.endpoint.equals(attempt.endpoint))
+        long attemptsThere = outcome.attempts.stream()
+                .filter(other -> other.endpoint().equals(attempt.endpoint()))
                 .count();
         boolean fails = failsEach > 0 && attemptsThere % failsEach == 0;
         long tookUs = responder.timeUs("takes", "100ms");
         events.add(new Event(nowUs + tookUs, nextOrder++, () -> {
-            RequestHandle request = requests.get(attempt.requestId);
+            RequestHandle request = requests.get(attempt.requestId());
             if (!fails) {
-                answers.putIfAbsent(attempt.requestId, "completed");
+                outcome.answers.putIfAbsent(attempt.requestId(), "completed");
             }
             AttemptResult failure = responder.constant(AttemptResult.class, "fails-as", "errored");
             AttemptResult result = fails ? failure : AttemptResult.COMPLETED;
-            request.ended(nowUs, attempt.attemptNo, result, tookUs, !fails, LoadReport.NONE);
+            request.ended(nowUs, attempt.attemptNo(), result, tookUs, !fails, LoadReport.NONE);
         }));
     }
 
     private void endAttempt(String requestId, AttemptResult result) {
-        Attempt attempt = lastAttempt(requestId);
-        boolean over = result == AttemptResult.COMPLETED || answers.containsKey(requestId);
+        ScenarioRecord.Attempt attempt = outcome.lastAttempt(requestId);
+        boolean over = result == AttemptResult.COMPLETED || outcome.answers.containsKey(requestId);
         if (over) {
-            answers.putIfAbsent(requestId, "completed");
+            outcome.answers.putIfAbsent(requestId, "completed");
         }
-        requests.get(requestId).ended(nowUs, attempt.attemptNo, result, nowUs - attempt.sentUs, over, LoadReport.NONE);
+        requests.get(requestId)
+                .ended(nowUs, attempt.attemptNo(), result, nowUs - attempt.sentUs(), over, LoadReport.NONE);
     }
 
     /** Ends the last attempts that silent endpoints still have as timed out. */
     private void timeOutSilent() {
-        for (Attempt attempt : List.copyOf(attempts)) {
-            boolean silent = responders.containsKey(attempt.endpoint)
-                    && responders.get(attempt.endpoint).has("silent");
-            if (silent && !answers.containsKey(attempt.requestId) && attempt.equals(lastAttempt(attempt.requestId))) {
-                requests.get(attempt.requestId)
+        for (ScenarioRecord.Attempt attempt : List.copyOf(outcome.attempts)) {
+            boolean silent = responders.containsKey(attempt.endpoint())
+                    && responders.get(attempt.endpoint()).has("silent");
+            if (silent
+                    && !outcome.answers.containsKey(attempt.requestId())
+                    && attempt.equals(outcome.lastAttempt(attempt.requestId()))) {
+                requests.get(attempt.requestId())
                         .ended(
                                 nowUs,
-                                attempt.attemptNo,
+                                attempt.attemptNo(),
                                 AttemptResult.TIMED_OUT,
-                                nowUs - attempt.sentUs,
+                                nowUs - attempt.sentUs(),
                                 false,
                                 LoadReport.NONE);
             }
         }
     }
 
-    private long attemptsOf(String requestId) {
-        return attempts.stream()
-                .filter(attempt -> attempt.requestId.equals(requestId))
-                .count();
-    }
-
-    private Attempt lastAttempt(String requestId) {
-        return attempts.stream()
-                .filter(attempt -> attempt.requestId.equals(requestId))
-                .reduce((earlier, later) -> later)
-                .orElse(null);
-    }
-
     private void runTo(long toUs) {
         engine();
         while (!events.isEmpty() && events.peek().atUs <= toUs) {
@@ -315,12 +231,12 @@
             String name = fields[0];
             Map<Character, String> byMark = new HashMap<>();
             Arrays.stream(fields).skip(1).forEach(field -> byMark.put(field.charAt(0), field.substring(1)));
-            buildOf.put(name, Integer.parseInt(byMark.get('/')));
-            zoneOf.put(name, Integer.parseInt(byMark.getOrDefault('$', "0")));
+            outcome.buildOf.put(name, Integer.parseInt(byMark.get('/')));
+            outcome.zoneOf.put(name, Integer.parseInt(byMark.getOrDefault('$', "0")));
             found.add(new Endpoint(
                     name,
-                    buildOf.get(name),
-                    zoneOf.get(name),
+                    outcome.buildOf.get(name),
+                    outcome.zoneOf.get(name),
                     Integer.parseInt(byMark.getOrDefault('#', "0")),
                     Integer.parseInt(byMark.getOrDefault('%', "0")),
                     ScenarioValues.parseConstant(Endpoint.Health.class, byMark.getOrDefault('!', "ready")),
@@ -331,32 +247,36 @@
 
     @Override
     public void send(String id, String endpoint, long timeoutUs) {
-        assertThat(answers.get(id))
+        assertThat(outcome.answers.get(id))
                 .as("nothing is sent after the final answer of " + id)
                 .isNull();
-        Attempt attempt = new Attempt(nowUs, id, endpoint, (int) attemptsOf(id));
-        attempts.add(attempt);
+        ScenarioRecord.Attempt attempt = new ScenarioRecord.Attempt(nowUs, id, endpoint, (int) outcome.attemptsOf(id));
+        outcome.attempts.add(attempt);
         scheduleResponse(attempt);
     }
 
     @Override
     public void shed(String id, long pauseUs) {
-        assertThat(answers.put(id, "shed")).as("one final answer for " + id).isNull();
+        assertThat(outcome.answers.put(id, "shed"))
+                .as("one final answer for " + id)
+                .isNull();
     }
 
     @Override
     public void error(String id) {
-        assertThat(answers.put(id, "error")).as("one final answer for " + id).isNull();
+        assertThat(outcome.answers.put(id, "error"))
+                .as("one final answer for " + id)
+                .isNull();
     }
 
     @Override
     public void cancel(String id, int attemptNo) {
-        cancelledIds.add(id);
+        outcome.cancelledIds.add(id);
     }
 
     @Override
     public void vote(int build, int stage, Verdict verdict) {
-        votes.add(verdict);
+        outcome.votes.add(verdict);
     }
 
     @Override
@@ -366,7 +286,7 @@
 
     @Override
     public void followList() {
-        listFollows++;
+        outcome.listFollows++;
     }
 
     @Override
--- a/src/test/java/gatelock/StartupTest.java
+++ b/src/test/java/gatelock/StartupTest.java
@@ -20,7 +20,7 @@
         relay.launch("serve");
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
         relay.awaitLog("serves on");
-        // An attempt of the rehearsal that is read only now goes to no endpoint.
+        // A request of the warm-up that is read only now is not forwarded.
         try (Socket client = relay.connect()) {
             sendRequest(client, "GET /read", "rehearsal-1f2e3d4c5b6a7988-7", "", "");
             assertThat(readMessage(client)).isNull();
@@ -65,7 +65,8 @@
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "POST /claim", "early", "X-Expires-In-Ms: 20000\r\n", "x");
             HttpMessage unanswered = discovery.awaitCall();
-            // Asked again: the first call had all of its time, and the endpoint in the configuration heard nothing.
+            // The second call comes after the timeout of the first; nothing was sent to the configured endpoint until
+            // then.
             HttpMessage again = discovery.awaitCall();
             assertThat(endpoint.calls()).isEmpty();
             listOnly(again, 5, otherEndpoint);
@@ -124,7 +125,7 @@
             endpoint.awaitCall().respond("200 OK", "", "known");
             assertThat(readMessage(client).body()).isEqualTo("known");
         }
-        // Two calls had all of their time before that.
+        // Two calls timed out before that.
         assertThat(discovery.calls()).hasSizeGreaterThanOrEqualTo(2);
         assertThat(relay.log()).contains("discovery is silent, what the configuration lists serves");
     }
--- /dev/null
+++ b/src/test/java/gatelock/WebSocketTestCase.java
@@ -0,0 +1,65 @@
+package gatelock;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gatelock.standin.ControlService;
+import gatelock.standin.RelayTestCase;
+import gatelock.standin.WebSocketEndpoint;
+import gatelock.standin.WebSocketPeer;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Base class of the tests of WebSocket sessions: a relay that permits them and an endpoint that echoes. */
+abstract class WebSocketTestCase extends RelayTestCase {
+    private static final String PLAN = "{\"format\": 1, \"unmatched\": \"refuse\", \"limits\": {\"few\": "
+            + "{\"inFlight\": 40}},"
+            + " \"routes\": [{\"name\": \"quick\", \"path\": \"/read/quick\", \"class\": \"read\", "
+            + "\"sessions\": {\"pingS\": 0.5}},"
+            + " {\"name\": \"watch\", \"path\": \"/read\", \"class\": \"read\", \"limits\": [\"few\"],"
+            + " \"sessions\": {\"messageBytes\": 1000, \"pingS\": 10, \"idleS\": 30, \"framesPerS\": 300}}]}";
+
+    @TempDir
+    private Path directory;
+
+    private ControlService control;
+    /** The endpoint that the configuration lists. */
+    protected WebSocketEndpoint webSocketEndpoint;
+
+    @BeforeEach
+    final void startRelayWithSessions() throws Exception {
+        control = new ControlService();
+        webSocketEndpoint = new WebSocketEndpoint();
+        relay.writeConfig(relay.configText()
+                .replace(endpoint.address(), webSocketEndpoint.address())
+                .replace("\"deadlineNs\": 1000000000", "\"deadlineNs\": 2500000000"));
+        control.offer(1, "s", 1, PLAN);
+        Path operator = directory.resolve("operator.json");
+        Files.writeString(
+                operator,
+                "{\"control\": {\"services\": [\"" + control.address()
+                        + "\"], \"holdMs\": 500},"
+                        + " \"sessions\": {\"drainS\": 2, \"opensPerUnitS\": 5}}");
+        startRelay("--operator", operator.toString());
+        control.awaitReport("1/1");
+    }
+
+    @AfterEach
+    final void stopServers() throws Exception {
+        webSocketEndpoint.close();
+        control.close();
+    }
+
+    /** Opens a session as a client. */
+    protected final WebSocketPeer open(String id) throws Exception {
+        return WebSocketPeer.open(relay.port(), "/read/hive/7?since=3", id, "");
+    }
+
+    /** Checks that the endpoint echoes a text message. */
+    protected static void assertEchoed(WebSocketPeer client, String text) throws Exception {
+        client.sendText(text);
+        assertThat(client.readMessage().text()).isEqualTo(text);
+    }
+}
--- a/src/test/java/gatelock/standin/Demo.java
+++ b/src/test/java/gatelock/standin/Demo.java
@@ -18,14 +18,6 @@
 public final class Demo implements AutoCloseable {
     private static final int ENDPOINTS = 4;
     private static final int REQUESTS = 100;
-    private static final String VERSION = """
-        {"format": 1, "by": "demo", "note": "%s", "unmatched": "refuse",
-         "pools": {"near": {"zones": ["east"], "fallback": "all", "leastShare": 0.5}, "all": {}},
-         "limits": {"reads": {"per": "tenant", "ratePerS": %s, "burst": 5, "queue": {"length": 20, "waitMs": 100}}},
-         "retries": {"proven": {"tries": 2}, "again": {"tries": 3, "after": ["errored", "timed-out"]}},
-         "routes": [{"name": "reads", "path": "/read", "class": "read", "pool": "%s", "limits": ["reads"], "retries": "again"},
-          {"name": "claims", "path": "/claim", "class": "claim", "retries": "%s"}]}
-        """;
 
     private final FakeDeployment deployment = new FakeDeployment(ENDPOINTS);
     private final ControlService control = new ControlService();
@@ -86,7 +78,14 @@
     }
 
     private void offer(long epoch, int number, String note, int readsPerS, String pool, String retries) {
-        control.offer(epoch, "demo", number, String.format(VERSION, note, readsPerS, pool, retries));
+        control.offer(epoch, "demo", number, String.format("""
+        {"format": 1, "by": "demo", "note": "%s", "unmatched": "refuse",
+         "pools": {"near": {"zones": ["east"], "fallback": "all", "leastShare": 0.5}, "all": {}},
+         "limits": {"reads": {"per": "tenant", "ratePerS": %s, "burst": 5, "queue": {"length": 20, "waitMs": 100}}},
+         "retries": {"proven": {"tries": 2}, "again": {"tries": 3, "after": ["errored", "timed-out"]}},
+         "routes": [{"name": "reads", "path": "/read", "class": "read", "pool": "%s", "limits": ["reads"], "retries": "again"},
+          {"name": "claims", "path": "/claim", "class": "claim", "retries": "%s"}]}
+        """, note, readsPerS, pool, retries));
     }
 
     /** Prints what the relay reports on a version, then how requests fare. */
--- a/src/test/java/gatelock/standin/WebSocketPeer.java
+++ b/src/test/java/gatelock/standin/WebSocketPeer.java
@@ -37,9 +37,8 @@
 
     private static final String ACCEPT = "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=";
 
-    /** A frame as it was read; opcode -1 stands for the end of the connection. */
-    // Frames are never compared, so that the array's lack of equality does no harm.
-    @SuppressWarnings("ArrayRecordComponent")
+    /** A frame as it was read; opcode -1 stands for the end of the connection. Frames are never compared. */
+    @SuppressWarnings("ArrayRecordComponent") // Frames are never compared, so the array does no harm.
     public record Frame(int opcode, byte[] body) {
         private static final int END = -1;
         private static final int NO_STATUS = 1005;
