--- a/src/main/java/gatelock/api/DecisionActions.java
+++ b/src/main/java/gatelock/api/DecisionActions.java
@@ -13,7 +13,7 @@
      * @param endpoint the endpoint's name, as listed by discovery
      * @param timeoutUs how long the attempt may take, in microseconds; 0 for as long as the client waits
      */
-    void send(String id, String endpoint, long timeoutUs);
+    void sendAttempt(String id, String endpoint, long timeoutUs);
 
     /**
      * Gives the final answer that the request was not executed and may be retried without harm.
@@ -21,14 +21,14 @@
      * @param id the request
      * @param pauseUs when the client had best retry, in microseconds from now; 0 for no advice
      */
-    void shed(String id, long pauseUs);
+    void shedRequest(String id, long pauseUs);
 
     /**
      * Gives the final answer that the request failed; it may have been executed.
      *
      * @param id the request
      */
-    void error(String id);
+    void failRequest(String id);
 
     /**
      * Stops waiting for one attempt. Its end is still reported, as {@link AttemptResult#CANCELLED} unless it had ended
@@ -37,7 +37,7 @@
      * @param id the request
      * @param attemptNo the number of the attempt
      */
-    void cancel(String id, int attemptNo);
+    void cancelAttempt(String id, int attemptNo);
 
     /**
      * Casts this relay's one vote at the release controller.
@@ -46,7 +46,7 @@
      * @param stage the stage of its rollout
      * @param verdict the vote
      */
-    void vote(int build, int stage, Verdict verdict);
+    void castVote(int build, int stage, Verdict verdict);
 
     /**
      * Schedules one call of the engine's timer method.
@@ -54,15 +54,15 @@
      * @param inUs the delay in microseconds
      * @param token handed back with the call
      */
-    void timer(long inUs, long token);
+    void scheduleTimer(long inUs, long token);
 
     /** Subscribes to changes of the endpoint list; has no effect if the relay is subscribed already. */
-    void followList();
+    void subscribeToEndpoints();
 
     /**
      * Writes a line to the operators' log.
      *
      * @param line the message, without a line break
      */
-    void say(String line);
+    void log(String line);
 }
--- a/src/main/java/gatelock/api/DecisionEngine.java
+++ b/src/main/java/gatelock/api/DecisionEngine.java
@@ -13,7 +13,7 @@
     long NO_KEY = -1;
 
     /** What an update of the endpoint list contains. */
-    enum ListForm {
+    enum EndpointUpdateType {
         /** The entries that changed. */
         DELTA,
         /** All endpoints there are. */
@@ -25,7 +25,7 @@
     }
 
     /** The state of the newest build at the release controller, in the order in which a build passes through them. */
-    enum Phase {
+    enum ReleasePhase {
         /** The build is a canary: it receives at most the share of requests that its stage allows. */
         TRIAL,
         /** The build is fully released. */
@@ -37,7 +37,7 @@
     }
 
     /** How the release controller answered a vote. */
-    enum VoteAnswer {
+    enum VoteResponse {
         /** The update does not answer a vote. */
         NOT_ASKED,
         /** The vote was counted. */
@@ -53,7 +53,7 @@
     }
 
     /** Whether a message of an open session may be forwarded to its endpoint. */
-    enum Passing {
+    enum MessageAdmission {
         /** It may be forwarded at once. */
         NOW,
         /** Not yet: ask again later. */
@@ -83,8 +83,9 @@
      *     one was announced
      * @return the handle on which everything that happens to the request later is reported
      */
-    default RequestHandle take(long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs) {
-        return take(nowUs, id, route, tenant, key, leftUs, costUs, RequestConstraints.NONE);
+    default RequestHandle acceptRequest(
+            long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs) {
+        return acceptRequest(nowUs, id, route, tenant, key, leftUs, costUs, RequestConstraints.NONE);
     }
 
     /**
@@ -101,7 +102,7 @@
      * @param constraints what the configuration in force sets for this request beyond the deployment's settings
      * @return the handle on which everything that happens to the request later is reported
      */
-    RequestHandle take(
+    RequestHandle acceptRequest(
             long nowUs,
             String id,
             int route,
@@ -121,8 +122,8 @@
      * @param first whether this is the first call for this message, not one that follows {@link Passing#LATER}
      * @return whether the message may be forwarded
      */
-    default Passing message(long nowUs, String endpoint, int route, boolean first) {
-        return Passing.NEVER;
+    default MessageAdmission admitMessage(long nowUs, String endpoint, int route, boolean first) {
+        return MessageAdmission.NEVER;
     }
 
     /**
@@ -132,7 +133,7 @@
      * @param form what the update contains
      * @param endpoints its entries
      */
-    void listed(long nowUs, ListForm form, List<Endpoint> endpoints);
+    void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints);
 
     /**
      * Processes the state of the newest build. The values between {@code build} and {@code agoUs} hold only if
@@ -146,7 +147,8 @@
      * @param agoUs the age of this state in microseconds
      * @param answer how a vote was answered, or that this update answers none
      */
-    void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer);
+    void releaseStateUpdated(
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer);
 
     /**
      * Processes a client's complaint that an answer was wrong.
@@ -156,7 +158,7 @@
      * @param route the index of the request's route
      * @param agoUs how long ago the attempt was sent, in microseconds
      */
-    void complaint(long nowUs, String endpoint, int route, long agoUs);
+    void complaintReceived(long nowUs, String endpoint, int route, long agoUs);
 
     /**
      * Processes the release controller's sample of the attempts of all relays at one build on one route.
@@ -169,7 +171,7 @@
      * @param meanUs the mean latency of the others, in microseconds
      * @param agoUs how long ago the sampled span ended, in microseconds
      */
-    void counted(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs);
+    void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs);
 
     /**
      * Reports that a timer scheduled through {@link DecisionActions} has fired.
@@ -177,5 +179,5 @@
      * @param nowUs the current time
      * @param token the token that the timer was scheduled with
      */
-    void due(long nowUs, long token);
+    void timerFired(long nowUs, long token);
 }
--- a/src/main/java/gatelock/api/RequestConstraints.java
+++ b/src/main/java/gatelock/api/RequestConstraints.java
@@ -9,22 +9,22 @@
     /** Constrains nothing. */
     RequestConstraints NONE = new RequestConstraints() {
         @Override
-        public boolean reaches(String endpoint) {
+        public boolean allowsEndpoint(String endpoint) {
             return true;
         }
 
         @Override
-        public int mostAttempts() {
+        public int maxAttempts() {
             return Integer.MAX_VALUE;
         }
 
         @Override
-        public long attemptUs() {
+        public long attemptTimeoutUs() {
             return 0;
         }
 
         @Override
-        public boolean goesOn(long nowUs, AttemptResult last) {
+        public boolean acquireRetry(long nowUs, AttemptResult last) {
             return true;
         }
     };
@@ -35,21 +35,21 @@
      * @param endpoint the endpoint's name
      * @return whether it may be used
      */
-    boolean reaches(String endpoint);
+    boolean allowsEndpoint(String endpoint);
 
     /**
      * The maximum number of attempts, including the first.
      *
      * @return at least 1
      */
-    int mostAttempts();
+    int maxAttempts();
 
     /**
      * The timeout of one attempt.
      *
      * @return microseconds; 0 for as long as the request may take
      */
-    long attemptUs();
+    long attemptTimeoutUs();
 
     /**
      * Asks for one more attempt. This is not a pure query: an attempt that is granted is charged to the retry budget.
@@ -58,5 +58,5 @@
      * @param last how the attempt before it ended
      * @return whether it is granted
      */
-    boolean goesOn(long nowUs, AttemptResult last);
+    boolean acquireRetry(long nowUs, AttemptResult last);
 }
--- a/src/main/java/gatelock/api/RequestHandle.java
+++ b/src/main/java/gatelock/api/RequestHandle.java
@@ -16,7 +16,7 @@
      *     more
      * @param load what the endpoint reported with its answer, or {@link LoadReport#NONE}
      */
-    void ended(long nowUs, int attemptNo, AttemptResult result, long tookUs, boolean answered, LoadReport load);
+    void attemptEnded(long nowUs, int attemptNo, AttemptResult result, long tookUs, boolean answered, LoadReport load);
 
     /**
      * Whether an attempt may still start. Asked before the first byte is sent if a connection had to be opened, as the
@@ -27,19 +27,19 @@
      * @param attemptNo the number of the attempt
      * @return whether it may start
      */
-    boolean mayGo(long nowUs, int attemptNo);
+    boolean mayStart(long nowUs, int attemptNo);
 
     /**
      * Reports that no final answer is owed any more: the client has left, or the response has begun as a stream.
      *
      * @param nowUs the current time
      */
-    void concluded(long nowUs);
+    void responseNoLongerOwed(long nowUs);
 
     /**
      * Whether nothing more can happen to the request, so that the caller may forget it.
      *
      * @return whether it is answered and all of its attempts have ended
      */
-    boolean settled();
+    boolean isSettled();
 }
--- a/src/main/java/gatelock/api/RoutePolicy.java
+++ b/src/main/java/gatelock/api/RoutePolicy.java
@@ -3,16 +3,21 @@
 /**
  * The policy of one route.
  *
- * @param repeat whether its requests may be retried after they may have been executed
- * @param group the endpoints that share their deduplication state
- * @param rememberUs the deduplication window: how long an endpoint remembers an idempotency key, in microseconds
- * @param objectiveUs the latency objective, in microseconds
- * @param value the priority weight of a request
+ * @param retrySafety whether its requests may be retried after they may have been executed
+ * @param dedupScope the endpoints that share their deduplication state
+ * @param dedupWindowUs the deduplication window: how long an endpoint remembers an idempotency key, in microseconds
+ * @param latencyObjectiveUs the latency objective, in microseconds
+ * @param priorityWeight the priority weight of a request
  */
-public record RoutePolicy(Repeat repeat, Group group, long rememberUs, long objectiveUs, double value) {
+public record RoutePolicy(
+        RetrySafety retrySafety,
+        DedupScope dedupScope,
+        long dedupWindowUs,
+        long latencyObjectiveUs,
+        double priorityWeight) {
 
     /** Whether a request may be executed more than once. */
-    public enum Repeat {
+    public enum RetrySafety {
         /** It is idempotent. */
         RETRIABLE,
         /** It bears an idempotency key, by which endpoints drop a repeat within the deduplication window. */
@@ -22,7 +27,7 @@
     }
 
     /** The endpoints among which a repeat of a deduplicated request is dropped. */
-    public enum Group {
+    public enum DedupScope {
         /** All endpoints. */
         ALL,
         /** The endpoints of one zone. */
--- a/src/main/java/gatelock/boot/ConfigReloader.java
+++ b/src/main/java/gatelock/boot/ConfigReloader.java
@@ -55,11 +55,12 @@
 
     /** Reads both files; on a failure nothing changes. May be called on any thread. */
     void reloadOnSighup() {
-        eventLoop.aside(() -> load(operatorFile, Level.WARNING, "SIGHUP, what was in force stays: "), null, loaded -> {
-            if (loaded != null) {
-                listener.reloaded("SIGHUP", loaded.config(), loaded.operator());
-            }
-        });
+        eventLoop.offload(
+                () -> load(operatorFile, Level.WARNING, "SIGHUP, what was in force stays: "), null, loaded -> {
+                    if (loaded != null) {
+                        listener.reloaded("SIGHUP", loaded.config(), loaded.operator());
+                    }
+                });
     }
 
     /**
@@ -76,10 +77,10 @@
             return;
         }
         discoveryReloadUs = eventLoop.nowUs();
-        eventLoop.aside(
+        eventLoop.offload(
                 () -> load(null, Level.DEBUG, "discovery fails, and so does the configuration: "), null, loaded -> {
                     if (loaded != null && !loaded.config().discovery().equals(discovery.get())) {
-                        counters.add("moves found without SIGHUP");
+                        counters.increment("moves found without SIGHUP");
                         listener.reloaded("discovery failed", loaded.config(), null);
                     }
                 });
--- a/src/main/java/gatelock/boot/ConfigurationException.java
+++ b/src/main/java/gatelock/boot/ConfigurationException.java
@@ -47,7 +47,7 @@
     /** All that is wrong in an operator's file, one a line, each with its line and column. */
     static ConfigurationException inOperatorFile(Path file, List<Diagnostic> diagnostics) {
         List<Problem> problems = diagnostics.stream()
-                .map(found -> new Problem(found.pointer(), found.wrong(), found.mend()))
+                .map(found -> new Problem(found.pointer(), found.problem(), found.remedy()))
                 .toList();
         String message = diagnostics.stream().map(found -> file + ":" + found).collect(Collectors.joining("\n"));
         return new ConfigurationException(file, problems, message, null);
--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -106,7 +106,7 @@
         if (store == null) {
             subscribe(ready);
         } else {
-            eventLoop.<List<LastKnownGoodStore.StoredVersion>>aside(store::readAll, List.of(), stored -> {
+            eventLoop.<List<LastKnownGoodStore.StoredVersion>>offload(store::readAll, List.of(), stored -> {
                 recoverFirstSound(stored);
                 subscribe(ready);
             });
@@ -127,9 +127,9 @@
     }
 
     private void awaitFirstVersion(long deadlineUs, Runnable ready) {
-        boolean hasVersion = admission.plan() != null;
+        boolean hasVersion = admission.activeConfig() != null;
         if (!hasVersion && eventLoop.nowUs() < deadlineUs) {
-            eventLoop.in(FIRST_VERSION_CHECK_INTERVAL_US, () -> awaitFirstVersion(deadlineUs, ready));
+            eventLoop.schedule(FIRST_VERSION_CHECK_INTERVAL_US, () -> awaitFirstVersion(deadlineUs, ready));
             return;
         }
         if (!hasVersion) {
@@ -141,7 +141,7 @@
     }
 
     /** Shows the state of the endpoint list to operators. */
-    void showEndpointList(Supplier<DiscoveryClient.State> endpointList) {
+    void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
         adminServer.showEndpointList(endpointList);
     }
 
--- a/src/main/java/gatelock/boot/FileCommands.java
+++ b/src/main/java/gatelock/boot/FileCommands.java
@@ -51,7 +51,7 @@
         }
 
         /** Compiles a file, with whatever findings there are. */
-        final ConfigCompiler.Compiled compile(Path file, DeploymentContext context) throws UnusableInputException {
+        final ConfigCompiler.Result compile(Path file, DeploymentContext context) throws UnusableInputException {
             try {
                 return new ConfigCompiler(context).compile(ConfigVersion.Epoch.NONE, 0, Files.readAllBytes(file));
             } catch (IOException e) {
@@ -61,11 +61,11 @@
 
         /** Compiles a file that must have no grave findings. */
         final CompiledConfig compileSound(Path file, DeploymentContext context) throws UnusableInputException {
-            ConfigCompiler.Compiled compiled = compile(file, context);
-            if (!compiled.good()) {
+            ConfigCompiler.Result compiled = compile(file, context);
+            if (!compiled.isValid()) {
                 throw new UnusableInputException(format(file, compiled.findings()));
             }
-            return compiled.plan();
+            return compiled.config();
         }
 
         /** One line for each finding, with its file, line and column. */
@@ -82,20 +82,20 @@
 
         @Override
         public Integer call() throws UnusableInputException, IOException {
-            ConfigCompiler.Compiled compiled = compile(file, readDeployment());
+            ConfigCompiler.Result compiled = compile(file, readDeployment());
             Map<String, Object> result = new LinkedHashMap<>();
-            result.put("good", compiled.good());
+            result.put("good", compiled.isValid());
             result.put(
                     "findings",
-                    compiled.findings().stream().map(Diagnostic::fields).toList());
+                    compiled.findings().stream().map(Diagnostic::toJsonFields).toList());
             print(result, text(compiled));
-            return compiled.good() ? Commands.GOOD : Commands.FINDINGS;
+            return compiled.isValid() ? Commands.GOOD : Commands.FINDINGS;
         }
 
-        private String text(ConfigCompiler.Compiled compiled) {
+        private String text(ConfigCompiler.Result compiled) {
             String findings = format(file, compiled.findings());
-            String summary = compiled.good()
-                    ? file + ": good, " + compiled.plan().routes() + " routes"
+            String summary = compiled.isValid()
+                    ? file + ": good, " + compiled.config().routeCount() + " routes"
                     : file + ": would be turned down";
             return findings.isEmpty() ? summary : findings + "\n" + summary;
         }
@@ -116,7 +116,7 @@
         public Integer call() throws UnusableInputException, IOException {
             DeploymentContext context = readDeployment();
             List<String> differences =
-                    ConfigDiff.of(compileSound(before, context), compileSound(after, context), context);
+                    ConfigDiff.compare(compileSound(before, context), compileSound(after, context), context);
             String text = differences.isEmpty() ? "no req is treated otherwise" : String.join("\n", differences);
             print(Map.of("differences", differences), text);
             return differences.isEmpty() ? Commands.GOOD : Commands.FINDINGS;
@@ -148,7 +148,7 @@
             caseInsensitive.putAll(headers);
             RequestAttributes request =
                     new RequestAttributes(method.toUpperCase(Locale.ROOT), host, path, caseInsensitive::get);
-            Map<String, Object> explanation = RouteExplainer.of(compileSound(file, context), context, request);
+            Map<String, Object> explanation = RouteExplainer.explain(compileSound(file, context), context, request);
             String text = explanation.entrySet().stream()
                     .map(entry -> entry.getKey() + ": " + entry.getValue())
                     .collect(Collectors.joining("\n"));
@@ -166,7 +166,7 @@
         @Override
         public Integer call() throws UnusableInputException {
             try {
-                printText(SchemaValidator.valueOf(name.toUpperCase(Locale.ROOT)).text());
+                printText(SchemaValidator.valueOf(name.toUpperCase(Locale.ROOT)).schemaText());
                 return Commands.GOOD;
             } catch (IllegalArgumentException e) {
                 throw new UnusableInputException("there are schemas for plan and operator, none for " + name, e);
--- a/src/main/java/gatelock/boot/OperatorConfig.java
+++ b/src/main/java/gatelock/boot/OperatorConfig.java
@@ -60,7 +60,7 @@
      * @param maxListBytes how long a response with an endpoint list may be
      * @param text the section's text
      */
-    record Membership(EndpointSubset.Terms terms, ServiceNameExtractor service, long maxListBytes, String text) {
+    record Membership(EndpointSubset.Policy terms, ServiceNameExtractor service, long maxListBytes, String text) {
 
         /** Whether the file says the same in the other one. */
         boolean sameText(Membership other) {
--- a/src/main/java/gatelock/boot/OperatorConfigReader.java
+++ b/src/main/java/gatelock/boot/OperatorConfigReader.java
@@ -67,13 +67,13 @@
     }
 
     private OperatorConfig parse(Path file, byte[] text) throws ConfigurationException {
-        ConfigDocument document = ConfigDocument.read(text, diagnostics);
+        ConfigDocument document = ConfigDocument.parse(text, diagnostics);
         if (document != null) {
-            SchemaValidator.OPERATOR.check(document, diagnostics);
+            SchemaValidator.OPERATOR.validate(document, diagnostics);
         }
         OperatorConfig config = diagnostics.isEmpty() ? parse(document.root()) : null;
         if (!diagnostics.isEmpty()) {
-            List<Diagnostic> placed = document == null ? diagnostics : document.placed(diagnostics);
+            List<Diagnostic> placed = document == null ? diagnostics : document.withLocations(diagnostics);
             throw ConfigurationException.inOperatorFile(file, placed);
         }
         return config;
@@ -141,12 +141,12 @@
                     zone + " is no zone of this deployment",
                     "name one of " + zones + ", or leave it out where this relay stands in none");
         }
-        int holders = node.path("leastHolders").asInt(EndpointSubset.LEAST_HOLDERS);
-        double part = Math.min(1, holders / (double) deployment.settings().relays());
+        int holders = node.path("leastHolders").asInt(EndpointSubset.DEFAULT_MIN_HOLDERS);
+        double part = Math.min(1, holders / (double) deployment.settings().relayCount());
         // The seed is this relay's own as well, where nobody numbers the relays.
-        long givenNumber = node.path("number").asLong(deployment.settings().number());
+        long givenNumber = node.path("number").asLong(deployment.settings().relayIndex());
         long number = givenNumber < 0 ? deployment.settings().seed() : givenNumber;
-        EndpointSubset.Terms terms = new EndpointSubset.Terms(
+        EndpointSubset.Policy terms = new EndpointSubset.Policy(
                 number,
                 zone == null ? -1 : zones.indexOf(zone),
                 most,
@@ -193,9 +193,9 @@
             return ServiceNameExtractor.byLabel(node.get("label").asText());
         }
         if (node.has("separator")) {
-            return ServiceNameExtractor.before(node.get("separator").asText());
+            return ServiceNameExtractor.byNamePrefix(node.get("separator").asText());
         }
-        return ServiceNameExtractor.ONE;
+        return ServiceNameExtractor.SINGLE_SERVICE;
     }
 
     private InetSocketAddress address(String text, String pointer) {
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -51,7 +51,7 @@
      */
     static RelayConfig read(Path file) throws ConfigurationException {
         try {
-            return parse(JsonObject.read(Files.readAllBytes(file)));
+            return parse(JsonObject.parse(Files.readAllBytes(file)));
         } catch (InvalidSettingException e) {
             throw ConfigurationException.inRelayFile(file, e.problem(), e);
         } catch (MalformedSettingException e) {
@@ -104,7 +104,7 @@
                 root.address("listen"),
                 root.address("discovery"),
                 deployer.address("address"),
-                root.object("limits").count("sockets"),
+                root.object("limits").nonNegativeInt("sockets"),
                 root.object("known"),
                 deployer.object("news"),
                 settings,
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -101,7 +101,7 @@
         EventLoop eventLoop = new EventLoop(worker.getIoThread());
         RelayService service = new RelayService(file, config, operatorFile, operator, mode, eventLoop);
         // Queued before the shutdown hook exists: a relay must have begun before it can shut down.
-        eventLoop.soon(service::run);
+        eventLoop.execute(service::run);
         Runtime.getRuntime().addShutdownHook(new Thread(service::shutDownAndWait, "leave"));
         sighup.setAction(service.reloader::reloadOnSighup);
     }
@@ -123,7 +123,7 @@
     private void startCold() throws IOException {
         clientListener.listen(config.listen());
         startPipeline();
-        clientListener.admit(pipeline.requestReader(), false);
+        clientListener.setRequestHandler(pipeline.requestReader(), false);
         serveOnceListed(UnaryOperator.identity());
     }
 
@@ -133,7 +133,7 @@
         startPipeline();
         HttpHandler reader = pipeline.requestReader();
         new StartupWarmUp(config, address, eventLoop, clientListener, reader, warmUp -> {
-                    clientListener.admit(warmUp.closeOwnRequestsBefore(reader), false);
+                    clientListener.setRequestHandler(warmUp.closeOwnRequestsBefore(reader), false);
                     serveOnceListed(warmUp::closeOwnRequestsBefore);
                 })
                 .begin();
@@ -172,7 +172,7 @@
         if (controlPlane != null) {
             controlPlane.showEndpointList(discovery::state);
         }
-        discovery.whenFailed(() -> reloader.reloadOnDiscoveryFailure(() -> config.discovery()));
+        discovery.onPollFailure(() -> reloader.reloadOnDiscoveryFailure(() -> config.discovery()));
     }
 
     private Sessions createSessions(OperatorConfig.Sessions options) {
@@ -188,25 +188,25 @@
     }
 
     private void serveOnceListed(UnaryOperator<HttpHandler> wrapReader) {
-        pipeline.discovery().whenListed(DISCOVERY_SILENT_US, () -> serve(wrapReader));
+        pipeline.discovery().onFirstList(DISCOVERY_SILENT_US, () -> serve(wrapReader));
     }
 
     private void serve(UnaryOperator<HttpHandler> wrapReader) {
         HttpHandler reader = wrapReader.apply(pipeline.requestReader());
-        clientListener.admit(reader, controlPlane == null);
+        clientListener.setRequestHandler(reader, controlPlane == null);
         int heldRequests = pipeline.startForwarding();
         if (heldRequests > 0) {
             LOG.log(Level.INFO, "held until ready: " + heldRequests + " requests");
         }
         try {
             if (controlPlane != null) {
-                controlPlane.start(() -> clientListener.admit(reader, true));
+                controlPlane.start(() -> clientListener.setRequestHandler(reader, true));
             }
         } catch (IOException e) {
             halt(e);
         }
         LOG.log(Level.INFO, config.name() + " serves on " + config.listen());
-        eventLoop.in(COUNTERS_INTERVAL_US, this::logCounters);
+        eventLoop.schedule(COUNTERS_INTERVAL_US, this::logCounters);
     }
 
     private static void halt(IOException e) {
@@ -240,7 +240,7 @@
     /** Runs on the shutdown hook's thread, and blocks until the relay has answered all that it can. */
     private void shutDownAndWait() {
         CountDownLatch done = new CountDownLatch(1);
-        eventLoop.soon(() -> shutDown(done::countDown));
+        eventLoop.execute(() -> shutDown(done::countDown));
         try {
             done.await();
         } catch (InterruptedException e) {
@@ -257,16 +257,16 @@
                 config.deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
         long aliveUs = Math.min(longestDeadlineUs, MAX_COUNTED_DEADLINE_US) + SHUTDOWN_MARGIN_US;
         if (sessions != null) {
-            sessions.leave(eventLoop.nowUs(), eventLoop.nowUs() + aliveUs - SESSION_CLOSE_US);
+            sessions.drainAll(eventLoop.nowUs(), eventLoop.nowUs() + aliveUs - SESSION_CLOSE_US);
         }
-        clientListener.leave(aliveUs, () -> awaitSessions(whenDone));
+        clientListener.shutDown(aliveUs, () -> awaitSessions(whenDone));
     }
 
     private void awaitSessions(Runnable whenDone) {
         if (sessions == null || sessions.size() == 0) {
             whenDone.run();
         } else {
-            eventLoop.in(SESSION_CHECK_INTERVAL_US, () -> awaitSessions(whenDone));
+            eventLoop.schedule(SESSION_CHECK_INTERVAL_US, () -> awaitSessions(whenDone));
         }
     }
 
@@ -276,13 +276,13 @@
                 counters + "; open requests " + pipeline.inFlight().size() + ", clients " + clientListener.size()
                         + ", endpoints "
                         + pipeline.endpointPool() + endpointListState());
-        eventLoop.in(COUNTERS_INTERVAL_US, this::logCounters);
+        eventLoop.schedule(COUNTERS_INTERVAL_US, this::logCounters);
     }
 
     /** The state of the endpoint list where only a part of it is in scope, or nothing. */
     private String endpointListState() {
-        DiscoveryClient.State list = pipeline.discovery().state();
-        if (!list.scoped()) {
+        DiscoveryClient.ListStatus list = pipeline.discovery().state();
+        if (!list.usesSubset()) {
             return "";
         }
         return "; " + list + ", last change " + (eventLoop.nowUs() - list.changedUs()) / US_PER_S + " s ago";
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -80,7 +80,7 @@
                 eventLoop,
                 counters,
                 config.connectTimeoutUs(),
-                config.settings().keptUs(),
+                config.settings().idleConnectionUs(),
                 ENDPOINT_REST_US,
                 config.maxSockets() * 2 / 5);
         ResponseWriter responseWriter = new ResponseWriter(eventLoop, inFlight, counters);
@@ -97,15 +97,15 @@
                 responseWriter,
                 engine,
                 admission,
-                config.settings().pausesHeard() ? config.settings().longestPauseUs() : 0);
-        RequestReader.Names names = new RequestReader.Names(
+                config.settings().retryAfterHonored() ? config.settings().maxRetryAfterUs() : 0);
+        RequestReader.RequestNames names = new RequestReader.RequestNames(
                 config.indexesByName("lanes"),
                 config.indexesByName("orgs"),
                 config.settings().routes(),
                 config.deadlinesUs());
         requestReader = new RequestReader(counters, names, eventLoop, admitter, clientListener, admission);
         if (sessions != null) {
-            requestReader.opensBy(new WebSocketUpgrader(eventLoop, counters, outcomes, engine, sessions));
+            requestReader.setSessionUpgrade(new WebSocketUpgrader(eventLoop, counters, outcomes, engine, sessions));
         }
     }
 
@@ -121,16 +121,16 @@
                 PLATFORM_IDLE_TIMEOUT_US,
                 0,
                 PLATFORM_MAX_CONNECTIONS,
-                DiscoveryClient.MOST_LIST);
+                DiscoveryClient.MAX_LIST_BYTES);
         releaseController = new ReleaseControllerClient(
                 eventLoop,
                 counters,
                 platformPool,
                 config.releaseController(),
-                config.settings().rollout().voteWaitUs());
+                config.settings().rollout().voteTimeoutUs());
         discovery = createDiscovery(platformPool);
         if (membership != null) {
-            attemptSender.whenEnded(discovery::ended);
+            attemptSender.setAttemptListener(discovery::attemptEnded);
         }
         actions.bind(releaseController, discovery);
         engine.start(eventLoop.nowUs());
@@ -143,9 +143,9 @@
     }
 
     private DiscoveryClient createDiscovery(ConnectionPool platformPool) {
-        DiscoveryClient.Membership subset = membership == null
+        DiscoveryClient.SubsetOptions subset = membership == null
                 ? null
-                : new DiscoveryClient.Membership(
+                : new DiscoveryClient.SubsetOptions(
                         new EndpointSubset(membership.terms()), membership.service(), membership.maxListBytes());
         return new DiscoveryClient(
                 eventLoop,
@@ -156,32 +156,32 @@
                 endpointPool,
                 config.names("zones"),
                 config.names("flavors"),
-                config.settings().mustAskForList(),
+                config.settings().mustSubscribeToEndpoints(),
                 new SplittableRandom(config.settings().seed() + DISCOVERY_SEED_OFFSET),
                 subset);
     }
 
     /** Migrates or closes the sessions that are due. */
     private void runDueSessions() {
-        sessions.due(eventLoop.nowUs());
-        eventLoop.in(SESSION_CHECK_INTERVAL_US, this::runDueSessions);
+        sessions.closeDue(eventLoop.nowUs());
+        eventLoop.schedule(SESSION_CHECK_INTERVAL_US, this::runDueSessions);
     }
 
     /** Forwards requests from now on, first those that came early; returns how many these are. */
     int startForwarding() {
-        return admitter.open();
+        return admitter.releaseQueued();
     }
 
     /** Follows discovery and the release controller at the addresses of another configuration from now on. */
     void setAddressesFrom(RelayConfig other) {
-        discovery.move(other.discovery());
-        releaseController.move(other.releaseController());
+        discovery.changeAddress(other.discovery());
+        releaseController.changeAddress(other.releaseController());
     }
 
     /** Ends a pipeline that was never started: its timers and its connections to endpoints. */
     void stopWarmUp() {
         actions.stop();
-        endpointPool.stop();
+        endpointPool.shutdown();
     }
 
     /** Reads requests from clients: the pipeline's entry. */
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -16,7 +16,7 @@
     }
 
     @Override
-    public RequestHandle take(
+    public RequestHandle acceptRequest(
             long nowUs,
             String id,
             int route,
@@ -25,41 +25,42 @@
             long leftUs,
             long costUs,
             RequestConstraints constraints) {
-        return engine.take(nowUs, id, route, tenant, key, leftUs, costUs, constraints);
+        return engine.acceptRequest(nowUs, id, route, tenant, key, leftUs, costUs, constraints);
     }
 
     @Override
-    public Passing message(long nowUs, String endpoint, int route, boolean first) {
-        return engine.message(nowUs, endpoint, route, first);
+    public MessageAdmission admitMessage(long nowUs, String endpoint, int route, boolean first) {
+        return engine.admitMessage(nowUs, endpoint, route, first);
     }
 
     @Override
-    public void listed(long nowUs, ListForm form, List<Endpoint> endpoints) {
-        engine.listed(nowUs, form, endpoints);
-        sessions.listed(nowUs, form, endpoints);
+    public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
+        engine.endpointsUpdated(nowUs, form, endpoints);
+        sessions.updateEndpoints(nowUs, form, endpoints);
     }
 
     @Override
-    public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer) {
-        engine.news(nowUs, build, stage, phase, cap, agoUs, answer);
+    public void releaseStateUpdated(
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
+        engine.releaseStateUpdated(nowUs, build, stage, phase, cap, agoUs, answer);
         // Any other answer is about a vote that was not counted, and says nothing of the release's state.
-        if (answer == VoteAnswer.NOT_ASKED || answer == VoteAnswer.COUNTED) {
-            sessions.news(nowUs, build, phase);
+        if (answer == VoteResponse.NOT_ASKED || answer == VoteResponse.COUNTED) {
+            sessions.updateRelease(nowUs, build, phase);
         }
     }
 
     @Override
-    public void complaint(long nowUs, String endpoint, int route, long agoUs) {
-        engine.complaint(nowUs, endpoint, route, agoUs);
+    public void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
+        engine.complaintReceived(nowUs, endpoint, route, agoUs);
     }
 
     @Override
-    public void counted(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
-        engine.counted(nowUs, build, route, count, failed, meanUs, agoUs);
+    public void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
+        engine.fleetSampleReceived(nowUs, build, route, count, failed, meanUs, agoUs);
     }
 
     @Override
-    public void due(long nowUs, long token) {
-        engine.due(nowUs, token);
+    public void timerFired(long nowUs, long token) {
+        engine.timerFired(nowUs, token);
     }
 }
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -91,21 +91,21 @@
         DecisionEngine engine = pipeline.engine();
         engine.start(eventLoop.nowUs());
         pipeline.startForwarding();
-        engine.listed(eventLoop.nowUs(), DecisionEngine.ListForm.FULL, registerEndpoints());
-        engine.news(
+        engine.endpointsUpdated(eventLoop.nowUs(), DecisionEngine.EndpointUpdateType.FULL, registerEndpoints());
+        engine.releaseStateUpdated(
                 eventLoop.nowUs(),
                 CANARY_BUILD,
                 0,
-                DecisionEngine.Phase.TRIAL,
+                DecisionEngine.ReleasePhase.TRIAL,
                 CANARY_CAP,
                 0,
-                DecisionEngine.VoteAnswer.NOT_ASKED);
-        clientListener.admit(this::handle, false);
+                DecisionEngine.VoteResponse.NOT_ASKED);
+        clientListener.setRequestHandler(this::handle, false);
         for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
             running++;
             sendNext();
         }
-        eventLoop.in(MAX_DURATION_US, () -> over = true);
+        eventLoop.schedule(MAX_DURATION_US, () -> over = true);
     }
 
     /** Endpoints that are all this relay itself: of two builds, in two zones and of two kinds. */
@@ -171,20 +171,20 @@
         }
         ByteBuffer request = StandardCharsets.US_ASCII.encode(requestText(sent));
         sent++;
-        selfPool.call(address, request, REQUEST_TIMEOUT_US, new OutboundConnection.User() {
+        selfPool.send(address, request, REQUEST_TIMEOUT_US, new OutboundConnection.ResponseHandler() {
             @Override
-            public boolean answered(UpstreamResponse response) {
-                eventLoop.soon(StartupWarmUp.this::sendNext);
+            public boolean onResponse(UpstreamResponse response) {
+                eventLoop.execute(StartupWarmUp.this::sendNext);
                 return true;
             }
 
             @Override
-            public void broken(boolean written) {
-                eventLoop.in(RETRY_DELAY_US, StartupWarmUp.this::sendNext);
+            public void onConnectionLost(boolean written) {
+                eventLoop.schedule(RETRY_DELAY_US, StartupWarmUp.this::sendNext);
             }
 
             @Override
-            public void late() {
+            public void onTimeout() {
                 sendNext();
             }
         });
@@ -194,7 +194,7 @@
     private String requestText(int number) {
         List<RoutePolicy> routes = config.settings().routes();
         int route = number % routes.size();
-        boolean get = routes.get(route).repeat() == RoutePolicy.Repeat.RETRIABLE;
+        boolean get = routes.get(route).retrySafety() == RoutePolicy.RetrySafety.RETRIABLE;
         String name = config.rawSettings().get("lanes." + route + ".name");
         StringBuilder text = new StringBuilder()
                 .append(get ? "GET /" : "POST /")
@@ -220,7 +220,7 @@
     private void end() {
         LOG.log(Level.INFO, "rehearsed " + sent + " requests: " + counters);
         pipeline.stopWarmUp();
-        selfPool.stop();
+        selfPool.shutdown();
         whenDone.accept(this);
     }
 }
--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -39,43 +39,43 @@
     }
 
     /** The route that a request matches, with the version in which it was found. */
-    public static final class Way {
+    public static final class MatchedRoute {
         private final CompiledConfig config;
         private final RouteEntry route;
 
-        private Way(CompiledConfig config, RouteEntry route) {
+        private MatchedRoute(CompiledConfig config, RouteEntry route) {
             this.config = config;
             this.route = route;
         }
 
         /** Returns the index of the request class whose policy applies. */
-        public int classNo() {
+        public int classIndex() {
             return route.classIndex();
         }
 
         /** Returns the name of the route. */
-        public String route() {
+        public String routeName() {
             return route.name();
         }
 
         /** Returns the terms of WebSocket sessions on the route, or null if it has none. */
-        public SessionPolicy sessions() {
+        public SessionPolicy sessionPolicy() {
             return route.sessionPolicy();
         }
     }
 
     /** A request under the version that matched it: its place in the limits, and the constraints on its attempts. */
-    public final class Pass implements RequestConstraints {
-        private final Way matched;
+    public final class RoutedRequest implements RequestConstraints {
+        private final MatchedRoute matched;
         /** The pool that serves the request, chosen when it came; null: all endpoints. */
         private final String pool;
 
         private final RetryPolicy retryPolicy;
         private final RetryBudget retryBudget;
-        /** Set once, by {@link Admission#ask}. */
+        /** Set once, by {@link Admission#admit}. */
         private RequestLimiter.Decision decision;
 
-        private Pass(long nowUs, Way matched) {
+        private RoutedRequest(long nowUs, MatchedRoute matched) {
             this.matched = matched;
             String configuredPool = matched.route.pool();
             pool = configuredPool == null ? null : membership.servingPool(nowUs, configuredPool);
@@ -85,32 +85,32 @@
         }
 
         /** Whether the request was shed at once; {@link #pauseUs} says when it may come back. */
-        public boolean shed() {
+        public boolean isShed() {
             return decision.outcome() == RequestLimiter.Outcome.SHED;
         }
 
         /** Returns after how long a request that was shed may come back, in microseconds; otherwise 0. */
-        public long pauseUs() {
+        public long retryAfterUs() {
             return decision.retryAfterUs();
         }
 
         /** Whether the request waits in the queue of a limit. */
-        public boolean waits() {
+        public boolean isQueued() {
             return decision.ticket() != null && decision.ticket().isQueued();
         }
 
         /** Returns the name of the route. */
-        public String route() {
+        public String routeName() {
             return matched.route.name();
         }
 
         /** Returns the version that matched the request. */
-        public ConfigVersion stamp() {
-            return matched.config.stamp();
+        public ConfigVersion version() {
+            return matched.config.version();
         }
 
         /** Frees the request's part of its limits, as it is answered or its client left. */
-        public void over(long nowUs) {
+        public void release(long nowUs) {
             if (decision.ticket() != null) {
                 decision.ticket().release(nowUs);
             }
@@ -121,7 +121,7 @@
          * may by now have given way to its fallback, or be missing in the active version.
          */
         @Override
-        public boolean reaches(String endpoint) {
+        public boolean allowsEndpoint(String endpoint) {
             if (pool == null) {
                 return true;
             }
@@ -131,31 +131,31 @@
         }
 
         @Override
-        public int mostAttempts() {
+        public int maxAttempts() {
             return retryPolicy.maxAttempts();
         }
 
         @Override
-        public long attemptUs() {
+        public long attemptTimeoutUs() {
             return retryPolicy.attemptTimeoutUs();
         }
 
         @Override
-        public boolean goesOn(long nowUs, AttemptResult last) {
+        public boolean acquireRetry(long nowUs, AttemptResult last) {
             return retryPolicy.retryableResults().contains(last)
                     && retryBudget.tryAcquire(nowUs, retryPolicy.budgetRatio());
         }
     }
 
     /** Returns the active version, or null before there was one. */
-    public CompiledConfig plan() {
+    public CompiledConfig activeConfig() {
         return active;
     }
 
     /** Returns the route that a request matches in the active version, or null if there is none. */
-    public Way way(RequestAttributes request) {
+    public MatchedRoute matchRoute(RequestAttributes request) {
         RouteEntry route = active == null ? null : active.findRoute(request);
-        return route == null ? null : new Way(active, route);
+        return route == null ? null : new MatchedRoute(active, route);
     }
 
     /**
@@ -163,9 +163,9 @@
      * read as another one, 404 for a request that matches no route if the version rejects such. Needs an active version.
      *
      * @param request the request
-     * @param matched what {@link #way} returned for it
+     * @param matched what {@link #matchRoute} returned for it
      */
-    public int refusal(RequestAttributes request, Way matched) {
+    public int rejectionStatus(RequestAttributes request, MatchedRoute matched) {
         if (matched == null) {
             unmatchedRequests++;
         }
@@ -185,16 +185,16 @@
      * @param deadlineUs its deadline
      * @param request is notified of the outcome if the request waits
      */
-    public Pass ask(long nowUs, Way matched, int tenant, long deadlineUs, QueuedRequest request) {
+    public RoutedRequest admit(long nowUs, MatchedRoute matched, int tenant, long deadlineUs, QueuedRequest request) {
         changeGuard.recordRequest(nowUs, matched.route.name());
-        Pass routed = new Pass(nowUs, matched);
+        RoutedRequest routed = new RoutedRequest(nowUs, matched);
         routed.decision =
                 limiter.admit(nowUs, currentLimits(matched), matched.route.name(), tenant, deadlineUs, request);
         return routed;
     }
 
     /** A limit applies with the active version's figures, also to a request that an earlier version matched. */
-    private List<LimitPolicy> currentLimits(Way matched) {
+    private List<LimitPolicy> currentLimits(MatchedRoute matched) {
         if (matched.config == active) {
             return matched.route.limits();
         }
@@ -207,13 +207,13 @@
         return limits;
     }
 
-    /** Admits and sheds requests that wait for their limits; to be called at {@link #nextUs}. */
-    public void due(long nowUs) {
+    /** Admits and sheds requests that wait for their limits; to be called at {@link #nextDueUs}. */
+    public void processQueues(long nowUs) {
         limiter.processQueues(nowUs);
     }
 
-    /** Returns when {@link #due} is to be called next, or {@code Long.MAX_VALUE} if nothing waits. */
-    public long nextUs(long nowUs) {
+    /** Returns when {@link #processQueues} is to be called next, or {@code Long.MAX_VALUE} if nothing waits. */
+    public long nextDueUs(long nowUs) {
         return limiter.nextDueUs(nowUs);
     }
 
@@ -225,18 +225,21 @@
      * @param entries endpoints
      * @param labels labels of the endpoints that have any, by endpoint name
      */
-    public void listed(
-            long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
+    public void updateEndpoints(
+            long nowUs,
+            DecisionEngine.EndpointUpdateType form,
+            List<Endpoint> entries,
+            Map<String, Map<String, String>> labels) {
         membership.updateEndpoints(nowUs, form, entries, labels);
     }
 
     /** Returns errors for what makes a version that is correct by itself a danger beside the active one. */
-    public List<Diagnostic> beside(long nowUs, CompiledConfig next) {
+    public List<Diagnostic> checkAgainstActive(long nowUs, CompiledConfig next) {
         return active == null ? List.of() : changeGuard.check(nowUs, active, next, membership);
     }
 
     /** Makes a version active. */
-    public void follow(long nowUs, CompiledConfig next) {
+    public void activate(long nowUs, CompiledConfig next) {
         active = next;
         membership.activate(nowUs, next);
         limiter.applyPolicies(nowUs, next.limits());
--- a/src/main/java/gatelock/config/Backoff.java
+++ b/src/main/java/gatelock/config/Backoff.java
@@ -29,19 +29,19 @@
     }
 
     /** Counts one more failure and draws the delay before the next attempt, in microseconds; at least 1. */
-    public long failed() {
+    public long nextDelayUs() {
         long boundUs = Math.min(maxBoundUs, initialBoundUs << Math.min(consecutiveFailures, MAX_DOUBLINGS));
         consecutiveFailures++;
         return random.nextLong(Math.max(1, boundUs)) + 1;
     }
 
     /** Forgets the failures after a success. */
-    public void succeeded() {
+    public void reset() {
         consecutiveFailures = 0;
     }
 
     /** Returns the number of failures since the last success. */
-    public int failures() {
+    public int consecutiveFailures() {
         return consecutiveFailures;
     }
 }
--- a/src/main/java/gatelock/config/CompiledConfig.java
+++ b/src/main/java/gatelock/config/CompiledConfig.java
@@ -105,12 +105,12 @@
     }
 
     /** Returns which version this is. */
-    public ConfigVersion stamp() {
+    public ConfigVersion version() {
         return version;
     }
 
     /** Returns the author that the version names, or an empty string. */
-    public String by() {
+    public String author() {
         return author;
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Returns the number of routes, without abstract ones. */
-    public int routes() {
+    public int routeCount() {
         return routes.size();
     }
 
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -37,15 +37,15 @@
      * @param plan the compiled version, or null if a finding is an error
      * @param findings errors and warnings, with their locations
      */
-    public record Compiled(CompiledConfig plan, List<Diagnostic> findings) {
+    public record Result(CompiledConfig config, List<Diagnostic> findings) {
         /** Whether the version compiled. */
-        public boolean good() {
-            return plan != null;
+        public boolean isValid() {
+            return config != null;
         }
     }
 
     /** The result for a version on which the compiler itself failed. */
-    public static final Compiled FAILED = new Compiled(
+    public static final Result FAILED = new Result(
             null,
             List.of(Diagnostic.newError(
                     "G-INTERNAL", "", "the checker failed on it", "report it with the text and the log")));
@@ -57,14 +57,14 @@
      * @param number number of the version
      * @param text UTF-8
      */
-    public Compiled compile(ConfigVersion.Epoch epoch, long number, byte[] text) {
+    public Result compile(ConfigVersion.Epoch epoch, long number, byte[] text) {
         List<Diagnostic> findings = new ArrayList<>();
-        ConfigDocument document = ConfigDocument.read(text, findings);
+        ConfigDocument document = ConfigDocument.parse(text, findings);
         if (document == null) {
-            return new Compiled(null, List.copyOf(findings));
+            return new Result(null, List.copyOf(findings));
         }
         CompiledConfig compiled = null;
-        SchemaValidator.PLAN.check(document, findings);
+        SchemaValidator.PLAN.validate(document, findings);
         if (!hasErrors(findings)) {
             ResolvedConfig config = new ResolvedConfig(document);
             ConfigValidator.validate(config, deployment, findings);
@@ -72,11 +72,11 @@
                 compiled = compile(new ConfigVersion(epoch, number, ConfigVersion.hash(text)), config);
             }
         }
-        return new Compiled(compiled, document.placed(truncate(findings)));
+        return new Result(compiled, document.withLocations(truncate(findings)));
     }
 
     private static boolean hasErrors(List<Diagnostic> findings) {
-        return findings.stream().anyMatch(Diagnostic::grave);
+        return findings.stream().anyMatch(Diagnostic::isError);
     }
 
     private static List<Diagnostic> truncate(List<Diagnostic> findings) {
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns a line for each difference, at most 1000; an empty list if both versions mean the same. */
-    public static List<String> of(CompiledConfig before, CompiledConfig after, DeploymentContext deployment) {
+    public static List<String> compare(CompiledConfig before, CompiledConfig after, DeploymentContext deployment) {
         ConfigDiff diff = new ConfigDiff(before, after, deployment);
         diff.compareUnmatched();
         diff.compareRoutes();
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -50,7 +50,7 @@
      * @param findings receives an error if the text can't be used
      * @return null where the text is not JSON, is not a single object, or names a field twice
      */
-    public static ConfigDocument read(byte[] text, List<Diagnostic> findings) {
+    public static ConfigDocument parse(byte[] text, List<Diagnostic> findings) {
         try (JsonParser parser = newParser(text)) {
             parser.nextToken();
             JsonNode root = parser.currentToken() == null ? null : readValue(parser);
@@ -133,7 +133,7 @@
      * Returns the same findings with the line and column of each, or those of its nearest ancestor that is in the
      * text.
      */
-    public List<Diagnostic> placed(List<Diagnostic> findings) {
+    public List<Diagnostic> withLocations(List<Diagnostic> findings) {
         Map<String, JsonLocation> locations = locate(findings);
         List<Diagnostic> located = new ArrayList<>(findings.size());
         for (Diagnostic finding : findings) {
--- a/src/main/java/gatelock/config/ConfigVersion.java
+++ b/src/main/java/gatelock/config/ConfigVersion.java
@@ -21,18 +21,20 @@
      * @param born when the epoch began, in milliseconds of Unix time; the later epoch supersedes the earlier
      * @param id distinguishes epochs that began at the same time; the greater supersedes
      */
-    public record Epoch(long born, String id) implements Comparable<Epoch> {
+    public record Epoch(long startedAtMs, String id) implements Comparable<Epoch> {
         /** Earlier than any epoch of a control service; for documents that no service has numbered. */
         public static final Epoch NONE = new Epoch(0, "");
 
         @Override
         public int compareTo(Epoch other) {
-            return born != other.born ? Long.compare(born, other.born) : id.compareTo(other.id);
+            return startedAtMs != other.startedAtMs
+                    ? Long.compare(startedAtMs, other.startedAtMs)
+                    : id.compareTo(other.id);
         }
 
         @Override
         public String toString() {
-            return born + "-" + id;
+            return startedAtMs + "-" + id;
         }
     }
 
--- a/src/main/java/gatelock/config/PoolMembership.java
+++ b/src/main/java/gatelock/config/PoolMembership.java
@@ -67,26 +67,29 @@
 
     /** Applies the endpoint list or a change of it; {@code labels} by endpoint name. */
     void updateEndpoints(
-            long nowUs, DecisionEngine.ListForm form, List<Endpoint> entries, Map<String, Map<String, String>> labels) {
-        if (form == DecisionEngine.ListForm.FAILED) {
+            long nowUs,
+            DecisionEngine.EndpointUpdateType form,
+            List<Endpoint> entries,
+            Map<String, Map<String, String>> labels) {
+        if (form == DecisionEngine.EndpointUpdateType.FAILED) {
             return;
         }
         // What each pool had until now is noted before it changes.
         for (PoolState pool : pools.values()) {
             pool.updateUsualReady(nowUs, readyBySelector[pool.selectorIndex()]);
         }
-        if (form != DecisionEngine.ListForm.DELTA) {
+        if (form != DecisionEngine.EndpointUpdateType.DELTA) {
             removeUnlisted(entries);
         }
         for (Endpoint entry : entries) {
-            updateEndpoint(entry, labels.getOrDefault(entry.endpoint(), Map.of()));
+            updateEndpoint(entry, labels.getOrDefault(entry.name(), Map.of()));
         }
         groups.values().removeIf(group -> group.endpoints == 0);
     }
 
     private void removeUnlisted(List<Endpoint> entries) {
         Set<String> listed = new HashSet<>();
-        entries.forEach(entry -> listed.add(entry.endpoint()));
+        entries.forEach(entry -> listed.add(entry.name()));
         members.entrySet().removeIf(member -> {
             boolean unlisted = !listed.contains(member.getKey());
             if (unlisted) {
@@ -97,16 +100,16 @@
     }
 
     private void updateEndpoint(Endpoint entry, Map<String, String> labels) {
-        Member previous = members.remove(entry.endpoint());
+        Member previous = members.remove(entry.name());
         if (previous != null) {
             addToCounts(previous, -1);
         }
         if (entry.health() == Endpoint.Health.GONE) {
             return;
         }
-        EndpointGroup group = findOrCreateGroup(new Properties(entry.zone(), entry.kind(), labels));
+        EndpointGroup group = findOrCreateGroup(new Properties(entry.zone(), entry.instanceType(), labels));
         Member member = new Member(group, entry.health() == Endpoint.Health.READY);
-        members.put(entry.endpoint(), member);
+        members.put(entry.name(), member);
         addToCounts(member, 1);
     }
 
--- a/src/main/java/gatelock/config/QueuedRequest.java
+++ b/src/main/java/gatelock/config/QueuedRequest.java
@@ -3,7 +3,7 @@
 /** Receives the outcome of a request that its limits made wait. Exactly one of the two methods is called, once. */
 public interface QueuedRequest {
     /** The request's limits admit it now. */
-    void passes(long nowUs);
+    void onAdmitted(long nowUs);
 
     /**
      * The request is shed, as it has waited too long or its place in the queue went to another tenant.
@@ -11,5 +11,5 @@
      * @param nowUs the current time
      * @param retryAfterUs after how long a new attempt is likely to be admitted
      */
-    void shed(long nowUs, long retryAfterUs);
+    void onShed(long nowUs, long retryAfterUs);
 }
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -192,7 +192,7 @@
 
     private void shedQueued(long nowUs, Ticket ticket) {
         removeFromQueue(ticket);
-        ticket.request.shed(nowUs, ticket.retryAfterUs(nowUs));
+        ticket.request.onShed(nowUs, ticket.retryAfterUs(nowUs));
     }
 
     /** Admits requests of a queue while there is capacity: tenants in turn, the longest waiting of each first. */
@@ -206,7 +206,7 @@
                     removeFromQueue(first);
                     bucket.queue().moveToBack(tenant);
                     first.acquire();
-                    first.request.passes(nowUs);
+                    first.request.onAdmitted(nowUs);
                     admittedAny = true;
                 }
             }
--- a/src/main/java/gatelock/config/RetrySafetyValidator.java
+++ b/src/main/java/gatelock/config/RetrySafetyValidator.java
@@ -72,7 +72,7 @@
     void validateDeduplicationGroup(ResolvedConfig.RouteDefinition route, RoutePolicy policy) {
         List<String> chain = config.fallbackChain(route.pool());
         boolean withinGroup =
-                switch (policy.group()) {
+                switch (policy.dedupScope()) {
                     case ALL -> true;
                     case ZONE -> context.deployment().zones().size() <= 1 || isWithinOneZone(chain);
                     case CELL -> chain.size() <= 1;
@@ -80,7 +80,7 @@
         if (withinGroup) {
             return;
         }
-        boolean byZone = policy.group() == RoutePolicy.Group.ZONE;
+        boolean byZone = policy.dedupScope() == RoutePolicy.DedupScope.ZONE;
         context.error(
                 "M-GROUP",
                 route.pointerOf("pool"),
--- a/src/main/java/gatelock/config/RouteExplainer.java
+++ b/src/main/java/gatelock/config/RouteExplainer.java
@@ -24,7 +24,7 @@
      * @return in this order {@code route}, {@code class}, {@code pools}, {@code limits} (a list) and {@code tries} (an
      *     object by pool), or only {@code answer} where no route takes the request
      */
-    public static Map<String, Object> of(
+    public static Map<String, Object> explain(
             CompiledConfig config, DeploymentContext deployment, RequestAttributes request) {
         Map<String, Object> explanation = new LinkedHashMap<>();
         RouteEntry route = RouteMatch.isAmbiguousPath(request.path()) ? null : config.findRoute(request);
--- a/src/main/java/gatelock/config/RouteValidator.java
+++ b/src/main/java/gatelock/config/RouteValidator.java
@@ -58,10 +58,10 @@
         RoutePolicy policy = context.deployment().routePolicies().get(classIndex);
         validateMethods(route, policy);
         validateSessions(route, policy);
-        if (poolDefined && retryPolicyDefined && policy.repeat() == RoutePolicy.Repeat.NON_RETRIABLE) {
+        if (poolDefined && retryPolicyDefined && policy.retrySafety() == RoutePolicy.RetrySafety.NON_RETRIABLE) {
             retrySafety.validateNonRetriable(route);
         }
-        if (poolDefined && policy.repeat() == RoutePolicy.Repeat.DEDUPED) {
+        if (poolDefined && policy.retrySafety() == RoutePolicy.RetrySafety.DEDUPED) {
             retrySafety.validateDeduplicationGroup(route, policy);
         }
     }
@@ -85,7 +85,7 @@
 
     /** A class determines the method of its requests: a route for other methods never matches one. */
     private void validateMethods(ResolvedConfig.RouteDefinition route, RoutePolicy policy) {
-        String method = policy.repeat() == RoutePolicy.Repeat.RETRIABLE ? "GET" : "POST";
+        String method = policy.retrySafety() == RoutePolicy.RetrySafety.RETRIABLE ? "GET" : "POST";
         Set<String> methods = route.match().methods();
         if (!methods.isEmpty() && !methods.contains(method)) {
             context.error(
@@ -98,7 +98,7 @@
     }
 
     private void validateSessions(ResolvedConfig.RouteDefinition route, RoutePolicy policy) {
-        if (route.sessionPolicy() != null && policy.repeat() != RoutePolicy.Repeat.RETRIABLE) {
+        if (route.sessionPolicy() != null && policy.retrySafety() != RoutePolicy.RetrySafety.RETRIABLE) {
             context.error(
                     "M-SESSION",
                     route.pointerOf("sessions"),
--- a/src/main/java/gatelock/config/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the text of the schema, as {@code gatelock schema} prints it. */
-    public String text() {
+    public String schemaText() {
         try (InputStream in = SchemaValidator.class.getResourceAsStream(resource)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
@@ -47,7 +47,7 @@
      * Validates a document and adds an error for each violation. The code is {@code S-} and the schema's keyword in
      * capitals.
      */
-    public void check(ConfigDocument document, List<Diagnostic> findings) {
+    public void validate(ConfigDocument document, List<Diagnostic> findings) {
         for (Error error : schema().validate(document.root())) {
             String keyword = error.getKeyword();
             findings.add(Diagnostic.newError(
@@ -67,7 +67,7 @@
 
     private Schema compileSchema() {
         return SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12)
-                .getSchema(text(), InputFormat.JSON);
+                .getSchema(schemaText(), InputFormat.JSON);
     }
 
     /** An unknown property is reported by the library at its object; the finding points at the property itself. */
--- a/src/main/java/gatelock/config/StartupQueue.java
+++ b/src/main/java/gatelock/config/StartupQueue.java
@@ -33,18 +33,18 @@
      *     up, so that its client can try another relay in the other half; a later rejection would cost the client its
      *     deadline.
      */
-    public long come(long nowUs, long deadlineUs, T request, Runnable continuation) {
+    public long add(long nowUs, long deadlineUs, T request, Runnable continuation) {
         continuations.put(request, continuation);
         return Math.max(0, deadlineUs - nowUs) / 2;
     }
 
     /** Removes a request that is given up or whose client left; returns whether it was still waiting. */
-    public boolean leave(T request) {
+    public boolean remove(T request) {
         return continuations.remove(request) != null;
     }
 
     /** Opens the queue for good and continues all waiting requests; returns how many there were. */
-    public int open() {
+    public int openAndDrain() {
         open = true;
         List<Runnable> pending = new ArrayList<>(continuations.values());
         continuations.clear();
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -26,8 +26,8 @@
     private static final int MIN_HISTORY = 2;
 
     /** What to do with an offered version. The names appear in the log and in the status, in lower case. */
-    public enum Meeting {
-        /** Compile it, then report the result with {@link #good} or {@link #bad}. */
+    public enum OfferOutcome {
+        /** Compile it, then report the result with {@link #accept} or {@link #reject}. */
         COMPILE,
         /** It is the latest accepted version: acknowledge it again. */
         HELD,
@@ -54,7 +54,8 @@
      * @param text the version's text, shared and not to be changed
      */
     @SuppressWarnings("ArrayRecordComponent") // Entries are never compared, and texts are too large to copy.
-    public record Past(ConfigVersion stamp, long sinceUs, String why, String by, String note, byte[] text) {}
+    public record HistoryEntry(
+            ConfigVersion version, long sinceUs, String reason, String author, String note, byte[] text) {}
 
     /** Findings of rejected texts by their hash; the least recently used is dropped first. */
     private final Map<String, List<Diagnostic>> rejectedByHash = new LinkedHashMap<>(16, 0.75f, true) {
@@ -66,7 +67,7 @@
         }
     };
 
-    private final Deque<Past> history = new ArrayDeque<>();
+    private final Deque<HistoryEntry> history = new ArrayDeque<>();
     private final int maxHistory;
     private long historyBytes;
     /** The latest version that compiled, active or not: the control service is told this one. */
@@ -75,7 +76,7 @@
     private ConfigVersion active;
     private boolean pinned;
     private long rejections;
-    private final Map<Meeting, Long> offersByOutcome = new EnumMap<>(Meeting.class);
+    private final Map<OfferOutcome, Long> offersByOutcome = new EnumMap<>(OfferOutcome.class);
 
     /**
      * Creates a tracker without any version.
@@ -87,30 +88,30 @@
     }
 
     /** Decides what to do with an offered version, and counts the decision. */
-    public Meeting offered(ConfigVersion version) {
-        Meeting outcome = evaluate(version);
+    public OfferOutcome evaluateOffer(ConfigVersion version) {
+        OfferOutcome outcome = evaluate(version);
         offersByOutcome.merge(outcome, 1L, Long::sum);
         return outcome;
     }
 
-    private Meeting evaluate(ConfigVersion version) {
+    private OfferOutcome evaluate(ConfigVersion version) {
         if (latestAccepted != null) {
             int epochOrder = version.epoch().compareTo(latestAccepted.epoch());
             if (epochOrder < 0) {
-                return Meeting.OLD_EPOCH;
+                return OfferOutcome.OLD_EPOCH;
             }
             if (epochOrder == 0 && version.number() < latestAccepted.number()) {
-                return Meeting.OLDER;
+                return OfferOutcome.OLDER;
             }
             if (epochOrder == 0 && version.number() == latestAccepted.number()) {
-                return version.hash().equals(latestAccepted.hash()) ? Meeting.HELD : Meeting.FORK;
+                return version.hash().equals(latestAccepted.hash()) ? OfferOutcome.HELD : OfferOutcome.FORK;
             }
         }
         if (rejectedByHash.containsKey(version.hash())) {
             rejections++;
-            return Meeting.REFUSED_BEFORE;
+            return OfferOutcome.REFUSED_BEFORE;
         }
-        return pinned ? Meeting.PINNED : Meeting.COMPILE;
+        return pinned ? OfferOutcome.PINNED : OfferOutcome.COMPILE;
     }
 
     /**
@@ -123,19 +124,19 @@
      * @return false, with nothing changed, if a later version was accepted or the operator pinned one while this one
      *     was compiled
      */
-    public boolean good(long nowUs, CompiledConfig config, String reason, byte[] text) {
-        ConfigVersion version = config.stamp();
+    public boolean accept(long nowUs, CompiledConfig config, String reason, byte[] text) {
+        ConfigVersion version = config.version();
         boolean superseded = latestAccepted != null && !version.isAfter(latestAccepted);
         if (superseded || pinned) {
             return false;
         }
         latestAccepted = version;
-        activate(new Past(version, nowUs, reason, config.by(), config.note(), text));
+        activate(new HistoryEntry(version, nowUs, reason, config.author(), config.note(), text));
         return true;
     }
 
-    private void activate(Past entry) {
-        active = entry.stamp();
+    private void activate(HistoryEntry entry) {
+        active = entry.version();
         history.addLast(entry);
         historyBytes += entry.text().length;
         while (history.size() > maxHistory || (history.size() > MIN_HISTORY && historyBytes > MAX_HISTORY_BYTES)) {
@@ -151,7 +152,7 @@
      * @param permanent whether the text is wrong by itself and is remembered as rejected; false where it is only a
      *     danger beside the active version, and may be fine a minute later
      */
-    public void bad(ConfigVersion version, List<Diagnostic> findings, boolean permanent) {
+    public void reject(ConfigVersion version, List<Diagnostic> findings, boolean permanent) {
         rejections++;
         if (permanent) {
             rejectedByHash.put(version.hash(), findings);
@@ -159,17 +160,17 @@
     }
 
     /** Returns why the text with that hash was rejected, or an empty list if it is not remembered as rejected. */
-    public List<Diagnostic> refused(String hash) {
+    public List<Diagnostic> rejectionFindings(String hash) {
         return rejectedByHash.getOrDefault(hash, List.of());
     }
 
     /** Returns the latest version that was accepted, active or not, or null before there was one. */
-    public ConfigVersion held() {
+    public ConfigVersion latestAccepted() {
         return latestAccepted;
     }
 
     /** Returns the active version, or null before there was one. */
-    public ConfigVersion inForce() {
+    public ConfigVersion active() {
         return active;
     }
 
@@ -179,25 +180,25 @@
     }
 
     /** Returns how many offers were rejected, repeated ones included. */
-    public long refusals() {
+    public long rejectionCount() {
         return rejections;
     }
 
     /** Returns how many offers had each outcome; outcomes that never occurred are missing. */
-    public Map<Meeting, Long> met() {
+    public Map<OfferOutcome, Long> offerCounts() {
         return offersByOutcome;
     }
 
     /** Returns the activations that are kept, the earliest first. */
-    public List<Past> history() {
+    public List<HistoryEntry> history() {
         return new ArrayList<>(history);
     }
 
     /** Returns the latest activation of a version with that number, of whatever epoch, or null if none is kept. */
-    public Past past(long number) {
-        Past latest = null;
-        for (Past entry : history) {
-            if (entry.stamp().number() == number) {
+    public HistoryEntry findInHistory(long number) {
+        HistoryEntry latest = null;
+        for (HistoryEntry entry : history) {
+            if (entry.version().number() == number) {
                 latest = entry;
             }
         }
@@ -212,13 +213,13 @@
      * @param entry the activation to go back to
      * @param reason the operator's reason
      */
-    public void pin(long nowUs, Past entry, String reason) {
+    public void pin(long nowUs, HistoryEntry entry, String reason) {
         pinned = true;
-        activate(new Past(entry.stamp(), nowUs, reason, entry.by(), entry.note(), entry.text()));
+        activate(new HistoryEntry(entry.version(), nowUs, reason, entry.author(), entry.note(), entry.text()));
     }
 
     /** Unpins: the control service's versions are applied again, and its latest one is asked for once more. */
-    public void release() {
+    public void unpin() {
         pinned = false;
         if (active != null && latestAccepted != null && !active.equals(latestAccepted)) {
             // Naming the version before it makes the control service send the one that was rolled back from again.
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -60,7 +60,7 @@
     }
 
     /** Has the status show the state of the endpoint list too. */
-    public void showEndpointList(Supplier<DiscoveryClient.State> endpointList) {
+    public void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
         status.showEndpointList(endpointList);
     }
 
@@ -82,7 +82,7 @@
         HttpOpenListener http = new HttpOpenListener(buffers, httpOptions);
         http.setRootHandler(this::handle);
         listener = eventLoop
-                .thread()
+                .ioThread()
                 .getWorker()
                 .createStreamConnectionServer(address, ChannelListeners.openListenerAdapter(http), socketOptions);
         listener.resumeAccepts();
@@ -128,7 +128,7 @@
     }
 
     private void sendVersionText(HttpServerExchange exchange) throws IOException {
-        VersionTracker.Past past = updater.versions().past(versionNumber(exchange));
+        VersionTracker.HistoryEntry past = updater.versions().findInHistory(versionNumber(exchange));
         if (past == null) {
             respondError(exchange, StatusCodes.NOT_FOUND, "no such version is remembered; see /history");
         } else {
@@ -154,7 +154,7 @@
                 respond(exchange, StatusCodes.OK, status());
             }
         } catch (IOException e) {
-            eventLoop.soon(exchange::endExchange);
+            eventLoop.execute(exchange::endExchange);
         }
     }
 
--- a/src/main/java/gatelock/control/ConfigRequest.java
+++ b/src/main/java/gatelock/control/ConfigRequest.java
@@ -49,7 +49,7 @@
                 fields.put(
                         "findings",
                         lastResult.diagnostics().stream()
-                                .map(Diagnostic::fields)
+                                .map(Diagnostic::toJsonFields)
                                 .toList());
             }
         }
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -92,7 +92,7 @@
         services = addresses;
         serviceIndex = 0;
         if (connection != null) {
-            connection.drop();
+            connection.abort();
             connection = null;
             pollIn(0);
         }
@@ -102,12 +102,12 @@
     public void stop() {
         stopped = true;
         if (connection != null) {
-            connection.drop();
+            connection.abort();
         }
         if (nextPoll != null) {
             nextPoll.remove();
         }
-        pool.stop();
+        pool.shutdown();
     }
 
     /** When a control service last answered, or the subscription began, on the event loop's clock. */
@@ -122,7 +122,7 @@
 
     /** How many polls in a row have failed. */
     int failures() {
-        return backoff.failures();
+        return backoff.consecutiveFailures();
     }
 
     private void pollIn(long delayUs) {
@@ -132,7 +132,7 @@
         if (nextPoll != null) {
             nextPoll.remove();
         }
-        nextPoll = eventLoop.in(delayUs, this::poll);
+        nextPoll = eventLoop.schedule(delayUs, this::poll);
     }
 
     private void poll() {
@@ -141,9 +141,10 @@
         }
         nextPoll = null;
         polledUs = eventLoop.nowUs();
-        ConfigRequest request = new ConfigRequest(relay, updater.versions().held(), nonce, lastResult, holdMs);
+        ConfigRequest request =
+                new ConfigRequest(relay, updater.versions().latestAccepted(), nonce, lastResult, holdMs);
         InetSocketAddress service = service();
-        connection = pool.call(service, request.toHttp(), holdMs * US_PER_MS + GRACE_US, new Poll(service));
+        connection = pool.send(service, request.toHttp(), holdMs * US_PER_MS + GRACE_US, new Poll(service));
     }
 
     /** Takes a response; returns whether it reads as one, so that the connection may be used again. */
@@ -177,38 +178,38 @@
         // A service that does not hold its calls is polled with a growing pause, not in a busy loop.
         boolean held = lastHeardUs - polledUs >= holdMs * US_PER_MS / 2;
         if (held) {
-            backoff.succeeded();
+            backoff.reset();
         }
-        pollIn(held ? 0 : backoff.failed());
+        pollIn(held ? 0 : backoff.nextDelayUs());
     }
 
     /** Reports what came of a version: at once where that is news, with a pause where it is not. */
     private void settle(UpdateResult result) {
         lastResult = result;
         if (result.isNew()) {
-            backoff.succeeded();
+            backoff.reset();
             pollIn(0);
         } else {
-            pollIn(backoff.failed());
+            pollIn(backoff.nextDelayUs());
         }
     }
 
     private void fail(String reason) {
-        counters.add("control failed");
-        if (backoff.failures() == 0 || backoff.failures() == LOGGED_AGAIN_AFTER) {
+        counters.increment("control failed");
+        if (backoff.consecutiveFailures() == 0 || backoff.consecutiveFailures() == LOGGED_AGAIN_AFTER) {
             LOG.log(
                     Level.WARNING,
                     "control service {0}: {1}; {2} stays in force",
                     LogField.of("service", service()),
                     LogField.of("reason", reason),
-                    LogField.of("version", updater.versions().inForce()));
+                    LogField.of("version", updater.versions().active()));
         }
         serviceIndex = (serviceIndex + 1) % services.size();
-        pollIn(backoff.failed());
+        pollIn(backoff.nextDelayUs());
     }
 
     /** Receives the response to one poll. */
-    private final class Poll implements OutboundConnection.User {
+    private final class Poll implements OutboundConnection.ResponseHandler {
         private final InetSocketAddress service;
         private String unreadable;
 
@@ -221,12 +222,12 @@
         }
 
         @Override
-        public boolean answered(UpstreamResponse response) {
+        public boolean onResponse(UpstreamResponse response) {
             return current() && handleResponse(response);
         }
 
         @Override
-        public void broken(boolean written) {
+        public void onConnectionLost(boolean written) {
             if (!current()) {
                 return;
             }
@@ -238,17 +239,17 @@
         }
 
         @Override
-        public void unreadable(String why) {
+        public void onMalformedResponse(String why) {
             unreadable = why;
         }
 
         @Override
-        public void tooLong(String why) {
+        public void onResponseTooLong(String why) {
             unreadable = "the version is larger than may be here: " + why;
         }
 
         @Override
-        public void late() {
+        public void onTimeout() {
             if (current()) {
                 fail("no answer in time");
             }
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -86,65 +86,65 @@
      * @param whenSettled receives the result on the I/O thread
      */
     void offer(ConfigVersion version, byte[] text, Consumer<UpdateResult> whenSettled) {
-        VersionTracker.Meeting meeting = versions.offered(version);
+        VersionTracker.OfferOutcome meeting = versions.evaluateOffer(version);
         switch (meeting) {
             case COMPILE -> compileAndApply(version, text, whenSettled);
             case HELD -> whenSettled.accept(UpdateResult.alreadyHeld());
             case REFUSED_BEFORE -> {
-                counters.add("versions refused again");
-                whenSettled.accept(UpdateResult.rejectedBefore(versions.refused(version.hash())));
+                counters.increment("versions refused again");
+                whenSettled.accept(UpdateResult.rejectedBefore(versions.rejectionFindings(version.hash())));
             }
             default -> whenSettled.accept(rejectOutOfOrder(version, meeting));
         }
     }
 
-    private UpdateResult rejectOutOfOrder(ConfigVersion version, VersionTracker.Meeting meeting) {
-        counters.add("versions out of order");
+    private UpdateResult rejectOutOfOrder(ConfigVersion version, VersionTracker.OfferOutcome meeting) {
+        counters.increment("versions out of order");
         String answer = meeting.name().toLowerCase(Locale.ROOT).replace('_', '-');
-        boolean firstOfItsKind = versions.met().get(meeting) == 1;
+        boolean firstOfItsKind = versions.offerCounts().get(meeting) == 1;
         if (firstOfItsKind) {
             LOG.log(
                     Level.WARNING,
                     "version {0} is not applied, {1}: {2} stays in force",
                     LogField.of("version", version),
                     LogField.of("reason", answer),
-                    LogField.of("held", versions.held()));
+                    LogField.of("held", versions.latestAccepted()));
         }
         return UpdateResult.outOfOrder(answer);
     }
 
     private void compileAndApply(ConfigVersion version, byte[] text, Consumer<UpdateResult> whenSettled) {
         long startedUs = eventLoop.nowUs();
-        eventLoop.aside(
+        eventLoop.offload(
                 () -> compiler.compile(version.epoch(), version.number(), text), ConfigCompiler.FAILED, compiled -> {
                     latestCompileUs = eventLoop.nowUs() - startedUs;
                     whenSettled.accept(
-                            compiled.good()
-                                    ? applyIfSafe(compiled.plan(), text, compiled.findings())
+                            compiled.isValid()
+                                    ? applyIfSafe(compiled.config(), text, compiled.findings())
                                     : reject(version, compiled.findings(), true));
                 });
     }
 
     /** Applies a sound version unless going to it from the version in force would be dangerous. */
     private UpdateResult applyIfSafe(CompiledConfig config, byte[] text, List<Diagnostic> diagnostics) {
-        List<Diagnostic> dangers = admission.beside(eventLoop.nowUs(), config);
-        if (dangers.stream().anyMatch(Diagnostic::grave)) {
-            return reject(config.stamp(), dangers, false);
+        List<Diagnostic> dangers = admission.checkAgainstActive(eventLoop.nowUs(), config);
+        if (dangers.stream().anyMatch(Diagnostic::isError)) {
+            return reject(config.version(), dangers, false);
         }
-        if (!versions.good(eventLoop.nowUs(), config, FROM_CONTROL_SERVICE, text)) {
+        if (!versions.accept(eventLoop.nowUs(), config, FROM_CONTROL_SERVICE, text)) {
             return UpdateResult.outOfOrder("older");
         }
         swap(config, FROM_CONTROL_SERVICE);
         if (store != null) {
-            save(config.stamp(), text);
+            save(config.version(), text);
         }
         return UpdateResult.applied(diagnostics);
     }
 
     private void save(ConfigVersion version, byte[] text) {
-        eventLoop.aside(() -> store.save(version, text), Optional.of("it failed"), failure -> {
+        eventLoop.offload(() -> store.save(version, text), Optional.of("it failed"), failure -> {
             if (failure.isPresent()) {
-                counters.add("versions not kept");
+                counters.increment("versions not kept");
                 LOG.log(
                         Level.WARNING,
                         "version {0} is in force and not kept on disk: {1}",
@@ -156,25 +156,25 @@
 
     private void swap(CompiledConfig config, String source) {
         long startedUs = eventLoop.nowUs();
-        admission.follow(startedUs, config);
+        admission.activate(startedUs, config);
         longestSwapUs = Math.max(longestSwapUs, eventLoop.nowUs() - startedUs);
-        counters.add("versions applied");
+        counters.increment("versions applied");
         LOG.log(
                 Level.INFO,
                 "version {0} in force, {1} routes, from {2}, by {3}: {4}",
-                LogField.of("version", config.stamp()),
-                LogField.of("routes", config.routes()),
+                LogField.of("version", config.version()),
+                LogField.of("routes", config.routeCount()),
                 LogField.of("source", source),
-                LogField.of("by", config.by()),
+                LogField.of("by", config.author()),
                 LogField.of("note", config.note()));
     }
 
     /** @param always whether the text is wrong in itself, and not only beside the version in force */
     private UpdateResult reject(ConfigVersion version, List<Diagnostic> diagnostics, boolean always) {
-        versions.bad(version, diagnostics, always);
-        counters.add("versions refused");
+        versions.reject(version, diagnostics, always);
+        counters.increment("versions refused");
         String reason = diagnostics.stream()
-                .filter(Diagnostic::grave)
+                .filter(Diagnostic::isError)
                 .limit(LOGGED_DIAGNOSTICS)
                 .map(Diagnostic::toString)
                 .collect(Collectors.joining(" | "));
@@ -182,7 +182,7 @@
                 Level.WARNING,
                 "version {0} is turned down, {1} stays in force: {2}",
                 LogField.of("version", version),
-                LogField.of("held", versions.inForce()),
+                LogField.of("held", versions.active()),
                 LogField.of("reason", reason));
         return UpdateResult.rejected(diagnostics);
     }
@@ -194,8 +194,8 @@
      */
     public boolean recover(LastKnownGoodStore.StoredVersion stored) {
         ConfigVersion version = stored.version();
-        ConfigCompiler.Compiled compiled = compiler.compile(version.epoch(), version.number(), stored.text());
-        if (!compiled.good()) {
+        ConfigCompiler.Result compiled = compiler.compile(version.epoch(), version.number(), stored.text());
+        if (!compiled.isValid()) {
             LOG.log(
                     Level.WARNING,
                     "version {0} from disk is not sound any more: {1}",
@@ -203,10 +203,10 @@
                     LogField.of("reason", compiled.findings()));
             return false;
         }
-        if (!versions.good(eventLoop.nowUs(), compiled.plan(), FROM_DISK, stored.text())) {
+        if (!versions.accept(eventLoop.nowUs(), compiled.config(), FROM_DISK, stored.text())) {
             return false;
         }
-        swap(compiled.plan(), FROM_DISK);
+        swap(compiled.config(), FROM_DISK);
         return true;
     }
 
@@ -217,32 +217,32 @@
      * @param whenSettled receives on the I/O thread why the rollback failed, or nothing where it succeeded
      */
     void rollBack(long number, String reason, Consumer<Optional<String>> whenSettled) {
-        VersionTracker.Past past = versions.past(number);
+        VersionTracker.HistoryEntry past = versions.findInHistory(number);
         if (past == null) {
             whenSettled.accept(Optional.of("no version " + number + " is remembered; see history"));
             return;
         }
-        eventLoop.aside(
-                () -> compiler.compile(past.stamp().epoch(), number, past.text()),
+        eventLoop.offload(
+                () -> compiler.compile(past.version().epoch(), number, past.text()),
                 ConfigCompiler.FAILED,
                 compiled -> whenSettled.accept(pin(past, compiled, "operator: " + reason)));
     }
 
-    private Optional<String> pin(VersionTracker.Past past, ConfigCompiler.Compiled compiled, String source) {
-        if (!compiled.good()) {
-            return Optional.of("version " + past.stamp().number() + " is not sound any more: " + compiled.findings());
+    private Optional<String> pin(VersionTracker.HistoryEntry past, ConfigCompiler.Result compiled, String source) {
+        if (!compiled.isValid()) {
+            return Optional.of("version " + past.version().number() + " is not sound any more: " + compiled.findings());
         }
         versions.pin(eventLoop.nowUs(), past, source);
-        swap(compiled.plan(), source);
+        swap(compiled.config(), source);
         return Optional.empty();
     }
 
     /** Ends a rollback: versions of the control service are applied again. */
     void releasePin() {
-        versions.release();
+        versions.unpin();
         LOG.log(
                 Level.INFO,
                 "the control service leads again; {0} is in force",
-                LogField.of("version", versions.inForce()));
+                LogField.of("version", versions.active()));
     }
 }
--- a/src/main/java/gatelock/control/LastKnownGoodStore.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -104,7 +104,7 @@
         String header = String.join(
                 " ",
                 FORMAT,
-                String.valueOf(version.epoch().born()),
+                String.valueOf(version.epoch().startedAtMs()),
                 version.epoch().id(),
                 String.valueOf(version.number()),
                 String.valueOf(textBytes),
--- a/src/main/java/gatelock/control/RelayStatus.java
+++ b/src/main/java/gatelock/control/RelayStatus.java
@@ -18,7 +18,7 @@
     private final Counters counters;
     private final ConfigUpdater updater;
     private final Supplier<ConfigSubscription> subscription;
-    private Supplier<DiscoveryClient.State> endpointList;
+    private Supplier<DiscoveryClient.ListStatus> endpointList;
 
     RelayStatus(Counters counters, ConfigUpdater updater, Supplier<ConfigSubscription> subscription) {
         this.counters = counters;
@@ -27,7 +27,7 @@
     }
 
     /** Has the status show the state of the endpoint list too. */
-    void showEndpointList(Supplier<DiscoveryClient.State> endpointList) {
+    void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
         this.endpointList = endpointList;
     }
 
@@ -51,17 +51,17 @@
 
     private void putVersions(Map<String, Object> status, long nowUs) {
         VersionTracker versions = updater.versions();
-        List<VersionTracker.Past> past = versions.history();
-        CompiledConfig config = updater.admission().plan();
-        status.put("inForce", textOrNull(versions.inForce()));
-        status.put("held", textOrNull(versions.held()));
+        List<VersionTracker.HistoryEntry> past = versions.history();
+        CompiledConfig config = updater.admission().activeConfig();
+        status.put("inForce", textOrNull(versions.active()));
+        status.put("held", textOrNull(versions.latestAccepted()));
         status.put(
                 "inForceForS",
                 past.isEmpty() ? null : (nowUs - past.get(past.size() - 1).sinceUs()) / US_PER_S);
         status.put("pinned", versions.pinned());
-        status.put("routes", config == null ? 0 : config.routes());
-        status.put("refusals", versions.refusals());
-        status.put("met", versions.met());
+        status.put("routes", config == null ? 0 : config.routeCount());
+        status.put("refusals", versions.rejectionCount());
+        status.put("met", versions.offerCounts());
         status.put("longestSwapUs", updater.longestSwapUs());
         status.put("latestCompileUs", updater.latestCompileUs());
     }
@@ -70,31 +70,31 @@
         return value == null ? null : value.toString();
     }
 
-    private static Map<String, Object> endpointList(long nowUs, DiscoveryClient.State list) {
+    private static Map<String, Object> endpointList(long nowUs, DiscoveryClient.ListStatus list) {
         boolean changedOnce = list.changedUs() >= 0;
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("units", list.listed());
-        fields.put("byScope", list.scoped());
+        fields.put("byScope", list.usesSubset());
         fields.put("inScope", list.inScope());
         fields.put("services", list.services());
         fields.put("index", list.index());
         fields.put("lastChangeMs", changedOnce ? list.changedUs() / US_PER_MS : null);
         fields.put("unchangedForS", changedOnce ? (nowUs - list.changedUs()) / US_PER_S : null);
-        fields.put("tooLong", list.tooLong());
+        fields.put("tooLong", list.tooLongLists());
         return fields;
     }
 
     /** Which versions were in force, since when, from what source, whose they are and why they were made. */
     Map<String, Object> history() {
         List<Map<String, Object>> history = new ArrayList<>();
-        for (VersionTracker.Past past : updater.versions().history()) {
+        for (VersionTracker.HistoryEntry past : updater.versions().history()) {
             Map<String, Object> fields = new LinkedHashMap<>();
-            fields.put("version", past.stamp().toString());
-            fields.put("number", past.stamp().number());
-            fields.put("hash", past.stamp().hash());
+            fields.put("version", past.version().toString());
+            fields.put("number", past.version().number());
+            fields.put("hash", past.version().hash());
             fields.put("sinceMs", past.sinceUs() / US_PER_MS);
-            fields.put("from", past.why());
-            fields.put("by", past.by());
+            fields.put("from", past.reason());
+            fields.put("by", past.author());
             fields.put("note", past.note());
             history.add(fields);
         }
--- a/src/main/java/gatelock/decision/AdmissionControl.java
+++ b/src/main/java/gatelock/decision/AdmissionControl.java
@@ -36,7 +36,7 @@
         this.registry = registry;
         this.tenantRequests = DecayingSum.arrayOf(context.settings().tenants().size(), Throughput.RATE_MEMORY_US);
         this.topValue = context.settings().routes().stream()
-                .mapToDouble(RoutePolicy::value)
+                .mapToDouble(RoutePolicy::priorityWeight)
                 .max()
                 .orElse(1);
         this.routeInFlight = new int[context.settings().routes().size()];
@@ -78,9 +78,9 @@
 
     /** How much of a capacity this request may use, by its value relative to the most valuable route's. */
     double capacityShare(RequestState request) {
-        double value = topValue > 0 ? request.policy().value() / topValue : 1;
+        double value = topValue > 0 ? request.policy().priorityWeight() / topValue : 1;
         if (isOverQuota(request.tenant())) {
-            value *= context.settings().overShareValue();
+            value *= context.settings().overQuotaFactor();
         }
         return MIN_SHARE + (1 - MIN_SHARE) * value;
     }
@@ -93,7 +93,7 @@
         double perS =
                 tenantRequests[tenant].count(context.nowUs()) * DecisionClock.SECOND_US / Throughput.RATE_MEMORY_US;
         double quotaPerS = context.settings().tenants().get(tenant).quotaPerS();
-        return perS * context.settings().relays() > quotaPerS * QUOTA_TOLERANCE;
+        return perS * context.settings().relayCount() > quotaPerS * QUOTA_TOLERANCE;
     }
 
     /** What may be in flight over all endpoints: measured rate times time, and this relay's share of a floor. */
@@ -102,8 +102,8 @@
         double objectiveShare = context.latency().bestShareOfObjective();
         double quick = Math.max(1, Math.min(QUICK_FACTOR, QUICK_SHARE / objectiveShare));
         double backlog = perUs * context.clock().recentStallUs();
-        double inTime = perUs * route.objectiveUs() * EndpointCapacity.OBJECTIVE_SHARE;
-        double floor = FLOOR_PER_PLACE * registry.places() / context.settings().relays();
+        double inTime = perUs * route.latencyObjectiveUs() * EndpointCapacity.OBJECTIVE_SHARE;
+        double floor = FLOOR_PER_PLACE * registry.places() / context.settings().relayCount();
         return quick * (floor + inTime) + backlog;
     }
 }
--- a/src/main/java/gatelock/decision/AttemptResultRecorder.java
+++ b/src/main/java/gatelock/decision/AttemptResultRecorder.java
@@ -34,8 +34,8 @@
             recordFailure(attempt);
         }
         recordRouteSlowness(attempt, timePerWork);
-        if (!Double.isNaN(load.waiting())) {
-            attempt.endpoint().recordReportedQueue(load.waiting());
+        if (!Double.isNaN(load.queuedRequests())) {
+            attempt.endpoint().recordReportedQueue(load.queuedRequests());
         }
         if (isEvidence(result)) {
             recordOutcome(attempt, tookUs, slowness);
@@ -83,7 +83,7 @@
         }
         context.latency().recordCost(request.route(), request.hasAnnouncedCost() ? request.costUs() : tookUs);
         int build = endpoint.build().number();
-        boolean oneWay = context.settings().rollout().oneWay();
+        boolean oneWay = context.settings().rollout().forwardOnly();
         if (build >= context.rollout().newestBuild() && oneWay && request.hasKey()) {
             stickyBuilds.recordAnswer(request.key(), build);
         }
@@ -95,7 +95,7 @@
             endpoint.build().slowness().add(context.nowUs(), slowness);
         }
         if (!endpoint.isCanary()) {
-            context.latency().recordSlowness(endpoint.entry().kind(), slowness);
+            context.latency().recordSlowness(endpoint.entry().instanceType(), slowness);
         }
     }
 
@@ -132,11 +132,11 @@
     private void recordOutcome(Attempt attempt, long tookUs, double slowness) {
         EndpointState endpoint = attempt.endpoint();
         AttemptResult result = attempt.result();
-        int otherRelays = context.settings().relays() - 1;
+        int otherRelays = context.settings().relayCount() - 1;
         double ofOthers = otherRelays * endpoint.meanQueueLength();
         double own = (attempt.queueLength() + endpoint.attemptsInFlight().size()) / 2.0;
         boolean failed = result != AttemptResult.COMPLETED && !isUnanswered(result);
-        boolean late = tookUs > attempt.request().policy().objectiveUs();
+        boolean late = tookUs > attempt.request().policy().latencyObjectiveUs();
         endpoint.build().recordOutcome(endpoint, failed, late, slowness, own + ofOthers);
     }
 }
--- a/src/main/java/gatelock/decision/BarComparison.java
+++ b/src/main/java/gatelock/decision/BarComparison.java
@@ -128,6 +128,6 @@
 
     /** The age from which an endpoint's latency counts. */
     long warmUpUs() {
-        return Math.max(WARM_UP_US, context.settings().warmWithinUs());
+        return Math.max(WARM_UP_US, context.settings().slowStartUs());
     }
 }
--- a/src/main/java/gatelock/decision/BuildState.java
+++ b/src/main/java/gatelock/decision/BuildState.java
@@ -29,8 +29,8 @@
         int routes = context.settings().routes().size();
         this.ownOutcomes = new OutcomeHistory(KEPT_SLICES, KEPT_OUTCOMES, context.random());
         this.sampledOutcomes = new OutcomeHistory(KEPT_SLICES * routes, 0, context.random());
-        int slots = context.settings().rollout().perRoute() ? routes : 1;
-        this.exposure = new ExposureBudget(slots, context.settings().rollout().free());
+        int slots = context.settings().rollout().capPerRoute() ? routes : 1;
+        this.exposure = new ExposureBudget(slots, context.settings().rollout().freeAttempts());
     }
 
     int number() {
@@ -90,17 +90,17 @@
     /** Adds an outcome of this relay's own to the present slice. */
     void recordOutcome(EndpointState endpoint, boolean failed, boolean late, double slowness, double load) {
         long nowUs = context.nowUs();
-        long startUs = endpoint.entry().startUs();
+        long startUs = endpoint.entry().startedAtUs();
         long ageUs = startUs > 0 ? nowUs - startUs : Long.MAX_VALUE;
         ownOutcomes.add(
                 nowUs / SLICE_US,
-                new AttemptOutcome(endpoint, endpoint.entry().kind(), failed, late, slowness, load, ageUs));
+                new AttemptOutcome(endpoint, endpoint.entry().instanceType(), failed, late, slowness, load, ageUs));
     }
 
     /** The latest start of its ready endpoints, 0 where there are none. */
     long latestStartUs() {
         return readyEndpoints.stream()
-                .mapToLong(endpoint -> endpoint.entry().startUs())
+                .mapToLong(endpoint -> endpoint.entry().startedAtUs())
                 .max()
                 .orElse(0);
     }
@@ -108,7 +108,7 @@
     /** The median age of its ready endpoints at a time, 0 where there are none. */
     long medianAgeUs(long atUs) {
         return readyEndpoints.stream()
-                .map(endpoint -> atUs - endpoint.entry().startUs())
+                .map(endpoint -> atUs - endpoint.entry().startedAtUs())
                 .sorted()
                 .skip(readyEndpoints.size() / 2)
                 .findFirst()
--- a/src/main/java/gatelock/decision/CanaryAnalysis.java
+++ b/src/main/java/gatelock/decision/CanaryAnalysis.java
@@ -39,8 +39,8 @@
         this.bars = new BarComparison(context);
         double logErrorLevel = Bootstrap.logErrorLevel(
                 FALSE_ROLLBACK_SHARE,
-                context.settings().relays(),
-                Math.max(1, context.settings().rollout().backVotes()));
+                context.settings().relayCount(),
+                Math.max(1, context.settings().rollout().rollbackVotes()));
         this.widening = Math.max(1, Bootstrap.normalQuantile(logErrorLevel) / ORDINARY_QUANTILE);
         this.endpointCounts = new EndpointCountAnalysis(bars, logErrorLevel);
     }
@@ -141,13 +141,13 @@
     private static boolean areOldest(List<Object> endpoints, BuildState build) {
         long latestStartUs = build.readyEndpoints().stream()
                 .filter(endpoints::contains)
-                .mapToLong(endpoint -> endpoint.entry().startUs())
+                .mapToLong(endpoint -> endpoint.entry().startedAtUs())
                 .max()
                 .orElse(0);
         long asOldUs = latestStartUs + SAME_AGE_US;
         return build.readyEndpoints().stream()
                 .filter(endpoint -> !endpoints.contains(endpoint))
-                .noneMatch(endpoint -> endpoint.entry().startUs() <= asOldUs);
+                .noneMatch(endpoint -> endpoint.entry().startedAtUs() <= asOldUs);
     }
 
     /**
--- a/src/main/java/gatelock/decision/DecisionContext.java
+++ b/src/main/java/gatelock/decision/DecisionContext.java
@@ -42,6 +42,6 @@
 
     /** Whether the relays are so many that each sees only a small sample of the requests. */
     boolean manyRelays() {
-        return settings.relays() > FEW_RELAYS;
+        return settings.relayCount() > FEW_RELAYS;
     }
 }
--- a/src/main/java/gatelock/decision/EndpointCapacity.java
+++ b/src/main/java/gatelock/decision/EndpointCapacity.java
@@ -26,12 +26,12 @@
 
     private double limit(EndpointState endpoint, RequestState request, double share) {
         double perUs = endpoint.answersPerUs();
-        double limit = (FLOOR + perUs * request.policy().objectiveUs() * OBJECTIVE_SHARE) * share;
+        double limit = (FLOOR + perUs * request.policy().latencyObjectiveUs() * OBJECTIVE_SHARE) * share;
         if (!endpoint.isCanary()) {
             return limit;
         }
         LatencyEstimates latency = context.latency();
-        double slowness = latency.slownessOfKind(endpoint.entry().kind());
+        double slowness = latency.slownessOfKind(endpoint.entry().instanceType());
         return Math.min(limit, 1 + perUs * CANARY_WAIT * slowness * latency.meanCostUs());
     }
 }
--- a/src/main/java/gatelock/decision/EndpointRegistry.java
+++ b/src/main/java/gatelock/decision/EndpointRegistry.java
@@ -1,6 +1,6 @@
 package gatelock.decision;
 
-import gatelock.api.DecisionEngine.ListForm;
+import gatelock.api.DecisionEngine.EndpointUpdateType;
 import gatelock.api.Endpoint;
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -20,12 +20,12 @@
     }
 
     /** Takes over a list, or a part of it; whatever a whole list lacks has left. */
-    void update(ListForm form, List<Endpoint> entries) {
-        if (form != ListForm.DELTA) {
+    void update(EndpointUpdateType form, List<Endpoint> entries) {
+        if (form != EndpointUpdateType.DELTA) {
             endpoints.values().forEach(endpoint -> endpoint.setHealth(Endpoint.Health.GONE));
         }
         for (Endpoint entry : entries) {
-            EndpointState known = endpoints.get(entry.endpoint());
+            EndpointState known = endpoints.get(entry.name());
             // A restarted or re-used id is a new endpoint: nothing of its past holds.
             EndpointState endpoint = known != null && known.isProcessOf(entry) ? known : addEndpoint(entry);
             endpoint.setHealth(entry.health());
@@ -42,8 +42,8 @@
             builds.put(entry.build(), build);
         }
         EndpointState endpoint = new EndpointState(entry, build, context);
-        endpoints.put(entry.endpoint(), endpoint);
-        context.rollout().endpointListed(entry.build(), entry.startUs(), context.nowUs());
+        endpoints.put(entry.name(), endpoint);
+        context.rollout().endpointListed(entry.build(), entry.startedAtUs(), context.nowUs());
         return endpoint;
     }
 
--- a/src/main/java/gatelock/decision/EndpointSelector.java
+++ b/src/main/java/gatelock/decision/EndpointSelector.java
@@ -89,7 +89,7 @@
         boolean probes = request.isRetriable()
                 && request.isFirstAttempt()
                 && context.random().nextDouble() < PROBE_SHARE;
-        return request.constraints().reaches(endpoint.id())
+        return request.constraints().allowsEndpoint(endpoint.id())
                 && capacity.hasCapacity(endpoint, request, share)
                 && request.mayBeSentTo(endpoint, request.attempts().size())
                 && !request.wasTriedAt(endpoint)
@@ -108,7 +108,7 @@
         if (scarce) {
             return endpoint.hasOpenConnection();
         }
-        return context.settings().openingPrice() == 0
+        return context.settings().connectionCost() == 0
                 || endpoint.isCanary()
                 || endpoint.hasIdleConnection()
                 || lookedAt >= IDLE_CONNECTION_CHOICES;
@@ -122,7 +122,7 @@
         boolean isFree = endpoint.hasIdleConnection() || endpoint.isCanary();
         double opening = isFree
                 ? 0
-                : context.settings().openingPrice() * request.policy().objectiveUs() / request.costUs();
+                : context.settings().connectionCost() * request.policy().latencyObjectiveUs() / request.costUs();
         double requests = endpoint.attemptsInFlight().size() + 1 + endpoint.reportedQueue();
         return endpoint.expectedSlowness() * requests + opening;
     }
--- a/src/main/java/gatelock/decision/EndpointState.java
+++ b/src/main/java/gatelock/decision/EndpointState.java
@@ -38,7 +38,7 @@
         double debtUs = context.random().nextDouble() * context.latency().meanCostUs();
         this.workBudget = new WorkBudget(-debtUs, context.nowUs());
         double memoryUs = LatencyEstimates.SLOWNESS_MEMORY_US
-                * Math.min(LONGEST_MEMORY, Math.max(1, context.settings().relays() / DecisionContext.FEW_RELAYS));
+                * Math.min(LONGEST_MEMORY, Math.max(1, context.settings().relayCount() / DecisionContext.FEW_RELAYS));
         this.slowness = new DecayingSum(memoryUs);
         this.failures = new DecayingSum(memoryUs);
     }
@@ -49,7 +49,7 @@
     }
 
     String id() {
-        return entry.endpoint();
+        return entry.name();
     }
 
     BuildState build() {
@@ -62,7 +62,7 @@
 
     /** Whether a list entry is about this very process, and not one that was restarted or uses the id again. */
     boolean isProcessOf(Endpoint listed) {
-        return entry.startUs() == listed.startUs() && build.number() == listed.build();
+        return entry.startedAtUs() == listed.startedAtUs() && build.number() == listed.build();
     }
 
     void setHealth(Endpoint.Health listedHealth) {
@@ -92,17 +92,17 @@
         queueLengths.add(nowUs, attemptsInFlight.size());
         build.queueLengths().add(nowUs, attemptsInFlight.size());
         attemptsInFlight.add(attempt);
-        idleConnections.acquire(nowUs, context.settings().keptUs());
+        idleConnections.acquire(nowUs, context.settings().idleConnectionUs());
         // A slow build's requests cost more.
         double relativeSlowness =
-                build.slowness().mean(nowUs, 0) / context.latency().slownessOfKind(entry.kind());
+                build.slowness().mean(nowUs, 0) / context.latency().slownessOfKind(entry.instanceType());
         workBudget.spend(attempt.request().costUs() * Math.max(1, relativeSlowness));
     }
 
     void attemptEnded(Attempt attempt, boolean connectionStaysOpen) {
         attemptsInFlight.remove(attempt);
         if (connectionStaysOpen) {
-            idleConnections.release(context.nowUs(), context.settings().keptUs());
+            idleConnections.release(context.nowUs(), context.settings().idleConnectionUs());
         }
     }
 
@@ -155,12 +155,12 @@
 
     /** Its mean slowness, or that of its kind where that is higher. */
     double cautiousSlowness() {
-        return Math.max(slowness.mean(context.nowUs(), 0), context.latency().slownessOfKind(entry.kind()));
+        return Math.max(slowness.mean(context.nowUs(), 0), context.latency().slownessOfKind(entry.instanceType()));
     }
 
     /** Its mean slowness, shrunk towards that of its kind. */
     double expectedSlowness() {
-        return slowness.shrunkMean(context.nowUs(), context.latency().slownessOfKind(entry.kind()), 1);
+        return slowness.shrunkMean(context.nowUs(), context.latency().slownessOfKind(entry.instanceType()), 1);
     }
 
     /** Whether a connection to it surely stands: it is in use, or was an instant ago. */
@@ -170,12 +170,12 @@
 
     /** Whether a connection to it surely stands that no request uses. */
     boolean hasIdleConnection() {
-        return idleConnections.hasIdle(context.nowUs(), context.settings().keptUs());
+        return idleConnections.hasIdle(context.nowUs(), context.settings().idleConnectionUs());
     }
 
     /** Whether it started less than the time ago within which endpoints surely become warm. */
     boolean isWarmingUp() {
-        return entry.startUs() > 0
-                && context.nowUs() - entry.startUs() < context.settings().warmWithinUs();
+        return entry.startedAtUs() > 0
+                && context.nowUs() - entry.startedAtUs() < context.settings().slowStartUs();
     }
 }
--- a/src/main/java/gatelock/decision/LatencyEstimates.java
+++ b/src/main/java/gatelock/decision/LatencyEstimates.java
@@ -60,7 +60,7 @@
 
     /** The work of a request of this route that announced none. */
     long costUs(int route) {
-        double fallbackUs = routes.get(route).objectiveUs() / DEFAULT_COST_PART;
+        double fallbackUs = routes.get(route).latencyObjectiveUs() / DEFAULT_COST_PART;
         return Math.max(1, (long) routeCosts[route].mean(clock.nowUs(), fallbackUs));
     }
 
@@ -96,14 +96,14 @@
      * Could harm where a route's requests are still of worth when late.
      */
     boolean isLateEverywhere(int route) {
-        return expectedLatencyUs(route) > routes.get(route).objectiveUs() && routeFactor(route) > 1;
+        return expectedLatencyUs(route) > routes.get(route).latencyObjectiveUs() && routeFactor(route) > 1;
     }
 
     /** The expected latency of the route that is best off, as a share of its objective. */
     double bestShareOfObjective() {
         double best = Double.POSITIVE_INFINITY;
         for (int route = 0; route < routeSlowness.length; route++) {
-            best = Math.min(best, expectedLatencyUs(route) / routes.get(route).objectiveUs());
+            best = Math.min(best, expectedLatencyUs(route) / routes.get(route).latencyObjectiveUs());
         }
         return best;
     }
--- a/src/main/java/gatelock/decision/ListSubscription.java
+++ b/src/main/java/gatelock/decision/ListSubscription.java
@@ -19,13 +19,13 @@
     }
 
     void subscribe() {
-        actions.followList();
+        actions.subscribeToEndpoints();
     }
 
     void onFailure() {
         if (!timerSet) {
             timerSet = true;
-            actions.timer(backoffUs, timerToken);
+            actions.scheduleTimer(backoffUs, timerToken);
             backoffUs = Math.min(MAX_BACKOFF_US, backoffUs * 2);
         }
     }
@@ -36,6 +36,6 @@
 
     void onTimer() {
         timerSet = false;
-        actions.followList();
+        actions.subscribeToEndpoints();
     }
 }
--- a/src/main/java/gatelock/decision/OutlierDetector.java
+++ b/src/main/java/gatelock/decision/OutlierDetector.java
@@ -110,14 +110,14 @@
         recordInZone(endpoint.entry().zone(), true);
         if (mayMoveElsewhere(request)) {
             attempt.markCancelled();
-            context.actions().cancel(request.id(), attempt.number());
+            context.actions().cancelAttempt(request.id(), attempt.number());
         }
     }
 
     private boolean mayMoveElsewhere(RequestState request) {
         return !request.isConcluded()
                 && !request.isNonRetriable()
-                && context.settings().mayCancel()
+                && context.settings().cancellationSupported()
                 && mayEject
                 && retryBudget.covers(1);
     }
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -58,14 +58,14 @@
     public void start(long nowUs) {
         context.clock().advanceTo(nowUs);
         context.clock().markStart();
-        context.actions().timer(TICK_US, TICK_TOKEN);
-        if (context.settings().mustAskForList()) {
+        context.actions().scheduleTimer(TICK_US, TICK_TOKEN);
+        if (context.settings().mustSubscribeToEndpoints()) {
             listSubscription.subscribe();
         }
     }
 
     @Override
-    public RequestHandle take(
+    public RequestHandle acceptRequest(
             long nowUs,
             String id,
             int route,
@@ -80,27 +80,27 @@
 
     /** Rules 3 and 5 for a message, whose endpoint is given: nothing to a draining endpoint, to the canary within its cap. */
     @Override
-    public Passing message(long nowUs, String endpointId, int route, boolean first) {
+    public MessageAdmission admitMessage(long nowUs, String endpointId, int route, boolean first) {
         context.clock().advanceTo(nowUs);
         if (first) {
             registry.builds().forEach(build -> build.earnExposure(route));
         }
         EndpointState endpoint = registry.endpoint(endpointId);
         if (endpoint == null || !registry.mayReceive(endpoint)) {
-            return Passing.NEVER;
+            return MessageAdmission.NEVER;
         }
         BuildState build = endpoint.build();
         if (build.isCanary() && !build.exposure().allows(route)) {
-            return Passing.LATER;
+            return MessageAdmission.LATER;
         }
         build.spendExposure(route);
-        return Passing.NOW;
+        return MessageAdmission.NOW;
     }
 
     @Override
-    public void listed(long nowUs, ListForm form, List<Endpoint> entries) {
+    public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> entries) {
         context.clock().advanceTo(nowUs);
-        if (form == ListForm.FAILED) {
+        if (form == EndpointUpdateType.FAILED) {
             listSubscription.onFailure();
             return;
         }
@@ -110,7 +110,8 @@
     }
 
     @Override
-    public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer) {
+    public void releaseStateUpdated(
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
         context.clock().advanceTo(nowUs);
         RolloutState rollout = context.rollout();
         long sinceUs = nowUs - agoUs;
@@ -129,17 +130,18 @@
     }
 
     @Override
-    public void complaint(long nowUs, String endpointId, int route, long agoUs) {
+    public void complaintReceived(long nowUs, String endpointId, int route, long agoUs) {
         context.clock().advanceTo(nowUs);
         EndpointState endpoint = registry.endpoint(endpointId);
-        if (endpoint != null && nowUs - agoUs >= endpoint.entry().startUs()) {
+        if (endpoint != null && nowUs - agoUs >= endpoint.entry().startedAtUs()) {
             // A wrong answer is an error of the build; it looked like any other when it came.
             endpoint.build().recordOutcome(endpoint, true, false, 0, 0);
         }
     }
 
     @Override
-    public void counted(long nowUs, int buildNumber, int route, int count, int failed, long meanUs, long agoUs) {
+    public void fleetSampleReceived(
+            long nowUs, int buildNumber, int route, int count, int failed, long meanUs, long agoUs) {
         context.clock().advanceTo(nowUs);
         BuildState build = registry.build(buildNumber);
         boolean isKnownRoute = route >= 0 && route < context.settings().routes().size();
@@ -168,13 +170,13 @@
     }
 
     @Override
-    public void due(long nowUs, long token) {
+    public void timerFired(long nowUs, long token) {
         context.clock().advanceTo(nowUs);
         if (router.onTimer(token)) {
             return;
         }
         if (token == TICK_TOKEN) {
-            context.actions().timer(TICK_US, TICK_TOKEN);
+            context.actions().scheduleTimer(TICK_US, TICK_TOKEN);
             outliers.check();
             votePolicy.review();
         } else if (token == LIST_TOKEN) {
--- a/src/main/java/gatelock/decision/RequestRouter.java
+++ b/src/main/java/gatelock/decision/RequestRouter.java
@@ -55,7 +55,7 @@
         admission.requestArrived(arrival.tenant());
         context.throughput().requestArrived(costUs);
         openRequests.put(request.token(), request);
-        context.actions().timer(leftUs, request.token());
+        context.actions().scheduleTimer(leftUs, request.token());
         sendAttempt(request);
         return request;
     }
@@ -84,7 +84,7 @@
         admission.attemptSent(attempt);
         endpoint.attemptSent(attempt);
         context.actions()
-                .send(request.id(), endpoint.id(), request.constraints().attemptUs());
+                .sendAttempt(request.id(), endpoint.id(), request.constraints().attemptTimeoutUs());
     }
 
     /**
@@ -136,13 +136,12 @@
     /** The request's own constraints are asked last, as their consent counts as the retry. */
     private boolean mayRetry(RequestState request, AttemptResult last, double price) {
         RelaySettings settings = context.settings();
-        int maxAttempts =
-                Math.min(settings.attemptLimit(), request.constraints().mostAttempts());
+        int maxAttempts = Math.min(settings.maxAttempts(), request.constraints().maxAttempts());
         return !request.isPastDeadline()
                 && (request.neverRan() || !request.isNonRetriable())
                 && retryBudget.covers(price)
                 && request.attempts().size() < maxAttempts
-                && request.constraints().goesOn(context.nowUs(), last);
+                && request.constraints().acquireRetry(context.nowUs(), last);
     }
 
     /** The final answer without an endpoint: rejected where a repeat is harmless, else an error. */
@@ -150,15 +149,15 @@
         boolean isHarmless = !request.isPastDeadline() && request.isHarmlessToRepeat();
         conclude(request);
         if (isHarmless) {
-            context.actions().shed(request.id(), rejectPauseUs());
+            context.actions().shedRequest(request.id(), rejectPauseUs());
         } else {
-            context.actions().error(request.id());
+            context.actions().failRequest(request.id());
         }
     }
 
     private long rejectPauseUs() {
         RelaySettings settings = context.settings();
-        return settings.pausesHeard() ? Math.min(settings.longestPauseUs(), REJECT_PAUSE_US) : 0;
+        return settings.retryAfterHonored() ? Math.min(settings.maxRetryAfterUs(), REJECT_PAUSE_US) : 0;
     }
 
     /** Nobody waits for an answer to this request any more. */
--- a/src/main/java/gatelock/decision/RequestState.java
+++ b/src/main/java/gatelock/decision/RequestState.java
@@ -103,16 +103,16 @@
     }
 
     boolean isRetriable() {
-        return policy.repeat() == RoutePolicy.Repeat.RETRIABLE;
+        return policy.retrySafety() == RoutePolicy.RetrySafety.RETRIABLE;
     }
 
     boolean isNonRetriable() {
-        return policy.repeat() == RoutePolicy.Repeat.NON_RETRIABLE;
+        return policy.retrySafety() == RoutePolicy.RetrySafety.NON_RETRIABLE;
     }
 
     /** Whether endpoints drop a repeat of it, some of them or all. */
     private boolean isDeduplicated() {
-        return policy.repeat() == RoutePolicy.Repeat.DEDUPED;
+        return policy.retrySafety() == RoutePolicy.RetrySafety.DEDUPED;
     }
 
     boolean isPastDeadline() {
@@ -148,7 +148,7 @@
 
     /** Whether it is harmless if the client sends it again, to any endpoint. */
     boolean isHarmlessToRepeat() {
-        return neverRan() || isRetriable() || (isDeduplicated() && policy.group() == RoutePolicy.Group.ALL);
+        return neverRan() || isRetriable() || (isDeduplicated() && policy.dedupScope() == RoutePolicy.DedupScope.ALL);
     }
 
     boolean wasTriedAt(EndpointState endpoint) {
@@ -166,12 +166,12 @@
     /** Whether the endpoint surely drops a repeat of this attempt; a fifth of its memory's time is left as a margin. */
     private boolean isRepeatDropped(Attempt earlier, EndpointState endpoint) {
         return isDeduplicated()
-                && clock.nowUs() - earlier.sentUs() < policy.rememberUs() * 8 / 10
+                && clock.nowUs() - earlier.sentUs() < policy.dedupWindowUs() * 8 / 10
                 && sharesMemory(earlier.endpoint(), endpoint);
     }
 
     private boolean sharesMemory(EndpointState one, EndpointState other) {
-        return switch (policy.group()) {
+        return switch (policy.dedupScope()) {
             case ALL -> true;
             case ZONE -> one.entry().zone() == other.entry().zone();
             case CELL -> one.entry().cell() == other.entry().cell();
@@ -179,7 +179,8 @@
     }
 
     @Override
-    public void ended(long nowUs, int attemptNo, AttemptResult result, long tookUs, boolean over, LoadReport load) {
+    public void attemptEnded(
+            long nowUs, int attemptNo, AttemptResult result, long tookUs, boolean over, LoadReport load) {
         clock.advanceTo(nowUs);
         Attempt attempt = attempts.get(attemptNo);
         attempt.end(result);
@@ -187,19 +188,19 @@
     }
 
     @Override
-    public boolean mayGo(long nowUs, int attemptNo) {
+    public boolean mayStart(long nowUs, int attemptNo) {
         clock.advanceTo(nowUs);
         return router.maySend(attempts.get(attemptNo));
     }
 
     @Override
-    public void concluded(long nowUs) {
+    public void responseNoLongerOwed(long nowUs) {
         clock.advanceTo(nowUs);
         router.conclude(this);
     }
 
     @Override
-    public boolean settled() {
+    public boolean isSettled() {
         return concluded && inFlight == 0;
     }
 }
--- a/src/main/java/gatelock/decision/RolloutState.java
+++ b/src/main/java/gatelock/decision/RolloutState.java
@@ -1,6 +1,6 @@
 package gatelock.decision;
 
-import gatelock.api.DecisionEngine.Phase;
+import gatelock.api.DecisionEngine.ReleasePhase;
 import gatelock.api.RolloutPolicy;
 import java.util.HashSet;
 import java.util.Set;
@@ -11,7 +11,7 @@
     private final Set<Integer> withdrawnBuilds = new HashSet<>();
     private int newestBuild = -1;
     private int stage;
-    private Phase phase = Phase.WITHDRAWN;
+    private ReleasePhase phase = ReleasePhase.WITHDRAWN;
     private double cap;
     private long stageStartUs;
     private long machineStartupUs;
@@ -24,11 +24,11 @@
      * Whether a state comes before the current one. States of a build come in one order; one before the newest counts
      * only if it began later. Guards against the answer to a vote that newer news on another connection have overtaken.
      */
-    boolean isOvertaken(int newBuild, int newStage, Phase newPhase, long sinceUs) {
+    boolean isOvertaken(int newBuild, int newStage, ReleasePhase newPhase, long sinceUs) {
         return isBefore(newBuild, newStage, newPhase) && sinceUs <= stageStartUs;
     }
 
-    private boolean isBefore(int newBuild, int newStage, Phase newPhase) {
+    private boolean isBefore(int newBuild, int newStage, ReleasePhase newPhase) {
         if (newBuild != newestBuild) {
             return newBuild < newestBuild;
         }
@@ -36,17 +36,17 @@
     }
 
     /** Whether a state is another than the current one. */
-    boolean isChange(int newBuild, int newStage, Phase newPhase) {
+    boolean isChange(int newBuild, int newStage, ReleasePhase newPhase) {
         return newBuild != newestBuild || newStage != stage || newPhase != phase;
     }
 
     /** Takes over a state that began at the given time; the time counts only where the state is another one. */
-    void update(int newBuild, int newStage, Phase newPhase, double newCap, long sinceUs) {
+    void update(int newBuild, int newStage, ReleasePhase newPhase, double newCap, long sinceUs) {
         stageStartUs = isChange(newBuild, newStage, newPhase) ? sinceUs : stageStartUs;
         newestBuild = newBuild;
         stage = newStage;
         phase = newPhase;
-        cap = newPhase == Phase.TRIAL || newPhase == Phase.RELEASED ? newCap : 0;
+        cap = newPhase == ReleasePhase.TRIAL || newPhase == ReleasePhase.RELEASED ? newCap : 0;
         withdrawnBuilds.remove(newBuild);
         if (isGoingBack()) {
             withdrawnBuilds.add(newBuild);
@@ -68,7 +68,7 @@
         return stage;
     }
 
-    Phase phase() {
+    ReleasePhase phase() {
         return phase;
     }
 
@@ -83,12 +83,12 @@
 
     /** Whether the newest build is being withdrawn or is withdrawn. */
     boolean isGoingBack() {
-        return phase == Phase.REVERTING || phase == Phase.WITHDRAWN;
+        return phase == ReleasePhase.REVERTING || phase == ReleasePhase.WITHDRAWN;
     }
 
     /** Whether a build is not released yet. */
     boolean isCanary(int build) {
-        return build > newestBuild || (build == newestBuild && phase != Phase.RELEASED);
+        return build > newestBuild || (build == newestBuild && phase != ReleasePhase.RELEASED);
     }
 
     boolean isWithdrawn(int build) {
@@ -97,7 +97,7 @@
 
     /** The share of the requests that a canary build may get; a build not announced yet has the first stage's. */
     double capOf(int build) {
-        double[] caps = policy.caps();
+        double[] caps = policy.stageCaps();
         if (build == newestBuild) {
             return cap;
         }
--- a/src/main/java/gatelock/decision/SlowStart.java
+++ b/src/main/java/gatelock/decision/SlowStart.java
@@ -28,7 +28,7 @@
 
     private boolean hasBudget(EndpointState endpoint) {
         double coldMultiple =
-                Math.min(CANARY_MULTIPLE, COLD_PART * context.settings().coldMultiple());
+                Math.min(CANARY_MULTIPLE, COLD_PART * context.settings().slowStartOverloadFactor());
         double multiple = endpoint.isWarmingUp() ? coldMultiple : CANARY_MULTIPLE;
         LatencyEstimates latency = context.latency();
         double workRate = context.throughput().workRate();
@@ -37,17 +37,17 @@
                 * workRate
                 / registry.places()
                 * latency.slownessOfKind(LatencyEstimates.ALL_KINDS)
-                / latency.slownessOfKind(endpoint.entry().kind());
+                / latency.slownessOfKind(endpoint.entry().instanceType());
         return endpoint.workBudget().refill(rate, context.nowUs());
     }
 
     /** The part of its capacity that an endpoint of this age surely has. */
     private double warmPart(EndpointState endpoint) {
-        long ageUs = context.nowUs() - endpoint.entry().startUs();
+        long ageUs = context.nowUs() - endpoint.entry().startedAtUs();
         double progress = endpoint.isWarmingUp()
-                ? Math.max(0.0, (double) ageUs) / context.settings().warmWithinUs()
+                ? Math.max(0.0, (double) ageUs) / context.settings().slowStartUs()
                 : 1;
-        double coldFrom = context.settings().coldFrom();
+        double coldFrom = context.settings().slowStartCapacityShare();
         return coldFrom + (1 - coldFrom) * progress;
     }
 }
--- a/src/main/java/gatelock/decision/StageClock.java
+++ b/src/main/java/gatelock/decision/StageClock.java
@@ -16,7 +16,7 @@
 
     /** When the stage's least time has passed. */
     long leastTimeEndUs(BuildState canary) {
-        return startUs(canary) + context.settings().rollout().leastUs();
+        return startUs(canary) + context.settings().rollout().minStageUs();
     }
 
     /** Machines not listed yet are waited for as long as the last ones took: some stages bring none. */
--- a/src/main/java/gatelock/decision/VoteCaster.java
+++ b/src/main/java/gatelock/decision/VoteCaster.java
@@ -1,6 +1,6 @@
 package gatelock.decision;
 
-import gatelock.api.DecisionEngine.VoteAnswer;
+import gatelock.api.DecisionEngine.VoteResponse;
 import gatelock.api.RolloutPolicy;
 import gatelock.api.Verdict;
 
@@ -42,8 +42,8 @@
     VoteCaster(DecisionContext context) {
         this.context = context;
         this.policy = context.settings().rollout();
-        this.relays = context.settings().relays();
-        int toldNumber = context.settings().number();
+        this.relays = context.settings().relayCount();
+        int toldNumber = context.settings().relayIndex();
         this.relayNumber = toldNumber >= 0 ? toldNumber : context.random().nextInt(relays);
     }
 
@@ -51,9 +51,9 @@
      * News have come that may answer a vote; tells whether the vote was not counted, in which case it is cast again after a
      * while. Guards against hammering a release controller that rejects votes or is silent, whatever its reason.
      */
-    boolean onAnswer(VoteAnswer answer) {
-        awaitsAnswer &= answer == VoteAnswer.NOT_ASKED;
-        boolean isRejected = answer != VoteAnswer.NOT_ASKED && answer != VoteAnswer.COUNTED;
+    boolean onAnswer(VoteResponse answer) {
+        awaitsAnswer &= answer == VoteResponse.NOT_ASKED;
+        boolean isRejected = answer != VoteResponse.NOT_ASKED && answer != VoteResponse.COUNTED;
         if (isRejected) {
             castVerdict = Verdict.NONE;
             rejectedUntilUs =
@@ -84,7 +84,7 @@
         castUs = nowUs;
         awaitsAnswer = true;
         context.actions()
-                .vote(context.rollout().newestBuild(), context.rollout().stage(), verdict);
+                .castVote(context.rollout().newestBuild(), context.rollout().stage(), verdict);
     }
 
     private boolean isCast(Verdict verdict) {
@@ -94,7 +94,7 @@
 
     private boolean isWaiting() {
         long nowUs = context.nowUs();
-        boolean isUnanswered = awaitsAnswer && nowUs - castUs < policy.voteWaitUs();
+        boolean isUnanswered = awaitsAnswer && nowUs - castUs < policy.voteTimeoutUs();
         return isUnanswered || nowUs < rejectedUntilUs;
     }
 
@@ -109,13 +109,13 @@
         if (isDrawn || verdict == Verdict.BACK) {
             RolloutState rollout = context.rollout();
             context.actions()
-                    .say(verdict + " build " + rollout.newestBuild() + " stage " + rollout.stage() + ": "
+                    .log(verdict + " build " + rollout.newestBuild() + " stage " + rollout.stage() + ": "
                             + evidence.logText());
         }
     }
 
     private double votesPerS() {
-        return Math.max(MIN_VOTES_PER_S, policy.votesPerS());
+        return Math.max(MIN_VOTES_PER_S, policy.maxVotesPerS());
     }
 
     /**
@@ -135,7 +135,7 @@
     /** Votes of all relays are renewed no faster than the release controller takes them; back is by its quorum alone. */
     private long renewalUs(Verdict verdict) {
         double allRelaysUs = relays * DecisionClock.SECOND_US / (RENEWAL_SHARE * votesPerS());
-        double beforeLapseUs = policy.voteLifeUs() * RENEW_SHARE;
+        double beforeLapseUs = policy.voteTtlUs() * RENEW_SHARE;
         return (long) (verdict == Verdict.BACK ? beforeLapseUs : Math.max(beforeLapseUs, allRelaysUs));
     }
 }
--- a/src/main/java/gatelock/decision/VotePolicy.java
+++ b/src/main/java/gatelock/decision/VotePolicy.java
@@ -1,6 +1,6 @@
 package gatelock.decision;
 
-import gatelock.api.DecisionEngine.Phase;
+import gatelock.api.DecisionEngine.ReleasePhase;
 import gatelock.api.RolloutPolicy;
 import gatelock.api.Verdict;
 
@@ -53,7 +53,7 @@
             evidence = finding.evidence();
         }
         boolean isConfirmed = confirm(finding.assessment());
-        if (context.rollout().phase() == Phase.RELEASED) {
+        if (context.rollout().phase() == ReleasePhase.RELEASED) {
             caster.cast(verdictAfterRelease(finding.assessment(), isConfirmed), 0, evidence);
             return;
         }
@@ -92,7 +92,7 @@
 
     /** How long past the stage's least time an assessment that neither passes nor fails holds. */
     private long patienceUs(Assessment assessment, BuildState canary) {
-        boolean samplesDecide = analysis.hasMoreSamples(canary) && policy.counts();
+        boolean samplesDecide = analysis.hasMoreSamples(canary) && policy.fleetSamplesSent();
         if (assessment == Assessment.SUSPECT || samplesDecide) {
             return LONG_PATIENCE_US;
         }
@@ -104,7 +104,7 @@
 
     /** What is voted for a verdict: no vote for what the release controller does anyway without one. */
     private Verdict votedVerdict(Verdict verdict, long leastTimeEndUs) {
-        boolean clockMovesOn = policy.gatekeeping() == RolloutPolicy.Gatekeeping.CLOCK;
+        boolean clockMovesOn = policy.promotionMode() == RolloutPolicy.PromotionMode.CLOCK;
         // A hold stops the clock, so that it would have to run all its time afterwards.
         boolean isEarlyHold =
                 clockMovesOn && verdict == Verdict.HOLD && context.nowUs() < leastTimeEndUs - HOLD_LEAD_US;
--- a/src/main/java/gatelock/discovery/BufferedListResponse.java
+++ b/src/main/java/gatelock/discovery/BufferedListResponse.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public boolean answered(UpstreamResponse response) {
+    public boolean onResponse(UpstreamResponse response) {
         long index;
         boolean full;
         List<EndpointEntry> entries;
@@ -35,15 +35,16 @@
             if (response.status() != 200) {
                 throw new MalformedMessageException("status " + response.status());
             }
-            JsonObject list = JsonObject.read(response.body());
+            JsonObject list = JsonObject.parse(response.body());
             entries = entryReader.readAll(list, eventLoop.nowUs());
-            full = list.yes("snapshot");
-            index = list.whole("index");
+            full = list.isTrue("snapshot");
+            index = list.nonNegativeLong("index");
         } catch (IOException e) {
             listener.rejected(e.getMessage());
             return false;
         }
-        DecisionEngine.ListForm form = full ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA;
+        DecisionEngine.EndpointUpdateType form =
+                full ? DecisionEngine.EndpointUpdateType.FULL : DecisionEngine.EndpointUpdateType.DELTA;
         listener.accepted(index, full || !entries.isEmpty(), () -> applier.apply(form, entries));
         return true;
     }
--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -27,7 +27,7 @@
  */
 public final class DiscoveryClient {
     /** The longest buffered list, in bytes: 1,024 endpoints and twice as many leaving, with names of usual length. */
-    public static final int MOST_LIST = 2 * 1024 * 1024;
+    public static final int MAX_LIST_BYTES = 2 * 1024 * 1024;
 
     /** How long discovery may hold a watch at most; short, so that a connection that has gone silent is noticed. */
     private static final long HOLD_MS = 2_000;
@@ -49,7 +49,7 @@
     private final EndpointAddresses addresses;
     private final boolean onRequest;
     private final RandomGenerator random;
-    private final Membership membership;
+    private final SubsetOptions membership;
     private final EndpointEntryReader entryReader;
     private final EndpointListApplier applier;
     private final ListFailureReporter failures;
@@ -72,7 +72,7 @@
      *
      * @param maxListBytes the longest response with a list that is accepted
      */
-    public record Membership(EndpointSubset subset, ServiceNameExtractor serviceNames, long maxListBytes) {}
+    public record SubsetOptions(EndpointSubset subset, ServiceNameExtractor serviceNames, long maxListBytes) {}
 
     /**
      * The state of the endpoint list, for the operators. Without a subset, all listed endpoints count as in scope.
@@ -81,8 +81,8 @@
      * @param changedUs when the list or the subset last changed, -1 for never
      * @param tooLong how many lists were rejected as too long
      */
-    public record State(
-            boolean scoped, int listed, int inScope, int services, long index, long changedUs, long tooLong) {
+    public record ListStatus(
+            boolean usesSubset, int listed, int inScope, int services, long index, long changedUs, long tooLongLists) {
         @Override
         public String toString() {
             return "list " + index + " of " + listed + " endpoints in " + services + " services, " + inScope
@@ -97,7 +97,7 @@
      * @param endpointPool the connections to endpoints; closed where an endpoint leaves or returns as another process
      * @param zones the names of the zones, in the order of their numbers
      * @param kinds the names of the machine types, in the order of their numbers
-     * @param onRequest whether the list is polled only on {@link #follow}, and the decisions learn of each failure
+     * @param onRequest whether the list is polled only on {@link #startPolling}, and the decisions learn of each failure
      * @param random spreads the retries
      * @param membership null: all listed endpoints are used
      */
@@ -112,7 +112,7 @@
             List<String> kinds,
             boolean onRequest,
             RandomGenerator random,
-            Membership membership) {
+            SubsetOptions membership) {
         this.eventLoop = eventLoop;
         this.pool = pool;
         this.address = address;
@@ -121,7 +121,7 @@
         this.random = random;
         this.membership = membership;
         this.entryReader = new EndpointEntryReader(
-                zones, kinds, membership == null ? ServiceNameExtractor.ONE : membership.serviceNames);
+                zones, kinds, membership == null ? ServiceNameExtractor.SINGLE_SERVICE : membership.serviceNames);
         this.applier = new EndpointListApplier(
                 eventLoop, addresses, endpointPool, membership == null ? null : membership.subset);
         this.failures = new ListFailureReporter(counters, membership != null);
@@ -134,10 +134,10 @@
      */
     public void start(DecisionEngine engine, Admission admission, JsonObject cached) throws IOException {
         List<EndpointEntry> entries = entryReader.readAll(cached, eventLoop.nowUs());
-        long cachedIndex = membership == null ? 0 : cached.wholeOr("index", 0);
+        long cachedIndex = membership == null ? 0 : cached.nonNegativeLongOr("index", 0);
         applier.start(engine, admission, entries, cachedIndex);
         if (!onRequest) {
-            follow();
+            startPolling();
         }
     }
 
@@ -146,7 +146,7 @@
      * one was sent. Each poll still has all of its time, so that a relay whose own thread is late does not take
      * discovery for silent.
      */
-    public void whenListed(long maxSilenceUs, Runnable callback) {
+    public void onFirstList(long maxSilenceUs, Runnable callback) {
         if (listReceived) {
             callback.run();
         } else {
@@ -156,12 +156,12 @@
     }
 
     /** Sets what is called each time a poll has failed. */
-    public void whenFailed(Runnable callback) {
+    public void onPollFailure(Runnable callback) {
         failureCallback = callback;
     }
 
     /** Starts to poll, unless a poll is already under way. */
-    public void follow() {
+    public void startPolling() {
         if (!polling) {
             polling = true;
             poll();
@@ -169,16 +169,16 @@
     }
 
     /** Polls at another address from now on, for the full list first; the old address is no longer listened to. */
-    public void move(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
         }
-        pool.close(address);
+        pool.invalidate(address);
         address = newAddress;
         index = NO_INDEX;
         firstPollUs = NEVER_POLLED;
         if (polling) {
-            connection.drop();
+            connection.abort();
             if (retryTimer != null) {
                 retryTimer.remove();
             }
@@ -187,24 +187,24 @@
     }
 
     /** Notes the result of an attempt at an endpoint: an endpoint that no longer responds is replaced in the subset. */
-    public void ended(String endpoint, AttemptResult result) {
+    public void attemptEnded(String endpoint, AttemptResult result) {
         applier.attemptEnded(endpoint, result);
     }
 
     /** Returns the state of the endpoint list. */
-    public State state() {
+    public ListStatus state() {
         if (membership == null) {
             int used = addresses.size();
-            return new State(false, used, used, 1, index, applier.changedUs(), failures.tooLongCount());
+            return new ListStatus(false, used, used, 1, index, applier.changedUs(), failures.tooLongCount());
         }
         EndpointSubset subset = membership.subset;
-        return new State(
+        return new ListStatus(
                 true,
-                subset.listed(),
-                subset.inScope(),
-                subset.services(),
+                subset.listedCount(),
+                subset.subsetSize(),
+                subset.serviceCount(),
                 index,
-                Math.max(applier.changedUs(), subset.changedUs()),
+                Math.max(applier.changedUs(), subset.lastChangeUs()),
                 failures.tooLongCount());
     }
 
@@ -217,7 +217,7 @@
         ByteBuffer request = StandardCharsets.US_ASCII.encode("GET " + path + " HTTP/1.1\r\nHost: discovery\r\n\r\n");
         long firstByteUs = RESPONSE_GRACE_US + (watch ? HOLD_MS * 1000 : 0);
         if (membership == null) {
-            connection = pool.call(
+            connection = pool.send(
                     address,
                     request,
                     firstByteUs,
@@ -227,7 +227,7 @@
                     !watch, membership.maxListBytes, entryReader, eventLoop, applier, responses);
             ResponseTimeouts timeouts = new ResponseTimeouts(
                     firstByteUs, StreamedListResponse.MAX_PAUSE_US, StreamedListResponse.MAX_TOTAL_US);
-            connection = pool.call(address, request, timeouts, response, response);
+            connection = pool.send(address, request, timeouts, response, response);
         }
     }
 
@@ -242,13 +242,13 @@
             polling = false;
             applier.pollFailed();
         } else {
-            retryTimer = eventLoop.in(pauseUs + random.nextLong(pauseUs), this::poll);
+            retryTimer = eventLoop.schedule(pauseUs + random.nextLong(pauseUs), this::poll);
         }
     }
 
     private void notifyFirstList() {
         if (firstListCallback != null) {
-            eventLoop.soon(firstListCallback);
+            eventLoop.execute(firstListCallback);
             firstListCallback = null;
         }
     }
@@ -261,7 +261,7 @@
             index = newIndex;
             // The next watch goes out at once, on the same connection: discovery takes what changes in between into it.
             InetSocketAddress polledAddress = address;
-            eventLoop.soon(() -> {
+            eventLoop.execute(() -> {
                 if (polledAddress.equals(address)) {
                     poll();
                 }
--- a/src/main/java/gatelock/discovery/EndpointEntryReader.java
+++ b/src/main/java/gatelock/discovery/EndpointEntryReader.java
@@ -71,19 +71,19 @@
         if (health == null) {
             throw new MalformedMessageException("expected a known status for " + endpoint);
         }
-        long startUs = entry.wholeOr("since_ms", 0) * 1000;
+        long startUs = entry.nonNegativeLongOr("since_ms", 0) * 1000;
         if (startUs > nowUs + MAX_CLOCK_SKEW_US) {
             throw new MalformedMessageException("expected a start in the past for " + endpoint);
         }
         Map<String, String> labels = labels(entry);
         return new EndpointEntry(
                 endpoint,
-                serviceNames.of(endpoint, entry, labels),
+                serviceNames.serviceOf(endpoint, entry, labels),
                 entry.addressText("address"),
                 indexIn(zones, entry, "zone"),
                 indexIn(kinds, entry, "type"),
-                (int) entry.wholeOr("group", 0),
-                entry.count("image_id"),
+                (int) entry.nonNegativeLongOr("group", 0),
+                entry.nonNegativeInt("image_id"),
                 health,
                 startUs,
                 labels);
--- a/src/main/java/gatelock/discovery/EndpointListApplier.java
+++ b/src/main/java/gatelock/discovery/EndpointListApplier.java
@@ -56,50 +56,53 @@
         this.admission = admission;
         List<EndpointEntry> used = cached;
         if (subset != null) {
-            EndpointSubset.Reading staged = subset.read(true);
+            EndpointSubset.ListUpdate staged = subset.beginUpdate(true);
             cached.forEach(staged::add);
-            used = staged.take(eventLoop.nowUs(), index).entries();
+            used = staged.commit(eventLoop.nowUs(), index).entries();
             scheduleReview();
         }
-        apply(DecisionEngine.ListForm.CACHED, used);
+        apply(DecisionEngine.EndpointUpdateType.CACHED, used);
     }
 
     /** Applies a list of endpoints that are all used: pools learn of it before the decisions. */
-    void apply(DecisionEngine.ListForm form, List<EndpointEntry> entries) {
-        List<Endpoint> endpoints = entries.stream().map(EndpointEntry::listed).toList();
+    void apply(DecisionEngine.EndpointUpdateType form, List<EndpointEntry> entries) {
+        List<Endpoint> endpoints =
+                entries.stream().map(EndpointEntry::toEndpoint).toList();
         List<InetSocketAddress> staleAddresses = updateAddresses(entries, endpoints);
-        if (form == DecisionEngine.ListForm.FULL) {
+        if (form == DecisionEngine.EndpointUpdateType.FULL) {
             staleAddresses.addAll(
                     addresses.keepOnly(entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
         }
         if (admission != null) {
-            admission.listed(eventLoop.nowUs(), form, endpoints, labelsByEndpoint(entries));
+            admission.updateEndpoints(eventLoop.nowUs(), form, endpoints, labelsByEndpoint(entries));
         }
-        engine.listed(eventLoop.nowUs(), form, endpoints);
+        engine.endpointsUpdated(eventLoop.nowUs(), form, endpoints);
         changedUs = eventLoop.nowUs();
         // Only now: a request that waits for a connection to be established asks the decisions whether it may be sent.
-        staleAddresses.forEach(endpointPool::close);
+        staleAddresses.forEach(endpointPool::invalidate);
     }
 
     /** Begins to stage a full list, or changes, for the subset; nothing changes before {@link #apply}. */
-    EndpointSubset.Reading stage(boolean full) {
-        return subset.read(full);
+    EndpointSubset.ListUpdate stage(boolean full) {
+        return subset.beginUpdate(full);
     }
 
     /** Applies a staged list, as far as it changes the endpoints that are used. */
-    void apply(EndpointSubset.Reading staged, long index) {
-        apply(staged.take(eventLoop.nowUs(), index));
+    void apply(EndpointSubset.ListUpdate staged, long index) {
+        apply(staged.commit(eventLoop.nowUs(), index));
     }
 
     private void apply(EndpointSubset.Change change) {
-        if (change.whole() || !change.entries().isEmpty()) {
-            apply(change.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA, change.entries());
+        if (change.full() || !change.entries().isEmpty()) {
+            apply(
+                    change.full() ? DecisionEngine.EndpointUpdateType.FULL : DecisionEngine.EndpointUpdateType.DELTA,
+                    change.entries());
         }
     }
 
     /** Notifies the decisions that a poll they asked for has failed. */
     void pollFailed() {
-        engine.listed(eventLoop.nowUs(), DecisionEngine.ListForm.FAILED, List.of());
+        engine.endpointsUpdated(eventLoop.nowUs(), DecisionEngine.EndpointUpdateType.FAILED, List.of());
     }
 
     /** Notes the result of an attempt, from which the subset learns which endpoints respond. */
@@ -110,7 +113,7 @@
         boolean responded = result == AttemptResult.COMPLETED
                 || result == AttemptResult.ERRORED
                 || result == AttemptResult.TURNED_AWAY;
-        subset.ended(eventLoop.nowUs(), endpoint, responded);
+        subset.recordAttempt(eventLoop.nowUs(), endpoint, responded);
     }
 
     /** Returns when a list was last applied, -1 for never. */
@@ -119,12 +122,12 @@
     }
 
     private void scheduleReview() {
-        eventLoop.in(SUBSET_REVIEW_US, this::reviewSubset);
+        eventLoop.schedule(SUBSET_REVIEW_US, this::reviewSubset);
     }
 
     /** Lets the subset grow or shrink by which of its endpoints respond. */
     private void reviewSubset() {
-        apply(subset.due(eventLoop.nowUs()));
+        apply(subset.refresh(eventLoop.nowUs()));
         scheduleReview();
     }
 
@@ -132,7 +135,7 @@
     private List<InetSocketAddress> updateAddresses(List<EndpointEntry> entries, List<Endpoint> endpoints) {
         List<InetSocketAddress> stale = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
-            stale.addAll(addresses.put(JsonObject.resolved(entries.get(i).address()), endpoints.get(i)));
+            stale.addAll(addresses.put(JsonObject.resolveAddress(entries.get(i).address()), endpoints.get(i)));
         }
         return stale;
     }
--- a/src/main/java/gatelock/discovery/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -17,7 +17,7 @@
 
 /**
  * Reads an endpoint list from the pieces in which it arrives, and hands on entry by entry, so that no more than one is
- * buffered. The result is that of {@link JsonObject#read} on the whole text. The reader is stricter where equality
+ * buffered. The result is that of {@link JsonObject#parse} on the whole text. The reader is stricter where equality
  * would cost memory or a guess: it rejects bytes that are not UTF-8, entries of more than {@link #MAX_ENTRY_BYTES},
  * values nested deeper than {@link #MAX_DEPTH} and more than {@link #MAX_FIELDS} fields beside the entries.
  */
@@ -155,8 +155,8 @@
             throw new MalformedMessageException("expected endpoints");
         }
         JsonObject header = new JsonObject(headerFields);
-        boolean declaredFull = header.yes(FULL_FIELD);
-        long index = header.whole(INDEX_FIELD);
+        boolean declaredFull = header.isTrue(FULL_FIELD);
+        long index = header.nonNegativeLong(INDEX_FIELD);
         if (!begun) {
             begin(declaredFull);
         }
@@ -206,7 +206,7 @@
         position = Position.ENTRIES;
         entriesSeen = true;
         if (headerFields.containsKey(FULL_FIELD)) {
-            begin(new JsonObject(headerFields).yes(FULL_FIELD));
+            begin(new JsonObject(headerFields).isTrue(FULL_FIELD));
         }
     }
 
--- a/src/main/java/gatelock/discovery/ListFailureReporter.java
+++ b/src/main/java/gatelock/discovery/ListFailureReporter.java
@@ -36,17 +36,17 @@
             LOG.log(Level.WARNING, "endpoint list rejected, last good list kept: " + reason);
             lastReason = reason;
         }
-        counters.add("discovery failed");
+        counters.increment("discovery failed");
     }
 
     /** Reports a poll without any list. */
     void silent() {
-        counters.add("discovery failed");
+        counters.increment("discovery failed");
     }
 
     /** Reports a list that is longer than is accepted, and how to have it accepted. */
     void tooLong(String reason) {
-        counters.add("lists too long");
+        counters.increment("lists too long");
         tooLongCount++;
         if (!TOO_LONG.equals(lastReason)) {
             String remedy = subset
@@ -66,7 +66,7 @@
     }
 
     /** Logs the state after a full list. */
-    void logState(DiscoveryClient.State state) {
+    void logState(DiscoveryClient.ListStatus state) {
         LOG.log(Level.INFO, state.toString());
     }
 
--- a/src/main/java/gatelock/discovery/ListResponseHandler.java
+++ b/src/main/java/gatelock/discovery/ListResponseHandler.java
@@ -3,7 +3,7 @@
 import gatelock.net.OutboundConnection;
 
 /** Finds out how a poll of the endpoint list ended, whichever way its response is read. */
-abstract class ListResponseHandler implements OutboundConnection.User {
+abstract class ListResponseHandler implements OutboundConnection.ResponseHandler {
     /** Learns the outcome. */
     final ListResponseListener listener;
 
@@ -18,17 +18,17 @@
     abstract String truncationReason();
 
     @Override
-    public void unreadable(String reason) {
+    public void onMalformedResponse(String reason) {
         malformedReason = reason;
     }
 
     @Override
-    public void tooLong(String reason) {
+    public void onResponseTooLong(String reason) {
         tooLongReason = reason;
     }
 
     @Override
-    public void broken(boolean written) {
+    public void onConnectionLost(boolean written) {
         String rejection = malformedReason != null ? malformedReason : truncationReason();
         if (tooLongReason != null) {
             listener.tooLong(tooLongReason);
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void late() {
+    public void onTimeout() {
         listener.silent();
     }
 }
--- a/src/main/java/gatelock/discovery/ServiceNameExtractor.java
+++ b/src/main/java/gatelock/discovery/ServiceNameExtractor.java
@@ -7,7 +7,7 @@
 public interface ServiceNameExtractor {
 
     /** All endpoints belong to one service. */
-    ServiceNameExtractor ONE = (endpoint, entry, labels) -> "";
+    ServiceNameExtractor SINGLE_SERVICE = (endpoint, entry, labels) -> "";
 
     /**
      * Returns the service of an endpoint, "" where the list says none.
@@ -16,7 +16,7 @@
      * @param entry the entry as it was received
      * @param labels the labels of the entry
      */
-    String of(String endpoint, JsonObject entry, Map<String, String> labels);
+    String serviceOf(String endpoint, JsonObject entry, Map<String, String> labels);
 
     /** Takes the value of a label or, where the endpoint has no label of that name, of a field of its entry. */
     static ServiceNameExtractor byLabel(String name) {
@@ -24,7 +24,7 @@
     }
 
     /** Takes the part of the endpoint's name before the last separator, "" where there is none. */
-    static ServiceNameExtractor before(String separator) {
+    static ServiceNameExtractor byNamePrefix(String separator) {
         return (endpoint, entry, labels) -> endpoint.substring(0, Math.max(0, endpoint.lastIndexOf(separator)));
     }
 }
--- a/src/main/java/gatelock/discovery/StreamedListResponse.java
+++ b/src/main/java/gatelock/discovery/StreamedListResponse.java
@@ -32,7 +32,7 @@
     private final EndpointListApplier applier;
     private EndpointListReader list;
     private long receivedBytes;
-    private EndpointSubset.Reading staged;
+    private EndpointSubset.ListUpdate staged;
     private boolean empty = true;
 
     /**
@@ -92,7 +92,7 @@
     }
 
     @Override
-    public boolean answered(UpstreamResponse response) {
+    public boolean onResponse(UpstreamResponse response) {
         EndpointListReader.Header header;
         try {
             header = list.end();
@@ -119,7 +119,7 @@
     }
 
     @Override
-    public void late() {
+    public void onTimeout() {
         if (list == null) {
             listener.silent();
         } else {
--- a/src/main/java/gatelock/http/BodyReader.java
+++ b/src/main/java/gatelock/http/BodyReader.java
@@ -52,7 +52,7 @@
     private void readAvailable(StreamSourceChannel channel) throws IOException {
         int count = channel.read(bytes);
         while (count > 0) {
-            if (bytes.position() > ResponseReader.MOST_BODY) {
+            if (bytes.position() > ResponseReader.MAX_BODY_BYTES) {
                 channel.suspendReads();
                 listener.tooLong();
                 return;
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -122,14 +122,14 @@
                 .set(Options.CONNECTION_LOW_WATER, hardLimit + ACCEPT_MARGIN - 1)
                 .getMap();
         acceptor = eventLoop
-                .thread()
+                .ioThread()
                 .getWorker()
                 .createStreamConnectionServer(
                         address,
                         ChannelListeners.openListenerAdapter(connection -> accepted(connection, httpListener)),
                         socketOptions);
         acceptor.resumeAccepts();
-        eventLoop.in(CHECK_INTERVAL_US, this::closeOverdue);
+        eventLoop.schedule(CHECK_INTERVAL_US, this::closeOverdue);
         return acceptor.getLocalAddress(InetSocketAddress.class);
     }
 
@@ -173,7 +173,7 @@
      * @param requestHandler handles all requests but health checks
      * @param ready whether the relay reports that it is ready for clients
      */
-    public void admit(HttpHandler requestHandler, boolean ready) {
+    public void setRequestHandler(HttpHandler requestHandler, boolean ready) {
         this.requestHandler = requestHandler;
         this.ready = ready;
     }
@@ -241,7 +241,7 @@
         exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, "0");
         responseStarts(exchange);
         StreamConnection connection = connectionOf(exchange);
-        eventLoop.in(
+        eventLoop.schedule(
                 REJECTION_READABLE_US,
                 () -> connections.close(eventLoop.nowUs(), connection, ClientCloseReason.REJECTED));
         try {
@@ -255,7 +255,7 @@
 
     private void closeOverdue() {
         connections.closeOverdue(eventLoop.nowUs());
-        eventLoop.in(CHECK_INTERVAL_US, this::closeOverdue);
+        eventLoop.schedule(CHECK_INTERVAL_US, this::closeOverdue);
     }
 
     /** The time by which all accepted requests must be answered; without end until the relay shuts down. */
@@ -271,15 +271,15 @@
      * @param killedUs how long the process will live at least, in microseconds from now
      * @param then runs when no connection is left
      */
-    public void leave(long killedUs, Runnable then) {
+    public void shutDown(long killedUs, Runnable then) {
         shuttingDown = true;
         long servedUs = killedUs - KILL_MARGIN_US;
         responseDeadlineUs = eventLoop.nowUs() + servedUs;
-        eventLoop.in(ACCEPT_AFTER_SIGTERM_US, () -> {
+        eventLoop.schedule(ACCEPT_AFTER_SIGTERM_US, () -> {
             IoUtils.safeClose(acceptor);
             awaitLastConnection(then);
         });
-        eventLoop.in(Math.max(ACCEPT_AFTER_SIGTERM_US, servedUs - LAST_REQUESTS_US), () -> draining = true);
+        eventLoop.schedule(Math.max(ACCEPT_AFTER_SIGTERM_US, servedUs - LAST_REQUESTS_US), () -> draining = true);
     }
 
     private void awaitLastConnection(Runnable then) {
@@ -289,7 +289,7 @@
         if (connections.size() == 0) {
             then.run();
         } else {
-            eventLoop.in(CHECK_INTERVAL_US, () -> awaitLastConnection(then));
+            eventLoop.schedule(CHECK_INTERVAL_US, () -> awaitLastConnection(then));
         }
     }
 }
--- a/src/main/java/gatelock/http/HttpResponseSink.java
+++ b/src/main/java/gatelock/http/HttpResponseSink.java
@@ -47,7 +47,7 @@
      * response and would not notice it.
      */
     void watchForClose() {
-        if (request.over()
+        if (request.isOver()
                 || !(exchange.getConnection() instanceof HttpServerConnection connection)
                 || connection.getExtraBytes() != null) {
             return;
@@ -59,7 +59,7 @@
 
     private void readAhead(HttpServerConnection connection, StreamSourceConduit source) {
         source.suspendReads();
-        if (request.over()) {
+        if (request.isOver()) {
             return;
         }
         PooledByteBuffer pooled = connection.getByteBufferPool().allocate();
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -34,21 +34,21 @@
      * @param terms the policies of the routes, by index
      * @param deadlinesUs the timeouts of the routes in microseconds, by index
      */
-    public record Names(
-            Map<String, Integer> routes,
-            Map<String, Integer> tenants,
-            List<RoutePolicy> terms,
-            List<Long> deadlinesUs) {}
+    public record RequestNames(
+            Map<String, Integer> routeIndexes,
+            Map<String, Integer> tenantIndexes,
+            List<RoutePolicy> routePolicies,
+            List<Long> routeTimeoutsUs) {}
 
     /** Opens sessions of another protocol on requests that ask for it. */
-    public interface Upgrade {
+    public interface SessionUpgrade {
         /**
          * Whether a request asks for a session; its route and headers have been validated.
          *
          * @param exchange the request
          * @return whether it does
          */
-        boolean asked(HttpServerExchange exchange);
+        boolean isRequested(HttpServerExchange exchange);
 
         /**
          * Validates a request for a session, which is a valid request otherwise.
@@ -56,7 +56,7 @@
          * @param exchange the request
          * @return 0, or the status with which to reject it; headers for that are set on the exchange already
          */
-        int refusal(HttpServerExchange exchange);
+        int rejectionStatus(HttpServerExchange exchange);
 
         /**
          * Has the attempts of a request open a session.
@@ -67,18 +67,18 @@
          * @param route the index of its route
          * @return takes over the client's connection once an endpoint has opened the session
          */
-        Consumer<HttpServerExchange> opens(
+        Consumer<HttpServerExchange> prepare(
                 HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms, int route);
     }
 
     private final Counters counters;
-    private final Names names;
+    private final RequestNames names;
     private final EventLoop eventLoop;
     private final RequestAdmitter admitter;
     private final ClientListener clientListener;
     private final Admission admission;
     private final RequestValidator validator;
-    private Upgrade upgrade;
+    private SessionUpgrade upgrade;
 
     /**
      * Creates the stage.
@@ -92,7 +92,7 @@
      */
     public RequestReader(
             Counters counters,
-            Names names,
+            RequestNames names,
             EventLoop eventLoop,
             RequestAdmitter admitter,
             ClientListener clientListener,
@@ -107,26 +107,26 @@
     }
 
     /** Has sessions opened by this from now on; without it, requests for sessions are ordinary requests. */
-    public void opensBy(Upgrade upgrade) {
+    public void setSessionUpgrade(SessionUpgrade upgrade) {
         this.upgrade = upgrade;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        Admission.Way way = null;
+        Admission.MatchedRoute way = null;
         int rejection = RequestValidator.VALID;
-        if (admission != null && admission.plan() != null) {
+        if (admission != null && admission.activeConfig() != null) {
             RequestAttributes attributes = attributes(exchange);
-            way = admission.way(attributes);
-            rejection = admission.refusal(attributes, way);
+            way = admission.matchRoute(attributes);
+            rejection = admission.rejectionStatus(attributes, way);
         }
         long length = exchange.getRequestContentLength();
-        Integer route = way != null ? Integer.valueOf(way.classNo()) : routeOfPath(exchange.getRequestURI());
+        Integer route = way != null ? Integer.valueOf(way.classIndex()) : routeOfPath(exchange.getRequestURI());
         if (rejection == RequestValidator.VALID) {
             rejection = validator.validate(exchange, route, length);
         }
         if (rejection == RequestValidator.VALID && opensSession(exchange, way)) {
-            rejection = upgrade.refusal(exchange);
+            rejection = upgrade.rejectionStatus(exchange);
         }
         if (rejection != RequestValidator.VALID) {
             reject(exchange, rejection);
@@ -152,14 +152,14 @@
             return null;
         }
         int slash = path.indexOf('/', 1);
-        return names.routes().get(path.substring(1, slash < 0 ? path.length() : slash));
+        return names.routeIndexes().get(path.substring(1, slash < 0 ? path.length() : slash));
     }
 
-    private boolean opensSession(HttpServerExchange exchange, Admission.Way way) {
-        return upgrade != null && way != null && way.sessions() != null && upgrade.asked(exchange);
+    private boolean opensSession(HttpServerExchange exchange, Admission.MatchedRoute way) {
+        return upgrade != null && way != null && way.sessionPolicy() != null && upgrade.isRequested(exchange);
     }
 
-    private void readBody(HttpServerExchange exchange, Admission.Way way, int route, int length) {
+    private void readBody(HttpServerExchange exchange, Admission.MatchedRoute way, int route, int length) {
         BodyReader reader = new BodyReader(length, new BodyReader.Listener() {
             @Override
             public void complete(byte[] body) {
@@ -174,7 +174,7 @@
             @Override
             public void brokenOff() {
                 // The request was never complete, so nothing is owed.
-                counters.add("not taken, broken off");
+                counters.increment("not taken, broken off");
                 clientListener.clientLeft(exchange);
             }
         });
@@ -183,7 +183,7 @@
 
     /** Answers a request that is not accepted, whether or not it has been read completely. */
     private void reject(HttpServerExchange exchange, int status) {
-        counters.add("not taken " + status);
+        counters.increment("not taken " + status);
         exchange.setStatusCode(status);
         if (exchange.isRequestComplete()) {
             clientListener.responseStarts(exchange);
@@ -193,7 +193,7 @@
         }
     }
 
-    private void accept(HttpServerExchange exchange, Admission.Way way, int route, byte[] body) {
+    private void accept(HttpServerExchange exchange, Admission.MatchedRoute way, int route, byte[] body) {
         String id = exchange.getRequestHeaders().getFirst(RequestHeaders.TRACE_ID);
         if (admitter.isInFlight(id)) {
             reject(exchange, StatusCodes.BAD_REQUEST);
@@ -206,7 +206,7 @@
         InFlightRequest request = new InFlightRequest(id, head, body, deadlineUs, responseSink);
         responseSink.bind(request);
         if (opensSession(exchange, way)) {
-            responseSink.opensSession(upgrade.opens(exchange, request, way.sessions(), route));
+            responseSink.opensSession(upgrade.prepare(exchange, request, way.sessionPolicy(), route));
         }
         RequestProfile profile = profile(exchange, route);
         // Undertow ends an exchange whose handler returns without having dispatched it.
@@ -219,15 +219,15 @@
     /** Until when the response must be given: as long as the client waits, and not beyond the end of the relay. */
     private long deadlineUs(HttpServerExchange exchange, int route) {
         String expires = exchange.getRequestHeaders().getFirst(RequestHeaders.EXPIRES_IN_MS);
-        long routeTimeoutUs = names.deadlinesUs().get(route);
+        long routeTimeoutUs = names.routeTimeoutsUs().get(route);
         long timeoutUs = expires == null ? routeTimeoutUs : RequestHeaders.expiresInMs(expires, routeTimeoutUs) * 1000;
         return Math.min(eventLoop.nowUs() + timeoutUs, clientListener.responseDeadlineUs());
     }
 
     private RequestProfile profile(HttpServerExchange exchange, int route) {
         HeaderMap headers = exchange.getRequestHeaders();
-        Integer known = names.tenants().get(headers.getFirst(RequestHeaders.CUSTOMER));
-        int tenant = known == null ? names.tenants().size() : known;
+        Integer known = names.tenantIndexes().get(headers.getFirst(RequestHeaders.CUSTOMER));
+        int tenant = known == null ? names.tenantIndexes().size() : known;
         Cookie cookie = exchange.getRequestCookie(RequestHeaders.KEY_COOKIE);
         long key = RequestHeaders.key(cookie == null ? null : cookie.getValue());
         return new RequestProfile(
--- a/src/main/java/gatelock/http/RequestValidator.java
+++ b/src/main/java/gatelock/http/RequestValidator.java
@@ -12,9 +12,9 @@
     /** The result for a valid request. */
     static final int VALID = 0;
 
-    private final RequestReader.Names names;
+    private final RequestReader.RequestNames names;
 
-    RequestValidator(RequestReader.Names names) {
+    RequestValidator(RequestReader.RequestNames names) {
         this.names = names;
     }
 
@@ -32,10 +32,10 @@
             return StatusCodes.NOT_FOUND;
         }
         HeaderMap headers = exchange.getRequestHeaders();
-        RoutePolicy.Repeat retrySafety = names.terms().get(route).repeat();
+        RoutePolicy.RetrySafety retrySafety = names.routePolicies().get(route).retrySafety();
         boolean get = exchange.getRequestMethod().equalToString("GET");
         boolean post = exchange.getRequestMethod().equalToString("POST");
-        boolean idempotent = retrySafety == RoutePolicy.Repeat.RETRIABLE;
+        boolean idempotent = retrySafety == RoutePolicy.RetrySafety.RETRIABLE;
         if (get != idempotent || (!get && !post)) {
             return StatusCodes.METHOD_NOT_ALLOWED;
         }
@@ -47,11 +47,11 @@
             return StatusCodes.EXPECTATION_FAILED;
         }
         boolean identified = RequestHeaders.single(headers, RequestHeaders.TRACE_ID) != null;
-        boolean keyed = retrySafety != RoutePolicy.Repeat.DEDUPED
+        boolean keyed = retrySafety != RoutePolicy.RetrySafety.DEDUPED
                 || RequestHeaders.single(headers, RequestHeaders.IDEMPOTENCY_KEY) != null;
         boolean valid = identified
                 && keyed
-                && hasValidTimeout(headers, names.deadlinesUs().get(route));
+                && hasValidTimeout(headers, names.routeTimeoutsUs().get(route));
         return valid ? VALID : StatusCodes.BAD_REQUEST;
     }
 
@@ -67,7 +67,7 @@
         }
         String statedLength = headers.getFirst(Headers.CONTENT_LENGTH);
         boolean tooManyDigits = statedLength != null && statedLength.length() > RequestHeaders.MAX_DIGITS;
-        return length > ResponseReader.MOST_BODY || tooManyDigits ? StatusCodes.REQUEST_ENTITY_TOO_LARGE : VALID;
+        return length > ResponseReader.MAX_BODY_BYTES || tooManyDigits ? StatusCodes.REQUEST_ENTITY_TOO_LARGE : VALID;
     }
 
     private static boolean hasValidTimeout(HeaderMap headers, long routeTimeoutUs) {
--- a/src/main/java/gatelock/membership/CandidateSelector.java
+++ b/src/main/java/gatelock/membership/CandidateSelector.java
@@ -10,7 +10,7 @@
     /** The first candidates of the ranking, in its order, from the relay's own zone and from the others. */
     record Ranked(List<Candidate> local, List<Candidate> remote) {}
 
-    private final EndpointSubset.Terms policy;
+    private final EndpointSubset.Policy policy;
     private final RendezvousRanking ranking;
     private final ListedServices listed;
     private final EndpointBudget budget;
@@ -18,7 +18,7 @@
 
     /** A selector of what is listed. */
     CandidateSelector(
-            EndpointSubset.Terms policy,
+            EndpointSubset.Policy policy,
             RendezvousRanking ranking,
             ListedServices listed,
             EndpointBudget budget,
--- a/src/main/java/gatelock/membership/EndpointBudget.java
+++ b/src/main/java/gatelock/membership/EndpointBudget.java
@@ -11,7 +11,7 @@
 final class EndpointBudget {
     private static final int UNLIMITED = Integer.MAX_VALUE;
 
-    private final EndpointSubset.Terms policy;
+    private final EndpointSubset.Policy policy;
     private final ListedServices listed;
     private final RecoverySchedule recovery;
     /** Number of services by how many endpoints they need. */
@@ -26,11 +26,11 @@
     private int servicesWithPlace;
 
     /** A budget for what is listed. */
-    EndpointBudget(EndpointSubset.Terms policy, ListedServices listed, RecoverySchedule recovery) {
+    EndpointBudget(EndpointSubset.Policy policy, ListedServices listed, RecoverySchedule recovery) {
         this.policy = policy;
         this.listed = listed;
         this.recovery = recovery;
-        servicesByNeed = new int[policy.most() + 1];
+        servicesByNeed = new int[policy.maxEndpoints() + 1];
     }
 
     /** Number of ready endpoints that a service aims at, which may be more than it has. */
@@ -38,7 +38,7 @@
         if (limit == 0) {
             return service.hasPlace ? 1 : 0;
         }
-        return Math.min(limit, policy.aim(listed.readyCount(service)));
+        return Math.min(limit, policy.target(listed.readyCount(service)));
     }
 
     /** Number of ready endpoints that a service should have in the subset, at most those that are listed. */
@@ -48,7 +48,7 @@
 
     /** Number of endpoints that any service aims at; less than the policy says where places do not suffice. */
     int targetPerService() {
-        return Math.min(limit, policy.aim(0));
+        return Math.min(limit, policy.target(0));
     }
 
     /** Number of services that have ready endpoints and no place. */
@@ -72,7 +72,7 @@
 
     private void updateNeed(ServiceState service) {
         int ready = listed.readyCount(service);
-        int need = Math.min(ready, policy.aim(ready));
+        int need = Math.min(ready, policy.target(ready));
         if (service.need > 0) {
             servicesByNeed[service.need]--;
         }
@@ -106,7 +106,7 @@
         int places = 0;
         while (servicesInNeed > 0) {
             places += servicesInNeed;
-            if (places > policy.most()) {
+            if (places > policy.maxEndpoints()) {
                 return affordable;
             }
             affordable++;
@@ -131,7 +131,7 @@
     }
 
     private void givePlaces() {
-        while (servicesWithPlace < policy.most() && !waiting.isEmpty()) {
+        while (servicesWithPlace < policy.maxEndpoints() && !waiting.isEmpty()) {
             ServiceState service = waiting.pollFirst();
             service.hasPlace = true;
             service.needsSelection = true;
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -44,7 +44,7 @@
     }
 
     /** The endpoint as the decisions know it: without service, address and labels. */
-    public Endpoint listed() {
+    public Endpoint toEndpoint() {
         return new Endpoint(name, build, zone, kind, cell, health, startUs);
     }
 
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -18,7 +18,7 @@
      * used by most relays is used by 1 + 3.5 / sqrt(mean) times the mean (docs/measurements/membership.md), which is 4/3
      * at this number. With fewer than one, some endpoints are not used at all.
      */
-    public static final int LEAST_HOLDERS = 110;
+    public static final int DEFAULT_MIN_HOLDERS = 110;
 
     /**
      * How a relay chooses its endpoints.
@@ -31,29 +31,29 @@
      * @param remotePerService how many of these are in other zones, where there are any
      * @param settleUs how long an endpoint must not be needed before it leaves the subset
      */
-    public record Terms(
+    public record Policy(
             long relayNumber,
             int zone,
-            int most,
+            int maxEndpoints,
             int minPerService,
             double fraction,
             int remotePerService,
             long settleUs) {
 
         /** Throws IllegalArgumentException where a bound makes no sense. */
-        public Terms {
+        public Policy {
             boolean fractionValid = fraction >= 0 && fraction <= 1;
-            if (most < 1 || minPerService < 1 || !fractionValid || remotePerService < 0 || settleUs < 0) {
+            if (maxEndpoints < 1 || minPerService < 1 || !fractionValid || remotePerService < 0 || settleUs < 0) {
                 throw new IllegalArgumentException("expected at least one endpoint in the subset and one per service, a"
                         + " fraction from 0 to 1, none or more in other zones and no negative time, got "
-                        + most + ", " + minPerService + ", " + fraction + ", " + remotePerService + ", "
+                        + maxEndpoints + ", " + minPerService + ", " + fraction + ", " + remotePerService + ", "
                         + settleUs);
             }
         }
 
         /** Endpoints aimed at of a service with this many ready ones, where there are places for all services. */
-        public int aim(int ready) {
-            return Math.min(most, Math.max(minPerService, (int) Math.ceil(fraction * ready)));
+        public int target(int ready) {
+            return Math.min(maxEndpoints, Math.max(minPerService, (int) Math.ceil(fraction * ready)));
         }
 
         /** How many of the endpoints aimed at are in other zones; one is always left to the own zone. */
@@ -73,7 +73,7 @@
      * @param whole whether the entries are the complete subset; else they were added, have changed or are gone
      * @param entries the endpoints
      */
-    public record Change(boolean whole, List<EndpointEntry> entries) {}
+    public record Change(boolean full, List<EndpointEntry> entries) {}
 
     private final RendezvousRanking ranking;
     private final ListedServices listed;
@@ -87,16 +87,16 @@
     private long index = -1;
 
     /** An empty subset that follows a policy; nothing is listed yet. */
-    public EndpointSubset(Terms policy) {
+    public EndpointSubset(Policy policy) {
         this(policy, new RendezvousRanking(policy.relayNumber()));
     }
 
     /** For tests: with a ranking in which names can be made to collide. */
-    EndpointSubset(Terms policy, RendezvousRanking ranking) {
+    EndpointSubset(Policy policy, RendezvousRanking ranking) {
         this.ranking = ranking;
         listed = new ListedServices(ranking);
         EvictionQueue evictions = new EvictionQueue();
-        members = new SubsetMembers(policy.most(), listed, changes, evictions);
+        members = new SubsetMembers(policy.maxEndpoints(), listed, changes, evictions);
         RecoverySchedule recovery = new RecoverySchedule();
         budget = new EndpointBudget(policy, listed, recovery);
         CandidateSelector selector = new CandidateSelector(policy, ranking, listed, budget, members);
@@ -107,16 +107,16 @@
     // Input
 
     /** Begins a full list ({@code full}) or a change of it; nothing changes until it is taken. */
-    public Reading read(boolean full) {
-        return new Reading(full);
+    public ListUpdate beginUpdate(boolean full) {
+        return new ListUpdate(full);
     }
 
     /** A list or a change that is being received. To drop it instead of taking it changes nothing. */
-    public final class Reading {
+    public final class ListUpdate {
         private final boolean full;
         private EndpointStore staged = new EndpointStore(ranking);
 
-        private Reading(boolean full) {
+        private ListUpdate(boolean full) {
             this.full = full;
         }
 
@@ -141,7 +141,7 @@
          * @param index the list's index
          * @return what the decisions have to be notified of
          */
-        public Change take(long nowUs, long index) {
+        public Change commit(long nowUs, long index) {
             EndpointStore received = staged;
             staged = null;
             if (full) {
@@ -163,7 +163,7 @@
      *
      * @param answered whether the endpoint answered anything at all
      */
-    public void ended(long nowUs, String endpoint, boolean answered) {
+    public void recordAttempt(long nowUs, String endpoint, boolean answered) {
         SubsetMember member = members.find(endpoint);
         if (member != null && member.recordAttempt(answered)) {
             listed.markDirty(member.service());
@@ -174,7 +174,7 @@
      * Grows the subset where endpoints are silent and shrinks it after the settle time. To be called regularly, for
      * example every 250 ms.
      */
-    public Change due(long nowUs) {
+    public Change refresh(long nowUs) {
         reconciler.reconcile(nowUs);
         return new Change(false, changes.drain());
     }
@@ -182,17 +182,17 @@
     // Figures
 
     /** Number of listed endpoints. */
-    public int listed() {
+    public int listedCount() {
         return listed.store().size();
     }
 
     /** Number of endpoints in the subset: never more than {@code maxEndpoints}. */
-    public int inScope() {
+    public int subsetSize() {
         return members.size();
     }
 
     /** Number of services with a listed endpoint. */
-    public int services() {
+    public int serviceCount() {
         return listed.size();
     }
 
@@ -210,7 +210,7 @@
     }
 
     /** When a list or a change was last taken, 0 for never. */
-    public long changedUs() {
+    public long lastChangeUs() {
         return changedUs;
     }
 
--- a/src/main/java/gatelock/membership/ListApplier.java
+++ b/src/main/java/gatelock/membership/ListApplier.java
@@ -6,7 +6,7 @@
 
 /** Applies full lists and changes of the list to what is listed and to the members of the subset. */
 final class ListApplier {
-    private final EndpointSubset.Terms policy;
+    private final EndpointSubset.Policy policy;
     private final ListedServices listed;
     private final SubsetMembers members;
     private final CandidateSelector selector;
@@ -14,7 +14,7 @@
 
     /** An applier for one subset. */
     ListApplier(
-            EndpointSubset.Terms policy,
+            EndpointSubset.Policy policy,
             ListedServices listed,
             SubsetMembers members,
             CandidateSelector selector,
--- a/src/main/java/gatelock/membership/MemberReview.java
+++ b/src/main/java/gatelock/membership/MemberReview.java
@@ -5,12 +5,12 @@
 
 /** Decides which members of a service stay, which leave after the settle time and which may be removed at need. */
 final class MemberReview {
-    private final EndpointSubset.Terms policy;
+    private final EndpointSubset.Policy policy;
     private final EndpointBudget budget;
     private final EvictionQueue evictions;
 
     /** A review by the number of endpoints that the budget wants of each service. */
-    MemberReview(EndpointSubset.Terms policy, EndpointBudget budget, EvictionQueue evictions) {
+    MemberReview(EndpointSubset.Policy policy, EndpointBudget budget, EvictionQueue evictions) {
         this.policy = policy;
         this.budget = budget;
         this.evictions = evictions;
--- a/src/main/java/gatelock/membership/SubsetReconciler.java
+++ b/src/main/java/gatelock/membership/SubsetReconciler.java
@@ -6,7 +6,7 @@
 
 /** Brings the subset to what it should be by now: the services that changed, and what has become due. */
 final class SubsetReconciler {
-    private final EndpointSubset.Terms policy;
+    private final EndpointSubset.Policy policy;
     private final ListedServices listed;
     private final SubsetMembers members;
     private final EvictionQueue evictions;
@@ -18,7 +18,7 @@
 
     /** A reconciler of one subset. */
     SubsetReconciler(
-            EndpointSubset.Terms policy,
+            EndpointSubset.Policy policy,
             ListedServices listed,
             SubsetMembers members,
             EvictionQueue evictions,
--- a/src/main/java/gatelock/net/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -29,7 +29,7 @@
     private boolean stopped;
 
     /**
-     * Creates a pool whose responses have bodies of up to {@link ResponseReader#MOST_BODY} bytes.
+     * Creates a pool whose responses have bodies of up to {@link ResponseReader#MAX_BODY_BYTES} bytes.
      *
      * @param connectTimeoutUs a connection that is not established by then has failed
      * @param idleTimeoutUs how long a connection is kept without a request
@@ -45,7 +45,14 @@
             long idleTimeoutUs,
             long restUs,
             int maxConnections) {
-        this(eventLoop, counters, connectTimeoutUs, idleTimeoutUs, restUs, maxConnections, ResponseReader.MOST_BODY);
+        this(
+                eventLoop,
+                counters,
+                connectTimeoutUs,
+                idleTimeoutUs,
+                restUs,
+                maxConnections,
+                ResponseReader.MAX_BODY_BYTES);
     }
 
     /**
@@ -68,35 +75,38 @@
         this.restUs = restUs;
         this.maxConnections = maxConnections;
         this.maxBodyBytes = maxBodyBytes;
-        this.idle = new IdleConnections<>(maxConnections, OutboundConnection::drop);
-        eventLoop.soon(this::closeExpired);
+        this.idle = new IdleConnections<>(maxConnections, OutboundConnection::abort);
+        eventLoop.execute(this::closeExpired);
     }
 
     /** Closes the idle connections; no request may be sent any more. */
-    public void stop() {
+    public void shutdown() {
         stopped = true;
         closeExpired();
     }
 
     /** Sends one request on an idle or a new connection; all of its response has to arrive within this time. */
-    public OutboundConnection call(
-            InetSocketAddress address, ByteBuffer request, long timeoutUs, OutboundConnection.User handler) {
+    public OutboundConnection send(
+            InetSocketAddress address, ByteBuffer request, long timeoutUs, OutboundConnection.ResponseHandler handler) {
         return send(address, new OutboundRequest(request, ResponseTimeouts.total(timeoutUs), null, handler));
     }
 
     /** Sends one request on an idle or a new connection; the body of its response is consumed as it arrives. */
-    public OutboundConnection call(
+    public OutboundConnection send(
             InetSocketAddress address,
             ByteBuffer request,
             ResponseTimeouts timeouts,
             BodyConsumer body,
-            OutboundConnection.User handler) {
+            OutboundConnection.ResponseHandler handler) {
         return send(address, new OutboundRequest(request, timeouts, body, handler));
     }
 
     /** Sends one request on a connection of its own, whose response may take any time and have any length. */
     public OutboundConnection openStream(
-            InetSocketAddress address, ByteBuffer request, BodyConsumer body, OutboundConnection.User handler) {
+            InetSocketAddress address,
+            ByteBuffer request,
+            BodyConsumer body,
+            OutboundConnection.ResponseHandler handler) {
         return open(address, new OutboundRequest(request, ResponseTimeouts.NONE, body, handler));
     }
 
@@ -104,7 +114,7 @@
      * Closes the idle connections to an address whose service has left, is draining or came back as another process.
      * Whoever waits for a connection to it is asked again whether the request may be sent.
      */
-    public void close(InetSocketAddress address) {
+    public void invalidate(InetSocketAddress address) {
         idle.closeAll(address);
         List.copyOf(connecting.getOrDefault(address, Set.of())).forEach(OutboundConnection::endUnlessMaySend);
     }
@@ -144,7 +154,7 @@
 
     /** Counts and logs a response that could not be read. */
     void reportMalformed(InetSocketAddress address, MalformedResponseException e) {
-        counters.add("answers unreadable");
+        counters.increment("answers unreadable");
         LOG.log(Level.DEBUG, () -> "response from " + address + ": " + e.getMessage());
     }
 
@@ -162,14 +172,14 @@
         long idleSinceUs = eventLoop.nowUs() - restUs;
         OutboundConnection connection = idle.take(address, idleSinceUs);
         while (connection != null && !connection.isUsable()) {
-            connection.drop();
+            connection.abort();
             connection = idle.take(address, idleSinceUs);
         }
         return connection;
     }
 
     private OutboundConnection open(InetSocketAddress address, OutboundRequest request) {
-        counters.add("connections opened");
+        counters.increment("connections opened");
         if (open >= maxConnections) {
             idle.closeOldest();
         }
@@ -183,7 +193,7 @@
     private void closeExpired() {
         idle.closeBefore(stopped ? Long.MAX_VALUE : eventLoop.nowUs() - idleTimeoutUs);
         if (!stopped) {
-            eventLoop.in(Math.min(MAX_SWEEP_INTERVAL_US, idleTimeoutUs / 4), this::closeExpired);
+            eventLoop.schedule(Math.min(MAX_SWEEP_INTERVAL_US, idleTimeoutUs / 4), this::closeExpired);
         }
     }
 }
--- a/src/main/java/gatelock/net/EventLoop.java
+++ b/src/main/java/gatelock/net/EventLoop.java
@@ -24,7 +24,7 @@
     }
 
     /** Returns the thread itself, on which connections are registered. */
-    public XnioIoThread thread() {
+    public XnioIoThread ioThread() {
         return thread;
     }
 
@@ -34,12 +34,12 @@
     }
 
     /** Queues a task, which runs after those that are queued already; may be called from any thread. */
-    public void soon(Runnable task) {
+    public void execute(Runnable task) {
         thread.execute(() -> run(task));
     }
 
     /** Runs a task once this many microseconds have passed, rounded up to the thread's milliseconds. */
-    public XnioExecutor.Key in(long delayUs, Runnable task) {
+    public XnioExecutor.Key schedule(long delayUs, Runnable task) {
         long delayMs = (Math.max(0, delayUs) + 999) / 1000;
         return thread.executeAfter(() -> run(task), delayMs, TimeUnit.MILLISECONDS);
     }
@@ -49,10 +49,10 @@
      *
      * @param onError what the continuation receives where the work throws
      */
-    public <T> void aside(Supplier<T> work, T onError, Consumer<T> continuation) {
+    public <T> void offload(Supplier<T> work, T onError, Consumer<T> continuation) {
         thread.getWorker().execute(() -> {
             T result = resultOf(work, onError);
-            soon(() -> continuation.accept(result));
+            execute(() -> continuation.accept(result));
         });
     }
 
--- a/src/main/java/gatelock/net/JsonObject.java
+++ b/src/main/java/gatelock/net/JsonObject.java
@@ -23,7 +23,7 @@
      *
      * @throws IOException where it is no JSON object, or anything follows behind it
      */
-    public static JsonObject read(byte[] text) throws IOException {
+    public static JsonObject parse(byte[] text) throws IOException {
         try (JsonParser parser = JSON.std.createParser(new String(text, StandardCharsets.UTF_8))) {
             Map<String, Object> fields = JSON.std.mapFrom(parser);
             if (fields == null || parser.nextToken() != null) {
@@ -67,7 +67,7 @@
 
     /** Returns the address in a field of the form {@code host:port}; looks up a host that is a name. */
     public InetSocketAddress address(String name) throws IOException {
-        return resolved(addressText(name));
+        return resolveAddress(addressText(name));
     }
 
     /** Returns the text in a field of the form {@code host:port}; the host is not looked up. */
@@ -80,7 +80,7 @@
     }
 
     /** Returns the address that a text from {@link #addressText} names; looks up a host that is a name. */
-    public static InetSocketAddress resolved(String text) {
+    public static InetSocketAddress resolveAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
@@ -91,22 +91,22 @@
     }
 
     /** Returns the number from 0 on in a field; a fraction is cut off. */
-    public long whole(String name) throws IOException {
+    public long nonNegativeLong(String name) throws IOException {
         return numberWithin(0, MAX_NUMBER, name).longValue();
     }
 
     /** Returns the number from 0 on in a field that fits an {@code int}, such as the id of a build; cuts a fraction. */
-    public int count(String name) throws IOException {
+    public int nonNegativeInt(String name) throws IOException {
         return numberWithin(0, Integer.MAX_VALUE, name).intValue();
     }
 
-    /** Returns the same as {@link #whole}, or the default where the field is absent or null. */
-    public long wholeOr(String name, long defaultValue) throws IOException {
-        return fields.get(name) == null ? defaultValue : whole(name);
+    /** Returns the same as {@link #nonNegativeLong}, or the default where the field is absent or null. */
+    public long nonNegativeLongOr(String name, long defaultValue) throws IOException {
+        return fields.get(name) == null ? defaultValue : nonNegativeLong(name);
     }
 
     /** Returns whether a field is {@code true}; anything else, and an absent field, counts as {@code false}. */
-    public boolean yes(String name) {
+    public boolean isTrue(String name) {
         return Boolean.TRUE.equals(fields.get(name));
     }
 
