--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -26,9 +26,9 @@
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
     /** Learns once how a request ended, and never while the request is being sent. */
-    public interface User {
+    public interface ResponseHandler {
         /** Returns whether the request may still be sent: asked before its first byte on a new connection. */
-        default boolean mayGo() {
+        default boolean maySend() {
             return true;
         }
 
@@ -37,23 +37,23 @@
          *
          * @return whether it has the expected content; if not, the connection is closed
          */
-        boolean answered(UpstreamResponse response);
+        boolean onResponse(UpstreamResponse response);
 
         /**
          * The connection ended without a complete, well-formed response.
          *
          * @param written whether the last byte of the request was written before
          */
-        void broken(boolean written);
+        void onConnectionLost(boolean written);
 
         /** The response is malformed, for this reason; {@link #broken} follows. */
-        default void unreadable(String reason) {}
+        default void onMalformedResponse(String reason) {}
 
         /** The response is longer than is accepted, as the reason says; {@link #broken} follows. */
-        default void tooLong(String reason) {}
+        default void onResponseTooLong(String reason) {}
 
         /** The request timed out, and was given up. */
-        default void late() {}
+        default void onTimeout() {}
     }
 
     private final EventLoop eventLoop;
@@ -81,7 +81,7 @@
     }
 
     /** Gives up the request, or closes the idle connection; the request's handler is not called any more. */
-    public void drop() {
+    public void abort() {
         endRequest();
         end();
     }
@@ -94,17 +94,17 @@
     /** Opens the connection, on which the first request is sent once it is established. */
     void open(long connectTimeoutUs, OutboundRequest first) {
         begin(first);
-        connectTimer = eventLoop.in(connectTimeoutUs, () -> {
+        connectTimer = eventLoop.schedule(connectTimeoutUs, () -> {
             if (connection == null) {
                 end();
             }
         });
-        connecting = eventLoop.thread().openStreamConnection(address, this::onConnected, OPTIONS);
+        connecting = eventLoop.ioThread().openStreamConnection(address, this::onConnected, OPTIONS);
         connecting.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleFailed(IOException e, Void nothing) {
-                        eventLoop.soon(OutboundConnection.this::end);
+                        eventLoop.execute(OutboundConnection.this::end);
                     }
                 },
                 null);
@@ -134,7 +134,7 @@
      * @return whether the connection goes on
      */
     boolean endUnlessMaySend() {
-        if (request != null && !request.handler().mayGo()) {
+        if (request != null && !request.handler().maySend()) {
             end();
         }
         return !ended;
@@ -143,7 +143,7 @@
     private void begin(OutboundRequest next) {
         long firstByteUs = next.timeouts().firstByteUs();
         if (firstByteUs > 0) {
-            requestTimer = eventLoop.in(firstByteUs, () -> onRequestTimer(next));
+            requestTimer = eventLoop.schedule(firstByteUs, () -> onRequestTimer(next));
         }
         request = next;
         requestStartUs = eventLoop.nowUs();
@@ -167,10 +167,10 @@
         }
         long leftUs = remainingUs(timed.timeouts());
         if (leftUs > 0) {
-            requestTimer = eventLoop.in(leftUs, () -> onRequestTimer(timed));
+            requestTimer = eventLoop.schedule(leftUs, () -> onRequestTimer(timed));
         } else {
-            drop();
-            timed.handler().late();
+            abort();
+            timed.handler().onTimeout();
         }
     }
 
@@ -214,7 +214,7 @@
             written = true;
             connection.getSinkChannel().suspendWrites();
         } catch (IOException e) {
-            eventLoop.soon(this::end);
+            eventLoop.execute(this::end);
         }
     }
 
@@ -271,9 +271,9 @@
         pool.reportMalformed(address, e);
         if (request != null) {
             if (e instanceof ResponseTooLongException) {
-                request.handler().tooLong(e.getMessage());
+                request.handler().onResponseTooLong(e.getMessage());
             } else {
-                request.handler().unreadable(e.getMessage());
+                request.handler().onMalformedResponse(e.getMessage());
             }
         }
         end();
@@ -281,7 +281,7 @@
 
     private void finish(boolean reusable) {
         OutboundRequest finished = endRequest();
-        if (finished.handler().answered(reader.response()) && reusable) {
+        if (finished.handler().onResponse(reader.response()) && reusable) {
             pool.release(this);
         } else {
             end();
@@ -313,7 +313,7 @@
         pool.remove(this);
         OutboundRequest unanswered = endRequest();
         if (unanswered != null) {
-            unanswered.handler().broken(written);
+            unanswered.handler().onConnectionLost(written);
         }
     }
 }
--- a/src/main/java/gatelock/net/OutboundRequest.java
+++ b/src/main/java/gatelock/net/OutboundRequest.java
@@ -9,4 +9,4 @@
  * @param body receives the response's body as it arrives; null where it is buffered
  */
 record OutboundRequest(
-        ByteBuffer bytes, ResponseTimeouts timeouts, BodyConsumer body, OutboundConnection.User handler) {}
+        ByteBuffer bytes, ResponseTimeouts timeouts, BodyConsumer body, OutboundConnection.ResponseHandler handler) {}
--- a/src/main/java/gatelock/net/ResponseReader.java
+++ b/src/main/java/gatelock/net/ResponseReader.java
@@ -18,7 +18,7 @@
  */
 public final class ResponseReader {
     /** The longest body, in bytes, that the protocol allows for requests and responses of endpoints. */
-    public static final int MOST_BODY = 64 * 1024;
+    public static final int MAX_BODY_BYTES = 64 * 1024;
 
     /** The longest head including that of 1xx responses before it, and the longest line after the head. */
     private static final int MAX_HEAD_BYTES = 16 * 1024;
--- a/src/main/java/gatelock/pipeline/ActionExecutor.java
+++ b/src/main/java/gatelock/pipeline/ActionExecutor.java
@@ -70,60 +70,60 @@
     }
 
     @Override
-    public void send(String id, String endpoint, long timeoutUs) {
+    public void sendAttempt(String id, String endpoint, long timeoutUs) {
         InFlightRequest request = inFlight.get(id);
-        eventLoop.soon(() -> endpointResolver.send(request, endpoint, timeoutUs));
+        eventLoop.execute(() -> endpointResolver.send(request, endpoint, timeoutUs));
     }
 
     @Override
-    public void shed(String id, long pauseUs) {
+    public void shedRequest(String id, long pauseUs) {
         InFlightRequest request = inFlight.get(id);
-        eventLoop.soon(() -> {
+        eventLoop.execute(() -> {
             responseWriter.reject(request, pauseUs);
             outcomeRecorder.removeIfSettled(request);
         });
     }
 
     @Override
-    public void error(String id) {
+    public void failRequest(String id) {
         InFlightRequest request = inFlight.get(id);
-        eventLoop.soon(() -> {
+        eventLoop.execute(() -> {
             responseWriter.fail(request);
             outcomeRecorder.removeIfSettled(request);
         });
     }
 
     @Override
-    public void cancel(String id, int attemptNo) {
+    public void cancelAttempt(String id, int attemptNo) {
         InFlightRequest request = inFlight.get(id);
-        eventLoop.soon(() -> request.cancelAttempt(attemptNo));
+        eventLoop.execute(() -> request.cancelAttempt(attemptNo));
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) {
+    public void castVote(int build, int stage, Verdict verdict) {
         if (controller != null) {
-            eventLoop.soon(() -> controller.vote(build, stage, verdict));
+            eventLoop.execute(() -> controller.castVote(build, stage, verdict));
         }
     }
 
     @Override
-    public void timer(long inUs, long token) {
-        eventLoop.in(inUs, () -> {
+    public void scheduleTimer(long inUs, long token) {
+        eventLoop.schedule(inUs, () -> {
             if (!stopped) {
-                engine.due(eventLoop.nowUs(), token);
+                engine.timerFired(eventLoop.nowUs(), token);
             }
         });
     }
 
     @Override
-    public void followList() {
+    public void subscribeToEndpoints() {
         if (discovery != null) {
-            eventLoop.soon(discovery::follow);
+            eventLoop.execute(discovery::startPolling);
         }
     }
 
     @Override
-    public void say(String line) {
+    public void log(String line) {
         LOG.log(Level.INFO, line);
     }
 }
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -42,14 +42,14 @@
     }
 
     /** Sets the listener that receives the endpoint's name and the result of each attempt from now on. */
-    public void whenEnded(BiConsumer<String, AttemptResult> listener) {
+    public void setAttemptListener(BiConsumer<String, AttemptResult> listener) {
         attemptListener = listener;
     }
 
     /** Registers and sends an attempt; without an address it ends as not connected. */
     void send(InFlightRequest request, String endpoint, InetSocketAddress address, long timeoutUs) {
         Attempt attempt = new Attempt(request, endpoint);
-        if (request.over() || eventLoop.nowUs() >= request.endUs()) {
+        if (request.isOver() || eventLoop.nowUs() >= request.deadlineUs()) {
             attempt.end(AttemptResult.NOT_SENT, null);
         } else if (address == null) {
             attempt.end(AttemptResult.NOT_CONNECTED, null);
@@ -67,7 +67,7 @@
         return notExecuted ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED;
     }
 
-    private final class Attempt implements OutboundConnection.User {
+    private final class Attempt implements OutboundConnection.ResponseHandler {
         private final InFlightRequest request;
         private final String endpoint;
         private final int number;
@@ -84,14 +84,14 @@
         }
 
         private void begin(InetSocketAddress address, long timeoutUs) {
-            long leftUs = request.endUs() - sentUs;
+            long leftUs = request.deadlineUs() - sentUs;
             long waitUs = timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs;
             byte[] headEnd = (TIMEOUT_HEADER + ": " + Math.max(1, waitUs / 1000) + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1);
             // One buffer, so that an ordinary request is sent with one write.
             ByteBuffer message = ByteBuffer.allocate(request.head().length + headEnd.length + request.body().length);
             message.put(request.head()).put(headEnd).put(request.body()).flip();
-            connection = pool.call(address, message, waitUs, this);
+            connection = pool.send(address, message, waitUs, this);
         }
 
         /**
@@ -103,30 +103,30 @@
         private void cancel() {
             if (!ended) {
                 ended = true;
-                connection.drop();
-                eventLoop.in(CANCELLATION_DELAY_US, () -> end(AttemptResult.CANCELLED, null));
+                connection.abort();
+                eventLoop.schedule(CANCELLATION_DELAY_US, () -> end(AttemptResult.CANCELLED, null));
             }
         }
 
         @Override
-        public boolean mayGo() {
-            withdrawn = !request.handle().mayGo(eventLoop.nowUs(), number);
+        public boolean maySend() {
+            withdrawn = !request.handle().mayStart(eventLoop.nowUs(), number);
             return !withdrawn;
         }
 
         @Override
-        public void late() {
+        public void onTimeout() {
             end(AttemptResult.TIMED_OUT, null);
         }
 
         @Override
-        public boolean answered(UpstreamResponse response) {
+        public boolean onResponse(UpstreamResponse response) {
             end(resultOf(response), response);
             return true;
         }
 
         @Override
-        public void broken(boolean written) {
+        public void onConnectionLost(boolean written) {
             if (written) {
                 end(AttemptResult.BROKEN_OFF, null);
             } else {
@@ -137,7 +137,7 @@
         private void end(AttemptResult result, UpstreamResponse response) {
             ended = true;
             attemptListener.accept(endpoint, result);
-            outcomeRecorder.ended(request, number, result, eventLoop.nowUs() - sentUs, response);
+            outcomeRecorder.attemptEnded(request, number, result, eventLoop.nowUs() - sentUs, response);
         }
     }
 }
--- a/src/main/java/gatelock/pipeline/EndpointResolver.java
+++ b/src/main/java/gatelock/pipeline/EndpointResolver.java
@@ -24,8 +24,8 @@
     void send(InFlightRequest request, String endpoint, long timeoutUs) {
         EndpointAddresses.Entry entry = addresses.get(endpoint);
         InetSocketAddress address = entry == null ? null : entry.address();
-        if (request.opening() != null) {
-            request.opening().send(address, endpoint, timeoutUs);
+        if (request.attemptLauncher() != null) {
+            request.attemptLauncher().launch(address, endpoint, timeoutUs);
         } else {
             attemptSender.send(request, endpoint, address, timeoutUs);
         }
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -43,23 +43,23 @@
      * @param response the endpoint's response; required if {@code result} is {@link AttemptResult#COMPLETED}, else
      *     unused
      */
-    public void ended(
+    public void attemptEnded(
             InFlightRequest request, int attemptNo, AttemptResult result, long tookUs, UpstreamResponse response) {
         counters.attemptEnded(result);
-        if (result == AttemptResult.COMPLETED && !request.over()) {
+        if (result == AttemptResult.COMPLETED && !request.isOver()) {
             responseWriter.forward(request, response);
         }
-        request.handle().ended(eventLoop.nowUs(), attemptNo, result, tookUs, request.over(), LoadReport.NONE);
+        request.handle().attemptEnded(eventLoop.nowUs(), attemptNo, result, tookUs, request.isOver(), LoadReport.NONE);
         removeIfSettled(request);
     }
 
     /** Records that the client of a request has left. */
     void clientLeft(InFlightRequest request) {
-        if (!request.over()) {
-            counters.add("callers left");
+        if (!request.isOver()) {
+            counters.increment("callers left");
             inFlight.markOver(request);
             if (request.isAccepted()) {
-                request.handle().concluded(eventLoop.nowUs());
+                request.handle().responseNoLongerOwed(eventLoop.nowUs());
             }
             removeIfSettled(request);
         }
@@ -67,7 +67,7 @@
 
     /** Removes a request that is over and whose last attempt has ended; its response may still be on its way out. */
     void removeIfSettled(InFlightRequest request) {
-        if (request.over() && (!request.isAccepted() || request.handle().settled())) {
+        if (request.isOver() && (!request.isAccepted() || request.handle().isSettled())) {
             inFlight.remove(request);
         }
     }
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -72,24 +72,25 @@
      * @param way where the configuration in force leads it; null if there is none, or if none of its routes matches
      * @param profile what the decision engine learns of it
      */
-    public void admit(InFlightRequest request, Admission.Way way, RequestProfile profile) {
-        counters.add("taken");
+    public void admit(InFlightRequest request, Admission.MatchedRoute way, RequestProfile profile) {
+        counters.increment("taken");
         inFlight.add(request);
         if (way == null) {
             decide(request, profile, RequestConstraints.NONE);
             return;
         }
         LimitedRequest limited = new LimitedRequest(request, profile);
-        Admission.Pass pass = admission.ask(eventLoop.nowUs(), way, profile.tenant(), request.endUs(), limited);
+        Admission.RoutedRequest pass =
+                admission.admit(eventLoop.nowUs(), way, profile.tenant(), request.deadlineUs(), limited);
         limited.pass = pass;
-        request.whenOver(() -> {
-            pass.over(eventLoop.nowUs());
+        request.onOver(() -> {
+            pass.release(eventLoop.nowUs());
             scheduleLimitCheck();
         });
-        if (pass.shed()) {
-            limited.shed(eventLoop.nowUs(), pass.pauseUs());
-        } else if (pass.waits()) {
-            counters.add("waited for limits");
+        if (pass.isShed()) {
+            limited.onShed(eventLoop.nowUs(), pass.retryAfterUs());
+        } else if (pass.isQueued()) {
+            counters.increment("waited for limits");
             scheduleLimitCheck();
         } else {
             decide(request, profile, pass);
@@ -102,20 +103,20 @@
      *
      * @return how many were queued
      */
-    public int open() {
-        return startupQueue.open();
+    public int releaseQueued() {
+        return startupQueue.openAndDrain();
     }
 
     private void decide(InFlightRequest request, RequestProfile profile, RequestConstraints constraints) {
         if (startupQueue.isOpen()) {
             long nowUs = eventLoop.nowUs();
-            request.accepted(engine.take(
+            request.accepted(engine.acceptRequest(
                     nowUs,
                     request.id(),
                     profile.route(),
                     profile.tenant(),
                     profile.key(),
-                    Math.max(1, request.endUs() - nowUs),
+                    Math.max(1, request.deadlineUs() - nowUs),
                     profile.costUs(),
                     constraints));
             outcomeRecorder.removeIfSettled(request);
@@ -125,10 +126,10 @@
     }
 
     private void queueForStartup(InFlightRequest request, Runnable decision) {
-        long maxWaitUs = startupQueue.come(eventLoop.nowUs(), request.endUs(), request, decision);
-        eventLoop.in(maxWaitUs, () -> {
-            if (startupQueue.leave(request)) {
-                counters.add("given up before listed");
+        long maxWaitUs = startupQueue.add(eventLoop.nowUs(), request.deadlineUs(), request, decision);
+        eventLoop.schedule(maxWaitUs, () -> {
+            if (startupQueue.remove(request)) {
+                counters.increment("given up before listed");
                 reject(request, maxWaitUs);
             }
         });
@@ -143,7 +144,7 @@
     private final class LimitedRequest implements QueuedRequest {
         private final InFlightRequest request;
         private final RequestProfile profile;
-        private Admission.Pass pass;
+        private Admission.RoutedRequest pass;
 
         LimitedRequest(InFlightRequest request, RequestProfile profile) {
             this.request = request;
@@ -151,19 +152,19 @@
         }
 
         @Override
-        public void passes(long nowUs) {
+        public void onAdmitted(long nowUs) {
             // This may be called while the decision engine is at work on another request, hence not at once.
-            eventLoop.soon(() -> {
-                if (!request.over()) {
+            eventLoop.execute(() -> {
+                if (!request.isOver()) {
                     decide(request, profile, pass);
                 }
             });
         }
 
         @Override
-        public void shed(long nowUs, long pauseUs) {
-            counters.add("shed by limits");
-            eventLoop.soon(() -> reject(request, pauseUs));
+        public void onShed(long nowUs, long pauseUs) {
+            counters.increment("shed by limits");
+            eventLoop.execute(() -> reject(request, pauseUs));
         }
     }
 
@@ -173,21 +174,21 @@
             return;
         }
         long nowUs = eventLoop.nowUs();
-        long nextUs = admission.nextUs(nowUs);
+        long nextUs = admission.nextDueUs(nowUs);
         if (nextUs == Long.MAX_VALUE) {
             return;
         }
         checkScheduled = true;
-        eventLoop.in(Math.min(nextUs - nowUs, MAX_CHECK_INTERVAL_US), () -> {
+        eventLoop.schedule(Math.min(nextUs - nowUs, MAX_CHECK_INTERVAL_US), () -> {
             checkScheduled = false;
-            admission.due(eventLoop.nowUs());
+            admission.processQueues(eventLoop.nowUs());
             scheduleLimitCheck();
         });
     }
 
     /** Tells that a request's client has left: nothing is owed any more. */
     public void clientLeft(InFlightRequest request) {
-        startupQueue.leave(request);
+        startupQueue.remove(request);
         outcomeRecorder.clientLeft(request);
     }
 }
--- a/src/main/java/gatelock/pipeline/ResponseWriter.java
+++ b/src/main/java/gatelock/pipeline/ResponseWriter.java
@@ -27,15 +27,15 @@
 
     /** Forwards the response of an endpoint to a request that is not over. */
     void forward(InFlightRequest request, UpstreamResponse response) {
-        counters.add("completed");
+        counters.increment("completed");
         inFlight.markOver(request);
         request.responseSink().forward(response);
     }
 
     /** Rejects a request, unless it is over; {@code retryAfterUs} is 0 for no advice. */
     void reject(InFlightRequest request, long retryAfterUs) {
-        if (!request.over()) {
-            counters.add("shed");
+        if (!request.isOver()) {
+            counters.increment("shed");
             inFlight.markOver(request);
             request.responseSink().reject(retryAfterUs);
         }
@@ -43,10 +43,10 @@
 
     /** Reports a request as failed, unless it is over. */
     void fail(InFlightRequest request) {
-        if (!request.over()) {
-            counters.add("errored");
+        if (!request.isOver()) {
+            counters.increment("errored");
             inFlight.markOver(request);
-            request.responseSink().fail(eventLoop.nowUs() >= request.endUs());
+            request.responseSink().fail(eventLoop.nowUs() >= request.deadlineUs());
         }
     }
 }
--- a/src/main/java/gatelock/release/NewsStream.java
+++ b/src/main/java/gatelock/release/NewsStream.java
@@ -18,7 +18,7 @@
  * One connection on which the release controller pushes news, as JSON objects of one line each. Nothing is written to
  * it after the request.
  */
-final class NewsStream implements OutboundConnection.User, BodyConsumer {
+final class NewsStream implements OutboundConnection.ResponseHandler, BodyConsumer {
     private static final System.Logger LOG = System.getLogger("gatelock.release");
     /** The release controller sends a heartbeat each second; a stream without one for so long counts as silent. */
     private static final long MAX_SILENCE_US = 2_500_000;
@@ -74,7 +74,7 @@
     /** Closes the connection; the listener is not called any more. */
     void close() {
         silenceTimer.remove();
-        connection.drop();
+        connection.abort();
     }
 
     /** Returns whether the connection has ended, or can't be read any more. */
@@ -106,20 +106,20 @@
     }
 
     @Override
-    public boolean answered(UpstreamResponse response) {
-        broken(true);
+    public boolean onResponse(UpstreamResponse response) {
+        onConnectionLost(true);
         return false;
     }
 
     @Override
-    public void broken(boolean written) {
+    public void onConnectionLost(boolean written) {
         silenceTimer.remove();
         listener.onEnded(this);
     }
 
     private void onLine(byte[] text) {
         try {
-            JsonObject message = JsonObject.read(text);
+            JsonObject message = JsonObject.parse(text);
             silenceTimer.remove();
             startSilenceTimer();
             listener.onAlive(this);
@@ -137,14 +137,14 @@
      * news.
      */
     private void rejectLine(String reason) {
-        counters.add("news unreadable");
+        counters.increment("news unreadable");
         LOG.log(Level.WARNING, "release controller, news: " + reason);
         ended = true;
-        eventLoop.soon(() -> listener.onUnusable(this));
+        eventLoop.execute(() -> listener.onUnusable(this));
     }
 
     private void startSilenceTimer() {
-        silenceTimer = eventLoop.in(MAX_SILENCE_US, this::onSilence);
+        silenceTimer = eventLoop.schedule(MAX_SILENCE_US, this::onSilence);
     }
 
     /** Guards against a connection that is silent without being closed: another is opened beside it. */
--- a/src/main/java/gatelock/release/NewsSubscription.java
+++ b/src/main/java/gatelock/release/NewsSubscription.java
@@ -94,7 +94,7 @@
         }
         if (current.hasEnded() && replacement == null) {
             NewsStream ended = current;
-            eventLoop.in(REOPEN_DELAY_US, () -> replace(ended));
+            eventLoop.schedule(REOPEN_DELAY_US, () -> replace(ended));
         }
     }
 
@@ -113,7 +113,7 @@
     }
 
     private NewsStream open() {
-        counters.add("news connections");
+        counters.increment("news connections");
         return new NewsStream(eventLoop, counters, pool, address, this);
     }
 }
--- a/src/main/java/gatelock/release/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/release/ReleaseControllerClient.java
@@ -22,15 +22,15 @@
     static final String BASE_PATH = "/v2/projects/main/";
 
     private static final System.Logger LOG = System.getLogger("gatelock.release");
-    private static final Map<String, DecisionEngine.Phase> PHASES_BY_MODE = Map.of(
+    private static final Map<String, DecisionEngine.ReleasePhase> PHASES_BY_MODE = Map.of(
             "trial",
-            DecisionEngine.Phase.TRIAL,
+            DecisionEngine.ReleasePhase.TRIAL,
             "rolling_back",
-            DecisionEngine.Phase.REVERTING,
+            DecisionEngine.ReleasePhase.REVERTING,
             "released",
-            DecisionEngine.Phase.RELEASED,
+            DecisionEngine.ReleasePhase.RELEASED,
             "withdrawn",
-            DecisionEngine.Phase.WITHDRAWN);
+            DecisionEngine.ReleasePhase.WITHDRAWN);
 
     private final EventLoop eventLoop;
     private final Counters counters;
@@ -58,7 +58,7 @@
         this.address = address;
         this.voteTimeoutUs = voteTimeoutUs;
         this.subscription = new NewsSubscription(
-                eventLoop, counters, pool, address, news -> applyNews(news, DecisionEngine.VoteAnswer.NOT_ASKED));
+                eventLoop, counters, pool, address, news -> applyNews(news, DecisionEngine.VoteResponse.NOT_ASKED));
     }
 
     /**
@@ -68,7 +68,7 @@
      */
     public void start(DecisionEngine engine, JsonObject news) throws IOException {
         this.engine = engine;
-        applyNews(news, DecisionEngine.VoteAnswer.NOT_ASKED);
+        applyNews(news, DecisionEngine.VoteResponse.NOT_ASKED);
         subscription.start();
     }
 
@@ -76,72 +76,72 @@
      * Uses a release controller at another address from now on. The old news connection is closed only once the new one
      * has delivered something, and votes under way get their result.
      */
-    public void move(InetSocketAddress newAddress) {
+    public void changeAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
-            pool.close(address);
+            pool.invalidate(address);
             address = newAddress;
             subscription.move(newAddress);
         }
     }
 
     /** Casts this relay's vote on a stage of a build; the decisions learn the result. */
-    public void vote(int build, int stage, Verdict verdict) {
-        counters.add("votes");
+    public void castVote(int build, int stage, Verdict verdict) {
+        counters.increment("votes");
         String body = "{\"release\":" + build + ",\"tranche\":" + stage + ",\"ruling\":\""
                 + verdict.name().toLowerCase(Locale.ROOT) + "\"}";
         String request = "POST " + BASE_PATH + "judgements HTTP/1.1\r\nHost: desk\r\nContent-Type: application/json\r\n"
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
-        pool.call(address, StandardCharsets.US_ASCII.encode(request), voteTimeoutUs, new VoteResponseHandler());
+        pool.send(address, StandardCharsets.US_ASCII.encode(request), voteTimeoutUs, new VoteResponseHandler());
     }
 
-    private void applyNews(JsonObject news, DecisionEngine.VoteAnswer answer) throws IOException {
+    private void applyNews(JsonObject news, DecisionEngine.VoteResponse answer) throws IOException {
         String mode = news.text("mode");
-        DecisionEngine.Phase phase = PHASES_BY_MODE.get(mode);
+        DecisionEngine.ReleasePhase phase = PHASES_BY_MODE.get(mode);
         if (phase == null) {
             throw new MalformedMessageException("expected a known mode, found " + mode);
         }
-        int build = news.count("release");
-        int stage = news.count("tranche");
+        int build = news.nonNegativeInt("release");
+        int stage = news.nonNegativeInt("tranche");
         double exposure = news.number("exposure");
-        long ageUs = news.wholeOr("old_ms", 0) * 1000;
-        engine.news(eventLoop.nowUs(), build, stage, phase, exposure, ageUs, answer);
+        long ageUs = news.nonNegativeLongOr("old_ms", 0) * 1000;
+        engine.releaseStateUpdated(eventLoop.nowUs(), build, stage, phase, exposure, ageUs, answer);
     }
 
     /** Notifies the decisions of a vote that was answered without news. */
-    private void reportVote(DecisionEngine.VoteAnswer answer) {
-        counters.add("votes " + answer.name().toLowerCase(Locale.ROOT));
-        engine.news(eventLoop.nowUs(), 0, 0, DecisionEngine.Phase.TRIAL, 0, 0, answer);
+    private void reportVote(DecisionEngine.VoteResponse answer) {
+        counters.increment("votes " + answer.name().toLowerCase(Locale.ROOT));
+        engine.releaseStateUpdated(eventLoop.nowUs(), 0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, answer);
     }
 
     /** Handles the response to one vote. A vote whose response is missing or malformed may have been counted. */
-    private final class VoteResponseHandler implements OutboundConnection.User {
+    private final class VoteResponseHandler implements OutboundConnection.ResponseHandler {
         @Override
-        public boolean answered(UpstreamResponse response) {
+        public boolean onResponse(UpstreamResponse response) {
             try {
-                JsonObject message = JsonObject.read(response.body());
+                JsonObject message = JsonObject.parse(response.body());
                 switch (response.status()) {
-                    case 200 -> applyNews(message, DecisionEngine.VoteAnswer.COUNTED);
-                    case 429 -> reportVote(DecisionEngine.VoteAnswer.BUSY);
-                    case 409 -> reportVote(DecisionEngine.VoteAnswer.MOOT);
-                    case 400, 500 -> reportVote(DecisionEngine.VoteAnswer.ERROR);
+                    case 200 -> applyNews(message, DecisionEngine.VoteResponse.COUNTED);
+                    case 429 -> reportVote(DecisionEngine.VoteResponse.BUSY);
+                    case 409 -> reportVote(DecisionEngine.VoteResponse.MOOT);
+                    case 400, 500 -> reportVote(DecisionEngine.VoteResponse.ERROR);
                     default -> throw new MalformedMessageException("status " + response.status());
                 }
                 return true;
             } catch (IOException e) {
                 LOG.log(Level.WARNING, "release controller, response to a vote: " + e.getMessage());
-                reportVote(DecisionEngine.VoteAnswer.TIMED_OUT);
+                reportVote(DecisionEngine.VoteResponse.TIMED_OUT);
                 return false;
             }
         }
 
         @Override
-        public void broken(boolean written) {
-            reportVote(written ? DecisionEngine.VoteAnswer.TIMED_OUT : DecisionEngine.VoteAnswer.ERROR);
+        public void onConnectionLost(boolean written) {
+            reportVote(written ? DecisionEngine.VoteResponse.TIMED_OUT : DecisionEngine.VoteResponse.ERROR);
         }
 
         @Override
-        public void late() {
-            reportVote(DecisionEngine.VoteAnswer.TIMED_OUT);
+        public void onTimeout() {
+            reportVote(DecisionEngine.VoteResponse.TIMED_OUT);
         }
     }
 }
--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/Sessions.java
@@ -26,7 +26,7 @@
     private int nextId;
     private boolean relayShutsDown;
     private int newestBuild = -1;
-    private DecisionEngine.Phase newestPhase = DecisionEngine.Phase.RELEASED;
+    private DecisionEngine.ReleasePhase newestPhase = DecisionEngine.ReleasePhase.RELEASED;
 
     /**
      * Creates a registry without sessions.
@@ -81,21 +81,21 @@
      * Takes in the endpoint list or a change of it. Sessions at endpoints that drain, are gone or came back as another
      * incarnation or build are drained.
      */
-    public void listed(long nowUs, DecisionEngine.ListForm form, List<Endpoint> listed) {
-        if (form == DecisionEngine.ListForm.FAILED) {
+    public void updateEndpoints(long nowUs, DecisionEngine.EndpointUpdateType form, List<Endpoint> listed) {
+        if (form == DecisionEngine.EndpointUpdateType.FAILED) {
             return;
         }
-        if (form != DecisionEngine.ListForm.DELTA) {
+        if (form != DecisionEngine.EndpointUpdateType.DELTA) {
             removeUnlisted(nowUs, listed);
         }
         for (Endpoint endpoint : listed) {
             Endpoint previous = endpoint.health() == Endpoint.Health.GONE
-                    ? endpoints.remove(endpoint.endpoint())
-                    : endpoints.put(endpoint.endpoint(), endpoint);
+                    ? endpoints.remove(endpoint.name())
+                    : endpoints.put(endpoint.name(), endpoint);
             boolean replaced = previous != null
-                    && (previous.startUs() != endpoint.startUs() || previous.build() != endpoint.build());
+                    && (previous.startedAtUs() != endpoint.startedAtUs() || previous.build() != endpoint.build());
             if (endpoint.health() != Endpoint.Health.READY || replaced) {
-                drainEndpoint(nowUs, endpoint.endpoint());
+                drainEndpoint(nowUs, endpoint.name());
             }
         }
     }
@@ -103,7 +103,7 @@
     private void removeUnlisted(long nowUs, List<Endpoint> listed) {
         Set<String> listedNames = new LinkedHashSet<>();
         for (Endpoint endpoint : listed) {
-            listedNames.add(endpoint.endpoint());
+            listedNames.add(endpoint.name());
         }
         for (String name : List.copyOf(endpoints.keySet())) {
             if (!listedNames.contains(name)) {
@@ -123,7 +123,7 @@
      * Takes in the release state of the newest build. Once it is rolled back its sessions end at once, as no message
      * may go to it any more.
      */
-    public void news(long nowUs, int build, DecisionEngine.Phase phase) {
+    public void updateRelease(long nowUs, int build, DecisionEngine.ReleasePhase phase) {
         newestBuild = build;
         newestPhase = phase;
         if (!isRolledBack(build)) {
@@ -139,11 +139,12 @@
 
     private boolean isRolledBack(int build) {
         return build == newestBuild
-                && (newestPhase == DecisionEngine.Phase.REVERTING || newestPhase == DecisionEngine.Phase.WITHDRAWN);
+                && (newestPhase == DecisionEngine.ReleasePhase.REVERTING
+                        || newestPhase == DecisionEngine.ReleasePhase.WITHDRAWN);
     }
 
     /** Begins the shutdown of the relay: no session is opened any more, and all end by the deadline. */
-    public void leave(long nowUs, long deadlineUs) {
+    public void drainAll(long nowUs, long deadlineUs) {
         relayShutsDown = true;
         for (Session session : sessionsById.values()) {
             drainQueue.add(session, CloseReason.RELAY_SHUTDOWN, deadlineUs);
@@ -160,7 +161,7 @@
     }
 
     /** Closes the sessions whose turn has come and forgets those that are finished; to be called ten times a second or more. */
-    public void due(long nowUs) {
+    public void closeDue(long nowUs) {
         long readyEndpoints = endpoints.values().stream()
                 .filter(endpoint -> endpoint.health() == Endpoint.Health.READY)
                 .count();
--- a/src/main/java/gatelock/simulator/HostedRelay.java
+++ b/src/main/java/gatelock/simulator/HostedRelay.java
@@ -62,12 +62,12 @@
         switch (fields.name()) {
             case "INBOUND" -> handleRequest(nowUs, fields);
             case "REPORT_BACK" -> handleAttemptResult(nowUs, fields);
-            case "ELAPSED" -> engine.due(nowUs, fields.requiredLong("nonce"));
+            case "ELAPSED" -> engine.timerFired(nowUs, fields.requiredLong("nonce"));
             case "SYNC" -> handleEndpointList(nowUs, fields);
             case "STAGE" -> handleReleaseState(nowUs, fields);
             case "COMPLAINT" -> handleComplaint(nowUs, fields);
             case "ABANDONED", "HEAD_RECEIVED" ->
-                forRequestInFlight(fields.requiredText("msgId"), request -> request.concluded(nowUs));
+                forRequestInFlight(fields.requiredText("msgId"), request -> request.responseNoLongerOwed(nowUs));
             case "SCORECARD" -> handleCounts(nowUs, fields);
             case "MAIL", "CHECKED" -> {
                 // This engine sends no messages and no health checks, so their answers mean nothing to it.
@@ -85,7 +85,7 @@
         long costNs = fields.optionalLong(0);
         boolean costIsKnown = (fields.optionalLong(0) & 1) != 0;
         long costUs = costIsKnown ? SettingsDecoder.nsToUs(costNs) : 0;
-        RequestHandle request = engine.take(nowUs, id, route, tenant, key, leftUs, costUs);
+        RequestHandle request = engine.acceptRequest(nowUs, id, route, tenant, key, leftUs, costUs);
         inFlight.put(id, request);
         forgetIfSettled(id, request);
     }
@@ -98,7 +98,7 @@
         long tookUs = fields.requiredLong("durationNs") / NS_PER_US;
         boolean over = fields.requiredLong("over") == 1;
         LoadReport load = fields.loadReport();
-        forRequestInFlight(id, request -> request.ended(nowUs, attemptNo, result, tookUs, over, load));
+        forRequestInFlight(id, request -> request.attemptEnded(nowUs, attemptNo, result, tookUs, over, load));
     }
 
     /** A request that is no longer in flight is ignored. */
@@ -111,19 +111,19 @@
     }
 
     private void forgetIfSettled(String id, RequestHandle request) {
-        if (request.settled()) {
+        if (request.isSettled()) {
             inFlight.remove(id);
         }
     }
 
     private void handleEndpointList(long nowUs, FieldReader fields) {
         fields.requiredLong("seqNo");
-        DecisionEngine.ListForm form =
+        DecisionEngine.EndpointUpdateType form =
                 WireCodes.LIST_FORMS.get(fields.requiredIndex("form", WireCodes.LIST_FORMS.size()));
-        List<Endpoint> endpoints = form == DecisionEngine.ListForm.FAILED
+        List<Endpoint> endpoints = form == DecisionEngine.EndpointUpdateType.FAILED
                 ? List.of()
                 : endpointLists.get(fields.requiredIndex("list", endpointLists.size()));
-        engine.listed(nowUs, form, endpoints);
+        engine.endpointsUpdated(nowUs, form, endpoints);
     }
 
     private void handleReleaseState(long nowUs, FieldReader fields) {
@@ -131,19 +131,21 @@
         double cap = fields.optionalDouble(0);
         long agoUs = fields.optionalLong(0) / NS_PER_US;
         boolean asked = fields.optionalLong(0) == 1;
-        DecisionEngine.Phase phase = WireCodes.PHASES.get(fields.optionalIndex(0, "phase", WireCodes.PHASES.size()));
-        DecisionEngine.VoteAnswer answer = fields.oneOf(WireCodes.VOTE_ANSWERS, "result");
+        DecisionEngine.ReleasePhase phase =
+                WireCodes.PHASES.get(fields.optionalIndex(0, "phase", WireCodes.PHASES.size()));
+        DecisionEngine.VoteResponse answer = fields.oneOf(WireCodes.VOTE_ANSWERS, "result");
         int build = fields.optionalInt(0);
         // News that was not asked for also comes with the word of a counted vote.
-        boolean unasked = !asked && answer == DecisionEngine.VoteAnswer.COUNTED;
-        engine.news(nowUs, build, stage, phase, cap, agoUs, unasked ? DecisionEngine.VoteAnswer.NOT_ASKED : answer);
+        boolean unasked = !asked && answer == DecisionEngine.VoteResponse.COUNTED;
+        engine.releaseStateUpdated(
+                nowUs, build, stage, phase, cap, agoUs, unasked ? DecisionEngine.VoteResponse.NOT_ASKED : answer);
     }
 
     private void handleComplaint(long nowUs, FieldReader fields) {
         String endpoint = fields.requiredText("unit");
         int route = fields.requiredInt("service");
         long agoUs = fields.requiredLong("behindNs") / NS_PER_US;
-        engine.complaint(nowUs, endpoint, route, agoUs);
+        engine.complaintReceived(nowUs, endpoint, route, agoUs);
     }
 
     private void handleCounts(long nowUs, FieldReader fields) {
@@ -153,6 +155,6 @@
         int build = fields.requiredInt("rel");
         int count = fields.optionalInt(0);
         int route = fields.requiredInt("service");
-        engine.counted(nowUs, build, route, count, failed, meanUs, agoUs);
+        engine.fleetSampleReceived(nowUs, build, route, count, failed, meanUs, agoUs);
     }
 }
--- a/src/main/java/gatelock/simulator/Reply.java
+++ b/src/main/java/gatelock/simulator/Reply.java
@@ -56,7 +56,7 @@
         }
 
         @Override
-        public void send(String id, String endpoint, long timeoutUs) {
+        public void sendAttempt(String id, String endpoint, long timeoutUs) {
             line(relay, "RELAY")
                     .append(' ')
                     .append(id)
@@ -68,7 +68,7 @@
         }
 
         @Override
-        public void shed(String id, long pauseUs) {
+        public void shedRequest(String id, long pauseUs) {
             line(relay, "SAY_NO")
                     .append(' ')
                     .append(id)
@@ -78,12 +78,12 @@
         }
 
         @Override
-        public void error(String id) {
+        public void failRequest(String id) {
             line(relay, "DROP_REQUEST").append(' ').append(id).append('\n');
         }
 
         @Override
-        public void cancel(String id, int attemptNo) {
+        public void cancelAttempt(String id, int attemptNo) {
             line(relay, "RETRACT")
                     .append(' ')
                     .append(id)
@@ -93,7 +93,7 @@
         }
 
         @Override
-        public void vote(int build, int stage, Verdict verdict) {
+        public void castVote(int build, int stage, Verdict verdict) {
             line(relay, "BALLOT")
                     .append(' ')
                     .append(build)
@@ -105,7 +105,7 @@
         }
 
         @Override
-        public void timer(long inUs, long token) {
+        public void scheduleTimer(long inUs, long token) {
             line(relay, "SET_TIMER")
                     .append(' ')
                     .append(inUs * NS_PER_US)
@@ -115,12 +115,12 @@
         }
 
         @Override
-        public void followList() {
+        public void subscribeToEndpoints() {
             line(relay, "TAIL").append(' ').append(1).append('\n');
         }
 
         @Override
-        public void say(String message) {
+        public void log(String message) {
             line(relay, "EMIT").append(' ').append(message).append('\n');
         }
     }
--- a/src/main/java/gatelock/simulator/SettingsDecoder.java
+++ b/src/main/java/gatelock/simulator/SettingsDecoder.java
@@ -20,22 +20,27 @@
 
     private static final String ABSENT = "-";
 
-    private static final Map<String, RoutePolicy.Repeat> REPEATS = Map.of(
+    private static final Map<String, RoutePolicy.RetrySafety> REPEATS = Map.of(
             "repeatable",
-            RoutePolicy.Repeat.RETRIABLE,
+            RoutePolicy.RetrySafety.RETRIABLE,
             "by_key",
-            RoutePolicy.Repeat.DEDUPED,
+            RoutePolicy.RetrySafety.DEDUPED,
             "once",
-            RoutePolicy.Repeat.NON_RETRIABLE);
-    private static final Map<String, RoutePolicy.Group> DEDUP_SCOPES =
-            Map.of("all", RoutePolicy.Group.ALL, "zone", RoutePolicy.Group.ZONE, "cell", RoutePolicy.Group.CELL);
-    private static final Map<String, RolloutPolicy.Gatekeeping> GATE_MODES = Map.of(
+            RoutePolicy.RetrySafety.NON_RETRIABLE);
+    private static final Map<String, RoutePolicy.DedupScope> DEDUP_SCOPES = Map.of(
+            "all",
+            RoutePolicy.DedupScope.ALL,
+            "zone",
+            RoutePolicy.DedupScope.ZONE,
+            "cell",
+            RoutePolicy.DedupScope.CELL);
+    private static final Map<String, RolloutPolicy.PromotionMode> GATE_MODES = Map.of(
             "first_voice",
-            RolloutPolicy.Gatekeeping.FIRST_VOICE,
+            RolloutPolicy.PromotionMode.FIRST_VOICE,
             "by_count",
-            RolloutPolicy.Gatekeeping.COUNT,
+            RolloutPolicy.PromotionMode.COUNT,
             "automatic",
-            RolloutPolicy.Gatekeeping.CLOCK);
+            RolloutPolicy.PromotionMode.CLOCK);
 
     private final Map<String, String> pairs;
 
@@ -107,8 +112,8 @@
         for (int i = 0; i < wholeNumber("lanes.count", 0); i++) {
             String lane = "lanes." + i + ".";
             routes.add(new RoutePolicy(
-                    oneOf(lane + "effect", REPEATS, RoutePolicy.Repeat.NON_RETRIABLE),
-                    oneOf(lane + "dedupScope", DEDUP_SCOPES, RoutePolicy.Group.CELL),
+                    oneOf(lane + "effect", REPEATS, RoutePolicy.RetrySafety.NON_RETRIABLE),
+                    oneOf(lane + "dedupScope", DEDUP_SCOPES, RoutePolicy.DedupScope.CELL),
                     timeUs(lane + "keyTtlNs"),
                     timeUs(lane + "targetNs"),
                     number(lane + "worth", 1)));
@@ -126,7 +131,7 @@
 
     private RolloutPolicy rollout() {
         return new RolloutPolicy(
-                oneOf("familyInfo.gateMode", GATE_MODES, RolloutPolicy.Gatekeeping.COUNT),
+                oneOf("familyInfo.gateMode", GATE_MODES, RolloutPolicy.PromotionMode.COUNT),
                 Math.max(timeUs("familyInfo.bakeNs"), timeUs("familyInfo.autoAfterNs")),
                 timeUs("familyInfo.voteLifeNs"),
                 timeUs("familyInfo.voteWaitNs"),
--- a/src/main/java/gatelock/simulator/WireCodes.java
+++ b/src/main/java/gatelock/simulator/WireCodes.java
@@ -29,35 +29,35 @@
             AttemptResult.NOT_SENT);
 
     /** The {@code result} of a vote. */
-    static final Map<String, DecisionEngine.VoteAnswer> VOTE_ANSWERS = Map.of(
+    static final Map<String, DecisionEngine.VoteResponse> VOTE_ANSWERS = Map.of(
             "done",
-            DecisionEngine.VoteAnswer.COUNTED,
+            DecisionEngine.VoteResponse.COUNTED,
             "skipped",
-            DecisionEngine.VoteAnswer.MOOT,
+            DecisionEngine.VoteResponse.MOOT,
             "busy",
-            DecisionEngine.VoteAnswer.BUSY,
+            DecisionEngine.VoteResponse.BUSY,
             "err",
-            DecisionEngine.VoteAnswer.ERROR,
+            DecisionEngine.VoteResponse.ERROR,
             "etimedout",
-            DecisionEngine.VoteAnswer.TIMED_OUT);
+            DecisionEngine.VoteResponse.TIMED_OUT);
 
     /** The phase of a release. */
-    static final List<DecisionEngine.Phase> PHASES = List.of(
-            DecisionEngine.Phase.TRIAL,
-            DecisionEngine.Phase.REVERTING,
-            DecisionEngine.Phase.RELEASED,
-            DecisionEngine.Phase.WITHDRAWN);
+    static final List<DecisionEngine.ReleasePhase> PHASES = List.of(
+            DecisionEngine.ReleasePhase.TRIAL,
+            DecisionEngine.ReleasePhase.REVERTING,
+            DecisionEngine.ReleasePhase.RELEASED,
+            DecisionEngine.ReleasePhase.WITHDRAWN);
 
     /** The health of an endpoint. */
     static final List<Endpoint.Health> HEALTH =
             List.of(Endpoint.Health.GONE, Endpoint.Health.READY, Endpoint.Health.DRAINING);
 
     /** The form of an endpoint list. */
-    static final List<DecisionEngine.ListForm> LIST_FORMS = List.of(
-            DecisionEngine.ListForm.FAILED,
-            DecisionEngine.ListForm.FULL,
-            DecisionEngine.ListForm.CACHED,
-            DecisionEngine.ListForm.DELTA);
+    static final List<DecisionEngine.EndpointUpdateType> LIST_FORMS = List.of(
+            DecisionEngine.EndpointUpdateType.FAILED,
+            DecisionEngine.EndpointUpdateType.FULL,
+            DecisionEngine.EndpointUpdateType.CACHED,
+            DecisionEngine.EndpointUpdateType.DELTA);
 
     private static final List<Verdict> VERDICTS = List.of(Verdict.NONE, Verdict.ON, Verdict.HOLD, Verdict.BACK);
 
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -97,7 +97,7 @@
 
     /** A connection was accepted. */
     public void accepted(long nowUs, C connection) {
-        counters.add("client connections");
+        counters.increment("client connections");
         Entry entry = new Entry();
         entry.deadlineUs = nowUs + REQUEST_TIMEOUT_US;
         entries.put(connection, entry);
@@ -282,12 +282,12 @@
                 return false;
             }
             if (entry.state.isQuiet() && sockets.hasUnreadBytes(connection)) {
-                counters.add("clients kept, a req lay unread");
+                counters.increment("clients kept, a req lay unread");
                 bytesRead(nowUs, connection);
                 return false;
             }
         }
-        counters.add(reason.counter());
+        counters.increment(reason.counter());
         remove(connection);
         sockets.close(connection, entry.state, reason);
         return true;
--- a/src/main/java/gatelock/state/Counters.java
+++ b/src/main/java/gatelock/state/Counters.java
@@ -11,7 +11,7 @@
     private final Map<AttemptResult, Long> attemptsByResult = new EnumMap<>(AttemptResult.class);
 
     /** Counts an event of this name. */
-    public void add(String name) {
+    public void increment(String name) {
         counts.merge(name, 1L, Long::sum);
     }
 
@@ -29,7 +29,7 @@
     public void checkInvariant(boolean condition, String violation) {
         assert condition : violation;
         if (!condition) {
-            add("broken: " + violation);
+            increment("broken: " + violation);
         }
     }
 
--- a/src/main/java/gatelock/state/EndpointAddresses.java
+++ b/src/main/java/gatelock/state/EndpointAddresses.java
@@ -41,15 +41,15 @@
     public List<InetSocketAddress> put(InetSocketAddress address, Endpoint listed) {
         Entry entry = new Entry(address, listed);
         Entry before = listed.health() == Endpoint.Health.GONE
-                ? entries.remove(listed.endpoint())
-                : entries.put(listed.endpoint(), entry);
+                ? entries.remove(listed.name())
+                : entries.put(listed.name(), entry);
         if (before == null) {
             // An address may come back under another name: the process that was there before is another one.
             return List.of(address);
         }
         boolean unchanged = listed.health() == Endpoint.Health.READY
                 && before.address.equals(address)
-                && before.listed.startUs() == listed.startUs()
+                && before.listed.startedAtUs() == listed.startedAtUs()
                 && before.listed.build() == listed.build();
         return unchanged ? List.of() : List.of(before.address, address);
     }
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -19,7 +19,7 @@
     private RequestHandle handle;
     private boolean over;
     private Runnable completionAction;
-    private Opening attemptLauncher;
+    private AttemptLauncher attemptLauncher;
 
     /**
      * Creates a request that the decision engine does not know yet.
@@ -55,7 +55,7 @@
     }
 
     /** Until when the client waits, on the clock of the event loop. */
-    public long endUs() {
+    public long deadlineUs() {
         return deadlineUs;
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** Whether the final answer was given or the client has left. */
-    public boolean over() {
+    public boolean isOver() {
         return over;
     }
 
@@ -94,7 +94,7 @@
     }
 
     /** Starts the attempts of a request that is not an ordinary HTTP exchange. */
-    public interface Opening {
+    public interface AttemptLauncher {
         /**
          * Makes one attempt.
          *
@@ -103,28 +103,28 @@
          * @param endpoint the endpoint's name
          * @param timeoutUs how long the attempt may take, in microseconds; 0 for as long as the request
          */
-        void send(InetSocketAddress address, String endpoint, long timeoutUs);
+        void launch(InetSocketAddress address, String endpoint, long timeoutUs);
     }
 
     /** What starts its attempts; null for an ordinary request. */
-    public Opening opening() {
+    public AttemptLauncher attemptLauncher() {
         return attemptLauncher;
     }
 
     /** Has all of its attempts started by this. */
-    public void opensBy(Opening attemptLauncher) {
+    public void setAttemptLauncher(AttemptLauncher attemptLauncher) {
         this.attemptLauncher = attemptLauncher;
     }
 
     /** Removes and returns the action set for the end of the request, which the caller now has to run; may be null. */
-    public Runnable takeWhenOver() {
+    public Runnable takeCompletionAction() {
         Runnable action = completionAction;
         completionAction = null;
         return action;
     }
 
     /** Sets the action that runs once the request is over. */
-    public void whenOver(Runnable action) {
+    public void onOver(Runnable action) {
         completionAction = action;
     }
 
--- a/src/main/java/gatelock/state/InFlightRequests.java
+++ b/src/main/java/gatelock/state/InFlightRequests.java
@@ -34,7 +34,7 @@
 
     /** Records that a request gets its final answer now or that its client has left. */
     public void markOver(InFlightRequest request) {
-        counters.checkInvariant(!request.over(), "a second final answer");
+        counters.checkInvariant(!request.isOver(), "a second final answer");
         request.markOver();
     }
 
--- a/src/main/java/gatelock/websocket/OpeningHandshake.java
+++ b/src/main/java/gatelock/websocket/OpeningHandshake.java
@@ -55,8 +55,8 @@
      * @param timeoutUs bounds the attempt within the time the request has left; 0: nothing else bounds it
      */
     void start(HandshakeRequest handshakeRequest, InetSocketAddress address, long timeoutUs) {
-        long leftUs = request.endUs() - startUs;
-        if (request.over() || leftUs <= 0) {
+        long leftUs = request.deadlineUs() - startUs;
+        if (request.isOver() || leftUs <= 0) {
             end(AttemptResult.NOT_SENT);
             return;
         }
@@ -71,7 +71,8 @@
             end(AttemptResult.NOT_SENT);
             return;
         }
-        timeout = loop.in(timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs, () -> end(AttemptResult.TIMED_OUT));
+        timeout =
+                loop.schedule(timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs, () -> end(AttemptResult.TIMED_OUT));
         connect(handshakeRequest, uri);
     }
 
@@ -83,7 +84,7 @@
                         headers.putAll(handshakeRequest.headers());
                     }
                 };
-        connection = WebSocketClient.connectionBuilder(loop.thread().getWorker(), context.buffers(), uri)
+        connection = WebSocketClient.connectionBuilder(loop.ioThread().getWorker(), context.buffers(), uri)
                 .setOptionMap(OptionMap.create(Options.TCP_NODELAY, true))
                 .setClientNegotiation(negotiation)
                 .connect();
@@ -91,20 +92,20 @@
                 new IoFuture.HandlingNotifier<WebSocketChannel, Void>() {
                     @Override
                     public void handleDone(WebSocketChannel channel, Void nothing) {
-                        loop.soon(() -> connected(channel, negotiation.getSelectedSubProtocol()));
+                        loop.execute(() -> connected(channel, negotiation.getSelectedSubProtocol()));
                     }
 
                     @Override
                     public void handleFailed(IOException failure, Void nothing) {
                         boolean refused = failure instanceof ConnectException;
-                        loop.soon(() -> end(refused ? AttemptResult.NOT_CONNECTED : AttemptResult.ERRORED));
+                        loop.execute(() -> end(refused ? AttemptResult.NOT_CONNECTED : AttemptResult.ERRORED));
                     }
                 },
                 null);
     }
 
     private void connected(WebSocketChannel channel, String selectedSubprotocol) {
-        if (ended || request.over()) {
+        if (ended || request.isOver()) {
             IoUtils.safeClose(channel);
             end(AttemptResult.CANCELLED);
             return;
@@ -129,6 +130,6 @@
         }
         UpstreamResponse response =
                 completed ? new UpstreamResponse(SWITCHING_PROTOCOLS, List.of(), new byte[0]) : null;
-        context.recorder().ended(request, attemptNo, result, loop.nowUs() - startUs, response);
+        context.recorder().attemptEnded(request, attemptNo, result, loop.nowUs() - startUs, response);
     }
 }
--- a/src/main/java/gatelock/websocket/SessionOpening.java
+++ b/src/main/java/gatelock/websocket/SessionOpening.java
@@ -14,7 +14,7 @@
 import org.xnio.IoUtils;
 
 /** One request that opens a session, through all of its attempts until the handshake of its client is answered. */
-final class SessionOpening implements InFlightRequest.Opening {
+final class SessionOpening implements InFlightRequest.AttemptLauncher {
     private static final System.Logger LOG = System.getLogger("gatelock.websocket");
 
     private final SessionContext context;
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void send(InetSocketAddress address, String endpointName, long timeoutUs) {
+    public void launch(InetSocketAddress address, String endpointName, long timeoutUs) {
         new OpeningHandshake(context, request, endpointName, this::endpointOpened)
                 .start(handshakeRequest, address, timeoutUs);
     }
@@ -48,8 +48,8 @@
     private void endpointOpened(OpenedEndpoint endpoint) {
         opened = endpoint;
         // The session holds what the request held of its limits until it is finished.
-        whenFinished = request.takeWhenOver();
-        context.counters().add("sessions opened");
+        whenFinished = request.takeCompletionAction();
+        context.counters().increment("sessions opened");
     }
 
     /** Answers the handshake of the client and couples the two sides; called once an endpoint has opened. */
--- a/src/main/java/gatelock/websocket/SessionPeer.java
+++ b/src/main/java/gatelock/websocket/SessionPeer.java
@@ -66,7 +66,7 @@
         this.loop = loop;
         this.policy = policy;
         this.listener = listener;
-        this.frameLimiter = new FrameRateLimiter(policy.framesPerS());
+        this.frameLimiter = new FrameRateLimiter(policy.maxFramesPerSecond());
         this.lastFrameUs = loop.nowUs();
         this.lastPingUs = loop.nowUs();
     }
@@ -77,7 +77,7 @@
 
     /** Begins to read. */
     void start() {
-        channel.addCloseTask(closed -> loop.soon(() -> listener.connectionLost(side)));
+        channel.addCloseTask(closed -> loop.execute(() -> listener.connectionLost(side)));
         channel.getReceiveSetter().set(this);
         channel.resumeReceives();
     }
@@ -89,12 +89,12 @@
 
     /** Returns whether nothing has come for two and a half ping intervals. */
     boolean isUnresponsive(long nowUs) {
-        return nowUs - lastFrameUs > 2 * policy.pingUs() + policy.pingUs() / 2;
+        return nowUs - lastFrameUs > 2 * policy.pingIntervalUs() + policy.pingIntervalUs() / 2;
     }
 
     /** Sends a ping if nothing has come and no ping was sent for the ping interval. */
     void pingIfSilent(long nowUs) {
-        if (nowUs - Math.max(lastFrameUs, lastPingUs) >= policy.pingUs()) {
+        if (nowUs - Math.max(lastFrameUs, lastPingUs) >= policy.pingIntervalUs()) {
             lastPingUs = nowUs;
             WebSockets.sendPing(ByteBuffer.allocate(0), channel, null);
         }
@@ -112,7 +112,7 @@
 
             @Override
             public void onError(WebSocketChannel to, Void nothing, Throwable failure) {
-                loop.soon(() -> listener.connectionLost(side));
+                loop.execute(() -> listener.connectionLost(side));
             }
         };
         if (text) {
@@ -132,7 +132,7 @@
 
             @Override
             public void onError(WebSocketChannel to, Void nothing, Throwable failure) {
-                loop.soon(() -> listener.connectionLost(side));
+                loop.execute(() -> listener.connectionLost(side));
             }
         };
         // As bytes, because Undertow's close refuses codes over 1011, which were registered later, as numbers.
@@ -173,12 +173,12 @@
 
     @Override
     protected void onText(WebSocketChannel from, StreamSourceFrameChannel frames) {
-        new MessageReader(true, policy.messageBytes(), this).handleEvent(frames);
+        new MessageReader(true, policy.maxMessageBytes(), this).handleEvent(frames);
     }
 
     @Override
     protected void onBinary(WebSocketChannel from, StreamSourceFrameChannel frames) {
-        new MessageReader(false, policy.messageBytes(), this).handleEvent(frames);
+        new MessageReader(false, policy.maxMessageBytes(), this).handleEvent(frames);
     }
 
     @Override
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -59,7 +59,7 @@
         lastMessageUs = loop.nowUs();
         client.start();
         endpoint.start();
-        loop.in(checkIntervalUs(), this::check);
+        loop.schedule(checkIntervalUs(), this::check);
     }
 
     private SessionPeer peer(SessionSide side) {
@@ -68,7 +68,7 @@
 
     @Override
     public void close(SessionSide side, int code, String reason) {
-        context.counters().add("session closes " + code);
+        context.counters().increment("session closes " + code);
         peer(side).sendClose(new CloseFrame(code, reason));
     }
 
@@ -91,7 +91,7 @@
         if (!session.isOpen()) {
             finishIfDisconnected();
             if (!session.isFinished()) {
-                loop.in(CLOSING_CHECK_US, this::check);
+                loop.schedule(CLOSING_CHECK_US, this::check);
             }
             return;
         }
@@ -103,12 +103,12 @@
             client.pingIfSilent(nowUs);
             endpoint.pingIfSilent(nowUs);
         }
-        loop.in(checkIntervalUs(), this::check);
+        loop.schedule(checkIntervalUs(), this::check);
     }
 
     /** Returns why the session has to end now, or null. */
     private CloseReason failedCheck(long nowUs) {
-        if (policy.idleUs() > 0 && nowUs - lastMessageUs >= policy.idleUs()) {
+        if (policy.idleTimeoutUs() > 0 && nowUs - lastMessageUs >= policy.idleTimeoutUs()) {
             return CloseReason.IDLE_TIMEOUT;
         }
         if (client.isStalled(nowUs) || endpoint.isStalled(nowUs)) {
@@ -121,7 +121,9 @@
     }
 
     private long checkIntervalUs() {
-        long shortestUs = policy.idleUs() > 0 ? Math.min(policy.idleUs(), policy.pingUs()) : policy.pingUs();
+        long shortestUs = policy.idleTimeoutUs() > 0
+                ? Math.min(policy.idleTimeoutUs(), policy.pingIntervalUs())
+                : policy.pingIntervalUs();
         return Math.max(MIN_CHECK_US, shortestUs / 2);
     }
 
@@ -137,7 +139,7 @@
         if (from.side() == SessionSide.CLIENT) {
             forwardToEndpoint(text, message, nowUs, true);
         } else {
-            context.counters().add("messages to clients");
+            context.counters().increment("messages to clients");
             client.send(text, message, endpoint);
         }
     }
@@ -148,9 +150,9 @@
             return;
         }
         long nowUs = loop.nowUs();
-        switch (context.engine().message(nowUs, session.endpoint(), session.route(), firstTime)) {
+        switch (context.engine().admitMessage(nowUs, session.endpoint(), session.route(), firstTime)) {
             case NOW -> {
-                context.counters().add("messages to units");
+                context.counters().increment("messages to units");
                 endpoint.send(text, message, client);
             }
             case NEVER -> context.sessions().endUnreachable(nowUs, session);
@@ -158,7 +160,7 @@
                 if (nowUs - receivedUs >= MAX_WAIT_US) {
                     session.end(nowUs, CloseReason.OVERLOADED, OVERLOADED_RECONNECT_MS);
                 } else {
-                    loop.in(RETRY_US, () -> forwardToEndpoint(text, message, receivedUs, false));
+                    loop.schedule(RETRY_US, () -> forwardToEndpoint(text, message, receivedUs, false));
                 }
             }
         }
--- a/src/main/java/gatelock/websocket/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/websocket/WebSocketUpgrader.java
@@ -23,7 +23,7 @@
  * opening handshake with that endpoint, and only once an endpoint has opened is the handshake of the client answered.
  * Until then the client has an ordinary request, which may be rejected with a time after which to retry.
  */
-public final class WebSocketUpgrader implements RequestReader.Upgrade {
+public final class WebSocketUpgrader implements RequestReader.SessionUpgrade {
     private static final int BUFFER_BYTES = 4096;
     private static final int MAX_POOLED_BUFFERS = 200;
     private static final HttpString KEY = new HttpString("Sec-WebSocket-Key");
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public boolean asked(HttpServerExchange exchange) {
+    public boolean isRequested(HttpServerExchange exchange) {
         return "websocket".equalsIgnoreCase(exchange.getRequestHeaders().getFirst(Headers.UPGRADE));
     }
 
     @Override
-    public int refusal(HttpServerExchange exchange) {
+    public int rejectionStatus(HttpServerExchange exchange) {
         if (!isWellFormed(exchange.getRequestHeaders())) {
             return StatusCodes.BAD_REQUEST;
         }
@@ -67,7 +67,7 @@
             return StatusCodes.UPGRADE_REQUIRED;
         }
         if (!context.sessions().hasCapacity()) {
-            context.counters().add("sessions turned away, no room");
+            context.counters().increment("sessions turned away, no room");
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, "1");
             return StatusCodes.SERVICE_UNAVAILABLE;
         }
@@ -85,11 +85,11 @@
     }
 
     @Override
-    public Consumer<HttpServerExchange> opens(
+    public Consumer<HttpServerExchange> prepare(
             HttpServerExchange exchange, InFlightRequest request, SessionPolicy policy, int route) {
         HandshakeRequest handshakeRequest = HandshakeRequest.of(exchange, policy.subprotocols());
         SessionOpening opening = new SessionOpening(context, request, policy, route, handshakeRequest);
-        request.opensBy(opening);
+        request.setAttemptLauncher(opening);
         return opening::answerClient;
     }
 }
--- a/src/test/java/gatelock/DiscoveryTest.java
+++ b/src/test/java/gatelock/DiscoveryTest.java
@@ -84,7 +84,8 @@
             }
         }
         discovery.awaitCall();
-        assertThat(relay.log().split("endpoint list rejected, last good list kept", -1)).hasSize(5);
+        assertThat(relay.log().split("endpoint list rejected, last good list kept", -1))
+                .hasSize(5);
         assertServedBy(endpoint, "still");
     }
 
--- a/src/test/java/gatelock/EndpointSubsetRelayTest.java
+++ b/src/test/java/gatelock/EndpointSubsetRelayTest.java
@@ -66,13 +66,13 @@
     /** Returns the endpoints that the subset of this relay has, as its own decisions choose them. */
     private static Set<Integer> subset() {
         EndpointSubset endpointSubset =
-                new EndpointSubset(new EndpointSubset.Terms(RELAY_NUMBER, -1, MAX_ENDPOINTS, SUBSET_SIZE, 0, 0, 0));
-        EndpointSubset.Reading reading = endpointSubset.read(true);
+                new EndpointSubset(new EndpointSubset.Policy(RELAY_NUMBER, -1, MAX_ENDPOINTS, SUBSET_SIZE, 0, 0, 0));
+        EndpointSubset.ListUpdate reading = endpointSubset.beginUpdate(true);
         for (int i = 0; i < LISTED_ENDPOINTS; i++) {
             reading.add(new EndpointEntry(name(i), "", "127.0.0.1:1", 0, 0, 3, 1, Endpoint.Health.READY, 0));
         }
         Set<Integer> subset = new HashSet<>();
-        reading.take(0, 5)
+        reading.commit(0, 5)
                 .entries()
                 .forEach(entry -> subset.add(Integer.parseInt(entry.name().replaceAll(".*-", ""))));
         assertThat(subset).hasSize(SUBSET_SIZE);
--- a/src/test/java/gatelock/ScenarioRunner.java
+++ b/src/test/java/gatelock/ScenarioRunner.java
@@ -56,13 +56,14 @@
         switch (words[0]) {
             case "charter" -> charter.putAll(named);
             case "at" -> runTo(startUs + ScenarioValues.parseTimeUs(words[1]));
-            case "list" -> engine().listed(nowUs, DecisionEngine.ListForm.FULL, endpoints(words));
-            case "change" -> engine().listed(nowUs, DecisionEngine.ListForm.DELTA, endpoints(words));
-            case "list-failed" -> engine().listed(nowUs, DecisionEngine.ListForm.FAILED, List.of());
+            case "list" -> engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FULL, endpoints(words));
+            case "change" ->
+                engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.DELTA, endpoints(words));
+            case "list-failed" -> engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FAILED, List.of());
             case "news" -> releaseState(named);
-            case "answer" -> voteAnswer(ScenarioValues.parseConstant(DecisionEngine.VoteAnswer.class, words[1]));
+            case "answer" -> voteAnswer(ScenarioValues.parseConstant(DecisionEngine.VoteResponse.class, words[1]));
             case "take" -> take(words[1], named);
-            case "leave" -> requests.get(words[1]).concluded(nowUs);
+            case "leave" -> requests.get(words[1]).responseNoLongerOwed(nowUs);
             case "end" -> endAttempt(words[1], ScenarioValues.parseConstant(AttemptResult.class, words[2]));
             case "unit" ->
                 responders
@@ -75,7 +76,7 @@
             }
             case "counted" -> countedOutcomes(named);
             case "silent-time-out" -> timeOutSilent();
-            case "complaint" -> engine().complaint(nowUs, words[1], 0, named.timeUs("ago", "0s"));
+            case "complaint" -> engine().complaintReceived(nowUs, words[1], 0, named.timeUs("ago", "0s"));
             case "forget" -> {
                 outcome.attempts.clear();
                 outcome.votes.clear();
@@ -87,22 +88,22 @@
     }
 
     private void releaseState(ScenarioValues named) {
-        engine().news(
+        engine().releaseStateUpdated(
                         nowUs,
                         named.integer("build", 2),
                         named.integer("stage", 0),
-                        named.constant(DecisionEngine.Phase.class, "phase", "trial"),
+                        named.constant(DecisionEngine.ReleasePhase.class, "phase", "trial"),
                         named.number("cap", 0.2),
                         named.timeUs("ago", "0s"),
-                        DecisionEngine.VoteAnswer.NOT_ASKED);
+                        DecisionEngine.VoteResponse.NOT_ASKED);
     }
 
-    private void voteAnswer(DecisionEngine.VoteAnswer answer) {
-        engine().news(nowUs, 0, 0, DecisionEngine.Phase.TRIAL, 0, 0, answer);
+    private void voteAnswer(DecisionEngine.VoteResponse answer) {
+        engine().releaseStateUpdated(nowUs, 0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, answer);
     }
 
     private void countedOutcomes(ScenarioValues named) {
-        engine().counted(
+        engine().fleetSampleReceived(
                         nowUs,
                         named.integer("build", 2),
                         0,
@@ -124,7 +125,7 @@
     /** Returns whether the last attempt of a request may still go, which is asked once its connection is established. */
     private boolean mayGo(String requestId) {
         return requests.get(requestId)
-                .mayGo(nowUs, outcome.lastAttempt(requestId).attemptNo());
+                .mayStart(nowUs, outcome.lastAttempt(requestId).attemptNo());
     }
 
     /** Takes requests at a constant rate. */
@@ -139,7 +140,7 @@
 
     private void take(String requestId, ScenarioValues named) {
         outcome.takenUs.add(nowUs);
-        RequestHandle request = engine().take(
+        RequestHandle request = engine().acceptRequest(
                         nowUs,
                         requestId,
                         named.integer("route", 0),
@@ -170,7 +171,7 @@
             }
             AttemptResult failure = responder.constant(AttemptResult.class, "fails-as", "errored");
             AttemptResult result = fails ? failure : AttemptResult.COMPLETED;
-            request.ended(nowUs, attempt.attemptNo(), result, tookUs, !fails, LoadReport.NONE);
+            request.attemptEnded(nowUs, attempt.attemptNo(), result, tookUs, !fails, LoadReport.NONE);
         }));
     }
 
@@ -181,7 +182,7 @@
             outcome.answers.putIfAbsent(requestId, "completed");
         }
         requests.get(requestId)
-                .ended(nowUs, attempt.attemptNo(), result, nowUs - attempt.sentUs(), over, LoadReport.NONE);
+                .attemptEnded(nowUs, attempt.attemptNo(), result, nowUs - attempt.sentUs(), over, LoadReport.NONE);
     }
 
     /** Ends the last attempts that silent endpoints still have as timed out. */
@@ -193,7 +194,7 @@
                     && !outcome.answers.containsKey(attempt.requestId())
                     && attempt.equals(outcome.lastAttempt(attempt.requestId()))) {
                 requests.get(attempt.requestId())
-                        .ended(
+                        .attemptEnded(
                                 nowUs,
                                 attempt.attemptNo(),
                                 AttemptResult.TIMED_OUT,
@@ -246,7 +247,7 @@
     }
 
     @Override
-    public void send(String id, String endpoint, long timeoutUs) {
+    public void sendAttempt(String id, String endpoint, long timeoutUs) {
         assertThat(outcome.answers.get(id))
                 .as("nothing is sent after the final answer of " + id)
                 .isNull();
@@ -256,39 +257,39 @@
     }
 
     @Override
-    public void shed(String id, long pauseUs) {
+    public void shedRequest(String id, long pauseUs) {
         assertThat(outcome.answers.put(id, "shed"))
                 .as("one final answer for " + id)
                 .isNull();
     }
 
     @Override
-    public void error(String id) {
+    public void failRequest(String id) {
         assertThat(outcome.answers.put(id, "error"))
                 .as("one final answer for " + id)
                 .isNull();
     }
 
     @Override
-    public void cancel(String id, int attemptNo) {
+    public void cancelAttempt(String id, int attemptNo) {
         outcome.cancelledIds.add(id);
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) {
+    public void castVote(int build, int stage, Verdict verdict) {
         outcome.votes.add(verdict);
     }
 
     @Override
-    public void timer(long inUs, long token) {
-        events.add(new Event(nowUs + inUs, nextOrder++, () -> engine().due(nowUs, token)));
+    public void scheduleTimer(long inUs, long token) {
+        events.add(new Event(nowUs + inUs, nextOrder++, () -> engine().timerFired(nowUs, token)));
     }
 
     @Override
-    public void followList() {
+    public void subscribeToEndpoints() {
         outcome.listFollows++;
     }
 
     @Override
-    public void say(String line) {}
+    public void log(String line) {}
 }
--- a/src/test/java/gatelock/ScenarioSettings.java
+++ b/src/test/java/gatelock/ScenarioSettings.java
@@ -38,11 +38,11 @@
         List<RoutePolicy> routes = new ArrayList<>();
         for (String route : charter.text("routes", "retriable").split(",", -1)) {
             String[] parts = route.split(":", -1);
-            RoutePolicy.Group group = parts.length > 1
-                    ? ScenarioValues.parseConstant(RoutePolicy.Group.class, parts[1])
-                    : RoutePolicy.Group.ALL;
+            RoutePolicy.DedupScope group = parts.length > 1
+                    ? ScenarioValues.parseConstant(RoutePolicy.DedupScope.class, parts[1])
+                    : RoutePolicy.DedupScope.ALL;
             routes.add(new RoutePolicy(
-                    ScenarioValues.parseConstant(RoutePolicy.Repeat.class, parts[0]),
+                    ScenarioValues.parseConstant(RoutePolicy.RetrySafety.class, parts[0]),
                     group,
                     charter.timeUs("remember", "3s"),
                     1_000_000,
@@ -56,7 +56,7 @@
                 .mapToDouble(Double::parseDouble)
                 .toArray();
         return new RolloutPolicy(
-                charter.constant(RolloutPolicy.Gatekeeping.class, "gate", "first_voice"),
+                charter.constant(RolloutPolicy.PromotionMode.class, "gate", "first_voice"),
                 charter.timeUs("least", "1s"),
                 6_000_000,
                 1_200_000,
--- a/src/test/java/gatelock/StateRetentionTest.java
+++ b/src/test/java/gatelock/StateRetentionTest.java
@@ -36,7 +36,7 @@
     @Test
     void theDecisionsForgetWhatLeft() throws Exception {
         RolloutPolicy rollout = new RolloutPolicy(
-                RolloutPolicy.Gatekeeping.COUNT,
+                RolloutPolicy.PromotionMode.COUNT,
                 1_000_000,
                 6_000_000,
                 2_000_000,
@@ -48,12 +48,13 @@
                 1,
                 10,
                 false);
-        DecisionEngine gate = new ReleaseGate(
+        DecisionEngine engine = new ReleaseGate(
                 new RelaySettings(
                         7,
                         1,
                         0,
-                        List.of(new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1)),
+                        List.of(new RoutePolicy(
+                                RoutePolicy.RetrySafety.RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 250_000, 1)),
                         List.of(),
                         1,
                         3,
@@ -70,27 +71,29 @@
                         rollout),
                 new SendRecorder());
         long nowUs = 1_000_000;
-        gate.start(nowUs);
+        engine.start(nowUs);
         for (int build = 1; build <= 200; build++) {
             List<Endpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
                 endpoints.add(new Endpoint(
                         "u" + build + "-" + i / 3 + i, build - 1 + i / 3, 0, 0, 0, Endpoint.Health.READY, 0));
             }
-            gate.listed(nowUs, DecisionEngine.ListForm.FULL, endpoints);
-            gate.news(nowUs, build, 1, DecisionEngine.Phase.RELEASED, 1, 0, DecisionEngine.VoteAnswer.NOT_ASKED);
+            engine.endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FULL, endpoints);
+            engine.releaseStateUpdated(
+                    nowUs, build, 1, DecisionEngine.ReleasePhase.RELEASED, 1, 0, DecisionEngine.VoteResponse.NOT_ASKED);
             for (int i = 0; i < 20; i++) {
                 sentTo.clear();
-                RequestHandle request = gate.take(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
+                RequestHandle request =
+                        engine.acceptRequest(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
                 nowUs += 20_000;
                 for (int t = 0; t < sentTo.size(); t++) {
-                    request.ended(nowUs, t, AttemptResult.COMPLETED, 20_000, true, LoadReport.NONE);
+                    request.attemptEnded(nowUs, t, AttemptResult.COMPLETED, 20_000, true, LoadReport.NONE);
                 }
-                assertThat(request.settled()).isTrue();
-                gate.due(nowUs, 0);
+                assertThat(request.isSettled()).isTrue();
+                engine.timerFired(nowUs, 0);
             }
         }
-        assertBounded(gate, 100);
+        assertBounded(engine, 100);
     }
 
     @Test
@@ -141,7 +144,7 @@
     /** Records the endpoints that attempts are sent to. */
     private final class SendRecorder implements NoOpActions {
         @Override
-        public void send(String id, String endpoint, long timeoutUs) {
+        public void sendAttempt(String id, String endpoint, long timeoutUs) {
             sentTo.add(endpoint);
         }
     }
--- a/src/test/java/gatelock/boot/OperatorConfigReaderTest.java
+++ b/src/test/java/gatelock/boot/OperatorConfigReaderTest.java
@@ -41,7 +41,7 @@
         assertThat(OperatorConfigReader.read(Path.of("deploy/scope.json"), deployment())
                         .membership()
                         .terms()
-                        .most())
+                        .maxEndpoints())
                 .isEqualTo(1024);
     }
 
@@ -105,19 +105,19 @@
         OperatorConfig.Membership read =
                 OperatorConfigReader.read(file(membership("")), deployment()).membership();
         assertThat(read.terms())
-                .isEqualTo(new EndpointSubset.Terms(deployment().settings().seed(), -1, 40, 4, 1, 1, 10_000_000));
+                .isEqualTo(new EndpointSubset.Policy(deployment().settings().seed(), -1, 40, 4, 1, 1, 10_000_000));
         assertThat(read.maxListBytes()).isEqualTo(64 << 20);
-        assertThat(read.service()).isSameAs(ServiceNameExtractor.ONE);
+        assertThat(read.service()).isSameAs(ServiceNameExtractor.SINGLE_SERVICE);
         OperatorConfig.Membership all = OperatorConfigReader.read(
                         file("{\"membership\": {\"most\": 1024, "
                                 + "\"perService\": 1, \"zone\": \"east\", \"number\": 17, \"leastHolders\": 0, \"settleS\": 0.5, \"mostListBytes\": 2097152, "
                                 + "\"service\": {\"separator\": \"-\"}}}"),
                         deployment())
                 .membership();
-        assertThat(all.terms()).isEqualTo(new EndpointSubset.Terms(17, 0, 1024, 1, 0, 0, 500_000));
+        assertThat(all.terms()).isEqualTo(new EndpointSubset.Policy(17, 0, 1024, 1, 0, 0, 500_000));
         assertThat(all.maxListBytes()).isEqualTo(2 << 20);
-        assertThat(all.service().of("cold-brew-17", null, Map.of())).isEqualTo("cold-brew");
-        assertThat(all.service().of("alone", null, Map.of())).isEmpty();
+        assertThat(all.service().serviceOf("cold-brew-17", null, Map.of())).isEqualTo("cold-brew");
+        assertThat(all.service().serviceOf("alone", null, Map.of())).isEmpty();
     }
 
     @Test
--- a/src/test/java/gatelock/boot/SettingsValidatorTest.java
+++ b/src/test/java/gatelock/boot/SettingsValidatorTest.java
@@ -64,7 +64,7 @@
                 .isEqualTo(3_000_000);
         assertThat(readWith(",\\s*\"dialTimeoutNs\": 250000000, \"connIdleNs\": 30000000000", "")
                         .settings()
-                        .keptUs())
+                        .idleConnectionUs())
                 .isGreaterThan(1_000_000_000_000L);
         assertThat(readWith("\"zones\": \\[\"east\"\\],", "").names("zones")).hasSize(1);
         assertThat(readWith("", "").settings().routes()).hasSize(3);
--- a/src/test/java/gatelock/capacity/ConfigVersionCosts.java
+++ b/src/test/java/gatelock/capacity/ConfigVersionCosts.java
@@ -73,10 +73,10 @@
     /** The cost of a version with so many routes; its processor time is the median of some repeats. */
     private static Cost costOf(int routes, int repeats) {
         byte[] text = SampleConfigs.version(routes);
-        ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.GROUNDS);
+        ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.DEPLOYMENT);
         Admission admission = new Admission(1);
         try {
-            admission.listed(1, DecisionEngine.ListForm.FULL, endpoints(), Map.of());
+            admission.updateEndpoints(1, DecisionEngine.EndpointUpdateType.FULL, endpoints(), Map.of());
             double cpuUs = medianSwapUs(compiler, admission, text, repeats);
             return new Cost(text.length, heapBytes(compiler, text), cpuUs);
         } finally {
@@ -97,9 +97,9 @@
         List<Double> us = new ArrayList<>();
         for (int i = 1; i <= repeats; i++) {
             long startedNs = cpuNs();
-            ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, i, text);
-            admission.beside(i + 1, compiled.plan());
-            admission.follow(i + 1, compiled.plan());
+            ConfigCompiler.Result compiled = compiler.compile(ConfigVersion.Epoch.NONE, i, text);
+            admission.checkAgainstActive(i + 1, compiled.config());
+            admission.activate(i + 1, compiled.config());
             us.add((cpuNs() - startedNs) / 1e3);
         }
         return us.stream().sorted().skip(repeats / 2).findFirst().orElseThrow();
@@ -110,9 +110,9 @@
         Admission admission = new Admission(1);
         VersionTracker tracker = new VersionTracker(KEPT_VERSIONS);
         byte[] ownText = text.clone();
-        ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, 1, ownText);
-        admission.follow(1, compiled.plan());
-        tracker.good(1, compiled.plan(), "measured", ownText);
+        ConfigCompiler.Result compiled = compiler.compile(ConfigVersion.Epoch.NONE, 1, ownText);
+        admission.activate(1, compiled.config());
+        tracker.accept(1, compiled.config(), "measured", ownText);
         try {
             return ClassHistogram.ofThisProcess().since(before).totalBytes();
         } finally {
--- a/src/test/java/gatelock/capacity/DecisionHarness.java
+++ b/src/test/java/gatelock/capacity/DecisionHarness.java
@@ -43,9 +43,9 @@
     private static final int RELAYS = 100;
 
     private static final List<RoutePolicy> ROUTES = List.of(
-            new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
-            new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ALL, 5_000_000, 400_000, 3),
-            new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3));
+            new RoutePolicy(RoutePolicy.RetrySafety.RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 250_000, 1),
+            new RoutePolicy(RoutePolicy.RetrySafety.DEDUPED, RoutePolicy.DedupScope.ALL, 5_000_000, 400_000, 3),
+            new RoutePolicy(RoutePolicy.RetrySafety.NON_RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 500_000, 3));
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
@@ -73,8 +73,15 @@
             services.get(services.size() - 1).add(name);
             list.add(new Endpoint(name, 1, i % 3, 0, i % 10, Endpoint.Health.READY, 0));
         }
-        engine.listed(nowUs, DecisionEngine.ListForm.FULL, list);
-        engine.news(nowUs, 1, 0, DecisionEngine.Phase.RELEASED, 1, 60_000_000, DecisionEngine.VoteAnswer.NOT_ASKED);
+        engine.endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FULL, list);
+        engine.releaseStateUpdated(
+                nowUs,
+                1,
+                0,
+                DecisionEngine.ReleasePhase.RELEASED,
+                1,
+                60_000_000,
+                DecisionEngine.VoteResponse.NOT_ASKED);
     }
 
     /** Decisions with the settings of examples/relay.json. */
@@ -103,7 +110,7 @@
 
     private static RolloutPolicy rollout() {
         return new RolloutPolicy(
-                RolloutPolicy.Gatekeeping.COUNT,
+                RolloutPolicy.PromotionMode.COUNT,
                 1_000_000,
                 6_000_000,
                 2_000_000,
@@ -152,19 +159,19 @@
         EndpointRestriction ofService = service::contains;
         RequestConstraints constraints = restricted ? ofService : RequestConstraints.NONE;
         long sentBefore = sent;
-        RequestHandle handle = engine.take(
+        RequestHandle handle = engine.acceptRequest(
                 nowUs, "r" + nextId++, 0, 0, DecisionEngine.NO_KEY, TIMEOUT_US, EXPECTED_WORK_US, constraints);
         if (sent > sentBefore) {
             inFlight.add(new InFlight(handle, nowUs));
         }
         if (inFlight.size() > MAX_IN_FLIGHT) {
             InFlight first = inFlight.poll();
-            first.handle.ended(nowUs, 0, AttemptResult.COMPLETED, nowUs - first.sentUs, true, LoadReport.NONE);
+            first.handle.attemptEnded(nowUs, 0, AttemptResult.COMPLETED, nowUs - first.sentUs, true, LoadReport.NONE);
         }
     }
 
     private void tick() {
-        engine.due(nowUs, tickToken);
+        engine.timerFired(nowUs, tickToken);
     }
 
     /** Runs so many ticks; microseconds of processor time for one. */
@@ -178,13 +185,13 @@
     }
 
     @Override
-    public void send(String id, String endpoint, long timeoutUs) {
+    public void sendAttempt(String id, String endpoint, long timeoutUs) {
         sent++;
     }
 
     /** The first timer is the tick's; a request's is due only after its end, when it does nothing. */
     @Override
-    public void timer(long inUs, long token) {
+    public void scheduleTimer(long inUs, long token) {
         tickToken = tickToken < 0 ? token : tickToken;
     }
 }
--- a/src/test/java/gatelock/capacity/EndpointListCosts.java
+++ b/src/test/java/gatelock/capacity/EndpointListCosts.java
@@ -81,7 +81,7 @@
             endpoints.add(endpoint);
         }
         engine.start(START_US);
-        engine.listed(START_US, DecisionEngine.ListForm.FULL, endpoints);
+        engine.endpointsUpdated(START_US, DecisionEngine.EndpointUpdateType.FULL, endpoints);
         return List.of(addresses, engine);
     }
 
@@ -159,7 +159,7 @@
                 for (int i = 0; i < changes; i++) {
                     long from = list.index();
                     emptyBytes += bytesOf(socket, "?from=" + from + "&hold_ms=0");
-                    list.change(i, EndpointListHarness.entry(i, i + 1));
+                    list.replace(i, EndpointListHarness.entry(i, i + 1));
                     changedBytes += bytesOf(socket, "?from=" + from + "&hold_ms=2000");
                 }
                 changed.add(new Fit.Point(changes, changedBytes));
@@ -195,6 +195,6 @@
     /** Bytes of a call to discovery and of its answer. */
     private static long bytesOf(Socket socket, String query) throws IOException {
         String call = "GET /api/targets" + query + " HTTP/1.1\r\nHost: discovery\r\n\r\n";
-        return call.length() + OpenLoop.call(socket, call).bytes();
+        return call.length() + OpenLoop.exchange(socket, call).bytes();
     }
 }
--- a/src/test/java/gatelock/capacity/EndpointListHarness.java
+++ b/src/test/java/gatelock/capacity/EndpointListHarness.java
@@ -83,7 +83,7 @@
                 null);
         engine = DecisionHarness.newEngine(new ListOnlyActions(), List.of());
         long startedNs = cpuNs();
-        eventLoop.soon(() -> start(admission));
+        eventLoop.execute(() -> start(admission));
         awaitFollowed(1);
         readUs = (cpuNs() - startedNs) / 1e3;
     }
@@ -92,15 +92,15 @@
         try {
             engine.start(eventLoop.nowUs());
             discovery.start(
-                    engine, admission, JsonObject.read("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
-            engine.news(
+                    engine, admission, JsonObject.parse("{\"endpoints\":[]}".getBytes(StandardCharsets.US_ASCII)));
+            engine.releaseStateUpdated(
                     eventLoop.nowUs(),
                     1,
                     0,
-                    DecisionEngine.Phase.RELEASED,
+                    DecisionEngine.ReleasePhase.RELEASED,
                     1,
                     RELEASED_SINCE_US,
-                    DecisionEngine.VoteAnswer.NOT_ASKED);
+                    DecisionEngine.VoteResponse.NOT_ASKED);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -119,14 +119,14 @@
     }
 
     private long cpuNs() {
-        return THREADS.getThreadCpuTime(eventLoop.thread().getId());
+        return THREADS.getThreadCpuTime(eventLoop.ioThread().getId());
     }
 
     /** Waits until the client has the list up to an index. */
     private void awaitFollowed(long index) throws InterruptedException {
         if (list.await(index, 1, FOLLOWED_WITHIN_MS).isEmpty()) {
             throw new IllegalStateException("a list of " + size + " entries is not followed up to " + index + " after "
-                    + FOLLOWED_WITHIN_MS + " ms; full reads: " + list.wholes());
+                    + FOLLOWED_WITHIN_MS + " ms; full reads: " + list.snapshotCalls());
         }
     }
 
@@ -137,7 +137,7 @@
 
     /** How often the client has read the whole list. */
     long fullReads() {
-        return list.wholes();
+        return list.snapshotCalls();
     }
 
     /** Restarts so many endpoints, one after the other; the median of the I/O thread's processor time for one. */
@@ -146,7 +146,7 @@
         for (int i = 1; i <= changes; i++) {
             int number = (int) (i * CHANGE_STRIDE % size);
             long startedNs = cpuNs();
-            awaitFollowed(list.change(number, entry(number, i)));
+            awaitFollowed(list.replace(number, entry(number, i)));
             changeNs.add(cpuNs() - startedNs);
         }
         Collections.sort(changeNs);
@@ -155,13 +155,13 @@
 
     @Override
     public void close() {
-        eventLoop.soon(discoveryConnections::stop);
-        eventLoop.soon(endpointConnections::stop);
+        eventLoop.execute(discoveryConnections::shutdown);
+        eventLoop.execute(endpointConnections::shutdown);
         list.close();
         worker.shutdownNow();
         try {
             worker.awaitTermination(STOP_WITHIN_MS, TimeUnit.MILLISECONDS);
-            eventLoop.thread().join(STOP_WITHIN_MS);
+            eventLoop.ioThread().join(STOP_WITHIN_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -174,22 +174,22 @@
         }
 
         @Override
-        public void send(String id, String endpoint, long timeoutUs) {
+        public void sendAttempt(String id, String endpoint, long timeoutUs) {
             throw unexpected();
         }
 
         @Override
-        public void shed(String id, long pauseUs) {
+        public void shedRequest(String id, long pauseUs) {
             throw unexpected();
         }
 
         @Override
-        public void error(String id) {
+        public void failRequest(String id) {
             throw unexpected();
         }
 
         @Override
-        public void cancel(String id, int attemptNo) {
+        public void cancelAttempt(String id, int attemptNo) {
             throw unexpected();
         }
     }
--- a/src/test/java/gatelock/capacity/RealRelays.java
+++ b/src/test/java/gatelock/capacity/RealRelays.java
@@ -86,7 +86,7 @@
         try (FakeDeployment deployment = RelayHarness.deployment();
                 LongListDiscovery list = RelayHarness.list(deployment, size);
                 RelayProcess relay = harness.start(deployment, list, "r", 1)) {
-            long readyMs = relay.ready(RelayHarness.READY_WITHIN_MS);
+            long readyMs = relay.awaitReadyMs(RelayHarness.READY_WITHIN_MS);
             boolean accepted = !list.await(1, 1, 1_000).isEmpty();
             row.put("taken", accepted);
             if (readyMs < 0) {
@@ -97,8 +97,8 @@
                 putChange(row, deployment, list, accepted);
             }
             putResources(row, relay);
-            row.put("wholeLists", list.wholes());
-            row.put("brokenOff", list.brokenOff());
+            row.put("wholeLists", list.snapshotCalls());
+            row.put("brokenOff", list.abortedAnswers());
             row.put(
                     "log",
                     relay.log()
@@ -120,7 +120,7 @@
     private static void putChange(ObjectNode row, FakeDeployment deployment, LongListDiscovery list, boolean accepted)
             throws InterruptedException {
         long changedNs = System.nanoTime();
-        long index = list.change(7, RelayHarness.entry(deployment, 7, 1));
+        long index = list.replace(7, RelayHarness.entry(deployment, 7, 1));
         Map<String, Long> received = accepted ? list.await(index, 1, 5_000) : Map.of();
         if (received.isEmpty()) {
             row.putNull("heardAllMs");
@@ -211,7 +211,7 @@
             int change, FakeDeployment deployment, LongListDiscovery list, Histogram eachUs, Histogram lastUs)
             throws InterruptedException {
         long changedNs = System.nanoTime();
-        long index = list.change(change, RelayHarness.entry(deployment, change, change));
+        long index = list.replace(change, RelayHarness.entry(deployment, change, change));
         Map<String, Long> received = list.await(index, MANY_RELAYS, MANY_WITHIN_MS);
         if (received.size() < MANY_RELAYS) {
             results.note(
--- a/src/test/java/gatelock/capacity/RelayHarness.java
+++ b/src/test/java/gatelock/capacity/RelayHarness.java
@@ -84,7 +84,7 @@
      * @throws IOException where it does not become ready
      */
     static long awaitReady(RelayProcess relay) throws IOException, InterruptedException {
-        long ms = relay.ready(READY_WITHIN_MS);
+        long ms = relay.awaitReadyMs(READY_WITHIN_MS);
         if (ms < 0) {
             throw new IOException("not ready: " + relay.log());
         }
--- a/src/test/java/gatelock/capacity/RelayHeapCosts.java
+++ b/src/test/java/gatelock/capacity/RelayHeapCosts.java
@@ -84,7 +84,7 @@
         while (sockets.size() < connections) {
             Socket socket = OpenLoop.open(relay.port);
             sockets.add(socket);
-            if (OpenLoop.ask(socket, "c" + sockets.size()) != 200) {
+            if (OpenLoop.requestStatus(socket, "c" + sockets.size()) != 200) {
                 throw new IOException("a req got no 200 on connection " + sockets.size());
             }
         }
--- a/src/test/java/gatelock/capacity/VoteTables.java
+++ b/src/test/java/gatelock/capacity/VoteTables.java
@@ -24,7 +24,7 @@
 
     /** The share of looks in which one relay may be wrong, so that enough of them hardly ever are. */
     private double significanceLevel(int relays) {
-        return ExactIntervalTable.level(figures.of("falseBacks"), relays, votesNeeded(relays));
+        return ExactIntervalTable.errorLevel(figures.of("falseBacks"), relays, votesNeeded(relays));
     }
 
     /** The probability with which each relay has to find a bad build, so that just enough of them do. */
@@ -72,7 +72,7 @@
     }
 
     private Object outcomesNeeded(int endpoints, double errorRate, int relays, double power) {
-        int outcomes = ExactIntervalTable.outcomesNeeded(
+        int outcomes = ExactIntervalTable.minOutcomesToDetect(
                 endpoints, errorRate, figures.of("errorBar"), significanceLevel(relays), power, MAX_OUTCOMES);
         return outcomes < 0 ? "none do" : (Object) outcomes;
     }
@@ -103,7 +103,7 @@
     }
 
     private List<Object> outcomesByRank(ZipfDistribution services, double total, int relays) {
-        int needed = ExactIntervalTable.outcomesNeeded(
+        int needed = ExactIntervalTable.minOutcomesToDetect(
                 MAX_OUTCOMES,
                 HIGH_ERROR_RATE,
                 figures.of("errorBar"),
@@ -159,7 +159,7 @@
         int widest = 0;
         for (int relays : spreads((int) figures.of("relays"))) {
             int perRelay = (int) Math.min(MAX_OUTCOMES, outcomes / relays);
-            double power = ExactIntervalTable.found(
+            double power = ExactIntervalTable.detectionProbability(
                     perRelay, MAX_OUTCOMES, errorRate, figures.of("errorBar"), significanceLevel(relays));
             if (power >= powerNeeded(relays)) {
                 widest = relays;
--- a/src/test/java/gatelock/config/AdmissionTest.java
+++ b/src/test/java/gatelock/config/AdmissionTest.java
@@ -15,12 +15,12 @@
     private static final long SECOND = 1_000_000;
     private static final QueuedRequest NEVER_QUEUED = new QueuedRequest() {
         @Override
-        public void passes(long nowUs) {
+        public void onAdmitted(long nowUs) {
             throw new AssertionError("the request was not queued");
         }
 
         @Override
-        public void shed(long nowUs, long pauseUs) {
+        public void onShed(long nowUs, long pauseUs) {
             throw new AssertionError("the request was not queued");
         }
     };
@@ -45,74 +45,81 @@
         for (int i = 0; i < east + west; i++) {
             endpoints.add(endpoint((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Endpoint.Health.READY));
         }
-        admission.listed(
-                nowUs, DecisionEngine.ListForm.FULL, endpoints, Map.of("w0", Map.of("tier", "gold", "rack", "7")));
+        admission.updateEndpoints(
+                nowUs,
+                DecisionEngine.EndpointUpdateType.FULL,
+                endpoints,
+                Map.of("w0", Map.of("tier", "gold", "rack", "7")));
     }
 
-    private Admission.Pass admit(String path) {
+    private Admission.RoutedRequest admit(String path) {
         RequestAttributes request = new RequestAttributes("GET", null, path, name -> null);
-        return admission.ask(nowUs, admission.way(request), 0, nowUs + SECOND, NEVER_QUEUED);
+        return admission.admit(nowUs, admission.matchRoute(request), 0, nowUs + SECOND, NEVER_QUEUED);
     }
 
     @Test
     void aPoolReachesItsEndpointsAndFallsBackWhenTooFewAreLeft() {
         listReady(10, 5);
-        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
-        Admission.Pass request = admit("/read/x");
-        assertThat(request.reaches("e0")).isTrue();
-        assertThat(request.reaches("w0")).isFalse();
-        assertThat(request.reaches("unheard of")).isFalse();
+        admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
+        Admission.RoutedRequest request = admit("/read/x");
+        assertThat(request.allowsEndpoint("e0")).isTrue();
+        assertThat(request.allowsEndpoint("w0")).isFalse();
+        assertThat(request.allowsEndpoint("unheard of")).isFalse();
         nowUs += SECOND;
         listReady(5, 5);
-        assertThat(admit("/read").reaches("e0")).as("half of them are enough").isTrue();
+        assertThat(admit("/read").allowsEndpoint("e0"))
+                .as("half of them are enough")
+                .isTrue();
         listReady(4, 5);
-        Admission.Pass redirected = admit("/read");
-        assertThat(redirected.reaches("e0")).isFalse();
-        assertThat(redirected.reaches("w0")).as("has the label").isTrue();
-        assertThat(redirected.reaches("w1")).isFalse();
-        assertThat(request.reaches("e0"))
+        Admission.RoutedRequest redirected = admit("/read");
+        assertThat(redirected.allowsEndpoint("e0")).isFalse();
+        assertThat(redirected.allowsEndpoint("w0")).as("has the label").isTrue();
+        assertThat(redirected.allowsEndpoint("w1")).isFalse();
+        assertThat(request.allowsEndpoint("e0"))
                 .as("a request that came before stays with its pool")
                 .isTrue();
         listReady(5, 5);
-        assertThat(admit("/read").reaches("e0")).as("no flapping at the bound").isFalse();
+        assertThat(admit("/read").allowsEndpoint("e0"))
+                .as("no flapping at the bound")
+                .isFalse();
         listReady(6, 5);
-        assertThat(admit("/read").reaches("e0")).isTrue();
+        assertThat(admit("/read").allowsEndpoint("e0")).isTrue();
         // Endpoints that are gone for good are in time no longer counted.
         listReady(4, 5);
-        assertThat(admit("/read").reaches("e0")).isFalse();
+        assertThat(admit("/read").allowsEndpoint("e0")).isFalse();
         nowUs += 1_200 * SECOND;
-        assertThat(admit("/read").reaches("e0")).isTrue();
-        admission.listed(
+        assertThat(admit("/read").allowsEndpoint("e0")).isTrue();
+        admission.updateEndpoints(
                 nowUs,
-                DecisionEngine.ListForm.DELTA,
+                DecisionEngine.EndpointUpdateType.DELTA,
                 List.of(endpoint("e0", 0, Endpoint.Health.DRAINING), endpoint("w0", 1, Endpoint.Health.GONE)),
                 Map.of());
-        assertThat(admit("/read").reaches("w0")).isFalse();
+        assertThat(admit("/read").allowsEndpoint("w0")).isFalse();
     }
 
     @Test
     void retriesAreNarrowedByPolicyAndBudget() {
         listReady(2, 2);
-        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
-        Admission.Pass request = admit("/read");
-        assertThat(request.mostAttempts()).isEqualTo(2);
-        assertThat(request.attemptUs()).isEqualTo(100_000);
-        assertThat(request.goesOn(nowUs, AttemptResult.TIMED_OUT)).isFalse();
+        admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
+        Admission.RoutedRequest request = admit("/read");
+        assertThat(request.maxAttempts()).isEqualTo(2);
+        assertThat(request.attemptTimeoutUs()).isEqualTo(100_000);
+        assertThat(request.acquireRetry(nowUs, AttemptResult.TIMED_OUT)).isFalse();
         int retries = 0;
         for (int i = 0; i < 1_000; i++) {
             nowUs += 1_000;
-            retries += admit("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
+            retries += admit("/read").acquireRetry(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
         assertThat(retries).isBetween(90, 115);
         // A budget that is spent stays spent when a new version does not change its policy.
-        admission.follow(
+        admission.activate(
                 nowUs, SampleConfigs.compileValid(POOLS.replace("'format': 1", "'format': 1, 'note': 'again'")));
         retries = 0;
         for (int i = 0; i < 10; i++) {
-            retries += admit("/read").goesOn(nowUs, AttemptResult.ERRORED) ? 1 : 0;
+            retries += admit("/read").acquireRetry(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
         assertThat(retries).isLessThan(4);
-        assertThat(admit("/west").goesOn(nowUs, AttemptResult.TIMED_OUT))
+        assertThat(admit("/west").acquireRetry(nowUs, AttemptResult.TIMED_OUT))
                 .as("the route names no policy")
                 .isTrue();
     }
@@ -120,44 +127,44 @@
     @Test
     void aRequestIsFinishedUnderTheVersionThatMatchedIt() {
         listReady(2, 2);
-        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
-        Admission.Pass request = admit("/read");
-        admission.follow(nowUs, SampleConfigs.compileValid("""
+        admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
+        Admission.RoutedRequest request = admit("/read");
+        admission.activate(nowUs, SampleConfigs.compileValid("""
             {'format': 1, 'pools': {'east': {'zones': ['west']}}, 'removes': ['w'],
              'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'east'}]}
             """));
-        assertThat(request.reaches("e0")).isTrue();
-        assertThat(request.reaches("w0")).isFalse();
-        assertThat(request.mostAttempts()).isEqualTo(2);
-        assertThat(admit("/read").reaches("w0")).isTrue();
+        assertThat(request.allowsEndpoint("e0")).isTrue();
+        assertThat(request.allowsEndpoint("w0")).isFalse();
+        assertThat(request.maxAttempts()).isEqualTo(2);
+        assertThat(admit("/read").allowsEndpoint("w0")).isTrue();
     }
 
     @Test
     void aVersionThatIsADangerBesideTheActiveOneIsRejected() {
         listReady(6, 4);
-        admission.follow(nowUs, SampleConfigs.compileValid(POOLS));
+        admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
         CompiledConfig without = SampleConfigs.compileValid(
                 POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', " + "'pool': 'west'}", ""));
-        assertThat(admission.beside(nowUs, without))
+        assertThat(admission.checkAgainstActive(nowUs, without))
                 .extracting(Diagnostic::code)
                 .doesNotContain("B-TRAFFIC");
         admit("/west");
-        assertThat(admission.beside(nowUs, without))
+        assertThat(admission.checkAgainstActive(nowUs, without))
                 .extracting(Diagnostic::code)
                 .contains("B-TRAFFIC");
         nowUs += 61 * SECOND;
         admit("/read");
         nowUs += 20 * SECOND;
-        assertThat(admission.beside(nowUs, without))
+        assertThat(admission.checkAgainstActive(nowUs, without))
                 .extracting(Diagnostic::code)
                 .doesNotContain("B-TRAFFIC");
         admit("/west");
         String removing = "{'format': 1, 'unmatched': 'refuse', 'removes': ['w'], 'pools': {'p': {'zones': "
                 + "['%s']}},"
                 + " 'routes': [{'name': 'r', 'path': '/read', 'class': 'read', 'pool': 'p'}]}";
-        assertThat(admission.beside(nowUs, SampleConfigs.compileValid(String.format(removing, "east"))))
+        assertThat(admission.checkAgainstActive(nowUs, SampleConfigs.compileValid(String.format(removing, "east"))))
                 .isEmpty();
-        assertThat(admission.beside(nowUs, SampleConfigs.compileValid(String.format(removing, "west"))))
+        assertThat(admission.checkAgainstActive(nowUs, SampleConfigs.compileValid(String.format(removing, "west"))))
                 .extracting(Diagnostic::code)
                 .containsExactly("B-UNITS");
     }
--- a/src/test/java/gatelock/config/BackoffTest.java
+++ b/src/test/java/gatelock/config/BackoffTest.java
@@ -22,13 +22,13 @@
         PriorityQueue<Attempt> attempts = new PriorityQueue<>(Comparator.comparingLong(Attempt::atUs));
         for (int i = 0; i < RELAYS; i++) {
             relays[i] = new Backoff(SECOND / 5, 30 * SECOND, new SplittableRandom(i));
-            attempts.add(new Attempt(relays[i].failed(), i));
+            attempts.add(new Attempt(relays[i].nextDelayUs(), i));
         }
         int[] attemptsBySecond = new int[3_601];
         while (attempts.peek().atUs < 3_600 * SECOND) {
             Attempt attempt = attempts.poll();
             attemptsBySecond[(int) (attempt.atUs / SECOND)]++;
-            attempts.add(new Attempt(attempt.atUs + relays[attempt.relay].failed(), attempt.relay));
+            attempts.add(new Attempt(attempt.atUs + relays[attempt.relay].nextDelayUs(), attempt.relay));
         }
         int peak = IntStream.of(attemptsBySecond).limit(3_600).max().orElseThrow();
         // Without the first 30 s, in which the delays grow to their bound.
@@ -44,9 +44,9 @@
     void aSuccessResetsTheDelay() {
         Backoff backoff = new Backoff(1_000, 1_000_000, new SplittableRandom(1));
         for (int i = 0; i < 100; i++) {
-            assertThat(backoff.failed()).isBetween(1L, 1_000_000L);
+            assertThat(backoff.nextDelayUs()).isBetween(1L, 1_000_000L);
         }
-        backoff.succeeded();
-        assertThat(backoff.failed()).isLessThanOrEqualTo(1_000);
+        backoff.reset();
+        assertThat(backoff.nextDelayUs()).isLessThanOrEqualTo(1_000);
     }
 }
--- a/src/test/java/gatelock/config/ConfigBenchmark.java
+++ b/src/test/java/gatelock/config/ConfigBenchmark.java
@@ -119,21 +119,21 @@
         System.out.println("| --- | --- | --- | --- | --- |");
         for (int entries : new int[] {10, 1_000, 100_000}) {
             byte[] bytes = SampleConfigs.version(entries);
-            ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.GROUNDS);
+            ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.DEPLOYMENT);
             Admission admission = new Admission(1);
             List<Endpoint> endpoints = new ArrayList<>();
             for (int i = 0; i < 1_000; i++) {
                 endpoints.add(new Endpoint("u" + i, 1, i % 2, 0, 0, Endpoint.Health.READY, 0));
             }
-            admission.listed(1, DecisionEngine.ListForm.FULL, endpoints, Map.of());
+            admission.updateEndpoints(1, DecisionEngine.EndpointUpdateType.FULL, endpoints, Map.of());
             Histogram compileMs = new Histogram(3);
             Histogram swapUs = new Histogram(3);
             for (int i = 0; i < WARM_UP_VERSIONS + MEASURED_VERSIONS; i++) {
                 long fromNs = System.nanoTime();
-                ConfigCompiler.Compiled compiled = compiler.compile(ConfigVersion.Epoch.NONE, i + 1, bytes);
+                ConfigCompiler.Result compiled = compiler.compile(ConfigVersion.Epoch.NONE, i + 1, bytes);
                 long readyNs = System.nanoTime();
-                admission.beside(i + 2, compiled.plan());
-                admission.follow(i + 2, compiled.plan());
+                admission.checkAgainstActive(i + 2, compiled.config());
+                admission.activate(i + 2, compiled.config());
                 if (i >= WARM_UP_VERSIONS) {
                     compileMs.recordValue((readyNs - fromNs) / 1_000_000);
                     swapUs.recordValue((System.nanoTime() - readyNs) / 1_000);
--- a/src/test/java/gatelock/config/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/config/ConfigCompilerTest.java
@@ -28,18 +28,18 @@
                                 .map(line -> line.substring(2))
                                 .toList();
                         String text = String.join("\n", lines.subList(expected.size(), lines.size()));
-                        ConfigCompiler.Compiled compiled = SampleConfigs.compile(text);
+                        ConfigCompiler.Result compiled = SampleConfigs.compile(text);
                         assertThat(compiled.findings())
                                 .as("%s", compiled.findings())
                                 .extracting(found -> found.line() + ":" + found.column() + " " + found.pointer() + " "
                                         + found.code())
                                 .containsExactlyInAnyOrderElementsOf(expected);
                         assertThat(compiled.findings()).allSatisfy(found -> {
-                            assertThat(found.wrong()).isNotBlank();
-                            assertThat(found.mend()).isNotBlank();
+                            assertThat(found.problem()).isNotBlank();
+                            assertThat(found.remedy()).isNotBlank();
                         });
-                        assertThat(compiled.good())
-                                .isEqualTo(compiled.findings().stream().noneMatch(Diagnostic::grave));
+                        assertThat(compiled.isValid())
+                                .isEqualTo(compiled.findings().stream().noneMatch(Diagnostic::isError));
                     }));
         }
     }
@@ -57,7 +57,7 @@
               {'name': 'pooled', 'inherits': 'base', 'path': '/pooled'},
               {'name': 'plain', 'path': '/plain', 'class': 'claim'}]}
             """);
-        assertThat(config.routes()).isEqualTo(4);
+        assertThat(config.routeCount()).isEqualTo(4);
         RouteEntry own = config.routesByName().get("own");
         RouteEntry heir = config.routesByName().get("heir");
         RouteEntry pooled = config.routesByName().get("pooled");
@@ -83,22 +83,22 @@
               {'name': 'x', 'limits': ['a'], 'path': '/x', 'class': 'read', 'host': '*'}],
              'limits': {'a': {'per': 'all', 'ratePerS': 5.0, 'burst': 5}}, 'note': 'moved', 'format': 1}
             """;
-        assertThat(ConfigDiff.of(
-                        SampleConfigs.compileValid(text), SampleConfigs.compileValid(moved), SampleConfigs.GROUNDS))
+        assertThat(ConfigDiff.compare(
+                        SampleConfigs.compileValid(text), SampleConfigs.compileValid(moved), SampleConfigs.DEPLOYMENT))
                 .isEmpty();
-        assertThat(ConfigDiff.of(
+        assertThat(ConfigDiff.compare(
                         SampleConfigs.compileValid(text),
                         SampleConfigs.compileValid(text.replace("5}", "6}").replace("'/y'", "'/z'")),
-                        SampleConfigs.GROUNDS))
+                        SampleConfigs.DEPLOYMENT))
                 .hasSize(2)
                 .anyMatch(line -> line.contains("limits") && line.contains("6 reqs a second"))
                 .anyMatch(line -> line.startsWith("route y: is for"));
         String one = "{'name': 'one', 'path': '/p', 'headers': {'x-a': '1'}, 'class': 'read'}";
         String two = "{'name': 'two', 'path': '/p/q', 'class': 'read'}";
-        assertThat(ConfigDiff.of(
+        assertThat(ConfigDiff.compare(
                         SampleConfigs.compileValid("{'format': 1, 'routes': [" + one + ", " + two + "]}"),
                         SampleConfigs.compileValid("{'format': 1, 'routes': [" + two + ", " + one + "]}"),
-                        SampleConfigs.GROUNDS))
+                        SampleConfigs.DEPLOYMENT))
                 .singleElement()
                 .asString()
                 .contains("meet route two, met one");
--- a/src/test/java/gatelock/config/RequestLimiterTest.java
+++ b/src/test/java/gatelock/config/RequestLimiterTest.java
@@ -47,13 +47,13 @@
         }
 
         @Override
-        public void passes(long nowUs) {
+        public void onAdmitted(long nowUs) {
             admitted++;
             notifiedUs = nowUs;
         }
 
         @Override
-        public void shed(long nowUs, long retryAfterUs) {
+        public void onShed(long nowUs, long retryAfterUs) {
             shed++;
             notifiedUs = nowUs;
             assertThat(retryAfterUs).isPositive();
--- a/src/test/java/gatelock/config/SampleConfigs.java
+++ b/src/test/java/gatelock/config/SampleConfigs.java
@@ -8,12 +8,13 @@
 /** A small deployment, and configuration versions for it. */
 public final class SampleConfigs {
     /** A deployment with a class of each kind of repeat, two tenants, two zones and two kinds of endpoints. */
-    public static final DeploymentContext GROUNDS = new DeploymentContext(
+    public static final DeploymentContext DEPLOYMENT = new DeploymentContext(
             Map.of("read", 0, "post", 1, "claim", 2),
             List.of(
-                    new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1),
-                    new RoutePolicy(RoutePolicy.Repeat.DEDUPED, RoutePolicy.Group.ZONE, 5_000_000, 400_000, 3),
-                    new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, 0, 500_000, 3)),
+                    new RoutePolicy(RoutePolicy.RetrySafety.RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 250_000, 1),
+                    new RoutePolicy(
+                            RoutePolicy.RetrySafety.DEDUPED, RoutePolicy.DedupScope.ZONE, 5_000_000, 400_000, 3),
+                    new RoutePolicy(RoutePolicy.RetrySafety.NON_RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 500_000, 3)),
             List.of(1_000_000L, 2_000_000L, 3_000_000L),
             Map.of("acme", 0, "bee", 1),
             List.of("east", "west"),
@@ -50,17 +51,17 @@
     }
 
     /** Compiles a version that is written with single quotes. */
-    static ConfigCompiler.Compiled compile(String text) {
-        return new ConfigCompiler(GROUNDS)
+    static ConfigCompiler.Result compile(String text) {
+        return new ConfigCompiler(DEPLOYMENT)
                 .compile(ConfigVersion.Epoch.NONE, 1, text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     /** Compiles a version that is written with single quotes and must have no errors. */
     static CompiledConfig compileValid(String text) {
-        ConfigCompiler.Compiled compiled = compile(text);
-        if (!compiled.good()) {
+        ConfigCompiler.Result compiled = compile(text);
+        if (!compiled.isValid()) {
             throw new AssertionError(compiled.findings());
         }
-        return compiled.plan();
+        return compiled.config();
     }
 }
--- a/src/test/java/gatelock/config/StartupQueueTest.java
+++ b/src/test/java/gatelock/config/StartupQueueTest.java
@@ -12,7 +12,7 @@
     private final List<String> continued = new ArrayList<>();
 
     private long add(String request, long deadlineUs) {
-        return queue.come(1_000, deadlineUs, request, () -> continued.add(request));
+        return queue.add(1_000, deadlineUs, request, () -> continued.add(request));
     }
 
     @Test
@@ -20,13 +20,13 @@
         add("a", 9_000);
         add("b", 2_000);
         add("c", 5_000);
-        assertThat(queue.leave("b")).isTrue();
-        assertThat(queue.leave("b")).isFalse();
-        assertThat(queue.open()).isEqualTo(2);
+        assertThat(queue.remove("b")).isTrue();
+        assertThat(queue.remove("b")).isFalse();
+        assertThat(queue.openAndDrain()).isEqualTo(2);
         assertThat(continued).containsExactly("a", "c");
         assertThat(queue.isOpen()).isTrue();
-        assertThat(queue.leave("a")).isFalse();
-        assertThat(queue.open()).isZero();
+        assertThat(queue.remove("a")).isFalse();
+        assertThat(queue.openAndDrain()).isZero();
     }
 
     @Test
--- a/src/test/java/gatelock/config/VersionTrackerTest.java
+++ b/src/test/java/gatelock/config/VersionTrackerTest.java
@@ -37,26 +37,32 @@
     }
 
     private static boolean accept(VersionTracker tracker, ConfigVersion version) {
-        return tracker.good(1, config(version), "test", TEXT);
+        return tracker.accept(1, config(version), "test", TEXT);
     }
 
     @Test
     void eachOrderOfVersionsHasItsOutcome() {
         VersionTracker tracker = new VersionTracker(3);
-        assertThat(tracker.offered(version(OLD, 5))).isEqualTo(VersionTracker.Meeting.COMPILE);
+        assertThat(tracker.evaluateOffer(version(OLD, 5))).isEqualTo(VersionTracker.OfferOutcome.COMPILE);
         accept(tracker, version(OLD, 5));
-        assertThat(tracker.offered(version(OLD, 5))).isEqualTo(VersionTracker.Meeting.HELD);
-        assertThat(tracker.offered(new ConfigVersion(OLD, 5, "other"))).isEqualTo(VersionTracker.Meeting.FORK);
-        assertThat(tracker.offered(version(OLD, 4))).isEqualTo(VersionTracker.Meeting.OLDER);
-        assertThat(tracker.offered(version(OLD, 9))).as("a gap").isEqualTo(VersionTracker.Meeting.COMPILE);
-        assertThat(tracker.offered(version(NEW, 1))).as("a rebuilt service").isEqualTo(VersionTracker.Meeting.COMPILE);
+        assertThat(tracker.evaluateOffer(version(OLD, 5))).isEqualTo(VersionTracker.OfferOutcome.HELD);
+        assertThat(tracker.evaluateOffer(new ConfigVersion(OLD, 5, "other")))
+                .isEqualTo(VersionTracker.OfferOutcome.FORK);
+        assertThat(tracker.evaluateOffer(version(OLD, 4))).isEqualTo(VersionTracker.OfferOutcome.OLDER);
+        assertThat(tracker.evaluateOffer(version(OLD, 9))).as("a gap").isEqualTo(VersionTracker.OfferOutcome.COMPILE);
+        assertThat(tracker.evaluateOffer(version(NEW, 1)))
+                .as("a rebuilt service")
+                .isEqualTo(VersionTracker.OfferOutcome.COMPILE);
         accept(tracker, version(NEW, 1));
-        assertThat(tracker.offered(version(OLD, 99))).as("an old copy").isEqualTo(VersionTracker.Meeting.OLD_EPOCH);
-        tracker.bad(version(NEW, 2), List.of(), true);
-        assertThat(tracker.offered(version(NEW, 2))).isEqualTo(VersionTracker.Meeting.REFUSED_BEFORE);
-        assertThat(tracker.offered(new ConfigVersion(NEW, 3, version(NEW, 2).hash())))
+        assertThat(tracker.evaluateOffer(version(OLD, 99)))
+                .as("an old copy")
+                .isEqualTo(VersionTracker.OfferOutcome.OLD_EPOCH);
+        tracker.reject(version(NEW, 2), List.of(), true);
+        assertThat(tracker.evaluateOffer(version(NEW, 2))).isEqualTo(VersionTracker.OfferOutcome.REFUSED_BEFORE);
+        assertThat(tracker.evaluateOffer(
+                        new ConfigVersion(NEW, 3, version(NEW, 2).hash())))
                 .as("the same text under another number")
-                .isEqualTo(VersionTracker.Meeting.REFUSED_BEFORE);
+                .isEqualTo(VersionTracker.OfferOutcome.REFUSED_BEFORE);
     }
 
     @Test
@@ -66,21 +72,21 @@
             accept(tracker, version(OLD, i));
         }
         assertThat(tracker.history())
-                .extracting(entry -> entry.stamp().number())
+                .extracting(entry -> entry.version().number())
                 .containsExactly(3L, 4L, 5L);
-        assertThat(tracker.past(1)).isNull();
-        tracker.pin(2, tracker.past(3), "operator");
-        assertThat(tracker.inForce()).isEqualTo(version(OLD, 3));
-        assertThat(tracker.offered(version(OLD, 6))).isEqualTo(VersionTracker.Meeting.PINNED);
+        assertThat(tracker.findInHistory(1)).isNull();
+        tracker.pin(2, tracker.findInHistory(3), "operator");
+        assertThat(tracker.active()).isEqualTo(version(OLD, 3));
+        assertThat(tracker.evaluateOffer(version(OLD, 6))).isEqualTo(VersionTracker.OfferOutcome.PINNED);
         assertThat(accept(tracker, version(OLD, 6)))
                 .as("compiled in the meantime")
                 .isFalse();
-        tracker.release();
-        assertThat(tracker.offered(version(OLD, 5)))
+        tracker.unpin();
+        assertThat(tracker.evaluateOffer(version(OLD, 5)))
                 .as("the one that was rolled back from")
-                .isEqualTo(VersionTracker.Meeting.COMPILE);
+                .isEqualTo(VersionTracker.OfferOutcome.COMPILE);
         assertThat(accept(tracker, version(OLD, 5))).isTrue();
-        assertThat(tracker.inForce()).isEqualTo(version(OLD, 5));
+        assertThat(tracker.active()).isEqualTo(version(OLD, 5));
     }
 
     @Property(tries = 500, seed = "17")
@@ -94,22 +100,22 @@
                     new ConfigVersion.Epoch(random.nextInt(3), "" + (char) ('a' + random.nextInt(2))),
                     1 + random.nextInt(12),
                     "" + random.nextInt(30));
-            if (tracker.offered(offered) == VersionTracker.Meeting.COMPILE) {
+            if (tracker.evaluateOffer(offered) == VersionTracker.OfferOutcome.COMPILE) {
                 compiling.add(offered);
             }
             while (!compiling.isEmpty() && random.nextInt(3) != 0) {
                 // Compiled in any order, as if several were under way.
                 ConfigVersion done = compiling.remove(random.nextInt(compiling.size()));
                 if (random.nextInt(3) == 0) {
-                    tracker.bad(done, List.of(), random.nextBoolean());
+                    tracker.reject(done, List.of(), random.nextBoolean());
                 } else if (accept(tracker, done)) {
                     int epoch = held == null ? 1 : done.epoch().compareTo(held.epoch());
                     assertThat(epoch > 0 || (epoch == 0 && done.number() > held.number()))
                             .isTrue();
                     held = done;
                 }
-                assertThat(tracker.held()).isEqualTo(held);
-                assertThat(tracker.inForce()).isEqualTo(held);
+                assertThat(tracker.latestAccepted()).isEqualTo(held);
+                assertThat(tracker.active()).isEqualTo(held);
             }
         }
     }
--- a/src/test/java/gatelock/decision/MeasurementsTest.java
+++ b/src/test/java/gatelock/decision/MeasurementsTest.java
@@ -58,7 +58,8 @@
     @Test
     void onlyARouteThatIsFarSlowerThanAnotherIsLateEverywhere() {
         DecisionClock clock = new DecisionClock();
-        RoutePolicy route = new RoutePolicy(RoutePolicy.Repeat.RETRIABLE, RoutePolicy.Group.ALL, 0, 250_000, 1);
+        RoutePolicy route =
+                new RoutePolicy(RoutePolicy.RetrySafety.RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 250_000, 1);
         LatencyEstimates latency = new LatencyEstimates(List.of(route, route), clock);
         for (int i = 0; i < 50; i++) {
             latency.recordCost(0, 20_000);
--- a/src/test/java/gatelock/decision/RolloutStateTest.java
+++ b/src/test/java/gatelock/decision/RolloutStateTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.api.DecisionEngine.Phase;
+import gatelock.api.DecisionEngine.ReleasePhase;
 import gatelock.api.RolloutPolicy;
 import org.junit.jupiter.api.Test;
 
 /** What a relay knows of the newest build, and what the build may get for it. */
 final class RolloutStateTest {
     private static final RolloutPolicy POLICY = new RolloutPolicy(
-            RolloutPolicy.Gatekeeping.COUNT,
+            RolloutPolicy.PromotionMode.COUNT,
             1_000_000,
             6_000_000,
             2_000_000,
@@ -24,7 +24,7 @@
 
     private static RolloutState canary(int build, int stage, long sinceUs) {
         RolloutState state = new RolloutState(POLICY);
-        state.update(build, stage, Phase.TRIAL, 0.3, sinceUs);
+        state.update(build, stage, ReleasePhase.TRIAL, 0.3, sinceUs);
         return state;
     }
 
@@ -34,7 +34,7 @@
         assertThat(state.isCanary(5)).isTrue();
         assertThat(state.isCanary(4)).isFalse();
         assertThat(state.isOpen(5)).isTrue();
-        state.update(5, 0, Phase.REVERTING, 0.3, 200);
+        state.update(5, 0, ReleasePhase.REVERTING, 0.3, 200);
         assertThat(state.isOpen(5)).isFalse();
         assertThat(state.isOpen(4)).isTrue();
     }
@@ -51,17 +51,17 @@
     @Test
     void anEarlierStateThatBeganLaterCounts() {
         RolloutState state = canary(5, 1, 100);
-        assertThat(state.isOvertaken(5, 0, Phase.TRIAL, 100)).isTrue();
-        assertThat(state.isOvertaken(5, 0, Phase.TRIAL, 101)).isFalse();
-        assertThat(state.isOvertaken(4, 3, Phase.RELEASED, 50)).isTrue();
-        assertThat(state.isOvertaken(5, 1, Phase.TRIAL, 50)).isFalse();
-        assertThat(state.isOvertaken(5, 0, Phase.RELEASED, 50)).isFalse();
+        assertThat(state.isOvertaken(5, 0, ReleasePhase.TRIAL, 100)).isTrue();
+        assertThat(state.isOvertaken(5, 0, ReleasePhase.TRIAL, 101)).isFalse();
+        assertThat(state.isOvertaken(4, 3, ReleasePhase.RELEASED, 50)).isTrue();
+        assertThat(state.isOvertaken(5, 1, ReleasePhase.TRIAL, 50)).isFalse();
+        assertThat(state.isOvertaken(5, 0, ReleasePhase.RELEASED, 50)).isFalse();
     }
 
     @Test
     void aRepeatedStateDoesNotRestartItsStage() {
         RolloutState state = canary(5, 1, 100);
-        state.update(5, 1, Phase.TRIAL, 0.4, 900);
+        state.update(5, 1, ReleasePhase.TRIAL, 0.4, 900);
         assertThat(state.stageStartUs()).isEqualTo(100);
         assertThat(state.capOf(5)).isEqualTo(0.4);
         state.endpointListed(5, 150, 700);
@@ -76,9 +76,9 @@
         assertThat(sticky.allows(7, 4, state)).isFalse();
         assertThat(sticky.allows(7, 5, state)).isTrue();
         assertThat(sticky.allows(8, 4, state)).isTrue();
-        state.update(5, 0, Phase.WITHDRAWN, 0, 200);
+        state.update(5, 0, ReleasePhase.WITHDRAWN, 0, 200);
         assertThat(sticky.allows(7, 4, state)).isTrue();
-        state.update(5, 0, Phase.TRIAL, 0.3, 300);
+        state.update(5, 0, ReleasePhase.TRIAL, 0.3, 300);
         sticky.forgetUpTo(5);
         assertThat(sticky.allows(7, 4, state)).isTrue();
     }
--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -65,22 +65,22 @@
     /** Records the lists; nothing else may be called. */
     private final class RecordingEngine implements DecisionEngine {
         @Override
-        public void listed(long nowUs, ListForm form, List<Endpoint> endpoints) {
+        public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
             events.add(form + " " + endpoints.stream().map(this::describe).toList());
         }
 
         private String describe(Endpoint endpoint) {
-            EndpointAddresses.Entry place = addresses.get(endpoint.endpoint());
+            EndpointAddresses.Entry place = addresses.get(endpoint.name());
             String port = place == null ? "none" : "" + place.address().getPort();
             return String.format(
                     ENDPOINT_FORMAT,
-                    endpoint.endpoint(),
+                    endpoint.name(),
                     endpoint.build(),
                     endpoint.zone(),
-                    endpoint.kind(),
+                    endpoint.instanceType(),
                     endpoint.cell(),
                     endpoint.health(),
-                    endpoint.startUs(),
+                    endpoint.startedAtUs(),
                     port);
         }
 
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public RequestHandle take(
+        public RequestHandle acceptRequest(
                 long nowUs,
                 String id,
                 int route,
@@ -103,22 +103,24 @@
         }
 
         @Override
-        public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer) {
+        public void releaseStateUpdated(
+                long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
             throw new AssertionError();
         }
 
         @Override
-        public void complaint(long nowUs, String endpoint, int route, long agoUs) {
+        public void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
             throw new AssertionError();
         }
 
         @Override
-        public void counted(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
+        public void fleetSampleReceived(
+                long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
             throw new AssertionError();
         }
 
         @Override
-        public void due(long nowUs, long token) {
+        public void timerFired(long nowUs, long token) {
             throw new AssertionError();
         }
     }
@@ -133,11 +135,11 @@
         return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries) + "]}";
     }
 
-    private void start(DiscoveryClient.Membership membership) {
+    private void start(DiscoveryClient.SubsetOptions membership) {
         InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
-        eventLoop.soon(() -> {
+        eventLoop.execute(() -> {
             ConnectionPool discoveryPool =
-                    new ConnectionPool(eventLoop, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MOST_LIST);
+                    new ConnectionPool(eventLoop, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MAX_LIST_BYTES);
             ConnectionPool endpointPool = new ConnectionPool(eventLoop, counters, 1_000_000, 4_000_000, 0, 8);
             try {
                 new DiscoveryClient(
@@ -155,7 +157,7 @@
                         .start(
                                 new RecordingEngine(),
                                 null,
-                                JsonObject.read(CACHED_LIST.getBytes(StandardCharsets.UTF_8)));
+                                JsonObject.parse(CACHED_LIST.getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -287,9 +289,9 @@
 
     @Test
     void aSubsetOfAllEndpointsLeadsToTheSameListsAndRequests() throws Exception {
-        start(new DiscoveryClient.Membership(
-                new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)),
-                ServiceNameExtractor.ONE,
+        start(new DiscoveryClient.SubsetOptions(
+                new EndpointSubset(new EndpointSubset.Policy(1, -1, 100, 100, 0, 0, 0)),
+                ServiceNameExtractor.SINGLE_SERVICE,
                 1 << 20));
         playLists();
         DiscoveryClientTest without = new DiscoveryClientTest();
@@ -329,9 +331,9 @@
 
     @Test
     void aSlowListIsReadAndOneThatStopsIsPolledAgain() throws Exception {
-        start(new DiscoveryClient.Membership(
-                new EndpointSubset(new EndpointSubset.Terms(1, -1, 100, 100, 0, 0, 0)),
-                ServiceNameExtractor.ONE,
+        start(new DiscoveryClient.SubsetOptions(
+                new EndpointSubset(new EndpointSubset.Policy(1, -1, 100, 100, 0, 0, 0)),
+                ServiceNameExtractor.SINGLE_SERVICE,
                 1 << 20));
         nextRequest();
         String body = list(5, true, entry("a", 11, "in_service", 7, 1), entry("b", 12, "in_service", 0, 1));
@@ -342,7 +344,7 @@
         // both sides.
         for (int i = 0; i < 10; i++) {
             String piece = body.substring(body.length() * i / 10, body.length() * (i + 1) / 10);
-            eventLoop.in(200_000L * (i + 1), () -> {
+            eventLoop.schedule(200_000L * (i + 1), () -> {
                 try {
                     socket.getOutputStream().write(piece.getBytes(StandardCharsets.US_ASCII));
                 } catch (IOException e) {
--- a/src/test/java/gatelock/discovery/EndpointListReaderTest.java
+++ b/src/test/java/gatelock/discovery/EndpointListReaderTest.java
@@ -34,12 +34,12 @@
     /** Parses a list as discovery does where it is buffered. */
     private static ParsedList parseWhole(byte[] text) {
         try {
-            JsonObject list = JsonObject.read(text);
+            JsonObject list = JsonObject.parse(text);
             List<Map<String, Object>> entries = new ArrayList<>();
             for (JsonObject entry : list.objects("endpoints")) {
                 entries.add(entry.fields());
             }
-            return new ParsedList(list.yes("snapshot"), list.whole("index"), entries, false);
+            return new ParsedList(list.isTrue("snapshot"), list.nonNegativeLong("index"), entries, false);
         } catch (IOException e) {
             return ParsedList.MALFORMED;
         }
--- a/src/test/java/gatelock/fleet/ClientLoad.java
+++ b/src/test/java/gatelock/fleet/ClientLoad.java
@@ -13,16 +13,16 @@
     private record Route(RoutePolicy policy, long clientTimeoutUs) {}
 
     private static final List<Route> ROUTES = List.of(
-            route(RoutePolicy.Repeat.RETRIABLE, 10, 2, 2, 5),
-            route(RoutePolicy.Repeat.DEDUPED, 12, 3, 5, 12),
-            route(RoutePolicy.Repeat.NON_RETRIABLE, 10, 4, 5, 16));
+            route(RoutePolicy.RetrySafety.RETRIABLE, 10, 2, 2, 5),
+            route(RoutePolicy.RetrySafety.DEDUPED, 12, 3, 5, 12),
+            route(RoutePolicy.RetrySafety.NON_RETRIABLE, 10, 4, 5, 16));
 
     private static Route route(
-            RoutePolicy.Repeat repeat, int rememberS, int objectiveS, double value, int clientTimeoutS) {
+            RoutePolicy.RetrySafety repeat, int rememberS, int objectiveS, double value, int clientTimeoutS) {
         return new Route(
                 new RoutePolicy(
                         repeat,
-                        RoutePolicy.Group.ALL,
+                        RoutePolicy.DedupScope.ALL,
                         rememberS * VirtualClock.SECOND_US,
                         objectiveS * VirtualClock.SECOND_US,
                         value),
--- a/src/test/java/gatelock/fleet/FleetParameters.java
+++ b/src/test/java/gatelock/fleet/FleetParameters.java
@@ -77,7 +77,7 @@
     /** How many of those have to be in other zones. */
     int minOtherZoneEndpoints = 2;
     /** Mean number of relays that have to hold each endpoint. */
-    int minHolders = EndpointSubset.LEAST_HOLDERS;
+    int minHolders = EndpointSubset.DEFAULT_MIN_HOLDERS;
     /** Time after which a subset drops an endpoint that it no longer needs. */
     long subsetSettleUs = 10 * VirtualClock.SECOND_US;
 
@@ -89,8 +89,8 @@
     }
 
     /** The subset terms of a relay. Their capacity is all endpoints, so that only the aim limits a subset here. */
-    EndpointSubset.Terms subsetTerms(int relay) {
-        return new EndpointSubset.Terms(
+    EndpointSubset.Policy subsetTerms(int relay) {
+        return new EndpointSubset.Policy(
                 relay,
                 relay % zones,
                 endpoints,
--- a/src/test/java/gatelock/fleet/FleetRecords.java
+++ b/src/test/java/gatelock/fleet/FleetRecords.java
@@ -221,7 +221,9 @@
     }
 
     private static boolean isWithinObjective(Request request, Response response) {
-        return response != null && response.completed && response.atUs - request.atUs <= request.route.objectiveUs();
+        return response != null
+                && response.completed
+                && response.atUs - request.atUs <= request.route.latencyObjectiveUs();
     }
 
     /** A digest of all that was recorded, in order: one seed gives one digest. */
--- a/src/test/java/gatelock/fleet/RelayEndpointList.java
+++ b/src/test/java/gatelock/fleet/RelayEndpointList.java
@@ -39,17 +39,17 @@
     }
 
     /** Takes in what discovery sent, or what the relay had cached. */
-    void update(DecisionEngine.ListForm form, List<SimulatedDiscovery.Entry> entries, long index) {
+    void update(DecisionEngine.EndpointUpdateType form, List<SimulatedDiscovery.Entry> entries, long index) {
         if (subset == null) {
-            engine.listed(simulation.nowUs(), form, SimulatedDiscovery.endpoints(entries));
+            engine.endpointsUpdated(simulation.nowUs(), form, SimulatedDiscovery.endpoints(entries));
             return;
         }
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.SUBSET);
-        EndpointSubset.Reading reading = subset.read(form != DecisionEngine.ListForm.DELTA);
+        EndpointSubset.ListUpdate reading = subset.beginUpdate(form != DecisionEngine.EndpointUpdateType.DELTA);
         entries.forEach(entry -> reading.add(entry.listed()));
-        EndpointSubset.Change change = reading.take(simulation.nowUs(), index);
+        EndpointSubset.Change change = reading.commit(simulation.nowUs(), index);
         simulation.cpuMeter().switchTo(previous);
-        passOn(change.whole() ? form : DecisionEngine.ListForm.DELTA, change);
+        passOn(change.full() ? form : DecisionEngine.EndpointUpdateType.DELTA, change);
     }
 
     /** Polls the subset for changes of its own, for as long as this process of the relay runs; no-op without one. */
@@ -59,9 +59,9 @@
         }
         relay.scheduleWhileUp(SUBSET_POLL_US, () -> {
             CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.SUBSET);
-            EndpointSubset.Change change = subset.due(simulation.nowUs());
+            EndpointSubset.Change change = subset.refresh(simulation.nowUs());
             simulation.cpuMeter().switchTo(CpuMeter.Role.ENDPOINT_LIST);
-            passOn(DecisionEngine.ListForm.DELTA, change);
+            passOn(DecisionEngine.EndpointUpdateType.DELTA, change);
             simulation.cpuMeter().switchTo(previous);
             pollSubset();
         });
@@ -70,24 +70,24 @@
     /** Tells the subset how an attempt ended; {@code responded}: the endpoint itself answered it. */
     void attemptEnded(String endpoint, boolean responded) {
         if (subset != null) {
-            subset.ended(simulation.nowUs(), endpoint, responded);
+            subset.recordAttempt(simulation.nowUs(), endpoint, responded);
         }
     }
 
-    private void passOn(DecisionEngine.ListForm form, EndpointSubset.Change change) {
+    private void passOn(DecisionEngine.EndpointUpdateType form, EndpointSubset.Change change) {
         List<EndpointEntry> entries = change.entries();
         if (simulation.parameters().plantedFault == PlantedFault.ENDPOINT_HELD_BY_ALL) {
             entries = withFirstEndpoint(entries);
         }
-        if (!change.whole() && entries.isEmpty()) {
+        if (!change.full() && entries.isEmpty()) {
             return;
         }
-        engine.listed(
+        engine.endpointsUpdated(
                 simulation.nowUs(),
                 form,
-                entries.stream().map(EndpointEntry::listed).toList());
+                entries.stream().map(EndpointEntry::toEndpoint).toList());
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.SIMULATION);
-        countHeld(entries, change.whole());
+        countHeld(entries, change.full());
         simulation.cpuMeter().switchTo(previous);
     }
 
--- a/src/test/java/gatelock/fleet/RuleChecker.java
+++ b/src/test/java/gatelock/fleet/RuleChecker.java
@@ -65,7 +65,7 @@
         Map<String, Integer> executionsById = new HashMap<>();
         records.executions.forEach(execution -> executionsById.merge(execution.id(), 1, Integer::sum));
         executionsById.forEach((id, executions) -> {
-            if (executions > 1 && routeById.get(id).repeat() == RoutePolicy.Repeat.NON_RETRIABLE) {
+            if (executions > 1 && routeById.get(id).retrySafety() == RoutePolicy.RetrySafety.NON_RETRIABLE) {
                 report(FleetRule.NO_REPEATED_EFFECT, id + " ran " + executions + " times");
             }
         });
--- a/src/test/java/gatelock/fleet/RuleCheckerTest.java
+++ b/src/test/java/gatelock/fleet/RuleCheckerTest.java
@@ -10,7 +10,7 @@
 final class RuleCheckerTest {
     private static final long S = VirtualClock.SECOND_US;
     private static final RoutePolicy ONCE =
-            new RoutePolicy(RoutePolicy.Repeat.NON_RETRIABLE, RoutePolicy.Group.ALL, S, S, 1);
+            new RoutePolicy(RoutePolicy.RetrySafety.NON_RETRIABLE, RoutePolicy.DedupScope.ALL, S, S, 1);
     private final FleetParameters parameters = new FleetParameters();
     private final FleetRecords records = new FleetRecords();
 
--- a/src/test/java/gatelock/fleet/ScaleRun.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -39,7 +39,7 @@
                     mode.equals("both") ? ScaleResultsFile.MODES : List.of(mode),
                     args.length > 3 ? Integer.parseInt(args[3]) : 0,
                     args.length > 4 ? args[4] : "unknown",
-                    args.length > 5 ? Integer.parseInt(args[5]) : EndpointSubset.LEAST_HOLDERS);
+                    args.length > 5 ? Integer.parseInt(args[5]) : EndpointSubset.DEFAULT_MIN_HOLDERS);
         }
     }
 
--- a/src/test/java/gatelock/fleet/ServiceCatalog.java
+++ b/src/test/java/gatelock/fleet/ServiceCatalog.java
@@ -13,7 +13,7 @@
     /** A service, whose requests reach only its own endpoints; its range of the unit interval ends at a share. */
     private record Service(String name, Set<String> endpoints, double cumulativeShare) implements EndpointRestriction {
         @Override
-        public boolean reaches(String endpoint) {
+        public boolean allowsEndpoint(String endpoint) {
             return endpoints.contains(endpoint);
         }
     }
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -28,11 +28,11 @@
                 "terminated");
 
         Entry(EndpointEntry listed) {
-            this(listed, listed.listed());
+            this(listed, listed.toEndpoint());
         }
 
         String name() {
-            return endpoint.endpoint();
+            return endpoint.name();
         }
 
         String service() {
@@ -53,7 +53,7 @@
                     service(),
                     listed.address(),
                     STATUS.get(endpoint.health()),
-                    endpoint.startUs() / 1000,
+                    endpoint.startedAtUs() / 1000,
                     endpoint.build(),
                     endpoint.zone(),
                     endpoint.cell());
@@ -171,7 +171,7 @@
             int number = numberOf.applyAsInt(entry.name());
             if (number < holders.length && holders[number] > 0) {
                 int ready = readyByService.getOrDefault(entry.service(), 0L).intValue();
-                int aim = parameters.subsetTerms(0).aim(ready);
+                int aim = parameters.subsetTerms(0).target(ready);
                 records.holderCounts.add(
                         new FleetRecords.HolderCount(entry.name(), ready, holders[number], relays, aim));
             }
--- a/src/test/java/gatelock/fleet/SimulatedFleetTest.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleetTest.java
@@ -34,7 +34,7 @@
     void goodBuildGetsEnoughVotesAndNoVoteIsRejected(int relays) {
         SimulatedFleet fleet = withCanary(parameters(relays, 1));
         fleet.run(21 * S);
-        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
+        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.RELEASED);
         assertThat(fleet.releaseController().stageDurationsUs()).allMatch(us -> us <= 7 * S);
         assertThat(fleet.releaseController().rejectedVotes()).isZero();
         assertThat(fleet.records().voteTimesUs.size()).isLessThanOrEqualTo(4 * relays);
@@ -60,7 +60,7 @@
         parameters.canaryWorkFactor = workFactor;
         SimulatedFleet fleet = withCanary(parameters);
         fleet.run(25 * S);
-        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
+        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.REVERTING);
         assertThat(fleet.releaseController().stageDurationsUs().size())
                 .as("stages passed")
                 .isLessThan(parameters.stageShares.length);
@@ -77,7 +77,7 @@
         parameters.canaryWorkFactor = 1.7;
         SimulatedFleet fleet = withCanary(parameters);
         fleet.run(25 * S);
-        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.Phase.REVERTING);
+        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.REVERTING);
         assertThat(fleet.finish()).isEmpty();
     }
 
@@ -90,7 +90,7 @@
             fleet.run(5 * S);
             fleet.outages().pauseSome(0.3, 500 * VirtualClock.MILLISECOND_US, 2 * S);
         }
-        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
+        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.RELEASED);
     }
 
     @Test
@@ -104,7 +104,7 @@
             fleet.run(8 * S / 5);
         }
         fleet.run(7 * S);
-        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.Phase.RELEASED);
+        assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.RELEASED);
         assertThat(fleet.releaseController().stageDurationsUs()).allMatch(us -> us <= 9 * S);
     }
 
--- a/src/test/java/gatelock/fleet/SimulatedRelay.java
+++ b/src/test/java/gatelock/fleet/SimulatedRelay.java
@@ -99,13 +99,13 @@
         up = true;
         engine.start(simulation.nowUs());
         endpointList.update(
-                DecisionEngine.ListForm.CACHED,
+                DecisionEngine.EndpointUpdateType.CACHED,
                 fromCache ? cachedList : environment.discovery.list(),
                 environment.discovery.index());
         simulation.cpuMeter().switchTo(previous);
         cachedList = null;
         endpointList.pollSubset();
-        environment.releaseController.sendState(this, DecisionEngine.VoteAnswer.NOT_ASKED);
+        environment.releaseController.sendState(this, DecisionEngine.VoteResponse.NOT_ASKED);
         if (fromCache) {
             environment.publisher.publishFullList(this);
         }
@@ -149,7 +149,7 @@
         simulation.records().received(number, message, simulation.nowUs());
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.ENDPOINT_LIST);
         endpointList.update(
-                message.whole() ? DecisionEngine.ListForm.FULL : DecisionEngine.ListForm.DELTA,
+                message.whole() ? DecisionEngine.EndpointUpdateType.FULL : DecisionEngine.EndpointUpdateType.DELTA,
                 message.entries(),
                 message.index());
         simulation.cpuMeter().switchTo(previous);
@@ -157,7 +157,7 @@
 
     /** The state of the rollout, or the release controller's answer to a vote. */
     void receive(SimulatedReleaseController.State state) {
-        engine.news(
+        engine.releaseStateUpdated(
                 simulation.nowUs(),
                 state.build(),
                 state.stage(),
@@ -174,7 +174,7 @@
         requests.put(request.id(), request);
         long nowUs = simulation.nowUs();
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.REQUESTS);
-        RequestHandle handle = engine.take(
+        RequestHandle handle = engine.acceptRequest(
                 nowUs,
                 request.id(),
                 request.route(),
@@ -206,7 +206,7 @@
             endpointList.attemptEnded(attempt.endpointName(), isResponse(result));
         }
         request.handle()
-                .ended(
+                .attemptEnded(
                         nowUs,
                         attempt.number(),
                         result,
@@ -237,7 +237,7 @@
     // ---- What its decisions ask for --------------------------------------------------------------------------
 
     @Override
-    public void send(String id, String endpoint, long timeoutUs) {
+    public void sendAttempt(String id, String endpoint, long timeoutUs) {
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.SIMULATION);
         long nowUs = simulation.nowUs();
         SimulatedRequest request = requests.get(id);
@@ -261,17 +261,17 @@
     }
 
     @Override
-    public void shed(String id, long pauseUs) {
+    public void shedRequest(String id, long pauseUs) {
         reject(id);
     }
 
     @Override
-    public void error(String id) {
+    public void failRequest(String id) {
         reject(id);
     }
 
     @Override
-    public void cancel(String id, int attemptNo) {
+    public void cancelAttempt(String id, int attemptNo) {
         for (SimulatedAttempt attempt : attempts) {
             if (attempt.requestId().equals(id) && attempt.number() == attemptNo) {
                 simulation.schedule(CANCEL_DELAY_US, () -> attemptEnded(attempt, AttemptResult.CANCELLED));
@@ -281,10 +281,11 @@
     }
 
     @Override
-    public void vote(int build, int stage, Verdict verdict) {
+    public void castVote(int build, int stage, Verdict verdict) {
         int voter = incarnation;
         simulation.schedule(VOTE_DELAY_US, () -> {
-            DecisionEngine.VoteAnswer answer = environment.releaseController.receiveVote(number, build, stage, verdict);
+            DecisionEngine.VoteResponse answer =
+                    environment.releaseController.receiveVote(number, build, stage, verdict);
             simulation.schedule(VOTE_REPLY_DELAY_US, () -> {
                 if (isSameProcess(voter)) {
                     environment.releaseController.sendState(this, answer);
@@ -294,19 +295,19 @@
     }
 
     @Override
-    public void timer(long inUs, long token) {
+    public void scheduleTimer(long inUs, long token) {
         scheduleWhileUp(inUs, () -> {
             CpuMeter.Role previous = simulation
                     .cpuMeter()
                     .switchTo(token > LAST_TICK_TOKEN ? CpuMeter.Role.REQUESTS : CpuMeter.Role.TICK);
-            engine.due(simulation.nowUs(), token);
+            engine.timerFired(simulation.nowUs(), token);
             simulation.cpuMeter().switchTo(previous);
         });
     }
 
     @Override
-    public void followList() {}
+    public void subscribeToEndpoints() {}
 
     @Override
-    public void say(String line) {}
+    public void log(String line) {}
 }
--- a/src/test/java/gatelock/fleet/SimulatedRelaySettings.java
+++ b/src/test/java/gatelock/fleet/SimulatedRelaySettings.java
@@ -38,7 +38,7 @@
 
     private static RolloutPolicy rollout(FleetParameters parameters, double[] stageCaps) {
         return new RolloutPolicy(
-                RolloutPolicy.Gatekeeping.COUNT,
+                RolloutPolicy.PromotionMode.COUNT,
                 parameters.bakeTimeUs,
                 SimulatedReleaseController.VOTE_LIFETIME_US,
                 2 * VirtualClock.SECOND_US,
--- a/src/test/java/gatelock/fleet/SimulatedReleaseController.java
+++ b/src/test/java/gatelock/fleet/SimulatedReleaseController.java
@@ -28,10 +28,10 @@
     record State(
             int build,
             int stage,
-            DecisionEngine.Phase phase,
+            DecisionEngine.ReleasePhase phase,
             double cap,
             long ageUs,
-            DecisionEngine.VoteAnswer answer) {}
+            DecisionEngine.VoteResponse answer) {}
 
     private final Simulation simulation;
     private final FleetParameters parameters;
@@ -46,7 +46,7 @@
     private long voteTokensUs;
     private int build = BASE_BUILD;
     private int stage;
-    private DecisionEngine.Phase phase = DecisionEngine.Phase.RELEASED;
+    private DecisionEngine.ReleasePhase phase = DecisionEngine.ReleasePhase.RELEASED;
     private long phaseSinceUs;
     private long bakeFromUs;
     private int rejectedVotes;
@@ -65,7 +65,7 @@
         this.voteTokens = 2 * parameters.votesPerS;
     }
 
-    DecisionEngine.Phase phase() {
+    DecisionEngine.ReleasePhase phase() {
         return phase;
     }
 
@@ -102,7 +102,7 @@
     void offerNextBuild() {
         build++;
         stage = 0;
-        phase = DecisionEngine.Phase.TRIAL;
+        phase = DecisionEngine.ReleasePhase.TRIAL;
         beginStage();
     }
 
@@ -122,19 +122,19 @@
     /** Evaluates the votes now, and again at a fixed interval. */
     void evaluate() {
         simulation.schedule(EVALUATION_INTERVAL_US, this::evaluate);
-        boolean undecided = phase == DecisionEngine.Phase.TRIAL || phase == DecisionEngine.Phase.RELEASED;
+        boolean undecided = phase == DecisionEngine.ReleasePhase.TRIAL || phase == DecisionEngine.ReleasePhase.RELEASED;
         if (!undecided || build == BASE_BUILD) {
             return;
         }
         if (countVotes(Verdict.BACK) >= parameters.votesNeeded(parameters.rollbackShare)) {
-            enter(DecisionEngine.Phase.REVERTING, build);
+            enter(DecisionEngine.ReleasePhase.REVERTING, build);
         } else if (mayPromote()) {
             promote();
         }
     }
 
     private boolean mayPromote() {
-        return phase == DecisionEngine.Phase.TRIAL
+        return phase == DecisionEngine.ReleasePhase.TRIAL
                 && bakeFromUs < simulation.nowUs() - parameters.bakeTimeUs
                 && countVotes(Verdict.ON) >= parameters.votesNeeded(parameters.promotionShare);
     }
@@ -145,11 +145,11 @@
             stage++;
             beginStage();
         } else {
-            enter(DecisionEngine.Phase.RELEASED, build - 1);
+            enter(DecisionEngine.ReleasePhase.RELEASED, build - 1);
         }
     }
 
-    private void enter(DecisionEngine.Phase next, int drainedBuild) {
+    private void enter(DecisionEngine.ReleasePhase next, int drainedBuild) {
         phase = next;
         phaseSinceUs = simulation.nowUs();
         lifecycle.drain(drainedBuild);
@@ -163,16 +163,16 @@
             long delayUs = MIN_BROADCAST_DELAY_US + simulation.random().nextLong(BROADCAST_DELAY_RANGE_US);
             simulation.schedule(delayUs, () -> {
                 if (relay.isUp()) {
-                    sendState(relay, DecisionEngine.VoteAnswer.NOT_ASKED);
+                    sendState(relay, DecisionEngine.VoteResponse.NOT_ASKED);
                 }
             });
         }
     }
 
     /** Sends a relay the answer to its vote and, unless the vote was not counted, the state of the rollout. */
-    void sendState(SimulatedRelay relay, DecisionEngine.VoteAnswer answer) {
-        if (answer != DecisionEngine.VoteAnswer.NOT_ASKED && answer != DecisionEngine.VoteAnswer.COUNTED) {
-            relay.receive(new State(0, 0, DecisionEngine.Phase.TRIAL, 0, 0, answer));
+    void sendState(SimulatedRelay relay, DecisionEngine.VoteResponse answer) {
+        if (answer != DecisionEngine.VoteResponse.NOT_ASKED && answer != DecisionEngine.VoteResponse.COUNTED) {
+            relay.receive(new State(0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, answer));
             return;
         }
         long nowUs = simulation.nowUs();
@@ -180,7 +180,7 @@
                 .records()
                 .canaryCaps
                 .add(
-                        phase == DecisionEngine.Phase.TRIAL
+                        phase == DecisionEngine.ReleasePhase.TRIAL
                                 ? new FleetRecords.CanaryCap(relay.number(), build, cap(), nowUs)
                                 : FleetRecords.CanaryCap.none(relay.number(), nowUs));
         relay.receive(new State(build, stage, phase, cap(), nowUs - phaseSinceUs, answer));
@@ -195,19 +195,19 @@
     }
 
     /** Takes a relay's vote: counts it, or tells that it is too much at once or of no use. */
-    DecisionEngine.VoteAnswer receiveVote(int relay, int votedBuild, int votedStage, Verdict verdict) {
+    DecisionEngine.VoteResponse receiveVote(int relay, int votedBuild, int votedStage, Verdict verdict) {
         long nowUs = simulation.nowUs();
         simulation.records().voteTimesUs.add(nowUs);
         if (!tryTakeToken(nowUs)) {
             rejectedVotes++;
-            return DecisionEngine.VoteAnswer.BUSY;
+            return DecisionEngine.VoteResponse.BUSY;
         }
         boolean stageMatters = verdict != Verdict.BACK;
         if (votedBuild != build || (votedStage != stage && stageMatters)) {
-            return DecisionEngine.VoteAnswer.MOOT;
+            return DecisionEngine.VoteResponse.MOOT;
         }
         votes.put(relay, new Vote(votedBuild, votedStage, verdict, nowUs + VOTE_LIFETIME_US));
-        return DecisionEngine.VoteAnswer.COUNTED;
+        return DecisionEngine.VoteResponse.COUNTED;
     }
 
     private boolean tryTakeToken(long nowUs) {
--- a/src/test/java/gatelock/fleet/SimulatedRequest.java
+++ b/src/test/java/gatelock/fleet/SimulatedRequest.java
@@ -62,6 +62,6 @@
 
     /** Whether nothing more can come of it. */
     boolean isSettled() {
-        return answered && handle != null && handle.settled();
+        return answered && handle != null && handle.isSettled();
     }
 }
--- a/src/test/java/gatelock/fleet/VerdictRates.java
+++ b/src/test/java/gatelock/fleet/VerdictRates.java
@@ -85,7 +85,7 @@
     }
 
     private static boolean isRolledBack(SimulatedFleet fleet) {
-        return fleet.releaseController().phase() == DecisionEngine.Phase.REVERTING;
+        return fleet.releaseController().phase() == DecisionEngine.ReleasePhase.REVERTING;
     }
 
     private static boolean wasReleased(SimulatedFleet fleet) {
--- a/src/test/java/gatelock/http/ClientListenerTest.java
+++ b/src/test/java/gatelock/http/ClientListenerTest.java
@@ -33,7 +33,7 @@
             EventLoop eventLoop = new EventLoop(worker.getIoThread());
             ClientListener listener = new ClientListener(eventLoop, new Counters(), 200, 300);
             InetSocketAddress address = listener.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            listener.admit(
+            listener.setRequestHandler(
                     exchange -> {
                         listener.requestCompleted(exchange);
                         listener.responseStarts(exchange);
--- a/src/test/java/gatelock/membership/BenchmarkList.java
+++ b/src/test/java/gatelock/membership/BenchmarkList.java
@@ -32,8 +32,8 @@
     }
 
     /** A full list of endpoints that was read and not taken yet. */
-    static EndpointSubset.Reading read(EndpointSubset subset, int endpoints, int services, int restarts) {
-        EndpointSubset.Reading reading = subset.read(true);
+    static EndpointSubset.ListUpdate read(EndpointSubset subset, int endpoints, int services, int restarts) {
+        EndpointSubset.ListUpdate reading = subset.beginUpdate(true);
         for (int number = 0; number < endpoints; number++) {
             reading.add(endpoint(number, services, restarts));
         }
@@ -43,7 +43,7 @@
     /** Takes a full list and draws the numbers of endpoints that are in the subset, or that are not. */
     static int[] draw(EndpointSubset subset, int endpoints, int services, boolean inSubset, int count) {
         Set<String> members = new HashSet<>();
-        EndpointSubset.Change change = read(subset, endpoints, services, 0).take(0, 1);
+        EndpointSubset.Change change = read(subset, endpoints, services, 0).commit(0, 1);
         change.entries().forEach(entry -> members.add(entry.name()));
         return new SplittableRandom(5)
                 .ints(endpoints * 4L, 0, endpoints)
--- a/src/test/java/gatelock/membership/EndpointBudgetTest.java
+++ b/src/test/java/gatelock/membership/EndpointBudgetTest.java
@@ -20,7 +20,7 @@
     /** A relay that aims at a quarter of a service and at least 5 endpoints, with a service of 81 and one of 12. */
     private static SubsetHarness relayOfLargeAndSmallService(int maxEndpoints) {
         SubsetHarness relay = new SubsetHarness(
-                new EndpointSubset(new EndpointSubset.Terms(7, 0, maxEndpoints, 5, 0.25, 1, SETTLE_US)));
+                new EndpointSubset(new EndpointSubset.Policy(7, 0, maxEndpoints, 5, 0.25, 1, SETTLE_US)));
         List<EndpointEntry> endpoints = new ArrayList<>(SubsetHarness.service("large", 81, 3));
         endpoints.addAll(SubsetHarness.service("small", 12, 3));
         relay.fullList(endpoints);
@@ -40,7 +40,7 @@
         assertThat(relay.subset.servicesWithoutPlace()).isZero();
         IntStream.range(8, 30).forEach(s -> relay.change(SubsetHarness.service("s" + s, 20, 4)));
         assertThat(relay.subset.targetPerService()).isZero();
-        assertThat(relay.subset.inScope()).isEqualTo(20);
+        assertThat(relay.subset.subsetSize()).isEqualTo(20);
         assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(10);
         // Services without a place are given one as others leave.
         Set<String> servicesWithPlace = new TreeSet<>();
@@ -50,7 +50,7 @@
                 .limit(4)
                 .forEach(service -> relay.change(SubsetHarness.gone(SubsetHarness.service(service, 20, 4))));
         assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(6);
-        assertThat(relay.subset.inScope()).isEqualTo(20);
+        assertThat(relay.subset.subsetSize()).isEqualTo(20);
     }
 
     @Test
@@ -84,7 +84,7 @@
     @Test
     void boundReducesLargeServicesFirst() {
         SubsetHarness relay = relayOfLargeAndSmallService(20);
-        assertThat(relay.subset.inScope()).isLessThanOrEqualTo(20);
+        assertThat(relay.subset.subsetSize()).isLessThanOrEqualTo(20);
         assertThat(relay.readyEndpoints("small")).hasSize(5);
         assertThat(relay.readyEndpoints("large")).hasSizeBetween(5, 15);
         assertThat(relay.subset.targetPerService()).isEqualTo(5);
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -28,7 +28,7 @@
     private final Map<String, EndpointEntry> list = new TreeMap<>();
     private final Set<String> silent = new HashSet<>();
     private RandomGenerator random;
-    private EndpointSubset.Terms terms;
+    private EndpointSubset.Policy terms;
     private SubsetHarness relay;
 
     private void start(long seed, boolean roomy, boolean colliding) {
@@ -36,7 +36,7 @@
         int perService = 1 + random.nextInt(4);
         int most = roomy ? ENDPOINTS * 2 : 1 + random.nextInt(2 * SERVICES);
         double part = Math.max(0, random.nextInt(5) - 1) / 3.0;
-        terms = new EndpointSubset.Terms(
+        terms = new EndpointSubset.Policy(
                 random.nextInt(5_700),
                 random.nextInt(4) - 1,
                 most,
@@ -88,7 +88,7 @@
         list.clear();
         entries.values().forEach(this::noteListed);
         relay.fullList(entries.values());
-        assertThat(relay.lastChange.whole()).isTrue();
+        assertThat(relay.lastChange.full()).isTrue();
     }
 
     private void playChange() {
@@ -111,12 +111,12 @@
         }
         entries.forEach(this::noteListed);
         relay.change(entries);
-        assertThat(relay.lastChange.whole()).isFalse();
+        assertThat(relay.lastChange.full()).isFalse();
     }
 
     private void playDroppedReading() {
-        int before = relay.subset.listed();
-        EndpointSubset.Reading reading = relay.subset.read(random.nextBoolean());
+        int before = relay.subset.listedCount();
+        EndpointSubset.ListUpdate reading = relay.subset.beginUpdate(random.nextBoolean());
         Set<String> names = new HashSet<>();
         for (int n = random.nextInt(ENDPOINTS); n > 0; n--) {
             EndpointEntry entry = randomEntry();
@@ -124,7 +124,7 @@
                 reading.add(entry);
             }
         }
-        assertThat(relay.subset.listed()).isEqualTo(before);
+        assertThat(relay.subset.listedCount()).isEqualTo(before);
     }
 
     private void playAttempts() {
@@ -159,10 +159,12 @@
     }
 
     private void checkInvariants() {
-        assertThat(relay.subset.listed()).isEqualTo(list.size());
-        assertThat(relay.subset.services()).isEqualTo((int)
+        assertThat(relay.subset.listedCount()).isEqualTo(list.size());
+        assertThat(relay.subset.serviceCount()).isEqualTo((int)
                 list.values().stream().map(EndpointEntry::service).distinct().count());
-        assertThat(relay.subset.inScope()).isEqualTo(relay.notified.size()).isLessThanOrEqualTo(terms.most());
+        assertThat(relay.subset.subsetSize())
+                .isEqualTo(relay.notified.size())
+                .isLessThanOrEqualTo(terms.maxEndpoints());
         // The decisions know what is listed: changes of members are notified at once.
         relay.notified.forEach((name, entry) -> assertThat(entry).isEqualTo(list.get(name)));
         Map<String, Set<String>> listed = readyByService(list.values());
@@ -172,12 +174,12 @@
             int members = used.getOrDefault(service, Set.of()).size();
             int ready = listed.get(service).size();
             // Where there are places for all that is listed, a service has all that the terms say.
-            int wanted =
-                    Math.min(ready, terms.most() >= ENDPOINTS ? terms.aim(ready) : relay.subset.targetPerService());
+            int wanted = Math.min(
+                    ready, terms.maxEndpoints() >= ENDPOINTS ? terms.target(ready) : relay.subset.targetPerService());
             withoutMember += members == 0 ? 1 : 0;
             assertThat(members).as("endpoints of " + service).isGreaterThanOrEqualTo(wanted);
         }
-        int withoutPlace = Math.max(0, listed.size() - terms.most());
+        int withoutPlace = Math.max(0, listed.size() - terms.maxEndpoints());
         assertThat(withoutMember).isEqualTo(withoutPlace);
         assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(withoutPlace);
     }
@@ -235,7 +237,7 @@
             String answering = names.get(random.nextInt(names.size()));
             names.stream().filter(name -> !name.equals(answering)).forEach(silent::add);
         });
-        if (ready.size() > terms.most()) {
+        if (ready.size() > terms.maxEndpoints()) {
             return;
         }
         for (int i = 0; i < 2 * ENDPOINTS; i++) {
@@ -262,7 +264,7 @@
     @Property(tries = 200)
     void oneEndpointThatComesOrGoesChangesAtMostOneMember(@ForAll long seed) {
         start(seed, true, false);
-        terms = SubsetHarness.terms(terms.relayNumber(), -1, terms.most(), terms.minPerService(), 0, 0);
+        terms = SubsetHarness.terms(terms.relayNumber(), -1, terms.maxEndpoints(), terms.minPerService(), 0, 0);
         relay = new SubsetHarness(newSubset(false));
         for (int i = 0; i < ENDPOINTS; i++) {
             EndpointEntry entry = SubsetHarness.ready("u" + i, "s", i % 3);
--- a/src/test/java/gatelock/membership/EndpointSubsetTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -57,7 +57,7 @@
             relay.change(withHealth(endpoints, lost, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING));
             assertThat(relay.readyEndpoints()).hasSize(3).doesNotContainAnyElementsOf(lost);
         }
-        assertThat(relay.subset.listed()).isEqualTo(40 - 18);
+        assertThat(relay.subset.listedCount()).isEqualTo(40 - 18);
     }
 
     @Test
@@ -128,7 +128,7 @@
     @Test
     void rejectsInvalidTerms() {
         for (double fraction : new double[] {-0.1, 1.1, Double.NaN}) {
-            assertThatThrownBy(() -> new EndpointSubset.Terms(1, 0, 1, 1, fraction, 0, 0))
+            assertThatThrownBy(() -> new EndpointSubset.Policy(1, 0, 1, 1, fraction, 0, 0))
                     .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageContaining("fraction");
         }
--- a/src/test/java/gatelock/membership/ListUpdateTest.java
+++ b/src/test/java/gatelock/membership/ListUpdateTest.java
@@ -18,12 +18,12 @@
     @Test
     void rejectsAFullListWithADuplicateEndpointByName() {
         relay.fullList(SubsetHarness.service("a", 40, 4));
-        EndpointSubset.Reading reading = relay.subset.read(true);
+        EndpointSubset.ListUpdate reading = relay.subset.beginUpdate(true);
         reading.add(SubsetHarness.ready("x", "a", 0));
         assertThatThrownBy(() -> reading.add(SubsetHarness.endpoint("x", "a", 0, Endpoint.Health.GONE)))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessage("expected each endpoint once, found twice x");
-        assertThat(relay.subset.listed()).isEqualTo(40);
+        assertThat(relay.subset.listedCount()).isEqualTo(40);
     }
 
     @Test
@@ -39,21 +39,21 @@
     void droppedReadingChangesNothing() {
         relay.fullList(SubsetHarness.service("a", 40, 4));
         Set<String> before = relay.readyEndpoints();
-        relay.subset.read(true).add(SubsetHarness.ready("x", "a", 0));
-        EndpointSubset.Reading change = relay.subset.read(false);
+        relay.subset.beginUpdate(true).add(SubsetHarness.ready("x", "a", 0));
+        EndpointSubset.ListUpdate change = relay.subset.beginUpdate(false);
         before.forEach(name -> change.add(SubsetHarness.endpoint(name, "a", 0, Endpoint.Health.GONE)));
         relay.advance(SETTLE_US);
         assertThat(relay.readyEndpoints()).isEqualTo(before);
-        assertThat(relay.subset.listed()).isEqualTo(40);
-        assertThat(relay.subset.changedUs()).isEqualTo(SubsetHarness.START_US);
+        assertThat(relay.subset.listedCount()).isEqualTo(40);
+        assertThat(relay.subset.lastChangeUs()).isEqualTo(SubsetHarness.START_US);
     }
 
     @Test
     void acceptsAnIndexThatGoesBack() {
         relay.fullList(SubsetHarness.service("a", 40, 4));
-        EndpointSubset.Reading reading = relay.subset.read(false);
+        EndpointSubset.ListUpdate reading = relay.subset.beginUpdate(false);
         reading.add(SubsetHarness.ready("late", "b", 0));
-        relay.deliver(reading.take(relay.nowUs, 2));
+        relay.deliver(reading.commit(relay.nowUs, 2));
         assertThat(relay.readyEndpoints("b")).containsExactly("late");
         assertThat(relay.readyEndpoints("a")).hasSize(3);
         assertThat(relay.subset.index()).isEqualTo(2);
@@ -62,13 +62,13 @@
     @Test
     void fullListDuringAChangeLosesNothing() {
         relay.fullList(SubsetHarness.service("a", 40, 4));
-        EndpointSubset.Reading change = relay.subset.read(false);
+        EndpointSubset.ListUpdate change = relay.subset.beginUpdate(false);
         change.add(SubsetHarness.ready("late", "b", 0));
         relay.fullList(SubsetHarness.service("a", 20, 4));
         change.add(SubsetHarness.endpoint("a-1", "a", 1, Endpoint.Health.GONE));
-        relay.deliver(change.take(relay.nowUs, 9));
+        relay.deliver(change.commit(relay.nowUs, 9));
         assertThat(relay.readyEndpoints("b")).containsExactly("late");
-        assertThat(relay.subset.listed()).isEqualTo(20);
+        assertThat(relay.subset.listedCount()).isEqualTo(20);
     }
 
     @Test
@@ -76,7 +76,7 @@
         relay.fullList(SubsetHarness.service("a", 40, 4));
         Set<String> first = relay.readyEndpoints();
         relay.fullList(SubsetHarness.service("a", 40, 4));
-        assertThat(relay.lastChange.whole()).isTrue();
+        assertThat(relay.lastChange.full()).isTrue();
         assertThat(relay.lastChange.entries())
                 .extracting(EndpointEntry::name)
                 .containsExactlyInAnyOrderElementsOf(first);
@@ -90,13 +90,13 @@
         relay.change(SubsetHarness.ready("a-0", "b", 0));
         assertThat(relay.readyEndpoints("a")).containsExactly("a-1");
         assertThat(relay.readyEndpoints("b")).containsExactly("a-0");
-        assertThat(relay.subset.services()).isEqualTo(2);
+        assertThat(relay.subset.serviceCount()).isEqualTo(2);
     }
 
     @Test
     void listedEndpointOutsideTheSubsetTakesLessThan64Bytes() {
         EndpointSubset subset = new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US));
-        EndpointSubset.Reading reading = subset.read(true);
+        EndpointSubset.ListUpdate reading = subset.beginUpdate(true);
         for (int i = 0; i < 200_000; i++) {
             reading.add(new EndpointEntry(
                     "unit-" + (1_000_000 + i),
@@ -109,9 +109,9 @@
                     Endpoint.Health.READY,
                     1_780_000_000_000_000L + i * 1000L));
         }
-        reading.take(0, 1);
-        assertThat(subset.listed()).isEqualTo(200_000);
-        assertThat(subset.inScope()).isEqualTo(100);
+        reading.commit(0, 1);
+        assertThat(subset.listedCount()).isEqualTo(200_000);
+        assertThat(subset.subsetSize()).isEqualTo(100);
         assertThat(subset.servicesWithoutPlace()).isEqualTo(7_100);
         assertThat(subset.bytes() / 200_000.0).isLessThan(64);
     }
--- a/src/test/java/gatelock/membership/SilentEndpointsTest.java
+++ b/src/test/java/gatelock/membership/SilentEndpointsTest.java
@@ -64,7 +64,7 @@
         int rounds = 0;
         for (; relay.readyEndpoints().stream().noneMatch("a-1234"::equals) && rounds < 1_000; rounds++) {
             failAttempts(relay.readyEndpoints(), 2);
-            assertThat(relay.subset.inScope()).isLessThanOrEqualTo(100);
+            assertThat(relay.subset.subsetSize()).isLessThanOrEqualTo(100);
         }
         assertThat(relay.readyEndpoints()).contains("a-1234");
         assertThat(rounds).isLessThan(250);
--- a/src/test/java/gatelock/membership/SubsetCostBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetCostBenchmark.java
@@ -64,20 +64,20 @@
         int services = 7_200;
         EndpointSubset subset = newSubset(4_096);
         for (int k = 0; k < 10; k++) {
-            BenchmarkList.read(subset, endpoints, services, k).take(k, k);
+            BenchmarkList.read(subset, endpoints, services, k).commit(k, k);
         }
         cpuPerChangeUs(subset, IntStream.range(0, CHANGES).toArray(), services);
         System.out.printf(
                 "%,d units, %,d in scope, %,d services crowded out: %,d KB used of %,d KB%n",
-                subset.listed(),
-                subset.inScope(),
+                subset.listedCount(),
+                subset.subsetSize(),
                 subset.servicesWithoutPlace(),
                 usedHeapBytes() / 1024,
                 Runtime.getRuntime().maxMemory() / 1024);
     }
 
     private static EndpointSubset newSubset(int maxEndpoints) {
-        return new EndpointSubset(new EndpointSubset.Terms(7, 0, maxEndpoints, 5, 0, 1, SECOND_US));
+        return new EndpointSubset(new EndpointSubset.Policy(7, 0, maxEndpoints, 5, 0, 1, SECOND_US));
     }
 
     private static void warmUp() {
@@ -95,13 +95,13 @@
         int services = size / ENDPOINTS_PER_SERVICE;
         long before = usedHeapBytes();
         EndpointSubset subset = newSubset(256);
-        EndpointSubset.Reading first = BenchmarkList.read(subset, size, services, 0);
-        first.take(0, 1);
+        EndpointSubset.ListUpdate first = BenchmarkList.read(subset, size, services, 0);
+        first.commit(0, 1);
         first = null;
         long heapBytes = usedHeapBytes() - before;
-        EndpointSubset.Reading second = BenchmarkList.read(subset, size, services, 1);
+        EndpointSubset.ListUpdate second = BenchmarkList.read(subset, size, services, 1);
         long peakBytes = usedHeapBytes() - before;
-        second.take(0, 2);
+        second.commit(0, 2);
         second = null;
         double fullListMs = cpuPerFullListMs(subset, size, services);
         double outsideUs = cpuPerChangeUs(subset, BenchmarkList.draw(subset, size, services, false, CHANGES), services);
@@ -122,13 +122,13 @@
     private static void printLargeSubset(int size, int services) {
         long before = usedHeapBytes();
         EndpointSubset subset = newSubset(40_000);
-        BenchmarkList.read(subset, size, services, 0).take(0, 1);
+        BenchmarkList.read(subset, size, services, 0).commit(0, 1);
         long heapBytes = usedHeapBytes() - before;
         long fromNs = cpuNs();
-        BenchmarkList.read(subset, size, services, 1).take(0, 1);
+        BenchmarkList.read(subset, size, services, 1).commit(0, 1);
         double fullListMs = (cpuNs() - fromNs) / 1e6;
         int[] outside = BenchmarkList.draw(subset, size, services, false, CHANGES);
-        int inSubset = subset.inScope();
+        int inSubset = subset.subsetSize();
         double outsideUs = cpuPerChangeUs(subset, outside, services);
         int[] inside = BenchmarkList.draw(subset, size, services, true, CHANGES);
         // With one service a change of a member looks through the whole service: fewer are played.
@@ -143,7 +143,7 @@
         double[] ms = new double[REPEATS];
         for (int repeat = 0; repeat < REPEATS; repeat++) {
             long fromNs = cpuNs();
-            BenchmarkList.read(subset, size, services, repeat).take(0, 3);
+            BenchmarkList.read(subset, size, services, repeat).commit(0, 3);
             ms[repeat] = (cpuNs() - fromNs) / 1e6;
         }
         return median(ms);
@@ -182,10 +182,10 @@
 
     /** Applies a change and refreshes the subset a millisecond later; returns the time then. */
     private static long apply(EndpointSubset subset, EndpointEntry change, long nowUs) {
-        EndpointSubset.Reading reading = subset.read(false);
+        EndpointSubset.ListUpdate reading = subset.beginUpdate(false);
         reading.add(change);
-        reading.take(nowUs, 1);
-        subset.due(nowUs + 1000);
+        reading.commit(nowUs, 1);
+        subset.refresh(nowUs + 1000);
         return nowUs + 1000;
     }
 
--- a/src/test/java/gatelock/membership/SubsetHarness.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -30,9 +30,9 @@
     }
 
     /** Terms without a fraction. */
-    static EndpointSubset.Terms terms(
+    static EndpointSubset.Policy terms(
             long relayNumber, int zone, int maxEndpoints, int minPerService, int remotePerService, long settleUs) {
-        return new EndpointSubset.Terms(relayNumber, zone, maxEndpoints, minPerService, 0, remotePerService, settleUs);
+        return new EndpointSubset.Policy(relayNumber, zone, maxEndpoints, minPerService, 0, remotePerService, settleUs);
     }
 
     static EndpointEntry endpoint(String name, String service, int zone, Endpoint.Health health) {
@@ -68,19 +68,19 @@
     }
 
     private void list(boolean full, Iterable<EndpointEntry> entries) {
-        EndpointSubset.Reading reading = subset.read(full);
+        EndpointSubset.ListUpdate reading = subset.beginUpdate(full);
         entries.forEach(reading::add);
-        deliver(reading.take(nowUs, LIST_INDEX));
+        deliver(reading.commit(nowUs, LIST_INDEX));
     }
 
     /** Lets time pass and refreshes the subset. */
     void advance(long us) {
         nowUs += us;
-        deliver(subset.due(nowUs));
+        deliver(subset.refresh(nowUs));
     }
 
     void attemptEnded(String endpoint, boolean answered) {
-        subset.ended(nowUs, endpoint, answered);
+        subset.recordAttempt(nowUs, endpoint, answered);
     }
 
     /** An attempt at each ready endpoint, of which all but the silent ones answer. */
@@ -94,7 +94,7 @@
     void deliver(EndpointSubset.Change change) {
         lastChange = change;
         notifiedEntries += change.entries().size();
-        if (change.whole()) {
+        if (change.full()) {
             notified.clear();
         }
         for (EndpointEntry entry : change.entries()) {
--- a/src/test/java/gatelock/membership/SubsetZonesBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetZonesBenchmark.java
@@ -61,9 +61,9 @@
     /** A relay's subset by the module itself, with one endpoint in other zones. */
     private static List<EndpointEntry> subset(int relay, int zone, List<EndpointEntry> list) {
         EndpointSubset subset = new EndpointSubset(
-                new EndpointSubset.Terms(relay, zone, 1_000, SUBSET_SIZE, 0, 1, BenchmarkList.SECOND_US));
-        EndpointSubset.Reading reading = subset.read(true);
+                new EndpointSubset.Policy(relay, zone, 1_000, SUBSET_SIZE, 0, 1, BenchmarkList.SECOND_US));
+        EndpointSubset.ListUpdate reading = subset.beginUpdate(true);
         list.forEach(reading::add);
-        return reading.take(0, 1).entries();
+        return reading.commit(0, 1).entries();
     }
 }
--- a/src/test/java/gatelock/net/DelayedIoThread.java
+++ b/src/test/java/gatelock/net/DelayedIoThread.java
@@ -10,7 +10,7 @@
     public static CountDownLatch hold(EventLoop eventLoop) throws InterruptedException {
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
-        eventLoop.soon(() -> {
+        eventLoop.execute(() -> {
             blocked.countDown();
             try {
                 release.await();
--- a/src/test/java/gatelock/net/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/net/OutboundConnectionTest.java
@@ -38,28 +38,28 @@
         worker.shutdownNow();
     }
 
-    private final class RecordingHandler implements OutboundConnection.User {
+    private final class RecordingHandler implements OutboundConnection.ResponseHandler {
         @Override
-        public boolean answered(UpstreamResponse response) {
+        public boolean onResponse(UpstreamResponse response) {
             outcomes.add("answered " + new String(response.body(), StandardCharsets.US_ASCII));
             return true;
         }
 
         @Override
-        public void broken(boolean written) {
+        public void onConnectionLost(boolean written) {
             outcomes.add(written ? "broken" : "broken, not written");
         }
 
         @Override
-        public void late() {
+        public void onTimeout() {
             outcomes.add("late");
         }
     }
 
     private void send(ServerSocket server) {
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-        eventLoop.soon(() -> new ConnectionPool(eventLoop, new Counters(), 1_000_000, 4_000_000, 0, 8)
-                .call(
+        eventLoop.execute(() -> new ConnectionPool(eventLoop, new Counters(), 1_000_000, 4_000_000, 0, 8)
+                .send(
                         address,
                         ByteBuffer.wrap("GET /list HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII)),
                         TIMEOUT_US,
@@ -101,8 +101,8 @@
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
             // More than the system buffers while the server does not read.
             ByteBuffer large = ByteBuffer.allocate(64 * 1024 * 1024);
-            eventLoop.soon(() -> new ConnectionPool(eventLoop, new Counters(), 1_000_000, 4_000_000, 0, 8)
-                    .call(address, large, 20_000_000, new RecordingHandler()));
+            eventLoop.execute(() -> new ConnectionPool(eventLoop, new Counters(), 1_000_000, 4_000_000, 0, 8)
+                    .send(address, large, 20_000_000, new RecordingHandler()));
             try (Socket client = server.accept()) {
                 client.getInputStream().read();
                 client.getOutputStream()
--- a/src/test/java/gatelock/release/ReleaseControllerClientTest.java
+++ b/src/test/java/gatelock/release/ReleaseControllerClientTest.java
@@ -60,12 +60,13 @@
     /** Records the news; nothing else may be called. */
     private final class RecordingEngine implements DecisionEngine {
         @Override
-        public void news(long nowUs, int build, int stage, Phase phase, double cap, long agoUs, VoteAnswer answer) {
+        public void releaseStateUpdated(
+                long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
             news.add(build + " " + stage + " " + phase + " " + cap + " " + agoUs + " " + answer);
         }
 
         @Override
-        public void listed(long nowUs, ListForm form, List<Endpoint> endpoints) {
+        public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
             throw new AssertionError();
         }
 
@@ -75,7 +76,7 @@
         }
 
         @Override
-        public RequestHandle take(
+        public RequestHandle acceptRequest(
                 long nowUs,
                 String id,
                 int route,
@@ -88,17 +89,18 @@
         }
 
         @Override
-        public void complaint(long nowUs, String endpoint, int route, long agoUs) {
+        public void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
             throw new AssertionError();
         }
 
         @Override
-        public void counted(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
+        public void fleetSampleReceived(
+                long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
             throw new AssertionError();
         }
 
         @Override
-        public void due(long nowUs, long token) {
+        public void timerFired(long nowUs, long token) {
             throw new AssertionError();
         }
     }
@@ -113,11 +115,11 @@
 
     @BeforeEach
     void start() throws Exception {
-        eventLoop.soon(() -> {
+        eventLoop.execute(() -> {
             try {
                 client.start(
                         new RecordingEngine(),
-                        JsonObject.read(message("released", 1).getBytes(StandardCharsets.UTF_8)));
+                        JsonObject.parse(message("released", 1).getBytes(StandardCharsets.UTF_8)));
             } catch (IOException e) {
                 throw new AssertionError(e);
             }
@@ -187,7 +189,7 @@
         "302, 0 0 TRIAL 0.0 0 TIMED_OUT"
     })
     void theDecisionsLearnHowAVoteWasAnswered(int status, String expected) throws Exception {
-        eventLoop.soon(() -> client.vote(7, 2, Verdict.HOLD));
+        eventLoop.execute(() -> client.castVote(7, 2, Verdict.HOLD));
         try (Socket vote = server.accept()) {
             assertThat(readTo(vote, "}"))
                     .startsWith("POST /v2/projects/main/judgements HTTP/1.1\r\nHost: desk\r\n")
@@ -203,7 +205,7 @@
         for (String response : new String[] {
             "", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
         }) {
-            eventLoop.soon(() -> client.vote(7, 2, Verdict.HOLD));
+            eventLoop.execute(() -> client.castVote(7, 2, Verdict.HOLD));
             try (Socket vote = server.accept()) {
                 readTo(vote, "}");
                 write(vote, response);
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -87,9 +87,9 @@
     @Test
     void aDrainIsPacedByWhatTheOthersBearAndEndsInTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(
+        sessions.updateEndpoints(
                 1,
-                DecisionEngine.ListForm.FULL,
+                DecisionEngine.EndpointUpdateType.FULL,
                 List.of(
                         endpoint("a", 1, Endpoint.Health.READY),
                         endpoint("b", 1, Endpoint.Health.READY),
@@ -100,10 +100,11 @@
             at.add(peers);
             sessions.register(2, "a", 0, peers);
         }
-        sessions.listed(SECOND, DecisionEngine.ListForm.DELTA, List.of(endpoint("a", 1, Endpoint.Health.DRAINING)));
+        sessions.updateEndpoints(
+                SECOND, DecisionEngine.EndpointUpdateType.DELTA, List.of(endpoint("a", 1, Endpoint.Health.DRAINING)));
         long closedBefore = 0;
         for (long us = SECOND; us < 12 * SECOND; us += 100_000) {
-            sessions.due(us);
+            sessions.closeDue(us);
             long closed = at.stream()
                     .filter(p -> p.closes.containsKey(SessionSide.CLIENT))
                     .count();
@@ -116,7 +117,7 @@
         assertThat(closedBefore).isEqualTo(600);
         assertThat(at)
                 .allMatch(p -> p.closes.get(SessionSide.CLIENT) == 1012 && p.reason.matches(".* after [0-9]+ ms"));
-        sessions.due(14 * SECOND);
+        sessions.closeDue(14 * SECOND);
         assertThat(sessions.size()).isZero();
         assertThat(sessions.drainingCount()).isZero();
     }
@@ -124,16 +125,16 @@
     @Test
     void aBuildThatGoesBackTakesItsSessionsAlongAtOnceAndNoOthers() {
         Sessions sessions = new Sessions(10, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(
+        sessions.updateEndpoints(
                 1,
-                DecisionEngine.ListForm.FULL,
+                DecisionEngine.EndpointUpdateType.FULL,
                 List.of(endpoint("a", 1, Endpoint.Health.READY), endpoint("b", 2, Endpoint.Health.READY)));
-        sessions.news(1, 2, DecisionEngine.Phase.TRIAL);
+        sessions.updateRelease(1, 2, DecisionEngine.ReleasePhase.TRIAL);
         Peers old = new Peers();
         Peers canary = new Peers();
         sessions.register(2, "a", 0, old);
         sessions.register(2, "b", 0, canary);
-        sessions.news(3, 2, DecisionEngine.Phase.REVERTING);
+        sessions.updateRelease(3, 2, DecisionEngine.ReleasePhase.REVERTING);
         assertThat(canary.closes).containsEntry(SessionSide.CLIENT, 1012);
         assertThat(old.closes).isEmpty();
         Peers late = new Peers();
@@ -144,17 +145,18 @@
     @Test
     void aRelayThatLeavesClosesAllByItsTime() {
         Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
-        sessions.listed(1, DecisionEngine.ListForm.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY)));
+        sessions.updateEndpoints(
+                1, DecisionEngine.EndpointUpdateType.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY)));
         List<Peers> at = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             Peers peers = new Peers();
             at.add(peers);
             sessions.register(2, "a", 0, peers);
         }
-        sessions.leave(SECOND, 3 * SECOND);
+        sessions.drainAll(SECOND, 3 * SECOND);
         assertThat(sessions.hasCapacity()).isFalse();
         for (long us = SECOND; us <= 3 * SECOND; us += 50_000) {
-            sessions.due(us);
+            sessions.closeDue(us);
         }
         assertThat(at).allMatch(p -> p.closes.get(SessionSide.CLIENT) == 1012);
     }
--- a/src/test/java/gatelock/standin/EndpointListBenchmark.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -142,12 +142,12 @@
         Map<String, Object> row = new LinkedHashMap<>();
         row.put("units", play.endpoints);
         row.put("membership", play.membership == null ? "off" : "{" + play.membership + "}");
-        row.put("readyMs", relay.ready(60_000));
+        row.put("readyMs", relay.awaitReadyMs(60_000));
         row.put("readyCpuMs", relay.cpuUs() / 1_000);
         Matcher listed = LIST_LOG_LINE.matcher(relay.log());
         row.put("inScope", listed.find() ? Integer.parseInt(listed.group(3)) : null);
         row.put("listBytes", list.bytesOut());
-        row.put("lists", list.wholes());
+        row.put("lists", list.snapshotCalls());
         // The first seconds have the work that a start leaves behind: compilation and the garbage of the warm-up.
         TimeUnit.SECONDS.sleep(5);
         long cpuUs = relay.cpuUs();
@@ -194,12 +194,12 @@
             int endpoint = (int) (i / 3 * 7_919L % size);
             long nowMs = System.currentTimeMillis();
             index = switch (i % 3) {
-                case 0 -> list.change(endpoint, entry(endpoint, addresses, "terminating", 0, 1));
-                case 1 -> list.leave(endpoint, entry(endpoint, addresses, "terminated", 0, 1));
-                default -> list.change(endpoint, entry(endpoint, addresses, "in_service", nowMs, 1));
+                case 0 -> list.replace(endpoint, entry(endpoint, addresses, "terminating", 0, 1));
+                case 1 -> list.remove(endpoint, entry(endpoint, addresses, "terminated", 0, 1));
+                default -> list.replace(endpoint, entry(endpoint, addresses, "in_service", nowMs, 1));
             };
             if (i == 20) {
-                index = list.leave(size - 1, entry(size - 1, addresses, "terminated", 0, 1));
+                index = list.remove(size - 1, entry(size - 1, addresses, "terminated", 0, 1));
             }
         }
         TimeUnit.NANOSECONDS.sleep(Math.max(0, fromNs + TimeUnit.SECONDS.toNanos(CHANGES_S) - System.nanoTime()));
