--- a/src/test/java/gatelock/standin/EndpointRestriction.java
+++ b/src/test/java/gatelock/standin/EndpointRestriction.java
@@ -7,17 +7,17 @@
 @FunctionalInterface
 public interface EndpointRestriction extends RequestConstraints {
     @Override
-    default int mostAttempts() {
-        return NONE.mostAttempts();
+    default int maxAttempts() {
+        return NONE.maxAttempts();
     }
 
     @Override
-    default long attemptUs() {
-        return NONE.attemptUs();
+    default long attemptTimeoutUs() {
+        return NONE.attemptTimeoutUs();
     }
 
     @Override
-    default boolean goesOn(long nowUs, AttemptResult last) {
-        return NONE.goesOn(nowUs, last);
+    default boolean acquireRetry(long nowUs, AttemptResult last) {
+        return NONE.acquireRetry(nowUs, last);
     }
 }
--- a/src/test/java/gatelock/standin/LongListDiscovery.java
+++ b/src/test/java/gatelock/standin/LongListDiscovery.java
@@ -87,12 +87,12 @@
     }
 
     /** Replaces an entry, or adds one; returns the index of the change. */
-    public synchronized long change(int number, String text) {
+    public synchronized long replace(int number, String text) {
         return changed(number, text, true);
     }
 
     /** Removes an entry: watches get it once more, with its last status. Returns the index of the change. */
-    public synchronized long leave(int number, String text) {
+    public synchronized long remove(int number, String text) {
         return changed(number, text, false);
     }
 
@@ -204,7 +204,7 @@
     }
 
     /** Returns since when each relay that has this index or a later one has it, by System.nanoTime. */
-    public synchronized Map<String, Long> holding(long index) {
+    public synchronized Map<String, Long> watchedSince(long index) {
         Map<String, Long> since = new TreeMap<>();
         watchedSinceNs.forEach((relay, held) -> held.entrySet().stream()
                 .filter(e -> e.getKey() >= index)
@@ -218,11 +218,11 @@
     public synchronized Map<String, Long> await(long index, int relays, long withinMs) throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
         for (long leftNs = endNs - System.nanoTime();
-                holding(index).size() < relays && leftNs > 0;
+                watchedSince(index).size() < relays && leftNs > 0;
                 leftNs = endNs - System.nanoTime()) {
             TimeUnit.NANOSECONDS.timedWait(this, leftNs);
         }
-        return holding(index);
+        return watchedSince(index);
     }
 
     /** Returns the index of the last change. */
@@ -231,17 +231,17 @@
     }
 
     /** Returns the number of calls for the whole list. */
-    public synchronized long wholes() {
+    public synchronized long snapshotCalls() {
         return wholes;
     }
 
     /** Returns the number of calls that waited for a change. */
-    public synchronized long watches() {
+    public synchronized long watchCalls() {
         return watches;
     }
 
     /** Returns the number of answers that a relay did not read to the end. */
-    public synchronized long brokenOff() {
+    public synchronized long abortedAnswers() {
         return brokenOff;
     }
 
--- a/src/test/java/gatelock/standin/LongListDiscoveryTest.java
+++ b/src/test/java/gatelock/standin/LongListDiscoveryTest.java
@@ -43,9 +43,9 @@
         try (LongListDiscovery list = new LongListDiscovery(1_000, i -> text(i, "in_service"))) {
             String address = list.address("r");
             assertThat(fields(get(address, ""), "name")).hasSize(1_000).doesNotHaveDuplicates();
-            list.change(3, text(3, "terminating"));
-            list.leave(999, text(999, "terminated"));
-            list.change(1_000, text(1_000, "in_service"));
+            list.replace(3, text(3, "terminating"));
+            list.remove(999, text(999, "terminated"));
+            list.replace(1_000, text(1_000, "in_service"));
             Map<String, Object> whole = get(address, "");
             assertThat(whole).containsEntry("index", 4).containsEntry("snapshot", true);
             assertThat(fields(whole, "name"))
@@ -61,8 +61,8 @@
         try (LongListDiscovery list = new LongListDiscovery(10, i -> text(i, "in_service"))) {
             String address = list.address("r");
             assertThat(fields(get(address, "?from=1&hold_ms=1"), "name")).isEmpty();
-            list.change(3, text(3, "terminating"));
-            list.leave(9, text(9, "terminated"));
+            list.replace(3, text(3, "terminating"));
+            list.remove(9, text(9, "terminated"));
             Map<String, Object> changes = get(address, "?from=1&hold_ms=60000");
             assertThat(changes).containsEntry("index", 3).containsEntry("snapshot", false);
             assertThat(fields(changes, "status")).containsExactly("terminating", "terminated");
@@ -75,12 +75,12 @@
         try (LongListDiscovery list = new LongListDiscovery(10, i -> text(i, "in_service"))) {
             String one = list.address("one");
             String other = list.address("other");
-            long index = list.change(3, text(3, "terminating"));
+            long index = list.replace(3, text(3, "terminating"));
             get(one, "?from=1&hold_ms=0");
             assertThat(list.await(index, 1, 0)).isEmpty();
             get(other, "?from=" + index + "&hold_ms=0");
             assertThat(list.await(index, 1, 60_000)).containsOnlyKeys("other");
-            assertThat(list.watches()).isEqualTo(2);
+            assertThat(list.watchCalls()).isEqualTo(2);
             assertThat(list.bytesOut()).isPositive();
         }
     }
--- a/src/test/java/gatelock/standin/NoOpActions.java
+++ b/src/test/java/gatelock/standin/NoOpActions.java
@@ -6,26 +6,26 @@
 /** A way out on which nothing is done; whoever looks at some of its calls says which. */
 public interface NoOpActions extends DecisionActions {
     @Override
-    default void send(String id, String endpoint, long timeoutUs) {}
+    default void sendAttempt(String id, String endpoint, long timeoutUs) {}
 
     @Override
-    default void shed(String id, long pauseUs) {}
+    default void shedRequest(String id, long pauseUs) {}
 
     @Override
-    default void error(String id) {}
+    default void failRequest(String id) {}
 
     @Override
-    default void cancel(String id, int attemptNo) {}
+    default void cancelAttempt(String id, int attemptNo) {}
 
     @Override
-    default void vote(int build, int stage, Verdict verdict) {}
+    default void castVote(int build, int stage, Verdict verdict) {}
 
     @Override
-    default void timer(long inUs, long token) {}
+    default void scheduleTimer(long inUs, long token) {}
 
     @Override
-    default void followList() {}
+    default void subscribeToEndpoints() {}
 
     @Override
-    default void say(String line) {}
+    default void log(String line) {}
 }
--- a/src/test/java/gatelock/standin/OpenLoop.java
+++ b/src/test/java/gatelock/standin/OpenLoop.java
@@ -38,7 +38,7 @@
      *
      * @param bytes of head and body together
      */
-    public record Answer(int status, long bytes, String head) {}
+    public record Response(int status, long bytes, String head) {}
 
     private final Histogram responseTimesUs = new ConcurrentHistogram(3);
     private final LongAdder failures = new LongAdder();
@@ -78,7 +78,7 @@
             try {
                 sleepUntil(dueNs);
                 socket = socket == null ? open(port) : socket;
-                if (ask(socket, startNs + "-" + i) == 200) {
+                if (requestStatus(socket, startNs + "-" + i) == 200) {
                     responseTimesUs.recordValue((System.nanoTime() - dueNs) / 1_000);
                 } else {
                     failures.increment();
@@ -119,13 +119,13 @@
     }
 
     /** Sends a request of the class 'read'; returns the status of its response, which is read to its end. */
-    public static int ask(Socket socket, String traceId) throws IOException {
-        return call(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + traceId + "\r\n\r\n")
+    public static int requestStatus(Socket socket, String traceId) throws IOException {
+        return exchange(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + traceId + "\r\n\r\n")
                 .status();
     }
 
     /** Sends a request on a connection that carries no other; the response must have a content length. */
-    public static Answer call(Socket socket, String request) throws IOException {
+    public static Response exchange(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         InputStream in = new BufferedInputStream(socket.getInputStream());
         StringBuilder head = new StringBuilder();
@@ -139,6 +139,6 @@
         String lowerCase = head.toString().toLowerCase(Locale.ROOT);
         long bodyBytes = Long.parseLong(lowerCase.replaceAll("(?s).*\r\ncontent-length: *(\\d+)\r\n.*", "$1"));
         in.skipNBytes(bodyBytes);
-        return new Answer(Integer.parseInt(head.substring(9, 12)), head.length() + bodyBytes, head.toString());
+        return new Response(Integer.parseInt(head.substring(9, 12)), head.length() + bodyBytes, head.toString());
     }
 }
