--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -3,7 +3,7 @@
 import gatelock.discovery.DiscoveryClient;
 import gatelock.http.ClientListener;
 import gatelock.net.EventLoop;
-import gatelock.session.Sessions;
+import gatelock.session.SessionRegistry;
 import gatelock.state.Counters;
 import io.undertow.server.HttpHandler;
 import java.io.IOException;
@@ -57,7 +57,7 @@
     private ClientListener clientListener;
     private RequestPipeline pipeline;
     private ControlPlane controlPlane;
-    private Sessions sessions;
+    private SessionRegistry sessions;
 
     private RelayService(
             Path file,
@@ -175,12 +175,12 @@
         discovery.onPollFailure(() -> reloader.reloadOnDiscoveryFailure(() -> config.discovery()));
     }
 
-    private Sessions createSessions(OperatorConfig.Sessions options) {
+    private SessionRegistry createSessions(OperatorConfig.Sessions options) {
         int max = config.maxSockets() / 10;
         if (options.max() > 0) {
             max = Math.min(options.max(), config.maxSockets() / 5);
         }
-        return new Sessions(
+        return new SessionRegistry(
                 max,
                 options.opensPerEndpoint(),
                 options.drainUs(),
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -16,7 +16,7 @@
 import gatelock.pipeline.RequestAdmitter;
 import gatelock.pipeline.ResponseWriter;
 import gatelock.release.ReleaseControllerClient;
-import gatelock.session.Sessions;
+import gatelock.session.SessionRegistry;
 import gatelock.state.Counters;
 import gatelock.state.EndpointAddresses;
 import gatelock.state.InFlightRequests;
@@ -47,7 +47,7 @@
     private final RelayConfig config;
     private final Counters counters;
     private final Admission admission;
-    private final Sessions sessions;
+    private final SessionRegistry sessions;
     private final OperatorConfig.Membership membership;
     private final AttemptSender attemptSender;
     private ReleaseControllerClient releaseController;
@@ -66,7 +66,7 @@
             Counters counters,
             ClientListener clientListener,
             Admission admission,
-            Sessions sessions,
+            SessionRegistry sessions,
             OperatorConfig.Membership membership) {
         this.config = config;
         this.membership = membership;
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -4,11 +4,11 @@
 import gatelock.api.Endpoint;
 import gatelock.api.RequestConstraints;
 import gatelock.api.RequestHandle;
-import gatelock.session.Sessions;
+import gatelock.session.SessionRegistry;
 import java.util.List;
 
 /** A decision engine that passes what it learns of endpoints and builds on to the sessions too. */
-record SessionAwareEngine(DecisionEngine engine, Sessions sessions) implements DecisionEngine {
+record SessionAwareEngine(DecisionEngine engine, SessionRegistry sessions) implements DecisionEngine {
 
     @Override
     public void start(long nowUs) {
--- a/src/main/java/gatelock/session/Sessions.java
+++ b/src/main/java/gatelock/session/SessionRegistry.java
@@ -15,7 +15,7 @@
  * All sessions of a relay: how many there may be, and which of them must leave their endpoint and when. Closes after
  * which clients reconnect are paced by {@link DrainQueue}.
  */
-public final class Sessions {
+public final class SessionRegistry {
     private final long drainTimeoutUs;
     private final int maxSessions;
     private final RandomGenerator random;
@@ -36,7 +36,7 @@
      * @param drainTimeoutUs how long the drain of an endpoint may take at the most
      * @param random spreads the closes of a shutdown and the times at which clients reconnect
      */
-    public Sessions(int maxSessions, double opensPerEndpointPerS, long drainTimeoutUs, RandomGenerator random) {
+    public SessionRegistry(int maxSessions, double opensPerEndpointPerS, long drainTimeoutUs, RandomGenerator random) {
         this.maxSessions = maxSessions;
         this.drainTimeoutUs = drainTimeoutUs;
         this.random = random;
--- a/src/main/java/gatelock/websocket/SessionContext.java
+++ b/src/main/java/gatelock/websocket/SessionContext.java
@@ -3,7 +3,7 @@
 import gatelock.api.DecisionEngine;
 import gatelock.net.EventLoop;
 import gatelock.pipeline.OutcomeRecorder;
-import gatelock.session.Sessions;
+import gatelock.session.SessionRegistry;
 import gatelock.state.Counters;
 import io.undertow.connector.ByteBufferPool;
 
@@ -20,5 +20,5 @@
         Counters counters,
         OutcomeRecorder recorder,
         DecisionEngine engine,
-        Sessions sessions,
+        SessionRegistry sessions,
         ByteBufferPool buffers) {}
--- a/src/main/java/gatelock/websocket/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/websocket/WebSocketUpgrader.java
@@ -5,7 +5,7 @@
 import gatelock.http.RequestReader;
 import gatelock.net.EventLoop;
 import gatelock.pipeline.OutcomeRecorder;
-import gatelock.session.Sessions;
+import gatelock.session.SessionRegistry;
 import gatelock.state.Counters;
 import gatelock.state.InFlightRequest;
 import io.undertow.server.DefaultByteBufferPool;
@@ -42,7 +42,11 @@
      * @param engine decides whether a message may go to its endpoint
      */
     public WebSocketUpgrader(
-            EventLoop loop, Counters counters, OutcomeRecorder recorder, DecisionEngine engine, Sessions sessions) {
+            EventLoop loop,
+            Counters counters,
+            OutcomeRecorder recorder,
+            DecisionEngine engine,
+            SessionRegistry sessions) {
         this.context = new SessionContext(
                 loop,
                 counters,
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -86,7 +86,7 @@
 
     @Test
     void aDrainIsPacedByWhatTheOthersBearAndEndsInTime() {
-        Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
+        SessionRegistry sessions = new SessionRegistry(10_000, 20, 10 * SECOND, new SplittableRandom(1));
         sessions.updateEndpoints(
                 1,
                 DecisionEngine.EndpointUpdateType.FULL,
@@ -124,7 +124,7 @@
 
     @Test
     void aBuildThatGoesBackTakesItsSessionsAlongAtOnceAndNoOthers() {
-        Sessions sessions = new Sessions(10, 20, 10 * SECOND, new SplittableRandom(1));
+        SessionRegistry sessions = new SessionRegistry(10, 20, 10 * SECOND, new SplittableRandom(1));
         sessions.updateEndpoints(
                 1,
                 DecisionEngine.EndpointUpdateType.FULL,
@@ -144,7 +144,7 @@
 
     @Test
     void aRelayThatLeavesClosesAllByItsTime() {
-        Sessions sessions = new Sessions(10_000, 20, 10 * SECOND, new SplittableRandom(1));
+        SessionRegistry sessions = new SessionRegistry(10_000, 20, 10 * SECOND, new SplittableRandom(1));
         sessions.updateEndpoints(
                 1, DecisionEngine.EndpointUpdateType.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY)));
         List<Peers> at = new ArrayList<>();
