--- a/src/test/java/gatelock/capacity/EndpointListCosts.java
+++ b/src/test/java/gatelock/capacity/EndpointListCosts.java
@@ -2,8 +2,8 @@
 
 import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
+import gatelock.standin.LoadGenerator;
 import gatelock.standin.LongListDiscovery;
-import gatelock.standin.OpenLoop;
 import gatelock.state.EndpointAddresses;
 import java.io.IOException;
 import java.lang.ref.Reference;
@@ -189,12 +189,12 @@
     }
 
     private static Socket connect(LongListDiscovery list) throws IOException {
-        return OpenLoop.open(RelayHarness.port(list.address("r")));
+        return LoadGenerator.open(RelayHarness.port(list.address("r")));
     }
 
     /** Bytes of a call to discovery and of its answer. */
     private static long bytesOf(Socket socket, String query) throws IOException {
         String call = "GET /api/targets" + query + " HTTP/1.1\r\nHost: discovery\r\n\r\n";
-        return call.length() + OpenLoop.exchange(socket, call).bytes();
+        return call.length() + LoadGenerator.exchange(socket, call).bytes();
     }
 }
--- a/src/test/java/gatelock/capacity/RealRelays.java
+++ b/src/test/java/gatelock/capacity/RealRelays.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatelock.standin.FakeDeployment;
+import gatelock.standin.LoadGenerator;
 import gatelock.standin.LongListDiscovery;
-import gatelock.standin.OpenLoop;
 import gatelock.standin.RelayProcess;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -111,7 +111,7 @@
     }
 
     private static void putService(ObjectNode row, RelayProcess relay) throws InterruptedException {
-        OpenLoop.Result served = OpenLoop.run(new int[] {relay.port}, CLIENTS, REQUESTS_PER_S, SERVING_S);
+        LoadGenerator.Result served = LoadGenerator.run(new int[] {relay.port}, CLIENTS, REQUESTS_PER_S, SERVING_S);
         row.put("served", served.us().getTotalCount());
         row.put("no200", served.other());
     }
--- a/src/test/java/gatelock/capacity/RelayHeapCosts.java
+++ b/src/test/java/gatelock/capacity/RelayHeapCosts.java
@@ -1,8 +1,8 @@
 package gatelock.capacity;
 
 import gatelock.standin.FakeDeployment;
+import gatelock.standin.LoadGenerator;
 import gatelock.standin.LongListDiscovery;
-import gatelock.standin.OpenLoop;
 import gatelock.standin.RelayProcess;
 import java.io.IOException;
 import java.net.Socket;
@@ -82,9 +82,9 @@
     /** Opens connections until there are so many, and serves one request on each. */
     private static void openUpTo(int connections, RelayProcess relay, List<Socket> sockets) throws IOException {
         while (sockets.size() < connections) {
-            Socket socket = OpenLoop.open(relay.port);
+            Socket socket = LoadGenerator.open(relay.port);
             sockets.add(socket);
-            if (OpenLoop.requestStatus(socket, "c" + sockets.size()) != 200) {
+            if (LoadGenerator.requestStatus(socket, "c" + sockets.size()) != 200) {
                 throw new IOException("a req got no 200 on connection " + sockets.size());
             }
         }
--- a/src/test/java/gatelock/capacity/RequestCosts.java
+++ b/src/test/java/gatelock/capacity/RequestCosts.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import gatelock.standin.FakeDeployment;
+import gatelock.standin.LoadGenerator;
 import gatelock.standin.LongListDiscovery;
-import gatelock.standin.OpenLoop;
 import gatelock.standin.RelayProcess;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -34,8 +34,8 @@
             RelayHarness.awaitReady(relay);
             int[] direct = new int[RelayHarness.SERVING_ENDPOINTS];
             Arrays.setAll(direct, i -> RelayHarness.port(deployment.address(i)));
-            OpenLoop.run(direct, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
-            OpenLoop.run(new int[] {relay.port}, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
+            LoadGenerator.run(direct, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
+            LoadGenerator.run(new int[] {relay.port}, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
             for (int perS : RATES_PER_S) {
                 cpu.add(measure(relay, direct, perS));
             }
@@ -55,10 +55,10 @@
     /** Adds the latency at a rate; returns the requests per second and the processor time per second. */
     private Fit.Point measure(RelayProcess relay, int[] direct, int perS) throws InterruptedException {
         int seconds = perS < 1_000 ? 5 : 8;
-        Histogram directUs = OpenLoop.run(direct, CLIENTS, perS, seconds).us();
+        Histogram directUs = LoadGenerator.run(direct, CLIENTS, perS, seconds).us();
         long cpuBeforeUs = relay.cpuUs();
         long startedNs = System.nanoTime();
-        OpenLoop.Result relayed = OpenLoop.run(new int[] {relay.port}, CLIENTS, perS, seconds);
+        LoadGenerator.Result relayed = LoadGenerator.run(new int[] {relay.port}, CLIENTS, perS, seconds);
         double spanS = (System.nanoTime() - startedNs) / 1e9;
         long cpuUs = relay.cpuUs() - cpuBeforeUs;
         Histogram none = new Histogram(3);
--- a/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -90,7 +90,7 @@
 
     /** Returns response times in microseconds, each from when its request was due; prints how many got no 200. */
     static Histogram load(int port, int seconds) throws InterruptedException {
-        OpenLoop.Result result = OpenLoop.run(new int[] {port}, CLIENTS, REQUESTS_PER_S, seconds);
+        LoadGenerator.Result result = LoadGenerator.run(new int[] {port}, CLIENTS, REQUESTS_PER_S, seconds);
         if (result.other() > 0) {
             System.out.println(result.other() + " reqs got no 200");
         }
--- a/src/test/java/gatelock/standin/OpenLoop.java
+++ b/src/test/java/gatelock/standin/LoadGenerator.java
@@ -19,7 +19,7 @@
  * of them is free. Each request is timed from when it was due, so that a stall counts for all that should have been sent
  * in it.
  */
-public final class OpenLoop {
+public final class LoadGenerator {
     private static final int TIMEOUT_MS = 20_000;
     private static final int MAX_HEAD_CHARS = 16_384;
     private static final long FIRST_DUE_NS = 100_000_000;
@@ -47,7 +47,7 @@
     private final int seconds;
     private final long startNs = System.nanoTime() + FIRST_DUE_NS;
 
-    private OpenLoop(int clients, int requestsPerS, int seconds) {
+    private LoadGenerator(int clients, int requestsPerS, int seconds) {
         this.clients = clients;
         this.requestsPerS = requestsPerS;
         this.seconds = seconds;
@@ -55,7 +55,7 @@
 
     /** Sends a load from clients that are spread over the ports, and waits until all requests have ended. */
     public static Result run(int[] ports, int clients, int requestsPerS, int seconds) throws InterruptedException {
-        OpenLoop load = new OpenLoop(clients, requestsPerS, seconds);
+        LoadGenerator load = new LoadGenerator(clients, requestsPerS, seconds);
         List<Thread> threads = new ArrayList<>();
         for (int i = 0; i < clients; i++) {
             int clientNo = i;
--- a/src/test/java/gatelock/standin/RelayProcess.java
+++ b/src/test/java/gatelock/standin/RelayProcess.java
@@ -110,8 +110,9 @@
     /** Waits until the relay is ready; returns the milliseconds since its start, or -1 if it is not in time or ended. */
     public long awaitReadyMs(long timeoutMs) throws InterruptedException {
         while (process.isAlive() && sinceStartMs() < timeoutMs) {
-            try (Socket socket = OpenLoop.open(port)) {
-                OpenLoop.Response response = OpenLoop.exchange(socket, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+            try (Socket socket = LoadGenerator.open(port)) {
+                LoadGenerator.Response response =
+                        LoadGenerator.exchange(socket, "GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
                 if (response.status() == 200) {
                     return sinceStartMs();
                 }
