--- a/src/main/java/gatelock/session/DrainQueue.java
+++ b/src/main/java/gatelock/session/DrainQueue.java
@@ -17,12 +17,12 @@
     /** At a shutdown each call closes a session beyond the rate with the probability of this time over what is left. */
     private static final long SHUTDOWN_SPREAD_US = 100_000;
 
-    private record Entry(Session session, CloseReason reason, long deadlineUs) {}
+    private record Entry(WebSocketSession session, CloseReason reason, long deadlineUs) {}
 
     private final double opensPerEndpointPerS;
     private final RandomGenerator random;
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
-    private final Set<Session> queued = new HashSet<>();
+    private final Set<WebSocketSession> queued = new HashSet<>();
     /** Closes that may be made now without exceeding the rate. */
     private double budget;
 
@@ -39,14 +39,14 @@
     }
 
     /** Adds a session that is open and not queued yet; any other is ignored. */
-    void add(Session session, CloseReason reason, long deadlineUs) {
+    void add(WebSocketSession session, CloseReason reason, long deadlineUs) {
         if (session.isOpen() && queued.add(session)) {
             entries.add(new Entry(session, reason, deadlineUs));
         }
     }
 
     /** Forgets a session that is finished. Its entry has no effect any more and is dropped in its turn. */
-    void remove(Session session) {
+    void remove(WebSocketSession session) {
         queued.remove(session);
     }
 
--- a/src/main/java/gatelock/session/SessionRegistry.java
+++ b/src/main/java/gatelock/session/SessionRegistry.java
@@ -20,8 +20,8 @@
     private final int maxSessions;
     private final RandomGenerator random;
     private final DrainQueue drainQueue;
-    private final Map<Integer, Session> sessionsById = new LinkedHashMap<>();
-    private final Map<String, Set<Session>> sessionsByEndpoint = new HashMap<>();
+    private final Map<Integer, WebSocketSession> sessionsById = new LinkedHashMap<>();
+    private final Map<String, Set<WebSocketSession>> sessionsByEndpoint = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private int nextId;
     private boolean relayShutsDown;
@@ -62,8 +62,8 @@
      * Registers a session that was opened at an endpoint. If the endpoint began to drain or its build was rolled back
      * while the session was being opened, the session is drained or closed at once.
      */
-    public Session register(long nowUs, String endpointName, int route, SessionTransport transport) {
-        Session session = new Session(nextId++, endpointName, route, transport);
+    public WebSocketSession register(long nowUs, String endpointName, int route, SessionTransport transport) {
+        WebSocketSession session = new WebSocketSession(nextId++, endpointName, route, transport);
         sessionsById.put(session.id(), session);
         sessionsByEndpoint
                 .computeIfAbsent(endpointName, name -> new LinkedHashSet<>())
@@ -114,7 +114,7 @@
     }
 
     private void drainEndpoint(long nowUs, String endpointName) {
-        for (Session session : sessionsByEndpoint.getOrDefault(endpointName, Set.of())) {
+        for (WebSocketSession session : sessionsByEndpoint.getOrDefault(endpointName, Set.of())) {
             drainQueue.add(session, CloseReason.ENDPOINT_DRAINING, nowUs + drainTimeoutUs);
         }
     }
@@ -129,7 +129,7 @@
         if (!isRolledBack(build)) {
             return;
         }
-        for (Session session : List.copyOf(sessionsById.values())) {
+        for (WebSocketSession session : List.copyOf(sessionsById.values())) {
             Endpoint endpoint = endpoints.get(session.endpoint());
             if (endpoint != null && isRolledBack(endpoint.build())) {
                 session.end(nowUs, CloseReason.BUILD_ROLLED_BACK, DrainQueue.reconnectDelayMs(random));
@@ -146,13 +146,13 @@
     /** Begins the shutdown of the relay: no session is opened any more, and all end by the deadline. */
     public void drainAll(long nowUs, long deadlineUs) {
         relayShutsDown = true;
-        for (Session session : sessionsById.values()) {
+        for (WebSocketSession session : sessionsById.values()) {
             drainQueue.add(session, CloseReason.RELAY_SHUTDOWN, deadlineUs);
         }
     }
 
     /** Ends a session at once because a message of it may not go to its endpoint any more. */
-    public void endUnreachable(long nowUs, Session session) {
+    public void endUnreachable(long nowUs, WebSocketSession session) {
         Endpoint endpoint = endpoints.get(session.endpoint());
         CloseReason reason = endpoint != null && isRolledBack(endpoint.build())
                 ? CloseReason.BUILD_ROLLED_BACK
@@ -166,14 +166,14 @@
                 .filter(endpoint -> endpoint.health() == Endpoint.Health.READY)
                 .count();
         drainQueue.closeDue(nowUs, readyEndpoints, relayShutsDown);
-        for (Session session : new ArrayList<>(sessionsById.values())) {
+        for (WebSocketSession session : new ArrayList<>(sessionsById.values())) {
             if (session.disconnectOverdue(nowUs)) {
                 forget(session);
             }
         }
     }
 
-    private void forget(Session session) {
+    private void forget(WebSocketSession session) {
         sessionsById.remove(session.id());
         drainQueue.remove(session);
         sessionsByEndpoint.computeIfPresent(session.endpoint(), (name, sessions) -> {
--- a/src/main/java/gatelock/session/Session.java
+++ b/src/main/java/gatelock/session/WebSocketSession.java
@@ -8,7 +8,7 @@
  * events come, each side that can still receive gets exactly one close frame; a side that does not close in turn
  * within {@link #CLOSE_TIMEOUT_US} is disconnected.
  */
-public final class Session {
+public final class WebSocketSession {
     /** How long a side may take to answer its close frame. */
     static final long CLOSE_TIMEOUT_US = 1_000_000;
 
@@ -28,7 +28,7 @@
     private CloseReason closeReason;
     private long closedAtUs;
 
-    Session(int id, String endpoint, int route, SessionTransport transport) {
+    WebSocketSession(int id, String endpoint, int route, SessionTransport transport) {
         this.id = id;
         this.endpoint = endpoint;
         this.route = route;
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -3,9 +3,9 @@
 import gatelock.config.SessionPolicy;
 import gatelock.net.EventLoop;
 import gatelock.session.CloseReason;
-import gatelock.session.Session;
 import gatelock.session.SessionSide;
 import gatelock.session.SessionTransport;
+import gatelock.session.WebSocketSession;
 import io.undertow.websockets.core.WebSocketChannel;
 
 /**
@@ -28,7 +28,7 @@
     private final SessionPolicy policy;
     private final SessionPeer client;
     private final SessionPeer endpoint;
-    private final Session session;
+    private final WebSocketSession session;
     /** Releases what the session holds of its route's limits; null once run. */
     private Runnable whenFinished;
 
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -48,7 +48,7 @@
     void eachSideThatHearsGetsJustOneCloseWhateverTheOrder(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         Peers peers = new Peers();
-        Session session = new Session(0, "u", 0, peers);
+        WebSocketSession session = new WebSocketSession(0, "u", 0, peers);
         long nowUs = 1;
         for (int i = 0; i < 12; i++) {
             nowUs += random.nextLong(400_000);
