--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -84,7 +84,7 @@
             retryBudget.recordRequest(nowUs);
         }
 
-        /** Whether the request was shed at once; {@link #pauseUs} says when it may come back. */
+        /** Whether the request was shed at once; {@link #retryAfterUs} says when it may come back. */
         public boolean isShed() {
             return decision.outcome() == RequestLimiter.Outcome.SHED;
         }
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -34,7 +34,7 @@
     /**
      * The result of a compilation.
      *
-     * @param plan the compiled version, or null if a finding is an error
+     * @param config the compiled version, or null if a finding is an error
      * @param findings errors and warnings, with their locations
      */
     public record Result(CompiledConfig config, List<Diagnostic> findings) {
--- a/src/main/java/gatelock/config/ConfigVersion.java
+++ b/src/main/java/gatelock/config/ConfigVersion.java
@@ -18,7 +18,7 @@
      * One incarnation of a control service. A service that is rebuilt begins a new epoch and numbers from 1 again.
      * Epochs are ordered by the time they began and then by identifier, so that all relays prefer the same one.
      *
-     * @param born when the epoch began, in milliseconds of Unix time; the later epoch supersedes the earlier
+     * @param startedAtMs when the epoch began, in milliseconds of Unix time; the later epoch supersedes the earlier
      * @param id distinguishes epochs that began at the same time; the greater supersedes
      */
     public record Epoch(long startedAtMs, String id) implements Comparable<Epoch> {
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -46,10 +46,10 @@
     /**
      * One activation of a version.
      *
-     * @param stamp the version
+     * @param version the version
      * @param sinceUs when it was activated, in microseconds of the caller's clock
-     * @param why the source or reason of the activation, for a person
-     * @param by the author that the version's text names
+     * @param reason the source or reason of the activation, for a person
+     * @param author the author that the version's text names
      * @param note the author's note in the version's text
      * @param text the version's text, shared and not to be changed
      */
@@ -207,7 +207,7 @@
 
     /**
      * Rolls back to an earlier version and pins it: whatever the control service sends is not applied until {@link
-     * #release}.
+     * #unpin}.
      *
      * @param nowUs the time of the activation
      * @param entry the activation to go back to
--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -77,9 +77,9 @@
     /**
      * The state of the endpoint list, for the operators. Without a subset, all listed endpoints count as in scope.
      *
-     * @param scoped whether this relay uses a subset of the listed endpoints
+     * @param usesSubset whether this relay uses a subset of the listed endpoints
      * @param changedUs when the list or the subset last changed, -1 for never
-     * @param tooLong how many lists were rejected as too long
+     * @param tooLongLists how many lists were rejected as too long
      */
     public record ListStatus(
             boolean usesSubset, int listed, int inScope, int services, long index, long changedUs, long tooLongLists) {
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -29,10 +29,10 @@
     /**
      * The names that requests may contain, with the indexes that the deployment's settings give them.
      *
-     * @param routes the index of each route, by the first segment of the path
-     * @param tenants the index of each tenant, by the customer header
-     * @param terms the policies of the routes, by index
-     * @param deadlinesUs the timeouts of the routes in microseconds, by index
+     * @param routeIndexes the index of each route, by the first segment of the path
+     * @param tenantIndexes the index of each tenant, by the customer header
+     * @param routePolicies the policies of the routes, by index
+     * @param routeTimeoutsUs the timeouts of the routes in microseconds, by index
      */
     public record RequestNames(
             Map<String, Integer> routeIndexes,
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -25,7 +25,7 @@
      *
      * @param relayNumber the relay's own number, or one drawn from its seed where the settings name none
      * @param zone the relay's own zone, -1 for unknown: then all endpoints count as in its own zone
-     * @param most endpoints in the subset over all services
+     * @param maxEndpoints endpoints in the subset over all services
      * @param minPerService endpoints aimed at for each service at least
      * @param fraction of a service's ready endpoints that is aimed at where that is more: from 0 to 1
      * @param remotePerService how many of these are in other zones, where there are any
@@ -70,7 +70,7 @@
     /**
      * What the decisions have to be notified of.
      *
-     * @param whole whether the entries are the complete subset; else they were added, have changed or are gone
+     * @param full whether the entries are the complete subset; else they were added, have changed or are gone
      * @param entries the endpoints
      */
     public record Change(boolean full, List<EndpointEntry> entries) {}
--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -46,10 +46,10 @@
          */
         void onConnectionLost(boolean written);
 
-        /** The response is malformed, for this reason; {@link #broken} follows. */
+        /** The response is malformed, for this reason; {@link #onConnectionLost} follows. */
         default void onMalformedResponse(String reason) {}
 
-        /** The response is longer than is accepted, as the reason says; {@link #broken} follows. */
+        /** The response is longer than is accepted, as the reason says; {@link #onConnectionLost} follows. */
         default void onResponseTooLong(String reason) {}
 
         /** The request timed out, and was given up. */
