--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -2,14 +2,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.api.DecisionEngine;
 import gatelock.api.Endpoint;
-import gatelock.api.RequestConstraints;
-import gatelock.api.RequestHandle;
 import gatelock.membership.EndpointSubset;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.JsonObject;
+import gatelock.standin.UncalledEngine;
 import gatelock.state.Counters;
 import gatelock.state.EndpointAddresses;
 import java.io.IOException;
@@ -63,7 +61,7 @@
     }
 
     /** Records the lists; nothing else may be called. */
-    private final class RecordingEngine implements DecisionEngine {
+    private final class RecordingEngine implements UncalledEngine {
         @Override
         public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
             events.add(form + " " + endpoints.stream().map(this::describe).toList());
@@ -83,46 +81,6 @@
                     endpoint.startedAtUs(),
                     port);
         }
-
-        @Override
-        public void start(long nowUs) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public RequestHandle acceptRequest(
-                long nowUs,
-                String id,
-                int route,
-                int tenant,
-                long key,
-                long leftUs,
-                long costUs,
-                RequestConstraints bounds) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void releaseStateUpdated(
-                long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void fleetSampleReceived(
-                long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void timerFired(long nowUs, long token) {
-            throw new AssertionError();
-        }
     }
 
     private static String entry(String name, int port, String status, long sinceMs, int build) {
--- a/src/test/java/gatelock/release/ReleaseControllerClientTest.java
+++ b/src/test/java/gatelock/release/ReleaseControllerClientTest.java
@@ -2,14 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gatelock.api.DecisionEngine;
-import gatelock.api.Endpoint;
-import gatelock.api.RequestConstraints;
-import gatelock.api.RequestHandle;
 import gatelock.api.Verdict;
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.JsonObject;
+import gatelock.standin.UncalledEngine;
 import gatelock.state.Counters;
 import java.io.IOException;
 import java.io.InputStream;
@@ -19,7 +16,6 @@
 import java.net.Socket;
 import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
-import java.util.List;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -58,51 +54,12 @@
     }
 
     /** Records the news; nothing else may be called. */
-    private final class RecordingEngine implements DecisionEngine {
+    private final class RecordingEngine implements UncalledEngine {
         @Override
         public void releaseStateUpdated(
                 long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
             news.add(build + " " + stage + " " + phase + " " + cap + " " + agoUs + " " + answer);
         }
-
-        @Override
-        public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void start(long nowUs) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public RequestHandle acceptRequest(
-                long nowUs,
-                String id,
-                int route,
-                int tenant,
-                long key,
-                long leftUs,
-                long costUs,
-                RequestConstraints bounds) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void fleetSampleReceived(
-                long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
-            throw new AssertionError();
-        }
-
-        @Override
-        public void timerFired(long nowUs, long token) {
-            throw new AssertionError();
-        }
     }
 
     private static String message(String mode, int build) {
--- /dev/null
+++ b/src/test/java/gatelock/standin/UncalledEngine.java
@@ -0,0 +1,54 @@
+package gatelock.standin;
+
+import gatelock.api.DecisionEngine;
+import gatelock.api.Endpoint;
+import gatelock.api.RequestConstraints;
+import gatelock.api.RequestHandle;
+import java.util.List;
+
+/** Decisions of which nothing may be called; a test overrides the calls that it expects. */
+public interface UncalledEngine extends DecisionEngine {
+    @Override
+    default void releaseStateUpdated(
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
+        throw new AssertionError();
+    }
+
+    @Override
+    default void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
+        throw new AssertionError();
+    }
+
+    @Override
+    default void start(long nowUs) {
+        throw new AssertionError();
+    }
+
+    @Override
+    default RequestHandle acceptRequest(
+            long nowUs,
+            String id,
+            int route,
+            int tenant,
+            long key,
+            long leftUs,
+            long costUs,
+            RequestConstraints bounds) {
+        throw new AssertionError();
+    }
+
+    @Override
+    default void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
+        throw new AssertionError();
+    }
+
+    @Override
+    default void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
+        throw new AssertionError();
+    }
+
+    @Override
+    default void timerFired(long nowUs, long token) {
+        throw new AssertionError();
+    }
+}
