--- a/src/main/java/gatelock/boot/AdminCommands.java
+++ b/src/main/java/gatelock/boot/AdminCommands.java
@@ -16,24 +16,28 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Commands to a running relay, through its operator's listener. */
+/** The commands that talk to a running relay through its operator listener. */
 final class AdminCommands {
 
     private AdminCommands() {}
 
-    /** What these commands share: one HTTP request, whose JSON response is printed. */
+    /** Base class: sends one HTTP request and prints its JSON response. */
     abstract static class AdminCommand extends OutputCommand {
         private static final Pattern ADDRESS = Pattern.compile("[^/\\s:]+:[0-9]{1,5}");
         private static final Duration TIMEOUT = Duration.ofSeconds(10);
         private static final int HTTP_OK = 200;
 
-        @Option(names = "--at", required = true, paramLabel = "ADDRESS", description = "the relay's operator listener")
+        @Option(
+                names = "--at",
+                required = true,
+                paramLabel = "ADDRESS",
+                description = "address:port of the relay's operator listener")
         private String address;
 
-        /** Sends a request, prints the response and returns the exit code. */
+        /** Sends a request to the relay, prints the response and returns the exit code. */
         final int request(String method, String path) throws UnusableInputException, IOException, InterruptedException {
             if (!ADDRESS.matcher(address).matches()) {
-                throw new UnusableInputException("--at wants address:port, found " + address);
+                throw new UnusableInputException("expected address:port for --at, found " + address);
             }
             HttpRequest request = HttpRequest.newBuilder(URI.create("http://" + address + path))
                     .timeout(TIMEOUT)
@@ -46,13 +50,13 @@
                         .send(request, HttpResponse.BodyHandlers.ofString());
                 Map<String, Object> fields = JSON.std.mapFrom(response.body());
                 print(fields, format(fields));
-                return response.statusCode() == HTTP_OK ? Commands.GOOD : Commands.FINDINGS;
+                return response.statusCode() == HTTP_OK ? Commands.EXIT_OK : Commands.EXIT_FINDINGS;
             } catch (IOException e) {
-                throw new UnusableInputException("no relay answers at " + address + ": " + e, e);
+                throw new UnusableInputException("no response from a relay at " + address + ": " + e, e);
             }
         }
 
-        /** A line for each field, and for each item of a list that is not empty. */
+        /** Formats each field as a line; a list that is not empty becomes a line for each item instead. */
         private static String format(Map<String, Object> fields) {
             StringBuilder text = new StringBuilder();
             fields.forEach((name, value) -> {
@@ -67,7 +71,9 @@
     }
 
     /** Prints the state of a relay. */
-    @Command(name = "status", description = "What a running relay holds and whom it hears.")
+    @Command(
+            name = "status",
+            description = "Prints the state of a running relay and of its connection to the control service.")
     static final class Status extends AdminCommand {
         @Override
         public Integer call() throws UnusableInputException, IOException, InterruptedException {
@@ -75,8 +81,10 @@
         }
     }
 
-    /** Prints the versions that a relay had in force. */
-    @Command(name = "history", description = "Which versions a running relay had in force, since when, whose and why.")
+    /** Prints the configuration versions that a relay has used. */
+    @Command(
+            name = "history",
+            description = "Lists the versions a running relay has applied: since when, from where, by whom and why.")
     static final class History extends AdminCommand {
         @Override
         public Integer call() throws UnusableInputException, IOException, InterruptedException {
@@ -84,13 +92,17 @@
         }
     }
 
-    /** Rolls a relay back to an earlier version and pins it. */
-    @Command(name = "back", description = "Goes back to a version and keeps it until release.")
+    /** Rolls a relay back to an earlier configuration version and pins it. */
+    @Command(name = "back", description = "Rolls back to an earlier version and pins it until release.")
     static final class Back extends AdminCommand {
         @Parameters(paramLabel = "NUMBER")
         private long number;
 
-        @Option(names = "--why", paramLabel = "<why>", required = true, description = "kept in the history")
+        @Option(
+                names = "--why",
+                paramLabel = "<why>",
+                required = true,
+                description = "the reason, which is kept in the history")
         private String reason;
 
         @Override
@@ -100,8 +112,8 @@
         }
     }
 
-    /** Ends a rollback. */
-    @Command(name = "release", description = "Lets the control service lead again after back.")
+    /** Unpins the version of a rollback, so that the control service is followed again. */
+    @Command(name = "release", description = "Ends a rollback: the relay follows the control service again.")
     static final class Release extends AdminCommand {
         @Override
         public Integer call() throws UnusableInputException, IOException, InterruptedException {
--- a/src/main/java/gatelock/boot/Commands.java
+++ b/src/main/java/gatelock/boot/Commands.java
@@ -5,16 +5,16 @@
 import picocli.CommandLine.Command;
 
 /**
- * The command line. Each command ends with 0: good, 1: findings or a refusal, 2: input that can't be used. The commands
- * themselves are in {@link RelayCommands}, {@link FileCommands} and {@link AdminCommands}.
+ * The command line. The exit codes are 0 for success, 1 for findings or a rejection, and 2 for unusable input. The
+ * commands are in {@link RelayCommands}, {@link FileCommands} and {@link AdminCommands}.
  */
 @Command(
         name = "gatelock",
         mixinStandardHelpOptions = true,
         version = "gatelock 0.1.0",
-        description = "Routes reqs while builds are released in stages, and votes on them.",
+        description = "Routes requests during staged releases and votes on builds.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:good", "1:findings, a difference, or a refusal", "2:input that can't be used"},
+        exitCodeList = {"0:success", "1:findings, a difference, or a rejection", "2:unusable input"},
         subcommands = {
             RelayCommands.Serve.class,
             RelayCommands.Rehearse.class,
@@ -30,18 +30,18 @@
             CommandLine.HelpCommand.class
         })
 final class Commands {
-    /** Exit code: the command did what it was asked for, and found nothing wrong. */
-    static final int GOOD = 0;
-    /** Exit code: findings, a difference, or a refusal. */
-    static final int FINDINGS = 1;
-    /** Exit code: input that can't be used. */
-    static final int UNUSABLE = 2;
-    /** In place of an exit code: the program goes on running. */
-    static final int RUNNING = -1;
+    /** Exit code: the command succeeded and has no findings. */
+    static final int EXIT_OK = 0;
+    /** Exit code: the command reports findings or a difference, or the relay rejected the request. */
+    static final int EXIT_FINDINGS = 1;
+    /** Exit code: the arguments or an input file are unusable, or no relay responded. */
+    static final int EXIT_UNUSABLE_INPUT = 2;
+    /** Returned instead of an exit code if the process keeps running. */
+    static final int STILL_RUNNING = -1;
 
     private Commands() {}
 
-    /** Runs one command and returns its exit code, or {@link #RUNNING}. */
+    /** Runs one command and returns its exit code, or {@link #STILL_RUNNING}. */
     static int run(PrintWriter out, PrintWriter err, String... args) {
         return new CommandLine(new Commands())
                 .setOut(out)
@@ -49,7 +49,7 @@
                 .setExecutionExceptionHandler((e, command, parsed) -> {
                     String message = e instanceof UnusableInputException ? e.getMessage() : e.toString();
                     command.getErr().println("gatelock: " + message);
-                    return UNUSABLE;
+                    return EXIT_UNUSABLE_INPUT;
                 })
                 .execute(args);
     }
--- a/src/main/java/gatelock/boot/ConfigReloader.java
+++ b/src/main/java/gatelock/boot/ConfigReloader.java
@@ -9,12 +9,12 @@
 import java.util.function.Supplier;
 
 /**
- * Reads the configuration again while the relay runs: on SIGHUP, and when discovery fails. Files are read on the
- * worker's one task thread, one after the other, and never on the I/O thread.
+ * Reloads the configuration while the relay runs: on SIGHUP and when discovery fails. Files are read one at a time on
+ * the single task thread of the worker, never on the I/O thread.
  */
 final class ConfigReloader {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
-    /** The least time between two reads for a failing discovery. */
+    /** The minimum time between two reloads because of discovery failures. */
     private static final long DISCOVERY_RELOAD_INTERVAL_US = 1_000_000;
 
     private static final long NEVER_US = Long.MIN_VALUE / 2;
@@ -26,24 +26,26 @@
     private final Listener listener;
     private long discoveryReloadUs = NEVER_US;
 
-    /** Takes what was read, on the I/O thread. */
+    /** Receives the reloaded configuration on the I/O thread. */
     interface Listener {
         /**
-         * A configuration was read.
+         * Called after a configuration has been read.
          *
-         * @param trigger why it was read, in the words of the log
-         * @param operator null where the operator's file was not read
+         * @param trigger the reason for the reload, as it appears in the log
+         * @param config the relay's configuration
+         * @param operator the operator's file, or null if it was not read
          */
         void reloaded(String trigger, RelayConfig config, OperatorConfig operator);
     }
 
-    /** What was read; {@code operator} is null where the operator's file was not. */
+    /** The result of a reload; {@code operator} is null if the operator's file was not read. */
     private record Loaded(RelayConfig config, OperatorConfig operator) {}
 
     /**
-     * Creates a reloader that reads nothing yet.
+     * Creates a reloader. Nothing is read until one of the reload methods is called.
      *
-     * @param operatorFile null where this relay has none
+     * @param file the relay's configuration file
+     * @param operatorFile the operator's file, or null if this relay has none
      */
     ConfigReloader(Path file, Path operatorFile, EventLoop eventLoop, Counters counters, Listener listener) {
         this.file = file;
@@ -53,7 +55,7 @@
         this.listener = listener;
     }
 
-    /** Reads both files; on a failure nothing changes. May be called on any thread. */
+    /** Reloads both files; if that fails, nothing changes. May be called on any thread. */
     void reloadOnSighup() {
         eventLoop.offload(
                 () -> load(operatorFile, Level.WARNING, "SIGHUP, what was in force stays: "), null, loaded -> {
@@ -64,13 +66,13 @@
     }
 
     /**
-     * Discovery has failed, so its address may have changed: follows the one that the configuration names now.
+     * Reloads the relay's configuration after discovery has failed, because its address may have changed, and applies
+     * it if it names another address of discovery.
      *
-     * <p>Guards against a SIGHUP that never came or came to nobody: to a process that ends or has just begun, or one
-     * that was lost on its way. Could do harm where a file is changed well before its SIGHUP: then it may be followed
-     * sooner.
+     * <p>Guards against a SIGHUP that was never sent, was lost, or was sent to a process that was ending or had just
+     * started. If a file is changed well before its SIGHUP is sent, the new addresses may be used before the signal.
      *
-     * @param discovery gives the address in use
+     * @param discovery supplies the address of discovery that is in use
      */
     void reloadOnDiscoveryFailure(Supplier<InetSocketAddress> discovery) {
         if (eventLoop.nowUs() - discoveryReloadUs < DISCOVERY_RELOAD_INTERVAL_US) {
@@ -78,7 +80,9 @@
         }
         discoveryReloadUs = eventLoop.nowUs();
         eventLoop.offload(
-                () -> load(null, Level.DEBUG, "discovery fails, and so does the configuration: "), null, loaded -> {
+                () -> load(null, Level.DEBUG, "discovery failed, and the configuration could not be reloaded: "),
+                null,
+                loaded -> {
                     if (loaded != null && !loaded.config().discovery().equals(discovery.get())) {
                         counters.increment("moves found without SIGHUP");
                         listener.reloaded("discovery failed", loaded.config(), null);
@@ -86,7 +90,7 @@
                 });
     }
 
-    /** Blocks. Returns null and logs the cause where a file can't be used. */
+    /** Reads the files; blocks. If a file is unusable, logs the cause and returns null. */
     private Loaded load(Path operatorFileOrNull, Level failureLevel, String failureText) {
         try {
             RelayConfig config = RelayConfig.read(file);
--- a/src/main/java/gatelock/boot/ConfigurationException.java
+++ b/src/main/java/gatelock/boot/ConfigurationException.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /**
- * A configuration file that can't be used. The message is what the user reads; the fields hold the same for code
- * that handles it.
+ * Thrown for an unusable configuration file. The message is shown to the user; the fields provide the same information
+ * to code.
  */
 final class ConfigurationException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -17,18 +17,18 @@
     private final transient List<Problem> problems;
 
     /**
-     * One thing that is wrong in a file.
+     * One problem in a file.
      *
-     * @param place a key path or JSON pointer; empty where it concerns the whole file
-     * @param cause what is wrong there
-     * @param remedy what to change; empty where the cause says it
+     * @param location a key path or JSON pointer; empty if the problem concerns the whole file
+     * @param cause what is wrong at that location
+     * @param remedy how to correct it; empty if the cause makes that clear
      */
-    record Problem(String place, String cause, String remedy) {
+    record Problem(String location, String cause, String remedy) {
 
-        /** Place, cause and remedy on one line. */
-        String text() {
-            String placed = place.isEmpty() ? cause : place + ": " + cause;
-            return remedy.isEmpty() ? placed : placed + "; " + remedy;
+        /** Returns location, cause and remedy on one line. */
+        String toLine() {
+            String located = location.isEmpty() ? cause : location + ": " + cause;
+            return remedy.isEmpty() ? located : located + "; " + remedy;
         }
     }
 
@@ -38,34 +38,37 @@
         this.problems = List.copyOf(problems);
     }
 
-    /** The first thing that is wrong in a relay's configuration. */
+    /** Creates an exception for the first problem in a relay's configuration. */
     static ConfigurationException inRelayFile(Path file, Problem problem, Throwable cause) {
-        String firstLine = problem.text().lines().findFirst().orElse("");
+        String firstLine = problem.toLine().lines().findFirst().orElse("");
         return new ConfigurationException(file, List.of(problem), "configuration " + file + ": " + firstLine, cause);
     }
 
-    /** All that is wrong in an operator's file, one a line, each with its line and column. */
+    /**
+     * Creates an exception for all problems in an operator's file; the message has a line for each, with its position.
+     */
     static ConfigurationException inOperatorFile(Path file, List<Diagnostic> diagnostics) {
         List<Problem> problems = diagnostics.stream()
-                .map(found -> new Problem(found.pointer(), found.problem(), found.remedy()))
+                .map(diagnostic -> new Problem(diagnostic.pointer(), diagnostic.problem(), diagnostic.remedy()))
                 .toList();
-        String message = diagnostics.stream().map(found -> file + ":" + found).collect(Collectors.joining("\n"));
+        String message =
+                diagnostics.stream().map(diagnostic -> file + ":" + diagnostic).collect(Collectors.joining("\n"));
         return new ConfigurationException(file, problems, message, null);
     }
 
-    /** An operator's file that could not be read at all. */
+    /** Creates an exception for an operator's file that could not be read. */
     static ConfigurationException unreadableOperatorFile(Path file, IOException cause) {
         Problem problem = new Problem("", "can't be read: " + cause, "");
         return new ConfigurationException(
-                file, List.of(problem), "operator's file " + file + " " + problem.text(), cause);
+                file, List.of(problem), "operator's file " + file + " " + problem.toLine(), cause);
     }
 
-    /** The file that can't be used. */
+    /** Returns the unusable file. */
     Path file() {
         return file;
     }
 
-    /** What is wrong in it, at least one. */
+    /** Returns the problems in the file, at least one. */
     List<Problem> problems() {
         return problems;
     }
--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -20,27 +20,27 @@
 import java.util.function.Supplier;
 
 /**
- * Versioned configuration, put together as the operator's file asks for it: the subscription to a control service,
- * the versions on disk and the operator's listener.
+ * Versioned configuration, assembled as the operator's file requests: the subscription to a control service, the
+ * versions on disk and the operator listener.
  */
 final class ControlPlane {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
-    /** How long a relay that has no version yet waits for its first one before it reports that it is ready. */
+    /** How long a relay without a configuration version waits for the first one before it reports that it is ready. */
     private static final long FIRST_VERSION_TIMEOUT_US = 2_000_000;
 
     private static final long FIRST_VERSION_CHECK_INTERVAL_US = 20_000;
     private static final long INITIAL_BACKOFF_US = 200_000;
     /**
-     * Guards against a version that fills the memory while it is read, of which requests would be lost: the bytes of
-     * heap that each byte of its text takes, as measured, with the compiled version before it and room for requests
-     * beside. Could reject a large version that would just have fitted.
+     * Heap needed for each byte of a version's text: measured while a version is read, and including the previous
+     * compiled version and room for requests. Guards against a version that exhausts the heap while it is read, which
+     * would lose requests. A large version that would just have fitted may be rejected.
      */
     private static final long HEAP_BYTES_PER_TEXT_BYTE = 64;
 
     private static final long CONNECT_TIMEOUT_US = 1_000_000;
     private static final long IDLE_TIMEOUT_US = 30_000_000;
     private static final int MAX_CONNECTIONS = 2;
-    /** Added to the relay's seed, so that these random draws are not those of another part. */
+    /** Added to the relay's seed so that the backoff draws other random numbers than the rest of the relay. */
     private static final int SEED_OFFSET = 2;
 
     private final Admission admission;
@@ -51,18 +51,24 @@
     private final ConfigSubscription subscription;
     private final AdminServer adminServer;
 
-    /** @param operator the operator's file, which has a section for versioned configuration */
+    /**
+     * Creates all parts without starting them.
+     *
+     * @param operator the operator's file, which must have a section for versioned configuration
+     */
     ControlPlane(OperatorConfig operator, RelayConfig config, EventLoop eventLoop, Counters counters) {
         OperatorConfig.Control control = operator.control();
         this.eventLoop = eventLoop;
         this.listener = operator.listener();
-        this.admission = new Admission(control.maxDropped());
+        this.admission = new Admission(control.maxDroppedShare());
         int maxVersionBytes = maxVersionBytes(control);
-        store = control.directory() == null ? null : new LastKnownGoodStore(control.directory(), maxVersionBytes);
+        store = control.storeDirectory() == null
+                ? null
+                : new LastKnownGoodStore(control.storeDirectory(), maxVersionBytes);
         updater = new ConfigUpdater(
                 eventLoop,
                 counters,
-                new VersionTracker(control.history()),
+                new VersionTracker(control.historySize()),
                 admission,
                 new ConfigCompiler(config.deploymentContext()),
                 store);
@@ -83,37 +89,37 @@
         if (max < control.maxVersionBytes()) {
             LOG.log(
                     Level.INFO,
-                    "versions of up to " + max + " bytes are taken, not " + control.maxVersionBytes()
-                            + ": more could fill this relay's memory");
+                    "versions are limited to " + max + " bytes instead of " + control.maxVersionBytes()
+                            + ": larger ones could exhaust the heap");
         }
         return max;
     }
 
-    /** What the version in force means for requests. */
+    /** Returns the admission rules of the configuration version in force. */
     Admission admission() {
         return admission;
     }
 
     /**
-     * Begins with the versions on disk, then polls the control service.
+     * Starts the operator listener, recovers the latest valid version on disk, then polls the control service.
      *
-     * @param ready runs once there is a version, or none came in time
+     * @param ready runs once there is a version, or once the wait for the first one has timed out
      */
     void start(Runnable ready) throws IOException {
         if (listener != null) {
-            LOG.log(Level.INFO, "operator's listener on " + adminServer.listen(listener));
+            LOG.log(Level.INFO, "operator listener on " + adminServer.listen(listener));
         }
         if (store == null) {
             subscribe(ready);
         } else {
             eventLoop.<List<LastKnownGoodStore.StoredVersion>>offload(store::readAll, List.of(), stored -> {
-                recoverFirstSound(stored);
+                recoverLatestValid(stored);
                 subscribe(ready);
             });
         }
     }
 
-    private void recoverFirstSound(List<LastKnownGoodStore.StoredVersion> latestFirst) {
+    private void recoverLatestValid(List<LastKnownGoodStore.StoredVersion> latestFirst) {
         for (LastKnownGoodStore.StoredVersion stored : latestFirst) {
             if (updater.recover(stored)) {
                 return;
@@ -135,24 +141,24 @@
         if (!hasVersion) {
             LOG.log(
                     Level.WARNING,
-                    "no version came in time: requests go by their class, without limits, until one does");
+                    "no configuration version in time: requests are routed by class, without limits, until one arrives");
         }
         ready.run();
     }
 
-    /** Shows the state of the endpoint list to operators. */
+    /** Includes the state of the endpoint list in the status that operators see. */
     void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
         adminServer.showEndpointList(endpointList);
     }
 
-    /** Polls the control services that the operator's file names now. */
+    /** Polls the control services that a reloaded operator's file names, from now on. */
     void setServicesFrom(OperatorConfig operator) {
         if (operator.control() != null) {
             subscription.setServices(operator.control().services());
         }
     }
 
-    /** Ends the subscription and the listener. */
+    /** Stops the subscription and the operator listener. */
     void stop() {
         subscription.stop();
         adminServer.close();
--- a/src/main/java/gatelock/boot/FileCommands.java
+++ b/src/main/java/gatelock/boot/FileCommands.java
@@ -22,26 +22,26 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Commands on files with a version of the configuration; no relay need run. */
+/** The commands that work on files with a configuration version, without a running relay. */
 final class FileCommands {
 
     private FileCommands() {}
 
-    /** What these commands share: the deployment that a version is for. */
+    /** Base class: reads the deployment that a version is intended for, and compiles versions. */
     abstract static class FileCommand extends OutputCommand {
         @Option(
                 names = "--deployment",
                 paramLabel = "CONFIG",
                 defaultValue = "${env:PROXY_CONFIG}",
-                description = "the relay's configuration, for classes, tenants, zones and kinds (default: "
+                description = "the relay's configuration, which defines classes, tenants, zones and kinds (default: "
                         + "$PROXY_CONFIG)")
         private Path deployment;
 
-        /** Reads what the version is checked against. */
+        /** Reads the deployment that a version is checked against. */
         final DeploymentContext readDeployment() throws UnusableInputException {
             if (deployment == null) {
                 throw new UnusableInputException(
-                        "no deployment: name a relay's configuration with --deployment or PROXY_CONFIG");
+                        "no deployment: specify a relay's configuration with --deployment or PROXY_CONFIG");
             }
             try {
                 return RelayConfig.read(deployment).deploymentContext();
@@ -50,17 +50,17 @@
             }
         }
 
-        /** Compiles a file, with whatever findings there are. */
+        /** Compiles a file; the result holds all findings. */
         final ConfigCompiler.Result compile(Path file, DeploymentContext context) throws UnusableInputException {
             try {
                 return new ConfigCompiler(context).compile(ConfigVersion.Epoch.NONE, 0, Files.readAllBytes(file));
             } catch (IOException e) {
-                throw new UnusableInputException(file + " can't be read: " + e, e);
+                throw new UnusableInputException(file + " cannot be read: " + e, e);
             }
         }
 
-        /** Compiles a file that must have no grave findings. */
-        final CompiledConfig compileSound(Path file, DeploymentContext context) throws UnusableInputException {
+        /** Compiles a file that must not have any findings that make it invalid. */
+        final CompiledConfig compileValid(Path file, DeploymentContext context) throws UnusableInputException {
             ConfigCompiler.Result compiled = compile(file, context);
             if (!compiled.isValid()) {
                 throw new UnusableInputException(format(file, compiled.findings()));
@@ -68,14 +68,16 @@
             return compiled.config();
         }
 
-        /** One line for each finding, with its file, line and column. */
+        /** Formats each finding as a line with its file, line and column. */
         static String format(Path file, List<Diagnostic> diagnostics) {
-            return diagnostics.stream().map(found -> file + ":" + found).collect(Collectors.joining("\n"));
+            return diagnostics.stream()
+                    .map(diagnostic -> file + ":" + diagnostic)
+                    .collect(Collectors.joining("\n"));
         }
     }
 
-    /** Checks a version. */
-    @Command(name = "check", description = "Checks a version for a deployment and tells all that is wrong with it.")
+    /** Checks a configuration version. */
+    @Command(name = "check", description = "Checks a version against a deployment and reports all findings.")
     static final class Check extends FileCommand {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -88,43 +90,44 @@
             result.put(
                     "findings",
                     compiled.findings().stream().map(Diagnostic::toJsonFields).toList());
-            print(result, text(compiled));
-            return compiled.isValid() ? Commands.GOOD : Commands.FINDINGS;
+            print(result, summarize(compiled));
+            return compiled.isValid() ? Commands.EXIT_OK : Commands.EXIT_FINDINGS;
         }
 
-        private String text(ConfigCompiler.Result compiled) {
+        private String summarize(ConfigCompiler.Result compiled) {
             String findings = format(file, compiled.findings());
             String summary = compiled.isValid()
-                    ? file + ": good, " + compiled.config().routeCount() + " routes"
-                    : file + ": would be turned down";
+                    ? file + ": valid, " + compiled.config().routeCount() + " routes"
+                    : file + ": would be rejected";
             return findings.isEmpty() ? summary : findings + "\n" + summary;
         }
     }
 
-    /** Compares two versions. */
+    /** Compares two configuration versions. */
     @Command(
             name = "diff",
-            description = "What changes for which reqs from one version to another; 1 where something does.")
+            description =
+                    "Shows which requests two versions treat differently, and how; exits with 1 if there are any.")
     static final class Diff extends FileCommand {
         @Parameters(index = "0", paramLabel = "OLD")
-        private Path before;
+        private Path oldFile;
 
         @Parameters(index = "1", paramLabel = "NEW")
-        private Path after;
+        private Path newFile;
 
         @Override
         public Integer call() throws UnusableInputException, IOException {
             DeploymentContext context = readDeployment();
             List<String> differences =
-                    ConfigDiff.compare(compileSound(before, context), compileSound(after, context), context);
-            String text = differences.isEmpty() ? "no req is treated otherwise" : String.join("\n", differences);
+                    ConfigDiff.compare(compileValid(oldFile, context), compileValid(newFile, context), context);
+            String text = differences.isEmpty() ? "no request is treated differently" : String.join("\n", differences);
             print(Map.of("differences", differences), text);
-            return differences.isEmpty() ? Commands.GOOD : Commands.FINDINGS;
+            return differences.isEmpty() ? Commands.EXIT_OK : Commands.EXIT_FINDINGS;
         }
     }
 
-    /** Explains how a version treats one request. */
-    @Command(name = "explain", description = "Which route, pool, limits and policy a req would meet.")
+    /** Explains how a configuration version treats one request. */
+    @Command(name = "explain", description = "Shows the route, pool, limits and policy that apply to a request.")
     static final class Explain extends FileCommand {
         @Parameters(paramLabel = "FILE")
         private Path file;
@@ -138,27 +141,27 @@
         @Option(names = "--host")
         private String host;
 
-        @Option(names = "--header", paramLabel = "NAME=VALUE", description = "may be given again")
+        @Option(names = "--header", paramLabel = "NAME=VALUE", description = "may be repeated")
         private Map<String, String> headers = new TreeMap<>();
 
         @Override
         public Integer call() throws UnusableInputException, IOException {
             DeploymentContext context = readDeployment();
-            Map<String, String> caseInsensitive = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-            caseInsensitive.putAll(headers);
+            Map<String, String> caseInsensitiveHeaders = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+            caseInsensitiveHeaders.putAll(headers);
             RequestAttributes request =
-                    new RequestAttributes(method.toUpperCase(Locale.ROOT), host, path, caseInsensitive::get);
-            Map<String, Object> explanation = RouteExplainer.explain(compileSound(file, context), context, request);
+                    new RequestAttributes(method.toUpperCase(Locale.ROOT), host, path, caseInsensitiveHeaders::get);
+            Map<String, Object> explanation = RouteExplainer.explain(compileValid(file, context), context, request);
             String text = explanation.entrySet().stream()
                     .map(entry -> entry.getKey() + ": " + entry.getValue())
                     .collect(Collectors.joining("\n"));
             print(explanation, text);
-            return explanation.containsKey("route") ? Commands.GOOD : Commands.FINDINGS;
+            return explanation.containsKey("route") ? Commands.EXIT_OK : Commands.EXIT_FINDINGS;
         }
     }
 
     /** Prints a JSON Schema. */
-    @Command(name = "schema", description = "The JSON Schema of a version, or of the operator's file.")
+    @Command(name = "schema", description = "Prints the JSON Schema of a version or of the operator's file.")
     static final class Schema extends OutputCommand {
         @Parameters(arity = "0..1", defaultValue = "plan", paramLabel = "plan|operator")
         private String name;
@@ -167,9 +170,9 @@
         public Integer call() throws UnusableInputException {
             try {
                 printText(SchemaValidator.valueOf(name.toUpperCase(Locale.ROOT)).schemaText());
-                return Commands.GOOD;
+                return Commands.EXIT_OK;
             } catch (IllegalArgumentException e) {
-                throw new UnusableInputException("there are schemas for plan and operator, none for " + name, e);
+                throw new UnusableInputException("expected plan or operator, found " + name, e);
             }
         }
     }
--- a/src/main/java/gatelock/boot/LogbackHandler.java
+++ b/src/main/java/gatelock/boot/LogbackHandler.java
@@ -17,9 +17,9 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Writes log lines through logback, plain or as JSON, where the operator's file asks for it. The code goes on logging
- * through System.Logger; what comes out of that at java.util.logging goes on from here, and the named values of a line
- * become its fields.
+ * Forwards log records from java.util.logging to logback, which writes them as plain text or JSON. It is installed only
+ * if the operator's file configures logging. The code still logs through System.Logger, which passes records to
+ * java.util.logging; the {@link LogField} parameters of a record become fields of the log line.
  */
 final class LogbackHandler extends Handler {
     private final LoggerContext context;
@@ -28,14 +28,14 @@
         this.context = context;
     }
 
-    /** Held here, as java.util.logging forgets the level of a logger that nobody references. */
-    private static final Logger OWN_LOGGER = Logger.getLogger("gatelock");
+    /** A strong reference, as java.util.logging discards a logger, including its level, that is not referenced. */
+    private static final Logger GATELOCK_LOGGER = Logger.getLogger("gatelock");
 
     /**
-     * Sends all log lines through logback from now on.
+     * Routes all log records through logback from now on.
      *
-     * @param json whether lines are JSON
-     * @param levelName the least level of this program's own lines; null for INFO
+     * @param json whether log lines are JSON
+     * @param levelName the minimum level of the records that gatelock itself logs; null for INFO
      */
     static void install(boolean json, String levelName) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
@@ -52,7 +52,7 @@
         context.getLogger("gatelock").setLevel(level);
         replaceHandlers(new LogbackHandler(context));
         boolean debug = level.toInt() <= Level.DEBUG_INT;
-        OWN_LOGGER.setLevel(debug ? java.util.logging.Level.FINE : java.util.logging.Level.INFO);
+        GATELOCK_LOGGER.setLevel(debug ? java.util.logging.Level.FINE : java.util.logging.Level.INFO);
     }
 
     private static void replaceHandlers(Handler handler) {
@@ -83,11 +83,11 @@
     }
 
     @Override
-    public void publish(LogRecord entry) {
+    public void publish(LogRecord logRecord) {
         LoggingEventBuilder event =
-                context.getLogger(String.valueOf(entry.getLoggerName())).atLevel(slf4jLevel(entry.getLevel()));
-        Object[] values = entry.getParameters();
-        String text = String.valueOf(entry.getMessage());
+                context.getLogger(String.valueOf(logRecord.getLoggerName())).atLevel(slf4jLevel(logRecord.getLevel()));
+        Object[] values = logRecord.getParameters();
+        String text = String.valueOf(logRecord.getMessage());
         if (values != null && values.length > 0) {
             for (Object value : values) {
                 if (value instanceof LogField field) {
@@ -96,8 +96,8 @@
             }
             text = MessageFormat.format(text, values);
         }
-        // The text is complete: braces in it are no placeholders for logback.
-        event.setCause(entry.getThrown()).log(text.replace("{}", "{ }"));
+        // The text is already formatted, so logback must not interpret braces in it as placeholders.
+        event.setCause(logRecord.getThrown()).log(text.replace("{}", "{ }"));
     }
 
     private static org.slf4j.event.Level slf4jLevel(java.util.logging.Level level) {
@@ -116,11 +116,11 @@
 
     @Override
     public void flush() {
-        // the console is written through
+        // the console appender does not buffer
     }
 
     @Override
     public void close() {
-        // lines go on until the process ends
+        // log records are accepted until the process ends
     }
 }
--- a/src/main/java/gatelock/boot/Main.java
+++ b/src/main/java/gatelock/boot/Main.java
@@ -10,26 +10,28 @@
 
 /** The program's entry point. */
 public final class Main {
-    /** Names the file with a relay's configuration. */
+    /** The environment variable that names the configuration file of the relay. */
     private static final String CONFIG_VARIABLE = "PROXY_CONFIG";
 
-    /** Keeps log lines going while the program shuts down: the usual manager falls silent on SIGTERM at once. */
-    public static final class StayingLog extends LogManager {
+    /**
+     * Keeps logging enabled during shutdown: the default log manager closes all handlers as soon as SIGTERM arrives.
+     */
+    public static final class NonResettingLogManager extends LogManager {
         @Override
         public void reset() {
-            // handlers stay open until the process ends
+            // handlers remain open until the process ends
         }
     }
 
     private Main() {}
 
     /**
-     * Runs one command. The arguments with which the platform starts a relay bypass the command line's library, which
-     * costs a start at half a core more than a tenth of a second.
+     * Runs one command. The arguments with which the platform starts a relay bypass the command line library, which
+     * would delay the start by more than 0.1 s on half a core.
      */
     public static void main(String[] args) throws IOException {
-        System.setProperty("java.util.logging.manager", StayingLog.class.getName());
-        // Else the libraries would start the logging library at every start, whether it is asked for or not.
+        System.setProperty("java.util.logging.manager", NonResettingLogManager.class.getName());
+        // Otherwise the libraries would initialize logback at every start, even if it is not configured.
         System.setProperty("org.jboss.logging.provider", "jdk");
         switch (String.join(" ", args)) {
             case "serve" -> exitUnlessRunning(serve(StartMode.WARM, null));
@@ -41,27 +43,29 @@
     }
 
     /**
-     * Starts a relay on the configuration that the environment names.
+     * Starts a relay with the configuration that the environment names.
      *
-     * @param operatorFile the operator's own file, or null
-     * @return {@link Commands#RUNNING}, or {@link Commands#UNUSABLE} once the cause is on standard error
+     * @param mode how the relay starts
+     * @param operatorFile the operator's file, or null
+     * @return {@link Commands#STILL_RUNNING}, or {@link Commands#EXIT_UNUSABLE_INPUT} after printing the cause to
+     *     standard error
      */
     static int serve(StartMode mode, Path operatorFile) {
         SighupHandler sighup = SighupHandler.install();
         String file = System.getenv(CONFIG_VARIABLE);
         if (file == null) {
-            System.err.println("gatelock: " + CONFIG_VARIABLE + " names no configuration");
-            return Commands.UNUSABLE;
+            System.err.println("gatelock: " + CONFIG_VARIABLE + " is not set; it must name the configuration file");
+            return Commands.EXIT_UNUSABLE_INPUT;
         }
         Path path = Path.of(file);
         try {
             RelayConfig config = RelayConfig.read(path);
             OperatorConfig operator = operatorFile == null ? null : OperatorConfigReader.read(operatorFile, config);
             RelayService.start(path, config, operatorFile, operator, mode, sighup);
-            return Commands.RUNNING;
+            return Commands.STILL_RUNNING;
         } catch (IOException e) {
             System.err.println("gatelock: " + e.getMessage());
-            return Commands.UNUSABLE;
+            return Commands.EXIT_UNUSABLE_INPUT;
         }
     }
 
@@ -70,7 +74,7 @@
     }
 
     private static void exitUnlessRunning(int exitCode) {
-        if (exitCode != Commands.RUNNING) {
+        if (exitCode != Commands.STILL_RUNNING) {
             System.exit(exitCode);
         }
     }
--- a/src/main/java/gatelock/boot/OperatorConfig.java
+++ b/src/main/java/gatelock/boot/OperatorConfig.java
@@ -7,15 +7,15 @@
 import java.util.List;
 
 /**
- * The operator's own file: all that a relay does beyond what the platform asks of it. Without a file all of it is
- * off, and without one of its sections what that section describes is off.
+ * The operator's file: the optional features of a relay beyond what the platform requires. Without a file all of them
+ * are disabled; without one of its sections the feature that the section configures is disabled.
  *
- * @param control null: no versioned configuration
- * @param sessions null: no WebSocket sessions
- * @param membership null: every endpoint that is listed is used
- * @param listener where operators reach this relay; null: nowhere
+ * @param control versioned configuration, or null to disable it
+ * @param sessions WebSocket sessions, or null to disable them
+ * @param membership the subset of endpoints to use, or null to use all listed endpoints
+ * @param listener the address of the operator listener, or null to open none
  * @param jsonLog whether log lines are JSON
- * @param logLevel the least level that is logged; null: the default
+ * @param logLevel the minimum level that is logged, or null for the default
  */
 record OperatorConfig(
         Control control,
@@ -28,48 +28,51 @@
     /**
      * Versioned configuration from a control service.
      *
-     * @param holdMs how long the service may hold a poll
-     * @param maxVersionBytes the longest version that is taken
-     * @param maxBackoffUs the longest pause between failing polls
-     * @param directory where good versions are saved; null: nowhere
-     * @param maxDropped the largest part of the endpoints that one version may drop
-     * @param history how many versions are remembered for a rollback
+     * @param services the addresses of the control services
+     * @param holdMs how long a service may hold a long poll
+     * @param maxVersionBytes the maximum size of a version
+     * @param maxBackoffUs the maximum backoff between failed polls
+     * @param storeDirectory the directory where valid versions are saved, or null to save none
+     * @param maxDroppedShare the maximum share of the endpoints that one version may stop using
+     * @param historySize how many versions are kept for a rollback
      */
     record Control(
             List<InetSocketAddress> services,
             long holdMs,
             int maxVersionBytes,
             long maxBackoffUs,
-            Path directory,
-            double maxDropped,
-            int history) {}
+            Path storeDirectory,
+            double maxDroppedShare,
+            int historySize) {}
 
     /**
      * WebSocket sessions.
      *
-     * @param max how many may be open; 0: a tenth of the descriptors
-     * @param opensPerEndpoint how many may be opened a second for each endpoint
-     * @param drainUs over which time the sessions of an endpoint that drains are migrated
+     * @param maxSessions the maximum number of open sessions; 0 for a tenth of the relay's sockets
+     * @param opensPerEndpointPerS the maximum number of sessions opened per second for each endpoint
+     * @param drainTimeoutUs the time over which the sessions of a draining endpoint are migrated
      */
-    record Sessions(int max, double opensPerEndpoint, long drainUs) {}
+    record Sessions(int maxSessions, double opensPerEndpointPerS, long drainTimeoutUs) {}
 
     /**
-     * Which endpoints are used of those that are listed.
+     * The selection of the subset of listed endpoints that this relay uses.
      *
-     * @param service how an endpoint's service is found
-     * @param maxListBytes how long a response with an endpoint list may be
-     * @param text the section's text
+     * @param policy how the subset is chosen
+     * @param serviceNames determines the service of an endpoint
+     * @param maxListBytes the maximum size of a response with an endpoint list
+     * @param sectionText the text of the section, to detect changes
      */
-    record Membership(EndpointSubset.Policy terms, ServiceNameExtractor service, long maxListBytes, String text) {
+    record Membership(
+            EndpointSubset.Policy policy, ServiceNameExtractor serviceNames, long maxListBytes, String sectionText) {
 
-        /** Whether the file says the same in the other one. */
-        boolean sameText(Membership other) {
-            return other != null && text.equals(other.text);
+        /** Returns whether the section has the same text in the other configuration. */
+        boolean hasSameText(Membership other) {
+            return other != null && sectionText.equals(other.sectionText);
         }
     }
 
-    /** Whether both ask for the same subset of endpoints, or neither asks for one. */
-    boolean sameMembership(OperatorConfig other) {
-        return membership == null ? other.membership == null : membership.sameText(other.membership);
+    /** Returns whether both configurations request the same subset of endpoints, or both request none. */
+    boolean hasSameMembership(OperatorConfig other) {
+        return membership == null ? other.membership == null : membership.hasSameText(other.membership);
     }
 }
--- a/src/main/java/gatelock/boot/OperatorConfigReader.java
+++ b/src/main/java/gatelock/boot/OperatorConfigReader.java
@@ -15,17 +15,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the operator's file and finds whatever is wrong in it. */
+/** Reads the operator's file and reports all problems in it. */
 final class OperatorConfigReader {
     /**
-     * Guards against a scope that fills the heap, of which requests would be lost: twice the bytes that an endpoint
-     * was measured to take there, in a quarter of the heap. Could refuse a scope that would just have fitted.
+     * Heap reserved for each endpoint in scope: twice the measured size. All endpoints in scope must fit into a quarter
+     * of the heap. Guards against a scope that exhausts the heap, which would lose requests. A scope that would just
+     * have fitted may be rejected.
      */
     private static final long HEAP_BYTES_PER_ENDPOINT = 3_200;
 
     private static final int HEAP_DIVISOR = 4;
-    /** This many endpoints may be in scope whatever the heap. */
-    private static final int MIN_SCOPE_LIMIT = 1_024;
+    /** The heap size never limits the scope to fewer endpoints than this. */
+    private static final int MIN_HEAP_LIMIT = 1_024;
 
     private static final int US_PER_MS = 1_000;
     private static final double US_PER_S = 1e6;
@@ -33,15 +34,15 @@
 
     private static final double DEFAULT_SETTLE_S = 10;
     private static final long DEFAULT_MAX_LIST_BYTES = 64L << 20;
-    private static final double DEFAULT_OPENS_PER_ENDPOINT = 20;
-    private static final double DEFAULT_DRAIN_S = 20;
+    private static final double DEFAULT_OPENS_PER_ENDPOINT_PER_S = 20;
+    private static final double DEFAULT_DRAIN_TIMEOUT_S = 20;
     private static final long DEFAULT_HOLD_MS = 20_000;
     private static final int DEFAULT_MAX_VERSION_BYTES = 8 << 20;
     private static final long DEFAULT_MAX_BACKOFF_MS = 30_000;
-    private static final double DEFAULT_MAX_DROPPED = 0.5;
-    private static final int DEFAULT_HISTORY = 10;
-    /** Stands for an address that was found to be wrong; never used, as the file is refused. */
-    private static final InetSocketAddress NO_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    private static final double DEFAULT_MAX_DROPPED_SHARE = 0.5;
+    private static final int DEFAULT_HISTORY_SIZE = 10;
+    /** Placeholder for an invalid address; never used, because the file is rejected. */
+    private static final InetSocketAddress INVALID_ADDRESS = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
     private final RelayConfig deployment;
     private final List<Diagnostic> diagnostics = new ArrayList<>();
@@ -53,8 +54,9 @@
     /**
      * Reads a file.
      *
-     * @param deployment the relay's configuration that the file is for
-     * @throws ConfigurationException with all that is wrong, each with its place and what mends it
+     * @param file the operator's file
+     * @param deployment the configuration of the relay that the file is for
+     * @throws ConfigurationException with all problems in the file, each with its location and remedy
      */
     static OperatorConfig read(Path file, RelayConfig deployment) throws ConfigurationException {
         byte[] text;
@@ -73,48 +75,48 @@
         }
         OperatorConfig config = diagnostics.isEmpty() ? parse(document.root()) : null;
         if (!diagnostics.isEmpty()) {
-            List<Diagnostic> placed = document == null ? diagnostics : document.withLocations(diagnostics);
-            throw ConfigurationException.inOperatorFile(file, placed);
+            List<Diagnostic> located = document == null ? diagnostics : document.withLocations(diagnostics);
+            throw ConfigurationException.inOperatorFile(file, located);
         }
         return config;
     }
 
     private OperatorConfig parse(JsonNode root) {
-        InetSocketAddress listener = root.has("listener") ? listener(root.get("listener")) : null;
+        InetSocketAddress listener = root.has("listener") ? parseListener(root.get("listener")) : null;
         JsonNode log = root.path("log");
         return new OperatorConfig(
-                root.has("control") ? control(root.get("control")) : null,
-                root.has("sessions") ? sessions(root.get("sessions")) : null,
-                root.has("membership") ? membership(root.get("membership")) : null,
+                root.has("control") ? parseControl(root.get("control")) : null,
+                root.has("sessions") ? parseSessions(root.get("sessions")) : null,
+                root.has("membership") ? parseMembership(root.get("membership")) : null,
                 listener,
                 log.path("form").asText("plain").equals("json"),
                 log.path("level").asText(null));
     }
 
-    private InetSocketAddress listener(JsonNode node) {
-        InetSocketAddress listener = address(node.asText(), "/listener");
+    private InetSocketAddress parseListener(JsonNode node) {
+        InetSocketAddress listener = parseAddress(node.asText(), "/listener");
         if (!listener.getAddress().isLoopbackAddress()) {
             report(
                     "O-LISTENER",
                     "/listener",
-                    "whoever reaches the operator's listener can go "
-                            + "back to earlier versions, so it must be on loopback",
-                    "name an address in 127.0.0.0/8");
+                    "the operator listener must be on loopback, because "
+                            + "everyone who can connect to it can roll back to earlier versions",
+                    "use an address in 127.0.0.0/8");
         }
         return listener;
     }
 
-    private static OperatorConfig.Sessions sessions(JsonNode node) {
+    private static OperatorConfig.Sessions parseSessions(JsonNode node) {
         return new OperatorConfig.Sessions(
                 node.path("most").asInt(0),
-                node.path("opensPerUnitS").asDouble(DEFAULT_OPENS_PER_ENDPOINT),
-                secondsToUs(node.path("drainS").asDouble(DEFAULT_DRAIN_S)));
+                node.path("opensPerUnitS").asDouble(DEFAULT_OPENS_PER_ENDPOINT_PER_S),
+                secondsToUs(node.path("drainS").asDouble(DEFAULT_DRAIN_TIMEOUT_S)));
     }
 
-    private OperatorConfig.Control control(JsonNode node) {
+    private OperatorConfig.Control parseControl(JsonNode node) {
         List<InetSocketAddress> services = new ArrayList<>();
         for (int i = 0; i < node.get("services").size(); i++) {
-            services.add(address(node.get("services").get(i).asText(), "/control/services/" + i));
+            services.add(parseAddress(node.get("services").get(i).asText(), "/control/services/" + i));
         }
         String directory = node.path("directory").asText(null);
         return new OperatorConfig.Control(
@@ -123,72 +125,73 @@
                 node.path("mostBytes").asInt(DEFAULT_MAX_VERSION_BYTES),
                 node.path("mostWaitMs").asLong(DEFAULT_MAX_BACKOFF_MS) * US_PER_MS,
                 directory == null ? null : Path.of(directory),
-                node.path("mostDropped").asDouble(DEFAULT_MAX_DROPPED),
-                node.path("history").asInt(DEFAULT_HISTORY));
+                node.path("mostDropped").asDouble(DEFAULT_MAX_DROPPED_SHARE),
+                node.path("history").asInt(DEFAULT_HISTORY_SIZE));
     }
 
-    private OperatorConfig.Membership membership(JsonNode node) {
-        int most = node.get("most").asInt();
-        int perService = node.get("perService").asInt();
-        int elsewhere = node.path("leastElsewhere").asInt(Math.min(1, perService - 1));
+    private OperatorConfig.Membership parseMembership(JsonNode node) {
+        int maxEndpoints = node.get("most").asInt();
+        int minPerService = node.get("perService").asInt();
+        int remotePerService = node.path("leastElsewhere").asInt(Math.min(1, minPerService - 1));
         String zone = node.path("zone").asText(null);
         List<String> zones = deployment.names("zones");
-        checkScope(most, perService, elsewhere);
+        checkSubsetBounds(maxEndpoints, minPerService, remotePerService);
         if (zone != null && !zones.contains(zone)) {
             report(
                     "O-SCOPE-ZONE",
                     "/membership/zone",
-                    zone + " is no zone of this deployment",
-                    "name one of " + zones + ", or leave it out where this relay stands in none");
+                    zone + " is not a zone of this deployment",
+                    "use one of " + zones + ", or omit the zone if this relay is in none of them");
         }
-        int holders = node.path("leastHolders").asInt(EndpointSubset.DEFAULT_MIN_HOLDERS);
-        double part = Math.min(1, holders / (double) deployment.settings().relayCount());
-        // The seed is this relay's own as well, where nobody numbers the relays.
-        long givenNumber = node.path("number").asLong(deployment.settings().relayIndex());
-        long number = givenNumber < 0 ? deployment.settings().seed() : givenNumber;
-        EndpointSubset.Policy terms = new EndpointSubset.Policy(
-                number,
+        int minHolders = node.path("leastHolders").asInt(EndpointSubset.DEFAULT_MIN_HOLDERS);
+        double fraction =
+                Math.min(1, minHolders / (double) deployment.settings().relayCount());
+        // If the relays are not numbered, the seed is used instead, as it also differs from relay to relay.
+        long configuredNumber = node.path("number").asLong(deployment.settings().relayIndex());
+        long relayNumber = configuredNumber < 0 ? deployment.settings().seed() : configuredNumber;
+        EndpointSubset.Policy policy = new EndpointSubset.Policy(
+                relayNumber,
                 zone == null ? -1 : zones.indexOf(zone),
-                most,
-                perService,
-                part,
-                elsewhere,
+                maxEndpoints,
+                minPerService,
+                fraction,
+                remotePerService,
                 secondsToUs(node.path("settleS").asDouble(DEFAULT_SETTLE_S)));
         return new OperatorConfig.Membership(
-                terms,
-                serviceName(node.path("service")),
+                policy,
+                parseServiceNames(node.path("service")),
                 node.path("mostListBytes").asLong(DEFAULT_MAX_LIST_BYTES),
                 node.toString());
     }
 
-    private void checkScope(int most, int perService, int elsewhere) {
+    private void checkSubsetBounds(int maxEndpoints, int minPerService, int remotePerService) {
         long heapShare = Runtime.getRuntime().maxMemory() / HEAP_DIVISOR;
-        int heapLimit = (int) Math.max(MIN_SCOPE_LIMIT, heapShare / HEAP_BYTES_PER_ENDPOINT);
-        if (most > heapLimit) {
+        int heapLimit = (int) Math.max(MIN_HEAP_LIMIT, heapShare / HEAP_BYTES_PER_ENDPOINT);
+        if (maxEndpoints > heapLimit) {
             report(
                     "O-SCOPE-HEAP",
                     "/membership/most",
-                    "this relay's heap bears " + heapLimit + " units in scope, not " + most,
-                    "name at most " + heapLimit + ", or give the relay more memory");
+                    "the heap of this relay has room for " + heapLimit + " units in scope, not " + maxEndpoints,
+                    "use at most " + heapLimit + ", or give the relay more memory");
         }
-        if (perService > most) {
+        if (minPerService > maxEndpoints) {
             report(
                     "O-SCOPE-SERVICE",
                     "/membership/perService",
-                    perService + " units of one service are more than the " + most + " of all that most allows",
-                    "name at most " + most);
+                    minPerService + " units of each service exceed the limit of " + maxEndpoints + " in the field most",
+                    "use at most " + maxEndpoints);
         }
-        if (elsewhere > perService) {
+        if (remotePerService > minPerService) {
             report(
                     "O-SCOPE-ELSEWHERE",
                     "/membership/leastElsewhere",
-                    elsewhere + " units in other zones are more than the " + perService
-                            + " of a service that perService allows",
-                    "name at most " + perService);
+                    remotePerService + " units in other zones exceed the " + minPerService
+                            + " of each service in the field perService",
+                    "use at most " + minPerService);
         }
     }
 
-    private static ServiceNameExtractor serviceName(JsonNode node) {
+    private static ServiceNameExtractor parseServiceNames(JsonNode node) {
         if (node.has("label")) {
             return ServiceNameExtractor.byLabel(node.get("label").asText());
         }
@@ -198,7 +201,7 @@
         return ServiceNameExtractor.SINGLE_SERVICE;
     }
 
-    private InetSocketAddress address(String text, String pointer) {
+    private InetSocketAddress parseAddress(String text, String pointer) {
         int colon = text.lastIndexOf(':');
         int port = Integer.parseInt(text.substring(colon + 1));
         if (port > 0 && port <= MAX_PORT) {
@@ -212,13 +215,13 @@
         report(
                 "O-ADDRESS",
                 pointer,
-                text + " is no address that can be reached",
+                text + " is not a usable address",
                 "use a numeric address and a port from 1 to 65535");
-        return NO_ADDRESS;
+        return INVALID_ADDRESS;
     }
 
-    private void report(String code, String pointer, String wrong, String remedy) {
-        diagnostics.add(new Diagnostic(code, true, pointer, 0, 0, wrong, remedy));
+    private void report(String code, String pointer, String problem, String remedy) {
+        diagnostics.add(new Diagnostic(code, true, pointer, 0, 0, problem, remedy));
     }
 
     private static long secondsToUs(double seconds) {
--- a/src/main/java/gatelock/boot/OutputCommand.java
+++ b/src/main/java/gatelock/boot/OutputCommand.java
@@ -7,15 +7,15 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Option;
 
-/** What all commands share: help, and output as text or JSON. A command returns its exit code. */
+/** Base class of commands: provides help, and output as text or JSON. A command returns its exit code. */
 abstract class OutputCommand implements Callable<Integer> {
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    @Option(names = "--json", description = "answer as JSON")
+    @Option(names = "--json", description = "print JSON")
     private boolean json;
 
-    // The command line's library only needs the field's annotation.
+    // The command line library needs only the annotation of the field.
     @SuppressWarnings("UnusedVariable")
     @Option(
             names = {"-h", "--help"},
@@ -23,17 +23,17 @@
             description = "show this help")
     private boolean help;
 
-    /** Where output goes. */
+    /** Returns the writer for the output of the command. */
     final PrintWriter out() {
         return spec.commandLine().getOut();
     }
 
-    /** Prints a value as JSON on one line, or the text that says the same. */
+    /** Prints the value as JSON on one line if JSON was requested, otherwise the equivalent text. */
     final void print(Object value, String text) throws IOException {
         printText(json ? JSON.std.asString(value) : text);
     }
 
-    /** Prints a text, whatever the form that was asked for. */
+    /** Prints a text, even if JSON was requested. */
     final void printText(String text) {
         out().println(text);
         out().flush();
--- a/src/main/java/gatelock/boot/RelayConfig.java
+++ b/src/main/java/gatelock/boot/RelayConfig.java
@@ -16,18 +16,18 @@
 import java.util.Map;
 
 /**
- * What the platform gives a relay at its start, read from one JSON file.
+ * The configuration that the platform provides to a relay at its start, read from one JSON file.
  *
- * @param name the relay's name
- * @param listen where it takes requests
- * @param discovery where the discovery service is
- * @param releaseController where the release controller is
- * @param maxSockets how many sockets this process may hold
- * @param knownEndpoints the endpoint list to begin with, until discovery sends one
- * @param knownRelease the release's state to begin with, until the release controller tells it
+ * @param name the name of the relay
+ * @param listen the address on which it accepts requests
+ * @param discovery the address of the discovery service
+ * @param releaseController the address of the release controller
+ * @param maxSockets the maximum number of open sockets of this process
+ * @param initialEndpoints the endpoint list that is used until discovery sends one
+ * @param initialRelease the release state that is used until the release controller sends one
  * @param settings the decoded settings
- * @param connectTimeoutUs how long a connection to an endpoint may take to come up
- * @param deadlinesUs how long clients wait, for each route in order
+ * @param connectTimeoutUs the timeout for connecting to an endpoint
+ * @param deadlinesUs how long clients wait for a response, by route index
  * @param rawSettings the settings as path=value pairs
  */
 record RelayConfig(
@@ -36,18 +36,18 @@
         InetSocketAddress discovery,
         InetSocketAddress releaseController,
         int maxSockets,
-        JsonObject knownEndpoints,
-        JsonObject knownRelease,
+        JsonObject initialEndpoints,
+        JsonObject initialRelease,
         RelaySettings settings,
         long connectTimeoutUs,
         List<Long> deadlinesUs,
         Map<String, String> rawSettings) {
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     /**
      * Reads a file.
      *
-     * @throws ConfigurationException for the first thing in it that is missing or wrong
+     * @throws ConfigurationException for the first value that is missing or invalid
      */
     static RelayConfig read(Path file) throws ConfigurationException {
         try {
@@ -65,7 +65,7 @@
         }
     }
 
-    /** This configuration with the addresses of another: nothing else changes while a relay runs. */
+    /** Returns a copy with the addresses of another configuration: only these can change while a relay runs. */
     RelayConfig withAddressesOf(RelayConfig other) {
         return new RelayConfig(
                 name,
@@ -73,16 +73,19 @@
                 other.discovery,
                 other.releaseController,
                 maxSockets,
-                knownEndpoints,
-                knownRelease,
+                initialEndpoints,
+                initialRelease,
                 settings,
                 connectTimeoutUs,
                 deadlinesUs,
                 rawSettings);
     }
 
-    /** Whether another one differs at most in addresses, the endpoints and release to begin with, and the seed. */
-    boolean sameSettings(RelayConfig other) {
+    /**
+     * Returns whether another configuration differs at most in the addresses of discovery and the release controller,
+     * the initial endpoints and release, and the seed.
+     */
+    boolean hasSameSettings(RelayConfig other) {
         return name.equals(other.name)
                 && listen.equals(other.listen)
                 && maxSockets == other.maxSockets
@@ -91,13 +94,13 @@
 
     private static RelayConfig parse(JsonObject root) throws IOException {
         JsonObject deployer = root.object("deployer");
-        Map<String, String> raw = new HashMap<>();
-        flatten("", root.object("settings").fields(), raw);
-        SettingsValidator.validate(raw);
-        RelaySettings settings = SettingsDecoder.decode(parseSeed(root.text("seed")), raw);
+        Map<String, String> rawSettings = new HashMap<>();
+        flatten("", root.object("settings").fields(), rawSettings);
+        SettingsValidator.validate(rawSettings);
+        RelaySettings settings = SettingsDecoder.decode(parseSeed(root.text("seed")), rawSettings);
         List<Long> deadlinesUs = new ArrayList<>();
         for (int i = 0; i < settings.routes().size(); i++) {
-            deadlinesUs.add(SettingsDecoder.timeUs(raw, "lanes." + i + ".deadlineNs"));
+            deadlinesUs.add(SettingsDecoder.timeUs(rawSettings, "lanes." + i + ".deadlineNs"));
         }
         return new RelayConfig(
                 root.text("name"),
@@ -108,20 +111,20 @@
                 root.object("known"),
                 deployer.object("news"),
                 settings,
-                connectTimeoutUs(raw, deadlinesUs),
+                connectTimeoutUs(rawSettings, deadlinesUs),
                 deadlinesUs,
-                raw);
+                rawSettings);
     }
 
-    /** Where no time for a connection to come up is set, the deadline of the longest request bounds it. */
+    /** Returns the configured timeout, or the longest deadline of any route if none is configured. */
     private static long connectTimeoutUs(Map<String, String> raw, List<Long> deadlinesUs) {
-        long set = SettingsDecoder.timeUs(raw, "limits.dialTimeoutNs");
-        return set > 0
-                ? set
+        long configuredUs = SettingsDecoder.timeUs(raw, "limits.dialTimeoutNs");
+        return configuredUs > 0
+                ? configuredUs
                 : deadlinesUs.stream().mapToLong(Long::longValue).max().orElseThrow();
     }
 
-    /** The part of this deployment that a version of the configuration is checked against. */
+    /** Returns the part of this deployment that a configuration version is checked against. */
     DeploymentContext deploymentContext() {
         return new DeploymentContext(
                 indexesByName("lanes"),
@@ -132,7 +135,7 @@
                 names("flavors"));
     }
 
-    /** The names of a list of objects in the settings, each with its index. */
+    /** Returns the names in a list of objects in the settings, each with the index of its object. */
     Map<String, Integer> indexesByName(String list) {
         Map<String, Integer> indexes = new LinkedHashMap<>();
         for (int i = 0; rawSettings.containsKey(list + "." + i + ".name"); i++) {
@@ -141,7 +144,7 @@
         return indexes;
     }
 
-    /** A list of names in the settings; one empty name where it is absent. */
+    /** Returns a list of names in the settings; a single empty name if the list is absent. */
     List<String> names(String list) {
         return List.of(rawSettings.getOrDefault(list, "").split(",", 0));
     }
@@ -164,7 +167,7 @@
 
     private static long parseSeed(String text) throws IOException {
         try {
-            return Long.parseUnsignedLong(text, HEX);
+            return Long.parseUnsignedLong(text, HEX_RADIX);
         } catch (NumberFormatException e) {
             throw new IOException("expected seed as hex digits, found " + text, e);
         }
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -19,33 +19,37 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** One running relay: puts the parts together on one I/O thread, starts them, and shuts them down on SIGTERM. */
+/** One running relay: assembles the parts on a single I/O thread, starts them, and shuts them down on SIGTERM. */
 final class RelayService {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
     /**
-     * After SIGTERM the platform leaves a relay alive for its longest deadline, or this long where that is longer,
-     * and for {@link #SHUTDOWN_MARGIN_US} on top, in which the front proxy and clients hear of it.
+     * After SIGTERM the platform lets a relay run for the longest deadline of its routes, but at most for this time,
+     * plus {@link #SHUTDOWN_MARGIN_US}, in which the load balancer and the clients notice the shutdown.
      */
-    private static final long MAX_COUNTED_DEADLINE_US = 3_000_000;
+    private static final long MAX_SHUTDOWN_DEADLINE_US = 3_000_000;
 
     private static final long SHUTDOWN_MARGIN_US = 700_000;
-    /** How long before its end a relay tells its last sessions, so that they can still close in turn. */
-    private static final long SESSION_CLOSE_US = 1_400_000;
+    /**
+     * How long before the end of the process the last sessions are asked to close, so that clients can confirm the
+     * close.
+     */
+    private static final long SESSION_CLOSE_MARGIN_US = 1_400_000;
 
     private static final long SESSION_CHECK_INTERVAL_US = 20_000;
     /**
-     * Guards against an endpoint list from before a restart: what discovery has sent since counts as known to the new
-     * process, and requests forwarded by the old list go to endpoints that left. Only after this long without a
-     * response, at the end of a call that had all of its time, is discovery taken to be down, and the known list used.
-     * Could do harm where it is down: each start is later by this, well within what a start may take.
+     * Guards against serving with the endpoint list from before a restart. The new process is expected to know what
+     * discovery has sent since then, and requests that are forwarded by the old list go to endpoints that are gone.
+     * Discovery is considered down, and the initial list is used, only if a poll has failed this long after the first
+     * one was sent; each poll has its full timeout. If discovery is down, every start is delayed by this time, which is
+     * well within the time that a start may take.
      */
-    private static final long DISCOVERY_SILENT_US = 2_000_000;
+    private static final long MAX_DISCOVERY_SILENCE_US = 2_000_000;
 
     private static final long COUNTERS_INTERVAL_US = 60_000_000;
     private static final int US_PER_S = 1_000_000;
     private static final long STACK_BYTES = 256 * 1024;
     private static final int EXIT_UNUSABLE = 2;
-    /** Added to the relay's seed, so that the sessions' random draws are not those of another part. */
+    /** Added to the relay's seed so that sessions draw other random numbers than the rest of the relay. */
     private static final int SESSIONS_SEED_OFFSET = 3;
 
     private final StartMode mode;
@@ -76,8 +80,12 @@
     /**
      * Starts a relay, which runs until SIGTERM.
      *
-     * @param file where {@code config} was read from, to be read again on SIGHUP
-     * @param operator what the operator's own file says, or null: all that it could name is off
+     * @param file the file that {@code config} was read from, which is read again on SIGHUP
+     * @param config the relay's configuration
+     * @param operatorFile the operator's file, or null if there is none
+     * @param operator the content of the operator's file, or null to disable all features that it configures
+     * @param mode how the relay starts
+     * @param sighup triggers a reload
      */
     static void start(
             Path file,
@@ -100,7 +108,7 @@
                         .getMap());
         EventLoop eventLoop = new EventLoop(worker.getIoThread());
         RelayService service = new RelayService(file, config, operatorFile, operator, mode, eventLoop);
-        // Queued before the shutdown hook exists: a relay must have begun before it can shut down.
+        // Queued before the shutdown hook is registered, so that the start always precedes the shutdown.
         eventLoop.execute(service::run);
         Runtime.getRuntime().addShutdownHook(new Thread(service::shutDownAndWait, "leave"));
         sighup.setAction(service.reloader::reloadOnSighup);
@@ -124,17 +132,17 @@
         clientListener.listen(config.listen());
         startPipeline();
         clientListener.setRequestHandler(pipeline.requestReader(), false);
-        serveOnceListed(UnaryOperator.identity());
+        serveAfterFirstList(UnaryOperator.identity());
     }
 
     private void startWarm() throws IOException {
         InetSocketAddress address = clientListener.listen(config.listen());
-        // The endpoint list and the release's state are asked for at once, and known when the warm-up ends.
+        // Polls for the endpoint list and the release state start now, so that both are known when the warm-up ends.
         startPipeline();
         HttpHandler reader = pipeline.requestReader();
         new StartupWarmUp(config, address, eventLoop, clientListener, reader, warmUp -> {
-                    clientListener.setRequestHandler(warmUp.closeOwnRequestsBefore(reader), false);
-                    serveOnceListed(warmUp::closeOwnRequestsBefore);
+                    clientListener.setRequestHandler(warmUp.wrapToCloseOwnRequests(reader), false);
+                    serveAfterFirstList(warmUp::wrapToCloseOwnRequests);
                 })
                 .begin();
     }
@@ -153,7 +161,7 @@
                 .begin();
     }
 
-    /** Puts the real pipeline together and begins to follow discovery and the release controller. */
+    /** Assembles the pipeline for client requests and starts polling discovery and the release controller. */
     private void startPipeline() throws IOException {
         if (operator != null && operator.control() != null) {
             controlPlane = new ControlPlane(operator, config, eventLoop, counters);
@@ -177,26 +185,26 @@
 
     private SessionRegistry createSessions(OperatorConfig.Sessions options) {
         int max = config.maxSockets() / 10;
-        if (options.max() > 0) {
-            max = Math.min(options.max(), config.maxSockets() / 5);
+        if (options.maxSessions() > 0) {
+            max = Math.min(options.maxSessions(), config.maxSockets() / 5);
         }
         return new SessionRegistry(
                 max,
-                options.opensPerEndpoint(),
-                options.drainUs(),
+                options.opensPerEndpointPerS(),
+                options.drainTimeoutUs(),
                 new SplittableRandom(config.settings().seed() + SESSIONS_SEED_OFFSET));
     }
 
-    private void serveOnceListed(UnaryOperator<HttpHandler> wrapReader) {
-        pipeline.discovery().onFirstList(DISCOVERY_SILENT_US, () -> serve(wrapReader));
+    private void serveAfterFirstList(UnaryOperator<HttpHandler> wrapReader) {
+        pipeline.discovery().onFirstList(MAX_DISCOVERY_SILENCE_US, () -> serve(wrapReader));
     }
 
     private void serve(UnaryOperator<HttpHandler> wrapReader) {
         HttpHandler reader = wrapReader.apply(pipeline.requestReader());
         clientListener.setRequestHandler(reader, controlPlane == null);
-        int heldRequests = pipeline.startForwarding();
-        if (heldRequests > 0) {
-            LOG.log(Level.INFO, "held until ready: " + heldRequests + " requests");
+        int queuedRequests = pipeline.startForwarding();
+        if (queuedRequests > 0) {
+            LOG.log(Level.INFO, "held until ready: " + queuedRequests + " requests");
         }
         try {
             if (controlPlane != null) {
@@ -219,9 +227,9 @@
                 Level.INFO,
                 trigger + ", discovery at " + reloaded.discovery() + ", release controller at "
                         + reloaded.releaseController()
-                        + (config.sameSettings(reloaded)
+                        + (config.hasSameSettings(reloaded)
                                 ? ""
-                                : "; name, listen, limits and settings stay until a restart"));
+                                : "; changes to name, listen, limits and settings take effect at the next restart"));
         config = config.withAddressesOf(reloaded);
         if (pipeline != null) {
             pipeline.setAddressesFrom(config);
@@ -232,12 +240,12 @@
         if (controlPlane != null) {
             controlPlane.setServicesFrom(reloadedOperator);
         }
-        if (!operator.sameMembership(reloadedOperator)) {
-            LOG.log(Level.WARNING, "membership stays as it was until a restart");
+        if (!operator.hasSameMembership(reloadedOperator)) {
+            LOG.log(Level.WARNING, "changes to membership take effect at the next restart");
         }
     }
 
-    /** Runs on the shutdown hook's thread, and blocks until the relay has answered all that it can. */
+    /** Runs on the thread of the shutdown hook, and blocks until the graceful shutdown is complete. */
     private void shutDownAndWait() {
         CountDownLatch done = new CountDownLatch(1);
         eventLoop.execute(() -> shutDown(done::countDown));
@@ -246,7 +254,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        LOG.log(Level.INFO, "ends: " + counters);
+        LOG.log(Level.INFO, "shutdown complete: " + counters);
     }
 
     private void shutDown(Runnable whenDone) {
@@ -255,11 +263,11 @@
         }
         long longestDeadlineUs =
                 config.deadlinesUs().stream().mapToLong(Long::longValue).max().orElse(0);
-        long aliveUs = Math.min(longestDeadlineUs, MAX_COUNTED_DEADLINE_US) + SHUTDOWN_MARGIN_US;
+        long remainingUs = Math.min(longestDeadlineUs, MAX_SHUTDOWN_DEADLINE_US) + SHUTDOWN_MARGIN_US;
         if (sessions != null) {
-            sessions.drainAll(eventLoop.nowUs(), eventLoop.nowUs() + aliveUs - SESSION_CLOSE_US);
+            sessions.drainAll(eventLoop.nowUs(), eventLoop.nowUs() + remainingUs - SESSION_CLOSE_MARGIN_US);
         }
-        clientListener.shutDown(aliveUs, () -> awaitSessions(whenDone));
+        clientListener.shutDown(remainingUs, () -> awaitSessions(whenDone));
     }
 
     private void awaitSessions(Runnable whenDone) {
@@ -273,13 +281,13 @@
     private void logCounters() {
         LOG.log(
                 Level.INFO,
-                counters + "; open requests " + pipeline.inFlight().size() + ", clients " + clientListener.size()
+                counters + "; requests in flight " + pipeline.inFlight().size() + ", clients " + clientListener.size()
                         + ", endpoints "
                         + pipeline.endpointPool() + endpointListState());
         eventLoop.schedule(COUNTERS_INTERVAL_US, this::logCounters);
     }
 
-    /** The state of the endpoint list where only a part of it is in scope, or nothing. */
+    /** Returns the state of the endpoint list if this relay uses a subset of it, otherwise an empty text. */
     private String endpointListState() {
         DiscoveryClient.ListStatus list = pipeline.discovery().state();
         if (!list.usesSubset()) {
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -24,16 +24,16 @@
 import java.io.IOException;
 import java.util.SplittableRandom;
 
-/** The stages of a request, put together around one decision engine. */
+/** The processing stages of requests, assembled around one decision engine. */
 final class RequestPipeline {
     private static final long SESSION_CHECK_INTERVAL_US = 50_000;
-    /** How long a connection to an endpoint rests after a response, in microseconds, before it is used again. */
-    private static final long ENDPOINT_REST_US = 2_000;
+    /** The minimum time that a connection to an endpoint stays idle after a response before it is reused. */
+    private static final long ENDPOINT_REUSE_DELAY_US = 2_000;
 
     private static final long PLATFORM_CONNECT_TIMEOUT_US = 1_000_000;
     private static final long PLATFORM_IDLE_TIMEOUT_US = 4_000_000;
     private static final int PLATFORM_MAX_CONNECTIONS = 8;
-    /** Added to the relay's seed, so that discovery's random draws are not those of another part. */
+    /** Added to the relay's seed so that discovery draws other random numbers than the rest of the relay. */
     private static final int DISCOVERY_SEED_OFFSET = 1;
 
     private final EndpointAddresses addresses = new EndpointAddresses();
@@ -54,11 +54,13 @@
     private DiscoveryClient discovery;
 
     /**
-     * Puts the stages together; nothing is sent or followed yet.
+     * Assembles the stages; nothing is sent or polled yet.
      *
-     * @param admission what the version in force means; null: there never is one
-     * @param sessions null: none are opened
-     * @param membership which endpoints are used of those that are listed; null: all
+     * @param config the relay's configuration
+     * @param clientListener accepts the client connections
+     * @param admission the admission rules of the version in force, or null if versioned configuration is disabled
+     * @param sessions the WebSocket sessions, or null if they are disabled
+     * @param membership the subset of endpoints to use, or null to use all listed endpoints
      */
     RequestPipeline(
             RelayConfig config,
@@ -75,13 +77,14 @@
         this.eventLoop = eventLoop;
         this.counters = counters;
         inFlight = new InFlightRequests(counters);
-        // An idle connection is closed well before the endpoint would, so that no request crosses its end.
+        // Idle connections are closed well before the endpoint closes them, so that no request is sent on a closing
+        // connection.
         endpointPool = new ConnectionPool(
                 eventLoop,
                 counters,
                 config.connectTimeoutUs(),
                 config.settings().idleConnectionUs(),
-                ENDPOINT_REST_US,
+                ENDPOINT_REUSE_DELAY_US,
                 config.maxSockets() * 2 / 5);
         ResponseWriter responseWriter = new ResponseWriter(eventLoop, inFlight, counters);
         OutcomeRecorder outcomes = new OutcomeRecorder(eventLoop, inFlight, counters, responseWriter);
@@ -110,8 +113,8 @@
     }
 
     /**
-     * Begins with the endpoints and the release that the configuration holds, and follows discovery and the release
-     * controller from there.
+     * Starts with the endpoints and the release state from the configuration, and then polls discovery and the release
+     * controller.
      */
     void start() throws IOException {
         ConnectionPool platformPool = new ConnectionPool(
@@ -134,11 +137,11 @@
         }
         actions.bind(releaseController, discovery);
         engine.start(eventLoop.nowUs());
-        DecisionEngine informed = sessions == null ? engine : new SessionAwareEngine(engine, sessions);
-        discovery.start(informed, admission, config.knownEndpoints());
-        releaseController.start(informed, config.knownRelease());
+        DecisionEngine updatedEngine = sessions == null ? engine : new SessionAwareEngine(engine, sessions);
+        discovery.start(updatedEngine, admission, config.initialEndpoints());
+        releaseController.start(updatedEngine, config.initialRelease());
         if (sessions != null) {
-            runDueSessions();
+            closeDueSessions();
         }
     }
 
@@ -146,7 +149,7 @@
         DiscoveryClient.SubsetOptions subset = membership == null
                 ? null
                 : new DiscoveryClient.SubsetOptions(
-                        new EndpointSubset(membership.terms()), membership.service(), membership.maxListBytes());
+                        new EndpointSubset(membership.policy()), membership.serviceNames(), membership.maxListBytes());
         return new DiscoveryClient(
                 eventLoop,
                 counters,
@@ -161,55 +164,55 @@
                 subset);
     }
 
-    /** Migrates or closes the sessions that are due. */
-    private void runDueSessions() {
+    /** Closes the sessions that are due to migrate or to close, and repeats this periodically. */
+    private void closeDueSessions() {
         sessions.closeDue(eventLoop.nowUs());
-        eventLoop.schedule(SESSION_CHECK_INTERVAL_US, this::runDueSessions);
+        eventLoop.schedule(SESSION_CHECK_INTERVAL_US, this::closeDueSessions);
     }
 
-    /** Forwards requests from now on, first those that came early; returns how many these are. */
+    /** Starts forwarding requests, first the queued ones; returns how many were queued. */
     int startForwarding() {
         return admitter.releaseQueued();
     }
 
-    /** Follows discovery and the release controller at the addresses of another configuration from now on. */
+    /** Polls discovery and the release controller at the addresses of another configuration from now on. */
     void setAddressesFrom(RelayConfig other) {
         discovery.changeAddress(other.discovery());
         releaseController.changeAddress(other.releaseController());
     }
 
-    /** Ends a pipeline that was never started: its timers and its connections to endpoints. */
+    /** Stops the timers and closes the endpoint connections of a pipeline on which {@link #start} was never called. */
     void stopWarmUp() {
         actions.stop();
         endpointPool.shutdown();
     }
 
-    /** Reads requests from clients: the pipeline's entry. */
+    /** Returns the first stage, which reads requests from clients. */
     RequestReader requestReader() {
         return requestReader;
     }
 
-    /** Follows the endpoint list, once the pipeline was started. */
+    /** Returns the discovery client, or null before {@link #start}. */
     DiscoveryClient discovery() {
         return discovery;
     }
 
-    /** The requests that are in flight. */
+    /** Returns the requests in flight. */
     InFlightRequests inFlight() {
         return inFlight;
     }
 
-    /** Connections to endpoints. */
+    /** Returns the pool of connections to endpoints. */
     ConnectionPool endpointPool() {
         return endpointPool;
     }
 
-    /** Where endpoints are reached. */
+    /** Returns the addresses of the endpoints. */
     EndpointAddresses addresses() {
         return addresses;
     }
 
-    /** Decides on requests and builds. */
+    /** Returns the decision engine. */
     DecisionEngine engine() {
         return engine;
     }
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -7,7 +7,12 @@
 import gatelock.session.SessionRegistry;
 import java.util.List;
 
-/** A decision engine that passes what it learns of endpoints and builds on to the sessions too. */
+/**
+ * Wraps a decision engine and also passes updates of endpoints and releases to the WebSocket sessions.
+ *
+ * @param engine the wrapped engine
+ * @param sessions the sessions to update
+ */
 record SessionAwareEngine(DecisionEngine engine, SessionRegistry sessions) implements DecisionEngine {
 
     @Override
@@ -41,10 +46,10 @@
 
     @Override
     public void releaseStateUpdated(
-            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
-        engine.releaseStateUpdated(nowUs, build, stage, phase, cap, agoUs, answer);
-        // Any other answer is about a vote that was not counted, and says nothing of the release's state.
-        if (answer == VoteResponse.NOT_ASKED || answer == VoteResponse.COUNTED) {
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse voteResponse) {
+        engine.releaseStateUpdated(nowUs, build, stage, phase, cap, agoUs, voteResponse);
+        // Any other response is about a vote that was not counted, and carries no release state.
+        if (voteResponse == VoteResponse.NOT_ASKED || voteResponse == VoteResponse.COUNTED) {
             sessions.updateRelease(nowUs, build, phase);
         }
     }
--- a/src/main/java/gatelock/boot/SettingsValidator.java
+++ b/src/main/java/gatelock/boot/SettingsValidator.java
@@ -6,21 +6,20 @@
 import java.util.Set;
 
 /**
- * Checks that the settings hold what a relay can't serve without, and that each value is within its range.
+ * Checks that all required settings are present, and that each value is within its range.
  *
- * <p>Guards against another deployment's settings that lack something or are damaged: a default in its place would
- * go unnoticed until it does harm. Could do harm where a deployment may leave something out: then it is not
- * required here.
+ * <p>Guards against settings of another deployment that are incomplete or corrupt: a default in place of a missing
+ * value would go unnoticed until it causes damage. Settings that a deployment may omit are not required.
  */
 final class SettingsValidator {
-    /** The shortest time that a request may be given, in nanoseconds: a microsecond. */
+    /** The minimum deadline and target time of requests, in nanoseconds: 1 microsecond. */
     private static final double MIN_REQUEST_NS = 1_000;
-    /** No time is longer, in nanoseconds; sums of such times still fit a long. */
+    /** The maximum of all times, in nanoseconds; sums of such times still fit a long. */
     private static final double MAX_NS = 1e15;
 
     private static final double MAX_NUMBER = 1e12;
 
-    private static final String ADD_CLASSES = "write an object for each class of reqs";
+    private static final String ADD_CLASSES_REMEDY = "add an object for each class of requests";
 
     private static final List<String> OPTIONAL_TIMES = List.of(
             "limits.dialTimeoutNs",
@@ -63,46 +62,55 @@
     }
 
     private void validateRoutes() throws InvalidSettingException {
-        int routes = count("lanes", ADD_CLASSES);
+        int routes = count("lanes", ADD_CLASSES_REMEDY);
         if (routes == 0) {
-            throw new InvalidSettingException("lanes", null, "a list with a class in it", ADD_CLASSES);
+            throw new InvalidSettingException("lanes", null, "a list with at least one class", ADD_CLASSES_REMEDY);
         }
         for (int i = 0; i < routes; i++) {
-            String lane = "lanes." + i + ".";
+            String routePrefix = "lanes." + i + ".";
             requireInRange(
-                    lane + "deadlineNs", MIN_REQUEST_NS, MAX_NS, "say how long clients of this class wait, in ns");
+                    routePrefix + "deadlineNs",
+                    MIN_REQUEST_NS,
+                    MAX_NS,
+                    "set how long clients of this class wait, in ns");
             requireInRange(
-                    lane + "targetNs", MIN_REQUEST_NS, MAX_NS, "say by when an answer has its full worth, in ns");
-            checkInRange(lane + "keyTtlNs", 0, MAX_NS, "say how long units know a repeat, in ns");
-            checkInRange(lane + "worth", 0, MAX_NUMBER, "say what an answer is worth");
-            if (!settings.containsKey(lane + "effect")) {
+                    routePrefix + "targetNs",
+                    MIN_REQUEST_NS,
+                    MAX_NS,
+                    "set the response time up to which a response has its full worth, in ns");
+            checkInRange(routePrefix + "keyTtlNs", 0, MAX_NS, "set how long units recognize a repeated request, in ns");
+            checkInRange(routePrefix + "worth", 0, MAX_NUMBER, "set the worth of a response");
+            if (!settings.containsKey(routePrefix + "effect")) {
                 throw new InvalidSettingException(
-                        lane + "effect", null, "repeatable, by_key or once", "say whether reqs may be repeated");
+                        routePrefix + "effect",
+                        null,
+                        "repeatable, by_key or once",
+                        "set whether requests may be repeated");
             }
         }
         validateNames("lanes", routes);
     }
 
     private void validateTenants() throws InvalidSettingException {
-        int tenants = count("orgs", "write an object for each tenant");
+        int tenants = count("orgs", "add an object for each tenant");
         for (int i = 0; i < tenants; i++) {
-            checkInRange("orgs." + i + ".quotaPerS", 0, MAX_NUMBER, "say how many reqs a second are the tenant's");
+            checkInRange("orgs." + i + ".quotaPerS", 0, MAX_NUMBER, "set the request quota of the tenant per second");
         }
         validateNames("orgs", tenants);
     }
 
     private void validateScalars() throws InvalidSettingException {
-        checkInRange("replicasOfMe", 1, MAX_NUMBER, "say how many relays there are");
+        checkInRange("replicasOfMe", 1, MAX_NUMBER, "set the number of relays");
         for (String time : OPTIONAL_TIMES) {
-            checkInRange(time, 0, MAX_NS, "give a time in ns, or leave it out");
+            checkInRange(time, 0, MAX_NS, "set a time in ns, or omit it");
         }
         for (String number : OPTIONAL_NUMBERS) {
-            checkInRange(number, 0, MAX_NUMBER, "give a number from 0 on, or leave it out");
+            checkInRange(number, 0, MAX_NUMBER, "set a number that is not negative, or omit it");
         }
-        checkInRange("safety.coldFrom", 0, 1, "give the part of its speed that a unit starts with");
+        checkInRange("safety.coldFrom", 0, 1, "set the share of its full speed at which a unit starts");
     }
 
-    /** How many objects a list holds; 0 where it is absent or empty. */
+    /** Returns the number of objects in a list; 0 if it is absent or empty. */
     private int count(String list, String remedy) throws InvalidSettingException {
         String count = settings.get(list + ".count");
         if (count != null) {
@@ -115,14 +123,14 @@
         return 0;
     }
 
-    /** Each object of a list must have a name that no other one has. */
+    /** Checks that each object of a list has a unique name. */
     private void validateNames(String list, int count) throws InvalidSettingException {
         Set<String> names = new HashSet<>();
         for (int i = 0; i < count; i++) {
             String path = list + "." + i + ".name";
             String name = settings.get(path);
             if (name == null || name.isEmpty() || !names.add(name)) {
-                throw new InvalidSettingException(path, name, "a name of its own", "name each once");
+                throw new InvalidSettingException(path, name, "a unique name", "give each object a unique name");
             }
         }
     }
@@ -134,7 +142,7 @@
         checkInRange(path, min, max, remedy);
     }
 
-    /** A setting that is absent passes. */
+    /** Checks the range of a setting that may be absent. */
     private void checkInRange(String path, double min, double max, String remedy) throws InvalidSettingException {
         if (isAbsent(path)) {
             return;
@@ -148,8 +156,8 @@
     }
 
     private boolean isAbsent(String path) {
-        String text = settings.get(path);
-        return text == null || text.equals("-");
+        String value = settings.get(path);
+        return value == null || value.equals("-");
     }
 
     private static double parseOrNaN(String text) {
--- a/src/main/java/gatelock/boot/SighupHandler.java
+++ b/src/main/java/gatelock/boot/SighupHandler.java
@@ -3,18 +3,18 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Handles SIGHUP, which ends a Java program that does not handle it. It is therefore installed first of all, and a
- * signal that comes before there is an action is remembered until there is one. Nothing in the standard library
- * handles signals, and the JDK's own Signal class can't be named without a compiler warning that nothing turns off:
- * hence the reflection.
+ * Handles SIGHUP, which terminates a Java process that does not handle it. The handler is therefore installed before
+ * anything else, and a signal that arrives before an action is set is kept pending until then. The standard library has
+ * no API for signals, and a direct use of the JDK's Signal class causes a compiler warning that cannot be suppressed.
+ * This class therefore uses reflection.
  */
 final class SighupHandler {
     private Runnable action;
-    private boolean received;
+    private boolean pending;
 
     private SighupHandler() {}
 
-    /** Installs the handler: from now on SIGHUP does not end the program. */
+    /** Installs the handler. From now on SIGHUP does not terminate the process. */
     static SighupHandler install() {
         SighupHandler sighup = new SighupHandler();
         try {
@@ -28,28 +28,29 @@
             signal.getMethod("handle", signal, handlerType)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), handler);
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("SIGHUP can't be taken on this virtual machine", e);
+            throw new IllegalStateException("cannot install a SIGHUP handler on this JVM", e);
         }
         return sighup;
     }
 
     private synchronized void receive() {
         if (action == null) {
-            received = true;
+            pending = true;
         } else {
             action.run();
         }
     }
 
     /**
-     * Runs an action on each SIGHUP from now on, on a thread of the virtual machine, and at once if one came before.
+     * Sets the action that runs on each SIGHUP, on a thread of the JVM. If a signal is pending, runs the action
+     * immediately.
      *
-     * <p>Guards against a configuration that changes while a process starts: the process has read the old one, and
-     * would use its addresses for good. Could do no harm: at worst the same file is read twice.
+     * <p>Guards against a configuration that changes while the process starts: the process has already read the old
+     * file and would keep using its addresses. In the worst case the same file is read twice, which is harmless.
      */
     synchronized void setAction(Runnable action) {
         this.action = action;
-        if (received) {
+        if (pending) {
             action.run();
         }
     }
--- a/src/main/java/gatelock/boot/StartMode.java
+++ b/src/main/java/gatelock/boot/StartMode.java
@@ -2,10 +2,10 @@
 
 /** How a relay starts. */
 enum StartMode {
-    /** It warms up on requests of its own before it reports that it is ready. */
+    /** Warms up with its own requests before it reports that it is ready. */
     WARM,
-    /** It does not warm up. */
+    /** Starts without a warm-up. */
     COLD,
-    /** It warms up on a free port and ends. */
+    /** Warms up on a free port and exits. */
     WARM_UP_ONLY
 }
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -21,11 +21,11 @@
 import org.xnio.IoUtils;
 
 /**
- * Warms the process up before a relay reports that it is ready: a pipeline of its own, with decisions that are thrown
- * away, takes requests from this very process and forwards them to it as to endpoints.
+ * Warms up the process before a relay reports that it is ready. A separate pipeline, whose decisions are discarded,
+ * receives requests from this process and forwards them to this process, which also acts as the endpoints.
  *
- * <p>Guards against a cold virtual machine that gets a whole relay's load in its first second, falls behind and stays
- * there.
+ * <p>Guards against a cold JVM that receives the full load of a relay in its first second, falls behind and does not
+ * catch up.
  */
 final class StartupWarmUp {
     private static final System.Logger LOG = System.getLogger("gatelock.boot");
@@ -37,56 +37,58 @@
     private static final int MAX_REQUESTS = 4_000;
     private static final int CONCURRENT_REQUESTS = 8;
     private static final int ENDPOINTS = 20;
-    /** The canary build and its cap: the share of requests that may go to it. */
+    /** The canary build; {@link #CANARY_CAP} is its exposure cap, the share of requests that it may receive. */
     private static final int CANARY_BUILD = 1;
 
     private static final double CANARY_CAP = 0.3;
     private static final int BODY_BYTES = 200;
     private static final byte[] RESPONSE_BODY = new byte[BODY_BYTES];
-    private static final int COOKIES = 1000;
+    private static final int DISTINCT_COOKIES = 1000;
     private static final String ID_HEADER = "X-Trace-Id";
 
     private final RelayConfig config;
     private final InetSocketAddress address;
     private final EventLoop eventLoop;
     private final ClientListener clientListener;
-    private final HttpHandler clientRequests;
+    private final HttpHandler clientHandler;
     private final Consumer<StartupWarmUp> whenDone;
     private final Counters counters = new Counters();
     private final RequestPipeline pipeline;
-    private final ConnectionPool selfPool;
+    private final ConnectionPool clientPool;
     private final String idPrefix;
     private int sent;
-    private int running;
-    private boolean over;
+    private int activeSenders;
+    private boolean stopping;
 
     /**
      * Prepares a warm-up.
      *
-     * @param address where this relay listens
-     * @param clientRequests takes the requests that are not the warm-up's own
-     * @param whenDone runs once all requests of the warm-up have ended
+     * @param config the relay's configuration
+     * @param address the address on which this relay listens
+     * @param clientListener accepts the connections of the warm-up and of clients
+     * @param clientHandler handles requests that do not belong to the warm-up
+     * @param whenDone called once all requests of the warm-up have ended
      */
     StartupWarmUp(
             RelayConfig config,
             InetSocketAddress address,
             EventLoop eventLoop,
             ClientListener clientListener,
-            HttpHandler clientRequests,
+            HttpHandler clientHandler,
             Consumer<StartupWarmUp> whenDone) {
-        this.clientRequests = clientRequests;
+        this.clientHandler = clientHandler;
         this.config = config;
         this.address = address;
         this.eventLoop = eventLoop;
         this.clientListener = clientListener;
         this.whenDone = whenDone;
         this.pipeline = new RequestPipeline(config, eventLoop, counters, clientListener, null, null, null);
-        this.selfPool = new ConnectionPool(
+        this.clientPool = new ConnectionPool(
                 eventLoop, new Counters(), CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, 0, CONCURRENT_REQUESTS);
         this.idPrefix = "rehearsal-" + Long.toHexString(config.settings().seed()) + "-";
     }
 
-    /** Sends requests until there were enough, the time is over, or the first client comes. */
+    /** Sends requests until the maximum number or duration is reached, or until the first client request arrives. */
     void begin() {
         DecisionEngine engine = pipeline.engine();
         engine.start(eventLoop.nowUs());
@@ -102,13 +104,13 @@
                 DecisionEngine.VoteResponse.NOT_ASKED);
         clientListener.setRequestHandler(this::handle, false);
         for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
-            running++;
+            activeSenders++;
             sendNext();
         }
-        eventLoop.schedule(MAX_DURATION_US, () -> over = true);
+        eventLoop.schedule(MAX_DURATION_US, () -> stopping = true);
     }
 
-    /** Endpoints that are all this relay itself: of two builds, in two zones and of two kinds. */
+    /** Registers endpoints of two builds, two zones and two kinds, which all have the address of this relay. */
     private List<Endpoint> registerEndpoints() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
@@ -121,17 +123,18 @@
     }
 
     /**
-     * Wraps the handler that takes requests once the warm-up has ended: attempts of the warm-up are closed.
+     * Wraps the handler that is used once the warm-up has ended: it closes the connections of attempts that belong to
+     * the warm-up.
      *
-     * <p>Guards against an attempt of the warm-up that is read only then, and that no endpoint may see. Harms nobody,
-     * as its ids are this start's own.
+     * <p>Guards against forwarding an attempt of the warm-up to an endpoint if the attempt is read only after the end
+     * of the warm-up. Clients are not affected, because the ids of the warm-up are unique to this start.
      */
-    HttpHandler closeOwnRequestsBefore(HttpHandler real) {
+    HttpHandler wrapToCloseOwnRequests(HttpHandler delegate) {
         return exchange -> {
             if (isOwn(exchange.getRequestHeaders().getFirst(ID_HEADER))) {
                 IoUtils.safeClose(exchange.getConnection());
             } else {
-                real.handleRequest(exchange);
+                delegate.handleRequest(exchange);
             }
         };
     }
@@ -141,18 +144,19 @@
     }
 
     /**
-     * Handles a request during the warm-up. The warm-up's own come twice: first as from a client, then as to an
-     * endpoint, while the first is still in flight.
+     * Handles a request during the warm-up. Each request of the warm-up arrives twice: first as a client's request, and
+     * then, while that is still in flight, as the attempt at an endpoint.
      *
-     * <p>Guards against clients that come before this relay is ready: their requests must not be part of the warm-up,
-     * as nobody but this relay would answer them. They are held, and the warm-up ends at once. Should hold whenever
-     * they come; could do harm where thousands come then, as the code is less warm for them.
+     * <p>Guards against clients that connect before this relay is ready. Their requests must not be part of the
+     * warm-up, because only this relay itself would answer them. They are passed to the client handler, which queues
+     * them until the relay is ready, and the warm-up ends immediately. This applies at any time during the warm-up. If
+     * thousands of requests arrive early, the code that processes them is less warm.
      */
     private void handle(HttpServerExchange exchange) throws Exception {
         String id = exchange.getRequestHeaders().getFirst(ID_HEADER);
         if (!isOwn(id)) {
-            over = true;
-            clientRequests.handleRequest(exchange);
+            stopping = true;
+            clientHandler.handleRequest(exchange);
         } else if (pipeline.inFlight().get(id) == null) {
             pipeline.requestReader().handleRequest(exchange);
         } else {
@@ -162,16 +166,16 @@
     }
 
     private void sendNext() {
-        if (over || sent >= MAX_REQUESTS) {
-            running--;
-            if (running == 0) {
-                end();
+        if (stopping || sent >= MAX_REQUESTS) {
+            activeSenders--;
+            if (activeSenders == 0) {
+                finish();
             }
             return;
         }
         ByteBuffer request = StandardCharsets.US_ASCII.encode(requestText(sent));
         sent++;
-        selfPool.send(address, request, REQUEST_TIMEOUT_US, new OutboundConnection.ResponseHandler() {
+        clientPool.send(address, request, REQUEST_TIMEOUT_US, new OutboundConnection.ResponseHandler() {
             @Override
             public boolean onResponse(UpstreamResponse response) {
                 eventLoop.execute(StartupWarmUp.this::sendNext);
@@ -190,23 +194,23 @@
         });
     }
 
-    /** A request to each route in turn: GET where it is retriable, else POST with an idempotency key and a body. */
+    /** Returns a request to each route in turn: GET if the route is retriable, otherwise POST with a key and a body. */
     private String requestText(int number) {
         List<RoutePolicy> routes = config.settings().routes();
         int route = number % routes.size();
-        boolean get = routes.get(route).retrySafety() == RoutePolicy.RetrySafety.RETRIABLE;
+        boolean isGet = routes.get(route).retrySafety() == RoutePolicy.RetrySafety.RETRIABLE;
         String name = config.rawSettings().get("lanes." + route + ".name");
         StringBuilder text = new StringBuilder()
-                .append(get ? "GET /" : "POST /")
+                .append(isGet ? "GET /" : "POST /")
                 .append(name)
                 .append(" HTTP/1.1\r\nHost: rehearsal\r\n")
                 .append(ID_HEADER + ": ")
                 .append(idPrefix)
                 .append(number)
                 .append("\r\nX-Customer: none\r\nCookie: k=")
-                .append(Integer.toHexString(number % COOKIES))
+                .append(Integer.toHexString(number % DISTINCT_COOKIES))
                 .append("\r\nX-Expires-In-Ms: 500\r\nX-Size-Hint: 2000\r\n");
-        if (get) {
+        if (isGet) {
             return text.append("\r\n").toString();
         }
         return text.append("Idempotency-Key: ")
@@ -216,11 +220,11 @@
                 .toString();
     }
 
-    /** All requests of the warm-up have ended. */
-    private void end() {
+    /** Completes the warm-up after all of its requests have ended. */
+    private void finish() {
         LOG.log(Level.INFO, "rehearsed " + sent + " requests: " + counters);
         pipeline.stopWarmUp();
-        selfPool.shutdown();
+        clientPool.shutdown();
         whenDone.accept(this);
     }
 }
--- a/src/main/java/gatelock/boot/package-info.java
+++ b/src/main/java/gatelock/boot/package-info.java
@@ -1,2 +1,2 @@
-/** Starts and stops the program: the command line, the configuration, assembly of the parts, warm-up and shutdown. */
+/** Starts and stops the process: command line, configuration, assembly of the parts, warm-up and shutdown. */
 package gatelock.boot;
--- a/src/main/java/gatelock/simulator/FieldReader.java
+++ b/src/main/java/gatelock/simulator/FieldReader.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * Reads the fields of one line in order: the message's name, then its values, separated by single spaces. A value that
- * is missing or {@code -} is absent.
+ * Reads the fields of one line in order: the name of the message, then its values, separated by single spaces. A value
+ * that is missing or {@code -} is absent.
  *
- * <p>Each {@code what} parameter names the value in the {@link MalformedLineException} that is thrown where it is
- * absent or not of its kind.
+ * <p>The {@code fieldName} parameters name the value in the {@link MalformedLineException} that is thrown if a required
+ * value is absent or if a value has the wrong type.
  */
 final class FieldReader {
     private static final String ABSENT = "-";
@@ -17,12 +17,13 @@
     private final String name;
     private int position;
 
+    /** Creates a reader of one line and reads the name of its message. */
     FieldReader(String line) {
         this.line = line;
         this.name = nextField();
     }
 
-    /** The message's name. */
+    /** Returns the name of the message. */
     String name() {
         return name;
     }
@@ -41,76 +42,76 @@
         return field.isEmpty() || field.equals(ABSENT);
     }
 
-    /** Reads a text that must be there. */
-    String requiredText(String what) {
+    /** Reads a required text. */
+    String requiredText(String fieldName) {
         String field = nextField();
         if (isAbsent(field)) {
-            throw new MalformedLineException("expected " + what + " in " + name);
+            throw new MalformedLineException("expected " + fieldName + " in " + name);
         }
         return field;
     }
 
-    /** Reads what is left of the line, with its spaces. */
+    /** Reads the rest of the line, including its spaces. */
     String rest() {
         return position > line.length() ? "" : line.substring(position);
     }
 
-    /** Reads a whole number that must be there. */
-    long requiredLong(String what) {
-        return parseLong(requiredText(what), what);
+    /** Reads a required integer. */
+    long requiredLong(String fieldName) {
+        return parseLong(requiredText(fieldName), fieldName);
     }
 
-    /** Reads a whole number that must be there and fit an int. */
-    int requiredInt(String what) {
-        return (int) requiredLong(what);
+    /** Reads a required integer that must fit an int; the value is cast without a check. */
+    int requiredInt(String fieldName) {
+        return (int) requiredLong(fieldName);
     }
 
-    /** Reads a whole number, or the default where it is absent. */
+    /** Reads an integer, or returns the default if it is absent. */
     long optionalLong(long defaultValue) {
         String field = nextField();
-        return isAbsent(field) ? defaultValue : parseLong(field, "a whole number");
+        return isAbsent(field) ? defaultValue : parseLong(field, "an integer");
     }
 
-    /** Reads a whole number that fits an int, or the default where it is absent. */
+    /** Reads an integer that must fit an int, or returns the default if it is absent; cast without a check. */
     int optionalInt(int defaultValue) {
         return (int) optionalLong(defaultValue);
     }
 
-    /** Reads a number, or the default where it is absent. */
+    /** Reads a number, or returns the default if it is absent. */
     double optionalDouble(double defaultValue) {
         String field = nextField();
         return isAbsent(field) ? defaultValue : parseDouble(field);
     }
 
-    /** Reads an index below {@code count} that must be there. */
-    int requiredIndex(String what, int count) {
-        return checkIndex(count, requiredLong(what), what);
+    /** Reads a required index from 0 to {@code count} - 1. */
+    int requiredIndex(String fieldName, int count) {
+        return checkIndex(count, requiredLong(fieldName), fieldName);
     }
 
-    /** Reads an index below {@code count}, or the default where it is absent. */
-    int optionalIndex(int defaultValue, String what, int count) {
-        return checkIndex(count, optionalLong(defaultValue), what);
+    /** Reads an index from 0 to {@code count} - 1, or returns the default if it is absent. */
+    int optionalIndex(int defaultValue, String fieldName, int count) {
+        return checkIndex(count, optionalLong(defaultValue), fieldName);
     }
 
-    private int checkIndex(int count, long value, String what) {
+    private int checkIndex(int count, long value, String fieldName) {
         if (value < 0 || value >= count) {
             throw new MalformedLineException(
-                    "expected " + what + " below " + count + " in " + name + ", found " + value);
+                    "expected " + fieldName + " below " + count + " in " + name + ", found " + value);
         }
         return (int) value;
     }
 
-    /** Reads a word that must be one of the given ones, and returns what it stands for. */
-    <T> T oneOf(Map<String, T> meanings, String what) {
-        String word = requiredText(what);
-        T meaning = meanings.get(word);
-        if (meaning == null) {
-            throw new MalformedLineException("expected " + what + " in " + name + ", found " + word);
+    /** Reads a required word that must be one of the given keys, and returns the value of that key. */
+    <T> T oneOf(Map<String, T> valuesByWord, String fieldName) {
+        String word = requiredText(fieldName);
+        T value = valuesByWord.get(word);
+        if (value == null) {
+            throw new MalformedLineException("expected " + fieldName + " in " + name + ", found " + word);
         }
-        return meaning;
+        return value;
     }
 
-    /** Reads an endpoint's load report: name:value pairs separated by commas. */
+    /** Reads an endpoint's load report: comma-separated name:value pairs, of which only {@code waiting} is used. */
     LoadReport loadReport() {
         String field = nextField();
         if (isAbsent(field)) {
@@ -130,11 +131,11 @@
         return new LoadReport(waiting);
     }
 
-    private long parseLong(String field, String what) {
+    private long parseLong(String field, String fieldName) {
         try {
             return Long.parseLong(field);
         } catch (NumberFormatException e) {
-            throw new MalformedLineException("expected " + what + " in " + name + ", found " + field);
+            throw new MalformedLineException("expected " + fieldName + " in " + name + ", found " + field);
         }
     }
 
--- a/src/main/java/gatelock/simulator/HostedRelay.java
+++ b/src/main/java/gatelock/simulator/HostedRelay.java
@@ -12,20 +12,21 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One hosted relay: its decision engine and the requests in flight. It gets the events of its lines. */
+/** One hosted relay: its decision engine and its requests in flight. Handles the lines addressed to this relay. */
 final class HostedRelay {
     private static final int NS_PER_US = 1_000;
 
     private final DecisionActions actions;
     private final List<List<Endpoint>> endpointLists;
     private final Map<String, RequestHandle> inFlight = new HashMap<>();
-    /** Null while the relay is stopped. */
+    /** The decision engine; null while the relay is stopped. */
     private DecisionEngine engine;
 
     /**
      * Creates a relay that is stopped.
      *
-     * @param endpointLists the lists that batches have sent, by their number; shared with the host
+     * @param actions carries out the decisions of the engine
+     * @param endpointLists the endpoint lists received so far, by number; shared with the host
      */
     HostedRelay(DecisionActions actions, List<List<Endpoint>> endpointLists) {
         this.actions = actions;
@@ -68,9 +69,9 @@
             case "COMPLAINT" -> handleComplaint(nowUs, fields);
             case "ABANDONED", "HEAD_RECEIVED" ->
                 forRequestInFlight(fields.requiredText("msgId"), request -> request.responseNoLongerOwed(nowUs));
-            case "SCORECARD" -> handleCounts(nowUs, fields);
+            case "SCORECARD" -> handleFleetSample(nowUs, fields);
             case "MAIL", "CHECKED" -> {
-                // This engine sends no messages and no health checks, so their answers mean nothing to it.
+                // This engine sends no messages or health checks, so it ignores their results.
             }
             default -> throw new MalformedLineException("expected an event, found " + fields.name());
         }
@@ -81,13 +82,13 @@
         int route = fields.requiredInt("service");
         int tenant = fields.optionalInt(0);
         long key = fields.optionalLong(DecisionEngine.NO_KEY);
-        long leftUs = SettingsDecoder.nsToUs(fields.requiredLong("expiresInNs"));
+        long remainingUs = SettingsDecoder.nsToUs(fields.requiredLong("expiresInNs"));
         long costNs = fields.optionalLong(0);
         boolean costIsKnown = (fields.optionalLong(0) & 1) != 0;
         long costUs = costIsKnown ? SettingsDecoder.nsToUs(costNs) : 0;
-        RequestHandle request = engine.acceptRequest(nowUs, id, route, tenant, key, leftUs, costUs);
+        RequestHandle request = engine.acceptRequest(nowUs, id, route, tenant, key, remainingUs, costUs);
         inFlight.put(id, request);
-        forgetIfSettled(id, request);
+        removeIfSettled(id, request);
     }
 
     private void handleAttemptResult(long nowUs, FieldReader fields) {
@@ -95,22 +96,22 @@
         int attemptNo = fields.requiredInt("hop");
         fields.requiredText("unit");
         AttemptResult result = fields.oneOf(WireCodes.ATTEMPT_RESULTS, "result");
-        long tookUs = fields.requiredLong("durationNs") / NS_PER_US;
-        boolean over = fields.requiredLong("over") == 1;
+        long durationUs = fields.requiredLong("durationNs") / NS_PER_US;
+        boolean answered = fields.requiredLong("over") == 1;
         LoadReport load = fields.loadReport();
-        forRequestInFlight(id, request -> request.attemptEnded(nowUs, attemptNo, result, tookUs, over, load));
+        forRequestInFlight(id, request -> request.attemptEnded(nowUs, attemptNo, result, durationUs, answered, load));
     }
 
-    /** A request that is no longer in flight is ignored. */
+    /** Applies an action to a request in flight. Has no effect if the request is no longer in flight. */
     private void forRequestInFlight(String id, Consumer<RequestHandle> action) {
         RequestHandle request = inFlight.get(id);
         if (request != null) {
             action.accept(request);
-            forgetIfSettled(id, request);
+            removeIfSettled(id, request);
         }
     }
 
-    private void forgetIfSettled(String id, RequestHandle request) {
+    private void removeIfSettled(String id, RequestHandle request) {
         if (request.isSettled()) {
             inFlight.remove(id);
         }
@@ -118,43 +119,49 @@
 
     private void handleEndpointList(long nowUs, FieldReader fields) {
         fields.requiredLong("seqNo");
-        DecisionEngine.EndpointUpdateType form =
-                WireCodes.LIST_FORMS.get(fields.requiredIndex("form", WireCodes.LIST_FORMS.size()));
-        List<Endpoint> endpoints = form == DecisionEngine.EndpointUpdateType.FAILED
+        DecisionEngine.EndpointUpdateType updateType = WireCodes.ENDPOINT_UPDATE_TYPES.get(
+                fields.requiredIndex("form", WireCodes.ENDPOINT_UPDATE_TYPES.size()));
+        List<Endpoint> endpoints = updateType == DecisionEngine.EndpointUpdateType.FAILED
                 ? List.of()
                 : endpointLists.get(fields.requiredIndex("list", endpointLists.size()));
-        engine.endpointsUpdated(nowUs, form, endpoints);
+        engine.endpointsUpdated(nowUs, updateType, endpoints);
     }
 
     private void handleReleaseState(long nowUs, FieldReader fields) {
         int stage = fields.optionalInt(0);
         double cap = fields.optionalDouble(0);
-        long agoUs = fields.optionalLong(0) / NS_PER_US;
-        boolean asked = fields.optionalLong(0) == 1;
+        long ageUs = fields.optionalLong(0) / NS_PER_US;
+        boolean answersVote = fields.optionalLong(0) == 1;
         DecisionEngine.ReleasePhase phase =
                 WireCodes.PHASES.get(fields.optionalIndex(0, "phase", WireCodes.PHASES.size()));
-        DecisionEngine.VoteResponse answer = fields.oneOf(WireCodes.VOTE_ANSWERS, "result");
+        DecisionEngine.VoteResponse voteResponse = fields.oneOf(WireCodes.VOTE_RESPONSES, "result");
         int build = fields.optionalInt(0);
-        // News that was not asked for also comes with the word of a counted vote.
-        boolean unasked = !asked && answer == DecisionEngine.VoteResponse.COUNTED;
+        // An update that does not answer a vote carries the result word of a counted vote, too.
+        boolean unsolicited = !answersVote && voteResponse == DecisionEngine.VoteResponse.COUNTED;
         engine.releaseStateUpdated(
-                nowUs, build, stage, phase, cap, agoUs, unasked ? DecisionEngine.VoteResponse.NOT_ASKED : answer);
+                nowUs,
+                build,
+                stage,
+                phase,
+                cap,
+                ageUs,
+                unsolicited ? DecisionEngine.VoteResponse.NOT_ASKED : voteResponse);
     }
 
     private void handleComplaint(long nowUs, FieldReader fields) {
         String endpoint = fields.requiredText("unit");
         int route = fields.requiredInt("service");
-        long agoUs = fields.requiredLong("behindNs") / NS_PER_US;
-        engine.complaintReceived(nowUs, endpoint, route, agoUs);
+        long ageUs = fields.requiredLong("behindNs") / NS_PER_US;
+        engine.complaintReceived(nowUs, endpoint, route, ageUs);
     }
 
-    private void handleCounts(long nowUs, FieldReader fields) {
+    private void handleFleetSample(long nowUs, FieldReader fields) {
         int failed = fields.optionalInt(0);
         long meanUs = fields.optionalLong(0) / NS_PER_US;
-        long agoUs = fields.optionalLong(0) / NS_PER_US;
+        long ageUs = fields.optionalLong(0) / NS_PER_US;
         int build = fields.requiredInt("rel");
         int count = fields.optionalInt(0);
         int route = fields.requiredInt("service");
-        engine.fleetSampleReceived(nowUs, build, route, count, failed, meanUs, agoUs);
+        engine.fleetSampleReceived(nowUs, build, route, count, failed, meanUs, ageUs);
     }
 }
--- a/src/main/java/gatelock/simulator/MalformedSettingException.java
+++ b/src/main/java/gatelock/simulator/MalformedSettingException.java
@@ -1,6 +1,6 @@
 package gatelock.simulator;
 
-/** A setting whose value is not of its kind. */
+/** Thrown for a setting whose value cannot be parsed or is not one of the allowed values. */
 public final class MalformedSettingException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -10,12 +10,12 @@
     private final String remedy;
 
     /**
-     * Says what is wrong with one setting.
+     * Creates an exception for one setting.
      *
      * @param path the setting's path, such as {@code lanes.0.effect}
-     * @param found the value that is there
-     * @param expected what kind of value it should be
-     * @param remedy what to write instead; may be empty
+     * @param found the value that was found
+     * @param expected describes the expected value
+     * @param remedy how to correct the setting; may be empty
      */
     MalformedSettingException(String path, String found, String expected, String remedy) {
         super("expected " + expected + " for " + path + ", found " + found);
@@ -25,22 +25,22 @@
         this.remedy = remedy;
     }
 
-    /** The setting's path, such as {@code lanes.0.effect}. */
+    /** Returns the setting's path, such as {@code lanes.0.effect}. */
     public String path() {
         return path;
     }
 
-    /** The value that is there. */
+    /** Returns the value that was found. */
     public String found() {
         return found;
     }
 
-    /** What kind of value it should be. */
+    /** Returns the description of the expected value. */
     public String expected() {
         return expected;
     }
 
-    /** What to write instead; may be empty. */
+    /** Returns how to correct the setting; may be empty. */
     public String remedy() {
         return remedy;
     }
--- a/src/main/java/gatelock/simulator/Reply.java
+++ b/src/main/java/gatelock/simulator/ReplyWriter.java
@@ -6,8 +6,8 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the reply to a batch: one line for each action, under an {@code AT} line that names the relay. */
-final class Reply {
+/** Writes the reply to a batch: a line for each action, preceded by an {@code AT} line where the relay changes. */
+final class ReplyWriter {
     private static final int INITIAL_CHARS = 1 << 16;
     private static final int NO_RELAY = -1;
     private static final int NS_PER_US = 1_000;
@@ -16,16 +16,17 @@
     private final StringBuilder text = new StringBuilder(INITIAL_CHARS);
     private int currentRelay = NO_RELAY;
 
-    Reply(OutputStream out) {
+    /** Creates a writer of replies. */
+    ReplyWriter(OutputStream out) {
         this.out = out;
     }
 
-    /** Begins the reply to a batch. */
+    /** Starts the reply to a batch. */
     void begin() {
         currentRelay = NO_RELAY;
     }
 
-    /** Ends the reply to a batch, and flushes it. */
+    /** Completes the reply to a batch and flushes it. */
     void end() throws IOException {
         text.append("ACK\n");
         out.write(text.toString().getBytes(StandardCharsets.UTF_8));
@@ -33,12 +34,12 @@
         text.setLength(0);
     }
 
-    /** The actions of one relay, which are written to this reply. */
+    /** Returns the actions of one relay, which write their lines to this reply. */
     DecisionActions actionsOf(int relay) {
         return new RelayActions(relay);
     }
 
-    /** Begins a line; returns where its values go, each after a space. */
+    /** Starts a line; the caller appends its values to the returned builder, each preceded by a space. */
     private StringBuilder line(int relay, String name) {
         if (currentRelay != relay) {
             text.append("AT ").append(relay).append('\n');
@@ -47,7 +48,7 @@
         return text.append(name);
     }
 
-    /** Writes what one relay's decisions ask for. */
+    /** Writes the actions that one relay's decision engine requests. */
     private final class RelayActions implements DecisionActions {
         private final int relay;
 
--- a/src/main/java/gatelock/simulator/SettingsDecoder.java
+++ b/src/main/java/gatelock/simulator/SettingsDecoder.java
@@ -10,17 +10,18 @@
 import java.util.TreeSet;
 
 /**
- * Decodes the settings that a relay gets at its start, whatever carried them: path=value pairs, where {@code -} stands
- * for an absent value. Times become microseconds, rounded to the safe side.
+ * Decodes the settings that a relay receives at its start, both from the simulator and from its configuration file.
+ * They are path=value pairs, where {@code -} stands for an absent value. Times are converted to microseconds and
+ * rounded in the safe direction.
  */
 public final class SettingsDecoder {
     private static final int NS_PER_US = 1_000;
-    /** How long a connection is kept where nothing says when an endpoint closes it: for ever. */
-    private static final long KEPT_FOREVER_US = Long.MAX_VALUE / 4;
+    /** The idle time of connections if the settings do not state when endpoints close them: practically unlimited. */
+    private static final long NO_IDLE_TIMEOUT_US = Long.MAX_VALUE / 4;
 
     private static final String ABSENT = "-";
 
-    private static final Map<String, RoutePolicy.RetrySafety> REPEATS = Map.of(
+    private static final Map<String, RoutePolicy.RetrySafety> RETRY_SAFETIES = Map.of(
             "repeatable",
             RoutePolicy.RetrySafety.RETRIABLE,
             "by_key",
@@ -34,7 +35,7 @@
             RoutePolicy.DedupScope.ZONE,
             "cell",
             RoutePolicy.DedupScope.CELL);
-    private static final Map<String, RolloutPolicy.PromotionMode> GATE_MODES = Map.of(
+    private static final Map<String, RolloutPolicy.PromotionMode> PROMOTION_MODES = Map.of(
             "first_voice",
             RolloutPolicy.PromotionMode.FIRST_VOICE,
             "by_count",
@@ -60,7 +61,7 @@
         return pairs;
     }
 
-    /** Whole microseconds, rounded down, but at least one for any time above 0; 0 for 0 and below. */
+    /** Converts to microseconds: rounded down, but at least 1 for any time above 0; 0 for 0 and negative times. */
     static long nsToUs(long ns) {
         return ns > 0 ? Math.max(1, ns / NS_PER_US) : 0;
     }
@@ -68,19 +69,19 @@
     /**
      * Decodes path=value pairs.
      *
-     * @throws MalformedSettingException where a value is not of its kind
+     * @throws MalformedSettingException if a value cannot be parsed or is not one of the allowed values
      */
     public static RelaySettings decode(long seed, Map<String, String> pairs) {
         return new SettingsDecoder(pairs).decode(seed);
     }
 
-    /** Decodes one time to microseconds; 0 where it is absent. */
+    /** Decodes one time and returns it in microseconds; 0 if it is absent. */
     public static long timeUs(Map<String, String> pairs, String path) {
         return new SettingsDecoder(pairs).timeUs(path);
     }
 
     private RelaySettings decode(long seed) {
-        // Decoded in this order, so that of several malformed values always the same one is reported.
+        // The order is fixed so that, of several malformed values, the same one is always reported.
         List<RoutePolicy> routes = routes();
         List<RelaySettings.Tenant> tenants = tenants();
         RolloutPolicy rollout = rollout();
@@ -103,20 +104,20 @@
                 number("safety.overloadFactor", 1),
                 timeUs("safety.fallNs"),
                 number("costs.handshake", 0),
-                connectionIdleUs > 0 ? connectionIdleUs * 3 / 4 : KEPT_FOREVER_US,
+                connectionIdleUs > 0 ? connectionIdleUs * 3 / 4 : NO_IDLE_TIMEOUT_US,
                 rollout);
     }
 
     private List<RoutePolicy> routes() {
         List<RoutePolicy> routes = new ArrayList<>();
         for (int i = 0; i < wholeNumber("lanes.count", 0); i++) {
-            String lane = "lanes." + i + ".";
+            String routePrefix = "lanes." + i + ".";
             routes.add(new RoutePolicy(
-                    oneOf(lane + "effect", REPEATS, RoutePolicy.RetrySafety.NON_RETRIABLE),
-                    oneOf(lane + "dedupScope", DEDUP_SCOPES, RoutePolicy.DedupScope.CELL),
-                    timeUs(lane + "keyTtlNs"),
-                    timeUs(lane + "targetNs"),
-                    number(lane + "worth", 1)));
+                    oneOf(routePrefix + "effect", RETRY_SAFETIES, RoutePolicy.RetrySafety.NON_RETRIABLE),
+                    oneOf(routePrefix + "dedupScope", DEDUP_SCOPES, RoutePolicy.DedupScope.CELL),
+                    timeUs(routePrefix + "keyTtlNs"),
+                    timeUs(routePrefix + "targetNs"),
+                    number(routePrefix + "worth", 1)));
         }
         return routes;
     }
@@ -131,7 +132,7 @@
 
     private RolloutPolicy rollout() {
         return new RolloutPolicy(
-                oneOf("familyInfo.gateMode", GATE_MODES, RolloutPolicy.PromotionMode.COUNT),
+                oneOf("familyInfo.gateMode", PROMOTION_MODES, RolloutPolicy.PromotionMode.COUNT),
                 Math.max(timeUs("familyInfo.bakeNs"), timeUs("familyInfo.autoAfterNs")),
                 timeUs("familyInfo.voteLifeNs"),
                 timeUs("familyInfo.voteWaitNs"),
@@ -154,17 +155,17 @@
         return "true".equals(value) || "1".equals(value);
     }
 
-    private <T> T oneOf(String path, Map<String, T> meanings, T defaultValue) {
+    private <T> T oneOf(String path, Map<String, T> valuesByWord, T defaultValue) {
         String word = pairs.get(path);
         if (word == null || word.equals(ABSENT)) {
             return defaultValue;
         }
-        T meaning = meanings.get(word);
-        if (meaning == null) {
-            String remedy = "use one of " + String.join(", ", new TreeSet<>(meanings.keySet()));
-            throw new MalformedSettingException(path, word, "a known value", remedy);
+        T value = valuesByWord.get(word);
+        if (value == null) {
+            String remedy = "use one of " + String.join(", ", new TreeSet<>(valuesByWord.keySet()));
+            throw new MalformedSettingException(path, word, "one of the allowed values", remedy);
         }
-        return meaning;
+        return value;
     }
 
     private long wholeNumber(String path, long defaultValue) {
@@ -176,7 +177,7 @@
         return value == null || value.equals(ABSENT) ? defaultValue : parseNumber(path, value);
     }
 
-    /** A list of numbers; empty where it is absent. */
+    /** Decodes a list of numbers; returns an empty array if it is absent. */
     private double[] numbers(String path) {
         String value = pairs.get(path);
         if (value == null || value.isEmpty() || value.equals(ABSENT)) {
--- a/src/main/java/gatelock/simulator/SimulatorHost.java
+++ b/src/main/java/gatelock/simulator/SimulatorHost.java
@@ -12,8 +12,8 @@
 import java.util.Optional;
 
 /**
- * Hosts many relays on the simulator's lines, from standard input to standard output: a reply for each batch. The
- * relays share nothing but the endpoint lists that a batch carries.
+ * Hosts many relays for the simulator: reads batches of lines from standard input and writes a reply to each batch to
+ * standard output. The relays share only the endpoint lists that are sent in batches.
  */
 public final class SimulatorHost {
     private static final int ENDPOINT_LISTS = 16;
@@ -21,16 +21,17 @@
     private static final int EXIT_MALFORMED = 2;
 
     private final LineReader lines;
-    private final Reply reply;
+    private final ReplyWriter reply;
     private final Map<Integer, HostedRelay> relays = new HashMap<>();
     private final List<List<Endpoint>> endpointLists = new ArrayList<>(Collections.nCopies(ENDPOINT_LISTS, List.of()));
 
+    /** Creates a host without relays. */
     SimulatorHost(InputStream in, OutputStream out) {
         this.lines = new LineReader(in);
-        this.reply = new Reply(out);
+        this.reply = new ReplyWriter(out);
     }
 
-    /** Runs until the input ends; malformed input ends the process with a message and status 2. */
+    /** Runs until the end of the input. On malformed input, prints a message and exits with status 2. */
     public static void main(String[] args) throws IOException {
         SimulatorHost host = new SimulatorHost(System.in, System.out);
         try {
@@ -38,7 +39,7 @@
         } catch (MalformedLineException | MalformedSettingException e) {
             host.exit(e.getMessage());
         } catch (IndexOutOfBoundsException e) {
-            host.exit("expected a number that the settings or earlier lines name, " + e.getMessage());
+            host.exit("expected an index that the settings or earlier lines define, " + e.getMessage());
         }
     }
 
@@ -47,7 +48,7 @@
         System.exit(EXIT_MALFORMED);
     }
 
-    /** Answers batches until the input ends. */
+    /** Processes batches until the end of the input. */
     void run() throws IOException {
         Optional<FieldReader> line = lines.next();
         while (line.isPresent()) {
@@ -105,8 +106,9 @@
         int zone = fields.optionalInt(0);
         int kind = fields.optionalInt(0);
         int cell = fields.optionalInt(0);
-        Endpoint.Health health = WireCodes.HEALTH.get(fields.requiredIndex("health", WireCodes.HEALTH.size()));
-        fields.optionalDouble(1); // the weight, which the decisions do not use
+        Endpoint.Health health =
+                WireCodes.HEALTH_STATES.get(fields.requiredIndex("health", WireCodes.HEALTH_STATES.size()));
+        fields.optionalDouble(1); // the weight, which the decision engine does not use
         long startUs = fields.optionalLong(0) / NS_PER_US;
         return new Endpoint(address, build, zone, kind, cell, health, startUs);
     }
--- a/src/main/java/gatelock/simulator/WireCodes.java
+++ b/src/main/java/gatelock/simulator/WireCodes.java
@@ -7,9 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the words and numbers of the simulator's line protocol stand for. A list's index is the number on the wire. */
+/**
+ * Maps the words and numbers of the simulator's line protocol to values. In the lists, the index is the number sent.
+ */
 final class WireCodes {
-    /** The {@code result} of an attempt. */
+    /** Maps the {@code result} field of an attempt. */
     static final Map<String, AttemptResult> ATTEMPT_RESULTS = Map.of(
             "done",
             AttemptResult.COMPLETED,
@@ -28,8 +30,8 @@
             "skipped",
             AttemptResult.NOT_SENT);
 
-    /** The {@code result} of a vote. */
-    static final Map<String, DecisionEngine.VoteResponse> VOTE_ANSWERS = Map.of(
+    /** Maps the {@code result} field of a vote. */
+    static final Map<String, DecisionEngine.VoteResponse> VOTE_RESPONSES = Map.of(
             "done",
             DecisionEngine.VoteResponse.COUNTED,
             "skipped",
@@ -41,19 +43,19 @@
             "etimedout",
             DecisionEngine.VoteResponse.TIMED_OUT);
 
-    /** The phase of a release. */
+    /** The phases of a release, by number. */
     static final List<DecisionEngine.ReleasePhase> PHASES = List.of(
             DecisionEngine.ReleasePhase.TRIAL,
             DecisionEngine.ReleasePhase.REVERTING,
             DecisionEngine.ReleasePhase.RELEASED,
             DecisionEngine.ReleasePhase.WITHDRAWN);
 
-    /** The health of an endpoint. */
-    static final List<Endpoint.Health> HEALTH =
+    /** The health states of an endpoint, by number. */
+    static final List<Endpoint.Health> HEALTH_STATES =
             List.of(Endpoint.Health.GONE, Endpoint.Health.READY, Endpoint.Health.DRAINING);
 
-    /** The form of an endpoint list. */
-    static final List<DecisionEngine.EndpointUpdateType> LIST_FORMS = List.of(
+    /** The types of an endpoint list update, by number. */
+    static final List<DecisionEngine.EndpointUpdateType> ENDPOINT_UPDATE_TYPES = List.of(
             DecisionEngine.EndpointUpdateType.FAILED,
             DecisionEngine.EndpointUpdateType.FULL,
             DecisionEngine.EndpointUpdateType.CACHED,
@@ -63,7 +65,7 @@
 
     private WireCodes() {}
 
-    /** The number that a verdict has in a {@code BALLOT}. */
+    /** Returns the number of a verdict in a {@code BALLOT} line. */
     static int verdictCode(Verdict verdict) {
         return VERDICTS.indexOf(verdict);
     }
--- a/src/main/java/gatelock/state/ClientCloseReason.java
+++ b/src/main/java/gatelock/state/ClientCloseReason.java
@@ -2,23 +2,23 @@
 
 /** Why a client connection is closed. */
 public enum ClientCloseReason {
-    /** Nothing came on it in time. */
+    /** No byte of the first request arrived before the timeout. */
     NO_REQUEST("clients closed, no whole req"),
-    /** A request was not complete in time. */
+    /** A request was not complete before the timeout. */
     REQUEST_INCOMPLETE("clients closed, no whole req"),
-    /** The client did not read its response in time. */
+    /** The client did not read its response before the timeout. */
     RESPONSE_NOT_READ("clients closed, answer unread"),
-    /** No further request came in time. */
+    /** No further request arrived before the idle timeout. */
     IDLE("clients closed, idle"),
-    /** Nothing had come on it when connections had to be evicted. */
+    /** It was evicted before any byte of its first request had arrived. */
     EVICTED_WITHOUT_REQUEST("clients closed for room, silent"),
-    /** It was idle when connections had to be evicted. */
+    /** It was evicted while it was idle. */
     EVICTED_IDLE("clients closed for room, idle"),
-    /** The relay shuts down. */
+    /** The relay is shutting down. */
     SHUTDOWN("clients closed, leaving"),
     /** A request was rejected before it was read completely. */
     REJECTED("clients closed, refused"),
-    /** The client closed the connection, or broke off its own request. */
+    /** The client closed the connection or aborted its request. */
     CLIENT_LEFT("clients closed, gone first");
 
     private final String counter;
@@ -27,17 +27,20 @@
         this.counter = counter;
     }
 
-    /** The name of the counter under which such closes are counted. */
+    /** Returns the name of the counter that counts closes for this reason. */
     String counter() {
         return counter;
     }
 
-    /** Whether a connection may be closed for this reason in any state, as its client is owed nothing any more. */
+    /**
+     * Returns whether a connection may be closed for this reason in any state, because its client is not owed a
+     * response any more.
+     */
     boolean appliesInAnyState() {
         return this == CLIENT_LEFT || this == REJECTED;
     }
 
-    /** The reason for closing a connection whose time in a state is over. */
+    /** Returns the reason for closing a connection that timed out in a state. */
     static ClientCloseReason ofTimeoutIn(ClientConnectionState state) {
         return switch (state) {
             case AWAITING_FIRST_REQUEST -> NO_REQUEST;
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -11,30 +11,33 @@
 
 /**
  * All client connections, each in one {@link ClientConnectionState}. This class alone decides whether a connection may
- * be closed: never while its client is owed a response, and without a request under way only after a look at the bytes
- * that have arrived but were not read yet.
+ * be closed. A connection is never closed while its client is owed a response. A connection without a request in
+ * progress is closed only after a check for bytes that have arrived but have not been read.
  *
- * <p>The look guards against a delayed I/O thread: a request may lie unread at the time when the timer that closes its
- * connection fires. It holds for any order of arrivals, timers and responses. It costs an idle client nothing, and a
- * client that sends single bytes at most one more look.
+ * <p>This check guards against a delayed I/O thread: when the timer that closes a connection fires, a request may have
+ * arrived without having been read. The check is correct for any order of arrivals, timers and responses. It does not
+ * affect idle clients, and a client that sends single bytes causes at most one additional check.
  *
- * @param <C> a connection; equal only to itself
+ * @param <C> the connection type; its instances must be equal only to themselves
  */
 public final class ClientConnections<C> {
     /**
-     * The time in which a request must be complete: the first one from accept, a later one from its first byte. Guards
-     * against clients that send nothing, or that never complete a head or body. Could harm a client on a network so
-     * slow that one request takes as long.
+     * The time in which a request must be complete, measured from accept for the first request and from the first byte
+     * for later ones. Guards against clients that send nothing, or that never complete a head or body. A client on a
+     * network so slow that one request takes longer than this is disconnected.
      */
     public static final long REQUEST_TIMEOUT_US = 2_500_000;
     /**
-     * The time from a response to the next request, and for the client to read a response. Guards against clients that
-     * send one request and stay, or that do not read their response.
+     * The maximum time from a response to the next request, and the maximum time for the client to read a response.
+     * Guards against clients that send one request and keep the connection open, or that do not read their response.
      */
     public static final long IDLE_TIMEOUT_US = 2_000_000;
-    /** A connection without a request is evicted only when it is older than this; usual clients send one sooner. */
+    /**
+     * Up to the hard limit, a connection that awaits its first request is evicted only if it is older than this:
+     * ordinary clients send their first request sooner.
+     */
     private static final long EVICTION_MIN_AGE_US = 300_000;
-    /** The connections that are examined in order to evict one; if none of them may be closed, none is evicted. */
+    /** The maximum number of connections that one eviction examines; if none of them may be closed, none is evicted. */
     private static final int MAX_EVICTION_CANDIDATES = 8;
 
     private static final List<ClientConnectionState> STATES_WITH_TIMEOUT = List.of(
@@ -46,10 +49,10 @@
     private static final class Entry {
         private ClientConnectionState state = ClientConnectionState.AWAITING_FIRST_REQUEST;
         private long deadlineUs;
-        /** Whether bytes of the next request were read before the last response was written. */
-        private boolean nextRequestBegun;
-        /** Whether the deadline had passed at the last check, and the connection was left open. */
-        private boolean foundOverdue;
+        /** Whether bytes of the next request were read before the current response was completely written. */
+        private boolean nextRequestStarted;
+        /** Whether the last check found the deadline passed and left the connection open. */
+        private boolean overdueAtLastCheck;
     }
 
     private final Counters counters;
@@ -57,17 +60,18 @@
     private final int softLimit;
     private final int hardLimit;
     private final Map<C, Entry> entries = new HashMap<>();
-    /** The connections of each state in the order in which they came into it. */
+    /** The connections in each state, in the order in which they entered it. */
     private final Map<ClientConnectionState, Set<C>> byState = new EnumMap<>(ClientConnectionState.class);
 
     /**
-     * Creates the bookkeeping for no connection yet.
+     * Creates an empty set of connections.
      *
      * @param counters counts accepted and closed connections
-     * @param sockets the connections themselves
-     * @param softLimit the number of connections above which connections without a request are evicted once they are
-     *     idle or no longer new
-     * @param hardLimit the number above which any connection that awaits its first request may be evicted
+     * @param sockets gives access to the sockets of the connections
+     * @param softLimit the number of connections above which idle connections are evicted, and connections that have
+     *     waited for their first request for some time
+     * @param hardLimit the number of connections above which any connection that awaits its first request may be
+     *     evicted
      */
     public ClientConnections(Counters counters, ClientSockets<C> sockets, int softLimit, int hardLimit) {
         this.counters = counters;
@@ -79,23 +83,23 @@
         }
     }
 
-    /** The number of open connections. */
+    /** Returns the number of open connections. */
     public int size() {
         return entries.size();
     }
 
-    /** All open connections. */
+    /** Returns all open connections. */
     List<C> connections() {
         return new ArrayList<>(entries.keySet());
     }
 
-    /** The state of a connection, or null once it is closed. */
+    /** Returns the state of a connection, or null once it is closed. */
     ClientConnectionState state(C connection) {
         Entry entry = entries.get(connection);
         return entry == null ? null : entry.state;
     }
 
-    /** A connection was accepted. */
+    /** Adds a connection that was accepted. */
     public void accepted(long nowUs, C connection) {
         counters.increment("client connections");
         Entry entry = new Entry();
@@ -104,7 +108,7 @@
         byState.get(ClientConnectionState.AWAITING_FIRST_REQUEST).add(connection);
     }
 
-    /** Bytes from the client were read, whatever they mean. */
+    /** Records that bytes from the client were read, even if they do not form a valid request. */
     public void bytesRead(long nowUs, C connection) {
         Entry entry = entries.get(connection);
         if (entry == null) {
@@ -114,12 +118,12 @@
             case AWAITING_FIRST_REQUEST ->
                 enter(ClientConnectionState.READING_REQUEST, connection, entry, entry.deadlineUs);
             case IDLE -> enter(ClientConnectionState.READING_REQUEST, connection, entry, nowUs + REQUEST_TIMEOUT_US);
-            case AWAITING_RESPONSE, WRITING_RESPONSE -> entry.nextRequestBegun = true;
+            case AWAITING_RESPONSE, WRITING_RESPONSE -> entry.nextRequestStarted = true;
             case READING_REQUEST -> {}
         }
     }
 
-    /** A request is complete: its connection stays open until the response is written. */
+    /** Records that a request is complete. Its connection stays open until the response is written. */
     public void requestCompleted(C connection) {
         Entry entry = entries.get(connection);
         if (entry != null) {
@@ -130,7 +134,7 @@
         }
     }
 
-    /** A response begins to be written, to a complete request or as the rejection of an incomplete one. */
+    /** Records the start of a response: to a complete request, or the rejection of an incomplete one. */
     public void responseStarted(long nowUs, C connection) {
         Entry entry = entries.get(connection);
         if (entry != null) {
@@ -139,7 +143,7 @@
     }
 
     /**
-     * The last byte of a response was written.
+     * Records that the last byte of a response was written.
      *
      * @param nowUs the current time
      * @param connection the connection
@@ -150,15 +154,15 @@
         if (entry == null) {
             return;
         }
-        if (entry.nextRequestBegun || pipelined) {
-            entry.nextRequestBegun = false;
+        if (entry.nextRequestStarted || pipelined) {
+            entry.nextRequestStarted = false;
             enter(ClientConnectionState.READING_REQUEST, connection, entry, nowUs + REQUEST_TIMEOUT_US);
         } else {
             enter(ClientConnectionState.IDLE, connection, entry, nowUs + IDLE_TIMEOUT_US);
         }
     }
 
-    /** Forgets a connection: it was closed by whichever side, or carries another protocol now. */
+    /** Removes a connection that either side has closed, or that was upgraded to another protocol. */
     public void remove(C connection) {
         Entry entry = entries.remove(connection);
         if (entry != null) {
@@ -170,20 +174,20 @@
         byState.get(entry.state).remove(connection);
         entry.state = state;
         entry.deadlineUs = deadlineUs;
-        entry.foundOverdue = false;
+        entry.overdueAtLastCheck = false;
         byState.get(state).add(connection);
     }
 
     /**
-     * Closes the connections whose deadline has passed. One that is in the middle of a request or response is closed
-     * only at the second check after its deadline: in between the relay has read and written what it could.
+     * Closes the connections whose deadline has passed. A connection with a request or response in progress is closed
+     * only at the second check after its deadline: between the two checks the relay reads and writes what it can.
      */
     public void closeOverdue(long nowUs) {
         for (ClientConnectionState state : STATES_WITH_TIMEOUT) {
             for (C connection : overdue(state, nowUs)) {
                 Entry entry = entries.get(connection);
-                if (!state.isQuiet() && !entry.foundOverdue) {
-                    entry.foundOverdue = true;
+                if (!state.isInactive() && !entry.overdueAtLastCheck) {
+                    entry.overdueAtLastCheck = true;
                 } else {
                     close(nowUs, connection, ClientCloseReason.ofTimeoutIn(state));
                 }
@@ -192,8 +196,8 @@
     }
 
     private List<C> overdue(ClientConnectionState state, long nowUs) {
-        // The deadline of a first request runs from accept and of a later one from its first byte, so that only the
-        // deadlines of this state are not in the order of entry.
+        // READING_REQUEST is the only state whose deadlines are not in order of entry: the deadline of a first request
+        // is measured from accept, that of a later request from its first byte.
         boolean inOrder = state != ClientConnectionState.READING_REQUEST;
         List<C> overdue = new ArrayList<>();
         for (C connection : byState.get(state)) {
@@ -207,21 +211,22 @@
     }
 
     /**
-     * Evicts at most one connection if there are too many. Guards against connections that keep others from being
-     * accepted, and against clients that open ever more. Above the soft limit, connections that have waited for their
-     * first request for a while go first, then idle ones; above the hard limit, any that awaits its first request; the
-     * oldest first. A connection that has just been accepted awaits its first request only until that is read. Could
-     * harm a client whose first request is slow to arrive while very many others connect.
+     * Evicts at most one connection if there are too many. Guards against connections that prevent others from being
+     * accepted, and against clients that keep opening connections. Above the soft limit, connections that have waited
+     * for their first request for some time are evicted first, then idle ones. If there are none and the hard limit is
+     * exceeded, any connection that awaits its first request may be evicted. Within each group the oldest is evicted
+     * first. A new connection can be evicted only until its first request is read. A client whose first request is slow
+     * to arrive while very many others connect may therefore be disconnected.
      */
     public void evictIfCrowded(long nowUs) {
         if (entries.size() <= softLimit) {
             return;
         }
-        long agedBeforeUs = nowUs + REQUEST_TIMEOUT_US - EVICTION_MIN_AGE_US;
+        long deadlineBeforeUs = nowUs + REQUEST_TIMEOUT_US - EVICTION_MIN_AGE_US;
         boolean evicted = evictOldest(
                         nowUs,
                         ClientConnectionState.AWAITING_FIRST_REQUEST,
-                        agedBeforeUs,
+                        deadlineBeforeUs,
                         ClientCloseReason.EVICTED_WITHOUT_REQUEST)
                 || evictOldest(nowUs, ClientConnectionState.IDLE, Long.MAX_VALUE, ClientCloseReason.EVICTED_IDLE);
         if (!evicted && entries.size() > hardLimit) {
@@ -233,11 +238,14 @@
         }
     }
 
-    /** Closes the oldest connection of a state whose deadline is before a time; returns whether one was closed. */
+    /**
+     * Closes the oldest connection that may be closed among those in a state with a deadline before the given time;
+     * returns whether one was closed.
+     */
     private boolean evictOldest(
             long nowUs, ClientConnectionState state, long deadlineBeforeUs, ClientCloseReason reason) {
         for (int examined = 0; examined < MAX_EVICTION_CANDIDATES; examined++) {
-            // A candidate that may not be closed has changed its state, so that the next one is the first now.
+            // A candidate that may not be closed has changed its state, so the next candidate is now the first one.
             Iterator<C> oldest = byState.get(state).iterator();
             if (!oldest.hasNext()) {
                 return false;
@@ -253,7 +261,7 @@
         return false;
     }
 
-    /** Closes, for shutdown, the connections on which nothing is under way. */
+    /** Closes, for shutdown, the connections without a request or response in progress. */
     public void closeQuiet(long nowUs) {
         for (ClientConnectionState state :
                 List.of(ClientConnectionState.AWAITING_FIRST_REQUEST, ClientConnectionState.IDLE)) {
@@ -264,11 +272,11 @@
     }
 
     /**
-     * Closes a connection if that is allowed.
+     * Closes a connection unless its client is owed a response or has sent bytes that have not been read.
      *
      * @param nowUs the current time
      * @param connection the connection
-     * @param reason why it is to be closed
+     * @param reason why it is to be closed; some reasons allow the close in any state
      * @return whether it was closed
      */
     public boolean close(long nowUs, C connection, ClientCloseReason reason) {
@@ -281,7 +289,7 @@
                 counters.checkInvariant(false, "a connection to be ended that is owed an answer");
                 return false;
             }
-            if (entry.state.isQuiet() && sockets.hasUnreadBytes(connection)) {
+            if (entry.state.isInactive() && sockets.hasUnreadBytes(connection)) {
                 counters.increment("clients kept, a req lay unread");
                 bytesRead(nowUs, connection);
                 return false;
--- a/src/main/java/gatelock/state/Counters.java
+++ b/src/main/java/gatelock/state/Counters.java
@@ -5,26 +5,28 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Event counts since the start, for the operators. The names are part of the log and of the operators' pages. */
+/**
+ * Counts events since the start, for operators. The counter names appear in the log and in the operator documentation.
+ */
 public final class Counters {
     private final Map<String, Long> counts = new TreeMap<>();
     private final Map<AttemptResult, Long> attemptsByResult = new EnumMap<>(AttemptResult.class);
 
-    /** Counts an event of this name. */
+    /** Increments the counter of this name. */
     public void increment(String name) {
         counts.merge(name, 1L, Long::sum);
     }
 
-    /** Counts an attempt that ended so. */
+    /** Counts an attempt that ended with this result. */
     public void attemptEnded(AttemptResult result) {
         attemptsByResult.merge(result, 1L, Long::sum);
     }
 
     /**
-     * Checks an invariant: a violation fails an assertion where assertions are enabled, and is counted elsewhere.
+     * Checks an invariant. A violation fails an assertion if assertions are enabled, and is counted otherwise.
      *
-     * @param condition what must hold
-     * @param violation the name under which a violation is counted
+     * @param condition the invariant, which must be true
+     * @param violation describes the violation; part of the name of its counter
      */
     public void checkInvariant(boolean condition, String violation) {
         assert condition : violation;
--- a/src/main/java/gatelock/state/EndpointAddresses.java
+++ b/src/main/java/gatelock/state/EndpointAddresses.java
@@ -8,66 +8,66 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The address of each endpoint, as discovery listed it last. */
+/** The address of each endpoint by name, from the latest endpoint list of discovery. */
 public final class EndpointAddresses {
 
     /**
-     * What an endpoint's name stands for.
+     * The address and the list entry of an endpoint.
      *
      * @param address its address
-     * @param listed the entry, with the process and state that were listed there
+     * @param endpoint its list entry, which also identifies the process and its health
      */
-    public record Entry(InetSocketAddress address, Endpoint listed) {}
+    public record Entry(InetSocketAddress address, Endpoint endpoint) {}
 
     private final Map<String, Entry> entries = new HashMap<>();
 
-    /** The address and entry of an endpoint, or null if it is not listed. */
+    /** Returns the address and list entry of an endpoint, or null if it is not listed. */
     public Entry get(String endpoint) {
         return entries.get(endpoint);
     }
 
-    /** How many endpoints are known. */
+    /** Returns the number of listed endpoints. */
     public int size() {
         return entries.size();
     }
 
     /**
-     * Records an entry; one of an endpoint that has left removes it.
+     * Adds or replaces an entry; an entry whose health is GONE removes the endpoint instead.
      *
      * @param address the endpoint's address
-     * @param listed its entry
-     * @return the addresses to which open connections must no longer be used
+     * @param endpoint its list entry
+     * @return the addresses whose open connections must no longer be used
      */
-    public List<InetSocketAddress> put(InetSocketAddress address, Endpoint listed) {
-        Entry entry = new Entry(address, listed);
-        Entry before = listed.health() == Endpoint.Health.GONE
-                ? entries.remove(listed.name())
-                : entries.put(listed.name(), entry);
-        if (before == null) {
-            // An address may come back under another name: the process that was there before is another one.
+    public List<InetSocketAddress> put(InetSocketAddress address, Endpoint endpoint) {
+        Entry entry = new Entry(address, endpoint);
+        Entry previous = endpoint.health() == Endpoint.Health.GONE
+                ? entries.remove(endpoint.name())
+                : entries.put(endpoint.name(), entry);
+        if (previous == null) {
+            // An address may be reused under another name, so open connections to it may belong to another process.
             return List.of(address);
         }
-        boolean unchanged = listed.health() == Endpoint.Health.READY
-                && before.address.equals(address)
-                && before.listed.startedAtUs() == listed.startedAtUs()
-                && before.listed.build() == listed.build();
-        return unchanged ? List.of() : List.of(before.address, address);
+        boolean unchanged = endpoint.health() == Endpoint.Health.READY
+                && previous.address.equals(address)
+                && previous.endpoint.startedAtUs() == endpoint.startedAtUs()
+                && previous.endpoint.build() == endpoint.build();
+        return unchanged ? List.of() : List.of(previous.address, address);
     }
 
     /**
-     * Forgets all endpoints but these.
+     * Removes all endpoints but these.
      *
-     * @param endpoints the names of those that stay
-     * @return the addresses of the forgotten ones
+     * @param endpoints the names of the endpoints to keep
+     * @return the addresses of the removed endpoints
      */
     public List<InetSocketAddress> keepOnly(Set<String> endpoints) {
-        List<InetSocketAddress> forgotten = new ArrayList<>();
+        List<InetSocketAddress> removed = new ArrayList<>();
         entries.forEach((name, entry) -> {
             if (!endpoints.contains(name)) {
-                forgotten.add(entry.address);
+                removed.add(entry.address);
             }
         });
         entries.keySet().retainAll(endpoints);
-        return List.copyOf(forgotten);
+        return List.copyOf(removed);
     }
 }
--- a/src/main/java/gatelock/state/IdleConnections.java
+++ b/src/main/java/gatelock/state/IdleConnections.java
@@ -9,13 +9,13 @@
 import java.util.function.Consumer;
 
 /**
- * Open connections that carry no request, by address. The one that was used last is reused first.
+ * Open connections without a request in flight, by address. The most recently used connection is reused first.
  *
- * @param <C> a connection; equal only to itself
+ * @param <C> the connection type; its instances must be equal only to themselves
  */
 public final class IdleConnections<C> {
     private final Map<InetSocketAddress, ArrayDeque<C>> byAddress = new HashMap<>();
-    /** All idle connections, the longest idle first. */
+    /** All idle connections, the one that has been idle longest first. */
     private final Map<C, IdleSince> idleSince = new LinkedHashMap<>();
 
     private final Consumer<C> closer;
@@ -26,7 +26,7 @@
     /**
      * Creates an empty set.
      *
-     * @param maxIdle how many connections are kept; beyond that the longest idle one is closed
+     * @param maxIdle the maximum number of connections; above it the one that has been idle longest is closed
      * @param closer closes a connection
      */
     public IdleConnections(int maxIdle, Consumer<C> closer) {
@@ -35,13 +35,13 @@
     }
 
     /**
-     * Takes out the connection to an address that was used last, among those that have been idle long enough.
+     * Removes and returns the most recently used connection to an address that has been idle long enough.
      *
-     * @param address where it leads
-     * @param idleByUs the time by which it must have been idle
+     * @param address the remote address
+     * @param latestIdleStartUs the latest time at which the connection may have become idle
      * @return the connection, or null if there is none
      */
-    public C take(InetSocketAddress address, long idleByUs) {
+    public C take(InetSocketAddress address, long latestIdleStartUs) {
         ArrayDeque<C> candidates = byAddress.get(address);
         if (candidates == null) {
             return null;
@@ -49,7 +49,7 @@
         Iterator<C> latestFirst = candidates.descendingIterator();
         while (latestFirst.hasNext()) {
             C candidate = latestFirst.next();
-            if (idleSince.get(candidate).timeUs <= idleByUs) {
+            if (idleSince.get(candidate).timeUs <= latestIdleStartUs) {
                 remove(candidate);
                 return candidate;
             }
@@ -60,8 +60,8 @@
     /**
      * Adds a connection that has become idle.
      *
-     * @param nowUs the current time, which never goes back
-     * @param address where it leads
+     * @param nowUs the current time, which must not decrease between calls
+     * @param address the remote address
      * @param connection the connection
      */
     public void put(long nowUs, InetSocketAddress address, C connection) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Takes out a connection, if it is here, without closing it. */
+    /** Removes a connection without closing it; has no effect if it is not idle. */
     public void remove(C connection) {
         IdleSince removed = idleSince.remove(connection);
         if (removed != null) {
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Closes all connections to an address. */
+    /** Closes all idle connections to an address. */
     public void closeAll(InetSocketAddress address) {
         C connection = take(address, Long.MAX_VALUE);
         while (connection != null) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Closes the connections that have been idle since before a time. */
+    /** Closes the connections that became idle before the given time. */
     public void closeBefore(long timeUs) {
         while (!idleSince.isEmpty() && idleSince.values().iterator().next().timeUs < timeUs) {
             closeOldest();
@@ -109,7 +109,7 @@
         }
     }
 
-    /** The number of idle connections. */
+    /** Returns the number of idle connections. */
     public int size() {
         return idleSince.size();
     }
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * A request that was read and whose attempts have not all ended yet. Its body is forwarded to endpoints byte for
- * byte, its head without the headers that hold for the client's connection only.
+ * A request that has been read and whose attempts have not all ended. Its body is forwarded to endpoints byte for
+ * byte; its head is forwarded without the headers that apply only to the client's connection.
  */
 public final class InFlightRequest {
     private final String id;
@@ -17,19 +17,19 @@
     private final ResponseSink responseSink;
     private final List<Runnable> cancellations = new ArrayList<>(2);
     private RequestHandle handle;
-    private boolean over;
+    private boolean completed;
     private Runnable completionAction;
     private AttemptLauncher attemptLauncher;
 
     /**
-     * Creates a request that the decision engine does not know yet.
+     * Creates a request that the decision engine has not accepted yet.
      *
      * @param id its id, unique among the requests in flight
-     * @param head the request line and the headers as endpoints get them, without those that differ for each
-     *     attempt and without the empty line at the end
+     * @param head the request line and the headers as they are sent to endpoints, without the headers that differ for
+     *     each attempt and without the empty line at the end
      * @param body its body, which may be empty
-     * @param deadlineUs until when the client waits
-     * @param responseSink where the response goes
+     * @param deadlineUs the time until which the client waits, on the clock of the event loop
+     * @param responseSink receives the response
      */
     public InFlightRequest(String id, byte[] head, byte[] body, long deadlineUs, ResponseSink responseSink) {
         this.id = id;
@@ -39,32 +39,32 @@
         this.responseSink = responseSink;
     }
 
-    /** The id that the client gave it. */
+    /** Returns the id that the client gave the request. */
     public String id() {
         return id;
     }
 
-    /** The request line and the headers, without those that differ for each attempt; not to be changed. */
+    /** Returns the request line and the headers, without those that differ for each attempt; must not be modified. */
     public byte[] head() {
         return head;
     }
 
-    /** The body; not to be changed. */
+    /** Returns the body; must not be modified. */
     public byte[] body() {
         return body;
     }
 
-    /** Until when the client waits, on the clock of the event loop. */
+    /** Returns the time until which the client waits, on the clock of the event loop. */
     public long deadlineUs() {
         return deadlineUs;
     }
 
-    /** Where the one response goes. */
+    /** Returns the sink that receives the single response. */
     public ResponseSink responseSink() {
         return responseSink;
     }
 
-    /** The decision engine's handle, or null before {@link #accepted}. */
+    /** Returns the decision engine's handle, or null before {@link #accepted}. */
     public RequestHandle handle() {
         return handle;
     }
@@ -74,56 +74,56 @@
         this.handle = handle;
     }
 
-    /** Whether the decision engine has accepted it; not yet while it waits in a queue before that. */
+    /** Returns whether the decision engine has accepted the request; false while it waits in a queue before that. */
     public boolean isAccepted() {
         return handle != null;
     }
 
-    /** Whether the final answer was given or the client has left. */
+    /** Returns whether the request has its final answer or the client has disconnected. */
     public boolean isOver() {
-        return over;
+        return completed;
     }
 
-    /** Marks the request as over and runs the action set for that. */
+    /** Marks the request as completed and runs the completion action. */
     void markOver() {
-        over = true;
+        completed = true;
         if (completionAction != null) {
             completionAction.run();
             completionAction = null;
         }
     }
 
-    /** Starts the attempts of a request that is not an ordinary HTTP exchange. */
+    /** Starts the attempts of a request that is not an ordinary HTTP exchange, such as a WebSocket handshake. */
     public interface AttemptLauncher {
         /**
-         * Makes one attempt.
+         * Starts one attempt.
          *
-         * @param address the endpoint's address; null if it is not known any more, so that the attempt ends as not
-         *     connected
+         * @param address the endpoint's address; null if the endpoint is no longer listed, in which case the attempt
+         *     ends as not connected
          * @param endpoint the endpoint's name
-         * @param timeoutUs how long the attempt may take, in microseconds; 0 for as long as the request
+         * @param timeoutUs the timeout of the attempt, in microseconds; 0 to use the deadline of the request
          */
         void launch(InetSocketAddress address, String endpoint, long timeoutUs);
     }
 
-    /** What starts its attempts; null for an ordinary request. */
+    /** Returns the launcher of the request's attempts, or null for an ordinary HTTP request. */
     public AttemptLauncher attemptLauncher() {
         return attemptLauncher;
     }
 
-    /** Has all of its attempts started by this. */
+    /** Sets the launcher of all attempts of this request. */
     public void setAttemptLauncher(AttemptLauncher attemptLauncher) {
         this.attemptLauncher = attemptLauncher;
     }
 
-    /** Removes and returns the action set for the end of the request, which the caller now has to run; may be null. */
+    /** Removes and returns the completion action, which the caller then has to run; null if there is none. */
     public Runnable takeCompletionAction() {
         Runnable action = completionAction;
         completionAction = null;
         return action;
     }
 
-    /** Sets the action that runs once the request is over. */
+    /** Sets the action that runs once the request is completed. */
     public void onOver(Runnable action) {
         completionAction = action;
     }
@@ -131,15 +131,15 @@
     /**
      * Registers an attempt.
      *
-     * @param cancellation cancels it
-     * @return its number, from 0 in the order sent
+     * @param cancellation cancels the attempt; has no effect once it has ended
+     * @return the number of the attempt, from 0 in the order in which attempts are sent
      */
     public int addAttempt(Runnable cancellation) {
         cancellations.add(cancellation);
         return cancellations.size() - 1;
     }
 
-    /** Cancels an attempt; without effect if it has ended. */
+    /** Cancels an attempt; has no effect if it has ended. */
     public void cancelAttempt(int attemptNo) {
         cancellations.get(attemptNo).run();
     }
--- a/src/main/java/gatelock/state/InFlightRequests.java
+++ b/src/main/java/gatelock/state/InFlightRequests.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** All requests in flight, by id. An answered request stays until its last attempt has ended. */
+/** All requests in flight, by id. An answered request remains in flight until its last attempt has ended. */
 public final class InFlightRequests {
     private final Map<String, InFlightRequest> byId = new HashMap<>();
     private final Counters counters;
@@ -11,18 +11,18 @@
     /**
      * Creates an empty set.
      *
-     * @param counters counts violations of "one final answer"
+     * @param counters counts requests that are answered twice, which violates an invariant
      */
     public InFlightRequests(Counters counters) {
         this.counters = counters;
     }
 
-    /** The request of this id, or null. */
+    /** Returns the request with this id, or null if it is not in flight. */
     public InFlightRequest get(String id) {
         return byId.get(id);
     }
 
-    /** How many requests are in flight. */
+    /** Returns the number of requests in flight. */
     public int size() {
         return byId.size();
     }
@@ -32,13 +32,13 @@
         byId.put(request.id(), request);
     }
 
-    /** Records that a request gets its final answer now or that its client has left. */
+    /** Marks a request as completed: it gets its final answer now, or its client has disconnected. */
     public void markOver(InFlightRequest request) {
         counters.checkInvariant(!request.isOver(), "a second final answer");
         request.markOver();
     }
 
-    /** Forgets a request to which nothing more can happen. */
+    /** Removes a request that is completed and whose attempts have all ended. */
     public void remove(InFlightRequest request) {
         byId.remove(request.id());
     }
--- a/src/main/java/gatelock/state/ResponseSink.java
+++ b/src/main/java/gatelock/state/ResponseSink.java
@@ -1,22 +1,22 @@
 package gatelock.state;
 
-/** Where the response to a client's request goes, whatever the protocol. Exactly one of the methods is called, once. */
+/** Sends the response to a client's request, in any protocol. Exactly one of its methods is called, and only once. */
 public interface ResponseSink {
 
     /** Forwards an endpoint's response. */
     void forward(UpstreamResponse response);
 
     /**
-     * Rejects the request: it was not executed, and may be retried without harm.
+     * Rejects the request, which was not executed and can be retried safely.
      *
-     * @param retryAfterUs when the client had best retry, in microseconds from now; 0 for no advice
+     * @param retryAfterUs how long the client should wait before a retry, in microseconds; 0 to send no advice
      */
     void reject(long retryAfterUs);
 
     /**
-     * Reports that the request failed; it may have been executed.
+     * Reports that the request failed, although an endpoint may have executed it.
      *
-     * @param timedOut whether the client's time is over
+     * @param timedOut whether the request failed because its deadline passed
      */
     void fail(boolean timedOut);
 }
--- a/src/main/java/gatelock/state/UpstreamResponse.java
+++ b/src/main/java/gatelock/state/UpstreamResponse.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A complete response as an endpoint sent it.
+ * A complete response from an endpoint.
  *
  * @param status its status code
- * @param headers names and values in turn, in the order in which they came
- * @param body its body, not to be changed
+ * @param headers alternating names and values, in the order received
+ * @param body its body; must not be modified
  */
-@SuppressWarnings("ArrayRecordComponent") // The bytes are forwarded without a copy; responses are never compared.
+@SuppressWarnings("ArrayRecordComponent") // The body is forwarded without a copy, and responses are never compared.
 public record UpstreamResponse(int status, List<String> headers, byte[] body) {
 
     /**
-     * The first value of a header.
+     * Returns the first value of a header.
      *
-     * @param name its name, in any case
+     * @param name the name of the header, case-insensitive
      * @return the value, or null if there is no such header
      */
     public String header(String name) {
--- a/src/main/java/gatelock/state/package-info.java
+++ b/src/main/java/gatelock/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What a relay holds in memory: requests in flight, client connections, endpoint addresses, idle connections, counters.
- * Nothing here does I/O, and all of it is used by the one I/O thread only.
+ * The state that a relay holds in memory: requests in flight, client connections, endpoint addresses, idle connections
+ * and counters. These classes perform no I/O, and only the single I/O thread uses them.
  */
 package gatelock.state;
--- a/src/test/java/gatelock/boot/CommandsTest.java
+++ b/src/test/java/gatelock/boot/CommandsTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command line on files: its output and its exit codes. */
+/** Tests the output and exit codes of the command line. */
 final class CommandsTest {
-    private static final String SOUND = """
+    private static final String VALID_VERSION = """
         {"format": 1, "limits": {"few": {"per": "tenant", "ratePerS": 5, "queue": {"length": 3, "waitMs": 50}}},
          "routes": [{"name": "reads", "path": "/read", "class": "read", "limits": ["few"]}]}
         """;
@@ -36,18 +36,18 @@
     }
 
     @Test
-    void checkPrintsEachFindingWithItsPlaceAndExitsWithOne() throws IOException {
-        String sound = file("sound.json", SOUND);
-        assertThat(run("check", sound, "--deployment", "examples/relay.json")).isZero();
-        assertThat(out.toString()).contains("good, 1 routes");
-        String broken =
-                file("broken.json", SOUND.replace("\"read\"", "\"reed\"").replace("5,", "0,"));
+    void checkPrintsFindingsWithLocationAndExitsWithOne() throws IOException {
+        String valid = file("valid.json", VALID_VERSION);
+        assertThat(run("check", valid, "--deployment", "examples/relay.json")).isZero();
+        assertThat(out.toString()).contains(": valid, 1 routes");
+        String broken = file(
+                "broken.json", VALID_VERSION.replace("\"read\"", "\"reed\"").replace("5,", "0,"));
         assertThat(run("check", broken, "--deployment", "examples/relay.json")).isEqualTo(1);
         assertThat(out.toString())
                 .contains(
                         broken + ":1:63 /limits/few/ratePerS M-ZERO",
                         broken + ":2:57 /routes/0/class M-CLASS",
-                        "would be turned down");
+                        "would be rejected");
         assertThat(run("check", broken, "--deployment", "examples/relay.json", "--json"))
                 .isEqualTo(1);
         Map<String, Object> result = JSON.std.mapFrom(out.toString());
@@ -56,15 +56,15 @@
     }
 
     @Test
-    void unusableInputExitsWithTwoAndAMessage() throws IOException {
-        String sound = file("sound.json", SOUND);
+    void exitsWithTwoAndMessageOnUnusableInput() throws IOException {
+        String valid = file("valid.json", VALID_VERSION);
         String[][] unusable = {
             {"check", "none.json", "--deployment", "examples/relay.json"},
-            {"check", sound, "--deployment", "none.json"},
+            {"check", valid, "--deployment", "none.json"},
             {"nothing"},
             {"schema", "none"},
             {"serve", "warm"},
-            {"diff", sound, file("odd.json", "{"), "--deployment", "examples/relay.json"},
+            {"diff", valid, file("odd.json", "{"), "--deployment", "examples/relay.json"},
             {"status", "--at", "127.0.0.1:1"}
         };
         for (String[] args : unusable) {
@@ -74,19 +74,19 @@
     }
 
     @Test
-    void diffAndExplainDescribeHowRequestsAreTreated() throws IOException {
-        String sound = file("sound.json", SOUND);
-        String other = file("other.json", SOUND.replace("\"ratePerS\": 5", "\"ratePerS\": 6"));
-        assertThat(run("diff", sound, sound, "--deployment", "examples/relay.json"))
+    void diffAndExplainDescribeRequestHandling() throws IOException {
+        String valid = file("valid.json", VALID_VERSION);
+        String other = file("other.json", VALID_VERSION.replace("\"ratePerS\": 5", "\"ratePerS\": 6"));
+        assertThat(run("diff", valid, valid, "--deployment", "examples/relay.json"))
                 .isZero();
-        assertThat(run("diff", sound, other, "--deployment", "examples/relay.json"))
+        assertThat(run("diff", valid, other, "--deployment", "examples/relay.json"))
                 .isEqualTo(1);
         assertThat(out.toString())
                 .contains(
                         "route reads: limits [few: per tenant, 6 reqs a second, 6 at " + "once, 3 may wait for 50 ms]");
         assertThat(run(
                         "explain",
-                        sound,
+                        valid,
                         "--deployment",
                         "examples/relay.json",
                         "--path",
@@ -95,13 +95,13 @@
                         "X-A=1"))
                 .isZero();
         assertThat(out.toString()).contains("route: reads", "class: read", "pools: all units");
-        assertThat(run("explain", sound, "--deployment", "examples/relay.json", "--path", "/a/../read"))
+        assertThat(run("explain", valid, "--deployment", "examples/relay.json", "--path", "/a/../read"))
                 .isEqualTo(1);
         assertThat(out.toString()).contains("400");
     }
 
     @Test
-    void schemasAndHelpArePrinted() throws IOException {
+    void printsSchemasAndHelp() throws IOException {
         for (String name : new String[] {"plan", "operator"}) {
             assertThat(run("schema", name)).isZero();
             assertThat(JSON.std.mapFrom(out.toString())).containsKey("$schema");
--- a/src/test/java/gatelock/boot/OperatorConfigReaderTest.java
+++ b/src/test/java/gatelock/boot/OperatorConfigReaderTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The operator's file: what is read from it, and how its errors are reported. */
+/** Tests the values read from the operator's file, and the reports of problems in it. */
 final class OperatorConfigReaderTest {
     @TempDir
     private Path directory;
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void eachKindOfErrorIsReportedByItsCode() throws IOException {
+    void reportsEachKindOfErrorByItsCode() throws IOException {
         for (String[] malformed : new String[][] {
             {"{\"listener\": \"10.0.0.1:80\"}", "O-LISTENER"},
             {"{\"control\": {}}", "S-REQUIRED"},
@@ -37,10 +37,12 @@
         }
         OperatorConfig read = OperatorConfigReader.read(Path.of("deploy/operator.json"), deployment());
         assertThat(read.control()).isNotNull();
-        assertThat(read.membership()).as("off where none is named").isNull();
+        assertThat(read.membership())
+                .as("disabled without a membership section")
+                .isNull();
         assertThat(OperatorConfigReader.read(Path.of("deploy/scope.json"), deployment())
                         .membership()
-                        .terms()
+                        .policy()
                         .maxEndpoints())
                 .isEqualTo(1024);
     }
@@ -49,7 +51,7 @@
         return RelayConfig.read(Path.of("examples/relay.json"));
     }
 
-    /** The message of the error that an operator's file with this text is refused with. */
+    /** Returns the message of the exception that rejects an operator's file with this text. */
     private String errorOf(String text) throws IOException {
         Path file = file(text);
         Throwable thrown = catchThrowable(() -> OperatorConfigReader.read(file, deployment()));
@@ -66,20 +68,20 @@
     }
 
     @Test
-    void anImpossibleScopeIsReportedWithPlaceCauseAndRemedy() throws IOException {
+    void reportsInvalidMembershipWithLocationCauseAndRemedy() throws IOException {
         assertThat(errorOf("{\"membership\": {\"perService\": 4}}"))
                 .contains(":1:16 /membership S-REQUIRED", "add most");
         assertThat(errorOf("{\"membership\": {\"most\": 40}}")).contains("S-REQUIRED", "add perService");
         assertThat(errorOf("{\"membership\": {\"most\": 3, \"perService\": 4}}"))
                 .contains(
-                        ":1:42 /membership/perService O-SCOPE-SERVICE 4 units of one service are more than the 3",
+                        ":1:42 /membership/perService O-SCOPE-SERVICE 4 units of each service exceed the limit of 3",
                         "at most 3");
         assertThat(errorOf(membership(", \"leastElsewhere\": 5")))
-                .contains("/membership/leastElsewhere O-SCOPE-ELSEWHERE 5 units", "name at most 4");
+                .contains("/membership/leastElsewhere O-SCOPE-ELSEWHERE 5 units", "use at most 4");
         assertThat(errorOf(membership(", \"zone\": \"west\"")))
-                .contains("/membership/zone O-SCOPE-ZONE west is no zone of this deployment", "name one of [east]");
+                .contains("/membership/zone O-SCOPE-ZONE west is not a zone of this deployment", "use one of [east]");
         assertThat(errorOf("{\"membership\": {\"most\": 1000000, \"perService\": 4}}"))
-                .contains("/membership/most O-SCOPE-HEAP this relay's heap bears ", "name at most ");
+                .contains("/membership/most O-SCOPE-HEAP the heap of this relay has room for ", "use at most ");
         for (String malformed : new String[] {
             ", \"mostListBytes\": 1000",
             ", \"number\": -1",
@@ -101,27 +103,27 @@
     }
 
     @Test
-    void aSoundScopeIsReadAndAbsentFieldsHaveTheirDefaults() throws IOException {
+    void readsMembershipAndDefaultsForAbsentFields() throws IOException {
         OperatorConfig.Membership read =
                 OperatorConfigReader.read(file(membership("")), deployment()).membership();
-        assertThat(read.terms())
+        assertThat(read.policy())
                 .isEqualTo(new EndpointSubset.Policy(deployment().settings().seed(), -1, 40, 4, 1, 1, 10_000_000));
         assertThat(read.maxListBytes()).isEqualTo(64 << 20);
-        assertThat(read.service()).isSameAs(ServiceNameExtractor.SINGLE_SERVICE);
+        assertThat(read.serviceNames()).isSameAs(ServiceNameExtractor.SINGLE_SERVICE);
         OperatorConfig.Membership all = OperatorConfigReader.read(
                         file("{\"membership\": {\"most\": 1024, "
                                 + "\"perService\": 1, \"zone\": \"east\", \"number\": 17, \"leastHolders\": 0, \"settleS\": 0.5, \"mostListBytes\": 2097152, "
                                 + "\"service\": {\"separator\": \"-\"}}}"),
                         deployment())
                 .membership();
-        assertThat(all.terms()).isEqualTo(new EndpointSubset.Policy(17, 0, 1024, 1, 0, 0, 500_000));
+        assertThat(all.policy()).isEqualTo(new EndpointSubset.Policy(17, 0, 1024, 1, 0, 0, 500_000));
         assertThat(all.maxListBytes()).isEqualTo(2 << 20);
-        assertThat(all.service().serviceOf("cold-brew-17", null, Map.of())).isEqualTo("cold-brew");
-        assertThat(all.service().serviceOf("alone", null, Map.of())).isEmpty();
+        assertThat(all.serviceNames().serviceOf("cold-brew-17", null, Map.of())).isEqualTo("cold-brew");
+        assertThat(all.serviceNames().serviceOf("alone", null, Map.of())).isEmpty();
     }
 
     @Test
-    void anErrorCarriesFilePlaceCauseAndRemedyOfEachProblem() throws IOException {
+    void exceptionCarriesFileAndAllProblems() throws IOException {
         Path file = file("{\"membership\": {\"most\": 3, \"perService\": 4, \"leastElsewhere\": 5}}");
         ConfigurationException thrown =
                 catchThrowableOfType(ConfigurationException.class, () -> OperatorConfigReader.read(file, deployment()));
@@ -130,16 +132,16 @@
                 .containsExactly(
                         new ConfigurationException.Problem(
                                 "/membership/perService",
-                                "4 units of one service are more than the 3 of all that most allows",
-                                "name at most 3"),
+                                "4 units of each service exceed the limit of 3 in the field most",
+                                "use at most 3"),
                         new ConfigurationException.Problem(
                                 "/membership/leastElsewhere",
-                                "5 units in other zones are more than the 4 of a service that perService allows",
-                                "name at most 4"));
+                                "5 units in other zones exceed the 4 of each service in the field perService",
+                                "use at most 4"));
     }
 
     @Test
-    void aFileThatIsAbsentIsReportedByItsName() {
+    void reportsMissingFileByItsName() {
         Path absent = directory.resolve("none.json");
         assertThatThrownBy(() -> OperatorConfigReader.read(absent, deployment()))
                 .isInstanceOf(ConfigurationException.class)
