--- a/src/test/java/gatelock/ci/KnownRed.java
+++ b/src/test/java/gatelock/ci/KnownRed.java
@@ -16,43 +16,43 @@
 import org.xml.sax.SAXException;
 
 /**
- * Judges a test run in which some tests are known to fail: {@code java KnownRed.java LIST REPORTS}. The list has a
- * line for each, {@code package.Class.test | cause | issue}; the reports are Surefire's. Exits with 0 only if no other
- * test failed and all named tests ran.
+ * Evaluates a test run in which some tests are known to fail: {@code java KnownRed.java LIST REPORTS}. The list has a
+ * line {@code package.Class.test | cause | issue} for each of these tests; the reports are those of Surefire. Exits
+ * with 0 only if no other test failed, all listed tests ran and the list is valid.
  *
- * <p>CI launches this file from its source, so it must not use other classes of the project.
+ * <p>CI runs this file in source-file mode, so it must not use other classes of the project.
  */
 public final class KnownRed {
-    /** So that the list does not become a place for tests that nobody mends. */
+    /** Limits the list, so that failing tests are fixed instead of accumulating in it. */
     static final int MAX_ENTRIES = 3;
 
     private static final int FIELDS = 3;
 
     private KnownRed() {}
 
-    /** Prints the known failures and the problems of a run. */
+    /** Prints the known failures and the problems of a run, and exits with 1 if there are problems. */
     public static void main(String[] args) throws Exception {
-        Verdict verdict = judge(Path.of(args[0]), Path.of(args[1]));
-        verdict.knownFailures.forEach(line -> System.out.println("known red: " + line));
-        verdict.problems.forEach(problem -> System.out.println("FAILED: " + problem));
-        System.exit(verdict.problems.isEmpty() ? 0 : 1);
+        Evaluation evaluation = evaluate(Path.of(args[0]), Path.of(args[1]));
+        evaluation.knownFailures.forEach(line -> System.out.println("known red: " + line));
+        evaluation.problems.forEach(problem -> System.out.println("FAILED: " + problem));
+        System.exit(evaluation.problems.isEmpty() ? 0 : 1);
     }
 
     /**
-     * What came of a run.
+     * The evaluation of a run.
      *
      * @param knownFailures the lines of the list
-     * @param problems tests that failed and are not on the list, and what is wrong with the list; none: the run passes
+     * @param problems failed tests that are not on the list, and problems of the list; the run passes if there are none
      */
-    record Verdict(List<String> knownFailures, List<String> problems) {}
+    record Evaluation(List<String> knownFailures, List<String> problems) {}
 
     /**
-     * Judges a run.
+     * Evaluates a run.
      *
-     * @param list the file of known failures; it may be missing
-     * @param reports the directory of Surefire's reports
+     * @param list the file with the known failures; may be missing
+     * @param reports the directory with the reports of Surefire
      */
-    static Verdict judge(Path list, Path reports) throws IOException, ParserConfigurationException, SAXException {
+    static Evaluation evaluate(Path list, Path reports) throws IOException, ParserConfigurationException, SAXException {
         Map<String, Boolean> failedByTest = readReports(reports);
         List<String> lines = Files.exists(list)
                 ? Files.readAllLines(list).stream()
@@ -66,33 +66,33 @@
         if (lines.size() > MAX_ENTRIES) {
             problems.add(lines.size() + " lines in " + list.getFileName() + ", " + MAX_ENTRIES + " at most");
         }
-        List<String> namedTests = checkLines(lines, failedByTest, problems);
+        List<String> listedTests = checkLines(lines, failedByTest, problems);
         failedByTest.forEach((test, failed) -> {
-            if (failed && !namedTests.contains(test)) {
+            if (failed && !listedTests.contains(test)) {
                 problems.add(test);
             }
         });
-        return new Verdict(lines, problems);
+        return new Evaluation(lines, problems);
     }
 
-    /** Adds what is wrong with the lines to the problems; returns the tests that they name. */
+    /** Adds the problems of the lines to {@code problems}; returns the tests that the lines name. */
     private static List<String> checkLines(
             List<String> lines, Map<String, Boolean> failedByTest, List<String> problems) {
-        List<String> namedTests = new ArrayList<>();
+        List<String> listedTests = new ArrayList<>();
         for (String line : lines) {
             String[] fields = line.split("\\|", -1);
             String test = fields[0].trim();
-            namedTests.add(test);
+            listedTests.add(test);
             if (fields.length != FIELDS || fields[1].isBlank() || fields[2].isBlank()) {
                 problems.add("not of the form test | cause | issue: " + line);
             } else if (!failedByTest.containsKey(test)) {
                 problems.add("names no test that ran: " + line);
             }
         }
-        return namedTests;
+        return listedTests;
     }
 
-    /** For each test that ran, whether it failed in any of its runs; skipped tests did not run. */
+    /** Returns for each test that ran whether it failed in any of its runs; skipped tests are left out. */
     private static Map<String, Boolean> readReports(Path reports)
             throws IOException, ParserConfigurationException, SAXException {
         Map<String, Boolean> failedByTest = new LinkedHashMap<>();
--- a/src/test/java/gatelock/ci/KnownRedTest.java
+++ b/src/test/java/gatelock/ci/KnownRedTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which runs pass, by reports in the form that Surefire writes. */
+/** Tests which runs pass, based on reports in the format of Surefire. */
 final class KnownRedTest {
     private static final String LINE = "a.OneTest.fails | the list is read late | issue 32\n";
 
@@ -33,19 +33,19 @@
     }
 
     private List<String> problems() throws Exception {
-        return KnownRed.judge(list, dir).problems();
+        return KnownRed.evaluate(list, dir).problems();
     }
 
     @Test
-    void aNamedFailurePassesAndIsReported() throws Exception {
+    void passesAndReportsListedFailure() throws Exception {
         Files.writeString(list, LINE);
-        KnownRed.Verdict verdict = KnownRed.judge(list, dir);
-        assertThat(verdict.knownFailures()).containsExactly(LINE.trim());
-        assertThat(verdict.problems()).isEmpty();
+        KnownRed.Evaluation evaluation = KnownRed.evaluate(list, dir);
+        assertThat(evaluation.knownFailures()).containsExactly(LINE.trim());
+        assertThat(evaluation.problems()).isEmpty();
     }
 
     @Test
-    void aFailureThatIsNotNamedFails() throws Exception {
+    void failsOnUnlistedFailure() throws Exception {
         assertThat(problems()).containsExactly("a.OneTest.fails");
         Files.writeString(list, LINE);
         report("a.TwoTest", "<testcase name='breaks' classname='a.TwoTest'><error type='x'>no</error></testcase>");
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aLineForNoTestThatRanFails() throws Exception {
+    void failsOnLineWhoseTestDidNotRun() throws Exception {
         Files.writeString(list, LINE + LINE.replace("fails", "gone"));
         assertThat(problems())
                 .containsExactly("names no test that ran: " + LINE.trim().replace("fails", "gone"));
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aFourthLineFails() throws Exception {
+    void failsOnMoreThanThreeLines() throws Exception {
         Files.writeString(list, LINE.repeat(3));
         assertThat(problems()).isEmpty();
         Files.writeString(list, LINE.repeat(4));
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aLineWithoutItsCauseOrIssueFails() throws Exception {
+    void failsOnLineWithoutCauseOrIssue() throws Exception {
         for (String line :
                 new String[] {"a.OneTest.fails", "a.OneTest.fails | cause", "a.OneTest.fails | | issue 32"}) {
             Files.writeString(list, line);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aRunWithoutAnyTestFails() throws Exception {
+    void failsIfNoTestRan() throws Exception {
         Files.delete(dir.resolve("TEST-a.OneTest.xml"));
         assertThat(problems()).containsExactly("no test ran");
     }
--- a/src/test/java/gatelock/simulator/FieldReaderTest.java
+++ b/src/test/java/gatelock/simulator/FieldReaderTest.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Fields of a line: present, absent and malformed ones. */
+/** Tests the reading of present, absent and malformed fields of a line. */
 final class FieldReaderTest {
 
     @Test
-    void fieldsAreReadInOrderAndTheRestKeepsItsSpaces() {
+    void readsFieldsInOrderAndRestWithItsSpaces() {
         FieldReader fields = new FieldReader("NAME text 17 0.5 - a=b c=d");
         assertThat(fields.name()).isEqualTo("NAME");
         assertThat(fields.requiredText("text")).isEqualTo("text");
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void fieldsPastTheEndAreAbsent() {
+    void treatsFieldsPastEndOfLineAsAbsent() {
         FieldReader fields = new FieldReader("NAME");
         assertThat(fields.optionalInt(5)).isEqualTo(5);
         assertThat(fields.optionalDouble(0.5)).isEqualTo(0.5);
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void malformedFieldsAreReported() {
+    void rejectsMalformedFields() {
         assertThatThrownBy(() -> new FieldReader("NAME x").requiredLong("clock"))
                 .isInstanceOf(MalformedLineException.class)
                 .hasMessage("expected clock in NAME, found x");
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aLoadReportTakesTheValueThatIsKnown() {
+    void ignoresUnknownValuesInLoadReport() {
         assertThat(new FieldReader("NAME cpu:0.5,waiting:3").loadReport()).isEqualTo(new LoadReport(3));
     }
 }
--- a/src/test/java/gatelock/simulator/SimulatorHostTest.java
+++ b/src/test/java/gatelock/simulator/SimulatorHostTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Batches of lines, and the replies to them. */
+/** Tests the replies to batches of lines, and the rejection of malformed lines. */
 final class SimulatorHostTest {
     private static final String START = "POWER_ON 17 lanes.count=1 lanes.0.effect=repeatable "
             + "lanes.0.targetNs=1000000000 lanes.0.deadlineNs=2000000000 limits.tryLimit=3 replicasOfMe=1\n";
@@ -23,12 +23,12 @@
     }
 
     @Test
-    void anEmptyBatchIsAcknowledged() throws IOException {
+    void acknowledgesEmptyBatch() throws IOException {
         assertThat(reply("MARK 8412250000\nEOB\nMARK 8412250001\nEOB\n")).isEqualTo("ACK\nACK\n");
     }
 
     @Test
-    void actionsStandUnderTheRelayThatTheyAreOf() throws IOException {
+    void writesActionsUnderTheirRelay() throws IOException {
         String batch = "MARK 1000000\n" + LIST + "CONTEXT 3\n" + START + "SYNC 1 1 3\nCONTEXT 5\n" + START
                 + "SYNC 1 1 3\nEOB\nMARK 2000000\nCONTEXT 3\n" + REQUEST + "CONTEXT 5\n" + REQUEST + "EOB\n";
         String secondReply = reply(batch).split("ACK\n", -1)[1];
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void linesThatAreNotInTheProtocolAreReported() {
+    void rejectsLinesOutsideTheProtocol() {
         assertMalformed("FOO\n", "expected MARK, found FOO");
         assertMalformed("MARK 1\n", "expected EOB, found the end of the input");
         assertMalformed("MARK 1\nELAPSED 2\nEOB\n", "expected CONTEXT before ELAPSED");
--- a/src/test/java/gatelock/state/ClientConnectionsTest.java
+++ b/src/test/java/gatelock/state/ClientConnectionsTest.java
@@ -10,94 +10,103 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.DoubleRange;
 
-/** Random arrivals, partial reads, stalls, timers and responses, checked by clients that know what they are owed. */
+/**
+ * Runs {@link ClientConnections} with random arrivals, partial reads, stalls, timers and responses. Guards against
+ * closing a connection whose client is owed a response: with a delayed I/O thread, a timer can fire while a complete
+ * request has arrived but has not been read.
+ */
 final class ClientConnectionsTest {
-    private static final int STEPS = 1_500;
-    private static final int PARTS = 3;
+    private static final int ROUNDS = 1_500;
+    private static final int PARTS_PER_REQUEST = 3;
 
-    /** One client's side of a connection, with the bytes that the kernel holds for the relay. */
+    /** The client side of a connection, including the bytes that have arrived at the relay and have not been read. */
     private static final class Client {
         private boolean open = true;
-        /** How many parts of a request were written; {@code PARTS} make it complete. */
-        private int written;
-        /** How many of these the relay has read. */
-        private int read;
+        /** The number of written parts of the current request; {@code PARTS_PER_REQUEST} parts complete it. */
+        private int partsWritten;
+        /** The number of these parts that the relay has read. */
+        private int partsRead;
 
-        private boolean answering;
-        /** When the request began: its first byte on an idle connection, else accept. */
-        private long sinceUs;
+        private boolean receivingResponse;
+        /** The start of the request: its first byte on an idle connection, otherwise the accept of the connection. */
+        private long startedUs;
 
-        private long completeUs;
+        private long completedUs;
         private ClientCloseReason closeReason;
     }
 
-    private static final class World implements ClientSockets<Client> {
+    private static final class Simulation implements ClientSockets<Client> {
         private final RandomGenerator random;
         private final List<Client> clients = new ArrayList<>();
         private final ClientConnections<Client> connections;
         private long nowUs = 1;
-        private int served;
+        private int responsesWritten;
 
-        World(long seed, int softLimit, int hardLimit) {
+        Simulation(long seed, int softLimit, int hardLimit) {
             random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
             connections = new ClientConnections<>(new Counters(), this, softLimit, hardLimit);
         }
 
         @Override
         public boolean hasUnreadBytes(Client c) {
-            return c.written > c.read;
+            return c.partsWritten > c.partsRead;
         }
 
         @Override
         public void close(Client c, ClientConnectionState state, ClientCloseReason closeReason) {
-            boolean completeInTime =
-                    c.written == PARTS && c.completeUs - c.sinceUs <= ClientConnections.REQUEST_TIMEOUT_US;
-            assertThat(c.open && (completeInTime || c.answering) && closeReason != ClientCloseReason.RESPONSE_NOT_READ)
-                    .as("%s in %s, written %d, read %d", closeReason, state, c.written, c.read)
+            boolean completeInTime = c.partsWritten == PARTS_PER_REQUEST
+                    && c.completedUs - c.startedUs <= ClientConnections.REQUEST_TIMEOUT_US;
+            assertThat(c.open
+                            && (completeInTime || c.receivingResponse)
+                            && closeReason != ClientCloseReason.RESPONSE_NOT_READ)
+                    .as("%s in %s, written %d, read %d", closeReason, state, c.partsWritten, c.partsRead)
                     .isFalse();
             c.open = false;
             c.closeReason = closeReason;
         }
 
-        /** Has some of the clients write, at any time, whether or not the I/O thread runs. */
-        private void write(double share) {
+        /** Lets randomly chosen clients write; called independently of the rounds of the I/O thread. */
+        private void write(double probability) {
             for (Client c : clients) {
-                if (c.open && c.written < PARTS && !c.answering && random.nextDouble() < share) {
-                    if (c.written == 0 && connections.state(c) != ClientConnectionState.AWAITING_FIRST_REQUEST) {
-                        c.sinceUs = nowUs;
+                if (c.open
+                        && c.partsWritten < PARTS_PER_REQUEST
+                        && !c.receivingResponse
+                        && random.nextDouble() < probability) {
+                    if (c.partsWritten == 0 && connections.state(c) != ClientConnectionState.AWAITING_FIRST_REQUEST) {
+                        c.startedUs = nowUs;
                     }
-                    c.written = random.nextBoolean() ? PARTS : c.written + 1;
-                    c.completeUs = nowUs;
+                    c.partsWritten = random.nextBoolean() ? PARTS_PER_REQUEST : c.partsWritten + 1;
+                    c.completedUs = nowUs;
                 }
             }
         }
 
-        /** One round of the I/O thread: timers first, then what was accepted, then what can be read or written. */
-        private void runOnce(int accepted) {
+        /** Runs one round of the I/O thread: timers first, then accepts, then reads and writes. */
+        private void runEventLoopOnce(int accepted) {
             connections.closeOverdue(nowUs);
             for (int i = 0; i < accepted; i++) {
                 Client c = new Client();
-                c.sinceUs = nowUs;
+                c.startedUs = nowUs;
                 clients.add(c);
                 connections.accepted(nowUs, c);
                 connections.evictIfCrowded(nowUs);
             }
             clients.removeIf(c -> !c.open);
             for (Client c : clients) {
-                if (c.read < c.written) {
-                    c.read = c.written;
+                if (c.partsRead < c.partsWritten) {
+                    c.partsRead = c.partsWritten;
                     connections.bytesRead(nowUs, c);
-                    if (c.read == PARTS) {
+                    if (c.partsRead == PARTS_PER_REQUEST) {
                         connections.requestCompleted(c);
                     }
-                } else if (c.answering && random.nextInt(3) == 0) {
-                    c.answering = false;
-                    served++;
+                } else if (c.receivingResponse && random.nextInt(3) == 0) {
+                    c.receivingResponse = false;
+                    responsesWritten++;
                     connections.responseWritten(nowUs, c, false);
                 } else if (connections.state(c) == ClientConnectionState.AWAITING_RESPONSE && random.nextInt(4) == 0) {
-                    c.answering = true;
-                    c.written = 0;
-                    c.read = 0;
+                    c.receivingResponse = true;
+                    c.partsWritten = 0;
+                    c.partsRead = 0;
                     connections.responseStarted(nowUs, c);
                 } else if (random.nextInt(400) == 0) {
                     c.open = false;
@@ -109,45 +118,46 @@
     }
 
     @Property(tries = 300, seed = "16")
-    void noRequestIsCutOffWhateverTheOrder(
-            @ForAll long seed, @ForAll @DoubleRange(min = 0.01, max = 0.4) double share) {
-        World world = new World(seed, 20, 40);
-        for (int i = 0; i < STEPS; i++) {
-            world.write(share);
-            world.nowUs += world.random.nextInt(20) == 0
-                    ? world.random.nextLong(1, 4_000_000)
-                    : world.random.nextLong(1, 60_000);
-            world.write(share);
-            world.runOnce(world.random.nextInt(4) == 0 ? world.random.nextInt(6) : 0);
-            assertThat(world.connections.connections()).containsExactlyInAnyOrderElementsOf(world.clients);
+    void neverClosesConnectionOwedAResponse(
+            @ForAll long seed, @ForAll @DoubleRange(min = 0.01, max = 0.4) double writeProbability) {
+        Simulation simulation = new Simulation(seed, 20, 40);
+        for (int i = 0; i < ROUNDS; i++) {
+            simulation.write(writeProbability);
+            simulation.nowUs += simulation.random.nextInt(20) == 0
+                    ? simulation.random.nextLong(1, 4_000_000)
+                    : simulation.random.nextLong(1, 60_000);
+            simulation.write(writeProbability);
+            simulation.runEventLoopOnce(simulation.random.nextInt(4) == 0 ? simulation.random.nextInt(6) : 0);
+            assertThat(simulation.connections.connections()).containsExactlyInAnyOrderElementsOf(simulation.clients);
         }
-        assertThat(world.served).isPositive();
-        // Once no client writes any more, every connection is closed within its timeout.
-        for (Client c : world.clients) {
-            c.written = 0;
-            c.read = 0;
+        assertThat(simulation.responsesWritten).isPositive();
+        // Once clients stop writing, every connection is closed within its timeout.
+        for (Client c : simulation.clients) {
+            c.partsWritten = 0;
+            c.partsRead = 0;
         }
-        List<Client> left = List.copyOf(world.clients);
+        List<Client> left = List.copyOf(simulation.clients);
         left.stream()
-                .filter(c -> world.connections.state(c) == ClientConnectionState.AWAITING_RESPONSE)
-                .forEach(c -> world.connections.responseStarted(world.nowUs, c));
+                .filter(c -> simulation.connections.state(c) == ClientConnectionState.AWAITING_RESPONSE)
+                .forEach(c -> simulation.connections.responseStarted(simulation.nowUs, c));
         for (int i = 0; i < 60; i++) {
-            world.nowUs += 50_000;
-            world.connections.closeOverdue(world.nowUs);
+            simulation.nowUs += 50_000;
+            simulation.connections.closeOverdue(simulation.nowUs);
         }
-        assertThat(world.connections.size()).isZero();
+        assertThat(simulation.connections.size()).isZero();
     }
 
+    /** A client that keeps sending single bytes must not extend the timeout of its request. */
     @Property(tries = 20, seed = "16")
-    void aDripOfBytesEndsInTime(@ForAll long seed) {
-        World world = new World(seed, 20, 40);
-        world.runOnce(1);
-        Client dripping = world.clients.get(0);
-        for (int i = 0; i < 60 && dripping.open; i++) {
-            world.nowUs += 50_000;
-            world.connections.closeOverdue(world.nowUs);
-            world.connections.bytesRead(world.nowUs, dripping);
+    void closesConnectionOfIncompleteRequestInTime(@ForAll long seed) {
+        Simulation simulation = new Simulation(seed, 20, 40);
+        simulation.runEventLoopOnce(1);
+        Client slowClient = simulation.clients.get(0);
+        for (int i = 0; i < 60 && slowClient.open; i++) {
+            simulation.nowUs += 50_000;
+            simulation.connections.closeOverdue(simulation.nowUs);
+            simulation.connections.bytesRead(simulation.nowUs, slowClient);
         }
-        assertThat(dripping.closeReason).isEqualTo(ClientCloseReason.REQUEST_INCOMPLETE);
+        assertThat(slowClient.closeReason).isEqualTo(ClientCloseReason.REQUEST_INCOMPLETE);
     }
 }
