--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -141,7 +141,7 @@
         if (!hasVersion) {
             LOG.log(
                     Level.WARNING,
-                    "no configuration version in time: requests are routed by class, without limits, until one arrives");
+                    "no configuration version in time: until one arrives, requests are routed by class without limits");
         }
         ready.run();
     }
