--- a/src/main/java/gatelock/discovery/BufferedListResponse.java
+++ b/src/main/java/gatelock/discovery/BufferedListResponse.java
@@ -9,7 +9,10 @@
 import java.io.IOException;
 import java.util.List;
 
-/** The response to one poll, read once all of it has arrived. A list that is malformed anywhere changes nothing. */
+/**
+ * Handles the response to one poll of a relay without a subset. The list is parsed once it has arrived completely, and
+ * a list that is malformed anywhere changes nothing.
+ */
 final class BufferedListResponse extends ListResponseHandler {
     private final EndpointEntryReader entryReader;
     private final EventLoop eventLoop;
@@ -43,15 +46,15 @@
             listener.rejected(e.getMessage());
             return false;
         }
-        DecisionEngine.EndpointUpdateType form =
+        DecisionEngine.EndpointUpdateType updateType =
                 full ? DecisionEngine.EndpointUpdateType.FULL : DecisionEngine.EndpointUpdateType.DELTA;
-        listener.accepted(index, full || !entries.isEmpty(), () -> applier.apply(form, entries));
+        listener.accepted(index, full || !entries.isEmpty(), () -> applier.apply(updateType, entries));
         return true;
     }
 
     @Override
     String truncationReason() {
-        // Nothing of a buffered list has been looked at before all of it is there.
+        // A buffered list is not examined before it is complete, so a truncated one is never detected here.
         return null;
     }
 }
--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -21,25 +21,33 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Polls discovery for the endpoint list: the full list first, then the changes since its index by a long poll (a
- * watch), which is renewed as soon as it has been answered. {@link EndpointListApplier} applies what the lists say, and
- * {@link ListFailureReporter} counts and logs the lists that could not be used.
+ * Polls the discovery service for the endpoint list. The first poll fetches the full list. Each later poll is a long
+ * poll (a watch) for the changes since the index of the last list, and is sent again as soon as it has been answered.
+ * {@link EndpointListApplier} applies the lists, and {@link ListFailureReporter} counts and logs the polls that brought
+ * no usable list.
  */
 public final class DiscoveryClient {
-    /** The longest buffered list, in bytes: 1,024 endpoints and twice as many leaving, with names of usual length. */
+    /**
+     * The maximum length of a buffered list, in bytes. It has room for 1,024 endpoints and twice as many that are
+     * leaving, with names of usual length.
+     */
     public static final int MAX_LIST_BYTES = 2 * 1024 * 1024;
 
-    /** How long discovery may hold a watch at most; short, so that a connection that has gone silent is noticed. */
-    private static final long HOLD_MS = 2_000;
-    /** How long a response may take beyond the time for which it is held. */
+    /**
+     * How long discovery may hold a watch before it responds. The time is short so that an unresponsive connection is
+     * noticed.
+     */
+    private static final long LONG_POLL_HOLD_MS = 2_000;
+    /** How long a response may take in addition to the time for which discovery holds the poll. */
     private static final long RESPONSE_GRACE_US = 1_000_000;
 
-    private static final long RETRY_US = 100_000;
+    private static final long RETRY_DELAY_US = 100_000;
     /**
-     * Guards against a discovery that has to write a full list over and over for many relays that can't take it. It
-     * does harm where the list is short enough again at once: that is then noticed so much later.
+     * The delay before the next poll after a list that was too long. It keeps discovery from writing a full list over
+     * and over for many relays that cannot accept it. As a drawback, the relay notices that much later when the list
+     * has become short enough.
      */
-    private static final long TOO_LONG_RETRY_US = 500_000;
+    private static final long TOO_LONG_RETRY_DELAY_US = 500_000;
 
     private static final long NO_INDEX = -1;
     private static final long NEVER_POLLED = Long.MIN_VALUE;
@@ -47,13 +55,13 @@
     private final EventLoop eventLoop;
     private final ConnectionPool pool;
     private final EndpointAddresses addresses;
-    private final boolean onRequest;
+    private final boolean pollOnDemand;
     private final RandomGenerator random;
-    private final SubsetOptions membership;
+    private final SubsetOptions subsetOptions;
     private final EndpointEntryReader entryReader;
     private final EndpointListApplier applier;
     private final ListFailureReporter failures;
-    private final ListResponseListener responses = new ResponseListener();
+    private final ListResponseListener responseListener = new ResponseListener();
     private InetSocketAddress address;
     private OutboundConnection connection;
     private XnioExecutor.Key retryTimer;
@@ -61,25 +69,27 @@
     private boolean polling;
     private boolean listReceived;
     private long firstPollUs = NEVER_POLLED;
-    private long maxSilenceUs;
-    /** Waits for the first list; null where nobody waits. */
+    private long firstListTimeoutUs;
+    /** Called when the first list has arrived or is no longer awaited; null if no caller waits for it. */
     private Runnable firstListCallback;
 
     private Runnable failureCallback = () -> {};
 
     /**
-     * The part of the listed endpoints that this relay uses, and how a list is read for it.
+     * The settings of a relay that uses a subset of the listed endpoints.
      *
-     * @param maxListBytes the longest response with a list that is accepted
+     * @param subset selects the endpoints that this relay uses
+     * @param serviceNames derives the service of each listed endpoint
+     * @param maxListBytes the maximum length of a response that contains a list
      */
     public record SubsetOptions(EndpointSubset subset, ServiceNameExtractor serviceNames, long maxListBytes) {}
 
     /**
-     * The state of the endpoint list, for the operators. Without a subset, all listed endpoints count as in scope.
+     * The status of the endpoint list, for operators. Without a subset, all listed endpoints count as in scope.
      *
      * @param usesSubset whether this relay uses a subset of the listed endpoints
-     * @param changedUs when the list or the subset last changed, -1 for never
-     * @param tooLongLists how many lists were rejected as too long
+     * @param changedUs when the list or the subset last changed, or -1 if it never has
+     * @param tooLongLists how many lists were rejected because they were too long
      */
     public record ListStatus(
             boolean usesSubset, int listed, int inScope, int services, long index, long changedUs, long tooLongLists) {
@@ -94,12 +104,14 @@
      * Creates a client that does nothing until {@link #start}.
      *
      * @param pool the connections to discovery
-     * @param endpointPool the connections to endpoints; closed where an endpoint leaves or returns as another process
-     * @param zones the names of the zones, in the order of their numbers
-     * @param kinds the names of the machine types, in the order of their numbers
-     * @param onRequest whether the list is polled only on {@link #startPolling}, and the decisions learn of each failure
-     * @param random spreads the retries
-     * @param membership null: all listed endpoints are used
+     * @param endpointPool the connections to endpoints; those to an endpoint are closed when it leaves or is replaced
+     *     by another process
+     * @param zones the names of the zones, in the order of their indexes
+     * @param instanceTypes the names of the instance types, in the order of their indexes
+     * @param pollOnDemand whether polling begins only with {@link #startPolling} and stops after a failed poll, which
+     *     is then reported to the decision engine
+     * @param random adds jitter to the retry delays
+     * @param subsetOptions the settings of the subset, or null to use all listed endpoints
      */
     public DiscoveryClient(
             EventLoop eventLoop,
@@ -109,58 +121,62 @@
             EndpointAddresses addresses,
             ConnectionPool endpointPool,
             List<String> zones,
-            List<String> kinds,
-            boolean onRequest,
+            List<String> instanceTypes,
+            boolean pollOnDemand,
             RandomGenerator random,
-            SubsetOptions membership) {
+            SubsetOptions subsetOptions) {
         this.eventLoop = eventLoop;
         this.pool = pool;
         this.address = address;
         this.addresses = addresses;
-        this.onRequest = onRequest;
+        this.pollOnDemand = pollOnDemand;
         this.random = random;
-        this.membership = membership;
+        this.subsetOptions = subsetOptions;
         this.entryReader = new EndpointEntryReader(
-                zones, kinds, membership == null ? ServiceNameExtractor.SINGLE_SERVICE : membership.serviceNames);
+                zones,
+                instanceTypes,
+                subsetOptions == null ? ServiceNameExtractor.SINGLE_SERVICE : subsetOptions.serviceNames);
         this.applier = new EndpointListApplier(
-                eventLoop, addresses, endpointPool, membership == null ? null : membership.subset);
-        this.failures = new ListFailureReporter(counters, membership != null);
+                eventLoop, addresses, endpointPool, subsetOptions == null ? null : subsetOptions.subset);
+        this.failures = new ListFailureReporter(counters, subsetOptions != null);
     }
 
     /**
-     * Applies the list that this relay last held, and starts to poll unless that is done on request only.
+     * Applies the cached list and starts to poll, unless polling is on demand.
      *
-     * @throws IOException where the cached list is malformed
+     * @param admission the admission pools to update, or null if there are none
+     * @param cachedList the last endpoint list that this relay received before it was restarted
+     * @throws IOException if the cached list is malformed
      */
-    public void start(DecisionEngine engine, Admission admission, JsonObject cached) throws IOException {
-        List<EndpointEntry> entries = entryReader.readAll(cached, eventLoop.nowUs());
-        long cachedIndex = membership == null ? 0 : cached.nonNegativeLongOr("index", 0);
+    public void start(DecisionEngine engine, Admission admission, JsonObject cachedList) throws IOException {
+        List<EndpointEntry> entries = entryReader.readAll(cachedList, eventLoop.nowUs());
+        long cachedIndex = subsetOptions == null ? 0 : cachedList.nonNegativeLongOr("index", 0);
         applier.start(engine, admission, entries, cachedIndex);
-        if (!onRequest) {
+        if (!pollOnDemand) {
             startPolling();
         }
     }
 
     /**
-     * Calls back once, when discovery has sent a list, or when a poll has failed at least this long after the first
-     * one was sent. Each poll still has all of its time, so that a relay whose own thread is late does not take
-     * discovery for silent.
+     * Calls back once: when discovery has sent a list, or when a poll fails at least this long after the first poll was
+     * sent. Each poll still has its full timeout, so that a relay whose own event loop is delayed does not mistake
+     * discovery for unresponsive.
      */
-    public void onFirstList(long maxSilenceUs, Runnable callback) {
+    public void onFirstList(long firstListTimeoutUs, Runnable callback) {
         if (listReceived) {
             callback.run();
         } else {
-            this.maxSilenceUs = maxSilenceUs;
+            this.firstListTimeoutUs = firstListTimeoutUs;
             firstListCallback = callback;
         }
     }
 
-    /** Sets what is called each time a poll has failed. */
+    /** Sets the callback that is called after each failed poll. */
     public void onPollFailure(Runnable callback) {
         failureCallback = callback;
     }
 
-    /** Starts to poll, unless a poll is already under way. */
+    /** Starts to poll, unless polling is already in progress. */
     public void startPolling() {
         if (!polling) {
             polling = true;
@@ -168,7 +184,7 @@
         }
     }
 
-    /** Polls at another address from now on, for the full list first; the old address is no longer listened to. */
+    /** Polls another address from now on, beginning with the full list. Responses from the old address are ignored. */
     public void changeAddress(InetSocketAddress newAddress) {
         if (newAddress.equals(address)) {
             return;
@@ -186,18 +202,18 @@
         }
     }
 
-    /** Notes the result of an attempt at an endpoint: an endpoint that no longer responds is replaced in the subset. */
+    /** Records the result of an attempt. An endpoint that no longer responds is replaced in the subset. */
     public void attemptEnded(String endpoint, AttemptResult result) {
         applier.attemptEnded(endpoint, result);
     }
 
-    /** Returns the state of the endpoint list. */
+    /** Returns the status of the endpoint list. */
     public ListStatus state() {
-        if (membership == null) {
+        if (subsetOptions == null) {
             int used = addresses.size();
             return new ListStatus(false, used, used, 1, index, applier.changedUs(), failures.tooLongCount());
         }
-        EndpointSubset subset = membership.subset;
+        EndpointSubset subset = subsetOptions.subset;
         return new ListStatus(
                 true,
                 subset.listedCount(),
@@ -213,36 +229,39 @@
         if (firstPollUs == NEVER_POLLED) {
             firstPollUs = eventLoop.nowUs();
         }
-        String path = watch ? "/api/targets?from=" + index + "&hold_ms=" + HOLD_MS : "/api/targets";
+        String path = watch ? "/api/targets?from=" + index + "&hold_ms=" + LONG_POLL_HOLD_MS : "/api/targets";
         ByteBuffer request = StandardCharsets.US_ASCII.encode("GET " + path + " HTTP/1.1\r\nHost: discovery\r\n\r\n");
-        long firstByteUs = RESPONSE_GRACE_US + (watch ? HOLD_MS * 1000 : 0);
-        if (membership == null) {
+        long firstByteUs = RESPONSE_GRACE_US + (watch ? LONG_POLL_HOLD_MS * 1000 : 0);
+        if (subsetOptions == null) {
             connection = pool.send(
                     address,
                     request,
                     firstByteUs,
-                    new BufferedListResponse(entryReader, eventLoop, applier, responses));
+                    new BufferedListResponse(entryReader, eventLoop, applier, responseListener));
         } else {
             StreamedListResponse response = new StreamedListResponse(
-                    !watch, membership.maxListBytes, entryReader, eventLoop, applier, responses);
+                    !watch, subsetOptions.maxListBytes, entryReader, eventLoop, applier, responseListener);
             ResponseTimeouts timeouts = new ResponseTimeouts(
-                    firstByteUs, StreamedListResponse.MAX_PAUSE_US, StreamedListResponse.MAX_TOTAL_US);
+                    firstByteUs, StreamedListResponse.DATA_TIMEOUT_US, StreamedListResponse.TOTAL_TIMEOUT_US);
             connection = pool.send(address, request, timeouts, response, response);
         }
     }
 
-    /** Handles a poll without a usable list: polls again after that pause or up to twice as long. */
-    private void retryLater(String failure, long pauseUs) {
+    /**
+     * Handles a poll that brought no usable list: polls again after a random delay between {@code delayUs} and twice as
+     * much.
+     */
+    private void retryLater(String failure, long delayUs) {
         failureCallback.run();
-        if (firstListCallback != null && eventLoop.nowUs() - firstPollUs >= maxSilenceUs) {
-            failures.logServingConfigured(failure);
+        if (firstListCallback != null && eventLoop.nowUs() - firstPollUs >= firstListTimeoutUs) {
+            failures.logServingConfiguredEndpoints(failure);
             notifyFirstList();
         }
-        if (onRequest) {
+        if (pollOnDemand) {
             polling = false;
             applier.pollFailed();
         } else {
-            retryTimer = eventLoop.schedule(pauseUs + random.nextLong(pauseUs), this::poll);
+            retryTimer = eventLoop.schedule(delayUs + random.nextLong(delayUs), this::poll);
         }
     }
 
@@ -253,13 +272,14 @@
         }
     }
 
-    /** Advances the polling by the outcome of one poll. */
+    /** Updates the polling state after each poll. */
     private final class ResponseListener implements ListResponseListener {
         @Override
         public void accepted(long newIndex, boolean changed, Runnable apply) {
             failures.accepted();
             index = newIndex;
-            // The next watch goes out at once, on the same connection: discovery takes what changes in between into it.
+            // Sends the next watch before the list is applied, on the same connection. Discovery includes in its
+            // response what changes in between.
             InetSocketAddress polledAddress = address;
             eventLoop.execute(() -> {
                 if (polledAddress.equals(address)) {
@@ -275,17 +295,17 @@
 
         @Override
         public void fullListApplied() {
-            failures.logState(state());
+            failures.logStatus(state());
         }
 
         @Override
         public void rejected(String reason) {
             failures.rejected(reason);
-            retryLater("discovery's list is rejected, " + reason, RETRY_US);
+            retryLater("the endpoint list from discovery was rejected: " + reason, RETRY_DELAY_US);
         }
 
         @Override
-        public void rejectedAsUnannounced(String reason) {
+        public void rejectedForUnexpectedType(String reason) {
             index = NO_INDEX;
             rejected(reason);
         }
@@ -293,15 +313,15 @@
         @Override
         public void tooLong(String reason) {
             failures.tooLong(reason);
-            // Changes that are too long may add up to a full list that is not.
+            // The next poll requests the full list, which may be within the limit even if the changes are not.
             index = NO_INDEX;
-            retryLater("discovery's list is too long", TOO_LONG_RETRY_US);
+            retryLater("discovery's list is too long", TOO_LONG_RETRY_DELAY_US);
         }
 
         @Override
-        public void silent() {
-            failures.silent();
-            retryLater("discovery is silent", RETRY_US);
+        public void notReceived() {
+            failures.notReceived();
+            retryLater("discovery is silent", RETRY_DELAY_US);
         }
     }
 }
--- a/src/main/java/gatelock/discovery/EndpointEntryReader.java
+++ b/src/main/java/gatelock/discovery/EndpointEntryReader.java
@@ -12,10 +12,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Converts the entries of an endpoint list; the only place where the form of an entry is checked. */
+/** Converts the entries of an endpoint list. The format of an entry is validated only here. */
 final class EndpointEntryReader {
     private static final int MAX_LABELS = 32;
-    /** How far an endpoint's start may lie ahead of this relay's clock. */
+    /** How far the start time of an endpoint may lie ahead of the clock of this relay. */
     private static final long MAX_CLOCK_SKEW_US = 60_000_000;
 
     private static final Map<String, Endpoint.Health> HEALTH_BY_STATUS = Map.of(
@@ -27,25 +27,26 @@
             Endpoint.Health.GONE);
 
     private final List<String> zones;
-    private final List<String> kinds;
+    private final List<String> instanceTypes;
     private final ServiceNameExtractor serviceNames;
 
     /**
      * Creates a reader.
      *
-     * @param zones the names of the zones, in the order of their numbers
-     * @param kinds the names of the machine types, in the order of their numbers
+     * @param zones the names of the zones, in the order of their indexes
+     * @param instanceTypes the names of the instance types, in the order of their indexes
+     * @param serviceNames derives the service of each endpoint
      */
-    EndpointEntryReader(List<String> zones, List<String> kinds, ServiceNameExtractor serviceNames) {
+    EndpointEntryReader(List<String> zones, List<String> instanceTypes, ServiceNameExtractor serviceNames) {
         this.zones = zones;
-        this.kinds = kinds;
+        this.instanceTypes = instanceTypes;
         this.serviceNames = serviceNames;
     }
 
     /**
-     * Reads all entries of a buffered list, in its order.
+     * Reads all entries of a buffered list, in the order of the list.
      *
-     * @throws IOException where an entry is malformed or two have the same name
+     * @throws IOException if an entry is malformed or two entries have the same name
      */
     List<EndpointEntry> readAll(JsonObject list, long nowUs) throws IOException {
         List<EndpointEntry> entries = new ArrayList<>();
@@ -53,7 +54,7 @@
         for (JsonObject object : list.objects("endpoints")) {
             EndpointEntry entry = read(object, nowUs);
             if (!names.add(entry.name())) {
-                throw new MalformedMessageException("expected each endpoint once, found twice " + entry.name());
+                throw new MalformedMessageException("duplicate endpoint " + entry.name());
             }
             entries.add(entry);
         }
@@ -61,19 +62,19 @@
     }
 
     /**
-     * Reads one entry. The form of its address is checked, but its host is not looked up.
+     * Reads one entry. The format of its address is checked, but the host name is not resolved.
      *
-     * @throws IOException where the entry is malformed
+     * @throws IOException if the entry is malformed
      */
     EndpointEntry read(JsonObject entry, long nowUs) throws IOException {
         String endpoint = entry.text("name");
         Endpoint.Health health = HEALTH_BY_STATUS.get(entry.text("status"));
         if (health == null) {
-            throw new MalformedMessageException("expected a known status for " + endpoint);
+            throw new MalformedMessageException("unknown status of endpoint " + endpoint);
         }
         long startUs = entry.nonNegativeLongOr("since_ms", 0) * 1000;
         if (startUs > nowUs + MAX_CLOCK_SKEW_US) {
-            throw new MalformedMessageException("expected a start in the past for " + endpoint);
+            throw new MalformedMessageException("start time in the future for endpoint " + endpoint);
         }
         Map<String, String> labels = labels(entry);
         return new EndpointEntry(
@@ -81,7 +82,7 @@
                 serviceNames.serviceOf(endpoint, entry, labels),
                 entry.addressText("address"),
                 indexIn(zones, entry, "zone"),
-                indexIn(kinds, entry, "type"),
+                indexIn(instanceTypes, entry, "type"),
                 (int) entry.nonNegativeLongOr("group", 0),
                 entry.nonNegativeInt("image_id"),
                 health,
@@ -89,7 +90,10 @@
                 labels);
     }
 
-    /** Labels are an extension of the list's protocol, so those that are not text are ignored, not rejected. */
+    /**
+     * Returns the labels of an entry. They are an optional extension of the list protocol, so labels that are not
+     * strings are ignored and do not make the entry malformed.
+     */
     private static Map<String, String> labels(JsonObject entry) {
         if (!(entry.fields().get("labels") instanceof Map<?, ?> listed)) {
             return Map.of();
@@ -103,7 +107,7 @@
         return labels;
     }
 
-    /** The number of the name in that field; 0 for an unknown or absent one. */
+    /** Returns the index of the name in the given field, or 0 if the name is absent or unknown. */
     private static int indexIn(List<String> names, JsonObject entry, String field) {
         return Math.max(0, names.indexOf(entry.textOr(field, "")));
     }
--- a/src/main/java/gatelock/discovery/EndpointListApplier.java
+++ b/src/main/java/gatelock/discovery/EndpointListApplier.java
@@ -18,12 +18,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Applies endpoint lists to the addresses, the admission pools, the decisions and the connections to endpoints; with a
- * subset, only what that selects of a list.
+ * Applies endpoint lists to the address table, the admission pools, the decision engine and the connection pool of the
+ * endpoints. With a subset, only the entries that the subset selects are applied.
  */
 final class EndpointListApplier {
-    /** How often the subset is reviewed. */
-    private static final long SUBSET_REVIEW_US = 250_000;
+    /** The interval at which the subset is reviewed. */
+    private static final long SUBSET_REVIEW_INTERVAL_US = 250_000;
 
     private final EventLoop eventLoop;
     private final EndpointAddresses addresses;
@@ -34,9 +34,9 @@
     private long changedUs = -1;
 
     /**
-     * Creates an applier that is not used before {@link #start}.
+     * Creates an applier that must not be used before {@link #start}.
      *
-     * @param subset null: all listed endpoints are used
+     * @param subset selects the endpoints that this relay uses, or null to use all listed endpoints
      */
     EndpointListApplier(
             EventLoop eventLoop, EndpointAddresses addresses, ConnectionPool endpointPool, EndpointSubset subset) {
@@ -47,49 +47,52 @@
     }
 
     /**
-     * Applies the list that this relay last held, and starts the reviews of the subset.
+     * Applies the cached list and starts the periodic review of the subset.
      *
-     * @param admission null where there are no admission pools
+     * @param admission the admission pools to update, or null if there are none
+     * @param cached the entries of the last list that this relay received before it was restarted
+     * @param index the index of that list
      */
     void start(DecisionEngine engine, Admission admission, List<EndpointEntry> cached, long index) {
         this.engine = engine;
         this.admission = admission;
         List<EndpointEntry> used = cached;
         if (subset != null) {
-            EndpointSubset.ListUpdate staged = subset.beginUpdate(true);
-            cached.forEach(staged::add);
-            used = staged.commit(eventLoop.nowUs(), index).entries();
+            EndpointSubset.ListUpdate update = subset.beginUpdate(true);
+            cached.forEach(update::add);
+            used = update.commit(eventLoop.nowUs(), index).entries();
             scheduleReview();
         }
         apply(DecisionEngine.EndpointUpdateType.CACHED, used);
     }
 
-    /** Applies a list of endpoints that are all used: pools learn of it before the decisions. */
-    void apply(DecisionEngine.EndpointUpdateType form, List<EndpointEntry> entries) {
+    /** Applies a list whose endpoints are all in use. The admission pools are updated before the decision engine. */
+    void apply(DecisionEngine.EndpointUpdateType updateType, List<EndpointEntry> entries) {
         List<Endpoint> endpoints =
                 entries.stream().map(EndpointEntry::toEndpoint).toList();
         List<InetSocketAddress> staleAddresses = updateAddresses(entries, endpoints);
-        if (form == DecisionEngine.EndpointUpdateType.FULL) {
+        if (updateType == DecisionEngine.EndpointUpdateType.FULL) {
             staleAddresses.addAll(
                     addresses.keepOnly(entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
         }
         if (admission != null) {
-            admission.updateEndpoints(eventLoop.nowUs(), form, endpoints, labelsByEndpoint(entries));
+            admission.updateEndpoints(eventLoop.nowUs(), updateType, endpoints, labelsByEndpoint(entries));
         }
-        engine.endpointsUpdated(eventLoop.nowUs(), form, endpoints);
+        engine.endpointsUpdated(eventLoop.nowUs(), updateType, endpoints);
         changedUs = eventLoop.nowUs();
-        // Only now: a request that waits for a connection to be established asks the decisions whether it may be sent.
+        // Stale connections are closed only after the decision engine has been updated: a request that waits for a
+        // connection to be established then asks the engine again whether it may be sent.
         staleAddresses.forEach(endpointPool::invalidate);
     }
 
-    /** Begins to stage a full list, or changes, for the subset; nothing changes before {@link #apply}. */
-    EndpointSubset.ListUpdate stage(boolean full) {
+    /** Begins an update of the subset from a full list or from changes. It takes effect only with {@link #apply}. */
+    EndpointSubset.ListUpdate beginUpdate(boolean full) {
         return subset.beginUpdate(full);
     }
 
-    /** Applies a staged list, as far as it changes the endpoints that are used. */
-    void apply(EndpointSubset.ListUpdate staged, long index) {
-        apply(staged.commit(eventLoop.nowUs(), index));
+    /** Applies a completed update of the subset, as far as it changes the endpoints in use. */
+    void apply(EndpointSubset.ListUpdate update, long index) {
+        apply(update.commit(eventLoop.nowUs(), index));
     }
 
     private void apply(EndpointSubset.Change change) {
@@ -100,12 +103,12 @@
         }
     }
 
-    /** Notifies the decisions that a poll they asked for has failed. */
+    /** Notifies the decision engine that a poll that it requested has failed. */
     void pollFailed() {
         engine.endpointsUpdated(eventLoop.nowUs(), DecisionEngine.EndpointUpdateType.FAILED, List.of());
     }
 
-    /** Notes the result of an attempt, from which the subset learns which endpoints respond. */
+    /** Records the result of an attempt, by which the subset tracks which endpoints respond. */
     void attemptEnded(String endpoint, AttemptResult result) {
         if (subset == null || result == AttemptResult.CANCELLED || result == AttemptResult.NOT_SENT) {
             return;
@@ -116,22 +119,22 @@
         subset.recordAttempt(eventLoop.nowUs(), endpoint, responded);
     }
 
-    /** Returns when a list was last applied, -1 for never. */
+    /** Returns when a list was last applied, or -1 if none has been. */
     long changedUs() {
         return changedUs;
     }
 
     private void scheduleReview() {
-        eventLoop.schedule(SUBSET_REVIEW_US, this::reviewSubset);
+        eventLoop.schedule(SUBSET_REVIEW_INTERVAL_US, this::reviewSubset);
     }
 
-    /** Lets the subset grow or shrink by which of its endpoints respond. */
+    /** Grows or shrinks the subset depending on which of its endpoints respond. */
     private void reviewSubset() {
         apply(subset.refresh(eventLoop.nowUs()));
         scheduleReview();
     }
 
-    /** Updates the addresses, and returns those whose open connections must not be used any more. */
+    /** Updates the address table and returns the addresses whose open connections must not be used any more. */
     private List<InetSocketAddress> updateAddresses(List<EndpointEntry> entries, List<Endpoint> endpoints) {
         List<InetSocketAddress> stale = new ArrayList<>();
         for (int i = 0; i < entries.size(); i++) {
--- a/src/main/java/gatelock/discovery/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -16,15 +16,16 @@
 import java.util.Set;
 
 /**
- * Reads an endpoint list from the pieces in which it arrives, and hands on entry by entry, so that no more than one is
- * buffered. The result is that of {@link JsonObject#parse} on the whole text. The reader is stricter where equality
- * would cost memory or a guess: it rejects bytes that are not UTF-8, entries of more than {@link #MAX_ENTRY_BYTES},
- * values nested deeper than {@link #MAX_DEPTH} and more than {@link #MAX_FIELDS} fields beside the entries.
+ * Parses an endpoint list incrementally and passes on its entries one by one, so that no more than one entry is
+ * buffered. The result equals that of {@link JsonObject#parse} on the whole text, except where that would cost memory
+ * or be ambiguous. In those cases this reader is stricter: it rejects bytes that are not UTF-8, entries of more than
+ * {@link #MAX_ENTRY_BYTES}, values nested deeper than {@link #MAX_DEPTH} and more than {@link #MAX_FIELDS} fields
+ * besides the entries.
  */
 final class EndpointListReader {
-    /** An entry with all its labels has a tenth of this at most. */
+    /** The maximum length of an entry. An entry with all its labels has at most a tenth of this. */
     static final int MAX_ENTRY_BYTES = 16 * 1024;
-    /** How many entries are buffered while the list has not said yet whether it is full. */
+    /** The number of entries that are buffered while the list has not declared yet whether it is full. */
     static final int MAX_PENDING_ENTRIES = 1_024;
 
     private static final int MAX_DEPTH = 16;
@@ -35,7 +36,7 @@
     private static final String FULL_FIELD = "snapshot";
     private static final String INDEX_FIELD = "index";
 
-    // Field names are not interned: names that are made up anew in each entry would stay in memory for good.
+    // Field names are not interned, because names that differ in each entry would stay in memory permanently.
     private static final JsonFactory JSON = JsonFactory.builder()
             .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .streamReadConstraints(StreamReadConstraints.builder()
@@ -46,34 +47,38 @@
                     .build())
             .build();
 
-    /** Receives the entries; nothing of them may take effect before {@link #end} has returned. */
+    /** Receives the entries. They must not take effect before {@link #end} has returned. */
     interface EntryConsumer {
 
-        /** Called once, before the first entry: whether the list is full or has the changes only. */
+        /**
+         * Called once, before the first entry.
+         *
+         * @param full whether the list is a full list, rather than the changes since an index
+         */
         void onBegin(boolean full);
 
         /**
          * Called for each entry, in the order of the list.
          *
-         * @throws IOException where the entry is malformed, and with it the list
+         * @throws IOException if the entry is malformed, which makes the whole list malformed
          */
         void onEntry(JsonObject entry) throws IOException;
     }
 
-    /** The fields of a list beside its entries. */
+    /** The fields of a list other than its entries. */
     record Header(boolean full, long index) {}
 
-    /** The list said only behind many entries that it is not what was asked for, a full list or changes. */
-    static final class UnannouncedFormException extends MalformedMessageException {
+    /** The list declared only after many entries that its type, a full list or changes, is not the requested one. */
+    static final class UnexpectedListTypeException extends MalformedMessageException {
         private static final long serialVersionUID = 1L;
 
-        UnannouncedFormException() {
-            super("expected " + FULL_FIELD + " before " + ENTRIES_FIELD + " where there are more than "
+        UnexpectedListTypeException() {
+            super("field " + FULL_FIELD + " must precede " + ENTRIES_FIELD + " in a list of more entries than "
                     + MAX_PENDING_ENTRIES);
         }
     }
 
-    /** Where in the text the next token stands. */
+    /** The position of the next token in the structure of the list. */
     private enum Position {
         BEFORE_OBJECT,
         FIELDS,
@@ -88,19 +93,19 @@
     private final JsonParser parser;
     private final ByteArrayFeeder feeder;
     private Position position = Position.BEFORE_OBJECT;
-    /** The names of all fields beside the entries, up to here. */
-    private final Set<String> fieldNames = new HashSet<>();
-    /** The values of those fields that matter; all others are skipped. */
+    /** The names of all fields seen so far, other than those of the entries. */
+    private final Set<String> seenFieldNames = new HashSet<>();
+    /** The values of the fields that are used; all other values are skipped. */
     private final Map<String, Object> headerFields = new LinkedHashMap<>();
 
     private String fieldName;
     private int skippedDepth;
     private JsonTreeBuilder entry;
     private long entryOffset;
-    private long fedBytes;
+    private long receivedBytes;
     private boolean entriesSeen;
-    /** Entries that arrived before the list said whether it is full. */
-    private List<JsonObject> pending = new ArrayList<>();
+    /** The entries that arrived before the list declared whether it is full. */
+    private List<JsonObject> pendingEntries = new ArrayList<>();
 
     private boolean begun;
     private boolean full;
@@ -108,8 +113,8 @@
     /**
      * Creates the reader of one list.
      *
-     * @param fullRequested whether a full list was asked for, and so is assumed where more than
-     *     {@link #MAX_PENDING_ENTRIES} entries arrive before the list says what it is
+     * @param fullRequested whether a full list was requested; this type is assumed if more than {@link
+     *     #MAX_PENDING_ENTRIES} entries arrive before the list declares its type
      */
     EndpointListReader(boolean fullRequested, EntryConsumer consumer) {
         this.fullRequested = fullRequested;
@@ -117,34 +122,35 @@
         try {
             parser = JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
-            throw new IllegalStateException("a parser that has not read anything can't fail", e);
+            throw new IllegalStateException("cannot create a JSON parser", e);
         }
         feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
     }
 
     /**
-     * Reads the next piece of the text.
+     * Parses the next part of the text.
      *
-     * @throws IOException where the list is malformed; the reader must not be used any more
+     * @throws IOException if the list is malformed; the reader must not be used afterwards
      */
-    void read(byte[] piece) throws IOException {
-        feeder.feedInput(piece, 0, piece.length);
-        fedBytes += piece.length;
+    void read(byte[] data) throws IOException {
+        feeder.feedInput(data, 0, data.length);
+        receivedBytes += data.length;
         JsonToken token = parser.nextToken();
         while (token != JsonToken.NOT_AVAILABLE) {
             onToken(token);
             token = parser.nextToken();
         }
         if (position == Position.ENTRY) {
-            checkEntrySize(fedBytes);
+            checkEntrySize(receivedBytes);
         }
     }
 
     /**
-     * Ends the list: all of its text has arrived.
+     * Finishes the list after all of its text has been read.
      *
-     * @throws UnannouncedFormException where the list can be read when a full list is asked for
-     * @throws IOException where the text is no well-formed list
+     * @throws UnexpectedListTypeException if the list is valid but not of the requested type, so that requesting a full
+     *     list will succeed
+     * @throws IOException if the text is not a well-formed list
      */
     Header end() throws IOException {
         feeder.endOfInput();
@@ -152,7 +158,7 @@
             throw new MalformedMessageException("expected one JSON object");
         }
         if (!entriesSeen) {
-            throw new MalformedMessageException("expected endpoints");
+            throw new MalformedMessageException("missing field endpoints");
         }
         JsonObject header = new JsonObject(headerFields);
         boolean declaredFull = header.isTrue(FULL_FIELD);
@@ -161,7 +167,7 @@
             begin(declaredFull);
         }
         if (full != declaredFull) {
-            throw new UnannouncedFormException();
+            throw new UnexpectedListTypeException();
         }
         return new Header(declaredFull, index);
     }
@@ -187,8 +193,8 @@
     private void onField(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
             fieldName = parser.currentName();
-            if (!fieldNames.add(fieldName) || fieldNames.size() > MAX_FIELDS) {
-                throw new MalformedMessageException("expected few fields, each once, found " + fieldName);
+            if (!seenFieldNames.add(fieldName) || seenFieldNames.size() > MAX_FIELDS) {
+                throw new MalformedMessageException("duplicate field or too many fields at " + fieldName);
             }
         } else if (token == JsonToken.END_OBJECT) {
             position = Position.AFTER_OBJECT;
@@ -201,7 +207,7 @@
 
     private void beginEntries(JsonToken token) throws IOException {
         if (token != JsonToken.START_ARRAY) {
-            throw new MalformedMessageException("expected a list under endpoints");
+            throw new MalformedMessageException("expected an array in field endpoints");
         }
         position = Position.ENTRIES;
         entriesSeen = true;
@@ -212,8 +218,8 @@
 
     private void onHeaderValue(JsonToken token) throws IOException {
         if (fieldName.equals(INDEX_FIELD) || fieldName.equals(FULL_FIELD)) {
-            // An object or an array is of the wrong type for both, whatever is in it.
-            headerFields.put(fieldName, token.isStructStart() ? Map.of() : JsonTreeBuilder.scalar(parser, token));
+            // An object or an array is an invalid value for both fields, so its content is skipped.
+            headerFields.put(fieldName, token.isStructStart() ? Map.of() : JsonTreeBuilder.scalarValue(parser, token));
         }
         if (token.isStructStart()) {
             skippedDepth = 1;
@@ -240,7 +246,7 @@
             entryOffset = parser.currentTokenLocation().getByteOffset();
             entry = new JsonTreeBuilder(parser);
         } else {
-            throw new MalformedMessageException("expected an object under endpoints");
+            throw new MalformedMessageException("expected an object in the array endpoints");
         }
     }
 
@@ -254,18 +260,18 @@
 
     private void checkEntrySize(long endOffset) throws IOException {
         if (endOffset - entryOffset > MAX_ENTRY_BYTES) {
-            throw new MalformedMessageException("expected an entry of up to " + MAX_ENTRY_BYTES + " bytes");
+            throw new MalformedMessageException("entry longer than " + MAX_ENTRY_BYTES + " bytes");
         }
     }
 
     private void onEntry(JsonObject completed) throws IOException {
-        if (!begun && pending.size() == MAX_PENDING_ENTRIES) {
+        if (!begun && pendingEntries.size() == MAX_PENDING_ENTRIES) {
             begin(fullRequested);
         }
         if (begun) {
             consumer.onEntry(completed);
         } else {
-            pending.add(completed);
+            pendingEntries.add(completed);
         }
     }
 
@@ -273,10 +279,10 @@
         begun = true;
         full = asFull;
         consumer.onBegin(asFull);
-        List<JsonObject> buffered = pending;
-        pending = List.of();
-        for (JsonObject earlier : buffered) {
-            consumer.onEntry(earlier);
+        List<JsonObject> earlierEntries = pendingEntries;
+        pendingEntries = List.of();
+        for (JsonObject earlierEntry : earlierEntries) {
+            consumer.onEntry(earlierEntry);
         }
     }
 }
--- a/src/main/java/gatelock/discovery/JsonTreeBuilder.java
+++ b/src/main/java/gatelock/discovery/JsonTreeBuilder.java
@@ -11,14 +11,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Builds one JSON object from the tokens of a streaming parser, with maps, lists and scalars as its values. */
+/** Builds one JSON object from the tokens of a streaming parser. Its values are maps, lists and scalars. */
 final class JsonTreeBuilder {
     private final JsonParser parser;
     private final Map<String, Object> root = new LinkedHashMap<>();
-    /** The objects and arrays that have not ended yet, the innermost first. */
-    private final Deque<Container> open = new ArrayDeque<>();
+    /** The objects and arrays that are not complete yet, innermost first. */
+    private final Deque<Container> openContainers = new ArrayDeque<>();
 
-    /** An object or an array that has not ended yet. */
+    /** An object or an array that is not complete yet. */
     private interface Container {
         void add(Object value) throws IOException;
     }
@@ -41,50 +41,50 @@
         @Override
         public void add(Object value) throws IOException {
             if (fields.containsKey(fieldName)) {
-                throw new MalformedMessageException("expected each field once, found twice " + fieldName);
+                throw new MalformedMessageException("duplicate field " + fieldName);
             }
             fields.put(fieldName, value);
         }
     }
 
-    /** Begins an object whose first token, its opening brace, has just been read. */
+    /** Begins an object whose opening brace is the token that the parser has just read. */
     JsonTreeBuilder(JsonParser parser) {
         this.parser = parser;
-        open.push(new OpenObject(root));
+        openContainers.push(new OpenObject(root));
     }
 
     /**
      * Adds the parser's current token.
      *
-     * @return whether the object is complete with it
-     * @throws IOException where an object has a field twice
+     * @return whether the object is complete with this token
+     * @throws IOException if an object contains the same field twice
      */
     boolean add(JsonToken token) throws IOException {
         if (token == JsonToken.FIELD_NAME) {
-            ((OpenObject) open.element()).fieldName = parser.currentName();
+            ((OpenObject) openContainers.element()).fieldName = parser.currentName();
         } else if (token == JsonToken.START_OBJECT) {
             Map<String, Object> fields = new LinkedHashMap<>();
-            open.element().add(fields);
-            open.push(new OpenObject(fields));
+            openContainers.element().add(fields);
+            openContainers.push(new OpenObject(fields));
         } else if (token == JsonToken.START_ARRAY) {
             List<Object> values = new ArrayList<>();
-            open.element().add(values);
-            open.push(new OpenArray(values));
+            openContainers.element().add(values);
+            openContainers.push(new OpenArray(values));
         } else if (token.isStructEnd()) {
-            open.pop();
+            openContainers.pop();
         } else {
-            open.element().add(scalar(parser, token));
+            openContainers.element().add(scalarValue(parser, token));
         }
-        return open.isEmpty();
+        return openContainers.isEmpty();
     }
 
-    /** Returns the object; complete once {@link #add} has said so. */
+    /** Returns the object, which is complete once {@link #add} has returned true. */
     Map<String, Object> root() {
         return root;
     }
 
     /** Returns the value of a token that is a string, a number, a boolean or null. */
-    static Object scalar(JsonParser parser, JsonToken token) throws IOException {
+    static Object scalarValue(JsonParser parser, JsonToken token) throws IOException {
         return switch (token) {
             case VALUE_STRING -> parser.getText();
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> parser.getNumberValue();
--- a/src/main/java/gatelock/discovery/ListFailureReporter.java
+++ b/src/main/java/gatelock/discovery/ListFailureReporter.java
@@ -3,14 +3,16 @@
 import gatelock.state.Counters;
 import java.lang.System.Logger.Level;
 
-/** Counts the polls that brought no usable list, and logs each cause once until a list has been accepted again. */
+/**
+ * Counts the polls that brought no usable list. Logs each cause once, and again only after a list has been accepted.
+ */
 final class ListFailureReporter {
     private static final System.Logger LOG = System.getLogger("gatelock.discovery");
     private static final String TOO_LONG = "too long";
 
     private final Counters counters;
-    private final boolean subset;
-    /** Why the last list was not accepted, null where it was. */
+    private final boolean usesSubset;
+    /** The reason why the last list was rejected, or null if it was accepted. */
     private String lastReason;
 
     private long tooLongCount;
@@ -18,14 +20,14 @@
     /**
      * Creates the reporter of one client.
      *
-     * @param subset whether this relay uses a subset of the endpoints, which has a size limit of its own
+     * @param usesSubset whether this relay uses a subset of the endpoints, for which a separate size limit applies
      */
-    ListFailureReporter(Counters counters, boolean subset) {
+    ListFailureReporter(Counters counters, boolean usesSubset) {
         this.counters = counters;
-        this.subset = subset;
+        this.usesSubset = usesSubset;
     }
 
-    /** Notes a list that was accepted: whatever is wrong with the next one is logged again. */
+    /** Records that a list was accepted, so that the next failure is logged again. */
     void accepted() {
         lastReason = null;
     }
@@ -39,17 +41,17 @@
         counters.increment("discovery failed");
     }
 
-    /** Reports a poll without any list. */
-    void silent() {
+    /** Reports a poll that brought no list. */
+    void notReceived() {
         counters.increment("discovery failed");
     }
 
-    /** Reports a list that is longer than is accepted, and how to have it accepted. */
+    /** Reports a list that exceeds the size limit, and logs how the limit can be met. */
     void tooLong(String reason) {
         counters.increment("lists too long");
         tooLongCount++;
         if (!TOO_LONG.equals(lastReason)) {
-            String remedy = subset
+            String remedy = usesSubset
                     ? "raise membership.mostListBytes in the operator's file"
                     : "name a scope (membership) in the operator's file";
             LOG.log(
@@ -60,17 +62,17 @@
         }
     }
 
-    /** Logs that the relay stops waiting for a first list and serves without one. */
-    void logServingConfigured(String failure) {
+    /** Logs that the relay stops waiting for the first list and serves the configured endpoints. */
+    void logServingConfiguredEndpoints(String failure) {
         LOG.log(Level.WARNING, failure + ", serving the configured endpoints");
     }
 
-    /** Logs the state after a full list. */
-    void logState(DiscoveryClient.ListStatus state) {
-        LOG.log(Level.INFO, state.toString());
+    /** Logs the status after a full list has been applied. */
+    void logStatus(DiscoveryClient.ListStatus status) {
+        LOG.log(Level.INFO, status.toString());
     }
 
-    /** Returns how many lists were too long so far. */
+    /** Returns the number of lists so far that were too long. */
     long tooLongCount() {
         return tooLongCount;
     }
--- a/src/main/java/gatelock/discovery/ListResponseHandler.java
+++ b/src/main/java/gatelock/discovery/ListResponseHandler.java
@@ -2,9 +2,9 @@
 
 import gatelock.net.OutboundConnection;
 
-/** Finds out how a poll of the endpoint list ended, whichever way its response is read. */
+/** Determines the outcome of a poll of the endpoint list. The subclasses differ in how they read the response. */
 abstract class ListResponseHandler implements OutboundConnection.ResponseHandler {
-    /** Learns the outcome. */
+    /** Receives the outcome. */
     final ListResponseListener listener;
 
     private String tooLongReason;
@@ -14,7 +14,9 @@
         this.listener = listener;
     }
 
-    /** Returns why a list that began to arrive can't be used, or null where none has begun. */
+    /**
+     * Returns the reason why a list of which a part has arrived cannot be used, or null if none has begun to arrive.
+     */
     abstract String truncationReason();
 
     @Override
@@ -35,12 +37,12 @@
         } else if (rejection != null) {
             listener.rejected(rejection);
         } else {
-            listener.silent();
+            listener.notReceived();
         }
     }
 
     @Override
     public void onTimeout() {
-        listener.silent();
+        listener.notReceived();
     }
 }
--- a/src/main/java/gatelock/discovery/ListResponseListener.java
+++ b/src/main/java/gatelock/discovery/ListResponseListener.java
@@ -1,32 +1,35 @@
 package gatelock.discovery;
 
-/** Learns the outcome of each poll of the endpoint list: exactly one of these methods is called for a poll. */
+/**
+ * Receives the outcome of each poll of the endpoint list. Exactly one method is called for a poll, apart from {@link
+ * #fullListApplied}.
+ */
 interface ListResponseListener {
 
     /**
      * The list is well formed.
      *
-     * @param index from which the next watch starts
-     * @param changed whether the list says anything new
-     * @param apply applies the list; to be called where it changed, after the next poll has been queued
+     * @param index the index from which the next watch starts
+     * @param changed whether the list contains any change
+     * @param apply applies the list; to be called if it contains a change, after the next poll has been queued
      */
     void accepted(long index, boolean changed, Runnable apply);
 
-    /** A full list was applied to the subset; called in addition to {@link #accepted}. */
+    /** A full list was applied to the subset. Called in addition to {@link #accepted}. */
     void fullListApplied();
 
-    /** The list is malformed and changes nothing. */
+    /** The list is malformed and has no effect. */
     void rejected(String reason);
 
     /**
-     * A long list said only behind its entries that it is not what was asked for, a full list or changes. It can be
-     * read when a full list is asked for, so that is to be done next.
+     * A list of many entries declared only after its entries that its type, a full list or changes, is not the
+     * requested one. The next poll has to request a full list, which can then be read.
      */
-    void rejectedAsUnannounced(String reason);
+    void rejectedForUnexpectedType(String reason);
 
-    /** The list is longer than is accepted here, and changes nothing. */
+    /** The list exceeds the size limit and has no effect. */
     void tooLong(String reason);
 
-    /** No list began to arrive in time, or the connection failed before one did. */
-    void silent();
+    /** No list began to arrive in time, or the connection failed before that. */
+    void notReceived();
 }
--- a/src/main/java/gatelock/discovery/StreamedListResponse.java
+++ b/src/main/java/gatelock/discovery/StreamedListResponse.java
@@ -12,33 +12,35 @@
 import java.io.IOException;
 
 /**
- * The response to one poll, read entry by entry into the subset as it arrives. It takes effect only once the whole list
- * has arrived and is well formed.
+ * Handles the response to one poll of a relay with a subset. Its entries are passed to the subset as they arrive, but
+ * take effect only once the whole list has arrived and is well formed.
  */
 final class StreamedListResponse extends ListResponseHandler implements BodyConsumer, EndpointListReader.EntryConsumer {
     /**
-     * A list may have many megabytes and take as long as the network needs. This bound and the next guard instead
-     * against a list that no longer arrives: so long without a byte of it, and so long in total, as a list that
-     * trickles in forever is of no use. They do harm where a longer pause would have ended: the list is polled again.
+     * The longest time without any data of a list, and below, the longest time for the whole list. A list may have many
+     * megabytes and take as long as the network needs, so these limits guard only against lists that stop arriving, or
+     * arrive so slowly that they are of no use. A list whose transfer would have resumed after a longer pause is polled
+     * again.
      */
-    static final long MAX_PAUSE_US = 1_000_000;
+    static final long DATA_TIMEOUT_US = 1_000_000;
 
-    static final long MAX_TOTAL_US = 30_000_000;
+    static final long TOTAL_TIMEOUT_US = 30_000_000;
 
     private final boolean fullRequested;
     private final long maxListBytes;
     private final EndpointEntryReader entryReader;
     private final EventLoop eventLoop;
     private final EndpointListApplier applier;
-    private EndpointListReader list;
+    private EndpointListReader listReader;
     private long receivedBytes;
-    private EndpointSubset.ListUpdate staged;
+    private EndpointSubset.ListUpdate update;
     private boolean empty = true;
 
     /**
      * Creates the handler of one poll.
      *
-     * @param fullRequested whether a full list was asked for, and not the changes since an index
+     * @param fullRequested whether a full list was requested, rather than the changes since an index
+     * @param maxListBytes the maximum length of the list
      */
     StreamedListResponse(
             boolean fullRequested,
@@ -61,15 +63,15 @@
             throw new MalformedResponseException("status " + status);
         }
         ResponseTooLongException.checkDeclared(contentLength, maxListBytes);
-        list = new EndpointListReader(fullRequested, this);
+        listReader = new EndpointListReader(fullRequested, this);
     }
 
     @Override
-    public void onBody(byte[] piece) throws MalformedResponseException {
-        receivedBytes += piece.length;
+    public void onBody(byte[] data) throws MalformedResponseException {
+        receivedBytes += data.length;
         ResponseTooLongException.checkReceived(receivedBytes, maxListBytes);
         try {
-            list.read(piece);
+            listReader.read(data);
         } catch (IOException e) {
             throw new MalformedResponseException(e.getMessage(), e);
         }
@@ -77,7 +79,7 @@
 
     @Override
     public void onBegin(boolean full) {
-        staged = applier.stage(full);
+        update = applier.beginUpdate(full);
     }
 
     @Override
@@ -85,7 +87,7 @@
         EndpointEntry endpoint = entryReader.read(entry, eventLoop.nowUs());
         empty = false;
         try {
-            staged.add(endpoint);
+            update.add(endpoint);
         } catch (IllegalArgumentException e) {
             throw new MalformedMessageException(e.getMessage(), e);
         }
@@ -95,17 +97,17 @@
     public boolean onResponse(UpstreamResponse response) {
         EndpointListReader.Header header;
         try {
-            header = list.end();
-        } catch (EndpointListReader.UnannouncedFormException e) {
-            listener.rejectedAsUnannounced(e.getMessage());
+            header = listReader.end();
+        } catch (EndpointListReader.UnexpectedListTypeException e) {
+            listener.rejectedForUnexpectedType(e.getMessage());
             return false;
         } catch (IOException e) {
             listener.rejected(e.getMessage());
             return false;
         }
-        // A watch that ended without a change has no entries.
+        // A watch that discovery ended without a change has no entries.
         listener.accepted(header.index(), header.full() || !empty, () -> {
-            applier.apply(staged, header.index());
+            applier.apply(update, header.index());
             if (header.full()) {
                 listener.fullListApplied();
             }
@@ -115,16 +117,16 @@
 
     @Override
     String truncationReason() {
-        return list == null ? null : "the list was cut off";
+        return listReader == null ? null : "the connection ended before the list was complete";
     }
 
     @Override
     public void onTimeout() {
-        if (list == null) {
-            listener.silent();
+        if (listReader == null) {
+            listener.notReceived();
         } else {
-            listener.rejected("the list stopped for " + MAX_PAUSE_US / 1_000 + " ms, or took longer than "
-                    + MAX_TOTAL_US / 1_000 + " ms");
+            listener.rejected("no data of the list for " + DATA_TIMEOUT_US / 1_000 + " ms, or list not complete after "
+                    + TOTAL_TIMEOUT_US / 1_000 + " ms");
         }
     }
 }
--- a/src/main/java/gatelock/http/BodyReader.java
+++ b/src/main/java/gatelock/http/BodyReader.java
@@ -8,36 +8,37 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Reads the body of a request into memory. Undertow's own receiver reads byte by byte, which cost a third of the time.
+ * Reads the body of a request into memory. It replaces the receiver of Undertow, which reads byte by byte and took a
+ * third of the processing time.
  */
 final class BodyReader implements ChannelListener<StreamSourceChannel> {
-    private static final int FIRST_CHUNKS_BYTES = 1024;
+    private static final int INITIAL_CHUNKED_BUFFER_BYTES = 1024;
 
-    /** Learns how the reading ended; exactly one method is called, once. */
+    /** Receives the outcome. Exactly one method is called, once. */
     interface Listener {
-        /** The body is complete. */
-        void complete(byte[] body);
+        /** The body has been read completely. */
+        void onComplete(byte[] body);
 
-        /** The body is longer than the relay accepts; the rest was not read. */
-        void tooLong();
+        /** The body exceeds the size limit of the relay. The rest was not read. */
+        void onTooLong();
 
-        /** The client left, or broke its own framing. */
-        void brokenOff();
+        /** The client closed the connection, or its framing of the body is invalid. */
+        void onAborted();
     }
 
     private final Listener listener;
-    private ByteBuffer bytes;
+    private ByteBuffer buffer;
 
     /**
-     * Creates a reader that has not read yet.
+     * Creates a reader that has not read anything yet.
      *
-     * @param length the length of the body as stated, or -1 if the body comes in chunks
-     * @param listener learns how the reading ended
+     * @param length the declared length of the body, or -1 if the body is chunked
+     * @param listener receives the outcome
      */
     BodyReader(int length, Listener listener) {
         this.listener = listener;
-        // One byte more than stated, so that the end of the body is found without growing the buffer.
-        this.bytes = ByteBuffer.allocate(length < 0 ? FIRST_CHUNKS_BYTES : length + 1);
+        // One byte more than declared, so that the end of the body is detected without growing the buffer.
+        this.buffer = ByteBuffer.allocate(length < 0 ? INITIAL_CHUNKED_BUFFER_BYTES : length + 1);
     }
 
     @Override
@@ -45,29 +46,29 @@
         try {
             readAvailable(channel);
         } catch (IOException e) {
-            listener.brokenOff();
+            listener.onAborted();
         }
     }
 
     private void readAvailable(StreamSourceChannel channel) throws IOException {
-        int count = channel.read(bytes);
+        int count = channel.read(buffer);
         while (count > 0) {
-            if (bytes.position() > ResponseReader.MAX_BODY_BYTES) {
+            if (buffer.position() > ResponseReader.MAX_BODY_BYTES) {
                 channel.suspendReads();
-                listener.tooLong();
+                listener.onTooLong();
                 return;
             }
-            if (!bytes.hasRemaining()) {
-                bytes = ByteBuffer.allocate(bytes.capacity() * 2).put(bytes.flip());
+            if (!buffer.hasRemaining()) {
+                buffer = ByteBuffer.allocate(buffer.capacity() * 2).put(buffer.flip());
             }
-            count = channel.read(bytes);
+            count = channel.read(buffer);
         }
         if (count == 0) {
             channel.getReadSetter().set(this);
             channel.resumeReads();
         } else {
             channel.suspendReads();
-            listener.complete(Arrays.copyOf(bytes.array(), bytes.position()));
+            listener.onComplete(Arrays.copyOf(buffer.array(), buffer.position()));
         }
     }
 }
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -29,8 +29,8 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Listens for clients: bounds their connections in number and in the time that an incomplete request may take, answers
- * health checks, and shuts down gracefully.
+ * Accepts client connections. Limits their number and the time that an incomplete request may take, answers health
+ * checks, and shuts down gracefully.
  */
 public final class ClientListener {
     private static final System.Logger LOG = System.getLogger("gatelock.http");
@@ -39,18 +39,21 @@
     private static final int MAX_POOLED_BUFFERS = 200;
     private static final int MAX_HEAD_BYTES = 16 * 1024;
     private static final int ACCEPT_BACKLOG = 256;
-    /** The connections that are accepted beyond the hard limit, so that eviction can make room for them. */
+    /** The number of connections that are accepted beyond the hard limit, so that eviction can make room for them. */
     private static final int ACCEPT_MARGIN = 8;
 
     private static final long CHECK_INTERVAL_US = 50_000;
-    /** How long the rejection of an incomplete request may be read before its connection is closed. */
-    private static final long REJECTION_READABLE_US = 500_000;
+    /**
+     * How long the connection stays open after an incomplete request is rejected, so that the client can read the
+     * response.
+     */
+    private static final long REJECTION_LINGER_US = 500_000;
     /** How long new connections are accepted after SIGTERM. */
     private static final long ACCEPT_AFTER_SIGTERM_US = 600_000;
-    /** How long before the process may be killed the last response must be written. */
+    /** The response to the last request must be written this long before the process may be killed. */
     private static final long KILL_MARGIN_US = 150_000;
-    /** How long the last requests that a relay accepts before it shuts down may take. */
-    private static final long LAST_REQUESTS_US = 600_000;
+    /** How long the last requests may take that the relay accepts before it shuts down. */
+    private static final long LAST_REQUEST_TIMEOUT_US = 600_000;
 
     private static final String INTERNAL_PREFIX = "/-/";
     private static final String READY_PATH = "/-/ready";
@@ -63,9 +66,9 @@
     private AcceptingChannel<StreamConnection> acceptor;
     private HttpHandler requestHandler;
     private boolean ready;
-    /** SIGTERM has come: the relay reports that it is not ready. */
+    /** Whether SIGTERM has been received, after which the relay reports that it is not ready. */
     private boolean shuttingDown;
-    /** Each response ends its connection from now on. */
+    /** Whether each response closes its connection from now on. */
     private boolean draining;
 
     private long responseDeadlineUs = Long.MAX_VALUE;
@@ -76,7 +79,8 @@
      * @param eventLoop the I/O thread
      * @param counters counts client connections
      * @param softLimit the number of connections above which idle ones are evicted
-     * @param hardLimit the number above which any that awaits its first request is evicted, and no more are accepted
+     * @param hardLimit the number of connections above which any one that waits for its first request is evicted, and
+     *     no more are accepted
      */
     public ClientListener(EventLoop eventLoop, Counters counters, int softLimit, int hardLimit) {
         this.eventLoop = eventLoop;
@@ -98,12 +102,12 @@
     }
 
     /**
-     * Starts to listen. The request handler must be set before the first request arrives; the relay reports that it
-     * is not ready until it is set as ready.
+     * Starts to listen. The request handler must be set before the first request arrives. The relay reports that it is
+     * not ready until {@link #setRequestHandler} declares it ready.
      *
-     * @param address the address to bind; port 0 for any
-     * @return the address that is bound
-     * @throws IOException if the address can't be bound
+     * @param address the address to bind; port 0 for any free port
+     * @return the bound address
+     * @throws IOException if the address cannot be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         OptionMap httpOptions = OptionMap.builder()
@@ -126,26 +130,26 @@
                 .getWorker()
                 .createStreamConnectionServer(
                         address,
-                        ChannelListeners.openListenerAdapter(connection -> accepted(connection, httpListener)),
+                        ChannelListeners.openListenerAdapter(connection -> onAccepted(connection, httpListener)),
                         socketOptions);
         acceptor.resumeAccepts();
         eventLoop.schedule(CHECK_INTERVAL_US, this::closeOverdue);
         return acceptor.getLocalAddress(InetSocketAddress.class);
     }
 
-    /** The number of client connections. */
+    /** Returns the number of client connections. */
     public int size() {
         return connections.size();
     }
 
-    private void accepted(StreamConnection connection, HttpOpenListener httpListener) {
+    private void onAccepted(StreamConnection connection, HttpOpenListener httpListener) {
         ClientReadConduit readConduit = new ClientReadConduit(
                 connection.getSourceChannel().getConduit(), () -> connections.bytesRead(eventLoop.nowUs(), connection));
         connection.getSourceChannel().setConduit(readConduit);
         readConduits.put(connection, readConduit);
         connections.accepted(eventLoop.nowUs(), connection);
         httpListener.handleEvent(connection);
-        // Undertow has set a close listener of its own, which must still be called.
+        // Undertow has already set a close listener, which must still be called.
         ChannelListener<? super StreamConnection> undertowListener = connection.getCloseListener();
         connection.setCloseListener(closed -> {
             remove(closed);
@@ -168,9 +172,9 @@
     }
 
     /**
-     * Sets the handler of requests from now on.
+     * Sets the handler for requests from now on.
      *
-     * @param requestHandler handles all requests but health checks
+     * @param requestHandler handles all requests except health checks
      * @param ready whether the relay reports that it is ready for clients
      */
     public void setRequestHandler(HttpHandler requestHandler, boolean ready) {
@@ -182,10 +186,11 @@
         String path = exchange.getRequestPath();
         if (path.startsWith(INTERNAL_PREFIX)) {
             exchange.setStatusCode(healthStatus(path));
-            responseStarts(exchange);
+            responseStarted(exchange);
             exchange.endExchange();
         } else {
-            // A pipelined request was read together with the one before it, without a read of its own.
+            // A pipelined request may have been read together with the previous one, without a read that the conduit
+            // reports.
             connections.bytesRead(eventLoop.nowUs(), connectionOf(exchange));
             requestHandler.handleRequest(exchange);
         }
@@ -199,16 +204,16 @@
         };
     }
 
-    /** A request is complete: its connection stays open until the response is written. */
+    /** Called when a request has been read completely. Its connection stays open until the response is written. */
     void requestCompleted(HttpServerExchange exchange) {
         connections.requestCompleted(connectionOf(exchange));
     }
 
     /**
-     * The response of an exchange is about to be written. Once it is, the connection waits for the next request, or is
-     * closed if the relay is draining.
+     * Called when the response of an exchange is about to be written. After it is written, the connection waits for the
+     * next request, or is closed if the relay is draining.
      */
-    void responseStarts(HttpServerExchange exchange) {
+    void responseStarted(HttpServerExchange exchange) {
         StreamConnection connection = connectionOf(exchange);
         connections.responseStarted(eventLoop.nowUs(), connection);
         exchange.addExchangeCompleteListener((completed, next) -> {
@@ -222,27 +227,28 @@
         }
     }
 
-    /** A connection carries a session of another protocol from now on and is not bounded here any more. */
+    /** Called when a connection has been upgraded to another protocol. The listener does not limit it any more. */
     void connectionUpgraded(HttpServerExchange exchange) {
         connections.remove(connectionOf(exchange));
     }
 
-    /** The client has left, or broke off its own request. */
+    /** Called when the client has closed its connection or aborted its own request. */
     void clientLeft(HttpServerExchange exchange) {
         connections.close(eventLoop.nowUs(), connectionOf(exchange), ClientCloseReason.CLIENT_LEFT);
     }
 
     /**
-     * Answers a request that is incomplete and will not be read, with the status that is set. Undertow would read the
-     * rest before it answers; here the answer goes first, the rest stays unread, and the connection is closed soon.
+     * Responds to an incomplete request that will not be read, with the status that is set on the exchange. Undertow
+     * would read the rest of the request before it responds. Here the response is sent first, the rest is not read, and
+     * the connection is closed shortly afterwards.
      */
     void rejectUnread(HttpServerExchange exchange) {
         exchange.setPersistent(false);
         exchange.getResponseHeaders().put(Headers.CONTENT_LENGTH, "0");
-        responseStarts(exchange);
+        responseStarted(exchange);
         StreamConnection connection = connectionOf(exchange);
         eventLoop.schedule(
-                REJECTION_READABLE_US,
+                REJECTION_LINGER_US,
                 () -> connections.close(eventLoop.nowUs(), connection, ClientCloseReason.REJECTED));
         try {
             StreamSinkChannel response = exchange.getResponseChannel();
@@ -258,38 +264,43 @@
         eventLoop.schedule(CHECK_INTERVAL_US, this::closeOverdue);
     }
 
-    /** The time by which all accepted requests must be answered; without end until the relay shuts down. */
+    /**
+     * Returns the time by which all accepted requests must be answered; {@link Long#MAX_VALUE} until the relay shuts
+     * down.
+     */
     long responseDeadlineUs() {
         return responseDeadlineUs;
     }
 
     /**
-     * Shuts down gracefully. New connections are accepted for a while, as the load balancer notices late that the relay
-     * is not ready. Open connections are served for as long as a request can still be answered before the process is
-     * killed. After that each response closes its connection, and the shutdown is complete when none is left.
+     * Shuts down gracefully. New connections are accepted for a while, as the load balancer notices with a delay that
+     * the relay is not ready. Open connections are served as long as a request can still be answered before the process
+     * is killed. After that, each response closes its connection, and the shutdown is complete when no connection is
+     * left.
      *
-     * @param killedUs how long the process will live at least, in microseconds from now
-     * @param then runs when no connection is left
+     * @param timeToKillUs the minimum time until the process is killed, in microseconds
+     * @param onComplete runs when no connection is left
      */
-    public void shutDown(long killedUs, Runnable then) {
+    public void shutDown(long timeToKillUs, Runnable onComplete) {
         shuttingDown = true;
-        long servedUs = killedUs - KILL_MARGIN_US;
-        responseDeadlineUs = eventLoop.nowUs() + servedUs;
+        long timeToDeadlineUs = timeToKillUs - KILL_MARGIN_US;
+        responseDeadlineUs = eventLoop.nowUs() + timeToDeadlineUs;
         eventLoop.schedule(ACCEPT_AFTER_SIGTERM_US, () -> {
             IoUtils.safeClose(acceptor);
-            awaitLastConnection(then);
+            awaitLastConnection(onComplete);
         });
-        eventLoop.schedule(Math.max(ACCEPT_AFTER_SIGTERM_US, servedUs - LAST_REQUESTS_US), () -> draining = true);
+        eventLoop.schedule(
+                Math.max(ACCEPT_AFTER_SIGTERM_US, timeToDeadlineUs - LAST_REQUEST_TIMEOUT_US), () -> draining = true);
     }
 
-    private void awaitLastConnection(Runnable then) {
+    private void awaitLastConnection(Runnable onComplete) {
         if (draining) {
             connections.closeQuiet(eventLoop.nowUs());
         }
         if (connections.size() == 0) {
-            then.run();
+            onComplete.run();
         } else {
-            eventLoop.schedule(CHECK_INTERVAL_US, () -> awaitLastConnection(then));
+            eventLoop.schedule(CHECK_INTERVAL_US, () -> awaitLastConnection(onComplete));
         }
     }
 }
--- a/src/main/java/gatelock/http/ClientReadConduit.java
+++ b/src/main/java/gatelock/http/ClientReadConduit.java
@@ -8,14 +8,14 @@
 import org.xnio.conduits.StreamSourceConduit;
 
 /**
- * The bytes from one client, below everything that Undertow puts on top of it. Reports each read that brought bytes,
- * and can look for unread bytes without losing them.
+ * Reads the bytes of one client, below the conduits of Undertow. Reports each read that returned bytes, and can check
+ * for unread bytes without losing them.
  */
 final class ClientReadConduit extends AbstractStreamSourceConduit<StreamSourceConduit> {
     private static final int LOOKAHEAD_BYTES = 512;
 
     private final Runnable readListener;
-    /** Bytes that were read ahead and not consumed yet, or null. */
+    /** Bytes that have been read ahead but not consumed yet, or null. */
     private ByteBuffer lookahead;
 
     ClientReadConduit(StreamSourceConduit next, Runnable readListener) {
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Whether there are unread bytes. If so they are read next, before any others, and the read listener of Undertow is
-     * woken. The end of the stream and a broken connection count as no bytes.
+     * Returns whether there are unread bytes. If so, they are returned by the next read, and the read listener of
+     * Undertow is woken. The end of the stream and a broken connection count as no bytes.
      */
     boolean hasUnreadBytes() {
         if (lookahead != null) {
@@ -75,11 +75,11 @@
 
     @Override
     public long transferTo(long position, long count, FileChannel target) {
-        throw new UnsupportedOperationException("a client's bytes are not written to files");
+        throw new UnsupportedOperationException("transferring client data to a file is not supported");
     }
 
     @Override
     public long transferTo(long count, ByteBuffer throughBuffer, StreamSinkChannel target) {
-        throw new UnsupportedOperationException("a client's bytes pass the stages of the pipeline");
+        throw new UnsupportedOperationException("transferring client data to a channel is not supported");
     }
 }
--- a/src/main/java/gatelock/http/ForwardedHead.java
+++ b/src/main/java/gatelock/http/ForwardedRequestHead.java
@@ -4,22 +4,23 @@
 import io.undertow.util.HeaderValues;
 import java.nio.charset.StandardCharsets;
 
-/** Writes the head of a request as it is forwarded to endpoints. */
-final class ForwardedHead {
-    private static final int USUAL_LENGTH = 256;
+/** Builds the head of a request as it is forwarded to endpoints. */
+final class ForwardedRequestHead {
+    private static final int INITIAL_CAPACITY = 256;
     private static final String LINE_END = "\r\n";
 
-    private ForwardedHead() {}
+    private ForwardedRequestHead() {}
 
     /**
-     * The request line and the headers as they came, but for the headers that hold for the client's connection only.
+     * Returns the request line and the headers as they were received, without the headers that apply only to the client
+     * connection.
      *
      * @param exchange the request
      * @param bodyLength the length of its body, which is always forwarded with a Content-Length
-     * @return the bytes, without the headers that differ for each attempt and without the empty line at the end
+     * @return the bytes, without the headers that differ between attempts and without the empty line at the end
      */
     static byte[] of(HttpServerExchange exchange, int bodyLength) {
-        StringBuilder head = new StringBuilder(USUAL_LENGTH);
+        StringBuilder head = new StringBuilder(INITIAL_CAPACITY);
         head.append(exchange.getRequestMethod()).append(' ').append(exchange.getRequestURI());
         if (!exchange.getQueryString().isEmpty()) {
             head.append('?').append(exchange.getQueryString());
--- a/src/main/java/gatelock/http/HttpResponseSink.java
+++ b/src/main/java/gatelock/http/HttpResponseSink.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 import org.xnio.conduits.StreamSourceConduit;
 
-/** Writes the response to one client, and notices if the client leaves before it has one. */
+/** Writes the response to one client, and detects when the client closes the connection before it has received one. */
 final class HttpResponseSink implements ResponseSink {
     private static final byte[] NO_BODY = {};
 
@@ -32,19 +32,22 @@
         this.admitter = admitter;
     }
 
-    /** Sets the request that is answered here, before it is admitted. */
+    /** Sets the request to which this sink belongs, before it is admitted. */
     void bind(InFlightRequest request) {
         this.request = request;
     }
 
-    /** Has a forwarded response open a session: {@code handover} takes over the client's connection instead. */
-    void opensSession(Consumer<HttpServerExchange> handover) {
+    /**
+     * Makes a forwarded response open a session: {@code handover} takes over the client connection, and no response is
+     * written here.
+     */
+    void setSessionHandover(Consumer<HttpServerExchange> handover) {
         sessionHandover = handover;
     }
 
     /**
-     * Starts to watch for the end of the client's connection. Undertow does not read while a request awaits its
-     * response and would not notice it.
+     * Starts to watch for the end of the client connection. Undertow does not read while a request waits for its
+     * response, and would not detect it.
      */
     void watchForClose() {
         if (request.isOver()
@@ -66,7 +69,7 @@
         try {
             int count = source.read(pooled.getBuffer());
             if (count > 0) {
-                // Pipelined: Undertow reads the next request from these bytes once this one is answered.
+                // These bytes belong to a pipelined request, which Undertow reads after this request has been answered.
                 pooled.getBuffer().flip();
                 connection.setExtraBytes(pooled);
                 return;
@@ -104,7 +107,7 @@
     public void reject(long retryAfterUs) {
         exchange.setStatusCode(StatusCodes.SERVICE_UNAVAILABLE);
         if (retryAfterUs > 0) {
-            // In seconds, as a decimal fraction of whole milliseconds.
+            // The value is in seconds, with milliseconds as the decimal fraction.
             long retryAfterMs = retryAfterUs / 1000;
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Double.toString(retryAfterMs / 1e3));
         }
@@ -118,7 +121,7 @@
     }
 
     private void send(byte[] body) {
-        clientListener.responseStarts(exchange);
+        clientListener.responseStarted(exchange);
         if (body.length == 0) {
             exchange.endExchange();
         } else {
--- a/src/main/java/gatelock/http/RequestHeaders.java
+++ b/src/main/java/gatelock/http/RequestHeaders.java
@@ -8,16 +8,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Set;
 
-/** The request headers that the relay itself uses, and how their values are read. */
+/** The request headers that the relay itself uses, and the parsing of their values. */
 final class RequestHeaders {
     static final HttpString TRACE_ID = new HttpString("X-Trace-Id");
     static final HttpString CUSTOMER = new HttpString("X-Customer");
     static final HttpString EXPIRES_IN_MS = new HttpString("X-Expires-In-Ms");
     static final HttpString SIZE_HINT = new HttpString("X-Size-Hint");
     static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
-    /** The cookie that names the subject of a request. */
+    /** The cookie that contains the key of the subject of a request. */
     static final String KEY_COOKIE = "k";
-    /** Headers that hold for one connection only, or that the relay writes anew for each attempt. */
+    /** Headers that apply to one connection only, or that the relay sets for each attempt. */
     static final Set<HttpString> NOT_FORWARDED = Set.of(
             Headers.CONNECTION,
             Headers.KEEP_ALIVE,
@@ -29,11 +29,11 @@
             Headers.EXPECT,
             EXPIRES_IN_MS);
 
-    /** The longest number that is read; it fits an int. */
+    /** The maximum number of digits; the value fits an {@code int}. */
     static final int MAX_DIGITS = 9;
 
     private static final int MAX_ID_LENGTH = 256;
-    /** One hour, beyond which an announced cost counts as none. */
+    /** One hour; a declared cost above it is ignored. */
     private static final long MAX_COST_US = 3_600_000_000L;
     /** The parameters of the 64-bit FNV-1a hash. */
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -42,18 +42,19 @@
 
     private RequestHeaders() {}
 
-    /** The value of a header that must occur exactly once and be neither empty nor overlong; else null. */
-    static String single(HeaderMap headers, HttpString name) {
+    /** Returns the value of a header that must occur exactly once and be neither empty nor too long; otherwise null. */
+    static String singleValue(HeaderMap headers, HttpString name) {
         String value = headers.count(name) == 1 ? headers.getFirst(name) : null;
         return value == null || value.isEmpty() || value.length() > MAX_ID_LENGTH ? null : value;
     }
 
     /**
-     * Reads how long a client waits.
+     * Parses how long a client waits for the response.
      *
-     * @param text the header's value
-     * @param routeTimeoutUs the timeout of the request's route, in microseconds; 0 if it has none
-     * @return milliseconds; 0 if the text is not a whole number from 1 up to ten times the route's timeout
+     * @param text the value of the header
+     * @param routeTimeoutUs the timeout of the route of the request, in microseconds; 0 if it has none
+     * @return the time in milliseconds; 0 if the text is not a whole number from 1 to ten times the timeout of the
+     *     route
      */
     static long expiresInMs(String text, long routeTimeoutUs) {
         boolean digits = text.length() <= MAX_DIGITS && text.chars().allMatch(c -> c >= '0' && c <= '9');
@@ -62,18 +63,20 @@
         return routeTimeoutUs > 0 && ms > maxMs ? 0 : ms;
     }
 
-    /** The host that a request names, without a port, or null. */
+    /** Returns the host that a request names, without the port, or null if it names none. */
     static String host(HttpServerExchange exchange) {
         String host = exchange.getRequestHeaders().getFirst(Headers.HOST);
         if (host == null || host.endsWith("]")) {
-            // An IPv6 address without a port ends with the bracket.
+            // An IPv6 address without a port ends with a bracket.
             return host;
         }
         int colon = host.lastIndexOf(':');
         return colon < 0 ? host : host.substring(0, colon);
     }
 
-    /** The subject's key as a number that is not negative: hexadecimal digits by their value, anything else hashed. */
+    /**
+     * Converts the key of a subject to a non-negative number: hexadecimal digits are parsed, any other text is hashed.
+     */
     static long key(String text) {
         if (text == null || text.isEmpty()) {
             return DecisionEngine.NO_KEY;
@@ -89,7 +92,10 @@
         }
     }
 
-    /** The announced cost in microseconds. It is only a hint, so that an invalid one counts as none: 0. */
+    /**
+     * Returns the declared cost in microseconds. The cost is only a hint, so an invalid one is ignored and results in
+     * 0.
+     */
     static long costUs(String text) {
         if (text == null) {
             return 0;
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -20,17 +20,18 @@
 import java.util.function.Consumer;
 
 /**
- * First stage: a client's request is matched to its route, validated and read completely, and the fields that matter to
- * the decision engine are taken out.
+ * First stage: matches a client request to its route, validates it, reads its body completely and extracts the fields
+ * that the decision engine uses.
  */
 public final class RequestReader implements HttpHandler {
     private static final byte[] NO_BODY = {};
 
     /**
-     * The names that requests may contain, with the indexes that the deployment's settings give them.
+     * The routes and tenants that requests may name, with the indexes that the settings of the deployment assign to
+     * them.
      *
      * @param routeIndexes the index of each route, by the first segment of the path
-     * @param tenantIndexes the index of each tenant, by the customer header
+     * @param tenantIndexes the index of each tenant, by the value of the customer header
      * @param routePolicies the policies of the routes, by index
      * @param routeTimeoutsUs the timeouts of the routes in microseconds, by index
      */
@@ -40,35 +41,35 @@
             List<RoutePolicy> routePolicies,
             List<Long> routeTimeoutsUs) {}
 
-    /** Opens sessions of another protocol on requests that ask for it. */
+    /** Opens sessions of another protocol for requests that ask for one. */
     public interface SessionUpgrade {
         /**
-         * Whether a request asks for a session; its route and headers have been validated.
+         * Returns whether a request asks for a session. Its route and headers have already been validated.
          *
          * @param exchange the request
-         * @return whether it does
          */
         boolean isRequested(HttpServerExchange exchange);
 
         /**
-         * Validates a request for a session, which is a valid request otherwise.
+         * Validates a request for a session that is otherwise valid.
          *
          * @param exchange the request
-         * @return 0, or the status with which to reject it; headers for that are set on the exchange already
+         * @return 0, or the status with which to reject the request; the headers of that response are already set on
+         *     the exchange
          */
         int rejectionStatus(HttpServerExchange exchange);
 
         /**
-         * Has the attempts of a request open a session.
+         * Prepares a request so that its attempts open a session.
          *
-         * @param exchange the client's side
+         * @param exchange the exchange with the client
          * @param request the request
-         * @param terms the policy for sessions of its route
+         * @param sessionPolicy the session policy of its route
          * @param route the index of its route
-         * @return takes over the client's connection once an endpoint has opened the session
+         * @return a function that takes over the client connection once an endpoint has opened the session
          */
         Consumer<HttpServerExchange> prepare(
-                HttpServerExchange exchange, InFlightRequest request, SessionPolicy terms, int route);
+                HttpServerExchange exchange, InFlightRequest request, SessionPolicy sessionPolicy, int route);
     }
 
     private final Counters counters;
@@ -87,8 +88,8 @@
      * @param names the names that requests may contain
      * @param eventLoop the I/O thread
      * @param admitter the next stage
-     * @param clientListener the client connections
-     * @param admission the configuration in force; null if the relay has none
+     * @param clientListener manages the client connections
+     * @param admission the configuration in force, or null if the relay has none
      */
     public RequestReader(
             Counters counters,
@@ -106,38 +107,43 @@
         this.validator = new RequestValidator(names);
     }
 
-    /** Has sessions opened by this from now on; without it, requests for sessions are ordinary requests. */
+    /** Sets how sessions are opened from now on. Without it, requests for sessions are handled as ordinary requests. */
     public void setSessionUpgrade(SessionUpgrade upgrade) {
         this.upgrade = upgrade;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        Admission.MatchedRoute way = null;
+        Admission.MatchedRoute matchedRoute = null;
         int rejection = RequestValidator.VALID;
         if (admission != null && admission.activeConfig() != null) {
             RequestAttributes attributes = attributes(exchange);
-            way = admission.matchRoute(attributes);
-            rejection = admission.rejectionStatus(attributes, way);
+            matchedRoute = admission.matchRoute(attributes);
+            rejection = admission.rejectionStatus(attributes, matchedRoute);
         }
         long length = exchange.getRequestContentLength();
-        Integer route = way != null ? Integer.valueOf(way.classIndex()) : routeOfPath(exchange.getRequestURI());
+        Integer route = matchedRoute != null
+                ? Integer.valueOf(matchedRoute.classIndex())
+                : routeIndexOfPath(exchange.getRequestURI());
         if (rejection == RequestValidator.VALID) {
             rejection = validator.validate(exchange, route, length);
         }
-        if (rejection == RequestValidator.VALID && opensSession(exchange, way)) {
+        if (rejection == RequestValidator.VALID && isSessionRequest(exchange, matchedRoute)) {
             rejection = upgrade.rejectionStatus(exchange);
         }
         if (rejection != RequestValidator.VALID) {
             reject(exchange, rejection);
         } else if (length == 0 || exchange.isRequestComplete()) {
-            accept(exchange, way, route, NO_BODY);
+            accept(exchange, matchedRoute, route, NO_BODY);
         } else {
-            readBody(exchange, way, route, (int) length);
+            readBody(exchange, matchedRoute, route, (int) length);
         }
     }
 
-    /** What the configuration matches requests by; the path as it came, since it is forwarded as it came. */
+    /**
+     * Returns the attributes by which the configuration matches requests. The path is not normalized, because it is
+     * forwarded as received.
+     */
     private static RequestAttributes attributes(HttpServerExchange exchange) {
         return new RequestAttributes(
                 exchange.getRequestMethod().toString(),
@@ -146,8 +152,8 @@
                 exchange.getRequestHeaders()::getFirst);
     }
 
-    /** The index of the route that the first segment of a path names, or null. */
-    private Integer routeOfPath(String path) {
+    /** Returns the index of the route that the first segment of the path names, or null if it names none. */
+    private Integer routeIndexOfPath(String path) {
         if (!path.startsWith("/")) {
             return null;
         }
@@ -155,25 +161,28 @@
         return names.routeIndexes().get(path.substring(1, slash < 0 ? path.length() : slash));
     }
 
-    private boolean opensSession(HttpServerExchange exchange, Admission.MatchedRoute way) {
-        return upgrade != null && way != null && way.sessionPolicy() != null && upgrade.isRequested(exchange);
+    private boolean isSessionRequest(HttpServerExchange exchange, Admission.MatchedRoute matchedRoute) {
+        return upgrade != null
+                && matchedRoute != null
+                && matchedRoute.sessionPolicy() != null
+                && upgrade.isRequested(exchange);
     }
 
-    private void readBody(HttpServerExchange exchange, Admission.MatchedRoute way, int route, int length) {
+    private void readBody(HttpServerExchange exchange, Admission.MatchedRoute matchedRoute, int route, int length) {
         BodyReader reader = new BodyReader(length, new BodyReader.Listener() {
             @Override
-            public void complete(byte[] body) {
-                accept(exchange, way, route, body);
+            public void onComplete(byte[] body) {
+                accept(exchange, matchedRoute, route, body);
             }
 
             @Override
-            public void tooLong() {
+            public void onTooLong() {
                 reject(exchange, StatusCodes.REQUEST_ENTITY_TOO_LARGE);
             }
 
             @Override
-            public void brokenOff() {
-                // The request was never complete, so nothing is owed.
+            public void onAborted() {
+                // The request was never complete, so no response is owed.
                 counters.increment("not taken, broken off");
                 clientListener.clientLeft(exchange);
             }
@@ -181,19 +190,19 @@
         reader.handleEvent(exchange.getRequestChannel());
     }
 
-    /** Answers a request that is not accepted, whether or not it has been read completely. */
+    /** Responds to a request that is not accepted, whether or not it has been read completely. */
     private void reject(HttpServerExchange exchange, int status) {
         counters.increment("not taken " + status);
         exchange.setStatusCode(status);
         if (exchange.isRequestComplete()) {
-            clientListener.responseStarts(exchange);
+            clientListener.responseStarted(exchange);
             exchange.endExchange();
         } else {
             exchange.dispatch(SameThreadExecutor.INSTANCE, () -> clientListener.rejectUnread(exchange));
         }
     }
 
-    private void accept(HttpServerExchange exchange, Admission.MatchedRoute way, int route, byte[] body) {
+    private void accept(HttpServerExchange exchange, Admission.MatchedRoute matchedRoute, int route, byte[] body) {
         String id = exchange.getRequestHeaders().getFirst(RequestHeaders.TRACE_ID);
         if (admitter.isInFlight(id)) {
             reject(exchange, StatusCodes.BAD_REQUEST);
@@ -202,21 +211,24 @@
         clientListener.requestCompleted(exchange);
         HttpResponseSink responseSink = new HttpResponseSink(exchange, clientListener, admitter);
         long deadlineUs = deadlineUs(exchange, route);
-        byte[] head = ForwardedHead.of(exchange, body.length);
+        byte[] head = ForwardedRequestHead.of(exchange, body.length);
         InFlightRequest request = new InFlightRequest(id, head, body, deadlineUs, responseSink);
         responseSink.bind(request);
-        if (opensSession(exchange, way)) {
-            responseSink.opensSession(upgrade.prepare(exchange, request, way.sessionPolicy(), route));
+        if (isSessionRequest(exchange, matchedRoute)) {
+            responseSink.setSessionHandover(upgrade.prepare(exchange, request, matchedRoute.sessionPolicy(), route));
         }
         RequestProfile profile = profile(exchange, route);
-        // Undertow ends an exchange whose handler returns without having dispatched it.
+        // Undertow ends an exchange whose handler returns without dispatching it.
         exchange.dispatch(SameThreadExecutor.INSTANCE, () -> {
-            admitter.admit(request, way, profile);
+            admitter.admit(request, matchedRoute, profile);
             responseSink.watchForClose();
         });
     }
 
-    /** Until when the response must be given: as long as the client waits, and not beyond the end of the relay. */
+    /**
+     * Returns the time by which the response must be sent: as long as the client waits, but not after the relay has
+     * shut down.
+     */
     private long deadlineUs(HttpServerExchange exchange, int route) {
         String expires = exchange.getRequestHeaders().getFirst(RequestHeaders.EXPIRES_IN_MS);
         long routeTimeoutUs = names.routeTimeoutsUs().get(route);
@@ -226,8 +238,8 @@
 
     private RequestProfile profile(HttpServerExchange exchange, int route) {
         HeaderMap headers = exchange.getRequestHeaders();
-        Integer known = names.tenantIndexes().get(headers.getFirst(RequestHeaders.CUSTOMER));
-        int tenant = known == null ? names.tenantIndexes().size() : known;
+        Integer tenantIndex = names.tenantIndexes().get(headers.getFirst(RequestHeaders.CUSTOMER));
+        int tenant = tenantIndex == null ? names.tenantIndexes().size() : tenantIndex;
         Cookie cookie = exchange.getRequestCookie(RequestHeaders.KEY_COOKIE);
         long key = RequestHeaders.key(cookie == null ? null : cookie.getValue());
         return new RequestProfile(
--- a/src/main/java/gatelock/net/BodyConsumer.java
+++ b/src/main/java/gatelock/net/BodyConsumer.java
@@ -1,20 +1,21 @@
 package gatelock.net;
 
-/** Receives the body of a response piece by piece as it arrives, so that it is never buffered as a whole. */
+/** Receives the body of a response incrementally as it arrives, so that it is never buffered as a whole. */
 public interface BodyConsumer {
 
     /**
      * Called once, when the head of the response has arrived.
      *
-     * @param contentLength the length of the body in bytes, -1 where the head does not say it
-     * @throws MalformedResponseException where this is not the expected response; its connection is closed
+     * @param status the status code
+     * @param contentLength the length of the body in bytes, or -1 if the head does not declare it
+     * @throws MalformedResponseException if this is not the expected response; the connection is then closed
      */
     default void onHead(int status, long contentLength) throws MalformedResponseException {}
 
     /**
-     * Called with the next piece of the body, which is never empty.
+     * Called with the next part of the body, which is never empty.
      *
-     * @throws MalformedResponseException where the body is not as expected; its connection is closed
+     * @throws MalformedResponseException if the body is not as expected; the connection is then closed
      */
-    void onBody(byte[] piece) throws MalformedResponseException;
+    void onBody(byte[] data) throws MalformedResponseException;
 }
--- a/src/main/java/gatelock/net/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The connections that this relay opens to one kind of service, kept alive and reused between requests. */
+/** A pool of outbound connections to one kind of service, which are kept alive and reused between requests. */
 public final class ConnectionPool {
     private static final System.Logger LOG = System.getLogger("gatelock.net");
     private static final long MAX_SWEEP_INTERVAL_US = 1_000_000;
@@ -22,76 +22,77 @@
     private final Map<InetSocketAddress, Set<OutboundConnection>> connecting = new HashMap<>();
     private final long connectTimeoutUs;
     private final long idleTimeoutUs;
-    private final long restUs;
+    private final long minIdleUs;
     private final int maxConnections;
     private final int maxBodyBytes;
-    private int open;
+    private int openCount;
     private boolean stopped;
 
     /**
-     * Creates a pool whose responses have bodies of up to {@link ResponseReader#MAX_BODY_BYTES} bytes.
+     * Creates a pool that accepts response bodies of up to {@link ResponseReader#MAX_BODY_BYTES} bytes.
      *
-     * @param connectTimeoutUs a connection that is not established by then has failed
-     * @param idleTimeoutUs how long a connection is kept without a request
-     * @param restUs how long a connection stays without a request before it carries the next one. Guards against bytes
-     *     behind a response that would be read as the next one: whatever arrives meanwhile closes the connection. It
-     *     holds against any late copy or noise, and costs some more connections under load
-     * @param maxConnections beyond this many, an idle connection is closed for each one that is opened
+     * @param connectTimeoutUs the time within which a connection has to be established
+     * @param idleTimeoutUs how long a connection is kept open without a request
+     * @param minIdleUs how long a connection has to be idle before it is reused. It guards against bytes after a
+     *     response that would be read as the next response, such as a delayed duplicate: any bytes that arrive in this
+     *     time close the connection. The cost is a few more connections under load
+     * @param maxConnections the number of connections from which on an idle one is closed for each one that is opened
      */
     public ConnectionPool(
             EventLoop eventLoop,
             Counters counters,
             long connectTimeoutUs,
             long idleTimeoutUs,
-            long restUs,
+            long minIdleUs,
             int maxConnections) {
         this(
                 eventLoop,
                 counters,
                 connectTimeoutUs,
                 idleTimeoutUs,
-                restUs,
+                minIdleUs,
                 maxConnections,
                 ResponseReader.MAX_BODY_BYTES);
     }
 
     /**
-     * Creates a pool with a body limit of its own, as the protocol's limit holds for requests of clients only.
+     * Creates a pool with its own limit for response bodies, as the limit of the protocol applies only to client
+     * requests.
      *
-     * @param maxBodyBytes the longest response body that is buffered
+     * @param maxBodyBytes the maximum length of a response body that is buffered
      */
     public ConnectionPool(
             EventLoop eventLoop,
             Counters counters,
             long connectTimeoutUs,
             long idleTimeoutUs,
-            long restUs,
+            long minIdleUs,
             int maxConnections,
             int maxBodyBytes) {
         this.eventLoop = eventLoop;
         this.counters = counters;
         this.connectTimeoutUs = connectTimeoutUs;
         this.idleTimeoutUs = idleTimeoutUs;
-        this.restUs = restUs;
+        this.minIdleUs = minIdleUs;
         this.maxConnections = maxConnections;
         this.maxBodyBytes = maxBodyBytes;
         this.idle = new IdleConnections<>(maxConnections, OutboundConnection::abort);
         eventLoop.execute(this::closeExpired);
     }
 
-    /** Closes the idle connections; no request may be sent any more. */
+    /** Closes the idle connections. No request may be sent afterwards. */
     public void shutdown() {
         stopped = true;
         closeExpired();
     }
 
-    /** Sends one request on an idle or a new connection; all of its response has to arrive within this time. */
+    /** Sends one request on an idle or a new connection. The complete response has to arrive within the timeout. */
     public OutboundConnection send(
             InetSocketAddress address, ByteBuffer request, long timeoutUs, OutboundConnection.ResponseHandler handler) {
         return send(address, new OutboundRequest(request, ResponseTimeouts.total(timeoutUs), null, handler));
     }
 
-    /** Sends one request on an idle or a new connection; the body of its response is consumed as it arrives. */
+    /** Sends one request on an idle or a new connection. The body of the response is consumed as it arrives. */
     public OutboundConnection send(
             InetSocketAddress address,
             ByteBuffer request,
@@ -101,43 +102,43 @@
         return send(address, new OutboundRequest(request, timeouts, body, handler));
     }
 
-    /** Sends one request on a connection of its own, whose response may take any time and have any length. */
+    /** Sends one request on a new connection. The response may take any time and have any length. */
     public OutboundConnection openStream(
             InetSocketAddress address,
             ByteBuffer request,
             BodyConsumer body,
             OutboundConnection.ResponseHandler handler) {
-        return open(address, new OutboundRequest(request, ResponseTimeouts.NONE, body, handler));
+        return openConnection(address, new OutboundRequest(request, ResponseTimeouts.UNLIMITED, body, handler));
     }
 
     /**
-     * Closes the idle connections to an address whose service has left, is draining or came back as another process.
-     * Whoever waits for a connection to it is asked again whether the request may be sent.
+     * Closes the idle connections to an address whose service has left, is draining or was replaced by another process.
+     * For each request that waits for a connection to this address, the handler is asked again whether it may be sent.
      */
     public void invalidate(InetSocketAddress address) {
         idle.closeAll(address);
-        List.copyOf(connecting.getOrDefault(address, Set.of())).forEach(OutboundConnection::endUnlessMaySend);
+        List.copyOf(connecting.getOrDefault(address, Set.of())).forEach(OutboundConnection::closeUnlessMaySend);
     }
 
     @Override
     public String toString() {
-        return open + " connections, " + idle.size() + " idle";
+        return openCount + " connections, " + idle.size() + " idle";
     }
 
-    /** Returns the longest response body that is buffered, in bytes. */
+    /** Returns the maximum length of a response body that is buffered, in bytes. */
     int maxBodyBytes() {
         return maxBodyBytes;
     }
 
-    /** Notes that a connection is established, or has ended before. */
-    void connectingEnded(OutboundConnection connection) {
+    /** Records that a connection has been established, or has ended before that. */
+    void connectFinished(OutboundConnection connection) {
         Set<OutboundConnection> sameAddress = connecting.get(connection.address());
         if (sameAddress != null && sameAddress.remove(connection) && sameAddress.isEmpty()) {
             connecting.remove(connection.address());
         }
     }
 
-    /** Takes a connection back whose request has its response. */
+    /** Returns a connection to the pool after the response to its request has been received. */
     void release(OutboundConnection connection) {
         idle.put(eventLoop.nowUs(), connection.address(), connection);
         if (stopped) {
@@ -145,31 +146,31 @@
         }
     }
 
-    /** Forgets a connection that has ended. */
+    /** Removes a connection that has ended. */
     void remove(OutboundConnection connection) {
-        open--;
-        connectingEnded(connection);
+        openCount--;
+        connectFinished(connection);
         idle.remove(connection);
     }
 
-    /** Counts and logs a response that could not be read. */
+    /** Counts and logs a response that could not be parsed. */
     void reportMalformed(InetSocketAddress address, MalformedResponseException e) {
         counters.increment("answers unreadable");
-        LOG.log(Level.DEBUG, () -> "response from " + address + ": " + e.getMessage());
+        LOG.log(Level.DEBUG, () -> "malformed response from " + address + ": " + e.getMessage());
     }
 
     private OutboundConnection send(InetSocketAddress address, OutboundRequest request) {
         OutboundConnection connection = takeUsable(address);
         if (connection == null) {
-            return open(address, request);
+            return openConnection(address, request);
         }
         connection.send(request);
         return connection;
     }
 
-    /** Takes an idle connection that has rested and is still open; null where there is none. */
+    /** Takes a connection that has been idle for long enough and is still open, or returns null if there is none. */
     private OutboundConnection takeUsable(InetSocketAddress address) {
-        long idleSinceUs = eventLoop.nowUs() - restUs;
+        long idleSinceUs = eventLoop.nowUs() - minIdleUs;
         OutboundConnection connection = idle.take(address, idleSinceUs);
         while (connection != null && !connection.isUsable()) {
             connection.abort();
@@ -178,12 +179,12 @@
         return connection;
     }
 
-    private OutboundConnection open(InetSocketAddress address, OutboundRequest request) {
+    private OutboundConnection openConnection(InetSocketAddress address, OutboundRequest request) {
         counters.increment("connections opened");
-        if (open >= maxConnections) {
+        if (openCount >= maxConnections) {
             idle.closeOldest();
         }
-        open++;
+        openCount++;
         OutboundConnection connection = new OutboundConnection(eventLoop, this, address);
         connecting.computeIfAbsent(address, a -> new LinkedHashSet<>()).add(connection);
         connection.open(connectTimeoutUs, request);
--- a/src/main/java/gatelock/net/EventLoop.java
+++ b/src/main/java/gatelock/net/EventLoop.java
@@ -8,7 +8,7 @@
 import org.xnio.XnioExecutor;
 import org.xnio.XnioIoThread;
 
-/** The single I/O thread that runs all of the relay: its clock, its timers and its task queue. */
+/** The single I/O thread on which the relay runs, with its clock, timers and task queue. */
 public final class EventLoop {
     private static final System.Logger LOG = System.getLogger("gatelock.net");
     private static final int READ_BUFFER_BYTES = 16 * 1024;
@@ -18,36 +18,39 @@
     private final long startUs = System.currentTimeMillis() * 1000;
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
-    /** Creates the loop of a thread that is already running. */
+    /** Creates the event loop of a thread that is already running. */
     public EventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
-    /** Returns the thread itself, on which connections are registered. */
+    /** Returns the underlying I/O thread, on which connections are registered. */
     public XnioIoThread ioThread() {
         return thread;
     }
 
-    /** Returns the time in microseconds since the epoch, read once at the start: it never goes back afterwards. */
+    /**
+     * Returns the time in microseconds since the epoch. The system clock is read only at the start, so the time never
+     * goes back.
+     */
     public long nowUs() {
         return startUs + (System.nanoTime() - startNs) / 1000;
     }
 
-    /** Queues a task, which runs after those that are queued already; may be called from any thread. */
+    /** Queues a task, which runs after those that are already queued. May be called from any thread. */
     public void execute(Runnable task) {
         thread.execute(() -> run(task));
     }
 
-    /** Runs a task once this many microseconds have passed, rounded up to the thread's milliseconds. */
+    /** Runs a task after a delay, which is rounded up to whole milliseconds. */
     public XnioExecutor.Key schedule(long delayUs, Runnable task) {
         long delayMs = (Math.max(0, delayUs) + 999) / 1000;
         return thread.executeAfter(() -> run(task), delayMs, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Runs slow work on the worker's one task thread, and then its continuation on this thread.
+     * Runs slow work on the single task thread of the worker, and then its continuation on the I/O thread.
      *
-     * @param onError what the continuation receives where the work throws
+     * @param onError the result that the continuation receives if the work throws
      */
     public <T> void offload(Supplier<T> work, T onError, Consumer<T> continuation) {
         thread.getWorker().execute(() -> {
@@ -65,12 +68,15 @@
         }
     }
 
-    /** Returns the shared buffer, empty; what is read into it must be consumed before the next read anywhere. */
+    /**
+     * Returns the shared read buffer, cleared. Data that is read into it must be consumed before the next read on any
+     * connection.
+     */
     ByteBuffer readBuffer() {
         return readBuffer.clear();
     }
 
-    /** Logs a defect that must not end the thread. */
+    /** Logs an exception that indicates a defect, but must not end the thread. */
     void logUnexpected(Throwable e) {
         LOG.log(Level.ERROR, "unexpected exception, continuing", e);
     }
--- a/src/main/java/gatelock/net/JsonObject.java
+++ b/src/main/java/gatelock/net/JsonObject.java
@@ -10,18 +10,21 @@
 import java.util.Map;
 
 /**
- * One JSON object of a message, with its fields read by name and type; the only place where their form is checked.
- * A field that is absent, of another type or out of any sensible range is a {@link MalformedMessageException}, so that
- * a malformed message is rejected as a whole.
+ * One JSON object of a message, with access to its fields by name and type. The format of fields is validated only
+ * here. A field that is absent, of another type or out of range causes a {@link MalformedMessageException}, so that a
+ * malformed message is rejected as a whole.
  */
 public record JsonObject(Map<String, Object> fields) {
-    /** The bound of all ids, counts and times; times up to it are still whole as microseconds. */
+    /**
+     * The upper limit of all ids, counts and times. Times up to this limit are still exact when converted to
+     * microseconds.
+     */
     private static final double MAX_NUMBER = 1e15;
 
     /**
      * Parses a text that consists of one object.
      *
-     * @throws IOException where it is no JSON object, or anything follows behind it
+     * @throws IOException if the text is not a JSON object, or other text follows the object
      */
     public static JsonObject parse(byte[] text) throws IOException {
         try (JsonParser parser = JSON.std.createParser(new String(text, StandardCharsets.UTF_8))) {
@@ -43,7 +46,7 @@
     /** Returns the objects of the array in a field. */
     public List<JsonObject> objects(String name) throws IOException {
         if (!(required(name) instanceof List<?> list)) {
-            throw new MalformedMessageException("expected a list under " + name);
+            throw new MalformedMessageException("expected an array in field " + name);
         }
         List<JsonObject> objects = new ArrayList<>(list.size());
         for (Object item : list) {
@@ -57,29 +60,29 @@
         if (required(name) instanceof String text) {
             return text;
         }
-        throw new MalformedMessageException("expected text under " + name);
+        throw new MalformedMessageException("expected text in field " + name);
     }
 
-    /** Returns the text in a field, or the default where it is absent or no text. */
+    /** Returns the text in a field, or the default if the field is absent or is not text. */
     public String textOr(String name, String defaultValue) {
         return fields.get(name) instanceof String text ? text : defaultValue;
     }
 
-    /** Returns the address in a field of the form {@code host:port}; looks up a host that is a name. */
+    /** Returns the address in a field of the form {@code host:port}, and resolves the host name. */
     public InetSocketAddress address(String name) throws IOException {
         return resolveAddress(addressText(name));
     }
 
-    /** Returns the text in a field of the form {@code host:port}; the host is not looked up. */
+    /** Returns the text in a field of the form {@code host:port}, without resolving the host name. */
     public String addressText(String name) throws IOException {
         String text = text(name);
         if (isAddress(text)) {
             return text;
         }
-        throw new MalformedMessageException("expected address:port under " + name + ", found " + text);
+        throw new MalformedMessageException("expected address:port in field " + name + ", found " + text);
     }
 
-    /** Returns the address that a text from {@link #addressText} names; looks up a host that is a name. */
+    /** Returns the address in a text from {@link #addressText}, and resolves the host name. */
     public static InetSocketAddress resolveAddress(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -90,22 +93,25 @@
         return numberWithin(-MAX_NUMBER, MAX_NUMBER, name).doubleValue();
     }
 
-    /** Returns the number from 0 on in a field; a fraction is cut off. */
+    /** Returns the non-negative number in a field, truncated to a whole number. */
     public long nonNegativeLong(String name) throws IOException {
         return numberWithin(0, MAX_NUMBER, name).longValue();
     }
 
-    /** Returns the number from 0 on in a field that fits an {@code int}, such as the id of a build; cuts a fraction. */
+    /**
+     * Returns the non-negative number in a field that fits an {@code int}, such as the id of a build, truncated to a
+     * whole number.
+     */
     public int nonNegativeInt(String name) throws IOException {
         return numberWithin(0, Integer.MAX_VALUE, name).intValue();
     }
 
-    /** Returns the same as {@link #nonNegativeLong}, or the default where the field is absent or null. */
+    /** Returns the result of {@link #nonNegativeLong}, or the default if the field is absent or null. */
     public long nonNegativeLongOr(String name, long defaultValue) throws IOException {
         return fields.get(name) == null ? defaultValue : nonNegativeLong(name);
     }
 
-    /** Returns whether a field is {@code true}; anything else, and an absent field, counts as {@code false}. */
+    /** Returns whether a field is {@code true}. An absent field or any other value counts as {@code false}. */
     public boolean isTrue(String name) {
         return Boolean.TRUE.equals(fields.get(name));
     }
@@ -115,13 +121,13 @@
         if (value instanceof Number number && number.doubleValue() >= min && number.doubleValue() <= max) {
             return number;
         }
-        throw new MalformedMessageException("expected a number in its range under " + name);
+        throw new MalformedMessageException("expected a number within the valid range in field " + name);
     }
 
     private Object required(String name) throws IOException {
         Object value = fields.get(name);
         if (value == null) {
-            throw new MalformedMessageException("expected " + name);
+            throw new MalformedMessageException("missing field " + name);
         }
         return value;
     }
@@ -139,12 +145,12 @@
         }
     }
 
-    // JSON objects have text keys only, so that the cast can't fail.
+    // The keys of a JSON object are always strings, so the cast is safe.
     @SuppressWarnings("unchecked")
     private static JsonObject asObject(Object value, String name) throws IOException {
         if (value instanceof Map<?, ?> map) {
             return new JsonObject((Map<String, Object>) map);
         }
-        throw new MalformedMessageException("expected an object under " + name);
+        throw new MalformedMessageException("expected an object in field " + name);
     }
 }
--- a/src/main/java/gatelock/net/MalformedResponseException.java
+++ b/src/main/java/gatelock/net/MalformedResponseException.java
@@ -1,10 +1,10 @@
 package gatelock.net;
 
-/** A response is not well-formed HTTP, or not the kind of response that was asked for. */
+/** Thrown when a response is not well-formed HTTP or not the expected response. */
 public class MalformedResponseException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an exception whose message says what is wrong, for the log. */
+    /** Creates an exception with a message for the log that says what is wrong. */
     public MalformedResponseException(String message) {
         super(message);
     }
--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -12,47 +12,51 @@
 import org.xnio.XnioExecutor;
 
 /**
- * A connection that this relay opens, with one request on it at a time. It sends nothing twice, and it knows whether a
- * request's last byte was written: a request that failed before that has never been executed.
+ * A connection that this relay opens, with at most one request at a time. It never sends a request twice, and it tracks
+ * whether the last byte of a request has been written: a request whose connection failed before that has never been
+ * executed.
  */
 public final class OutboundConnection {
     /**
-     * How often one connection is read before others have their turn. Guards against a response of many megabytes that
-     * arrives faster than it is read: it would occupy the thread, and with it hold up all requests. It could harm only
-     * that response, which is read on in the thread's next round.
+     * The maximum number of reads from one connection before the event loop handles other connections. It prevents a
+     * response of many megabytes that arrives faster than it is read from occupying the thread and delaying all other
+     * requests. The rest of such a response is read in the next round of the event loop.
      */
     private static final int MAX_READS_PER_ROUND = 4;
 
     private static final OptionMap OPTIONS = OptionMap.create(Options.TCP_NODELAY, true);
 
-    /** Learns once how a request ended, and never while the request is being sent. */
+    /** Receives the outcome of one request, exactly once and never during the call that sends the request. */
     public interface ResponseHandler {
-        /** Returns whether the request may still be sent: asked before its first byte on a new connection. */
+        /**
+         * Returns whether the request may still be sent. Called on a new connection before the first byte of the
+         * request.
+         */
         default boolean maySend() {
             return true;
         }
 
         /**
-         * A well-formed response has arrived.
+         * Called when a well-formed response has arrived.
          *
-         * @return whether it has the expected content; if not, the connection is closed
+         * @return whether the response has the expected content; if not, the connection is closed
          */
         boolean onResponse(UpstreamResponse response);
 
         /**
-         * The connection ended without a complete, well-formed response.
+         * Called when the connection ended without a complete, well-formed response.
          *
-         * @param written whether the last byte of the request was written before
+         * @param written whether the request had been written completely
          */
         void onConnectionLost(boolean written);
 
-        /** The response is malformed, for this reason; {@link #onConnectionLost} follows. */
+        /** Called when the response is malformed. {@link #onConnectionLost} follows. */
         default void onMalformedResponse(String reason) {}
 
-        /** The response is longer than is accepted, as the reason says; {@link #onConnectionLost} follows. */
+        /** Called when the response exceeds the size limit. {@link #onConnectionLost} follows. */
         default void onResponseTooLong(String reason) {}
 
-        /** The request timed out, and was given up. */
+        /** Called when the request has timed out. Its connection is closed. */
         default void onTimeout() {}
     }
 
@@ -63,16 +67,19 @@
     private IoFuture<StreamConnection> connecting;
     private XnioExecutor.Key connectTimer;
     private XnioExecutor.Key requestTimer;
-    /** The request under way; null while the connection is idle. */
+    /** The request in progress; null while the connection is idle. */
     private OutboundRequest request;
 
     private ResponseReader reader;
     private long requestStartUs;
-    /** When the last piece of a response arrived that may come in pieces, 0 before. */
-    private long lastPieceUs;
+    /**
+     * When data of the response last arrived, or 0 if none has. Recorded only for responses with a timeout between
+     * parts.
+     */
+    private long lastDataUs;
 
     private boolean written;
-    private boolean ended;
+    private boolean closed;
 
     OutboundConnection(EventLoop eventLoop, ConnectionPool pool, InetSocketAddress address) {
         this.eventLoop = eventLoop;
@@ -80,23 +87,26 @@
         this.address = address;
     }
 
-    /** Gives up the request, or closes the idle connection; the request's handler is not called any more. */
+    /**
+     * Closes the connection and abandons its request, if there is one. The handler of the request is not called any
+     * more.
+     */
     public void abort() {
-        endRequest();
-        end();
+        detachRequest();
+        close();
     }
 
-    /** Returns the address to which this connection goes. */
+    /** Returns the remote address. */
     InetSocketAddress address() {
         return address;
     }
 
-    /** Opens the connection, on which the first request is sent once it is established. */
+    /** Opens the connection. The first request is sent once the connection is established. */
     void open(long connectTimeoutUs, OutboundRequest first) {
-        begin(first);
+        startRequest(first);
         connectTimer = eventLoop.schedule(connectTimeoutUs, () -> {
             if (connection == null) {
-                end();
+                close();
             }
         });
         connecting = eventLoop.ioThread().openStreamConnection(address, this::onConnected, OPTIONS);
@@ -104,88 +114,88 @@
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleFailed(IOException e, Void nothing) {
-                        eventLoop.execute(OutboundConnection.this::end);
+                        eventLoop.execute(OutboundConnection.this::close);
                     }
                 },
                 null);
     }
 
-    /** Sends one more request, on a connection that is idle. */
+    /** Sends another request on an idle connection. */
     void send(OutboundRequest next) {
-        begin(next);
+        startRequest(next);
         write();
     }
 
-    /** Returns whether an idle connection is still open, as far as can be known without writing to it. */
+    /** Returns whether an idle connection is still open, as far as this can be determined without writing to it. */
     boolean isUsable() {
         try {
-            return !ended && connection.getSourceChannel().read(eventLoop.readBuffer()) == 0;
+            return !closed && connection.getSourceChannel().read(eventLoop.readBuffer()) == 0;
         } catch (IOException e) {
             return false;
         }
     }
 
     /**
-     * Asks again whether a request of which no byte was written may be sent, and ends the connection if not. Guards
-     * against a service that left, came back as another process or lost its quota while the connection was being
-     * established; it holds however long that takes. It could do no harm: such a request was never executed, and its
-     * handler learns so.
+     * Asks the handler again whether a request of which no byte has been written may be sent, and closes the connection
+     * if not. This covers services that left, were replaced by another process or lost their quota while the connection
+     * was being established, however long that took. It is safe, because the request was never executed and its handler
+     * is notified of that.
      *
-     * @return whether the connection goes on
+     * @return whether the connection is still open
      */
-    boolean endUnlessMaySend() {
+    boolean closeUnlessMaySend() {
         if (request != null && !request.handler().maySend()) {
-            end();
+            close();
         }
-        return !ended;
+        return !closed;
     }
 
-    private void begin(OutboundRequest next) {
-        long firstByteUs = next.timeouts().firstByteUs();
+    private void startRequest(OutboundRequest next) {
+        long firstByteUs = next.timeouts().firstByteTimeoutUs();
         if (firstByteUs > 0) {
             requestTimer = eventLoop.schedule(firstByteUs, () -> onRequestTimer(next));
         }
         request = next;
         requestStartUs = eventLoop.nowUs();
-        lastPieceUs = 0;
+        lastDataUs = 0;
         reader = new ResponseReader(next.body(), pool.maxBodyBytes());
         written = false;
     }
 
     /**
-     * Handles the end of a request's time. The response is read first, which guards against a thread that is late
-     * itself: timers run before what can be read, so the response may have arrived. That holds for any request, and
-     * could do no harm: the response came in time or nearly so, which the handler judges.
+     * Handles the timeout of a request. Available data is read first, because the event loop runs timers before it
+     * handles readable connections: if the thread itself is delayed, the response may already have arrived. This is
+     * safe for any request, because such a response arrived in time or nearly so, which the handler judges.
      */
-    private void onRequestTimer(OutboundRequest timed) {
+    private void onRequestTimer(OutboundRequest timedRequest) {
         if (connection != null && written) {
             read();
         }
-        boolean stillUnderWay = request != null && request.handler() == timed.handler();
-        if (!stillUnderWay) {
+        boolean inProgress = request != null && request.handler() == timedRequest.handler();
+        if (!inProgress) {
             return;
         }
-        long leftUs = remainingUs(timed.timeouts());
-        if (leftUs > 0) {
-            requestTimer = eventLoop.schedule(leftUs, () -> onRequestTimer(timed));
+        long remainingUs = remainingUs(timedRequest.timeouts());
+        if (remainingUs > 0) {
+            requestTimer = eventLoop.schedule(remainingUs, () -> onRequestTimer(timedRequest));
         } else {
             abort();
-            timed.handler().onTimeout();
+            timedRequest.handler().onTimeout();
         }
     }
 
-    /** How long a response that arrives in pieces may still take; 0 where none of it has arrived yet. */
+    /** Returns how long a response that is consumed as it arrives may still take, or 0 if no data has arrived yet. */
     private long remainingUs(ResponseTimeouts timeouts) {
-        if (lastPieceUs == 0) {
+        if (lastDataUs == 0) {
             return 0;
         }
-        long nextPieceDueUs = lastPieceUs + timeouts.pauseUs();
-        long endDueUs = requestStartUs + timeouts.totalUs();
-        return Math.min(nextPieceDueUs, endDueUs) - eventLoop.nowUs();
+        long dataDeadlineUs = lastDataUs + timeouts.dataTimeoutUs();
+        long totalDeadlineUs = requestStartUs + timeouts.totalTimeoutUs();
+        return Math.min(dataDeadlineUs, totalDeadlineUs) - eventLoop.nowUs();
     }
 
     private void onConnected(StreamConnection established) {
-        if (ended) {
+        if (closed) {
             IoUtils.safeClose(established);
             return;
         }
@@ -194,14 +204,14 @@
         connection.getSinkChannel().setWriteListener(c -> write());
         connection.getSourceChannel().setReadListener(c -> read());
         connection.getSourceChannel().resumeReads();
-        pool.connectingEnded(this);
-        if (endUnlessMaySend()) {
+        pool.connectFinished(this);
+        if (closeUnlessMaySend()) {
             write();
         }
     }
 
     private void write() {
-        if (ended || written) {
+        if (closed || written) {
             return;
         }
         try {
@@ -214,23 +224,23 @@
             written = true;
             connection.getSinkChannel().suspendWrites();
         } catch (IOException e) {
-            eventLoop.execute(this::end);
+            eventLoop.execute(this::close);
         }
     }
 
     private void read() {
         try {
             boolean more = true;
-            for (int reads = 0; more && !ended && mayReadAgain(reads); reads++) {
-                more = readPiece();
+            for (int reads = 0; more && !closed && mayReadAgain(reads); reads++) {
+                more = readAvailable();
             }
         } catch (MalformedResponseException e) {
             rejectResponse(e);
         } catch (IOException e) {
-            end();
+            close();
         } catch (RuntimeException | AssertionError e) {
             eventLoop.logUnexpected(e);
-            end();
+            close();
         }
     }
 
@@ -240,7 +250,7 @@
     }
 
     /** Reads once, and returns whether there may be more to read. */
-    private boolean readPiece() throws IOException, MalformedResponseException {
+    private boolean readAvailable() throws IOException, MalformedResponseException {
         ByteBuffer in = eventLoop.readBuffer();
         int count = connection.getSourceChannel().read(in);
         if (count == 0) {
@@ -248,12 +258,12 @@
         }
         if (count < 0 || request == null) {
             // The end of the stream, or bytes that nobody asked for on an idle connection.
-            end();
+            close();
             return false;
         }
         in.flip();
-        if (request.timeouts().pauseUs() > 0) {
-            lastPieceUs = eventLoop.nowUs();
+        if (request.timeouts().dataTimeoutUs() > 0) {
+            lastDataUs = eventLoop.nowUs();
         }
         reader.read(in);
         if (!reader.isComplete()) {
@@ -261,9 +271,9 @@
         }
         if (!written) {
             // What arrives before all of the request was sent answers another request, or none.
-            throw new MalformedResponseException("a response before the request was complete");
+            throw new MalformedResponseException("response arrived before the request was completely sent");
         }
-        finish(reader.isKeepAlive() && !in.hasRemaining());
+        completeRequest(reader.isKeepAlive() && !in.hasRemaining());
         return false;
     }
 
@@ -276,20 +286,20 @@
                 request.handler().onMalformedResponse(e.getMessage());
             }
         }
-        end();
+        close();
     }
 
-    private void finish(boolean reusable) {
-        OutboundRequest finished = endRequest();
-        if (finished.handler().onResponse(reader.response()) && reusable) {
+    private void completeRequest(boolean reusable) {
+        OutboundRequest completed = detachRequest();
+        if (completed.handler().onResponse(reader.response()) && reusable) {
             pool.release(this);
         } else {
-            end();
+            close();
         }
     }
 
     /** Ends the request, if one is under way: its handler may be called once more, by whoever called this. */
-    private OutboundRequest endRequest() {
+    private OutboundRequest detachRequest() {
         if (requestTimer != null) {
             requestTimer.remove();
             requestTimer = null;
@@ -299,11 +309,11 @@
         return current;
     }
 
-    private void end() {
-        if (ended) {
+    private void close() {
+        if (closed) {
             return;
         }
-        ended = true;
+        closed = true;
         connectTimer.remove();
         if (connection != null) {
             IoUtils.safeClose(connection);
@@ -311,7 +321,7 @@
             connecting.cancel();
         }
         pool.remove(this);
-        OutboundRequest unanswered = endRequest();
+        OutboundRequest unanswered = detachRequest();
         if (unanswered != null) {
             unanswered.handler().onConnectionLost(written);
         }
--- a/src/main/java/gatelock/net/OutboundRequest.java
+++ b/src/main/java/gatelock/net/OutboundRequest.java
@@ -3,10 +3,12 @@
 import java.nio.ByteBuffer;
 
 /**
- * One request on an outbound connection, and how its response is to be received.
+ * One request on an outbound connection, and how its response is received.
  *
- * @param bytes the head and the body, as they are to be written
- * @param body receives the response's body as it arrives; null where it is buffered
+ * @param bytes the head and the body to write
+ * @param timeouts how long the response may take
+ * @param body receives the body of the response as it arrives, or null to buffer it
+ * @param handler receives the outcome
  */
 record OutboundRequest(
         ByteBuffer bytes, ResponseTimeouts timeouts, BodyConsumer body, OutboundConnection.ResponseHandler handler) {}
--- a/src/main/java/gatelock/net/ResponseReader.java
+++ b/src/main/java/gatelock/net/ResponseReader.java
@@ -10,17 +10,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads one HTTP/1.1 response from the pieces in which it arrives; the only place where a response's form is checked.
+ * Parses one HTTP/1.1 response incrementally. The format of responses is validated only here.
  *
- * <p>Guards against responses that are noise, truncated, endless or of two lengths, and rejects every response that
- * leaves open where it ends. It could do harm where a server ends its responses by closing their connection, or sends
- * heads longer than {@link #MAX_HEAD_BYTES}.
+ * <p>Rejects data that is not HTTP, endless heads, conflicting lengths, and any response whose end is ambiguous; a
+ * truncated response never becomes complete. As a consequence, servers that mark the end of a response by closing the
+ * connection, or that send heads longer than {@link #MAX_HEAD_BYTES}, are not supported.
  */
 public final class ResponseReader {
-    /** The longest body, in bytes, that the protocol allows for requests and responses of endpoints. */
+    /**
+     * The maximum length of a body, in bytes, that the protocol allows for requests to and responses from endpoints.
+     */
     public static final int MAX_BODY_BYTES = 64 * 1024;
 
-    /** The longest head including that of 1xx responses before it, and the longest line after the head. */
+    /** The maximum length of the head, including those of preceding 1xx responses, and of each line after the head. */
     private static final int MAX_HEAD_BYTES = 16 * 1024;
 
     private static final int MAX_LENGTH_DIGITS = 12;
@@ -28,8 +30,8 @@
     private static final int HEXADECIMAL = 16;
     private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?", Pattern.DOTALL);
 
-    /** What is read next. */
-    private enum Part {
+    /** The part of the response that is read next. */
+    private enum State {
         STATUS_LINE,
         HEADERS,
         BODY,
@@ -42,12 +44,12 @@
 
     private final BodyConsumer consumer;
     private final int maxBodyBytes;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream(128);
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(512);
-    /** Names and values in turn. */
+    /** The names and values of the headers, alternating. */
     private final List<String> headers = new ArrayList<>();
 
-    private Part part = Part.STATUS_LINE;
+    private State state = State.STATUS_LINE;
     private int status;
     private boolean keepAlive;
     private int lineBytes;
@@ -56,17 +58,17 @@
     /**
      * Creates the reader of one response.
      *
-     * @param consumer receives the body as it arrives; null where the body is buffered
-     * @param maxBodyBytes the longest body that is buffered
+     * @param consumer receives the body as it arrives, or null to buffer it
+     * @param maxBodyBytes the maximum length of a body that is buffered
      */
     ResponseReader(BodyConsumer consumer, int maxBodyBytes) {
         this.consumer = consumer;
         this.maxBodyBytes = maxBodyBytes;
     }
 
-    /** Returns whether all of the response has been read. */
+    /** Returns whether the response has been read completely. */
     boolean isComplete() {
-        return part == Part.COMPLETE;
+        return state == State.COMPLETE;
     }
 
     /** Returns whether the server keeps the connection open for another request. */
@@ -74,20 +76,20 @@
         return keepAlive;
     }
 
-    /** Returns the response, once it is complete; its body is empty where it went to a consumer. */
+    /** Returns the response, once it is complete. Its body is empty if it was passed to a consumer. */
     UpstreamResponse response() {
         return new UpstreamResponse(status, headers, body.toByteArray());
     }
 
     /**
-     * Reads the next piece, up to the end of the response.
+     * Parses the next data, up to the end of the response.
      *
-     * @throws ResponseTooLongException where the body is longer than is buffered
-     * @throws MalformedResponseException where the response is malformed
+     * @throws ResponseTooLongException if the body exceeds the limit for buffered bodies
+     * @throws MalformedResponseException if the response is malformed
      */
     void read(ByteBuffer in) throws MalformedResponseException {
-        while (in.hasRemaining() && part != Part.COMPLETE) {
-            if (part == Part.BODY || part == Part.CHUNK) {
+        while (in.hasRemaining() && state != State.COMPLETE) {
+            if (state == State.BODY || state == State.CHUNK) {
                 readBody(in);
             } else {
                 readLineByte(in.get());
@@ -96,39 +98,39 @@
     }
 
     private void readBody(ByteBuffer in) throws MalformedResponseException {
-        byte[] piece = new byte[(int) Math.min(remainingBytes, in.remaining())];
-        in.get(piece);
+        byte[] data = new byte[(int) Math.min(remainingBytes, in.remaining())];
+        in.get(data);
         if (consumer != null) {
-            consumer.onBody(piece);
+            consumer.onBody(data);
         } else {
-            ResponseTooLongException.checkReceived(body.size() + (long) piece.length, maxBodyBytes);
-            body.writeBytes(piece);
+            ResponseTooLongException.checkReceived(body.size() + (long) data.length, maxBodyBytes);
+            body.writeBytes(data);
         }
-        remainingBytes -= piece.length;
+        remainingBytes -= data.length;
         if (remainingBytes == 0) {
-            part = part == Part.CHUNK ? Part.CHUNK_END : Part.COMPLETE;
+            state = state == State.CHUNK ? State.CHUNK_END : State.COMPLETE;
         }
     }
 
     private void readLineByte(byte b) throws MalformedResponseException {
         if (b == '\n') {
-            String text = line.toString(StandardCharsets.ISO_8859_1);
-            line.reset();
+            String text = lineBuffer.toString(StandardCharsets.ISO_8859_1);
+            lineBuffer.reset();
             onLine(text.endsWith("\r") ? text.substring(0, text.length() - 1) : text);
         } else if (lineBytes++ >= MAX_HEAD_BYTES) {
             throw new MalformedResponseException("head or line too long");
         } else {
-            line.write(b);
+            lineBuffer.write(b);
         }
     }
 
     private void onLine(String text) throws MalformedResponseException {
-        switch (part) {
+        switch (state) {
             case STATUS_LINE -> onStatusLine(text);
             case HEADERS -> onHeaderLine(text);
             case CHUNK_SIZE -> onChunkSize(text);
             case CHUNK_END -> onChunkEnd(text);
-            default -> part = text.isEmpty() ? Part.COMPLETE : Part.TRAILERS;
+            default -> state = text.isEmpty() ? State.COMPLETE : State.TRAILERS;
         }
     }
 
@@ -136,10 +138,10 @@
         boolean matches = STATUS_LINE.matcher(text).matches();
         status = matches ? Integer.parseInt(text.substring(9, 12)) : 0;
         if (status < 100 || status == 101) {
-            throw new MalformedResponseException("no status line, or another protocol");
+            throw new MalformedResponseException("expected the status line of an HTTP/1.x response");
         }
         keepAlive = text.charAt(7) == '1';
-        part = Part.HEADERS;
+        state = State.HEADERS;
     }
 
     private void onHeaderLine(String text) throws MalformedResponseException {
@@ -149,11 +151,11 @@
         }
         int colon = text.indexOf(':');
         if (colon <= 0) {
-            throw new MalformedResponseException("no header");
+            throw new MalformedResponseException("expected a header line");
         }
         String name = text.substring(0, colon);
         String value = text.substring(colon + 1).trim();
-        // A header that the next reader could understand in another way is left out.
+        // Headers with characters that another parser could interpret differently are dropped.
         if (name.chars().allMatch(c -> c > ' ' && c < 127) && value.chars().allMatch(c -> c >= ' ' && c != 127)) {
             headers.add(name);
             headers.add(value);
@@ -168,20 +170,20 @@
             ResponseTooLongException.checkReceived(remainingBytes, maxBodyBytes);
         }
         lineBytes = 0;
-        part = remainingBytes == 0 ? Part.TRAILERS : Part.CHUNK;
+        state = remainingBytes == 0 ? State.TRAILERS : State.CHUNK;
     }
 
     private void onChunkEnd(String text) throws MalformedResponseException {
         if (!text.isEmpty()) {
-            throw new MalformedResponseException("chunk longer than its size");
+            throw new MalformedResponseException("chunk is longer than its declared size");
         }
-        part = Part.CHUNK_SIZE;
+        state = State.CHUNK_SIZE;
     }
 
     private void onHeadersEnd() throws MalformedResponseException {
         if (status < 200) {
             headers.clear();
-            part = Part.STATUS_LINE;
+            state = State.STATUS_LINE;
             return;
         }
         lineBytes = 0;
@@ -200,37 +202,37 @@
         }
     }
 
-    /** Finds out where the body ends; returns whether a transfer coding says that, and not its length. */
+    /** Determines where the body ends. Returns whether the end is given by a transfer coding instead of a length. */
     private boolean readFraming() throws MalformedResponseException {
         String coding = uniqueHeader("Transfer-Encoding");
         String length = uniqueHeader("Content-Length");
         if (status == 204 || status == 304) {
-            part = Part.COMPLETE;
+            state = State.COMPLETE;
         } else if ((coding == null) == (length == null)) {
-            throw new MalformedResponseException("no length, or two");
+            throw new MalformedResponseException("expected either Content-Length or Transfer-Encoding");
         } else if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked")) {
-                throw new MalformedResponseException("unknown coding");
+                throw new MalformedResponseException("unsupported transfer coding");
             }
-            part = Part.CHUNK_SIZE;
+            state = State.CHUNK_SIZE;
         } else {
             remainingBytes = parseLength(length, DECIMAL);
             if (consumer == null) {
                 ResponseTooLongException.checkDeclared(remainingBytes, maxBodyBytes);
             }
-            part = remainingBytes == 0 ? Part.COMPLETE : Part.BODY;
+            state = remainingBytes == 0 ? State.COMPLETE : State.BODY;
         }
         return coding != null;
     }
 
-    /** Returns the value of a header that may be repeated only with the same value; null where it is absent. */
+    /** Returns the value of a header that may be repeated only with the same value, or null if it is absent. */
     private String uniqueHeader(String name) throws MalformedResponseException {
         String found = null;
         for (int i = 0; i < headers.size(); i += 2) {
             if (headers.get(i).equalsIgnoreCase(name)) {
                 String value = headers.get(i + 1);
                 if (found != null && !found.equals(value)) {
-                    throw new MalformedResponseException("two values of " + name);
+                    throw new MalformedResponseException("conflicting values of header " + name);
                 }
                 found = value;
             }
@@ -238,7 +240,7 @@
         return found;
     }
 
-    /** Parses a length that consists of ASCII digits only. */
+    /** Parses a length, which must consist of ASCII digits only. */
     private static long parseLength(String text, int radix) throws MalformedResponseException {
         boolean wellFormed = text.length() <= MAX_LENGTH_DIGITS
                 && !text.isEmpty()
--- a/src/main/java/gatelock/net/ResponseTimeouts.java
+++ b/src/main/java/gatelock/net/ResponseTimeouts.java
@@ -3,16 +3,18 @@
 /**
  * How long the response to a request may take, in microseconds.
  *
- * @param firstByteUs until it begins; 0 for any time, then none of the limits applies
- * @param pauseUs from one piece of it to the next; 0 where all of it has to arrive within {@code firstByteUs}
- * @param totalUs from the request to the end of a response that arrives in pieces
+ * @param firstByteTimeoutUs from the request to the first data of the response; 0 for no limit, in which case none of
+ *     the limits applies
+ * @param dataTimeoutUs from one part of the response to the next; 0 if the complete response has to arrive within
+ *     {@code firstByteTimeoutUs}
+ * @param totalTimeoutUs from the request to the end of a response that is consumed as it arrives
  */
-public record ResponseTimeouts(long firstByteUs, long pauseUs, long totalUs) {
-    /** The response may take any time, and may never end. */
-    static final ResponseTimeouts NONE = new ResponseTimeouts(0, 0, 0);
+public record ResponseTimeouts(long firstByteTimeoutUs, long dataTimeoutUs, long totalTimeoutUs) {
+    /** No limits: the response may take any time and may never end. */
+    static final ResponseTimeouts UNLIMITED = new ResponseTimeouts(0, 0, 0);
 
-    /** All of the response has to arrive within this time. */
-    static ResponseTimeouts total(long us) {
-        return new ResponseTimeouts(us, 0, us);
+    /** Returns timeouts by which the complete response has to arrive within the given time. */
+    static ResponseTimeouts total(long timeoutUs) {
+        return new ResponseTimeouts(timeoutUs, 0, timeoutUs);
     }
 }
--- a/src/main/java/gatelock/net/ResponseTooLongException.java
+++ b/src/main/java/gatelock/net/ResponseTooLongException.java
@@ -1,6 +1,6 @@
 package gatelock.net;
 
-/** The body of a response, or the part of it that has arrived, is longer than is accepted. */
+/** Thrown when the body of a response, or the part of it that has arrived, exceeds the size limit. */
 public final class ResponseTooLongException extends MalformedResponseException {
     private static final long serialVersionUID = 1L;
 
@@ -8,14 +8,14 @@
         super("body of " + length + " bytes is longer than " + maxBytes);
     }
 
-    /** Throws where a body whose length has been declared is longer than the limit, in bytes. */
+    /** Throws an exception if the declared length of a body exceeds the limit, in bytes. */
     public static void checkDeclared(long declaredBytes, long maxBytes) throws ResponseTooLongException {
         if (declaredBytes > maxBytes) {
             throw new ResponseTooLongException(Long.toString(declaredBytes), maxBytes);
         }
     }
 
-    /** Throws where the part of a body that is known so far is longer than the limit, in bytes. */
+    /** Throws an exception if the known part of a body exceeds the limit, in bytes. */
     public static void checkReceived(long bytesSoFar, long maxBytes) throws ResponseTooLongException {
         if (bytesSoFar > maxBytes) {
             throw new ResponseTooLongException("at least " + bytesSoFar, maxBytes);
--- a/src/main/java/gatelock/pipeline/ActionExecutor.java
+++ b/src/main/java/gatelock/pipeline/ActionExecutor.java
@@ -11,8 +11,8 @@
 import java.lang.System.Logger.Level;
 
 /**
- * Carries out the actions that the decision engine orders. Each one is executed right after the engine call that
- * ordered it, in order, so that no stage is entered while the engine is at work.
+ * Executes the actions that the decision engine requests. Each action runs after the engine call that requested it has
+ * returned, in order, so that no stage is entered while the engine is running.
  */
 public final class ActionExecutor implements DecisionActions {
     private static final System.Logger LOG = System.getLogger("gatelock.decision");
@@ -28,7 +28,7 @@
     private boolean stopped;
 
     /**
-     * Creates an executor, which has to be bound to the stages before the first action.
+     * Creates an executor, which must be bound to the stages before the first action.
      *
      * @param eventLoop the I/O thread
      * @param inFlight the requests in flight
@@ -39,12 +39,12 @@
     }
 
     /**
-     * Sets the engine and the stages. They can't be passed to the constructor, as the engine needs the executor for its
-     * own.
+     * Sets the engine and the stages. They cannot be passed to the constructor, as the constructor of the engine needs
+     * the executor.
      *
      * @param engine receives the timers
      * @param endpointResolver sends attempts
-     * @param responseWriter gives final answers
+     * @param responseWriter sends final responses
      * @param outcomeRecorder removes settled requests
      */
     public void bind(
@@ -58,13 +58,18 @@
         this.outcomeRecorder = outcomeRecorder;
     }
 
-    /** Sets the platform's services; before that, votes and subscriptions have no effect. */
+    /**
+     * Sets the clients of the platform services. Without them, votes and subscriptions have no effect.
+     *
+     * @param controller casts votes
+     * @param discovery polls the endpoint list
+     */
     public void bind(ReleaseControllerClient controller, DiscoveryClient discovery) {
         this.controller = controller;
         this.discovery = discovery;
     }
 
-    /** Drops all timers: none of them calls the engine any more. */
+    /** Cancels all timers, so that none of them calls the engine any more. */
     public void stop() {
         stopped = true;
     }
@@ -76,10 +81,10 @@
     }
 
     @Override
-    public void shedRequest(String id, long pauseUs) {
+    public void shedRequest(String id, long retryAfterUs) {
         InFlightRequest request = inFlight.get(id);
         eventLoop.execute(() -> {
-            responseWriter.reject(request, pauseUs);
+            responseWriter.reject(request, retryAfterUs);
             outcomeRecorder.removeIfSettled(request);
         });
     }
@@ -107,8 +112,8 @@
     }
 
     @Override
-    public void scheduleTimer(long inUs, long token) {
-        eventLoop.schedule(inUs, () -> {
+    public void scheduleTimer(long delayUs, long token) {
+        eventLoop.schedule(delayUs, () -> {
             if (!stopped) {
                 engine.timerFired(eventLoop.nowUs(), token);
             }
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -11,16 +11,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
 
-/** Fourth stage: an attempt is written to a connection that it has for itself, and its result is determined. */
+/** Fourth stage: sends an attempt on a connection that carries no other request, and determines its result. */
 public final class AttemptSender {
-    /** How long after the connection of a cancelled attempt was closed its end is reported. */
+    /** The delay between closing the connection of a cancelled attempt and reporting its end. */
     private static final long CANCELLATION_DELAY_US = 2_000;
 
     private static final int OK = 200;
     private static final int SERVICE_UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
     private static final String TIMEOUT_HEADER = "X-Expires-In-Ms";
-    /** With the value 1 on a 503 or 504, an endpoint's statement that it did not execute the request. */
+    /**
+     * The header by which an endpoint states, with the value 1 on a 503 or 504, that it did not execute the request.
+     */
     private static final String NOT_EXECUTED_HEADER = "X-Never-Ran";
 
     private final EventLoop eventLoop;
@@ -33,7 +35,7 @@
      *
      * @param eventLoop the I/O thread
      * @param pool the connections to endpoints
-     * @param outcomeRecorder learns how each attempt ended
+     * @param outcomeRecorder receives the result of each attempt
      */
     public AttemptSender(EventLoop eventLoop, ConnectionPool pool, OutcomeRecorder outcomeRecorder) {
         this.eventLoop = eventLoop;
@@ -41,12 +43,12 @@
         this.outcomeRecorder = outcomeRecorder;
     }
 
-    /** Sets the listener that receives the endpoint's name and the result of each attempt from now on. */
+    /** Sets the listener that receives the endpoint name and the result of each attempt from now on. */
     public void setAttemptListener(BiConsumer<String, AttemptResult> listener) {
         attemptListener = listener;
     }
 
-    /** Registers and sends an attempt; without an address it ends as not connected. */
+    /** Registers and sends an attempt. Without an address it ends as not connected. */
     void send(InFlightRequest request, String endpoint, InetSocketAddress address, long timeoutUs) {
         Attempt attempt = new Attempt(request, endpoint);
         if (request.isOver() || eventLoop.nowUs() >= request.deadlineUs()) {
@@ -62,8 +64,8 @@
         if (response.status() == OK) {
             return AttemptResult.COMPLETED;
         }
-        boolean mayStateIt = response.status() == SERVICE_UNAVAILABLE || response.status() == GATEWAY_TIMEOUT;
-        boolean notExecuted = mayStateIt && "1".equals(response.header(NOT_EXECUTED_HEADER));
+        boolean allowsNotExecuted = response.status() == SERVICE_UNAVAILABLE || response.status() == GATEWAY_TIMEOUT;
+        boolean notExecuted = allowsNotExecuted && "1".equals(response.header(NOT_EXECUTED_HEADER));
         return notExecuted ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED;
     }
 
@@ -74,7 +76,7 @@
         private final long sentUs = eventLoop.nowUs();
         private OutboundConnection connection;
         private boolean ended;
-        /** The decision engine withdrew the attempt before its first byte was sent. */
+        /** Whether the decision engine withdrew the attempt before its first byte was sent. */
         private boolean withdrawn;
 
         Attempt(InFlightRequest request, String endpoint) {
@@ -84,21 +86,22 @@
         }
 
         private void begin(InetSocketAddress address, long timeoutUs) {
-            long leftUs = request.deadlineUs() - sentUs;
-            long waitUs = timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs;
-            byte[] headEnd = (TIMEOUT_HEADER + ": " + Math.max(1, waitUs / 1000) + "\r\n\r\n")
+            long remainingUs = request.deadlineUs() - sentUs;
+            long attemptTimeoutUs = timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs;
+            byte[] timeoutHeader = (TIMEOUT_HEADER + ": " + Math.max(1, attemptTimeoutUs / 1000) + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1);
-            // One buffer, so that an ordinary request is sent with one write.
-            ByteBuffer message = ByteBuffer.allocate(request.head().length + headEnd.length + request.body().length);
-            message.put(request.head()).put(headEnd).put(request.body()).flip();
-            connection = pool.send(address, message, waitUs, this);
+            // A single buffer, so that a request of usual size is sent with one write.
+            ByteBuffer message =
+                    ByteBuffer.allocate(request.head().length + timeoutHeader.length + request.body().length);
+            message.put(request.head()).put(timeoutHeader).put(request.body()).flip();
+            connection = pool.send(address, message, attemptTimeoutUs, this);
         }
 
         /**
-         * Closes the connection, by which the endpoint learns that nobody waits any more, and reports the end a little
-         * later. The delay guards against a retry that another endpoint reads before this one reads the close: two
-         * attempts of one request were seen in execution at once. Should hold for any two endpoints; costs a cancelled
-         * request the delay.
+         * Closes the connection, which tells the endpoint that its response is no longer needed, and reports the end of
+         * the attempt after a delay. Without the delay, another endpoint could read a retry before this endpoint reads
+         * the close, and two attempts of one request were observed executing at the same time. The delay is expected to
+         * suffice for any two endpoints, and adds to the duration of each cancelled request.
          */
         private void cancel() {
             if (!ended) {
--- a/src/main/java/gatelock/pipeline/EndpointResolver.java
+++ b/src/main/java/gatelock/pipeline/EndpointResolver.java
@@ -4,7 +4,7 @@
 import gatelock.state.InFlightRequest;
 import java.net.InetSocketAddress;
 
-/** Third stage: the address of the chosen endpoint is looked up. */
+/** Third stage: looks up the address of the chosen endpoint. */
 public final class EndpointResolver {
     private final EndpointAddresses addresses;
     private final AttemptSender attemptSender;
@@ -20,7 +20,7 @@
         this.attemptSender = attemptSender;
     }
 
-    /** Starts an attempt; one at an endpoint that is not listed any more ends as not connected. */
+    /** Starts an attempt. If the endpoint is not listed any more, the attempt ends as not connected. */
     void send(InFlightRequest request, String endpoint, long timeoutUs) {
         EndpointAddresses.Entry entry = addresses.get(endpoint);
         InetSocketAddress address = entry == null ? null : entry.address();
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -8,9 +8,7 @@
 import gatelock.state.InFlightRequests;
 import gatelock.state.UpstreamResponse;
 
-/**
- * Last stage: the end of an attempt is counted and reported to the decision engine, and settled requests are removed.
- */
+/** Last stage: counts the end of each attempt, reports it to the decision engine and removes settled requests. */
 public final class OutcomeRecorder {
     private final EventLoop eventLoop;
     private final InFlightRequests inFlight;
@@ -23,7 +21,7 @@
      * @param eventLoop the I/O thread
      * @param inFlight the requests in flight
      * @param counters counts attempts by result
-     * @param responseWriter answers a request with its first complete response
+     * @param responseWriter forwards the first complete response to a request
      */
     public OutcomeRecorder(
             EventLoop eventLoop, InFlightRequests inFlight, Counters counters, ResponseWriter responseWriter) {
@@ -34,26 +32,27 @@
     }
 
     /**
-     * Records that an attempt has ended. The first one that completed answers the request.
+     * Records that an attempt has ended. The response of the first completed attempt is forwarded to the client.
      *
      * @param request the request
      * @param attemptNo the number of the attempt
-     * @param result how it ended
-     * @param tookUs how long it took, in microseconds
-     * @param response the endpoint's response; required if {@code result} is {@link AttemptResult#COMPLETED}, else
-     *     unused
+     * @param result how the attempt ended
+     * @param durationUs how long the attempt took, in microseconds
+     * @param response the response of the endpoint; required if {@code result} is {@link AttemptResult#COMPLETED},
+     *     otherwise ignored
      */
     public void attemptEnded(
-            InFlightRequest request, int attemptNo, AttemptResult result, long tookUs, UpstreamResponse response) {
+            InFlightRequest request, int attemptNo, AttemptResult result, long durationUs, UpstreamResponse response) {
         counters.attemptEnded(result);
         if (result == AttemptResult.COMPLETED && !request.isOver()) {
             responseWriter.forward(request, response);
         }
-        request.handle().attemptEnded(eventLoop.nowUs(), attemptNo, result, tookUs, request.isOver(), LoadReport.NONE);
+        request.handle()
+                .attemptEnded(eventLoop.nowUs(), attemptNo, result, durationUs, request.isOver(), LoadReport.NONE);
         removeIfSettled(request);
     }
 
-    /** Records that the client of a request has left. */
+    /** Records that the client of a request has closed the connection. */
     void clientLeft(InFlightRequest request) {
         if (!request.isOver()) {
             counters.increment("callers left");
@@ -65,7 +64,7 @@
         }
     }
 
-    /** Removes a request that is over and whose last attempt has ended; its response may still be on its way out. */
+    /** Removes a request if it is over and its last attempt has ended. Its response may still be in transit. */
     void removeIfSettled(InFlightRequest request) {
         if (request.isOver() && (!request.isAccepted() || request.handle().isSettled())) {
             inFlight.remove(request);
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -11,11 +11,11 @@
 import gatelock.state.InFlightRequests;
 
 /**
- * Second stage: a valid request passes the limits of the configuration in force, if there is one, and is handed to the
- * decision engine. From here on it is owed an answer.
+ * Second stage: applies the limits of the configuration in force, if there is one, to a valid request and passes it to
+ * the decision engine. From this stage on, the relay owes the client a response.
  */
 public final class RequestAdmitter {
-    /** The longest time between two checks of the limits while a request is queued for them. */
+    /** The maximum time between two checks of the limits while requests are queued for them. */
     private static final long MAX_CHECK_INTERVAL_US = 10_000;
 
     private final EventLoop eventLoop;
@@ -30,16 +30,16 @@
     private boolean checkScheduled;
 
     /**
-     * Creates the stage; requests are queued until the endpoints are known.
+     * Creates the stage. Requests are queued until the endpoints are known.
      *
      * @param eventLoop the I/O thread
-     * @param inFlight where accepted requests are kept
+     * @param inFlight the accepted requests
      * @param counters counts accepted and rejected requests
-     * @param outcomeRecorder learns of the requests that end here
-     * @param responseWriter answers the requests that are rejected here
+     * @param outcomeRecorder notified of the requests that end in this stage
+     * @param responseWriter responds to the requests that are rejected in this stage
      * @param engine decides on the requests
-     * @param admission the limits of the configuration in force; null if the relay has no such configuration
-     * @param maxRetryAfterUs the longest Retry-After given to a client, in microseconds; 0 for none
+     * @param admission the limits of the configuration in force, or null if the relay has no such configuration
+     * @param maxRetryAfterUs the maximum Retry-After sent to a client, in microseconds; 0 to send none
      */
     public RequestAdmitter(
             EventLoop eventLoop,
@@ -60,54 +60,58 @@
         this.maxRetryAfterUs = maxRetryAfterUs;
     }
 
-    /** Whether a request of this id is in flight, so that another of the same id could not be told from it. */
+    /**
+     * Returns whether a request with this id is in flight, in which case another with the same id could not be
+     * distinguished from it.
+     */
     public boolean isInFlight(String id) {
         return inFlight.get(id) != null;
     }
 
     /**
-     * Accepts a valid request; exactly one response will follow.
+     * Accepts a valid request, to which exactly one response will be sent unless its client leaves first.
      *
      * @param request the request
-     * @param way where the configuration in force leads it; null if there is none, or if none of its routes matches
-     * @param profile what the decision engine learns of it
+     * @param matchedRoute the route that the configuration in force assigns to it, or null if there is no configuration
+     *     or no route matches
+     * @param profile the properties of the request that the decision engine uses
      */
-    public void admit(InFlightRequest request, Admission.MatchedRoute way, RequestProfile profile) {
+    public void admit(InFlightRequest request, Admission.MatchedRoute matchedRoute, RequestProfile profile) {
         counters.increment("taken");
         inFlight.add(request);
-        if (way == null) {
-            decide(request, profile, RequestConstraints.NONE);
+        if (matchedRoute == null) {
+            submitToEngine(request, profile, RequestConstraints.NONE);
             return;
         }
-        LimitedRequest limited = new LimitedRequest(request, profile);
-        Admission.RoutedRequest pass =
-                admission.admit(eventLoop.nowUs(), way, profile.tenant(), request.deadlineUs(), limited);
-        limited.pass = pass;
+        LimitedRequest limitedRequest = new LimitedRequest(request, profile);
+        Admission.RoutedRequest routed = admission.admit(
+                eventLoop.nowUs(), matchedRoute, profile.tenant(), request.deadlineUs(), limitedRequest);
+        limitedRequest.routed = routed;
         request.onOver(() -> {
-            pass.release(eventLoop.nowUs());
+            routed.release(eventLoop.nowUs());
             scheduleLimitCheck();
         });
-        if (pass.isShed()) {
-            limited.onShed(eventLoop.nowUs(), pass.retryAfterUs());
-        } else if (pass.isQueued()) {
+        if (routed.isShed()) {
+            limitedRequest.onShed(eventLoop.nowUs(), routed.retryAfterUs());
+        } else if (routed.isQueued()) {
             counters.increment("waited for limits");
             scheduleLimitCheck();
         } else {
-            decide(request, profile, pass);
+            submitToEngine(request, profile, routed);
         }
     }
 
     /**
-     * Tells that the decision engine knows the endpoints from now on. Requests that were queued until now go first, in
-     * order.
+     * Ends the startup phase: the decision engine knows the endpoints from now on. The requests that were queued until
+     * now are passed on first, in order.
      *
-     * @return how many were queued
+     * @return the number of requests that were queued
      */
     public int releaseQueued() {
         return startupQueue.openAndDrain();
     }
 
-    private void decide(InFlightRequest request, RequestProfile profile, RequestConstraints constraints) {
+    private void submitToEngine(InFlightRequest request, RequestProfile profile, RequestConstraints constraints) {
         if (startupQueue.isOpen()) {
             long nowUs = eventLoop.nowUs();
             request.accepted(engine.acceptRequest(
@@ -121,12 +125,12 @@
                     constraints));
             outcomeRecorder.removeIfSettled(request);
         } else {
-            queueForStartup(request, () -> decide(request, profile, constraints));
+            queueForStartup(request, () -> submitToEngine(request, profile, constraints));
         }
     }
 
-    private void queueForStartup(InFlightRequest request, Runnable decision) {
-        long maxWaitUs = startupQueue.add(eventLoop.nowUs(), request.deadlineUs(), request, decision);
+    private void queueForStartup(InFlightRequest request, Runnable submission) {
+        long maxWaitUs = startupQueue.add(eventLoop.nowUs(), request.deadlineUs(), request, submission);
         eventLoop.schedule(maxWaitUs, () -> {
             if (startupQueue.remove(request)) {
                 counters.increment("given up before listed");
@@ -135,16 +139,16 @@
         });
     }
 
-    private void reject(InFlightRequest request, long pauseUs) {
-        responseWriter.reject(request, Math.min(pauseUs, maxRetryAfterUs));
+    private void reject(InFlightRequest request, long retryAfterUs) {
+        responseWriter.reject(request, Math.min(retryAfterUs, maxRetryAfterUs));
         outcomeRecorder.removeIfSettled(request);
     }
 
-    /** A request subject to limits. */
+    /** A request to which limits apply. */
     private final class LimitedRequest implements QueuedRequest {
         private final InFlightRequest request;
         private final RequestProfile profile;
-        private Admission.RoutedRequest pass;
+        private Admission.RoutedRequest routed;
 
         LimitedRequest(InFlightRequest request, RequestProfile profile) {
             this.request = request;
@@ -153,22 +157,23 @@
 
         @Override
         public void onAdmitted(long nowUs) {
-            // This may be called while the decision engine is at work on another request, hence not at once.
+            // This method may be called while the decision engine processes another request, so the request is passed
+            // to the engine later.
             eventLoop.execute(() -> {
                 if (!request.isOver()) {
-                    decide(request, profile, pass);
+                    submitToEngine(request, profile, routed);
                 }
             });
         }
 
         @Override
-        public void onShed(long nowUs, long pauseUs) {
+        public void onShed(long nowUs, long retryAfterUs) {
             counters.increment("shed by limits");
-            eventLoop.execute(() -> reject(request, pauseUs));
+            eventLoop.execute(() -> reject(request, retryAfterUs));
         }
     }
 
-    /** Schedules the next check of the limits, if a request is queued for them and no check is scheduled yet. */
+    /** Schedules the next check of the limits, if requests are queued for them and no check is scheduled yet. */
     private void scheduleLimitCheck() {
         if (checkScheduled) {
             return;
@@ -186,7 +191,7 @@
         });
     }
 
-    /** Tells that a request's client has left: nothing is owed any more. */
+    /** Records that the client of a request has closed the connection, so that no response is owed any more. */
     public void clientLeft(InFlightRequest request) {
         startupQueue.remove(request);
         outcomeRecorder.clientLeft(request);
--- a/src/main/java/gatelock/pipeline/ResponseWriter.java
+++ b/src/main/java/gatelock/pipeline/ResponseWriter.java
@@ -6,7 +6,7 @@
 import gatelock.state.InFlightRequests;
 import gatelock.state.UpstreamResponse;
 
-/** Fifth stage: the one final answer goes back to the client. */
+/** Fifth stage: sends the final response to the client. */
 public final class ResponseWriter {
     private final EventLoop eventLoop;
     private final InFlightRequests inFlight;
@@ -17,7 +17,7 @@
      *
      * @param eventLoop the I/O thread
      * @param inFlight the requests in flight
-     * @param counters counts the answers by kind
+     * @param counters counts the responses by kind
      */
     public ResponseWriter(EventLoop eventLoop, InFlightRequests inFlight, Counters counters) {
         this.eventLoop = eventLoop;
@@ -25,14 +25,14 @@
         this.counters = counters;
     }
 
-    /** Forwards the response of an endpoint to a request that is not over. */
+    /** Forwards the response of an endpoint to the client of a request that is not over. */
     void forward(InFlightRequest request, UpstreamResponse response) {
         counters.increment("completed");
         inFlight.markOver(request);
         request.responseSink().forward(response);
     }
 
-    /** Rejects a request, unless it is over; {@code retryAfterUs} is 0 for no advice. */
+    /** Rejects a request, unless it is over. If {@code retryAfterUs} is 0, no Retry-After is sent. */
     void reject(InFlightRequest request, long retryAfterUs) {
         if (!request.isOver()) {
             counters.increment("shed");
--- a/src/main/java/gatelock/release/ReleaseControllerClient.java
+++ b/src/main/java/gatelock/release/ReleaseControllerClient.java
@@ -16,7 +16,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Client of the release controller: casts votes, and passes the state of the newest build on to the decisions. */
+/**
+ * Client of the release controller: casts votes, and passes the release state of the newest build to the decision
+ * engine.
+ */
 public final class ReleaseControllerClient {
     /** The path of the release controller's API. */
     static final String BASE_PATH = "/v2/projects/main/";
@@ -36,7 +39,7 @@
     private final Counters counters;
     private final ConnectionPool pool;
     private final long voteTimeoutUs;
-    private final NewsSubscription subscription;
+    private final UpdateSubscription subscription;
     private InetSocketAddress address;
     private DecisionEngine engine;
 
@@ -44,7 +47,7 @@
      * Creates a client that does nothing until {@link #start}.
      *
      * @param pool the connections to the release controller
-     * @param voteTimeoutUs how long the response to a vote may take
+     * @param voteTimeoutUs the time within which the response to a vote has to arrive
      */
     public ReleaseControllerClient(
             EventLoop eventLoop,
@@ -57,34 +60,38 @@
         this.pool = pool;
         this.address = address;
         this.voteTimeoutUs = voteTimeoutUs;
-        this.subscription = new NewsSubscription(
-                eventLoop, counters, pool, address, news -> applyNews(news, DecisionEngine.VoteResponse.NOT_ASKED));
+        this.subscription = new UpdateSubscription(
+                eventLoop,
+                counters,
+                pool,
+                address,
+                update -> applyUpdate(update, DecisionEngine.VoteResponse.NOT_ASKED));
     }
 
     /**
-     * Starts from the news in the configuration, and subscribes to what comes after.
+     * Starts with the release state from the configuration, and subscribes to later updates.
      *
-     * @throws IOException where those news are malformed
+     * @throws IOException if that state is malformed
      */
-    public void start(DecisionEngine engine, JsonObject news) throws IOException {
+    public void start(DecisionEngine engine, JsonObject initialState) throws IOException {
         this.engine = engine;
-        applyNews(news, DecisionEngine.VoteResponse.NOT_ASKED);
+        applyUpdate(initialState, DecisionEngine.VoteResponse.NOT_ASKED);
         subscription.start();
     }
 
     /**
-     * Uses a release controller at another address from now on. The old news connection is closed only once the new one
-     * has delivered something, and votes under way get their result.
+     * Uses a release controller at another address from now on. The old update connection is closed only once the new
+     * one has received a line, and votes in progress still receive their result.
      */
     public void changeAddress(InetSocketAddress newAddress) {
         if (!newAddress.equals(address)) {
             pool.invalidate(address);
             address = newAddress;
-            subscription.move(newAddress);
+            subscription.changeAddress(newAddress);
         }
     }
 
-    /** Casts this relay's vote on a stage of a build; the decisions learn the result. */
+    /** Casts the vote of this relay on a stage of a build. The result is reported to the decision engine. */
     public void castVote(int build, int stage, Verdict verdict) {
         counters.increment("votes");
         String body = "{\"release\":" + build + ",\"tranche\":" + stage + ",\"ruling\":\""
@@ -94,33 +101,33 @@
         pool.send(address, StandardCharsets.US_ASCII.encode(request), voteTimeoutUs, new VoteResponseHandler());
     }
 
-    private void applyNews(JsonObject news, DecisionEngine.VoteResponse answer) throws IOException {
-        String mode = news.text("mode");
+    private void applyUpdate(JsonObject update, DecisionEngine.VoteResponse voteResponse) throws IOException {
+        String mode = update.text("mode");
         DecisionEngine.ReleasePhase phase = PHASES_BY_MODE.get(mode);
         if (phase == null) {
-            throw new MalformedMessageException("expected a known mode, found " + mode);
+            throw new MalformedMessageException("unknown mode " + mode);
         }
-        int build = news.nonNegativeInt("release");
-        int stage = news.nonNegativeInt("tranche");
-        double exposure = news.number("exposure");
-        long ageUs = news.nonNegativeLongOr("old_ms", 0) * 1000;
-        engine.releaseStateUpdated(eventLoop.nowUs(), build, stage, phase, exposure, ageUs, answer);
+        int build = update.nonNegativeInt("release");
+        int stage = update.nonNegativeInt("tranche");
+        double exposure = update.number("exposure");
+        long ageUs = update.nonNegativeLongOr("old_ms", 0) * 1000;
+        engine.releaseStateUpdated(eventLoop.nowUs(), build, stage, phase, exposure, ageUs, voteResponse);
     }
 
-    /** Notifies the decisions of a vote that was answered without news. */
-    private void reportVote(DecisionEngine.VoteResponse answer) {
-        counters.increment("votes " + answer.name().toLowerCase(Locale.ROOT));
-        engine.releaseStateUpdated(eventLoop.nowUs(), 0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, answer);
+    /** Notifies the decision engine of a vote whose response contained no release state. */
+    private void reportVote(DecisionEngine.VoteResponse voteResponse) {
+        counters.increment("votes " + voteResponse.name().toLowerCase(Locale.ROOT));
+        engine.releaseStateUpdated(eventLoop.nowUs(), 0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, voteResponse);
     }
 
-    /** Handles the response to one vote. A vote whose response is missing or malformed may have been counted. */
+    /** Handles the response to one vote. If the response is missing or malformed, the vote may have been counted. */
     private final class VoteResponseHandler implements OutboundConnection.ResponseHandler {
         @Override
         public boolean onResponse(UpstreamResponse response) {
             try {
                 JsonObject message = JsonObject.parse(response.body());
                 switch (response.status()) {
-                    case 200 -> applyNews(message, DecisionEngine.VoteResponse.COUNTED);
+                    case 200 -> applyUpdate(message, DecisionEngine.VoteResponse.COUNTED);
                     case 429 -> reportVote(DecisionEngine.VoteResponse.BUSY);
                     case 409 -> reportVote(DecisionEngine.VoteResponse.MOOT);
                     case 400, 500 -> reportVote(DecisionEngine.VoteResponse.ERROR);
@@ -128,7 +135,7 @@
                 }
                 return true;
             } catch (IOException e) {
-                LOG.log(Level.WARNING, "release controller, response to a vote: " + e.getMessage());
+                LOG.log(Level.WARNING, "invalid response to a vote from the release controller: " + e.getMessage());
                 reportVote(DecisionEngine.VoteResponse.TIMED_OUT);
                 return false;
             }
--- a/src/main/java/gatelock/release/NewsSubscription.java
+++ b/src/main/java/gatelock/release/UpdateSubscription.java
@@ -8,37 +8,37 @@
 import java.net.InetSocketAddress;
 
 /**
- * Keeps a news connection to the release controller open. A connection that falls silent, ends or can't be read is
- * replaced by another, which is opened beside it and takes its place once it has delivered something.
+ * Keeps a connection for release updates to the release controller open. A connection that becomes unresponsive, ends
+ * or cannot be parsed is replaced: another one is opened in parallel and takes over once it has received a line.
  */
-final class NewsSubscription implements NewsStream.Listener {
+final class UpdateSubscription implements UpdateStream.Listener {
     private static final long REOPEN_DELAY_US = 200_000;
 
     private final EventLoop eventLoop;
     private final Counters counters;
     private final ConnectionPool pool;
-    private final NewsConsumer consumer;
+    private final UpdateConsumer consumer;
     private InetSocketAddress address;
-    private NewsStream current;
-    /** The connection that is to take the current one's place; null where none is under way. */
-    private NewsStream replacement;
+    private UpdateStream current;
+    /** The connection that is to replace the current one, or null if there is none. */
+    private UpdateStream replacement;
 
-    /** Receives the news. */
-    interface NewsConsumer {
+    /** Receives the updates. */
+    interface UpdateConsumer {
         /**
-         * Applies one message.
+         * Applies one update.
          *
-         * @throws IOException where it is malformed
+         * @throws IOException if the update is malformed
          */
-        void accept(JsonObject news) throws IOException;
+        void accept(JsonObject update) throws IOException;
     }
 
-    NewsSubscription(
+    UpdateSubscription(
             EventLoop eventLoop,
             Counters counters,
             ConnectionPool pool,
             InetSocketAddress address,
-            NewsConsumer consumer) {
+            UpdateConsumer consumer) {
         this.eventLoop = eventLoop;
         this.counters = counters;
         this.pool = pool;
@@ -51,23 +51,26 @@
         current = open();
     }
 
-    /** Opens a connection to another address, which takes the place of the current one once it delivers. */
-    void move(InetSocketAddress newAddress) {
+    /** Opens a connection to another address, which replaces the current one once it has received a line. */
+    void changeAddress(InetSocketAddress newAddress) {
         address = newAddress;
         closeReplacement();
         replace(current);
     }
 
     @Override
-    public void onNews(JsonObject news) throws IOException {
-        consumer.accept(news);
+    public void onUpdate(JsonObject update) throws IOException {
+        consumer.accept(update);
     }
 
-    /** Of two connections, keeps the one that delivers, and the newer one where both do. */
+    /**
+     * Keeps the connection that received the line and closes the other one. If both receive lines, the newer one is
+     * kept.
+     */
     @Override
-    public void onAlive(NewsStream stream) {
+    public void onLineReceived(UpdateStream stream) {
         if (stream == replacement) {
-            NewsStream old = current;
+            UpdateStream old = current;
             current = stream;
             replacement = null;
             old.close();
@@ -77,7 +80,7 @@
     }
 
     @Override
-    public void onUnusable(NewsStream stream) {
+    public void onUnusable(UpdateStream stream) {
         if (stream == replacement) {
             stream.close();
             onEnded(stream);
@@ -87,19 +90,21 @@
     }
 
     @Override
-    public void onEnded(NewsStream stream) {
+    public void onEnded(UpdateStream stream) {
         stream.markEnded();
         if (stream == replacement) {
             replacement = null;
         }
         if (current.hasEnded() && replacement == null) {
-            NewsStream ended = current;
+            UpdateStream ended = current;
             eventLoop.schedule(REOPEN_DELAY_US, () -> replace(ended));
         }
     }
 
-    /** Opens a replacement of a stream, unless that was replaced already or a replacement is under way. */
-    private void replace(NewsStream stream) {
+    /**
+     * Opens a replacement for a stream, unless the stream has already been replaced or a replacement is being opened.
+     */
+    private void replace(UpdateStream stream) {
         if (stream == current && replacement == null) {
             replacement = open();
         }
@@ -112,8 +117,8 @@
         }
     }
 
-    private NewsStream open() {
+    private UpdateStream open() {
         counters.increment("news connections");
-        return new NewsStream(eventLoop, counters, pool, address, this);
+        return new UpdateStream(eventLoop, counters, pool, address, this);
     }
 }
--- a/src/main/java/gatelock/release/package-info.java
+++ b/src/main/java/gatelock/release/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Client of the release controller: {@link gatelock.release.ReleaseControllerClient} casts votes, and
- * {@link gatelock.release.NewsSubscription} keeps a connection open on which the state of the newest build is pushed.
+ * Client of the release controller. {@link gatelock.release.ReleaseControllerClient} casts votes, and {@link
+ * gatelock.release.UpdateSubscription} keeps a connection open on which the release controller pushes the state of the
+ * newest build.
  */
 package gatelock.release;
