--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -31,7 +31,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** A sequence of lists over a socket, and all that the decisions are told of it. */
+/**
+ * Verifies which polls the client sends, and which endpoints it reports to the decision engine, for a sequence of lists
+ * served over a socket.
+ */
 final class DiscoveryClientTest {
     private static final String ENDPOINT_FORMAT =
             "Endpoint[name=%s, build=%d, zone=%d, kind=%d, cell=%d, health=%s, startUs=%d] at %s";
@@ -39,7 +42,7 @@
     private static final String CACHED_LIST =
             "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entry("a", 1, "in_service", 0, 1) + "]}";
 
-    /** The requests to discovery and the lists that the decisions were told, in the order in which they occurred. */
+    /** The requests to discovery and the lists reported to the decision engine, in the order in which they occurred. */
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
     private final XnioWorker worker;
@@ -60,16 +63,17 @@
         listener.close();
     }
 
-    /** Records the lists; nothing else may be called. */
+    /** Records the reported lists. No other method may be called. */
     private final class RecordingEngine implements UncalledEngine {
         @Override
-        public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
-            events.add(form + " " + endpoints.stream().map(this::describe).toList());
+        public void endpointsUpdated(long nowUs, EndpointUpdateType updateType, List<Endpoint> endpoints) {
+            events.add(updateType + " " + endpoints.stream().map(this::describe).toList());
         }
 
         private String describe(Endpoint endpoint) {
-            EndpointAddresses.Entry place = addresses.get(endpoint.name());
-            String port = place == null ? "none" : "" + place.address().getPort();
+            EndpointAddresses.Entry addressEntry = addresses.get(endpoint.name());
+            String port =
+                    addressEntry == null ? "none" : "" + addressEntry.address().getPort();
             return String.format(
                     ENDPOINT_FORMAT,
                     endpoint.name(),
@@ -89,12 +93,13 @@
                 + "\",\"weight\":1.0,\"since_ms\":" + sinceMs + ",\"image_id\":" + build + "}";
     }
 
-    private static String list(int index, boolean whole, String... entries) {
-        return "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":[" + String.join(",", entries) + "]}";
+    private static String list(int index, boolean full, String... entries) {
+        return "{\"index\":" + index + ",\"snapshot\":" + full + ",\"endpoints\":[" + String.join(",", entries) + "]}";
     }
 
-    private void start(DiscoveryClient.SubsetOptions membership) {
-        InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
+    private void start(DiscoveryClient.SubsetOptions subsetOptions) {
+        InetSocketAddress discoveryAddress =
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), listener.getLocalPort());
         eventLoop.execute(() -> {
             ConnectionPool discoveryPool =
                     new ConnectionPool(eventLoop, counters, 1_000_000, 4_000_000, 0, 8, DiscoveryClient.MAX_LIST_BYTES);
@@ -104,14 +109,14 @@
                                 eventLoop,
                                 counters,
                                 discoveryPool,
-                                at,
+                                discoveryAddress,
                                 addresses,
                                 endpointPool,
                                 List.of("east", "west"),
                                 List.of("s", "m"),
                                 false,
                                 new SplittableRandom(1),
-                                membership)
+                                subsetOptions)
                         .start(
                                 new RecordingEngine(),
                                 null,
@@ -122,7 +127,7 @@
         });
     }
 
-    /** Reads one request, from a new connection where the last one has ended. */
+    /** Reads one request, on a new connection if the previous one has ended. */
     private String nextRequest() throws IOException {
         for (; ; ) {
             if (socket == null) {
@@ -153,13 +158,16 @@
         events.add(nextRequest().replace("\r\n", "|"));
     }
 
-    /** Records the next request and responds to it; what that led to is recorded by the time of the request after. */
+    /**
+     * Records the next request and responds to it. By the time of the following request, the effects of the response
+     * have been recorded.
+     */
     private void respond(String body) throws IOException {
         recordNextRequest();
         write("200 OK", body);
     }
 
-    private void playLists() throws Exception {
+    private void serveLists() throws Exception {
         respond(list(
                 5,
                 true,
@@ -174,7 +182,7 @@
                 entry("b", 12, "terminated", 0, 1),
                 entry("d", 14, "in_service", 0, 2),
                 entry("a", 11, "in_service", 9, 2)));
-        // Malformed ones: each changes nothing and is polled again.
+        // Malformed lists: each one changes nothing, and the client polls again with the same index.
         respond(list(
                 8,
                 false,
@@ -187,7 +195,7 @@
         recordNextRequest();
         write("500 Oops", "{}");
         respond(list(9, true, entry("d", 17, "in_service", 0, 2), entry("g", 18, "in_service", 0, 3)));
-        // An index that goes back is a discovery that started anew.
+        // A lower index means that discovery has been restarted.
         respond(list(2, true, entry("g", 18, "in_service", 0, 3)));
         respond(list(3, false, entry("g", 19, "in_service", 0, 3)));
         recordNextRequest();
@@ -206,9 +214,9 @@
     }
 
     @Test
-    void withoutASubsetEachListAndEachRequestIsAsExpected() throws Exception {
+    void appliesListsAndPollsAgainWithoutSubset() throws Exception {
         start(null);
-        playLists();
+        serveLists();
         List<String> expected = new ArrayList<>();
         expected.add("CACHED [" + endpoint("a", 1, "READY", 0, "1") + "]");
         expected.add(String.format(REQUEST_FORMAT, ""));
@@ -246,21 +254,21 @@
     }
 
     @Test
-    void aSubsetOfAllEndpointsLeadsToTheSameListsAndRequests() throws Exception {
+    void behavesAsWithoutSubsetWhenSubsetHoldsAllEndpoints() throws Exception {
         start(new DiscoveryClient.SubsetOptions(
                 new EndpointSubset(new EndpointSubset.Policy(1, -1, 100, 100, 0, 0, 0)),
                 ServiceNameExtractor.SINGLE_SERVICE,
                 1 << 20));
-        playLists();
-        DiscoveryClientTest without = new DiscoveryClientTest();
+        serveLists();
+        DiscoveryClientTest withoutSubset = new DiscoveryClientTest();
         try {
-            without.start(null);
-            without.playLists();
+            withoutSubset.start(null);
+            withoutSubset.serveLists();
         } finally {
-            without.stop();
+            withoutSubset.stop();
         }
-        assertThat(requests()).isEqualTo(without.requests());
-        assertThat(sortedLists()).isEqualTo(without.sortedLists());
+        assertThat(requests()).isEqualTo(withoutSubset.requests());
+        assertThat(sortedLists()).isEqualTo(withoutSubset.sortedLists());
     }
 
     private static boolean isRequest(String event) {
@@ -274,9 +282,10 @@
                 .toList();
     }
 
-    /** Sorts the endpoints of one event by name, as a list and a subset may each have an order of their own. */
+    /** Sorts the endpoints of one event by name, as their order differs between a list and a subset. */
     private static String sorted(String event) {
-        // An endpoint that is draining when it is first listed never comes into the subset: there is no use for it.
+        // A subset never includes an endpoint that is already draining when it is first listed, as it would not be
+        // used.
         String[] parts = event.replaceAll("(, )?Endpoint\\[name=c,[^\\]]*\\] at 13", "")
                 .replaceAll("[\\[\\]]+$", "")
                 .split("Endpoint\\[");
@@ -288,7 +297,7 @@
     }
 
     @Test
-    void aSlowListIsReadAndOneThatStopsIsPolledAgain() throws Exception {
+    void readsSlowListAndPollsAgainAfterStalledList() throws Exception {
         start(new DiscoveryClient.SubsetOptions(
                 new EndpointSubset(new EndpointSubset.Policy(1, -1, 100, 100, 0, 0, 0)),
                 ServiceNameExtractor.SINGLE_SERVICE,
@@ -298,13 +307,13 @@
         socket.getOutputStream()
                 .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII));
-        // It takes longer than a buffered response may. The relay's own timers send it, so that a slow machine delays
-        // both sides.
+        // The transfer takes longer than the timeout of a buffered response. The parts are sent by timers of the event
+        // loop under test, so that a slow machine delays both sides equally.
         for (int i = 0; i < 10; i++) {
-            String piece = body.substring(body.length() * i / 10, body.length() * (i + 1) / 10);
+            String part = body.substring(body.length() * i / 10, body.length() * (i + 1) / 10);
             eventLoop.schedule(200_000L * (i + 1), () -> {
                 try {
-                    socket.getOutputStream().write(piece.getBytes(StandardCharsets.US_ASCII));
+                    socket.getOutputStream().write(part.getBytes(StandardCharsets.US_ASCII));
                 } catch (IOException e) {
                     throw new AssertionError(e);
                 }
--- a/src/test/java/gatelock/discovery/EndpointListReaderTest.java
+++ b/src/test/java/gatelock/discovery/EndpointListReaderTest.java
@@ -22,16 +22,16 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Compares a list that is read in pieces with the same list parsed as one text. */
+/** Verifies that a list that is parsed incrementally has the same result as the same list parsed as one text. */
 final class EndpointListReaderTest {
     private static final String ENTRY = "{\"name\":\"%s\",\"address\":\"127.0.0.1:1\",\"status\":\"in_service\"}";
 
-    /** What a list says, or that it is malformed. */
+    /** The content of a list, or {@link #MALFORMED}. */
     private record ParsedList(Boolean full, long index, List<Map<String, Object>> entries, boolean malformed) {
         static final ParsedList MALFORMED = new ParsedList(null, 0, List.of(), true);
     }
 
-    /** Parses a list as discovery does where it is buffered. */
+    /** Parses a list in the way discovery does when it is buffered. */
     private static ParsedList parseWhole(byte[] text) {
         try {
             JsonObject list = JsonObject.parse(text);
@@ -45,7 +45,7 @@
         }
     }
 
-    private static ParsedList parseInPieces(byte[] text, boolean fullRequested, List<Integer> cuts) {
+    private static ParsedList parseSplit(byte[] text, boolean fullRequested, List<Integer> splitOffsets) {
         List<Map<String, Object>> entries = new ArrayList<>();
         List<Boolean> begun = new ArrayList<>();
         try {
@@ -62,15 +62,15 @@
                     entries.add(entry.fields());
                 }
             });
-            int from = 0;
-            for (int cut : cuts) {
-                if (cut > from && cut < text.length) {
-                    reader.read(Arrays.copyOfRange(text, from, cut));
-                    from = cut;
+            int start = 0;
+            for (int offset : splitOffsets) {
+                if (offset > start && offset < text.length) {
+                    reader.read(Arrays.copyOfRange(text, start, offset));
+                    start = offset;
                 }
             }
-            if (from < text.length) {
-                reader.read(Arrays.copyOfRange(text, from, text.length));
+            if (start < text.length) {
+                reader.read(Arrays.copyOfRange(text, start, text.length));
             }
             EndpointListReader.Header header = reader.end();
             assertThat(begun).containsExactly(header.full());
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aListReadsTheSameWhereverItIsCut() {
+    void parsesIdenticallyForEverySplitOffset() {
         String list = " {\"more\": {\"a\": [1, {\"endpoints\": []}]},\r\n \"index\" : 17, \"endpoints\": [ {\"name\":"
                 + " \"\u00e4\\u00e4\\\"\ud83d\ude00\", \"since_ms\": 1.5e3, \"labels\": {\"x\": [null, true, \"y\"], \"y\": \"z\"}},"
                 + " {} ,\n" + String.format(ENTRY, "b") + "], \"snapshot\": true, \"z\": null}\n ";
@@ -93,41 +93,41 @@
         ParsedList whole = parseWhole(text);
         assertThat(whole.entries).hasSize(3);
         assertThat(whole.index).isEqualTo(17);
-        for (int cut = 0; cut <= text.length; cut++) {
-            assertThat(parseInPieces(text, true, List.of(cut)))
-                    .as("cut at " + cut)
+        for (int offset = 0; offset <= text.length; offset++) {
+            assertThat(parseSplit(text, true, List.of(offset)))
+                    .as("split at offset " + offset)
                     .isEqualTo(whole);
         }
-        List<Integer> each = new ArrayList<>();
-        for (int cut = 1; cut < text.length; cut++) {
-            each.add(cut);
+        List<Integer> allOffsets = new ArrayList<>();
+        for (int offset = 1; offset < text.length; offset++) {
+            allOffsets.add(offset);
         }
-        assertThat(parseInPieces(text, false, each)).isEqualTo(whole);
+        assertThat(parseSplit(text, false, allOffsets)).isEqualTo(whole);
     }
 
     @Test
-    void aTruncatedListIsMalformed() {
+    void rejectsListTruncatedAtAnyOffset() {
         byte[] text = bytes("{\"snapshot\":true,\"endpoints\":[" + String.format(ENTRY, "a") + "],\"index\":5}");
         for (int length = 0; length < text.length; length++) {
-            assertThat(parseInPieces(Arrays.copyOf(text, length), true, List.of(length / 2)))
+            assertThat(parseSplit(Arrays.copyOf(text, length), true, List.of(length / 2)))
                     .as("" + length)
                     .isEqualTo(ParsedList.MALFORMED);
         }
     }
 
     @Property(tries = 400)
-    void anyListReadsTheSameInAnyPieces(
+    void parsesIdenticallyForArbitraryListsAndSplits(
             @ForAll("lists") String list,
             @ForAll boolean fullRequested,
-            @ForAll List<@IntRange(max = 600) Integer> cuts) {
-        List<Integer> sorted = cuts.stream().sorted().toList();
-        assertThat(parseInPieces(bytes(list), fullRequested, sorted)).as(list).isEqualTo(parseWhole(bytes(list)));
+            @ForAll List<@IntRange(max = 600) Integer> splitOffsets) {
+        List<Integer> sorted = splitOffsets.stream().sorted().toList();
+        assertThat(parseSplit(bytes(list), fullRequested, sorted)).as(list).isEqualTo(parseWhole(bytes(list)));
     }
 
     /** Lists with their fields in any order, some of them malformed in one place. */
     @Provide
     Arbitrary<String> lists() {
-        Arbitrary<String> entry = Arbitraries.of(
+        Arbitrary<String> anyEntry = Arbitraries.of(
                         String.format(ENTRY, "a"),
                         String.format(ENTRY, "\\u00e9\u00e9"),
                         "{}",
@@ -139,8 +139,9 @@
                         "{\"a\":1,\"a\":2}",
                         "{\"a\":null,\"b\":{\"c\":{},\"c\":1}}")
                 .edgeCases(c -> c.none());
-        Arbitrary<String> good = Arbitraries.of(String.format(ENTRY, "a"), "{\"name\":\"b\",\"zone\":\"z\"}", "{}");
-        Arbitrary<String> entries = Arbitraries.frequencyOf(Tuple.of(6, good), Tuple.of(1, entry))
+        Arbitrary<String> validEntry =
+                Arbitraries.of(String.format(ENTRY, "a"), "{\"name\":\"b\",\"zone\":\"z\"}", "{}");
+        Arbitrary<String> entries = Arbitraries.frequencyOf(Tuple.of(6, validEntry), Tuple.of(1, anyEntry))
                 .list()
                 .ofMaxSize(6)
                 .map(all -> "\"endpoints\":[" + String.join(" ,\n", all) + "]");
@@ -159,13 +160,13 @@
                 "\"snapshot\":null",
                 "\"y\":[{\"index\":3}]",
                 "\"snapshot\":[true]");
-        Arbitrary<String> more =
+        Arbitrary<String> extraField =
                 Arbitraries.of("\"m\":1", "\"m\":{\"endpoints\":[],\"snapshot\":true}", "\"m\":[[[]]]");
         return Combinators.combine(
                         entries,
                         index,
                         snapshot,
-                        more,
+                        extraField,
                         Arbitraries.randomValue(r -> r.nextInt()),
                         Arbitraries.of("", "", "", "", " ", "x", "{}", "]", ","))
                 .as((e, i, s, m, order, tail) -> {
@@ -176,44 +177,45 @@
     }
 
     @Test
-    void aListThatSaysItsFormBehindManyEntriesIsReadOnlyAsItWasRequested() {
+    void acceptsTypeDeclaredAfterManyEntriesOnlyIfItMatchesTheRequest() {
         StringBuilder list = new StringBuilder("{\"endpoints\":[");
         for (int i = 0; i <= EndpointListReader.MAX_PENDING_ENTRIES; i++) {
             list.append(i == 0 ? "" : ",").append(String.format(ENTRY, "u" + i));
         }
         byte[] whole = bytes(list + "],\"snapshot\":true,\"index\":3}");
         byte[] change = bytes(list + "],\"index\":3}");
-        assertThat(parseInPieces(whole, true, List.of())).isEqualTo(parseWhole(whole));
-        assertThat(parseInPieces(change, false, List.of())).isEqualTo(parseWhole(change));
-        assertThat(parseInPieces(whole, false, List.of())).isEqualTo(ParsedList.MALFORMED);
-        assertThat(parseInPieces(change, true, List.of())).isEqualTo(ParsedList.MALFORMED);
+        assertThat(parseSplit(whole, true, List.of())).isEqualTo(parseWhole(whole));
+        assertThat(parseSplit(change, false, List.of())).isEqualTo(parseWhole(change));
+        assertThat(parseSplit(whole, false, List.of())).isEqualTo(ParsedList.MALFORMED);
+        assertThat(parseSplit(change, true, List.of())).isEqualTo(ParsedList.MALFORMED);
     }
 
     @Test
-    void whatWouldFillTheMemoryOrIsNotUtf8IsRejectedWhileItArrives() throws Exception {
-        String head = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
-        String pad = "p".repeat(EndpointListReader.MAX_ENTRY_BYTES / 2);
-        for (String odd : new String[] {
-            head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + pad,
-            head + "{\"a\":\"" + pad + "\",\"b\":\"" + pad + "\"}",
-            head + "{\"a\":" + "[".repeat(100),
+    void rejectsInputOverItsLimitsOrNotUtf8WhileReading() throws Exception {
+        String listStart = "{\"index\":1,\"snapshot\":true,\"endpoints\":[";
+        String padding = "p".repeat(EndpointListReader.MAX_ENTRY_BYTES / 2);
+        for (String malformed : new String[] {
+            listStart + "{\"a\":\"" + padding + "\",\"b\":\"" + padding + padding,
+            listStart + "{\"a\":\"" + padding + "\",\"b\":\"" + padding + "\"}",
+            listStart + "{\"a\":" + "[".repeat(100),
             "[".repeat(100),
             "{\"x\":" + "[".repeat(100),
-            head + "{\"" + pad + pad + pad,
+            listStart + "{\"" + padding + padding + padding,
             "{\"index\":" + "1".repeat(200),
-            head + "],\"endpoints\":[]}",
-            head + "{\"a\":\"\u00e4\"}]}"
+            listStart + "],\"endpoints\":[]}",
+            listStart + "{\"a\":\"\u00e4\"}]}"
         }) {
-            byte[] text = odd.contains("\u00e4") ? odd.getBytes(StandardCharsets.ISO_8859_1) : bytes(odd);
+            byte[] text =
+                    malformed.contains("\u00e4") ? malformed.getBytes(StandardCharsets.ISO_8859_1) : bytes(malformed);
             EndpointListReader reader = new EndpointListReader(true, new EndpointListReader.EntryConsumer() {
                 @Override
                 public void onBegin(boolean full) {
-                    // The entries are not kept.
+                    // The content is not checked.
                 }
 
                 @Override
                 public void onEntry(JsonObject entry) {
-                    // The entries are not kept.
+                    // The content is not checked.
                 }
             });
             assertThatThrownBy(() -> {
@@ -221,7 +223,7 @@
                             reader.read(new byte[] {b});
                         }
                     })
-                    .as(odd.substring(0, Math.min(60, odd.length())))
+                    .as(malformed.substring(0, Math.min(60, malformed.length())))
                     .isInstanceOf(IOException.class);
         }
     }
--- a/src/test/java/gatelock/http/ClientListenerTest.java
+++ b/src/test/java/gatelock/http/ClientListenerTest.java
@@ -21,12 +21,15 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** The listener alone, on an I/O thread that the test delays. */
+/**
+ * Guards against closing a connection whose next request has arrived but is still unread when its idle timeout expires.
+ * This happens when the I/O thread is delayed, which the test does on purpose.
+ */
 final class ClientListenerTest {
     private static final String REQUEST = "GET /read HTTP/1.1\r\nHost: x\r\n\r\n";
 
     @Test
-    void aRequestThatCameWhileTheThreadWasLateIsAnsweredThoughItsConnectionWasDueToEnd() throws Exception {
+    void answersRequestThatIsUnreadWhenItsIdleTimeoutExpires() throws Exception {
         XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.create(Options.WORKER_IO_THREADS, 1));
         List<Socket> connected = new ArrayList<>();
         try {
@@ -36,23 +39,23 @@
             listener.setRequestHandler(
                     exchange -> {
                         listener.requestCompleted(exchange);
-                        listener.responseStarts(exchange);
+                        listener.responseStarted(exchange);
                         exchange.getResponseSender().send("fine");
                     },
                     true);
             for (int i = 0; i < 60; i++) {
                 connected.add(new Socket(address.getAddress(), address.getPort()));
                 connected.get(i).getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
-                assertThat(answered(connected.get(i))).isTrue();
+                assertThat(receivesResponse(connected.get(i))).isTrue();
                 Thread.sleep(5);
             }
-            // The idle timeouts of all connections pass within half a second from about here.
+            // From about this time on, the idle timeouts of all connections expire within half a second.
             Thread.sleep(1_500);
             for (int i = 0; i < 60; i += 5) {
-                CountDownLatch release = DelayedIoThread.hold(eventLoop);
+                CountDownLatch release = DelayedIoThread.block(eventLoop);
                 List<Socket> requesting = new ArrayList<>();
                 for (Socket client : connected.subList(i, i + 5)) {
-                    if (!hasEnded(client)) {
+                    if (!isClosed(client)) {
                         client.getOutputStream().write(REQUEST.getBytes(StandardCharsets.US_ASCII));
                         requesting.add(client);
                     }
@@ -60,7 +63,7 @@
                 Thread.sleep(80);
                 release.countDown();
                 for (Socket client : requesting) {
-                    assertThat(answered(client)).isTrue();
+                    assertThat(receivesResponse(client)).isTrue();
                 }
             }
         } finally {
@@ -71,20 +74,20 @@
         }
     }
 
-    private static boolean answered(Socket client) throws IOException {
+    private static boolean receivesResponse(Socket client) throws IOException {
         client.setSoTimeout(20_000);
         InputStream in = client.getInputStream();
-        StringBuilder answer = new StringBuilder();
+        StringBuilder response = new StringBuilder();
         for (int b = in.read(); b >= 0; b = in.read()) {
-            if (answer.append((char) b).toString().endsWith("fine")) {
+            if (response.append((char) b).toString().endsWith("fine")) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Whether the relay has closed a connection; while the I/O thread is delayed it closes no more of them. */
-    private static boolean hasEnded(Socket client) throws IOException {
+    /** Returns whether the listener has closed a connection. While the I/O thread is blocked, it closes no others. */
+    private static boolean isClosed(Socket client) throws IOException {
         client.setSoTimeout(1);
         try {
             return client.getInputStream().read() < 0;
--- a/src/test/java/gatelock/http/RequestHeadersTest.java
+++ b/src/test/java/gatelock/http/RequestHeadersTest.java
@@ -6,11 +6,11 @@
 import io.undertow.util.HeaderMap;
 import org.junit.jupiter.api.Test;
 
-/** How the values of single headers are read, at the bounds of what is accepted. */
+/** Verifies how the values of single headers are parsed, at the limits of what is accepted. */
 final class RequestHeadersTest {
 
     @Test
-    void aTimeoutIsAWholeNumberUpToTenTimesItsRoutes() {
+    void acceptsWholeTimeoutUpToTenTimesTheRouteTimeout() {
         assertThat(RequestHeaders.expiresInMs("1", 200_000)).isEqualTo(1);
         assertThat(RequestHeaders.expiresInMs("2000", 200_000)).isEqualTo(2000);
         assertThat(RequestHeaders.expiresInMs("2001", 200_000)).isZero();
@@ -21,17 +21,17 @@
     }
 
     @Test
-    void aKeyIsItsHexadecimalValueOrAHashAndNeverNegative() {
+    void derivesNonNegativeKeyFromHexadecimalValueOrHash() {
         assertThat(RequestHeaders.key(null)).isEqualTo(DecisionEngine.NO_KEY);
         assertThat(RequestHeaders.key("")).isEqualTo(DecisionEngine.NO_KEY);
         assertThat(RequestHeaders.key("1f")).isEqualTo(0x1f);
         assertThat(RequestHeaders.key("ffffffffffffffff")).isEqualTo(Long.MAX_VALUE);
-        // FNV-1a of "foobar", 0x85944171f73967e8, without its sign bit.
+        // The FNV-1a hash of "foobar" is 0x85944171f73967e8; the sign bit is cleared.
         assertThat(RequestHeaders.key("foobar")).isEqualTo(0x05944171f73967e8L);
     }
 
     @Test
-    void anInvalidCostCountsAsNone() {
+    void treatsInvalidCostAsZero() {
         assertThat(RequestHeaders.costUs(" 1500 ")).isEqualTo(1500);
         assertThat(RequestHeaders.costUs("3600000000")).isEqualTo(3_600_000_000L);
         for (String invalid : new String[] {null, "", "-5", "3600000001", "much", "1e3"}) {
@@ -40,16 +40,18 @@
     }
 
     @Test
-    void aHeaderThatMustOccurOnceIsNeitherRepeatedNorEmptyNorOverlong() {
-        assertThat(RequestHeaders.single(traceIds(), RequestHeaders.TRACE_ID)).isNull();
-        assertThat(RequestHeaders.single(traceIds("a"), RequestHeaders.TRACE_ID))
+    void rejectsMissingRepeatedEmptyOrOverlongHeader() {
+        assertThat(RequestHeaders.singleValue(traceIds(), RequestHeaders.TRACE_ID))
+                .isNull();
+        assertThat(RequestHeaders.singleValue(traceIds("a"), RequestHeaders.TRACE_ID))
                 .isEqualTo("a");
-        assertThat(RequestHeaders.single(traceIds("a", "a"), RequestHeaders.TRACE_ID))
+        assertThat(RequestHeaders.singleValue(traceIds("a", "a"), RequestHeaders.TRACE_ID))
+                .isNull();
+        assertThat(RequestHeaders.singleValue(traceIds(""), RequestHeaders.TRACE_ID))
                 .isNull();
-        assertThat(RequestHeaders.single(traceIds(""), RequestHeaders.TRACE_ID)).isNull();
-        assertThat(RequestHeaders.single(traceIds("a".repeat(256)), RequestHeaders.TRACE_ID))
+        assertThat(RequestHeaders.singleValue(traceIds("a".repeat(256)), RequestHeaders.TRACE_ID))
                 .hasSize(256);
-        assertThat(RequestHeaders.single(traceIds("a".repeat(257)), RequestHeaders.TRACE_ID))
+        assertThat(RequestHeaders.singleValue(traceIds("a".repeat(257)), RequestHeaders.TRACE_ID))
                 .isNull();
     }
 
--- a/src/test/java/gatelock/net/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/net/OutboundConnectionTest.java
@@ -21,7 +21,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** One request on a connection, on an I/O thread that the test delays. */
+/**
+ * Verifies the outcome of one request when its response is late, incomplete, early or missing. In some cases the I/O
+ * thread is blocked, so that its timers run before it reads a response that has already arrived.
+ */
 final class OutboundConnectionTest {
     private static final long TIMEOUT_US = 200_000;
     private final XnioWorker worker;
@@ -66,12 +69,12 @@
                         new RecordingHandler()));
     }
 
-    /** Delays the thread until the response has been written and the request's time is over. */
+    /** Blocks the I/O thread until the response has been written and the timeout of the request has expired. */
     private void respondLate(ServerSocket server, String response) throws Exception {
         send(server);
         try (Socket client = server.accept()) {
             client.getInputStream().read();
-            CountDownLatch release = DelayedIoThread.hold(eventLoop);
+            CountDownLatch release = DelayedIoThread.block(eventLoop);
             client.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
             Thread.sleep(2 * TIMEOUT_US / 1_000);
             release.countDown();
@@ -80,7 +83,7 @@
     }
 
     @Test
-    void aResponseThatIsUnreadWhenItsTimeIsOverIsAccepted() throws Exception {
+    void acceptsResponseThatIsUnreadWhenTheTimeoutExpires() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             respondLate(server, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlist");
             assertThat(outcomes).containsExactly("first: answered list");
@@ -88,7 +91,7 @@
     }
 
     @Test
-    void halfAResponseTimesOut() throws Exception {
+    void timesOutOnIncompleteResponse() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             respondLate(server, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nli");
             assertThat(outcomes).containsExactly("first: late");
@@ -96,10 +99,10 @@
     }
 
     @Test
-    void aResponseBeforeTheRequestIsCompleteIsRejected() throws Exception {
+    void rejectsResponseBeforeRequestIsFullySent() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), server.getLocalPort());
-            // More than the system buffers while the server does not read.
+            // More than the operating system buffers while the server does not read.
             ByteBuffer large = ByteBuffer.allocate(64 * 1024 * 1024);
             eventLoop.execute(() -> new ConnectionPool(eventLoop, new Counters(), 1_000_000, 4_000_000, 0, 8)
                     .send(address, large, 20_000_000, new RecordingHandler()));
@@ -113,7 +116,7 @@
     }
 
     @Test
-    void silenceTimesOutOnce() throws Exception {
+    void timesOutOnceWithoutResponse() throws Exception {
         try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             send(server);
             try (Socket client = server.accept()) {
--- a/src/test/java/gatelock/net/ResponseReaderTest.java
+++ b/src/test/java/gatelock/net/ResponseReaderTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The forms of a response that are accepted, and those that are rejected, wherever the text is cut into pieces. */
+/**
+ * Verifies which responses are accepted and which are rejected, and that the result does not depend on how the data is
+ * split.
+ */
 final class ResponseReaderTest {
     private static final int MAX_BODY_BYTES = 10;
 
@@ -37,12 +40,12 @@
                 "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n3\r\nbod\r\n1;x=y\r\ny\r\n0\r\nX: y\r\n\r\n"
             })
-    void readsTheSameWhereverItIsCut(String text) throws Exception {
-        for (int cut = 0; cut <= text.length(); cut++) {
+    void parsesIdenticallyForEverySplitOffset(String text) throws Exception {
+        for (int offset = 0; offset <= text.length(); offset++) {
             ResponseReader reader = new ResponseReader(null, MAX_BODY_BYTES);
-            reader.read(bytes(text.substring(0, cut)));
-            assertThat(reader.isComplete()).as("at " + cut).isEqualTo(cut == text.length());
-            reader.read(bytes(text.substring(cut)));
+            reader.read(bytes(text.substring(0, offset)));
+            assertThat(reader.isComplete()).as("split at offset " + offset).isEqualTo(offset == text.length());
+            reader.read(bytes(text.substring(offset)));
             assertThat(reader.isComplete()).isTrue();
             assertThat(reader.response().status()).isEqualTo(200);
             assertThat(body(reader.response())).isEqualTo("body");
@@ -68,19 +71,19 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n+3\r\n",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbody\r\n"
             })
-    void rejectsWhatIsMalformed(String text) {
+    void rejectsMalformedResponse(String text) {
         assertThatThrownBy(() -> read(text)).isExactlyInstanceOf(MalformedResponseException.class);
     }
 
     @Test
-    void rejectsAnEndlessHead() {
+    void rejectsHeadLongerThanTheLimit() {
         assertThatThrownBy(() -> read("HTTP/1.1 200 OK\r\nX: " + "y".repeat(16 * 1024)))
                 .isExactlyInstanceOf(MalformedResponseException.class)
                 .hasMessage("head or line too long");
     }
 
     @Test
-    void rejectsABodyThatIsTooLongAsSoonAsThatIsKnown() {
+    void rejectsOverlongBodyAsSoonAsItsLengthIsKnown() {
         assertThatThrownBy(() -> read("HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n"))
                 .isInstanceOf(ResponseTooLongException.class)
                 .hasMessage("body of 11 bytes is longer than 10");
@@ -93,7 +96,7 @@
     }
 
     @Test
-    void leavesWhatIsBehindTheResponse() throws Exception {
+    void leavesBytesAfterTheResponseUnread() throws Exception {
         ByteBuffer in = bytes("HTTP/1.1 204 No Content\r\n\r\nmore");
         ResponseReader reader = new ResponseReader(null, MAX_BODY_BYTES);
         reader.read(in);
@@ -102,7 +105,7 @@
     }
 
     @Test
-    void keepsTheConnectionAliveAsItsHeadSays() throws Exception {
+    void derivesKeepAliveFromVersionAndConnectionHeader() throws Exception {
         String length = "Content-Length: 0\r\n\r\n";
         assertThat(read("HTTP/1.1 200 OK\r\n" + length).isKeepAlive()).isTrue();
         assertThat(read("HTTP/1.1 200 OK\r\nConnection: Close\r\n" + length).isKeepAlive())
@@ -114,7 +117,7 @@
     }
 
     @Test
-    void leavesOutAHeaderThatAnotherReaderCouldUnderstandInAnotherWay() throws Exception {
+    void dropsHeadersWithInvalidCharacters() throws Exception {
         UpstreamResponse response =
                 read("HTTP/1.1 200 OK\r\nX-A : 1\r\nX-B: 2\u0001x\r\nX-C: 3\r\nContent-Length: 0\r\n\r\n")
                         .response();
@@ -124,7 +127,7 @@
     }
 
     @Test
-    void aConsumerReceivesABodyOfAnyLengthAsItArrives() throws Exception {
+    void streamsBodyOfAnyLengthToConsumer() throws Exception {
         ByteArrayOutputStream received = new ByteArrayOutputStream();
         long[] declared = new long[1];
         ResponseReader reader = new ResponseReader(
--- a/src/test/java/gatelock/release/ReleaseControllerClientTest.java
+++ b/src/test/java/gatelock/release/ReleaseControllerClientTest.java
@@ -29,7 +29,10 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Votes and news over sockets, and what the decisions are told of them. */
+/**
+ * Verifies what the client reports to the decision engine about votes and release updates that are exchanged over
+ * sockets.
+ */
 final class ReleaseControllerClientTest {
     private static final long VOTE_TIMEOUT_US = 300_000;
     private static final String STREAM_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -38,7 +41,7 @@
     private final EventLoop eventLoop;
     private final Counters counters = new Counters();
     private final ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-    private final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> updates = new LinkedBlockingQueue<>();
     private final ReleaseControllerClient client;
     private Socket stream;
 
@@ -53,12 +56,18 @@
                 VOTE_TIMEOUT_US);
     }
 
-    /** Records the news; nothing else may be called. */
+    /** Records the reported updates. No other method may be called. */
     private final class RecordingEngine implements UncalledEngine {
         @Override
         public void releaseStateUpdated(
-                long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
-            news.add(build + " " + stage + " " + phase + " " + cap + " " + agoUs + " " + answer);
+                long nowUs,
+                int build,
+                int stage,
+                ReleasePhase phase,
+                double cap,
+                long ageUs,
+                VoteResponse voteResponse) {
+            updates.add(build + " " + stage + " " + phase + " " + cap + " " + ageUs + " " + voteResponse);
         }
     }
 
@@ -81,7 +90,7 @@
                 throw new AssertionError(e);
             }
         });
-        assertThat(nextNews()).isEqualTo("1 2 RELEASED 0.25 3000 NOT_ASKED");
+        assertThat(nextUpdate()).isEqualTo("1 2 RELEASED 0.25 3000 NOT_ASKED");
         stream = acceptStream();
     }
 
@@ -92,21 +101,21 @@
         server.close();
     }
 
-    private String nextNews() throws InterruptedException {
-        return news.poll(20, TimeUnit.SECONDS);
+    private String nextUpdate() throws InterruptedException {
+        return updates.poll(20, TimeUnit.SECONDS);
     }
 
     private Socket acceptStream() throws IOException {
         server.setSoTimeout(20_000);
         Socket accepted = server.accept();
         accepted.setSoTimeout(20_000);
-        assertThat(readTo(accepted, "\r\n\r\n"))
+        assertThat(readUntil(accepted, "\r\n\r\n"))
                 .isEqualTo("GET /v2/projects/main/changes HTTP/1.1\r\nHost: desk\r\n\r\n");
         write(accepted, STREAM_HEAD);
         return accepted;
     }
 
-    private static String readTo(Socket socket, String end) throws IOException {
+    private static String readUntil(Socket socket, String end) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder text = new StringBuilder();
         while (!text.toString().endsWith(end)) {
@@ -123,7 +132,7 @@
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Waits for the end of a connection, which is a reset where the relay has not read all of it. */
+    /** Waits for the end of a connection. It is a reset if the client has not read all of the data. */
     private static void assertEnded(Socket socket) throws IOException {
         try {
             assertThat(socket.getInputStream().read()).isEqualTo(-1);
@@ -145,75 +154,75 @@
         "500, 0 0 TRIAL 0.0 0 ERROR",
         "302, 0 0 TRIAL 0.0 0 TIMED_OUT"
     })
-    void theDecisionsLearnHowAVoteWasAnswered(int status, String expected) throws Exception {
+    void reportsVoteResultByResponseStatus(int status, String expected) throws Exception {
         eventLoop.execute(() -> client.castVote(7, 2, Verdict.HOLD));
         try (Socket vote = server.accept()) {
-            assertThat(readTo(vote, "}"))
+            assertThat(readUntil(vote, "}"))
                     .startsWith("POST /v2/projects/main/judgements HTTP/1.1\r\nHost: desk\r\n")
                     .endsWith("\r\n\r\n{\"release\":7,\"tranche\":2,\"ruling\":\"hold\"}");
             String body = message("trial", 7);
             write(vote, "HTTP/1.1 " + status + " X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            assertThat(nextNews()).isEqualTo(expected);
+            assertThat(nextUpdate()).isEqualTo(expected);
         }
     }
 
     @Test
-    void aVoteWhoseResponseIsMissingOrMalformedMayHaveBeenCounted() throws Exception {
+    void reportsVoteAsTimedOutWhenResponseIsMissingOrMalformed() throws Exception {
         for (String response : new String[] {
             "", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[]", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
         }) {
             eventLoop.execute(() -> client.castVote(7, 2, Verdict.HOLD));
             try (Socket vote = server.accept()) {
-                readTo(vote, "}");
+                readUntil(vote, "}");
                 write(vote, response);
-                assertThat(nextNews()).as(response).isEqualTo("0 0 TRIAL 0.0 0 TIMED_OUT");
+                assertThat(nextUpdate()).as(response).isEqualTo("0 0 TRIAL 0.0 0 TIMED_OUT");
             }
         }
     }
 
     @Test
-    void newsAndHeartbeatsComeInAnyPieces() throws Exception {
+    void readsUpdatesAndHeartbeatsThatArriveInParts() throws Exception {
         String text = "{\"type\":\"beat\"}\n" + line("trial", 8) + line("rolling_back", 8) + line("withdrawn", 8);
         for (int from = 0; from < text.length(); from += 7) {
             push(stream, text.substring(from, Math.min(text.length(), from + 7)));
         }
-        assertThat(nextNews()).isEqualTo("8 2 TRIAL 0.25 3000 NOT_ASKED");
-        assertThat(nextNews()).isEqualTo("8 2 REVERTING 0.25 3000 NOT_ASKED");
-        assertThat(nextNews()).isEqualTo("8 2 WITHDRAWN 0.25 3000 NOT_ASKED");
-        assertThat(news).isEmpty();
+        assertThat(nextUpdate()).isEqualTo("8 2 TRIAL 0.25 3000 NOT_ASKED");
+        assertThat(nextUpdate()).isEqualTo("8 2 REVERTING 0.25 3000 NOT_ASKED");
+        assertThat(nextUpdate()).isEqualTo("8 2 WITHDRAWN 0.25 3000 NOT_ASKED");
+        assertThat(updates).isEmpty();
     }
 
     @Test
-    void aMalformedLineEndsTheStreamAndIsNotApplied() throws Exception {
+    void replacesStreamAfterMalformedLineWithoutApplyingIt() throws Exception {
         push(stream, line("unknown", 8) + line("trial", 8));
         try (Socket replacement = acceptStream()) {
             push(replacement, line("trial", 9));
-            assertThat(nextNews()).isEqualTo("9 2 TRIAL 0.25 3000 NOT_ASKED");
+            assertThat(nextUpdate()).isEqualTo("9 2 TRIAL 0.25 3000 NOT_ASKED");
             assertEnded(stream);
         }
         assertThat(counters.toString()).contains("news unreadable=1").contains("news connections=2");
     }
 
     @Test
-    void aSilentStreamIsReplacedOnlyOnceTheNextOneDelivers() throws Exception {
+    void replacesSilentStreamOnlyOnceReplacementDelivers() throws Exception {
         try (Socket replacement = acceptStream()) {
             push(stream, line("trial", 8));
-            assertThat(nextNews()).isEqualTo("8 2 TRIAL 0.25 3000 NOT_ASKED");
-            // The old stream delivers again, so that the replacement is not needed.
+            assertThat(nextUpdate()).isEqualTo("8 2 TRIAL 0.25 3000 NOT_ASKED");
+            // The old stream receives data again, so the replacement is closed.
             assertEnded(replacement);
         }
         try (Socket replacement = acceptStream()) {
             push(replacement, line("trial", 9));
-            assertThat(nextNews()).isEqualTo("9 2 TRIAL 0.25 3000 NOT_ASKED");
+            assertThat(nextUpdate()).isEqualTo("9 2 TRIAL 0.25 3000 NOT_ASKED");
             assertEnded(stream);
         }
     }
 
     @Test
-    void aStreamThatEndsIsReopened() throws Exception {
+    void reopensStreamAfterItCloses() throws Exception {
         stream.close();
         stream = acceptStream();
         push(stream, line("trial", 8));
-        assertThat(nextNews()).isEqualTo("8 2 TRIAL 0.25 3000 NOT_ASKED");
+        assertThat(nextUpdate()).isEqualTo("8 2 TRIAL 0.25 3000 NOT_ASKED");
     }
 }
