--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -41,6 +41,7 @@
     /** How long a response may take in addition to the time for which discovery holds the poll. */
     private static final long RESPONSE_GRACE_US = 1_000_000;
 
+    /** The delay before the next poll after a failed one. */
     private static final long RETRY_DELAY_US = 100_000;
     /**
      * The delay before the next poll after a list that was too long. It keeps discovery from writing a full list over
@@ -158,9 +159,11 @@
     }
 
     /**
-     * Calls back once: when discovery has sent a list, or when a poll fails at least this long after the first poll was
-     * sent. Each poll still has its full timeout, so that a relay whose own event loop is delayed does not mistake
+     * Calls back once: when discovery has sent a list, or when a poll fails and the timeout since the first poll has
+     * passed. Each poll still has its full timeout, so that a relay whose own event loop is delayed does not mistake
      * discovery for unresponsive.
+     *
+     * @param firstListTimeoutUs the time since the first poll after which a failed poll ends the wait
      */
     public void onFirstList(long firstListTimeoutUs, Runnable callback) {
         if (listReceived) {
--- a/src/main/java/gatelock/discovery/EndpointListReader.java
+++ b/src/main/java/gatelock/discovery/EndpointListReader.java
@@ -66,9 +66,12 @@
     }
 
     /** The fields of a list other than its entries. */
-    record Header(boolean full, long index) {}
+    record ListHeader(boolean full, long index) {}
 
-    /** The list declared only after many entries that its type, a full list or changes, is not the requested one. */
+    /**
+     * Thrown when a list declares only after many entries that its type, a full list or changes, is not the requested
+     * one.
+     */
     static final class UnexpectedListTypeException extends MalformedMessageException {
         private static final long serialVersionUID = 1L;
 
@@ -113,8 +116,8 @@
     /**
      * Creates the reader of one list.
      *
-     * @param fullRequested whether a full list was requested; this type is assumed if more than {@link
-     *     #MAX_PENDING_ENTRIES} entries arrive before the list declares its type
+     * @param fullRequested whether a full list was requested; this type is assumed if more than
+     *     {@link #MAX_PENDING_ENTRIES} entries arrive before the list declares its type
      */
     EndpointListReader(boolean fullRequested, EntryConsumer consumer) {
         this.fullRequested = fullRequested;
@@ -152,7 +155,7 @@
      *     list will succeed
      * @throws IOException if the text is not a well-formed list
      */
-    Header end() throws IOException {
+    ListHeader end() throws IOException {
         feeder.endOfInput();
         if (parser.nextToken() != null || position != Position.AFTER_OBJECT) {
             throw new MalformedMessageException("expected one JSON object");
@@ -169,7 +172,7 @@
         if (full != declaredFull) {
             throw new UnexpectedListTypeException();
         }
-        return new Header(declaredFull, index);
+        return new ListHeader(declaredFull, index);
     }
 
     private void onToken(JsonToken token) throws IOException {
@@ -275,10 +278,10 @@
         }
     }
 
-    private void begin(boolean asFull) throws IOException {
+    private void begin(boolean asFullList) throws IOException {
         begun = true;
-        full = asFull;
-        consumer.onBegin(asFull);
+        full = asFullList;
+        consumer.onBegin(asFullList);
         List<JsonObject> earlierEntries = pendingEntries;
         pendingEntries = List.of();
         for (JsonObject earlierEntry : earlierEntries) {
--- a/src/main/java/gatelock/discovery/ListResponseListener.java
+++ b/src/main/java/gatelock/discovery/ListResponseListener.java
@@ -1,8 +1,8 @@
 package gatelock.discovery;
 
 /**
- * Receives the outcome of each poll of the endpoint list. Exactly one method is called for a poll, apart from {@link
- * #fullListApplied}.
+ * Receives the outcome of each poll of the endpoint list. Exactly one method is called for each poll, except that
+ * {@link #fullListApplied} may be called in addition.
  */
 interface ListResponseListener {
 
--- a/src/main/java/gatelock/discovery/StreamedListResponse.java
+++ b/src/main/java/gatelock/discovery/StreamedListResponse.java
@@ -17,13 +17,13 @@
  */
 final class StreamedListResponse extends ListResponseHandler implements BodyConsumer, EndpointListReader.EntryConsumer {
     /**
-     * The longest time without any data of a list, and below, the longest time for the whole list. A list may have many
-     * megabytes and take as long as the network needs, so these limits guard only against lists that stop arriving, or
-     * arrive so slowly that they are of no use. A list whose transfer would have resumed after a longer pause is polled
-     * again.
+     * The longest time without any data of a list. This limit and {@link #TOTAL_TIMEOUT_US} guard only against lists
+     * that stop arriving, or arrive so slowly that they are of no use: a list may have many megabytes and take as long
+     * as the network needs. A list whose transfer would have resumed after a longer pause is polled again.
      */
     static final long DATA_TIMEOUT_US = 1_000_000;
 
+    /** The longest time until a list has arrived completely. */
     static final long TOTAL_TIMEOUT_US = 30_000_000;
 
     private final boolean fullRequested;
@@ -95,7 +95,7 @@
 
     @Override
     public boolean onResponse(UpstreamResponse response) {
-        EndpointListReader.Header header;
+        EndpointListReader.ListHeader header;
         try {
             header = listReader.end();
         } catch (EndpointListReader.UnexpectedListTypeException e) {
--- a/src/main/java/gatelock/net/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -18,8 +18,8 @@
 
     private final EventLoop eventLoop;
     private final Counters counters;
-    private final IdleConnections<OutboundConnection> idle;
-    private final Map<InetSocketAddress, Set<OutboundConnection>> connecting = new HashMap<>();
+    private final IdleConnections<OutboundConnection> idleConnections;
+    private final Map<InetSocketAddress, Set<OutboundConnection>> connectingByAddress = new HashMap<>();
     private final long connectTimeoutUs;
     private final long idleTimeoutUs;
     private final long minIdleUs;
@@ -34,8 +34,8 @@
      * @param connectTimeoutUs the time within which a connection has to be established
      * @param idleTimeoutUs how long a connection is kept open without a request
      * @param minIdleUs how long a connection has to be idle before it is reused. It guards against bytes after a
-     *     response that would be read as the next response, such as a delayed duplicate: any bytes that arrive in this
-     *     time close the connection. The cost is a few more connections under load
+     *     response that would be read as the next response, such as noise or a delayed duplicate: any bytes that arrive
+     *     in this time close the connection. The cost is a few more connections under load
      * @param maxConnections the number of connections from which on an idle one is closed for each one that is opened
      */
     public ConnectionPool(
@@ -76,7 +76,7 @@
         this.minIdleUs = minIdleUs;
         this.maxConnections = maxConnections;
         this.maxBodyBytes = maxBodyBytes;
-        this.idle = new IdleConnections<>(maxConnections, OutboundConnection::abort);
+        this.idleConnections = new IdleConnections<>(maxConnections, OutboundConnection::abort);
         eventLoop.execute(this::closeExpired);
     }
 
@@ -116,13 +116,14 @@
      * For each request that waits for a connection to this address, the handler is asked again whether it may be sent.
      */
     public void invalidate(InetSocketAddress address) {
-        idle.closeAll(address);
-        List.copyOf(connecting.getOrDefault(address, Set.of())).forEach(OutboundConnection::closeUnlessMaySend);
+        idleConnections.closeAll(address);
+        List.copyOf(connectingByAddress.getOrDefault(address, Set.of()))
+                .forEach(OutboundConnection::closeUnlessMaySend);
     }
 
     @Override
     public String toString() {
-        return openCount + " connections, " + idle.size() + " idle";
+        return openCount + " connections, " + idleConnections.size() + " idle";
     }
 
     /** Returns the maximum length of a response body that is buffered, in bytes. */
@@ -132,15 +133,15 @@
 
     /** Records that a connection has been established, or has ended before that. */
     void connectFinished(OutboundConnection connection) {
-        Set<OutboundConnection> sameAddress = connecting.get(connection.address());
+        Set<OutboundConnection> sameAddress = connectingByAddress.get(connection.address());
         if (sameAddress != null && sameAddress.remove(connection) && sameAddress.isEmpty()) {
-            connecting.remove(connection.address());
+            connectingByAddress.remove(connection.address());
         }
     }
 
     /** Returns a connection to the pool after the response to its request has been received. */
     void release(OutboundConnection connection) {
-        idle.put(eventLoop.nowUs(), connection.address(), connection);
+        idleConnections.put(eventLoop.nowUs(), connection.address(), connection);
         if (stopped) {
             closeExpired();
         }
@@ -150,7 +151,7 @@
     void remove(OutboundConnection connection) {
         openCount--;
         connectFinished(connection);
-        idle.remove(connection);
+        idleConnections.remove(connection);
     }
 
     /** Counts and logs a response that could not be parsed. */
@@ -171,10 +172,10 @@
     /** Takes a connection that has been idle for long enough and is still open, or returns null if there is none. */
     private OutboundConnection takeUsable(InetSocketAddress address) {
         long idleSinceUs = eventLoop.nowUs() - minIdleUs;
-        OutboundConnection connection = idle.take(address, idleSinceUs);
+        OutboundConnection connection = idleConnections.take(address, idleSinceUs);
         while (connection != null && !connection.isUsable()) {
             connection.abort();
-            connection = idle.take(address, idleSinceUs);
+            connection = idleConnections.take(address, idleSinceUs);
         }
         return connection;
     }
@@ -182,17 +183,17 @@
     private OutboundConnection openConnection(InetSocketAddress address, OutboundRequest request) {
         counters.increment("connections opened");
         if (openCount >= maxConnections) {
-            idle.closeOldest();
+            idleConnections.closeOldest();
         }
         openCount++;
         OutboundConnection connection = new OutboundConnection(eventLoop, this, address);
-        connecting.computeIfAbsent(address, a -> new LinkedHashSet<>()).add(connection);
+        connectingByAddress.computeIfAbsent(address, a -> new LinkedHashSet<>()).add(connection);
         connection.open(connectTimeoutUs, request);
         return connection;
     }
 
     private void closeExpired() {
-        idle.closeBefore(stopped ? Long.MAX_VALUE : eventLoop.nowUs() - idleTimeoutUs);
+        idleConnections.closeBefore(stopped ? Long.MAX_VALUE : eventLoop.nowUs() - idleTimeoutUs);
         if (!stopped) {
             eventLoop.schedule(Math.min(MAX_SWEEP_INTERVAL_US, idleTimeoutUs / 4), this::closeExpired);
         }
--- a/src/main/java/gatelock/net/OutboundConnection.java
+++ b/src/main/java/gatelock/net/OutboundConnection.java
@@ -64,7 +64,7 @@
     private final ConnectionPool pool;
     private final InetSocketAddress address;
     private StreamConnection connection;
-    private IoFuture<StreamConnection> connecting;
+    private IoFuture<StreamConnection> connectFuture;
     private XnioExecutor.Key connectTimer;
     private XnioExecutor.Key requestTimer;
     /** The request in progress; null while the connection is idle. */
@@ -78,7 +78,7 @@
      */
     private long lastDataUs;
 
-    private boolean written;
+    private boolean requestWritten;
     private boolean closed;
 
     OutboundConnection(EventLoop eventLoop, ConnectionPool pool, InetSocketAddress address) {
@@ -109,8 +109,8 @@
                 close();
             }
         });
-        connecting = eventLoop.ioThread().openStreamConnection(address, this::onConnected, OPTIONS);
-        connecting.addNotifier(
+        connectFuture = eventLoop.ioThread().openStreamConnection(address, this::onConnected, OPTIONS);
+        connectFuture.addNotifier(
                 new IoFuture.HandlingNotifier<StreamConnection, Void>() {
                     @Override
                     public void handleFailed(IOException e, Void nothing) {
@@ -159,7 +159,7 @@
         requestStartUs = eventLoop.nowUs();
         lastDataUs = 0;
         reader = new ResponseReader(next.body(), pool.maxBodyBytes());
-        written = false;
+        requestWritten = false;
     }
 
     /**
@@ -168,7 +168,7 @@
      * safe for any request, because such a response arrived in time or nearly so, which the handler judges.
      */
     private void onRequestTimer(OutboundRequest timedRequest) {
-        if (connection != null && written) {
+        if (connection != null && requestWritten) {
             read();
         }
         boolean inProgress = request != null && request.handler() == timedRequest.handler();
@@ -211,7 +211,7 @@
     }
 
     private void write() {
-        if (closed || written) {
+        if (closed || requestWritten) {
             return;
         }
         try {
@@ -221,7 +221,7 @@
                     return;
                 }
             }
-            written = true;
+            requestWritten = true;
             connection.getSinkChannel().suspendWrites();
         } catch (IOException e) {
             eventLoop.execute(this::close);
@@ -230,9 +230,9 @@
 
     private void read() {
         try {
-            boolean more = true;
-            for (int reads = 0; more && !closed && mayReadAgain(reads); reads++) {
-                more = readAvailable();
+            boolean mayHaveMore = true;
+            for (int reads = 0; mayHaveMore && !closed && mayReadAgain(reads); reads++) {
+                mayHaveMore = readOnce();
             }
         } catch (MalformedResponseException e) {
             rejectResponse(e);
@@ -244,20 +244,23 @@
         }
     }
 
-    /** Buffered responses are short; only those that are consumed as they arrive could occupy the thread for long. */
+    /**
+     * Returns whether the connection may be read again in this round. Buffered responses are short, so only responses
+     * that are consumed as they arrive could occupy the thread for long.
+     */
     private boolean mayReadAgain(int reads) {
         return request == null || request.body() == null || reads < MAX_READS_PER_ROUND;
     }
 
-    /** Reads once, and returns whether there may be more to read. */
-    private boolean readAvailable() throws IOException, MalformedResponseException {
+    /** Reads once and returns whether there may be more to read. */
+    private boolean readOnce() throws IOException, MalformedResponseException {
         ByteBuffer in = eventLoop.readBuffer();
         int count = connection.getSourceChannel().read(in);
         if (count == 0) {
             return false;
         }
         if (count < 0 || request == null) {
-            // The end of the stream, or bytes that nobody asked for on an idle connection.
+            // The end of the stream, or unexpected data on an idle connection.
             close();
             return false;
         }
@@ -269,8 +272,9 @@
         if (!reader.isComplete()) {
             return true;
         }
-        if (!written) {
-            // What arrives before all of the request was sent answers another request, or none.
+        if (!requestWritten) {
+            // A response that arrives before the request has been sent completely cannot be the response to this
+            // request.
             throw new MalformedResponseException("response arrived before the request was completely sent");
         }
         completeRequest(reader.isKeepAlive() && !in.hasRemaining());
@@ -298,7 +302,10 @@
         }
     }
 
-    /** Ends the request, if one is under way: its handler may be called once more, by whoever called this. */
+    /**
+     * Cancels the timer of the request in progress and detaches the request from this connection. Returns the request,
+     * whose handler may be called once more by the caller, or null if there is none.
+     */
     private OutboundRequest detachRequest() {
         if (requestTimer != null) {
             requestTimer.remove();
@@ -317,13 +324,13 @@
         connectTimer.remove();
         if (connection != null) {
             IoUtils.safeClose(connection);
-        } else if (connecting != null) {
-            connecting.cancel();
+        } else if (connectFuture != null) {
+            connectFuture.cancel();
         }
         pool.remove(this);
         OutboundRequest unanswered = detachRequest();
         if (unanswered != null) {
-            unanswered.handler().onConnectionLost(written);
+            unanswered.handler().onConnectionLost(requestWritten);
         }
     }
 }
--- a/src/main/java/gatelock/net/ResponseReader.java
+++ b/src/main/java/gatelock/net/ResponseReader.java
@@ -209,7 +209,7 @@
         if (status == 204 || status == 304) {
             state = State.COMPLETE;
         } else if ((coding == null) == (length == null)) {
-            throw new MalformedResponseException("expected either Content-Length or Transfer-Encoding");
+            throw new MalformedResponseException("expected exactly one of Content-Length and Transfer-Encoding");
         } else if (coding != null) {
             if (!coding.equalsIgnoreCase("chunked")) {
                 throw new MalformedResponseException("unsupported transfer coding");
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -84,20 +84,20 @@
             return;
         }
         LimitedRequest limitedRequest = new LimitedRequest(request, profile);
-        Admission.RoutedRequest routed = admission.admit(
+        Admission.RoutedRequest routedRequest = admission.admit(
                 eventLoop.nowUs(), matchedRoute, profile.tenant(), request.deadlineUs(), limitedRequest);
-        limitedRequest.routed = routed;
+        limitedRequest.routedRequest = routedRequest;
         request.onOver(() -> {
-            routed.release(eventLoop.nowUs());
+            routedRequest.release(eventLoop.nowUs());
             scheduleLimitCheck();
         });
-        if (routed.isShed()) {
-            limitedRequest.onShed(eventLoop.nowUs(), routed.retryAfterUs());
-        } else if (routed.isQueued()) {
+        if (routedRequest.isShed()) {
+            limitedRequest.onShed(eventLoop.nowUs(), routedRequest.retryAfterUs());
+        } else if (routedRequest.isQueued()) {
             counters.increment("waited for limits");
             scheduleLimitCheck();
         } else {
-            submitToEngine(request, profile, routed);
+            submitToEngine(request, profile, routedRequest);
         }
     }
 
@@ -148,7 +148,7 @@
     private final class LimitedRequest implements QueuedRequest {
         private final InFlightRequest request;
         private final RequestProfile profile;
-        private Admission.RoutedRequest routed;
+        private Admission.RoutedRequest routedRequest;
 
         LimitedRequest(InFlightRequest request, RequestProfile profile) {
             this.request = request;
@@ -161,7 +161,7 @@
             // to the engine later.
             eventLoop.execute(() -> {
                 if (!request.isOver()) {
-                    submitToEngine(request, profile, routed);
+                    submitToEngine(request, profile, routedRequest);
                 }
             });
         }
--- a/src/main/java/gatelock/release/UpdateStream.java
+++ b/src/main/java/gatelock/release/UpdateStream.java
@@ -135,9 +135,9 @@
     }
 
     /**
-     * Stops reading a connection whose messages cannot be parsed, so that the listener replaces it. This applies to any
-     * content other than release updates and heartbeats, and would cause harm if the release controller sent other
-     * content as well.
+     * Stops reading a connection on which a line is malformed or too long, so that the listener replaces the
+     * connection. This assumes that the release controller sends nothing but JSON messages on it; any other content
+     * would cause the connection to be replaced each time.
      */
     private void rejectLine(String reason) {
         counters.increment("news unreadable");
--- a/src/main/java/gatelock/release/UpdateSubscription.java
+++ b/src/main/java/gatelock/release/UpdateSubscription.java
@@ -12,6 +12,7 @@
  * or cannot be parsed is replaced: another one is opened in parallel and takes over once it has received a line.
  */
 final class UpdateSubscription implements UpdateStream.Listener {
+    /** The delay before a connection that has ended is opened again. */
     private static final long REOPEN_DELAY_US = 200_000;
 
     private final EventLoop eventLoop;
--- a/src/test/java/gatelock/discovery/EndpointListReaderTest.java
+++ b/src/test/java/gatelock/discovery/EndpointListReaderTest.java
@@ -72,7 +72,7 @@
             if (start < text.length) {
                 reader.read(Arrays.copyOfRange(text, start, text.length));
             }
-            EndpointListReader.Header header = reader.end();
+            EndpointListReader.ListHeader header = reader.end();
             assertThat(begun).containsExactly(header.full());
             return new ParsedList(header.full(), header.index(), entries, false);
         } catch (IOException e) {
--- a/src/test/java/gatelock/http/ClientListenerTest.java
+++ b/src/test/java/gatelock/http/ClientListenerTest.java
@@ -86,7 +86,9 @@
         return false;
     }
 
-    /** Returns whether the listener has closed a connection. While the I/O thread is blocked, it closes no others. */
+    /**
+     * Returns whether the listener has closed a connection. While the I/O thread is blocked, it closes no connections.
+     */
     private static boolean isClosed(Socket client) throws IOException {
         client.setSoTimeout(1);
         try {
