--- a/src/main/java/gatelock/discovery/JsonTreeBuilder.java
+++ b/src/main/java/gatelock/discovery/JsonTreeBuilder.java
@@ -23,6 +23,7 @@
         void add(Object value) throws IOException;
     }
 
+    /** An array that is not complete yet. */
     private record OpenArray(List<Object> values) implements Container {
         @Override
         public void add(Object value) {
@@ -30,6 +31,7 @@
         }
     }
 
+    /** An object that is not complete yet, with the name of its current field. */
     private static final class OpenObject implements Container {
         private final Map<String, Object> fields;
         private String fieldName;
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -88,6 +88,7 @@
         this.connections = new ClientConnections<>(counters, new Sockets(), softLimit, hardLimit);
     }
 
+    /** Gives the connection limits access to the sockets of the clients. */
     private final class Sockets implements ClientSockets<StreamConnection> {
         @Override
         public boolean hasUnreadBytes(StreamConnection connection) {
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -51,7 +51,7 @@
         boolean isRequested(HttpServerExchange exchange);
 
         /**
-         * Validates a request for a session that is otherwise valid.
+         * Validates the parts of a request that are specific to sessions. The request is valid otherwise.
          *
          * @param exchange the request
          * @return 0, or the status with which to reject the request; the headers of that response are already set on
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -69,6 +69,7 @@
         return notExecuted ? AttemptResult.TURNED_AWAY : AttemptResult.ERRORED;
     }
 
+    /** One attempt of a request, which handles the response on its connection. */
     private final class Attempt implements OutboundConnection.ResponseHandler {
         private final InFlightRequest request;
         private final String endpoint;
--- a/src/test/java/gatelock/net/OutboundConnectionTest.java
+++ b/src/test/java/gatelock/net/OutboundConnectionTest.java
@@ -41,6 +41,7 @@
         worker.shutdownNow();
     }
 
+    /** Records the outcome of a request. */
     private final class RecordingHandler implements OutboundConnection.ResponseHandler {
         @Override
         public boolean onResponse(UpstreamResponse response) {
