--- a/src/main/java/gatelock/api/AttemptResult.java
+++ b/src/main/java/gatelock/api/AttemptResult.java
@@ -16,13 +16,13 @@
     BROKEN_OFF(false),
     /** The attempt was cancelled on behalf of the decision engine. */
     CANCELLED(false),
-    /** The attempt was given up before the first byte was sent. */
+    /** The attempt was abandoned before the first byte was sent. */
     NOT_SENT(true);
 
     /** Whether this result proves that the endpoint never executed the request. */
     public final boolean neverRan;
 
-    AttemptResult(boolean neverRan) {
-        this.neverRan = neverRan;
+    AttemptResult(boolean neverExecuted) {
+        this.neverRan = neverExecuted;
     }
 }
--- a/src/main/java/gatelock/api/DecisionActions.java
+++ b/src/main/java/gatelock/api/DecisionActions.java
@@ -2,7 +2,7 @@
 
 /**
  * The actions that a {@link DecisionEngine} can order. They take effect in the order of the calls, at the time of the
- * engine call during which they were ordered, and they never call back into the engine before that call has returned.
+ * engine call during which they were ordered. They never call back into the engine before that call has returned.
  */
 public interface DecisionActions {
 
@@ -16,12 +16,12 @@
     void sendAttempt(String id, String endpoint, long timeoutUs);
 
     /**
-     * Gives the final answer that the request was not executed and may be retried without harm.
+     * Gives the final answer that the request was not executed and may safely be retried.
      *
      * @param id the request
-     * @param pauseUs when the client had best retry, in microseconds from now; 0 for no advice
+     * @param retryAfterUs after which time the client should retry, in microseconds; 0 for no advice
      */
-    void shedRequest(String id, long pauseUs);
+    void shedRequest(String id, long retryAfterUs);
 
     /**
      * Gives the final answer that the request failed; it may have been executed.
@@ -49,12 +49,12 @@
     void castVote(int build, int stage, Verdict verdict);
 
     /**
-     * Schedules one call of the engine's timer method.
+     * Schedules one call of {@link DecisionEngine#timerFired}.
      *
-     * @param inUs the delay in microseconds
-     * @param token handed back with the call
+     * @param delayUs the delay in microseconds
+     * @param token the token that is passed back in the call
      */
-    void scheduleTimer(long inUs, long token);
+    void scheduleTimer(long delayUs, long token);
 
     /** Subscribes to changes of the endpoint list; has no effect if the relay is subscribed already. */
     void subscribeToEndpoints();
--- a/src/main/java/gatelock/api/DecisionEngine.java
+++ b/src/main/java/gatelock/api/DecisionEngine.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The decisions of one relay. The relay calls the engine from a single thread with its own clock, in microseconds,
- * which never goes back. Each call may order actions through the {@link DecisionActions} that the engine was built
- * with, before it returns.
+ * Makes the decisions of one relay. The relay calls the engine from a single thread and passes its own clock, in
+ * microseconds, which never goes back. Before a call returns, it may order actions through the {@link DecisionActions}
+ * that the engine was built with.
  */
 public interface DecisionEngine {
 
@@ -16,11 +16,11 @@
     enum EndpointUpdateType {
         /** The entries that changed. */
         DELTA,
-        /** All endpoints there are. */
+        /** The complete list of endpoints. */
         FULL,
-        /** All endpoints, as remembered from an earlier incarnation of the relay. */
+        /** The complete list of endpoints as an earlier process of this relay stored it. */
         CACHED,
-        /** Nothing: discovery failed to deliver a list. */
+        /** No entries, as discovery failed to deliver a list. */
         FAILED
     }
 
@@ -42,7 +42,7 @@
         NOT_ASKED,
         /** The vote was counted. */
         COUNTED,
-        /** The vote had no object any more: the build had moved on meanwhile. */
+        /** The vote was not applicable any more, as the build had moved on meanwhile. */
         MOOT,
         /** The release controller rejected the vote because it was overloaded. */
         BUSY,
@@ -56,9 +56,9 @@
     enum MessageAdmission {
         /** It may be forwarded at once. */
         NOW,
-        /** Not yet: ask again later. */
+        /** It may not be forwarded yet; the caller asks again later. */
         LATER,
-        /** Never; the session has to leave its endpoint. */
+        /** It must not be forwarded, and the session has to leave its endpoint. */
         NEVER
     }
 
@@ -70,37 +70,37 @@
     void start(long nowUs);
 
     /**
-     * Accepts a request without constraints beyond the deployment's settings. The request is owed exactly one final
-     * answer.
+     * Accepts a request without constraints beyond the deployment's settings. Every accepted request gets exactly one
+     * final answer.
      *
      * @param nowUs the current time
      * @param id the request's id, unique among the requests in flight
      * @param route the index of its route in {@link RelaySettings}
      * @param tenant the index of its tenant in {@link RelaySettings}, or the number of tenants if it is not known
-     * @param key the subject of the request, or {@link #NO_KEY}
-     * @param leftUs how long the client still waits, in microseconds
-     * @param costUs the announced cost as processing time on a standard core, in microseconds; 0 if none or no valid
-     *     one was announced
-     * @return the handle on which everything that happens to the request later is reported
+     * @param key the sticky key of the request, or {@link #NO_KEY}
+     * @param remainingUs how long the client still waits, in microseconds
+     * @param costUs the announced cost as processing time on a standard core, in microseconds; 0 if no valid cost was
+     *     announced
+     * @return the handle on which all later events of the request are reported
      */
     default RequestHandle acceptRequest(
-            long nowUs, String id, int route, int tenant, long key, long leftUs, long costUs) {
-        return acceptRequest(nowUs, id, route, tenant, key, leftUs, costUs, RequestConstraints.NONE);
+            long nowUs, String id, int route, int tenant, long key, long remainingUs, long costUs) {
+        return acceptRequest(nowUs, id, route, tenant, key, remainingUs, costUs, RequestConstraints.NONE);
     }
 
     /**
-     * Accepts a request. The request is owed exactly one final answer.
+     * Accepts a request. Every accepted request gets exactly one final answer.
      *
      * @param nowUs the current time
      * @param id the request's id, unique among the requests in flight
      * @param route the index of its route in {@link RelaySettings}
      * @param tenant the index of its tenant in {@link RelaySettings}, or the number of tenants if it is not known
-     * @param key the subject of the request, or {@link #NO_KEY}
-     * @param leftUs how long the client still waits, in microseconds
-     * @param costUs the announced cost as processing time on a standard core, in microseconds; 0 if none or no valid
-     *     one was announced
-     * @param constraints what the configuration in force sets for this request beyond the deployment's settings
-     * @return the handle on which everything that happens to the request later is reported
+     * @param key the sticky key of the request, or {@link #NO_KEY}
+     * @param remainingUs how long the client still waits, in microseconds
+     * @param costUs the announced cost as processing time on a standard core, in microseconds; 0 if no valid cost was
+     *     announced
+     * @param constraints what the active configuration sets for this request beyond the deployment's settings
+     * @return the handle on which all later events of the request are reported
      */
     RequestHandle acceptRequest(
             long nowUs,
@@ -108,18 +108,19 @@
             int route,
             int tenant,
             long key,
-            long leftUs,
+            long remainingUs,
             long costUs,
             RequestConstraints constraints);
 
     /**
-     * Decides on a message of a session that is open at an endpoint. A message that may be forwarded counts as an
-     * accepted request and, if the endpoint runs the canary build, as an attempt there.
+     * Decides whether a message of a session that is open at an endpoint may be forwarded. A forwarded message counts
+     * as an accepted request and, if the endpoint runs the canary build, as an attempt there.
      *
      * @param nowUs the current time
      * @param endpoint the name of the session's endpoint
      * @param route the index of the session's route
-     * @param first whether this is the first call for this message, not one that follows {@link Passing#LATER}
+     * @param first whether this is the first call for this message, not a repeated one after {@link
+     *     MessageAdmission#LATER}
      * @return whether the message may be forwarded
      */
     default MessageAdmission admitMessage(long nowUs, String endpoint, int route, boolean first) {
@@ -130,25 +131,25 @@
      * Processes an update of the endpoint list.
      *
      * @param nowUs the current time
-     * @param form what the update contains
+     * @param updateType what the update contains
      * @param endpoints its entries
      */
-    void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints);
+    void endpointsUpdated(long nowUs, EndpointUpdateType updateType, List<Endpoint> endpoints);
 
     /**
-     * Processes the state of the newest build. The values between {@code build} and {@code agoUs} hold only if
-     * {@code answer} is {@link VoteAnswer#NOT_ASKED} or {@link VoteAnswer#COUNTED}.
+     * Processes the state of the newest build. The values from {@code build} to {@code ageUs} are valid only if {@code
+     * voteResponse} is {@link VoteResponse#NOT_ASKED} or {@link VoteResponse#COUNTED}.
      *
      * @param nowUs the current time
      * @param build the newest build
      * @param stage the stage of its rollout, from 0
      * @param phase its phase
      * @param cap the share of the requests that it may receive, from 0 to 1
-     * @param agoUs the age of this state in microseconds
-     * @param answer how a vote was answered, or that this update answers none
+     * @param ageUs the time since this state began, in microseconds
+     * @param voteResponse how a vote was answered, or {@link VoteResponse#NOT_ASKED} if this update answers none
      */
     void releaseStateUpdated(
-            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer);
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long ageUs, VoteResponse voteResponse);
 
     /**
      * Processes a client's complaint that an answer was wrong.
@@ -156,22 +157,22 @@
      * @param nowUs the current time
      * @param endpoint the name of the endpoint that gave the answer
      * @param route the index of the request's route
-     * @param agoUs how long ago the attempt was sent, in microseconds
+     * @param attemptAgeUs how long ago the attempt was sent, in microseconds
      */
-    void complaintReceived(long nowUs, String endpoint, int route, long agoUs);
+    void complaintReceived(long nowUs, String endpoint, int route, long attemptAgeUs);
 
     /**
-     * Processes the release controller's sample of the attempts of all relays at one build on one route.
+     * Processes the release controller's sample of the attempts that all relays made at one build on one route.
      *
      * @param nowUs the current time
      * @param build the build
      * @param route the index of the route
-     * @param count how many attempts there were
+     * @param count the number of attempts
      * @param failed how many of them failed
-     * @param meanUs the mean latency of the others, in microseconds
-     * @param agoUs how long ago the sampled span ended, in microseconds
+     * @param meanUs the mean latency of the successful attempts, in microseconds
+     * @param sampleAgeUs how long ago the sampled period ended, in microseconds
      */
-    void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs);
+    void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long sampleAgeUs);
 
     /**
      * Reports that a timer scheduled through {@link DecisionActions} has fired.
--- a/src/main/java/gatelock/api/Endpoint.java
+++ b/src/main/java/gatelock/api/Endpoint.java
@@ -9,7 +9,7 @@
  * @param instanceType the index of its instance type; endpoints of one type are about equally fast
  * @param cell the index of its cell, the set of endpoints that share their deduplication state
  * @param health the state of its process
- * @param startedAtUs when its process started, in microseconds on the relays' clock; 0 for long ago
+ * @param startedAtUs when its process started, in microseconds on the relays' clock; 0 if it started long ago
  */
 public record Endpoint(String name, int build, int zone, int instanceType, int cell, Health health, long startedAtUs) {
 
@@ -17,7 +17,7 @@
     public enum Health {
         /** It accepts requests. */
         READY,
-        /** It finishes what it has and accepts no new requests. */
+        /** It finishes its open requests and accepts no new ones. */
         DRAINING,
         /** It has left the list. */
         GONE
--- a/src/main/java/gatelock/api/LoadReport.java
+++ b/src/main/java/gatelock/api/LoadReport.java
@@ -7,6 +7,6 @@
  */
 public record LoadReport(double queuedRequests) {
 
-    /** Stands for an answer without a load report. */
+    /** The report of an answer that contains no load report. */
     public static final LoadReport NONE = new LoadReport(Double.NaN);
 }
--- a/src/main/java/gatelock/api/RequestConstraints.java
+++ b/src/main/java/gatelock/api/RequestConstraints.java
@@ -1,8 +1,8 @@
 package gatelock.api;
 
 /**
- * What is set for one request beyond the deployment's settings. Constraints only narrow: a decision engine that heeds
- * them does nothing that it could not have done without them.
+ * What is set for one request beyond the deployment's settings. Constraints can only restrict: they never allow a
+ * decision engine anything that it could not do without them.
  */
 public interface RequestConstraints {
 
@@ -52,10 +52,10 @@
     long attemptTimeoutUs();
 
     /**
-     * Asks for one more attempt. This is not a pure query: an attempt that is granted is charged to the retry budget.
+     * Requests one more attempt. This is not a pure query: an attempt that is granted is charged to the retry budget.
      *
      * @param nowUs the current time
-     * @param last how the attempt before it ended
+     * @param last how the previous attempt ended
      * @return whether it is granted
      */
     boolean acquireRetry(long nowUs, AttemptResult last);
--- a/src/main/java/gatelock/api/RequestHandle.java
+++ b/src/main/java/gatelock/api/RequestHandle.java
@@ -1,7 +1,7 @@
 package gatelock.api;
 
 /**
- * A request that a {@link DecisionEngine} has accepted. Everything that happens to it later is a call on this handle.
+ * A request that a {@link DecisionEngine} has accepted. All later events of the request are reported on this handle.
  */
 public interface RequestHandle {
 
@@ -11,17 +11,18 @@
      * @param nowUs the current time
      * @param attemptNo the number of the attempt
      * @param result how it ended
-     * @param tookUs how long it took, in microseconds
-     * @param answered whether the request has its final answer, from this attempt or an earlier one, or needs none any
-     *     more
+     * @param durationUs how long it took, in microseconds
+     * @param answered whether the request got its final answer, from this attempt or an earlier one, or no longer needs
+     *     one
      * @param load what the endpoint reported with its answer, or {@link LoadReport#NONE}
      */
-    void attemptEnded(long nowUs, int attemptNo, AttemptResult result, long tookUs, boolean answered, LoadReport load);
+    void attemptEnded(
+            long nowUs, int attemptNo, AttemptResult result, long durationUs, boolean answered, LoadReport load);
 
     /**
-     * Whether an attempt may still start. Asked before the first byte is sent if a connection had to be opened, as the
-     * state of the endpoint or of the release may have changed meanwhile. An attempt that may not start ends as
-     * {@link AttemptResult#NOT_SENT}.
+     * Whether an attempt may still start. If a connection had to be opened, this is asked before the first byte is
+     * sent, as the state of the endpoint or of the release may have changed meanwhile. An attempt that may not start
+     * ends as {@link AttemptResult#NOT_SENT}.
      *
      * @param nowUs the current time
      * @param attemptNo the number of the attempt
@@ -37,7 +38,7 @@
     void responseNoLongerOwed(long nowUs);
 
     /**
-     * Whether nothing more can happen to the request, so that the caller may forget it.
+     * Whether no further event of the request is possible, so that the caller may drop it.
      *
      * @return whether it is answered and all of its attempts have ended
      */
--- a/src/main/java/gatelock/api/RolloutPolicy.java
+++ b/src/main/java/gatelock/api/RolloutPolicy.java
@@ -5,15 +5,15 @@
  *
  * @param promotionMode what promotes a build to its next stage
  * @param minStageUs the minimum duration of a stage, in microseconds
- * @param voteTtlUs how long a vote counts, in microseconds
- * @param voteTimeoutUs how long the answer to a vote is waited for, in microseconds
+ * @param voteTtlUs how long a vote is valid, in microseconds
+ * @param voteTimeoutUs how long a relay waits for the answer to a vote, in microseconds
  * @param stageCaps for each stage, the share of the requests that the canary may receive, from 0 to 1
  * @param guardedStages the number of stages, from the first, in which the canary receives only idempotent requests
- * @param capPerRoute whether the cap holds for each route by itself, not for all requests together
+ * @param capPerRoute whether the cap applies to each route separately instead of to all requests together
  * @param forwardOnly whether requests with a key that a build has served must not go to an earlier build, unless that
  *     build was rolled back
- * @param freeAttempts the attempts that the canary may receive beyond the cap within any window
- * @param rollbackVotes the number of votes that rolls a build back
+ * @param freeAttempts the attempts that the canary may receive in addition to the cap within any window
+ * @param rollbackVotes the number of votes that roll a build back
  * @param maxVotesPerS the votes per second that the release controller accepts from all relays together
  * @param fleetSamplesSent whether the release controller sends samples of the attempts of all relays
  */
--- a/src/main/java/gatelock/decision/Assessment.java
+++ b/src/main/java/gatelock/decision/Assessment.java
@@ -1,22 +1,22 @@
 package gatelock.decision;
 
-/** What outcomes say of a build. */
+/** The result of analyzing the outcomes of a build. */
 enum Assessment {
-    /** There are too few outcomes to say anything. */
+    /** There are too few outcomes for a result. */
     NO_VERDICT,
-    /** Errors and latency are below their bars with confidence. */
+    /** The error rate and the latency are below their thresholds with confidence. */
     PASS,
-    /** An interval contains its bar. */
-    CLOSE,
-    /** Not a fail, but not to be passed over either. */
+    /** A confidence interval contains its threshold. */
+    INCONCLUSIVE,
+    /** The build does not fail, but is not to be promoted without more evidence. */
     SUSPECT,
-    /** Latency is above its bar with confidence. */
+    /** The latency is above its threshold with confidence. */
     SLOW,
-    /** Errors are above their bar with confidence. */
+    /** The error rate is above its threshold with confidence. */
     ERRORS;
 
-    /** Whether it is a confident fail. */
-    boolean isFail() {
+    /** Whether the build fails with confidence. */
+    boolean isFailure() {
         return this == SLOW || this == ERRORS;
     }
 }
--- a/src/main/java/gatelock/decision/Attempt.java
+++ b/src/main/java/gatelock/decision/Attempt.java
@@ -13,7 +13,7 @@
     private boolean cancelled;
     private boolean overdue;
 
-    /** The request's next attempt, sent now. */
+    /** Creates the request's next attempt, which is sent at {@code sentUs}. */
     Attempt(RequestState request, EndpointState endpoint, long sentUs) {
         this.request = request;
         this.endpoint = endpoint;
@@ -22,56 +22,62 @@
         this.queueLength = endpoint.attemptsInFlight().size();
     }
 
+    /** Returns its request. */
     RequestState request() {
         return request;
     }
 
+    /** Returns the endpoint that it was sent to. */
     EndpointState endpoint() {
         return endpoint;
     }
 
-    /** Its place among the attempts of its request, from 0. */
+    /** Returns its index among the attempts of its request, from 0. */
     int number() {
         return number;
     }
 
+    /** Returns when it was sent. */
     long sentUs() {
         return sentUs;
     }
 
-    /** How many attempts of this relay were in flight at the endpoint when it was sent. */
+    /** Returns how many attempts of this relay were in flight at the endpoint when it was sent. */
     int queueLength() {
         return queueLength;
     }
 
+    /** Records how it ended. */
     void end(AttemptResult endResult) {
         result = endResult;
     }
 
-    /** How it ended, null while it is in flight. */
+    /** Returns how it ended, or null while it is in flight. */
     AttemptResult result() {
         return result;
     }
 
-    /** Whether it has ended and surely never ran at the endpoint. */
+    /** Whether it has ended and was provably not executed. */
     boolean neverRan() {
         return result != null && result.neverRan;
     }
 
+    /** Marks it as cancelled by this relay. */
     void markCancelled() {
         cancelled = true;
     }
 
-    /** Whether the decisions cancelled it, and not the client. */
+    /** Whether this relay cancelled it, as opposed to the client. */
     boolean isCancelled() {
         return cancelled;
     }
 
+    /** Marks it as overdue. */
     void markOverdue() {
         overdue = true;
     }
 
-    /** Whether it was found overdue; it no longer uses capacity then. */
+    /** Whether it was found overdue. An overdue attempt no longer counts against the capacity. */
     boolean isOverdue() {
         return overdue;
     }
--- a/src/main/java/gatelock/decision/AttemptResultRecorder.java
+++ b/src/main/java/gatelock/decision/AttemptResultRecorder.java
@@ -3,7 +3,7 @@
 import gatelock.api.AttemptResult;
 import gatelock.api.LoadReport;
 
-/** Records what the end of an attempt tells of its endpoint, build, route and zone. */
+/** Records the result of each attempt in the measurements of its endpoint, build, route and zone. */
 final class AttemptResultRecorder {
     private final DecisionContext context;
     private final OutlierDetector outliers;
@@ -15,30 +15,30 @@
         this.stickyBuilds = stickyBuilds;
     }
 
-    /** Records an attempt that has ended, {@code tookUs} after it was sent. */
-    void record(Attempt attempt, long tookUs, LoadReport load) {
+    /** Records an attempt that ended {@code durationUs} after it was sent. */
+    void record(Attempt attempt, long durationUs, LoadReport load) {
         AttemptResult result = attempt.result();
         attempt.endpoint().attemptEnded(attempt, leavesConnectionOpen(result));
         if (result == AttemptResult.NOT_SENT || isCancelledByClient(attempt)) {
             return;
         }
-        double timePerWork = (double) tookUs / attempt.request().costUs();
-        // What a route needs on any endpoint, more than others, says nothing of this one or its build.
+        double latencyPerCost = (double) durationUs / attempt.request().costUs();
+        // The additional latency that a route has at every endpoint is not attributed to this endpoint or its build.
         double slowness =
-                timePerWork / context.latency().routeFactor(attempt.request().route());
+                latencyPerCost / context.latency().routeFactor(attempt.request().route());
         recordConnect(attempt);
-        recordInZone(attempt);
+        recordZoneOutcome(attempt);
         if (result == AttemptResult.COMPLETED) {
-            recordAnswer(attempt, tookUs, slowness);
+            recordAnswer(attempt, durationUs, slowness);
         } else {
             recordFailure(attempt);
         }
-        recordRouteSlowness(attempt, timePerWork);
+        recordRouteSlowness(attempt, latencyPerCost);
         if (!Double.isNaN(load.queuedRequests())) {
             attempt.endpoint().recordReportedQueue(load.queuedRequests());
         }
         if (isEvidence(result)) {
-            recordOutcome(attempt, tookUs, slowness);
+            recordOutcome(attempt, durationUs, slowness);
         }
     }
 
@@ -52,7 +52,10 @@
                 || result == AttemptResult.TURNED_AWAY;
     }
 
-    /** An attempt without an answer counts as a very slow one, not as an error: load alone can cause it. */
+    /**
+     * Whether an attempt got no answer. It counts as a very slow attempt, not as an error, because load alone can cause
+     * it.
+     */
     private static boolean isUnanswered(AttemptResult result) {
         return result == AttemptResult.TIMED_OUT || result == AttemptResult.CANCELLED;
     }
@@ -63,17 +66,20 @@
         }
     }
 
-    /** A time-out of an attempt that was overdue counted in its zone then. */
-    private void recordInZone(Attempt attempt) {
+    /**
+     * Records whether an attempt timed out in its zone. The timeout of an overdue attempt was counted when it became
+     * overdue.
+     */
+    private void recordZoneOutcome(Attempt attempt) {
         AttemptResult result = attempt.result();
         boolean timedOut = result == AttemptResult.TIMED_OUT;
         boolean alreadyCounted = timedOut && attempt.isOverdue();
         if (result != AttemptResult.CANCELLED && result != AttemptResult.NOT_CONNECTED && !alreadyCounted) {
-            outliers.recordInZone(attempt.endpoint().entry().zone(), timedOut);
+            outliers.recordZoneOutcome(attempt.endpoint().entry().zone(), timedOut);
         }
     }
 
-    private void recordAnswer(Attempt attempt, long tookUs, double slowness) {
+    private void recordAnswer(Attempt attempt, long durationUs, double slowness) {
         EndpointState endpoint = attempt.endpoint();
         RequestState request = attempt.request();
         endpoint.recordAnswer();
@@ -81,10 +87,10 @@
         if (!context.clock().justStalled()) {
             recordSlowness(endpoint, slowness);
         }
-        context.latency().recordCost(request.route(), request.hasAnnouncedCost() ? request.costUs() : tookUs);
+        context.latency().recordCost(request.route(), request.hasAnnouncedCost() ? request.costUs() : durationUs);
         int build = endpoint.build().number();
-        boolean oneWay = context.settings().rollout().forwardOnly();
-        if (build >= context.rollout().newestBuild() && oneWay && request.hasKey()) {
+        boolean forwardOnly = context.settings().rollout().forwardOnly();
+        if (build >= context.rollout().newestBuild() && forwardOnly && request.hasKey()) {
             stickyBuilds.recordAnswer(request.key(), build);
         }
     }
@@ -104,39 +110,46 @@
             attempt.endpoint().recordFailure();
         }
         AttemptResult result = attempt.result();
-        boolean isError = !isUnanswered(result) && !isScarceConnection(result);
+        boolean isError = !isUnanswered(result) && !isDueToScarceConnections(result);
         context.connectFailures().recordFailure(isError);
     }
 
-    private boolean isScarceConnection(AttemptResult result) {
+    private boolean isDueToScarceConnections(AttemptResult result) {
         return result == AttemptResult.NOT_CONNECTED
                 && context.connectFailures().connectionsAreScarce();
     }
 
-    /** An endpoint that is silent to all says nothing of one route: its attempts would make it look late everywhere. */
-    private void recordRouteSlowness(Attempt attempt, double timePerWork) {
+    /**
+     * Records the slowness of a route. An unanswered attempt counts only if its endpoint has answered others since it
+     * was sent: an endpoint that answers nothing tells nothing about one route and would make the route look late
+     * everywhere.
+     */
+    private void recordRouteSlowness(Attempt attempt, double latencyPerCost) {
         AttemptResult result = attempt.result();
-        boolean tells = result == AttemptResult.COMPLETED
+        boolean isInformative = result == AttemptResult.COMPLETED
                 || (isUnanswered(result) && attempt.endpoint().hasAnsweredSince(attempt.sentUs()));
-        if (!attempt.endpoint().isCanary() && !context.clock().justStalled() && tells) {
-            context.latency().recordRouteSlowness(attempt.request().route(), timePerWork);
+        if (!attempt.endpoint().isCanary() && !context.clock().justStalled() && isInformative) {
+            context.latency().recordRouteSlowness(attempt.request().route(), latencyPerCost);
         }
     }
 
-    /** Whether a result says something of its build: not where connections are scarce, nor of times after a stall. */
+    /**
+     * Whether a result is evidence about its build. A failed connect is not while connections are scarce, and a latency
+     * is not if it was measured across a stall of this relay.
+     */
     private boolean isEvidence(AttemptResult result) {
         boolean isTimed = isUnanswered(result) || result == AttemptResult.COMPLETED;
-        return !isScarceConnection(result) && !(isTimed && context.clock().justStalled());
+        return !isDueToScarceConnections(result) && !(isTimed && context.clock().justStalled());
     }
 
-    private void recordOutcome(Attempt attempt, long tookUs, double slowness) {
+    private void recordOutcome(Attempt attempt, long durationUs, double slowness) {
         EndpointState endpoint = attempt.endpoint();
         AttemptResult result = attempt.result();
         int otherRelays = context.settings().relayCount() - 1;
-        double ofOthers = otherRelays * endpoint.meanQueueLength();
-        double own = (attempt.queueLength() + endpoint.attemptsInFlight().size()) / 2.0;
+        double otherRelaysLoad = otherRelays * endpoint.meanQueueLength();
+        double ownLoad = (attempt.queueLength() + endpoint.attemptsInFlight().size()) / 2.0;
         boolean failed = result != AttemptResult.COMPLETED && !isUnanswered(result);
-        boolean late = tookUs > attempt.request().policy().latencyObjectiveUs();
-        endpoint.build().recordOutcome(endpoint, failed, late, slowness, own + ofOthers);
+        boolean missedObjective = durationUs > attempt.request().policy().latencyObjectiveUs();
+        endpoint.build().recordOutcome(endpoint, failed, missedObjective, slowness, ownLoad + otherRelaysLoad);
     }
 }
--- a/src/main/java/gatelock/decision/Bootstrap.java
+++ b/src/main/java/gatelock/decision/Bootstrap.java
@@ -5,49 +5,51 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The bootstrap over slices of time, and the exact binomial figures. A bootstrapped figure is computed from multiplicities:
- * how often each slice was drawn, by its position.
+ * Bootstrap resampling over time windows, and exact binomial statistics. A bootstrapped statistic is computed from
+ * multiplicities: how often each window was drawn, by its index.
  */
 final class Bootstrap {
-    private static final int DRAWS = 200;
+    private static final int RESAMPLES = 200;
 
-    /** The share of draws that is left out at either end of an interval, which makes it a 95% interval. */
-    private static final double TAIL = 0.025;
+    /** The share of resamples that is cut off at either end of an interval, which makes it a 95% interval. */
+    private static final double TAIL_SHARE = 0.025;
 
     private Bootstrap() {}
 
-    /** The ends of a confidence interval. */
+    /** A confidence interval. */
     record Interval(double lower, double upper) {}
 
     /**
-     * The 95% interval of a figure over redrawn slices; its lower end is moved away from the median by a factor.
+     * Returns the 95% confidence interval of a statistic; its lower end is moved away from the median by a factor.
      *
-     * @param slices the number of slices, all of which are redrawn with replacement
-     * @param widening how many times as far from the median the lower end is
+     * @param windowCount the number of windows, which are resampled with replacement
+     * @param widening the factor on the distance between the median and the lower end
      */
-    static Interval interval(int slices, double widening, RandomGenerator random, ToDoubleFunction<int[]> figure) {
-        double[] figures = new double[DRAWS];
-        for (int draw = 0; draw < DRAWS; draw++) {
-            int[] multiplicities = new int[slices];
-            for (int i = 0; i < slices; i++) {
-                multiplicities[random.nextInt(slices)]++;
+    static Interval interval(
+            int windowCount, double widening, RandomGenerator random, ToDoubleFunction<int[]> statistic) {
+        double[] statistics = new double[RESAMPLES];
+        for (int resample = 0; resample < RESAMPLES; resample++) {
+            int[] multiplicities = new int[windowCount];
+            for (int i = 0; i < windowCount; i++) {
+                multiplicities[random.nextInt(windowCount)]++;
             }
-            figures[draw] = figure.applyAsDouble(multiplicities);
+            statistics[resample] = statistic.applyAsDouble(multiplicities);
         }
-        Arrays.sort(figures);
-        int cut = (int) (DRAWS * TAIL);
-        double median = figures[DRAWS / 2];
-        return new Interval(median - (median - figures[cut]) * widening, figures[DRAWS - 1 - cut]);
+        Arrays.sort(statistics);
+        int tailResamples = (int) (RESAMPLES * TAIL_SHARE);
+        double median = statistics[RESAMPLES / 2];
+        return new Interval(
+                median - (median - statistics[tailResamples]) * widening, statistics[RESAMPLES - 1 - tailResamples]);
     }
 
-    /** Each of so many slices drawn once: the figure as it was observed. */
-    static int[] eachOnce(int slices) {
-        int[] multiplicities = new int[slices];
+    /** Returns the multiplicities of the original sample, in which each window occurs once. */
+    static int[] originalSample(int windowCount) {
+        int[] multiplicities = new int[windowCount];
         Arrays.fill(multiplicities, 1);
         return multiplicities;
     }
 
-    /** The share of failed outcomes; 0 where there are no outcomes. */
+    /** Returns the share of failed outcomes; 0 if there are no outcomes. */
     static double errorShare(ErrorCount[] counts, int[] multiplicities) {
         double outcomes = 0;
         double failed = 0;
@@ -58,27 +60,27 @@
         return failed / Math.max(1, outcomes);
     }
 
-    /** A percentile (0 to 1) of latencies that are ordered from the highest to the lowest; 0 where there are none. */
+    /** Returns a percentile (0 to 1) of latencies that are sorted in descending order; 0 if there are none. */
     static double percentile(RelativeLatency[] latencies, int[] multiplicities, double percentile) {
-        double all = 0;
+        double totalWeight = 0;
         for (RelativeLatency latency : latencies) {
-            all += multiplicities[latency.slice()];
+            totalWeight += multiplicities[latency.windowIndex()];
         }
-        double above = 0;
+        double weightAbove = 0;
         for (RelativeLatency latency : latencies) {
-            above += multiplicities[latency.slice()];
-            if (above > 0 && above >= all * (1 - percentile)) {
+            weightAbove += multiplicities[latency.windowIndex()];
+            if (weightAbove > 0 && weightAbove >= totalWeight * (1 - percentile)) {
                 return latency.value();
             }
         }
         return 0;
     }
 
-    /** The binomial probability of at least so many cases in so many trials. */
-    static double binomialTail(int trials, int cases, double probability) {
+    /** Returns the binomial probability of at least this number of successes. */
+    static double binomialTail(int trials, int successes, double probability) {
         double term = Math.pow(1 - probability, trials);
         double below = 0;
-        for (int i = 0; i < cases; i++) {
+        for (int i = 0; i < successes; i++) {
             below += term;
             term *= (trials - i) / (i + 1.0) * probability / (1 - probability);
         }
@@ -86,11 +88,11 @@
     }
 
     /**
-     * The logarithm of how often one voter may be wrong by chance, so that a quorum of them is wrong together no more often
-     * than given.
+     * Returns the logarithm of the probability with which one voter may be wrong by chance, so that a quorum of the
+     * voters is wrong together with at most the given probability.
      */
-    static double logErrorLevel(double together, int voters, int quorum) {
-        double logProbability = Math.log(together);
+    static double logErrorLevel(double quorumErrorProbability, int voters, int quorum) {
+        double logProbability = Math.log(quorumErrorProbability);
         for (int i = 0; i < Math.min(quorum, voters); i++) {
             logProbability -= Math.log((voters - i) / (i + 1.0));
         }
@@ -98,8 +100,8 @@
     }
 
     /**
-     * The normal quantile: how many standard deviations leave a probability, given by its logarithm, in one tail. The
-     * rational approximation is 26.2.22 of Abramowitz and Stegun.
+     * Returns the normal quantile: the number of standard deviations beyond which one tail has the probability that is
+     * given by its logarithm. Uses the rational approximation 26.2.22 of Abramowitz and Stegun.
      */
     static double normalQuantile(double logProbability) {
         double t = Math.sqrt(-2 * Math.min(-1, logProbability));
--- a/src/main/java/gatelock/decision/BuildState.java
+++ b/src/main/java/gatelock/decision/BuildState.java
@@ -3,16 +3,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One build: its ready endpoints, what its cap allows, and the outcomes of attempts at it. */
+/** The state of one build: its ready endpoints, the attempts that its cap allows, and the outcomes of its attempts. */
 final class BuildState {
-    /** The page's slices: outcomes are bootstrapped over slices of this length. */
-    static final long SLICE_US = DecisionClock.SECOND_US;
+    /** The specified window length; outcomes are bootstrapped over windows of this length. */
+    static final long WINDOW_US = DecisionClock.SECOND_US;
 
-    /** How many slices are kept; all that are kept of the earlier build are compared. */
-    private static final int KEPT_SLICES = 20;
+    /** How many windows are kept. All kept windows of the earlier build are used in a comparison. */
+    private static final int MAX_WINDOWS = 20;
 
-    /** Outcomes kept of a slice; a fair sample of more keeps a comparison quick. */
-    private static final int KEPT_OUTCOMES = 300;
+    /**
+     * The maximum number of outcomes kept per window. Of more outcomes a uniform random sample is kept, so that
+     * comparisons stay fast.
+     */
+    private static final int MAX_OUTCOMES_PER_WINDOW = 300;
 
     private final int number;
     private final DecisionContext context;
@@ -20,84 +23,88 @@
     private final OutcomeHistory ownOutcomes;
     private final OutcomeHistory sampledOutcomes;
     private final ExposureBudget exposure;
-    private final DecayingSum slowness = new DecayingSum(LatencyEstimates.SLOWNESS_MEMORY_US);
-    private final DecayingSum queueLengths = new DecayingSum(Throughput.RATE_MEMORY_US);
+    private final DecayingSum slowness = new DecayingSum(LatencyEstimates.SLOWNESS_TIME_CONSTANT_US);
+    private final DecayingSum queueLengths = new DecayingSum(Throughput.RATE_TIME_CONSTANT_US);
 
+    /** Creates the state of a build without endpoints or outcomes. */
     BuildState(int number, DecisionContext context) {
         this.number = number;
         this.context = context;
         int routes = context.settings().routes().size();
-        this.ownOutcomes = new OutcomeHistory(KEPT_SLICES, KEPT_OUTCOMES, context.random());
-        this.sampledOutcomes = new OutcomeHistory(KEPT_SLICES * routes, 0, context.random());
+        this.ownOutcomes = new OutcomeHistory(MAX_WINDOWS, MAX_OUTCOMES_PER_WINDOW, context.random());
+        this.sampledOutcomes = new OutcomeHistory(MAX_WINDOWS * routes, 0, context.random());
         int slots = context.settings().rollout().capPerRoute() ? routes : 1;
         this.exposure = new ExposureBudget(slots, context.settings().rollout().freeAttempts());
     }
 
+    /** Returns the number of the build. */
     int number() {
         return number;
     }
 
-    /** The endpoints that are ready, in an order that selection shuffles. */
+    /** Returns the ready endpoints, in an order that {@link EndpointSelector} shuffles. */
     List<EndpointState> readyEndpoints() {
         return readyEndpoints;
     }
 
-    /** The outcomes of this relay's own attempts. */
+    /** Returns the outcomes of this relay's own attempts. */
     OutcomeHistory ownOutcomes() {
         return ownOutcomes;
     }
 
-    /** The outcomes that the release controller sampled from all relays. */
+    /** Returns the outcomes that the release controller sampled from all relays. */
     OutcomeHistory sampledOutcomes() {
         return sampledOutcomes;
     }
 
-    /** Rule 5: what the cap has earned. */
+    /** Returns the budget of attempts that the cap allows (rule 5). */
     ExposureBudget exposure() {
         return exposure;
     }
 
-    /** The slowness of warm endpoints. */
+    /** Returns the slowness of endpoints that are not warming up. */
     DecayingSum slowness() {
         return slowness;
     }
 
-    /** How many of this relay's requests were in flight at an endpoint when another was sent there. */
+    /** Returns how many of this relay's requests were in flight at an endpoint when another one was sent there. */
     DecayingSum queueLengths() {
         return queueLengths;
     }
 
-    /** A request has arrived: its route earns the cap's part of an attempt. */
-    void earnExposure(int route) {
-        exposure.earn(route, context.rollout().capOf(number));
+    /** Credits the request's route with the share of an attempt that the cap allows for each request. */
+    void creditExposure(int route) {
+        exposure.credit(route, context.rollout().capOf(number));
     }
 
-    /** An attempt or message goes to this build: a canary's budget pays for it. */
+    /** Charges an attempt or message to the budget if the build is a canary. */
     void spendExposure(int route) {
         if (isCanary()) {
             exposure.spend(route);
         }
     }
 
+    /** Whether it is not released yet. */
     boolean isCanary() {
         return context.rollout().isCanary(number);
     }
 
-    boolean isOpen() {
-        return context.rollout().isOpen(number);
+    /** Whether new requests may be sent to it. */
+    boolean acceptsNewRequests() {
+        return context.rollout().acceptsNewRequests(number);
     }
 
-    /** Adds an outcome of this relay's own to the present slice. */
+    /** Adds an outcome of this relay's own attempts to the current window. */
     void recordOutcome(EndpointState endpoint, boolean failed, boolean late, double slowness, double load) {
         long nowUs = context.nowUs();
         long startUs = endpoint.entry().startedAtUs();
         long ageUs = startUs > 0 ? nowUs - startUs : Long.MAX_VALUE;
         ownOutcomes.add(
-                nowUs / SLICE_US,
+                nowUs / WINDOW_US,
                 new AttemptOutcome(endpoint, endpoint.entry().instanceType(), failed, late, slowness, load, ageUs));
     }
 
-    /** The latest start of its ready endpoints, 0 where there are none. */
+    /** Returns the latest start time of its ready endpoints; 0 if there are none. */
     long latestStartUs() {
         return readyEndpoints.stream()
                 .mapToLong(endpoint -> endpoint.entry().startedAtUs())
@@ -105,7 +112,7 @@
                 .orElse(0);
     }
 
-    /** The median age of its ready endpoints at a time, 0 where there are none. */
+    /** Returns the median age of its ready endpoints at a time; 0 if there are none. */
     long medianAgeUs(long atUs) {
         return readyEndpoints.stream()
                 .map(endpoint -> atUs - endpoint.entry().startedAtUs())
--- a/src/main/java/gatelock/decision/CanaryAnalysis.java
+++ b/src/main/java/gatelock/decision/CanaryAnalysis.java
@@ -1,172 +1,183 @@
 package gatelock.decision;
 
-import gatelock.decision.BarComparison.Strictness;
+import gatelock.decision.ThresholdComparison.Strictness;
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the outcomes of the newest build say of it, compared with the build before it. */
+/** Assesses the newest build by comparing its outcomes with those of the build before it. */
 final class CanaryAnalysis {
-    /** The page's margin, with which the fleet is compared with its own past. */
+    /** The specified margin, with which the whole fleet is compared with its own past. */
     private static final double FLEET_MARGIN = 1.25;
 
-    /** The margin where the release controller's samples decide, as like load is unknown. */
+    /** The margin for the release controller's samples, for which the load of the endpoints is unknown. */
     private static final double SAMPLE_MARGIN = 2;
 
-    /** Slices of the canary that are looked at: few enough to notice a late change. */
-    private static final int CANARY_SLICES = 8;
+    /** The number of the canary's latest windows that are compared; small enough to notice a late change. */
+    private static final int CANARY_WINDOWS = 8;
 
-    /** Faults strike at most this share of the endpoints with slowness. */
-    private static final double SLOW_SHARE = 0.5;
+    /** Faults are assumed to slow down no more than this share of the endpoints. */
+    private static final double MAX_SLOW_ENDPOINT_SHARE = 0.5;
 
-    /** Endpoints that started this long after the oldest are as old. */
-    private static final long SAME_AGE_US = DecisionClock.SECOND_US;
+    /** Endpoints whose start times differ by no more than this count as equally old. */
+    private static final long SAME_AGE_TOLERANCE_US = DecisionClock.SECOND_US;
 
-    /** The share of looks in which a quorum of relays may be wrong together. */
+    /** The probability with which a quorum of relays may be wrong together in one review. */
     private static final double FALSE_ROLLBACK_SHARE = 0.05;
 
-    /** The normal quantile of an ordinary interval's lower end. */
+    /** The normal quantile of the lower end of a 95% interval. */
     private static final double ORDINARY_QUANTILE = 1.96;
 
     private final DecisionContext context;
-    private final BarComparison bars;
-    private final EndpointCountAnalysis endpointCounts;
+    private final ThresholdComparison comparison;
+    private final EndpointCountAnalysis endpointCountAnalysis;
 
-    /** How much wider an interval must be, as any of many relays may be wrong. */
+    /** The factor by which intervals are widened, because any of many relays may be wrong. */
     private final double widening;
 
+    /** Creates the analysis for the number of relays and the quorum of the settings. */
     CanaryAnalysis(DecisionContext context) {
         this.context = context;
-        this.bars = new BarComparison(context);
+        this.comparison = new ThresholdComparison(context);
         double logErrorLevel = Bootstrap.logErrorLevel(
                 FALSE_ROLLBACK_SHARE,
                 context.settings().relayCount(),
                 Math.max(1, context.settings().rollout().rollbackVotes()));
         this.widening = Math.max(1, Bootstrap.normalQuantile(logErrorLevel) / ORDINARY_QUANTILE);
-        this.endpointCounts = new EndpointCountAnalysis(bars, logErrorLevel);
+        this.endpointCountAnalysis = new EndpointCountAnalysis(comparison, logErrorLevel);
     }
 
     /**
-     * The finding from own outcomes. Where many relays share the requests and the release controller's samples hold more of
-     * the canary than these, the samples decide unless own outcomes fail for sure: they are late, have means for
-     * percentiles, and are the same for every relay, so that one relay's chance does not add to another's.
+     * Assesses the canary. If the release controller's samples contain more of its outcomes than this relay's own
+     * attempts, the samples decide unless the own outcomes fail with confidence. The own outcomes have priority in that
+     * case because samples arrive late and contain means instead of percentiles. The samples are the same for every
+     * relay, so that the random errors of the relays do not accumulate.
      *
-     * @param earlier the build before it, or null where none has outcomes
-     * @return the finding; without evidence where nothing could be compared
+     * @param earlier the build before it, or null if none has outcomes
+     * @return the finding; without evidence if nothing could be compared
      */
     Finding analyse(BuildState canary, BuildState earlier) {
         if (earlier == null) {
-            return context.manyRelays()
-                    ? endpointCounts.assess(recentOwn(canary), List.of(), List.of())
+            return context.hasManyRelays()
+                    ? endpointCountAnalysis.assess(recentOwn(canary), List.of(), List.of())
                     : new Finding(Assessment.NO_VERDICT, new Evidence.Nothing());
         }
-        Finding own = analyseOwn(canary, earlier);
-        return own.isFail() || !hasMoreSamples(canary) ? own : analyseSamples(canary, earlier);
+        Finding ownFinding = analyseOwn(canary, earlier);
+        return ownFinding.isFailure() || !hasMoreSamples(canary) ? ownFinding : analyseSamples(canary, earlier);
     }
 
-    /** Whether the release controller's samples hold more of the canary than this relay's own outcomes. */
+    /**
+     * Whether the release controller's samples contain at least as many recent outcomes of the canary as this relay's
+     * own attempts.
+     */
     boolean hasMoreSamples(BuildState canary) {
-        return OutcomeWindow.size(canary.sampledOutcomes().since(firstSlice())) >= recentOwnOutcomes(canary);
+        return OutcomeWindow.size(canary.sampledOutcomes().since(firstWindowNumber())) >= recentOwnOutcomes(canary);
     }
 
-    /** How many own outcomes of a build are looked at. */
+    /** Returns the number of this relay's recent outcomes of a build. */
     int recentOwnOutcomes(BuildState build) {
         return OutcomeWindow.size(recentOwn(build));
     }
 
     private List<OutcomeWindow> recentOwn(BuildState build) {
-        return build.ownOutcomes().since(firstSlice());
+        return build.ownOutcomes().since(firstWindowNumber());
     }
 
-    /** The number of the first slice that is looked at. */
-    private long firstSlice() {
-        return context.nowUs() / BuildState.SLICE_US - CANARY_SLICES + 1;
+    /** Returns the number of the first window that is compared. */
+    private long firstWindowNumber() {
+        return context.nowUs() / BuildState.WINDOW_US - CANARY_WINDOWS + 1;
     }
 
     private Finding analyseOwn(BuildState canary, BuildState earlier) {
-        Strictness strictness = new Strictness(BarComparison.MARGIN, widening, BarComparison.MIN_OUTCOMES);
+        Strictness strictness = new Strictness(ThresholdComparison.MARGIN, widening, ThresholdComparison.MIN_OUTCOMES);
         List<OutcomeWindow> windows = recentOwn(canary);
         List<OutcomeWindow> earlierWindows = earlier.ownOutcomes().all();
-        Finding found = bars.compare(windows, earlierWindows, strictness);
-        if (found.isFail()) {
-            return confirmWithoutWorstEndpoints(found, canary, windows, earlierWindows);
+        Finding finding = comparison.compare(windows, earlierWindows, strictness);
+        if (finding.isFailure()) {
+            return confirmWithoutWorstEndpoints(finding, canary, windows, earlierWindows);
         }
-        if (context.manyRelays()) {
-            Finding counted = endpointCounts.assess(windows, earlierWindows, recentOwn(earlier));
-            if (counted.assessment() != Assessment.NO_VERDICT) {
-                return counted;
+        if (context.hasManyRelays()) {
+            Finding countFinding = endpointCountAnalysis.assess(windows, earlierWindows, recentOwn(earlier));
+            if (countFinding.assessment() != Assessment.NO_VERDICT) {
+                return countFinding;
             }
         }
-        Strictness fleet = new Strictness(FLEET_MARGIN, widening, BarComparison.MIN_OUTCOMES);
-        return compareFleetWithPast(found, windows, earlier.ownOutcomes(), fleet);
+        Strictness fleetStrictness = new Strictness(FLEET_MARGIN, widening, ThresholdComparison.MIN_OUTCOMES);
+        return compareFleetWithPast(finding, windows, earlier.ownOutcomes(), fleetStrictness);
     }
 
-    /** Set against the last that the earlier build had, as a fault of both may have begun only then. */
+    /**
+     * Assesses the samples against the latest samples of the earlier build, as a fault that affects both builds may
+     * have begun only then.
+     */
     private Finding analyseSamples(BuildState canary, BuildState earlier) {
         OutcomeHistory earlierSamples = earlier.sampledOutcomes();
-        List<OutcomeWindow> windows = canary.sampledOutcomes().since(firstSlice());
-        List<OutcomeWindow> earlierWindows = earlierSamples.since(earlierSamples.lastNumber() - CANARY_SLICES + 1);
-        Finding found =
-                bars.compare(windows, earlierWindows, new Strictness(SAMPLE_MARGIN, 1, BarComparison.MIN_OUTCOMES));
-        if (found.isFail()) {
-            return found;
+        List<OutcomeWindow> windows = canary.sampledOutcomes().since(firstWindowNumber());
+        List<OutcomeWindow> earlierWindows = earlierSamples.since(earlierSamples.lastNumber() - CANARY_WINDOWS + 1);
+        Finding finding = comparison.compare(
+                windows, earlierWindows, new Strictness(SAMPLE_MARGIN, 1, ThresholdComparison.MIN_OUTCOMES));
+        if (finding.isFailure()) {
+            return finding;
         }
-        Strictness fleet = new Strictness(BarComparison.MARGIN, 1, BarComparison.MIN_OUTCOMES);
-        return compareFleetWithPast(found, windows, earlierSamples, fleet);
+        Strictness fleetStrictness = new Strictness(ThresholdComparison.MARGIN, 1, ThresholdComparison.MIN_OUTCOMES);
+        return compareFleetWithPast(finding, windows, earlierSamples, fleetStrictness);
     }
 
     /**
-     * Guards against faulty, slow or ill-placed endpoints taken for a bad build: without its worst endpoints the build must
-     * fail all the same. Errors of its oldest endpoints count alone: builds may turn bad with age. Could harm where a build
-     * is bad on one kind of machine only.
+     * Guards against attributing faulty, slow or badly placed endpoints to a build: the build must also fail without
+     * its worst endpoints. Errors that only the oldest endpoints have are sufficient, as builds can degrade with age.
+     * Can miss a build that is bad on one instance type only.
      */
     private Finding confirmWithoutWorstEndpoints(
-            Finding found, BuildState canary, List<OutcomeWindow> windows, List<OutcomeWindow> earlierWindows) {
-        List<OutcomeWindow> rest;
-        if (found.assessment() == Assessment.SLOW) {
-            rest = OutcomeWindow.withoutWorst(windows, AttemptOutcome::slowness, SLOW_SHARE);
+            Finding finding, BuildState canary, List<OutcomeWindow> windows, List<OutcomeWindow> earlierWindows) {
+        List<OutcomeWindow> remainingWindows;
+        if (finding.assessment() == Assessment.SLOW) {
+            remainingWindows = OutcomeWindow.withoutWorst(windows, AttemptOutcome::slowness, MAX_SLOW_ENDPOINT_SHARE);
         } else {
-            List<Object> faulty = OutcomeWindow.worst(windows, AttemptOutcome::error, BarComparison.FAULTY_SHARE);
+            List<Object> faulty =
+                    OutcomeWindow.worst(windows, AttemptOutcome::error, ThresholdComparison.MAX_FAULTY_ENDPOINT_SHARE);
             if (areOldest(faulty, canary)) {
-                return found;
+                return finding;
             }
-            rest = OutcomeWindow.without(windows, faulty);
+            remainingWindows = OutcomeWindow.without(windows, faulty);
         }
-        Strictness strictness = new Strictness(BarComparison.MARGIN, widening, BarComparison.MIN_OUTCOMES / 2);
-        Finding ofRest = bars.compare(rest, earlierWindows, strictness);
-        boolean confirmed = ofRest.assessment() == found.assessment();
-        return new Finding(confirmed ? found.assessment() : Assessment.SUSPECT, ofRest.evidence());
+        Strictness strictness =
+                new Strictness(ThresholdComparison.MARGIN, widening, ThresholdComparison.MIN_OUTCOMES / 2);
+        Finding remainingFinding = comparison.compare(remainingWindows, earlierWindows, strictness);
+        boolean confirmed = remainingFinding.assessment() == finding.assessment();
+        return new Finding(confirmed ? finding.assessment() : Assessment.SUSPECT, remainingFinding.evidence());
     }
 
-    /** Whether no other ready endpoint of the build is as old as these. */
+    /** Whether every other ready endpoint of the build is clearly younger than these. */
     private static boolean areOldest(List<Object> endpoints, BuildState build) {
         long latestStartUs = build.readyEndpoints().stream()
                 .filter(endpoints::contains)
                 .mapToLong(endpoint -> endpoint.entry().startedAtUs())
                 .max()
                 .orElse(0);
-        long asOldUs = latestStartUs + SAME_AGE_US;
+        long latestSameAgeStartUs = latestStartUs + SAME_AGE_TOLERANCE_US;
         return build.readyEndpoints().stream()
                 .filter(endpoint -> !endpoints.contains(endpoint))
-                .noneMatch(endpoint -> endpoint.entry().startedAtUs() <= asOldUs);
+                .noneMatch(endpoint -> endpoint.entry().startedAtUs() <= latestSameAgeStartUs);
     }
 
     /**
-     * Guards against a build that slows old and new endpoints alike, which the relative bar hides: all endpoints are compared
-     * with what the earlier build needed before the canary, without the worse half of them, as other faults spare some; with
-     * many relays, whose like load is a guess, only if no more work comes than then. Could harm when something else slows the
-     * whole fleet during a canary.
+     * Guards against a build that slows down old and new endpoints alike, which a threshold relative to the current
+     * earlier build hides: all endpoints are compared with the latencies of the earlier build before the canary. The
+     * slower half of the endpoints is excluded, as other faults do not affect all endpoints. With many relays, whose
+     * estimate of the load is uncertain, this is done only if the load has not increased since then. Can wrongly fail a
+     * build if something else slows the whole fleet during a canary.
      */
     private Finding compareFleetWithPast(
-            Finding found, List<OutcomeWindow> windows, OutcomeHistory earlier, Strictness strictness) {
-        if (context.manyRelays() && context.throughput().exceedsWorkBeforeCanary()) {
-            return found;
+            Finding finding, List<OutcomeWindow> windows, OutcomeHistory earlier, Strictness strictness) {
+        if (context.hasManyRelays() && context.throughput().exceedsWorkBeforeCanary()) {
+            return finding;
         }
         List<OutcomeWindow> all = new ArrayList<>(windows);
-        all.addAll(earlier.since(firstSlice()));
+        all.addAll(earlier.since(firstWindowNumber()));
         List<Object> endpoints = OutcomeWindow.worstFirst(all, AttemptOutcome::slowness);
         List<OutcomeWindow> betterHalf =
-                OutcomeWindow.without(all, endpoints.subList(0, (int) (endpoints.size() * SLOW_SHARE)));
-        Finding ofFleet = bars.compare(betterHalf, earlier.snapshot(), strictness);
-        return ofFleet.assessment() == Assessment.SLOW ? ofFleet : found;
+                OutcomeWindow.without(all, endpoints.subList(0, (int) (endpoints.size() * MAX_SLOW_ENDPOINT_SHARE)));
+        Finding fleetFinding = comparison.compare(betterHalf, earlier.snapshot(), strictness);
+        return fleetFinding.assessment() == Assessment.SLOW ? fleetFinding : finding;
     }
 }
--- a/src/main/java/gatelock/decision/ConnectFailures.java
+++ b/src/main/java/gatelock/decision/ConnectFailures.java
@@ -1,40 +1,44 @@
 package gatelock.decision;
 
-/** How often connects fail at endpoints not canary, and how many failed attempts were errors rather than silence. */
+/**
+ * Measures how often connects fail at endpoints not running the canary, and which share of all failed attempts were
+ * errors instead of missing answers.
+ */
 final class ConnectFailures {
-    /** Connections are scarce if more than this share of connects fails. */
-    private static final double SCARCE_SHARE = 0.05;
+    /** Connections count as scarce if more than this share of connects fails. */
+    private static final double SCARCITY_THRESHOLD = 0.05;
 
     private final DecisionClock clock;
-    private final DecayingSum refusals = new DecayingSum(Throughput.WORK_MEMORY_US);
-    private final DecayingSum errors = new DecayingSum(Throughput.WORK_MEMORY_US);
+    private final DecayingSum failedConnects = new DecayingSum(Throughput.WORK_TIME_CONSTANT_US);
+    private final DecayingSum errors = new DecayingSum(Throughput.WORK_TIME_CONSTANT_US);
 
+    /** Creates a measurement without values. */
     ConnectFailures(DecisionClock clock) {
         this.clock = clock;
     }
 
-    /** An attempt at an endpoint not canary has ended. */
-    void recordConnect(boolean refused) {
-        refusals.add(clock.nowUs(), refused ? 1 : 0);
+    /** Records whether an attempt at an endpoint not running the canary failed to connect. */
+    void recordConnect(boolean failed) {
+        failedConnects.add(clock.nowUs(), failed ? 1 : 0);
     }
 
-    /** An attempt has failed, with an error or without an answer or a connection. */
+    /** Records a failed attempt: an error, or a missing answer or connection. */
     void recordFailure(boolean isError) {
         errors.add(clock.nowUs(), isError ? 1 : 0);
     }
 
-    /** The share of failed attempts that were errors of an endpoint; 1 where none failed recently. */
+    /** Returns the share of failed attempts that were errors of an endpoint; 1 if none failed recently. */
     double errorShareOfFailures() {
         return errors.mean(clock.nowUs(), 1);
     }
 
     /**
-     * Guards against endpoints that accept few connections, for whatever cause: connects fail also where no build is
-     * canary. Then this relay keeps to connections that stand, failed connects say nothing of a build, and going on to
-     * another endpoint costs little. Could harm where a released build crashes: its failed connects no longer call it
-     * back.
+     * Whether endpoints accept only few connections, whatever the cause: connects also fail at builds that are not the
+     * canary. In this state the relay prefers open connections, failed connects are not evidence about a build, and a
+     * retry at another endpoint costs little. Can delay the rollback of a released build that crashes, as its failed
+     * connects no longer count.
      */
     boolean connectionsAreScarce() {
-        return refusals.mean(clock.nowUs(), 0) > SCARCE_SHARE;
+        return failedConnects.mean(clock.nowUs(), 0) > SCARCITY_THRESHOLD;
     }
 }
--- a/src/main/java/gatelock/decision/DecisionContext.java
+++ b/src/main/java/gatelock/decision/DecisionContext.java
@@ -6,8 +6,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What all modules of one relay's decisions share: settings, actions, the random generator, the clock, the state of
- * the rollout and the relay's measurements. It decides nothing.
+ * The state that all decision modules of one relay share: settings, actions, the random generator, the clock, the state
+ * of the rollout and the relay's measurements. It makes no decisions.
  */
 record DecisionContext(
         RelaySettings settings,
@@ -19,10 +19,10 @@
         Throughput throughput,
         ConnectFailures connectFailures) {
 
-    /** Up to this many relays each sees enough of the requests to judge a build by itself. */
-    static final double FEW_RELAYS = 8;
+    /** With up to this many relays, each sees enough of the requests to judge a build on its own. */
+    static final double SMALL_FLEET_RELAYS = 8;
 
-    /** The context of a relay that has just started; the random generator is seeded from the settings. */
+    /** Creates the context of a relay that has just started; the random generator is seeded from the settings. */
     static DecisionContext of(RelaySettings settings, DecisionActions actions) {
         DecisionClock clock = new DecisionClock();
         return new DecisionContext(
@@ -36,12 +36,13 @@
                 new ConnectFailures(clock));
     }
 
+    /** Returns the time of the current call, in microseconds. */
     long nowUs() {
         return clock.nowUs();
     }
 
-    /** Whether the relays are so many that each sees only a small sample of the requests. */
-    boolean manyRelays() {
-        return settings.relayCount() > FEW_RELAYS;
+    /** Whether there are so many relays that each sees only a small sample of the requests. */
+    boolean hasManyRelays() {
+        return settings.relayCount() > SMALL_FLEET_RELAYS;
     }
 }
--- a/src/main/java/gatelock/decision/EndpointRegistry.java
+++ b/src/main/java/gatelock/decision/EndpointRegistry.java
@@ -8,36 +8,36 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The endpoints and builds as discovery lists them. */
+/** The endpoints and builds that discovery lists. */
 final class EndpointRegistry {
     private final DecisionContext context;
     private final Map<String, EndpointState> endpoints = new LinkedHashMap<>();
     private final TreeMap<Integer, BuildState> builds = new TreeMap<>();
-    private int places = 1;
+    private int fleetSize = 1;
 
     EndpointRegistry(DecisionContext context) {
         this.context = context;
     }
 
-    /** Takes over a list, or a part of it; whatever a whole list lacks has left. */
-    void update(EndpointUpdateType form, List<Endpoint> entries) {
-        if (form != EndpointUpdateType.DELTA) {
+    /** Applies a complete list or a partial update. Endpoints that a complete list does not contain are gone. */
+    void update(EndpointUpdateType updateType, List<Endpoint> entries) {
+        if (updateType != EndpointUpdateType.DELTA) {
             endpoints.values().forEach(endpoint -> endpoint.setHealth(Endpoint.Health.GONE));
         }
         for (Endpoint entry : entries) {
             EndpointState known = endpoints.get(entry.name());
-            // A restarted or re-used id is a new endpoint: nothing of its past holds.
+            // An entry for a restarted process or a reused id is a new endpoint without measurements.
             EndpointState endpoint = known != null && known.isProcessOf(entry) ? known : addEndpoint(entry);
             endpoint.setHealth(entry.health());
         }
-        forgetUnused();
+        removeUnused();
         refreshReadyEndpoints();
     }
 
     private EndpointState addEndpoint(Endpoint entry) {
         BuildState build = builds.get(entry.build());
         if (build == null) {
-            rememberStateBeforeCanary();
+            snapshotStateBeforeCanary();
             build = new BuildState(entry.build(), context);
             builds.put(entry.build(), build);
         }
@@ -47,21 +47,21 @@
         return endpoint;
     }
 
-    private void rememberStateBeforeCanary() {
+    private void snapshotStateBeforeCanary() {
         for (BuildState build : builds.values()) {
             build.ownOutcomes().takeSnapshot();
             build.sampledOutcomes().takeSnapshot();
         }
-        context.throughput().rememberWorkBeforeCanary();
+        context.throughput().snapshotWorkBeforeCanary();
     }
 
     /**
-     * Ids and builds come and go: an endpoint that left is forgotten with its last attempt, a build with its endpoints
-     * once it is before all that is compared.
+     * Removes an endpoint that has left once its last attempt has ended, and a build once it has no endpoints and is
+     * older than the builds that are compared. Otherwise ids and builds would accumulate.
      */
-    private void forgetUnused() {
+    private void removeUnused() {
         builds.values().forEach(build -> build.readyEndpoints().clear());
-        endpoints.values().removeIf(EndpointState::isForgettable);
+        endpoints.values().removeIf(EndpointState::isRemovable);
         BuildState earlier = buildBeforeNewest();
         if (earlier != null) {
             builds.keySet().removeIf(number -> number < earlier.number() && !hasEndpoints(number));
@@ -78,38 +78,38 @@
                 endpoint.build().readyEndpoints().add(endpoint);
             }
         }
-        places = 1;
+        fleetSize = 1;
         for (BuildState build : builds.values()) {
-            places = Math.max(places, build.readyEndpoints().size());
+            fleetSize = Math.max(fleetSize, build.readyEndpoints().size());
         }
     }
 
-    /** The endpoint listed under this id, or null. */
+    /** Returns the endpoint that is listed under this id, or null. */
     EndpointState endpoint(String id) {
         return endpoints.get(id);
     }
 
-    /** All builds, the oldest first. */
+    /** Returns all builds, the oldest first. */
     Collection<BuildState> builds() {
         return builds.values();
     }
 
-    /** All builds, the newest first. */
+    /** Returns all builds, the newest first. */
     Collection<BuildState> buildsNewestFirst() {
         return builds.descendingMap().values();
     }
 
-    /** The build of this number, or null. */
+    /** Returns the build with this number, or null. */
     BuildState build(int number) {
         return builds.get(number);
     }
 
-    /** The newest build as the release controller names it, or null where none of its endpoints was listed. */
+    /** Returns the newest build according to the release controller, or null if none of its endpoints was listed. */
     BuildState newestBuild() {
         return builds.get(context.rollout().newestBuild());
     }
 
-    /** The latest build before the newest that has outcomes and was not withdrawn, or null. */
+    /** Returns the latest build before the newest that has outcomes and was not withdrawn, or null. */
     BuildState buildBeforeNewest() {
         for (BuildState build : builds.headMap(context.rollout().newestBuild(), false)
                 .descendingMap()
@@ -122,20 +122,23 @@
         return null;
     }
 
-    /** The number of the oldest build that is kept; {@link Integer#MAX_VALUE} where there is none. */
+    /** Returns the number of the oldest known build, or {@link Integer#MAX_VALUE} if there is none. */
     int oldestBuildNumber() {
         return builds.isEmpty() ? Integer.MAX_VALUE : builds.firstKey();
     }
 
-    /** How many endpoints the fleet has for its work: those of its largest build, one at least. */
-    int places() {
-        return places;
+    /** Returns how many endpoints share the load: the number of ready endpoints of the largest build, at least one. */
+    int fleetSize() {
+        return fleetSize;
     }
 
-    /** Rules 3 and 5: nothing new to an endpoint that leaves or came back as another, nor to a build not open. */
+    /**
+     * Whether an endpoint may receive new requests. Enforces rules 3 and 5: nothing is sent to an endpoint that is
+     * leaving or was replaced by another process, or to a build that accepts no new requests.
+     */
     boolean mayReceive(EndpointState endpoint) {
         return endpoint.isReady()
                 && endpoints.get(endpoint.id()) == endpoint
-                && endpoint.build().isOpen();
+                && endpoint.build().acceptsNewRequests();
     }
 }
--- a/src/main/java/gatelock/decision/EndpointSelector.java
+++ b/src/main/java/gatelock/decision/EndpointSelector.java
@@ -4,16 +4,16 @@
 import java.util.List;
 
 /**
- * Endpoint selection by power of two choices: of two endpoints drawn at random that may take the request, the one with the
- * shorter expected wait. More than two are looked at where one is refused.
+ * Selects endpoints by the power of two choices: of two endpoints drawn at random that may receive the request, the one
+ * with the shorter expected wait. An endpoint that may not receive the request is replaced by another draw.
  */
 final class EndpointSelector {
     private static final int CHOICES = 2;
 
-    /** The share of its retriable requests that an ejected endpoint still gets, so that its recovery shows. */
+    /** An ejected endpoint still receives this share of its retriable requests, so that its recovery is noticed. */
     private static final double PROBE_SHARE = 0.1;
 
-    /** Where a new connection has a price, so many endpoints are looked at for two with an idle connection. */
+    /** If a new connection has a cost, up to this many endpoints are examined to find two with an idle connection. */
     private static final int IDLE_CONNECTION_CHOICES = 8;
 
     private final DecisionContext context;
@@ -38,10 +38,13 @@
         this.outliers = outliers;
     }
 
-    /** An endpoint of the canary, or of the newest other build that may take the request; null where there is none. */
+    /**
+     * Selects an endpoint of the canary, or else of the newest build that is not a canary and has an endpoint that may
+     * receive the request. Returns null if there is none.
+     */
     EndpointState select(RequestState request, boolean canary) {
         for (BuildState build : registry.buildsNewestFirst()) {
-            if (build.isCanary() == canary && mayTake(build, request)) {
+            if (build.isCanary() == canary && mayReceive(build, request)) {
                 EndpointState endpoint = selectFrom(build, request);
                 if (endpoint != null) {
                     return endpoint;
@@ -51,13 +54,13 @@
         return null;
     }
 
-    private boolean mayTake(BuildState build, RequestState request) {
-        return build.isOpen()
+    private boolean mayReceive(BuildState build, RequestState request) {
+        return build.acceptsNewRequests()
                 && stickyBuilds.allows(request.key(), build.number(), context.rollout())
-                && (!build.isCanary() || canaryMayTake(build, request));
+                && (!build.isCanary() || canaryMayReceive(build, request));
     }
 
-    private boolean canaryMayTake(BuildState canary, RequestState request) {
+    private boolean canaryMayReceive(BuildState canary, RequestState request) {
         boolean guarded = context.rollout().isGuardedStage(canary.number());
         return canary.exposure().allows(request.route()) && (!guarded || request.isRetriable());
     }
@@ -65,65 +68,72 @@
     private EndpointState selectFrom(BuildState build, RequestState request) {
         EndpointState best = null;
         double share = admission.capacityShare(request);
-        boolean scarce = context.connectFailures().connectionsAreScarce();
+        boolean connectionsScarce = context.connectFailures().connectionsAreScarce();
         List<EndpointState> endpoints = build.readyEndpoints();
-        int found = 0;
-        for (int i = 0; i < endpoints.size() && found < CHOICES; i++) {
+        int choices = 0;
+        for (int i = 0; i < endpoints.size() && choices < CHOICES; i++) {
             Collections.swap(endpoints, i, i + context.random().nextInt(endpoints.size() - i));
             EndpointState candidate = endpoints.get(i);
             if (!isEligible(candidate, request, share)) {
                 continue;
             }
-            if (best == null || isBetter(candidate, best, request, scarce)) {
+            if (best == null || isBetter(candidate, best, request, connectionsScarce)) {
                 best = candidate;
             }
-            if (countsAsChoice(candidate, scarce, i + 1)) {
-                found++;
+            if (countsAsChoice(candidate, connectionsScarce, i + 1)) {
+                choices++;
             }
         }
         return best;
     }
 
-    /** Whether a request may go to an endpoint. The draw for an ejected one comes first, whatever the rest says. */
+    /**
+     * Whether a request may go to an endpoint. The random number for probing an ejected endpoint is drawn first, so
+     * that the sequence of draws does not depend on the other conditions.
+     */
     private boolean isEligible(EndpointState endpoint, RequestState request, double share) {
-        boolean probes = request.isRetriable()
+        boolean isProbe = request.isRetriable()
                 && request.isFirstAttempt()
                 && context.random().nextDouble() < PROBE_SHARE;
         return request.constraints().allowsEndpoint(endpoint.id())
                 && capacity.hasCapacity(endpoint, request, share)
                 && request.mayBeSentTo(endpoint, request.attempts().size())
-                && !request.wasTriedAt(endpoint)
-                && (probes || !outliers.isEjected(endpoint));
+                && !request.wasAttemptedAt(endpoint)
+                && (isProbe || !outliers.isEjected(endpoint));
     }
 
-    private boolean isBetter(EndpointState candidate, EndpointState best, RequestState request, boolean scarce) {
-        if (scarce && candidate.hasOpenConnection() != best.hasOpenConnection()) {
+    private boolean isBetter(
+            EndpointState candidate, EndpointState best, RequestState request, boolean connectionsScarce) {
+        if (connectionsScarce && candidate.hasOpenConnection() != best.hasOpenConnection()) {
             return candidate.hasOpenConnection();
         }
         return expectedWait(candidate, request) < expectedWait(best, request);
     }
 
-    /** Whether an endpoint is one of the two choices, and not only a stopgap for want of an existing connection. */
-    private boolean countsAsChoice(EndpointState endpoint, boolean scarce, int lookedAt) {
-        if (scarce) {
+    /**
+     * Whether an endpoint counts as one of the two choices. An endpoint without an existing connection may be only a
+     * fallback.
+     */
+    private boolean countsAsChoice(EndpointState endpoint, boolean connectionsScarce, int examined) {
+        if (connectionsScarce) {
             return endpoint.hasOpenConnection();
         }
         return context.settings().connectionCost() == 0
                 || endpoint.isCanary()
                 || endpoint.hasIdleConnection()
-                || lookedAt >= IDLE_CONNECTION_CHOICES;
+                || examined >= IDLE_CONNECTION_CHOICES;
     }
 
     /**
-     * The expected wait per announced work. At endpoints not canary opening a new connection counts as the wait that costs
-     * as much worth.
+     * Returns the expected wait per unit of announced cost. For endpoints not running the canary, a new connection
+     * counts as the wait that lowers the value of the request as much as the connection costs.
      */
     private double expectedWait(EndpointState endpoint, RequestState request) {
-        boolean isFree = endpoint.hasIdleConnection() || endpoint.isCanary();
-        double opening = isFree
+        boolean needsNoConnection = endpoint.hasIdleConnection() || endpoint.isCanary();
+        double connectionWait = needsNoConnection
                 ? 0
                 : context.settings().connectionCost() * request.policy().latencyObjectiveUs() / request.costUs();
         double requests = endpoint.attemptsInFlight().size() + 1 + endpoint.reportedQueue();
-        return endpoint.expectedSlowness() * requests + opening;
+        return endpoint.expectedSlowness() * requests + connectionWait;
     }
 }
--- a/src/main/java/gatelock/decision/EndpointState.java
+++ b/src/main/java/gatelock/decision/EndpointState.java
@@ -4,16 +4,19 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One endpoint process: how it is listed, this relay's attempts in flight at it, and what was measured of it. */
+/** One endpoint process: its list entry, this relay's attempts in flight at it, and its measurements. */
 final class EndpointState {
-    /** A connection that was in use this long ago surely stands. */
-    private static final long OPEN_US = DecisionClock.SECOND_US / 4;
+    /** A connection that was in use this recently is assumed to be open. */
+    private static final long RECENT_USE_US = DecisionClock.SECOND_US / 4;
 
-    /** A queue that the endpoint reported counts for this long. */
-    private static final long REPORT_LIFE_US = DecisionClock.SECOND_US;
+    /** How long a queue length that the endpoint reported is used. */
+    private static final long REPORT_TTL_US = DecisionClock.SECOND_US;
 
-    /** Measures of an endpoint fade more slowly where a relay of many sees few requests, at most by this factor. */
-    private static final double LONGEST_MEMORY = 4;
+    /**
+     * With many relays, each of which sees few requests, an endpoint's measurements decay more slowly, at most by this
+     * factor.
+     */
+    private static final double MAX_TIME_CONSTANT_FACTOR = 4;
 
     private final Endpoint entry;
     private final BuildState build;
@@ -22,83 +25,96 @@
     private final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
     private final DecayingSum slowness;
     private final DecayingSum failures;
-    private final DecayingSum answers = new DecayingSum(Throughput.RATE_MEMORY_US);
-    private final DecayingSum queueLengths = new DecayingSum(Throughput.RATE_MEMORY_US);
+    private final DecayingSum answers = new DecayingSum(Throughput.RATE_TIME_CONSTANT_US);
+    private final DecayingSum queueLengths = new DecayingSum(Throughput.RATE_TIME_CONSTANT_US);
     private final IdleConnectionEstimate idleConnections = new IdleConnectionEstimate();
     private Endpoint.Health health;
     private long lastAnswerUs = Long.MIN_VALUE / 2;
     private double reportedQueue;
     private long reportedAtUs = Long.MIN_VALUE / 2;
 
-    /** An endpoint process of which nothing was measured; its budget of work starts below zero by a random part. */
+    /**
+     * Creates the state of an endpoint process without measurements. Its work budget starts at a random value below
+     * zero.
+     */
     EndpointState(Endpoint entry, BuildState build, DecisionContext context) {
         this.entry = entry;
         this.build = build;
         this.context = context;
         double debtUs = context.random().nextDouble() * context.latency().meanCostUs();
         this.workBudget = new WorkBudget(-debtUs, context.nowUs());
-        double memoryUs = LatencyEstimates.SLOWNESS_MEMORY_US
-                * Math.min(LONGEST_MEMORY, Math.max(1, context.settings().relayCount() / DecisionContext.FEW_RELAYS));
-        this.slowness = new DecayingSum(memoryUs);
-        this.failures = new DecayingSum(memoryUs);
+        double timeConstantUs = LatencyEstimates.SLOWNESS_TIME_CONSTANT_US
+                * Math.min(
+                        MAX_TIME_CONSTANT_FACTOR,
+                        Math.max(1, context.settings().relayCount() / DecisionContext.SMALL_FLEET_RELAYS));
+        this.slowness = new DecayingSum(timeConstantUs);
+        this.failures = new DecayingSum(timeConstantUs);
     }
 
-    /** As it was listed first; its health may have changed since, see {@link #isReady}. */
+    /** Returns its first list entry. Its health may have changed since then, see {@link #isReady}. */
     Endpoint entry() {
         return entry;
     }
 
+    /** Returns its name in the list. */
     String id() {
         return entry.name();
     }
 
+    /** Returns the build that it runs. */
     BuildState build() {
         return build;
     }
 
+    /** Whether it runs a canary build. */
     boolean isCanary() {
         return build.isCanary();
     }
 
-    /** Whether a list entry is about this very process, and not one that was restarted or uses the id again. */
+    /** Whether a list entry describes this process, not a restarted one or one that reuses the id. */
     boolean isProcessOf(Endpoint listed) {
         return entry.startedAtUs() == listed.startedAtUs() && build.number() == listed.build();
     }
 
+    /** Sets the health that discovery listed last. */
     void setHealth(Endpoint.Health listedHealth) {
         health = listedHealth;
     }
 
+    /** Whether it accepts requests. */
     boolean isReady() {
         return health == Endpoint.Health.READY;
     }
 
     /** Whether it has left the list and its last attempt has ended. */
-    boolean isForgettable() {
+    boolean isRemovable() {
         return health == Endpoint.Health.GONE && attemptsInFlight.isEmpty();
     }
 
+    /** Returns this relay's attempts in flight at it. */
     Set<Attempt> attemptsInFlight() {
         return attemptsInFlight;
     }
 
-    /** Budget of work while it is canary or warming up. */
+    /** Returns the budget that limits the work sent to it while it runs a canary build or is warming up. */
     WorkBudget workBudget() {
         return workBudget;
     }
 
+    /** Records an attempt that is sent now. */
     void attemptSent(Attempt attempt) {
         long nowUs = context.nowUs();
         queueLengths.add(nowUs, attemptsInFlight.size());
         build.queueLengths().add(nowUs, attemptsInFlight.size());
         attemptsInFlight.add(attempt);
         idleConnections.acquire(nowUs, context.settings().idleConnectionUs());
-        // A slow build's requests cost more.
+        // A request to a slow build uses more of the budget.
         double relativeSlowness =
-                build.slowness().mean(nowUs, 0) / context.latency().slownessOfKind(entry.instanceType());
+                build.slowness().mean(nowUs, 0) / context.latency().slownessOfInstanceType(entry.instanceType());
         workBudget.spend(attempt.request().costUs() * Math.max(1, relativeSlowness));
     }
 
+    /** Records the end of an attempt. */
     void attemptEnded(Attempt attempt, boolean connectionStaysOpen) {
         attemptsInFlight.remove(attempt);
         if (connectionStaysOpen) {
@@ -106,74 +122,84 @@
         }
     }
 
+    /** Records a successful answer. */
     void recordAnswer() {
         lastAnswerUs = context.nowUs();
         answers.add(context.nowUs(), 1);
     }
 
+    /** Records the latency of an answer divided by the cost of its request. */
     void recordSlowness(double value) {
         slowness.add(context.nowUs(), value);
     }
 
+    /** Records an attempt that failed or is overdue. */
     void recordFailure() {
         failures.add(context.nowUs(), 1);
     }
 
-    void recordReportedQueue(double waiting) {
-        reportedQueue = waiting;
+    /** Records the queue length that the endpoint reported. */
+    void recordReportedQueue(double queuedRequests) {
+        reportedQueue = queuedRequests;
         reportedAtUs = context.nowUs();
     }
 
+    /** Whether it has answered any request since this time. */
     boolean hasAnsweredSince(long timeUs) {
         return lastAnswerUs > timeUs;
     }
 
+    /** Returns the recent rate of answers to this relay, per microsecond. */
     double answersPerUs() {
-        return answers.count(context.nowUs()) / Throughput.RATE_MEMORY_US;
+        return answers.count(context.nowUs()) / Throughput.RATE_TIME_CONSTANT_US;
     }
 
-    /** How many attempts recently failed or were overdue; decays. */
+    /** Returns the decaying number of attempts that failed or were overdue. */
     double recentFailures() {
         return failures.count(context.nowUs());
     }
 
-    /** From how many recent answers its slowness was measured; decays. */
+    /** Returns the decaying number of answers from which its slowness was measured. */
     double recentAnswers() {
         return slowness.count(context.nowUs());
     }
 
-    /** How many requests of each other relay are in flight here on average, judged by this relay's own. */
+    /**
+     * Returns the estimated mean number of requests that each other relay has in flight here; based on this relay's own
+     * number, as the relays send similar loads.
+     */
     double meanQueueLength() {
-        double ofBuild = build.queueLengths().mean(context.nowUs(), 0);
-        return queueLengths.shrunkMean(context.nowUs(), ofBuild, LatencyEstimates.PRIOR_WEIGHT);
+        double buildMean = build.queueLengths().mean(context.nowUs(), 0);
+        return queueLengths.shrunkMean(context.nowUs(), buildMean, LatencyEstimates.PRIOR_WEIGHT);
     }
 
-    /** The queue that the endpoint reported within the last second, else 0. */
+    /** Returns the queue length that the endpoint reported within the last second, else 0. */
     double reportedQueue() {
-        return context.nowUs() - reportedAtUs < REPORT_LIFE_US ? reportedQueue : 0;
+        return context.nowUs() - reportedAtUs < REPORT_TTL_US ? reportedQueue : 0;
     }
 
-    /** Its mean slowness, or that of its kind where that is higher. */
-    double cautiousSlowness() {
-        return Math.max(slowness.mean(context.nowUs(), 0), context.latency().slownessOfKind(entry.instanceType()));
+    /** Returns its mean slowness, or that of its instance type if that is higher. */
+    double conservativeSlowness() {
+        return Math.max(
+                slowness.mean(context.nowUs(), 0), context.latency().slownessOfInstanceType(entry.instanceType()));
     }
 
-    /** Its mean slowness, shrunk towards that of its kind. */
+    /** Returns its mean slowness, shrunk towards that of its instance type. */
     double expectedSlowness() {
-        return slowness.shrunkMean(context.nowUs(), context.latency().slownessOfKind(entry.instanceType()), 1);
+        return slowness.shrunkMean(context.nowUs(), context.latency().slownessOfInstanceType(entry.instanceType()), 1);
     }
 
-    /** Whether a connection to it surely stands: it is in use, or was an instant ago. */
+    /** Whether a connection to it is almost certainly open, because one is or very recently was in use. */
     boolean hasOpenConnection() {
-        return !attemptsInFlight.isEmpty() || context.nowUs() - lastAnswerUs < OPEN_US;
+        return !attemptsInFlight.isEmpty() || context.nowUs() - lastAnswerUs < RECENT_USE_US;
     }
 
-    /** Whether a connection to it surely stands that no request uses. */
+    /** Whether a connection to it is almost certainly open and idle. */
     boolean hasIdleConnection() {
         return idleConnections.hasIdle(context.nowUs(), context.settings().idleConnectionUs());
     }
 
-    /** Whether it started less than the time ago within which endpoints surely become warm. */
+    /** Whether it started so recently that it may still be in slow start. */
     boolean isWarmingUp() {
         return entry.startedAtUs() > 0
                 && context.nowUs() - entry.startedAtUs() < context.settings().slowStartUs();
--- a/src/main/java/gatelock/decision/ErrorCount.java
+++ b/src/main/java/gatelock/decision/ErrorCount.java
@@ -1,4 +1,4 @@
 package gatelock.decision;
 
-/** How many outcomes one slice of time has, and how many of them failed. */
+/** The number of outcomes in one time window and how many of them failed. */
 record ErrorCount(long outcomes, long failed) {}
--- a/src/main/java/gatelock/decision/Evidence.java
+++ b/src/main/java/gatelock/decision/Evidence.java
@@ -1,12 +1,12 @@
 package gatelock.decision;
 
-/** The figures on which an assessment of a build rests, as a vote's log line gives them. */
+/** The measured values on which an assessment of a build is based, as the log line of a vote shows them. */
 sealed interface Evidence {
 
-    /** The text of the log line. On-call pages quote it. */
+    /** Returns the text for the log line. On-call pages quote it. */
     String logText();
 
-    /** Nothing was compared yet. */
+    /** No comparison was possible yet. */
     record Nothing() implements Evidence {
         @Override
         public String logText() {
@@ -15,53 +15,57 @@
     }
 
     /**
-     * Bootstrapped intervals against their bars.
+     * Bootstrapped confidence intervals and their thresholds.
      *
-     * @param outcomes how many outcomes were looked at
-     * @param errors the share of errors; null where the outcomes were too few
-     * @param slowness the relative slowness at the percentile; null where it was not looked at
+     * @param outcomes the number of outcomes that were compared
+     * @param errors the error rate, or null if there were too few outcomes
+     * @param slowness the relative slowness at the percentile, or null if it was not compared
      */
     record Intervals(int outcomes, Comparison errors, Comparison slowness) implements Evidence {
         @Override
         public String logText() {
             String text = outcomes + " outcomes";
             if (errors != null) {
-                text += String.format(", errors %.3f to %.3f, bar %.3f", errors.lower(), errors.upper(), errors.bar());
+                text += String.format(
+                        ", errors %.3f to %.3f, bar %.3f", errors.lower(), errors.upper(), errors.threshold());
             }
             if (slowness != null) {
                 text += String.format(
-                        ", slowness %.2f to %.2f, bar %.2f", slowness.lower(), slowness.upper(), slowness.bar());
+                        ", slowness %.2f to %.2f, bar %.2f", slowness.lower(), slowness.upper(), slowness.threshold());
             }
             return text;
         }
     }
 
-    /** How many of the endpoints had an outcome past a bar which a given share of outcomes may be past. */
-    record EndpointsPastBar(int outcomes, int endpoints, double bar) implements Evidence {
+    /** The number of endpoints with an outcome above a threshold that the given share of the outcomes may exceed. */
+    record EndpointsAboveThreshold(int outcomes, int endpoints, double threshold) implements Evidence {
         @Override
         public String logText() {
-            return outcomes + " outcomes, " + endpoints + " endpoints past the bar of " + String.format("%.3f", bar);
+            return outcomes + " outcomes, " + endpoints + " endpoints past the bar of "
+                    + String.format("%.3f", threshold);
         }
     }
 
-    /** An interval and the bar it is set against. */
-    record Comparison(Bootstrap.Interval interval, double bar) {
+    /** A confidence interval and the threshold that it is compared with. */
+    record Comparison(Bootstrap.Interval interval, double threshold) {
+        /** Returns the lower end of the interval. */
         double lower() {
             return interval.lower();
         }
 
+        /** Returns the upper end of the interval. */
         double upper() {
             return interval.upper();
         }
 
-        /** Whether the whole interval is above the bar. */
+        /** Whether the whole interval is above the threshold. */
         boolean isAbove() {
-            return lower() > bar;
+            return lower() > threshold;
         }
 
-        /** Whether the whole interval is below the bar. */
+        /** Whether the whole interval is below the threshold. */
         boolean isBelow() {
-            return upper() < bar;
+            return upper() < threshold;
         }
     }
 }
--- a/src/main/java/gatelock/decision/ExposureBudget.java
+++ b/src/main/java/gatelock/decision/ExposureBudget.java
@@ -19,7 +19,7 @@
     }
 
     /** A request of this route has arrived; the cap is the share of an attempt that it earns. */
-    void earn(int route, double cap) {
+    void credit(int route, double cap) {
         int slot = slotOf(route);
         remaining[slot] = Math.min(burst, remaining[slot] + cap);
     }
--- a/src/main/java/gatelock/decision/Finding.java
+++ b/src/main/java/gatelock/decision/Finding.java
@@ -1,9 +1,10 @@
 package gatelock.decision;
 
-/** An assessment of a build together with the figures it rests on. */
+/** An assessment of a build and the evidence that it is based on. */
 record Finding(Assessment assessment, Evidence evidence) {
 
-    boolean isFail() {
-        return assessment.isFail();
+    /** Whether the build fails with confidence. */
+    boolean isFailure() {
+        return assessment.isFailure();
     }
 }
--- a/src/main/java/gatelock/decision/LatencyByLoad.java
+++ b/src/main/java/gatelock/decision/LatencyByLoad.java
@@ -8,10 +8,10 @@
 
 /** The mean slowness of a build's outcomes by machine kind and by load, in steps of one request in flight. */
 final class LatencyByLoad {
-    private static final int ANY_KIND = -1;
+    private static final int ANY_INSTANCE_TYPE = -1;
 
     /** Loads of this many requests in flight and more count as one. */
-    private static final int LOAD_STEPS = 24;
+    private static final int LOAD_BUCKETS = 24;
 
     private final int minOutcomes;
     private final Map<Integer, Table> tables = new HashMap<>();
@@ -22,21 +22,21 @@
         for (OutcomeWindow window : windows) {
             for (AttemptOutcome outcome : window.outcomes()) {
                 if (!outcome.failed()) {
-                    table(ANY_KIND).add(outcome);
-                    table(outcome.kind()).add(outcome);
+                    table(ANY_INSTANCE_TYPE).add(outcome);
+                    table(outcome.instanceType()).add(outcome);
                 }
             }
         }
     }
 
-    private Table table(int kind) {
-        return tables.computeIfAbsent(kind, k -> new Table());
+    private Table table(int instanceType) {
+        return tables.computeIfAbsent(instanceType, k -> new Table());
     }
 
     /** The mean under about this outcome's load, of its machine kind or else of any; NaN where too few are known. */
-    double usual(AttemptOutcome outcome) {
-        double ofKind = usual(outcome.kind(), step(outcome));
-        return Double.isNaN(ofKind) ? usual(ANY_KIND, step(outcome)) : ofKind;
+    double baseline(AttemptOutcome outcome) {
+        double ofInstanceType = baseline(outcome.instanceType(), bucket(outcome));
+        return Double.isNaN(ofInstanceType) ? baseline(ANY_INSTANCE_TYPE, bucket(outcome)) : ofInstanceType;
     }
 
     /**
@@ -44,13 +44,13 @@
      * load, highest first. Where the earlier build never had as many in flight there is none: a canary endpoint that the
      * cap fills fuller proves nothing by that.
      */
-    RelativeLatency[] relativeTo(List<OutcomeWindow> windows, long warmUs) {
+    RelativeLatency[] relativeTo(List<OutcomeWindow> windows, long warmUpUs) {
         List<RelativeLatency> latencies = new ArrayList<>();
-        for (int slice = 0; slice < windows.size(); slice++) {
-            for (AttemptOutcome outcome : windows.get(slice).outcomes()) {
-                double usual = usual(outcome);
-                if (!outcome.failed() && !Double.isNaN(usual) && outcome.ageUs() > warmUs) {
-                    latencies.add(new RelativeLatency(outcome.slowness() / usual, slice));
+        for (int windowIndex = 0; windowIndex < windows.size(); windowIndex++) {
+            for (AttemptOutcome outcome : windows.get(windowIndex).outcomes()) {
+                double baseline = baseline(outcome);
+                if (!outcome.failed() && !Double.isNaN(baseline) && outcome.ageUs() > warmUpUs) {
+                    latencies.add(new RelativeLatency(outcome.slowness() / baseline, windowIndex));
                 }
             }
         }
@@ -58,19 +58,19 @@
         return latencies.toArray(RelativeLatency[]::new);
     }
 
-    private static int step(AttemptOutcome outcome) {
-        return Math.min(LOAD_STEPS - 1, (int) outcome.load());
+    private static int bucket(AttemptOutcome outcome) {
+        return Math.min(LOAD_BUCKETS - 1, (int) outcome.load());
     }
 
     /** From one step below the given one upwards, until enough outcomes are found. */
-    private double usual(int kind, int step) {
-        Table table = tables.get(kind);
+    private double baseline(int instanceType, int bucket) {
+        Table table = tables.get(instanceType);
         if (table == null) {
             return Double.NaN;
         }
         double sum = 0;
         double count = 0;
-        for (int i = Math.max(0, step - 1); i < LOAD_STEPS && (count < minOutcomes || i <= step + 1); i++) {
+        for (int i = Math.max(0, bucket - 1); i < LOAD_BUCKETS && (count < minOutcomes || i <= bucket + 1); i++) {
             sum += table.sums[i];
             count += table.counts[i];
         }
@@ -79,12 +79,12 @@
 
     /** Sum of slowness and number of outcomes by load. */
     private static final class Table {
-        private final double[] sums = new double[LOAD_STEPS];
-        private final double[] counts = new double[LOAD_STEPS];
+        private final double[] sums = new double[LOAD_BUCKETS];
+        private final double[] counts = new double[LOAD_BUCKETS];
 
         void add(AttemptOutcome outcome) {
-            sums[step(outcome)] += outcome.slowness();
-            counts[step(outcome)] += 1;
+            sums[bucket(outcome)] += outcome.slowness();
+            counts[bucket(outcome)] += 1;
         }
     }
 }
--- a/src/main/java/gatelock/decision/LatencyEstimates.java
+++ b/src/main/java/gatelock/decision/LatencyEstimates.java
@@ -9,16 +9,16 @@
  */
 final class LatencyEstimates {
     /** Stands for all machine kinds together. */
-    static final int ALL_KINDS = -1;
+    static final int ALL_INSTANCE_TYPES = -1;
 
     /** Measures of an endpoint's slowness fade over this time. */
-    static final double SLOWNESS_MEMORY_US = 4.0 * DecisionClock.SECOND_US;
+    static final double SLOWNESS_TIME_CONSTANT_US = 4.0 * DecisionClock.SECOND_US;
 
     /** A mean of few values is shrunk towards a common one, which weighs as much as this many values. */
     static final double PRIOR_WEIGHT = 4;
 
-    private static final double COST_MEMORY_US = 20.0 * DecisionClock.SECOND_US;
-    private static final double ROUTE_MEMORY_US = 6.0 * DecisionClock.SECOND_US;
+    private static final double COST_TIME_CONSTANT_US = 20.0 * DecisionClock.SECOND_US;
+    private static final double ROUTE_TIME_CONSTANT_US = 6.0 * DecisionClock.SECOND_US;
 
     /** Assumed while nothing was measured. */
     private static final double DEFAULT_SLOWNESS = 1.5;
@@ -26,23 +26,24 @@
     private static final double DEFAULT_COST_US = DecisionClock.SECOND_US / 5.0;
 
     /** Assumed work of a route's request, as a part of its latency objective. */
-    private static final double DEFAULT_COST_PART = 8.0;
+    private static final double DEFAULT_COST_DIVISOR = 8.0;
 
     /** A route is exceptional if it needs this many times the slowness of the quickest one. */
-    private static final double EXCEPTIONAL_FACTOR = 2.5;
+    private static final double SLOW_ROUTE_FACTOR = 2.5;
 
     private final List<RoutePolicy> routes;
     private final DecisionClock clock;
     private final DecayingSum[] routeCosts;
-    private final DecayingSum allCosts = new DecayingSum(COST_MEMORY_US);
+    private final DecayingSum allCosts = new DecayingSum(COST_TIME_CONSTANT_US);
     private final DecayingSum[] routeSlowness;
-    private final DecayingMeanByKind slownessByKind = new DecayingMeanByKind(SLOWNESS_MEMORY_US);
+    private final DecayingMeanByInstanceType slownessByInstanceType =
+            new DecayingMeanByInstanceType(SLOWNESS_TIME_CONSTANT_US);
 
     LatencyEstimates(List<RoutePolicy> routes, DecisionClock clock) {
         this.routes = routes;
         this.clock = clock;
-        this.routeCosts = DecayingSum.arrayOf(routes.size(), COST_MEMORY_US);
-        this.routeSlowness = DecayingSum.arrayOf(routes.size(), ROUTE_MEMORY_US);
+        this.routeCosts = DecayingSum.arrayOf(routes.size(), COST_TIME_CONSTANT_US);
+        this.routeSlowness = DecayingSum.arrayOf(routes.size(), ROUTE_TIME_CONSTANT_US);
     }
 
     void recordCost(int route, long costUs) {
@@ -50,8 +51,8 @@
         allCosts.add(clock.nowUs(), (double) costUs);
     }
 
-    void recordSlowness(int kind, double slowness) {
-        slownessByKind.add(clock.nowUs(), kind, slowness);
+    void recordSlowness(int instanceType, double slowness) {
+        slownessByInstanceType.add(clock.nowUs(), instanceType, slowness);
     }
 
     void recordRouteSlowness(int route, double slowness) {
@@ -60,7 +61,7 @@
 
     /** The work of a request of this route that announced none. */
     long costUs(int route) {
-        double fallbackUs = routes.get(route).latencyObjectiveUs() / DEFAULT_COST_PART;
+        double fallbackUs = routes.get(route).latencyObjectiveUs() / DEFAULT_COST_DIVISOR;
         return Math.max(1, (long) routeCosts[route].mean(clock.nowUs(), fallbackUs));
     }
 
@@ -69,9 +70,9 @@
         return allCosts.mean(clock.nowUs(), DEFAULT_COST_US);
     }
 
-    /** The mean slowness of one machine kind, shrunk towards that of all, or of {@link #ALL_KINDS}. */
-    double slownessOfKind(int kind) {
-        return slownessByKind.mean(clock.nowUs(), kind, DEFAULT_SLOWNESS);
+    /** The mean slowness of one machine kind, shrunk towards that of all, or of {@link #ALL_INSTANCE_TYPES}. */
+    double slownessOfInstanceType(int instanceType) {
+        return slownessByInstanceType.mean(clock.nowUs(), instanceType, DEFAULT_SLOWNESS);
     }
 
     /** The time that a request of this route takes on average, in microseconds. */
@@ -87,7 +88,7 @@
             quickest = Math.min(quickest, slownessOfRoute(other));
         }
         double factor = slowness / quickest;
-        return factor > EXCEPTIONAL_FACTOR ? factor : 1;
+        return factor > SLOW_ROUTE_FACTOR ? factor : 1;
     }
 
     /**
@@ -109,6 +110,6 @@
     }
 
     private double slownessOfRoute(int route) {
-        return routeSlowness[route].shrunkMean(clock.nowUs(), slownessOfKind(ALL_KINDS), PRIOR_WEIGHT);
+        return routeSlowness[route].shrunkMean(clock.nowUs(), slownessOfInstanceType(ALL_INSTANCE_TYPES), PRIOR_WEIGHT);
     }
 }
--- a/src/main/java/gatelock/decision/OutcomeHistory.java
+++ b/src/main/java/gatelock/decision/OutcomeHistory.java
@@ -12,7 +12,7 @@
     private final RandomGenerator random;
     private final ArrayDeque<OutcomeWindow> windows = new ArrayDeque<>();
     private List<OutcomeWindow> snapshot = List.of();
-    private int addedToLast;
+    private int outcomesAddedToLatest;
 
     /** Keeps so many slices, and of the outcomes that are added to a slice one by one a fair sample of so many. */
     OutcomeHistory(int maxWindows, int maxOutcomes, RandomGenerator random) {
@@ -25,18 +25,18 @@
     void add(long number, AttemptOutcome outcome) {
         if (windows.isEmpty() || windows.peekLast().number() != number) {
             add(new OutcomeWindow(number, new ArrayList<>(List.of(outcome))));
-            addedToLast = 1;
+            outcomesAddedToLatest = 1;
             return;
         }
         List<AttemptOutcome> sample = windows.peekLast().outcomes();
-        addedToLast++;
+        outcomesAddedToLatest++;
         if (sample.size() < maxOutcomes) {
             sample.add(outcome);
             return;
         }
-        int place = random.nextInt(addedToLast);
-        if (place < maxOutcomes) {
-            sample.set(place, outcome);
+        int index = random.nextInt(outcomesAddedToLatest);
+        if (index < maxOutcomes) {
+            sample.set(index, outcome);
         }
     }
 
--- a/src/main/java/gatelock/decision/OutcomeWindow.java
+++ b/src/main/java/gatelock/decision/OutcomeWindow.java
@@ -48,13 +48,13 @@
      * each has few, that would leave out every outcome that is bad by chance.
      */
     static List<OutcomeWindow> withoutWorst(
-            List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> figure, double share) {
+            List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> metric, double share) {
         List<OutcomeWindow> even =
                 windows.stream().filter(window -> window.number % 2 == 0).toList();
         List<OutcomeWindow> odd =
                 windows.stream().filter(window -> window.number % 2 != 0).toList();
-        List<OutcomeWindow> kept = new ArrayList<>(without(odd, worst(even, figure, share)));
-        kept.addAll(without(even, worst(odd, figure, share)));
+        List<OutcomeWindow> kept = new ArrayList<>(without(odd, worst(even, metric, share)));
+        kept.addAll(without(even, worst(odd, metric, share)));
         return kept;
     }
 
@@ -70,18 +70,18 @@
     }
 
     /** A share of the endpoints with outcomes, one at least: those with the highest mean of a figure. */
-    static List<Object> worst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> figure, double share) {
-        List<Object> all = worstFirst(windows, figure);
+    static List<Object> worst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> metric, double share) {
+        List<Object> all = worstFirst(windows, metric);
         return all.subList(0, Math.min(all.size(), Math.max(1, (int) (all.size() * share))));
     }
 
     /** The endpoints with outcomes, ordered from the highest mean of a figure to the lowest. */
-    static List<Object> worstFirst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> figure) {
+    static List<Object> worstFirst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> metric) {
         Map<Object, Mean> means = new LinkedHashMap<>();
         for (OutcomeWindow window : windows) {
             for (AttemptOutcome outcome : window.outcomes) {
                 means.computeIfAbsent(outcome.endpoint(), endpoint -> new Mean())
-                        .add(figure.applyAsDouble(outcome));
+                        .add(metric.applyAsDouble(outcome));
             }
         }
         List<Object> endpoints = new ArrayList<>(means.keySet());
--- a/src/main/java/gatelock/decision/OutlierDetector.java
+++ b/src/main/java/gatelock/decision/OutlierDetector.java
@@ -10,7 +10,7 @@
  */
 final class OutlierDetector {
     /** An attempt is overdue after this time plus a multiple of what its work usually takes. */
-    private static final long OVERDUE_US = 300_000;
+    private static final long OVERDUE_BASE_US = 300_000;
 
     private static final double OVERDUE_FACTOR = 3;
 
@@ -24,15 +24,15 @@
     private static final double LOST_ZONE_SHARE = MAX_EJECTED_SHARE;
 
     private static final double MIN_ZONE_ATTEMPTS = 2.5;
-    private static final double ZONE_MEMORY_US = 2.0 * DecisionClock.SECOND_US;
+    private static final double ZONE_TIME_CONSTANT_US = 2.0 * DecisionClock.SECOND_US;
 
     private final DecisionContext context;
     private final EndpointRegistry registry;
     private final AdmissionControl admission;
     private final RetryBudget retryBudget;
     private final Set<Attempt> attemptsInFlight = new LinkedHashSet<>();
-    private final TimeoutTracker zoneTimeouts = new TimeoutTracker(ZONE_MEMORY_US);
-    private boolean mayEject = true;
+    private final TimeoutTracker zoneTimeouts = new TimeoutTracker(ZONE_TIME_CONSTANT_US);
+    private boolean ejectionAllowed = true;
 
     OutlierDetector(
             DecisionContext context, EndpointRegistry registry, AdmissionControl admission, RetryBudget retryBudget) {
@@ -51,7 +51,7 @@
     }
 
     /** Counts how an attempt in a zone went. */
-    void recordInZone(int zone, boolean timedOut) {
+    void recordZoneOutcome(int zone, boolean timedOut) {
         zoneTimeouts.add(context.nowUs(), zone, timedOut);
     }
 
@@ -62,25 +62,25 @@
         // Could harm where its bad endpoints had the few attempts: a tenth of the retriable ones still goes there.
         zoneTimeouts.update(context.nowUs(), MIN_ZONE_ATTEMPTS, LOST_ZONE_SHARE, MAX_FAILURE_SHARE);
         int endpoints = 0;
-        int bad = 0;
+        int unhealthy = 0;
         for (BuildState build : registry.builds()) {
             for (EndpointState endpoint : build.readyEndpoints()) {
                 if (!zoneTimeouts.isLost(endpoint.entry().zone())) {
                     endpoints++;
-                    bad += looksBad(endpoint) ? 1 : 0;
+                    unhealthy += isUnhealthy(endpoint) ? 1 : 0;
                 }
             }
         }
-        mayEject = bad <= MAX_EJECTED_SHARE * endpoints;
+        ejectionAllowed = unhealthy <= MAX_EJECTED_SHARE * endpoints;
     }
 
     /** Whether an endpoint gets only the few requests that show whether it has recovered. */
     boolean isEjected(EndpointState endpoint) {
-        return mayEject && looksBad(endpoint);
+        return ejectionAllowed && isUnhealthy(endpoint);
     }
 
     /** Guards against an endpoint that fails much or leaves attempts overdue, whatever the cause. */
-    private boolean looksBad(EndpointState endpoint) {
+    private boolean isUnhealthy(EndpointState endpoint) {
         double failed = endpoint.recentFailures();
         if (zoneTimeouts.isLost(endpoint.entry().zone()) && !endpoint.isWarmingUp()) {
             return true;
@@ -97,28 +97,28 @@
     private void checkOverdue(Attempt attempt) {
         EndpointState endpoint = attempt.endpoint();
         RequestState request = attempt.request();
-        double usualUs = endpoint.cautiousSlowness() * request.costUs();
+        double expectedUs = endpoint.conservativeSlowness() * request.costUs();
         if (attempt.isOverdue()
                 || context.clock().justStalled()
                 || context.latency().isLateEverywhere(request.route())
-                || context.nowUs() - attempt.sentUs() <= OVERDUE_US + OVERDUE_FACTOR * usualUs) {
+                || context.nowUs() - attempt.sentUs() <= OVERDUE_BASE_US + OVERDUE_FACTOR * expectedUs) {
             return;
         }
         attempt.markOverdue();
         admission.attemptOverdue();
         endpoint.recordFailure();
-        recordInZone(endpoint.entry().zone(), true);
-        if (mayMoveElsewhere(request)) {
+        recordZoneOutcome(endpoint.entry().zone(), true);
+        if (mayMoveToOtherEndpoint(request)) {
             attempt.markCancelled();
             context.actions().cancelAttempt(request.id(), attempt.number());
         }
     }
 
-    private boolean mayMoveElsewhere(RequestState request) {
+    private boolean mayMoveToOtherEndpoint(RequestState request) {
         return !request.isConcluded()
                 && !request.isNonRetriable()
                 && context.settings().cancellationSupported()
-                && mayEject
+                && ejectionAllowed
                 && retryBudget.covers(1);
     }
 }
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -10,22 +10,26 @@
 import java.util.List;
 
 /**
- * Every decision of one relay. It is called through {@link DecisionEngine} and {@link RequestHandle} and acts through
- * {@link DecisionActions}. One thread calls it; its clock is the calls'.
+ * The decision engine of one relay. It is called through {@link DecisionEngine} and {@link RequestHandle} and acts
+ * through {@link DecisionActions}. It is called from one thread, and its only clock is the time that is passed with
+ * each call.
  *
- * <p>This class only passes each call on. Read {@link RequestRouter} first, the path of a request, then {@link VotePolicy},
- * that of a vote. The modules share a {@link DecisionContext}.
+ * <p>This class only delegates. Good starting points for readers are {@link RequestRouter}, which handles requests, and
+ *       {@link VotePolicy}, which decides on votes. The modules share a {@link DecisionContext}.
  */
 public final class ReleaseGate implements DecisionEngine {
-    /** At each tick overdue attempts are looked for and the newest build is reviewed. */
+    /** The interval of the tick, which checks for overdue attempts and reviews the newest build. */
     static final long TICK_US = DecisionClock.SECOND_US / 4;
 
     private static final long TICK_TOKEN = 0;
     private static final long LIST_TOKEN = 1;
     private static final long FIRST_REQUEST_TOKEN = 2;
 
-    /** Sampled outcomes have no machine kind: this number less their route stands for one, below all real kinds. */
-    private static final int SAMPLE_KIND = -2;
+    /**
+     * Sampled outcomes have no instance type. This number minus the route's index represents one; it is below all real
+     * instance types.
+     */
+    private static final int SAMPLE_INSTANCE_TYPE = -2;
 
     private final DecisionContext context;
     private final EndpointRegistry registry;
@@ -36,7 +40,7 @@
     private final VoteCaster voteCaster;
     private final VotePolicy votePolicy;
 
-    /** The decisions of one relay, from its settings and with the actions that it can take. */
+    /** Creates the decision engine of one relay from its settings and its available actions. */
     public ReleaseGate(RelaySettings settings, DecisionActions actions) {
         context = DecisionContext.of(settings, actions);
         registry = new EndpointRegistry(context);
@@ -71,19 +75,24 @@
             int route,
             int tenant,
             long key,
-            long leftUs,
+            long remainingUs,
             long costUs,
-            RequestConstraints bounds) {
+            RequestConstraints constraints) {
         context.clock().advanceTo(nowUs);
-        return router.take(new RequestState.Arrival(id, route, tenant, key, nowUs + leftUs, costUs, bounds), leftUs);
+        return router.accept(
+                new RequestState.Arrival(id, route, tenant, key, nowUs + remainingUs, costUs, constraints),
+                remainingUs);
     }
 
-    /** Rules 3 and 5 for a message, whose endpoint is given: nothing to a draining endpoint, to the canary within its cap. */
+    /**
+     * Decides on a message whose endpoint is fixed. Enforces rules 3 and 5: nothing is sent to a draining endpoint, and
+     * the canary receives messages only within its cap.
+     */
     @Override
     public MessageAdmission admitMessage(long nowUs, String endpointId, int route, boolean first) {
         context.clock().advanceTo(nowUs);
         if (first) {
-            registry.builds().forEach(build -> build.earnExposure(route));
+            registry.builds().forEach(build -> build.creditExposure(route));
         }
         EndpointState endpoint = registry.endpoint(endpointId);
         if (endpoint == null || !registry.mayReceive(endpoint)) {
@@ -98,30 +107,30 @@
     }
 
     @Override
-    public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> entries) {
+    public void endpointsUpdated(long nowUs, EndpointUpdateType updateType, List<Endpoint> entries) {
         context.clock().advanceTo(nowUs);
-        if (form == EndpointUpdateType.FAILED) {
+        if (updateType == EndpointUpdateType.FAILED) {
             listSubscription.onFailure();
             return;
         }
         listSubscription.onList();
-        registry.update(form, entries);
-        stickyBuilds.forgetUpTo(registry.oldestBuildNumber());
+        registry.update(updateType, entries);
+        stickyBuilds.evictUpTo(registry.oldestBuildNumber());
     }
 
     @Override
     public void releaseStateUpdated(
-            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long ageUs, VoteResponse voteResponse) {
         context.clock().advanceTo(nowUs);
         RolloutState rollout = context.rollout();
-        long sinceUs = nowUs - agoUs;
-        boolean voteRejected = voteCaster.onAnswer(answer);
-        if (voteRejected || rollout.isOvertaken(build, stage, phase, sinceUs)) {
+        long sinceUs = nowUs - ageUs;
+        boolean voteRejected = voteCaster.onVoteResponse(voteResponse);
+        if (voteRejected || rollout.isStale(build, stage, phase, sinceUs)) {
             return;
         }
         boolean isChange = rollout.isChange(build, stage, phase);
         if (isChange) {
-            voteCaster.onChange(build != rollout.newestBuild());
+            voteCaster.onRolloutChange(build != rollout.newestBuild());
         }
         rollout.update(build, stage, phase, cap, sinceUs);
         if (isChange) {
@@ -130,32 +139,32 @@
     }
 
     @Override
-    public void complaintReceived(long nowUs, String endpointId, int route, long agoUs) {
+    public void complaintReceived(long nowUs, String endpointId, int route, long attemptAgeUs) {
         context.clock().advanceTo(nowUs);
         EndpointState endpoint = registry.endpoint(endpointId);
-        if (endpoint != null && nowUs - agoUs >= endpoint.entry().startedAtUs()) {
-            // A wrong answer is an error of the build; it looked like any other when it came.
+        if (endpoint != null && nowUs - attemptAgeUs >= endpoint.entry().startedAtUs()) {
+            // A wrong answer is an error of the build, even though it was recorded as a success when it arrived.
             endpoint.build().recordOutcome(endpoint, true, false, 0, 0);
         }
     }
 
     @Override
     public void fleetSampleReceived(
-            long nowUs, int buildNumber, int route, int count, int failed, long meanUs, long agoUs) {
+            long nowUs, int buildNumber, int route, int count, int failed, long meanUs, long sampleAgeUs) {
         context.clock().advanceTo(nowUs);
         BuildState build = registry.build(buildNumber);
         boolean isKnownRoute = route >= 0 && route < context.settings().routes().size();
         if (build != null && count > 0 && isKnownRoute) {
-            long endUs = nowUs - agoUs;
+            long endUs = nowUs - sampleAgeUs;
             List<AttemptOutcome> outcomes = sampledOutcomes(route, count, failed, meanUs, build.medianAgeUs(endUs));
-            build.sampledOutcomes().add(new OutcomeWindow(endUs / BuildState.SLICE_US, outcomes));
+            build.sampledOutcomes().add(new OutcomeWindow(endUs / BuildState.WINDOW_US, outcomes));
         }
     }
 
     /**
-     * The outcomes that a sample stands for: those of one endpoint a route, each route a machine kind of its own. The release
-     * controller does not tell an attempt without an answer or a connection from an error, so its failures count as far as
-     * this relay's own failures were errors.
+     * Returns the outcomes that a sample represents: those of one endpoint per route, where each route has an instance
+     * type of its own. The release controller reports missing answers and failed connects as failures like errors, so
+     * only the share of the failures is counted that errors have among this relay's own failures.
      */
     private List<AttemptOutcome> sampledOutcomes(int route, int count, int failed, long meanUs, long ageUs) {
         List<AttemptOutcome> outcomes = new ArrayList<>();
@@ -163,7 +172,8 @@
             boolean isFailure = i < failed;
             if (!isFailure
                     || context.random().nextDouble() < context.connectFailures().errorShareOfFailures()) {
-                outcomes.add(new AttemptOutcome(route, SAMPLE_KIND - route, isFailure, false, meanUs, 0, ageUs));
+                outcomes.add(
+                        new AttemptOutcome(route, SAMPLE_INSTANCE_TYPE - route, isFailure, false, meanUs, 0, ageUs));
             }
         }
         return outcomes;
--- a/src/main/java/gatelock/decision/RequestRouter.java
+++ b/src/main/java/gatelock/decision/RequestRouter.java
@@ -7,10 +7,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The path of a request: its first attempt, its retries, and its final answer where no endpoint gives one. */
+/** Routes requests: sends first attempts and retries, and answers a request itself if no endpoint does. */
 final class RequestRouter {
-    /** The pause that a rejected client is advised, where clients heed one. */
-    private static final long REJECT_PAUSE_US = 500_000;
+    /** The Retry-After of a shed request, if clients honor one. */
+    private static final long SHED_RETRY_AFTER_US = 500_000;
 
     private final DecisionContext context;
     private final EndpointRegistry registry;
@@ -22,7 +22,7 @@
     private final Map<Long, RequestState> openRequests = new HashMap<>();
     private long nextToken;
 
-    /** Uses timer tokens from the given one on. */
+    /** Creates a router whose timer tokens start at {@code firstToken}. */
     RequestRouter(
             DecisionContext context,
             EndpointRegistry registry,
@@ -42,39 +42,39 @@
         this.nextToken = firstToken;
     }
 
-    /** Takes a request whose client waits for {@code leftUs} from now, and sends its first attempt. */
-    RequestState take(RequestState.Arrival arrival, long leftUs) {
+    /** Accepts a request whose client waits for {@code remainingUs} from now, and sends its first attempt. */
+    RequestState accept(RequestState.Arrival arrival, long remainingUs) {
         int route = arrival.route();
         RoutePolicy policy = context.settings().routes().get(route);
-        long costUs = arrival.announcedUs() > 0
-                ? arrival.announcedUs()
+        long costUs = arrival.announcedCostUs() > 0
+                ? arrival.announcedCostUs()
                 : context.latency().costUs(route);
         RequestState request = new RequestState(this, context.clock(), arrival, policy, costUs, nextToken++);
-        registry.builds().forEach(build -> build.earnExposure(route));
+        registry.builds().forEach(build -> build.creditExposure(route));
         retryBudget.requestArrived();
         admission.requestArrived(arrival.tenant());
         context.throughput().requestArrived(costUs);
         openRequests.put(request.token(), request);
-        context.actions().scheduleTimer(leftUs, request.token());
+        context.actions().scheduleTimer(remainingUs, request.token());
         sendAttempt(request);
         return request;
     }
 
-    /** A timer is due: tells whether it was the deadline of a request, which is then answered. */
+    /** Handles a timer. Returns whether the timer was the deadline of an open request, which is then answered. */
     boolean onTimer(long token) {
         RequestState request = openRequests.get(token);
         if (request == null) {
             return false;
         }
-        reject(request);
+        shedOrFail(request);
         return true;
     }
 
-    /** The ordinary path, for a first attempt and for any retry. */
+    /** Sends an attempt, the first one or a retry, or answers the request if no attempt is possible. */
     private void sendAttempt(RequestState request) {
         EndpointState endpoint = admission.admits(request) ? selectEndpoint(request) : null;
         if (endpoint == null || request.isPastDeadline()) {
-            reject(request);
+            shedOrFail(request);
             return;
         }
         endpoint.build().spendExposure(request.route());
@@ -88,8 +88,9 @@
     }
 
     /**
-     * First attempts fill the cap of the canary build. The rest goes to the released build, and what it has no capacity for
-     * to those before it. A retry goes to the canary only if nowhere else, as first attempts have the cap.
+     * Selects an endpoint. First attempts go to the canary build as far as its cap allows; the remaining requests go to
+     * the released build and, if it has no capacity, to earlier builds. A retry goes to the canary only if no other
+     * endpoint is available, as the cap is meant for first attempts.
      */
     private EndpointState selectEndpoint(RequestState request) {
         boolean canaryFirst = request.isFirstAttempt();
@@ -97,70 +98,73 @@
         return endpoint != null ? endpoint : selector.select(request, !canaryFirst);
     }
 
-    /** Whether an attempt that was sent may still go, asked before its first byte. */
-    boolean maySend(Attempt attempt) {
+    /** Whether an attempt that was ordered may still start; asked before its first byte is sent. */
+    boolean mayStart(Attempt attempt) {
         return !attempt.request().isConcluded()
                 && registry.mayReceive(attempt.endpoint())
                 && attempt.request().mayBeSentTo(attempt.endpoint(), attempt.number());
     }
 
-    /** An attempt has ended; {@code isAnswered} tells whether its request has its final answer. */
-    void attemptEnded(Attempt attempt, long tookUs, boolean isAnswered, LoadReport load) {
+    /** Processes the end of an attempt; {@code isAnswered} tells whether its request has its final answer. */
+    void attemptEnded(Attempt attempt, long durationUs, boolean isAnswered, LoadReport load) {
         RequestState request = attempt.request();
         request.attemptEnded();
         admission.attemptEnded(attempt);
         outliers.attemptEnded(attempt);
-        recorder.record(attempt, tookUs, load);
+        recorder.record(attempt, durationUs, load);
         if (request.isConcluded()) {
             return;
         }
         if (isAnswered || attempt.result() == AttemptResult.COMPLETED) {
             conclude(request);
         } else if (request.isPastDeadline() || !request.hasAttemptsInFlight()) {
-            retryOrReject(request);
+            retryOrConclude(request);
         }
     }
 
-    /** An attempt has failed: one more, within the budget, or the final answer at once. */
-    private void retryOrReject(RequestState request) {
+    /** Retries a request whose attempt failed, if the limits allow it; otherwise gives the final answer at once. */
+    private void retryOrConclude(RequestState request) {
         AttemptResult last = request.lastAttempt().result();
-        double price = RetryBudget.priceAfter(last);
-        if (mayRetry(request, last, price)) {
-            retryBudget.spend(price);
+        double cost = RetryBudget.costAfter(last);
+        if (mayRetry(request, last, cost)) {
+            retryBudget.spend(cost);
             sendAttempt(request);
         } else {
-            reject(request);
+            shedOrFail(request);
         }
     }
 
-    /** The request's own constraints are asked last, as their consent counts as the retry. */
-    private boolean mayRetry(RequestState request, AttemptResult last, double price) {
+    /**
+     * Whether a request may be retried. Its own constraints are asked last, because a retry that they grant is charged
+     * to their retry budget.
+     */
+    private boolean mayRetry(RequestState request, AttemptResult last, double cost) {
         RelaySettings settings = context.settings();
         int maxAttempts = Math.min(settings.maxAttempts(), request.constraints().maxAttempts());
         return !request.isPastDeadline()
                 && (request.neverRan() || !request.isNonRetriable())
-                && retryBudget.covers(price)
+                && retryBudget.covers(cost)
                 && request.attempts().size() < maxAttempts
                 && request.constraints().acquireRetry(context.nowUs(), last);
     }
 
-    /** The final answer without an endpoint: rejected where a repeat is harmless, else an error. */
-    private void reject(RequestState request) {
-        boolean isHarmless = !request.isPastDeadline() && request.isHarmlessToRepeat();
+    /** Gives the final answer without an endpoint: sheds a request that can safely be retried, and fails any other. */
+    private void shedOrFail(RequestState request) {
+        boolean isSafeToRetry = !request.isPastDeadline() && request.isSafeToRetry();
         conclude(request);
-        if (isHarmless) {
-            context.actions().shedRequest(request.id(), rejectPauseUs());
+        if (isSafeToRetry) {
+            context.actions().shedRequest(request.id(), retryAfterUs());
         } else {
             context.actions().failRequest(request.id());
         }
     }
 
-    private long rejectPauseUs() {
+    private long retryAfterUs() {
         RelaySettings settings = context.settings();
-        return settings.retryAfterHonored() ? Math.min(settings.maxRetryAfterUs(), REJECT_PAUSE_US) : 0;
+        return settings.retryAfterHonored() ? Math.min(settings.maxRetryAfterUs(), SHED_RETRY_AFTER_US) : 0;
     }
 
-    /** Nobody waits for an answer to this request any more. */
+    /** Marks a request as one that needs no answer any more. */
     void conclude(RequestState request) {
         request.conclude();
         openRequests.remove(request.token());
--- a/src/main/java/gatelock/decision/RequestState.java
+++ b/src/main/java/gatelock/decision/RequestState.java
@@ -9,7 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request from its arrival until its last attempt has ended; what happens to it is decided by the router. */
+/**
+ * The state of a request from its arrival until its last attempt has ended. {@link RequestRouter} decides what happens
+ * to it.
+ */
 final class RequestState implements RequestHandle {
     private final RequestRouter router;
     private final DecisionClock clock;
@@ -24,10 +27,10 @@
     /**
      * A request as it arrived.
      *
-     * @param key its subject, or {@link DecisionEngine#NO_KEY}
+     * @param key its sticky key, or {@link DecisionEngine#NO_KEY}
      * @param deadlineUs when its client stops waiting
-     * @param announcedUs its announced work, or 0 where nothing valid was announced
-     * @param constraints what was set for it beyond the settings; consulted only for less than would be done without
+     * @param announcedCostUs its announced cost, or 0 if no valid cost was announced
+     * @param constraints what was set for it beyond the settings; they can only restrict what the settings allow
      */
     record Arrival(
             String id,
@@ -35,10 +38,13 @@
             int tenant,
             long key,
             long deadlineUs,
-            long announcedUs,
+            long announcedCostUs,
             RequestConstraints constraints) {}
 
-    /** A request of known or estimated work; the token identifies its deadline's timer. */
+    /**
+     * Creates the state of a request with its announced or estimated cost; {@code token} identifies its deadline's
+     * timer.
+     */
     RequestState(
             RequestRouter router, DecisionClock clock, Arrival arrival, RoutePolicy policy, long costUs, long token) {
         this.router = router;
@@ -49,148 +55,174 @@
         this.token = token;
     }
 
+    /** Returns the request's id. */
     String id() {
         return arrival.id();
     }
 
+    /** Returns the index of its route. */
     int route() {
         return arrival.route();
     }
 
+    /** Returns the index of its tenant, or the number of tenants if it is not known. */
     int tenant() {
         return arrival.tenant();
     }
 
+    /** Returns its sticky key, or {@link DecisionEngine#NO_KEY}. */
     long key() {
         return arrival.key();
     }
 
+    /** Whether it has a sticky key. */
     boolean hasKey() {
         return arrival.key() != DecisionEngine.NO_KEY;
     }
 
+    /** Returns its own constraints. */
     RequestConstraints constraints() {
         return arrival.constraints();
     }
 
+    /** Returns the policy of its route. */
     RoutePolicy policy() {
         return policy;
     }
 
-    /** Its work, announced or usual for its route, as time on a standard core. */
+    /** Returns its cost as processing time on a standard core: the announced one, or else the mean of its route. */
     long costUs() {
         return costUs;
     }
 
+    /** Whether its client announced a valid cost. */
     boolean hasAnnouncedCost() {
-        return arrival.announcedUs() > 0;
+        return arrival.announcedCostUs() > 0;
     }
 
+    /** Returns the token of its deadline's timer. */
     long token() {
         return token;
     }
 
+    /** Returns its attempts in the order in which they were sent. */
     List<Attempt> attempts() {
         return attempts;
     }
 
+    /** Returns its latest attempt. */
     Attempt lastAttempt() {
         return attempts.get(attempts.size() - 1);
     }
 
+    /** Whether no attempt has been sent yet. */
     boolean isFirstAttempt() {
         return attempts.isEmpty();
     }
 
+    /** Whether it is idempotent and may be retried at any endpoint. */
     boolean isRetriable() {
         return policy.retrySafety() == RoutePolicy.RetrySafety.RETRIABLE;
     }
 
+    /** Whether it must not be executed twice. */
     boolean isNonRetriable() {
         return policy.retrySafety() == RoutePolicy.RetrySafety.NON_RETRIABLE;
     }
 
-    /** Whether endpoints drop a repeat of it, some of them or all. */
+    /** Whether all or some endpoints drop duplicates of it by its idempotency key. */
     private boolean isDeduplicated() {
         return policy.retrySafety() == RoutePolicy.RetrySafety.DEDUPED;
     }
 
+    /** Whether its client has stopped waiting. */
     boolean isPastDeadline() {
         return clock.nowUs() >= arrival.deadlineUs();
     }
 
-    /** Whether it has its final answer, or nobody waits for one any more. */
+    /** Whether it has its final answer, or no client waits for one any more. */
     boolean isConcluded() {
         return concluded;
     }
 
+    /** Marks it as one that needs no answer any more. */
     void conclude() {
         concluded = true;
     }
 
+    /** Whether an attempt has not ended yet. */
     boolean hasAttemptsInFlight() {
         return inFlight > 0;
     }
 
+    /** Adds an attempt that is sent now. */
     void attemptSent(Attempt attempt) {
         attempts.add(attempt);
         inFlight++;
     }
 
+    /** Counts an attempt that has ended. */
     void attemptEnded() {
         inFlight--;
     }
 
-    /** Whether no endpoint has worked on it. */
+    /** Whether none of its attempts can have been executed. */
     boolean neverRan() {
         return attempts.stream().allMatch(Attempt::neverRan);
     }
 
-    /** Whether it is harmless if the client sends it again, to any endpoint. */
-    boolean isHarmlessToRepeat() {
+    /** Whether the client may safely send it again, to any endpoint. */
+    boolean isSafeToRetry() {
         return neverRan() || isRetriable() || (isDeduplicated() && policy.dedupScope() == RoutePolicy.DedupScope.ALL);
     }
 
-    boolean wasTriedAt(EndpointState endpoint) {
+    /** Whether an attempt was sent to this endpoint before. */
+    boolean wasAttemptedAt(EndpointState endpoint) {
         return attempts.stream().anyMatch(attempt -> attempt.endpoint() == endpoint);
     }
 
-    /** Rule 2: whether an attempt may go to this endpoint after so many earlier attempts. */
-    boolean mayBeSentTo(EndpointState endpoint, int earlierAttempts) {
+    /**
+     * Whether an attempt may go to this endpoint after {@code earlierAttemptCount} earlier attempts. Enforces rule 2: a
+     * request that is not idempotent is executed at most once.
+     */
+    boolean mayBeSentTo(EndpointState endpoint, int earlierAttemptCount) {
         return isRetriable()
                 || attempts.stream()
-                        .limit(earlierAttempts)
-                        .allMatch(earlier -> earlier.neverRan() || isRepeatDropped(earlier, endpoint));
+                        .limit(earlierAttemptCount)
+                        .allMatch(earlier -> earlier.neverRan() || isDuplicateDropped(earlier, endpoint));
     }
 
-    /** Whether the endpoint surely drops a repeat of this attempt; a fifth of its memory's time is left as a margin. */
-    private boolean isRepeatDropped(Attempt earlier, EndpointState endpoint) {
+    /**
+     * Whether the endpoint is certain to drop a duplicate of this attempt. Only 8/10 of the deduplication window are
+     * relied on; a fifth is kept as a safety margin.
+     */
+    private boolean isDuplicateDropped(Attempt earlier, EndpointState endpoint) {
         return isDeduplicated()
                 && clock.nowUs() - earlier.sentUs() < policy.dedupWindowUs() * 8 / 10
-                && sharesMemory(earlier.endpoint(), endpoint);
+                && sharesDedupState(earlier.endpoint(), endpoint);
     }
 
-    private boolean sharesMemory(EndpointState one, EndpointState other) {
+    private boolean sharesDedupState(EndpointState first, EndpointState second) {
         return switch (policy.dedupScope()) {
             case ALL -> true;
-            case ZONE -> one.entry().zone() == other.entry().zone();
-            case CELL -> one.entry().cell() == other.entry().cell();
+            case ZONE -> first.entry().zone() == second.entry().zone();
+            case CELL -> first.entry().cell() == second.entry().cell();
         };
     }
 
     @Override
     public void attemptEnded(
-            long nowUs, int attemptNo, AttemptResult result, long tookUs, boolean over, LoadReport load) {
+            long nowUs, int attemptNo, AttemptResult result, long durationUs, boolean answered, LoadReport load) {
         clock.advanceTo(nowUs);
         Attempt attempt = attempts.get(attemptNo);
         attempt.end(result);
-        router.attemptEnded(attempt, tookUs, over, load);
+        router.attemptEnded(attempt, durationUs, answered, load);
     }
 
     @Override
     public boolean mayStart(long nowUs, int attemptNo) {
         clock.advanceTo(nowUs);
-        return router.maySend(attempts.get(attemptNo));
+        return router.mayStart(attempts.get(attemptNo));
     }
 
     @Override
--- a/src/main/java/gatelock/decision/RetryBudget.java
+++ b/src/main/java/gatelock/decision/RetryBudget.java
@@ -7,30 +7,30 @@
  * an overloaded fleet.
  */
 final class RetryBudget {
-    private static final double EARNED_BY_REQUEST = 0.1;
+    private static final double TOKENS_PER_REQUEST = 0.1;
 
     /** A retry after a failed connect, which no endpoint has worked on: each request may have one. */
-    private static final double RECONNECT_PRICE = EARNED_BY_REQUEST;
+    private static final double RECONNECT_COST = TOKENS_PER_REQUEST;
 
     private static final double BURST = 5;
 
     private double tokens = BURST;
 
     void requestArrived() {
-        tokens = Math.min(BURST, tokens + EARNED_BY_REQUEST);
+        tokens = Math.min(BURST, tokens + TOKENS_PER_REQUEST);
     }
 
     /** What a retry costs after an attempt that ended so. */
-    static double priceAfter(AttemptResult last) {
+    static double costAfter(AttemptResult last) {
         boolean reconnect = last == AttemptResult.NOT_CONNECTED || last == AttemptResult.NOT_SENT;
-        return reconnect ? RECONNECT_PRICE : 1;
+        return reconnect ? RECONNECT_COST : 1;
     }
 
-    boolean covers(double price) {
-        return tokens >= price;
+    boolean covers(double cost) {
+        return tokens >= cost;
     }
 
-    void spend(double price) {
-        tokens -= price;
+    void spend(double cost) {
+        tokens -= cost;
     }
 }
--- a/src/main/java/gatelock/decision/RolloutState.java
+++ b/src/main/java/gatelock/decision/RolloutState.java
@@ -5,7 +5,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The newest build as the release controller last described it, and which builds were withdrawn. */
+/** The newest build as the release controller last described it, and the builds that were withdrawn. */
 final class RolloutState {
     private final RolloutPolicy policy;
     private final Set<Integer> withdrawnBuilds = new HashSet<>();
@@ -14,17 +14,19 @@
     private ReleasePhase phase = ReleasePhase.WITHDRAWN;
     private double cap;
     private long stageStartUs;
-    private long machineStartupUs;
+    private long endpointStartupUs;
 
+    /** Creates the state before the release controller has described any build. */
     RolloutState(RolloutPolicy policy) {
         this.policy = policy;
     }
 
     /**
-     * Whether a state comes before the current one. States of a build come in one order; one before the newest counts
-     * only if it began later. Guards against the answer to a vote that newer news on another connection have overtaken.
+     * Whether a received state is older than the current one. The states of a build follow a fixed order; a state that
+     * precedes the current one in this order is accepted only if it began later. Guards against the answer to a vote
+     * that arrives after a more recent update on another connection.
      */
-    boolean isOvertaken(int newBuild, int newStage, ReleasePhase newPhase, long sinceUs) {
+    boolean isStale(int newBuild, int newStage, ReleasePhase newPhase, long sinceUs) {
         return isBefore(newBuild, newStage, newPhase) && sinceUs <= stageStartUs;
     }
 
@@ -35,12 +37,15 @@
         return newPhase == phase ? newStage < stage : newPhase.compareTo(phase) < 0;
     }
 
-    /** Whether a state is another than the current one. */
+    /** Whether a received state differs from the current one. */
     boolean isChange(int newBuild, int newStage, ReleasePhase newPhase) {
         return newBuild != newestBuild || newStage != stage || newPhase != phase;
     }
 
-    /** Takes over a state that began at the given time; the time counts only where the state is another one. */
+    /**
+     * Applies a state that began at {@code sinceUs}. The start of the stage changes only if the state differs from the
+     * current one.
+     */
     void update(int newBuild, int newStage, ReleasePhase newPhase, double newCap, long sinceUs) {
         stageStartUs = isChange(newBuild, newStage, newPhase) ? sinceUs : stageStartUs;
         newestBuild = newBuild;
@@ -48,41 +53,51 @@
         phase = newPhase;
         cap = newPhase == ReleasePhase.TRIAL || newPhase == ReleasePhase.RELEASED ? newCap : 0;
         withdrawnBuilds.remove(newBuild);
-        if (isGoingBack()) {
+        if (isRollingBack()) {
             withdrawnBuilds.add(newBuild);
         }
     }
 
-    /** An endpoint process was listed for the first time: one started in this stage shows how long startup takes. */
+    /**
+     * Records an endpoint process that was listed for the first time. One that started in the current stage shows how
+     * long the startup of its endpoints takes.
+     */
     void endpointListed(int build, long startUs, long nowUs) {
         if (build == newestBuild && startUs >= stageStartUs) {
-            machineStartupUs = nowUs - stageStartUs;
+            endpointStartupUs = nowUs - stageStartUs;
         }
     }
 
+    /** Returns the number of the newest build, or -1 if none is known. */
     int newestBuild() {
         return newestBuild;
     }
 
+    /** Returns the stage of its rollout, from 0. */
     int stage() {
         return stage;
     }
 
+    /** Returns its phase. */
     ReleasePhase phase() {
         return phase;
     }
 
+    /** Returns when the current state began. */
     long stageStartUs() {
         return stageStartUs;
     }
 
-    /** The time from a stage's start until its machines were listed, as last seen; 0 where none were yet. */
-    long machineStartupUs() {
-        return machineStartupUs;
+    /**
+     * Returns the latest measured time from the start of a stage until its endpoints were listed; 0 if there is none
+     * yet.
+     */
+    long endpointStartupUs() {
+        return endpointStartupUs;
     }
 
-    /** Whether the newest build is being withdrawn or is withdrawn. */
-    boolean isGoingBack() {
+    /** Whether the newest build is being rolled back or has been withdrawn. */
+    boolean isRollingBack() {
         return phase == ReleasePhase.REVERTING || phase == ReleasePhase.WITHDRAWN;
     }
 
@@ -91,11 +106,15 @@
         return build > newestBuild || (build == newestBuild && phase != ReleasePhase.RELEASED);
     }
 
+    /** Whether a build was rolled back or is being rolled back. */
     boolean isWithdrawn(int build) {
         return withdrawnBuilds.contains(build);
     }
 
-    /** The share of the requests that a canary build may get; a build not announced yet has the first stage's. */
+    /**
+     * Returns the share of the requests that a canary build may receive. A build that was not announced yet has the cap
+     * of the first stage.
+     */
     double capOf(int build) {
         double[] caps = policy.stageCaps();
         if (build == newestBuild) {
@@ -104,12 +123,15 @@
         return caps.length == 0 ? 0 : caps[0];
     }
 
-    /** Rule 5: nothing new goes to a build that was withdrawn, or to a canary without a cap. */
-    boolean isOpen(int build) {
+    /**
+     * Whether a build accepts new requests. Enforces rule 5: nothing new is sent to a withdrawn build or to a canary
+     * without a cap.
+     */
+    boolean acceptsNewRequests(int build) {
         return !isWithdrawn(build) && (!isCanary(build) || capOf(build) > 0);
     }
 
-    /** Whether a canary build gets only retriable requests in its present stage. */
+    /** Whether a canary build receives only retriable requests in its current stage. */
     boolean isGuardedStage(int build) {
         int stageOfBuild = build == newestBuild ? stage : 0;
         return stageOfBuild < policy.guardedStages();
--- a/src/main/java/gatelock/decision/SlowStart.java
+++ b/src/main/java/gatelock/decision/SlowStart.java
@@ -10,7 +10,7 @@
     private static final double CANARY_MULTIPLE = 1.5;
 
     /** The part used of the multiple that the site allows cold endpoints. */
-    private static final double COLD_PART = 0.75;
+    private static final double COLD_MULTIPLE_SHARE = 0.75;
 
     private final DecisionContext context;
     private final EndpointRegistry registry;
@@ -27,27 +27,27 @@
     }
 
     private boolean hasBudget(EndpointState endpoint) {
-        double coldMultiple =
-                Math.min(CANARY_MULTIPLE, COLD_PART * context.settings().slowStartOverloadFactor());
+        double coldMultiple = Math.min(
+                CANARY_MULTIPLE, COLD_MULTIPLE_SHARE * context.settings().slowStartOverloadFactor());
         double multiple = endpoint.isWarmingUp() ? coldMultiple : CANARY_MULTIPLE;
         LatencyEstimates latency = context.latency();
         double workRate = context.throughput().workRate();
         double rate = multiple
-                * warmPart(endpoint)
+                * warmCapacityShare(endpoint)
                 * workRate
-                / registry.places()
-                * latency.slownessOfKind(LatencyEstimates.ALL_KINDS)
-                / latency.slownessOfKind(endpoint.entry().instanceType());
+                / registry.fleetSize()
+                * latency.slownessOfInstanceType(LatencyEstimates.ALL_INSTANCE_TYPES)
+                / latency.slownessOfInstanceType(endpoint.entry().instanceType());
         return endpoint.workBudget().refill(rate, context.nowUs());
     }
 
     /** The part of its capacity that an endpoint of this age surely has. */
-    private double warmPart(EndpointState endpoint) {
+    private double warmCapacityShare(EndpointState endpoint) {
         long ageUs = context.nowUs() - endpoint.entry().startedAtUs();
         double progress = endpoint.isWarmingUp()
                 ? Math.max(0.0, (double) ageUs) / context.settings().slowStartUs()
                 : 1;
-        double coldFrom = context.settings().slowStartCapacityShare();
-        return coldFrom + (1 - coldFrom) * progress;
+        double initialShare = context.settings().slowStartCapacityShare();
+        return initialShare + (1 - initialShare) * progress;
     }
 }
--- a/src/main/java/gatelock/decision/StickyBuilds.java
+++ b/src/main/java/gatelock/decision/StickyBuilds.java
@@ -13,12 +13,12 @@
 
     /** What a build has answered goes to no build before it, unless that build was withdrawn. */
     boolean allows(long key, int build, RolloutState rollout) {
-        int floor = newestByKey.getOrDefault(key, build);
-        return build >= floor || rollout.isWithdrawn(floor);
+        int minBuild = newestByKey.getOrDefault(key, build);
+        return build >= minBuild || rollout.isWithdrawn(minBuild);
     }
 
     /** Forgets the keys whose floor excludes no build from this one on. */
-    void forgetUpTo(int oldestBuild) {
+    void evictUpTo(int oldestBuild) {
         newestByKey.values().removeIf(build -> build <= oldestBuild);
     }
 }
--- a/src/main/java/gatelock/decision/TimeoutTracker.java
+++ b/src/main/java/gatelock/decision/TimeoutTracker.java
@@ -7,16 +7,18 @@
 
 /** The share of recent attempts without an answer, by zone, and the zones that count as lost for it. */
 final class TimeoutTracker {
-    private final double memoryUs;
+    private final double timeConstantUs;
     private final Map<Integer, DecayingSum> timeoutsByZone = new TreeMap<>();
     private Set<Integer> lostZones = Set.of();
 
-    TimeoutTracker(double memoryUs) {
-        this.memoryUs = memoryUs;
+    TimeoutTracker(double timeConstantUs) {
+        this.timeConstantUs = timeConstantUs;
     }
 
     void add(long nowUs, int zone, boolean timedOut) {
-        timeoutsByZone.computeIfAbsent(zone, z -> new DecayingSum(memoryUs)).add(nowUs, timedOut ? 1 : 0);
+        timeoutsByZone
+                .computeIfAbsent(zone, z -> new DecayingSum(timeConstantUs))
+                .add(nowUs, timedOut ? 1 : 0);
     }
 
     /**
@@ -29,8 +31,8 @@
         Set<Integer> lost = new HashSet<>();
         if (anyHealthy) {
             timeoutsByZone.forEach((zone, timeouts) -> {
-                boolean mostlySilent = timeouts.mean(nowUs, 0) > lostShare;
-                if (mostlySilent && (lostZones.contains(zone) || timeouts.count(nowUs) >= minAttempts)) {
+                boolean mostlyUnanswered = timeouts.mean(nowUs, 0) > lostShare;
+                if (mostlyUnanswered && (lostZones.contains(zone) || timeouts.count(nowUs) >= minAttempts)) {
                     lost.add(zone);
                 }
             });
--- a/src/main/java/gatelock/decision/VotePolicy.java
+++ b/src/main/java/gatelock/decision/VotePolicy.java
@@ -12,16 +12,16 @@
     private static final long CONFIRM_SLOW_US = 3 * DecisionClock.SECOND_US;
 
     /** A close call holds so long past the stage's least time. */
-    private static final long PATIENCE_US = DecisionClock.SECOND_US;
+    private static final long HOLD_US = DecisionClock.SECOND_US;
 
     /** The page's patience, where few endpoints fail or the release controller's samples decide. */
-    private static final long LONG_PATIENCE_US = 3 * DecisionClock.SECOND_US;
+    private static final long LONG_HOLD_US = 3 * DecisionClock.SECOND_US;
 
     /** Where a clock moves stages on, a hold is cast so long before the time is up. */
     private static final long HOLD_LEAD_US = DecisionClock.SECOND_US;
 
     /** How long a released build is watched. */
-    private static final long WATCH_US = 12 * DecisionClock.SECOND_US;
+    private static final long POST_RELEASE_WATCH_US = 12 * DecisionClock.SECOND_US;
 
     private final DecisionContext context;
     private final EndpointRegistry registry;
@@ -31,7 +31,7 @@
     private final RolloutPolicy policy;
     private Evidence evidence = new Evidence.Nothing();
     private long failedForUs;
-    private long lastLookUs;
+    private long lastReviewUs;
 
     VotePolicy(DecisionContext context, EndpointRegistry registry, CanaryAnalysis analysis, VoteCaster caster) {
         this.context = context;
@@ -45,7 +45,7 @@
     /** The ordinary path of a vote: what the outcomes say, what the stage's time allows, what to vote. */
     void review() {
         BuildState canary = registry.newestBuild();
-        if (canary == null || context.rollout().isGoingBack()) {
+        if (canary == null || context.rollout().isRollingBack()) {
             return;
         }
         Finding finding = analysis.analyse(canary, registry.buildBeforeNewest());
@@ -57,58 +57,58 @@
             caster.cast(verdictAfterRelease(finding.assessment(), isConfirmed), 0, evidence);
             return;
         }
-        long leastTimeEndUs = stageClock.leastTimeEndUs(canary);
-        Verdict verdict = isConfirmed ? Verdict.BACK : unconfirmedVerdict(finding, canary, leastTimeEndUs);
-        caster.cast(votedVerdict(verdict, leastTimeEndUs), leastTimeEndUs, evidence);
+        long minStageEndUs = stageClock.minStageEndUs(canary);
+        Verdict verdict = isConfirmed ? Verdict.BACK : unconfirmedVerdict(finding, canary, minStageEndUs);
+        caster.cast(votedVerdict(verdict, minStageEndUs), minStageEndUs, evidence);
     }
 
     /** Adds up how long fails have lasted, paid back by looks that do not fail; whether they have lasted long enough. */
     private boolean confirm(Assessment assessment) {
-        long sinceUs = Math.min(ReleaseGate.TICK_US, context.nowUs() - lastLookUs);
-        long lastedUs = failedForUs + (assessment.isFail() ? sinceUs : -sinceUs);
-        failedForUs = assessment == Assessment.PASS ? 0 : Math.max(0, lastedUs);
-        lastLookUs = context.nowUs();
-        boolean isQuick = assessment == Assessment.ERRORS || context.manyRelays();
-        return assessment.isFail() && failedForUs >= (isQuick ? CONFIRM_ERRORS_US : CONFIRM_SLOW_US);
+        long sinceUs = Math.min(ReleaseGate.TICK_US, context.nowUs() - lastReviewUs);
+        long totalUs = failedForUs + (assessment.isFailure() ? sinceUs : -sinceUs);
+        failedForUs = assessment == Assessment.PASS ? 0 : Math.max(0, totalUs);
+        lastReviewUs = context.nowUs();
+        boolean confirmsQuickly = assessment == Assessment.ERRORS || context.hasManyRelays();
+        return assessment.isFailure() && failedForUs >= (confirmsQuickly ? CONFIRM_ERRORS_US : CONFIRM_SLOW_US);
     }
 
     /** After the release nothing shows like load any more: errors count, or the votes of many relays. */
     private Verdict verdictAfterRelease(Assessment assessment, boolean isConfirmed) {
-        boolean counts = assessment == Assessment.ERRORS || context.manyRelays();
-        boolean isWatched = context.nowUs() - context.rollout().stageStartUs() < WATCH_US;
+        boolean counts = assessment == Assessment.ERRORS || context.hasManyRelays();
+        boolean isWatched = context.nowUs() - context.rollout().stageStartUs() < POST_RELEASE_WATCH_US;
         return isConfirmed && counts && isWatched ? Verdict.BACK : Verdict.NONE;
     }
 
-    private Verdict unconfirmedVerdict(Finding finding, BuildState canary, long leastTimeEndUs) {
-        if (finding.isFail()) {
+    private Verdict unconfirmedVerdict(Finding finding, BuildState canary, long minStageEndUs) {
+        if (finding.isFailure()) {
             return Verdict.HOLD;
         }
         if (finding.assessment() == Assessment.PASS) {
-            return context.nowUs() < leastTimeEndUs ? Verdict.NONE : Verdict.ON;
+            return context.nowUs() < minStageEndUs ? Verdict.NONE : Verdict.ON;
         }
-        long patienceUs = patienceUs(finding.assessment(), canary);
-        return context.nowUs() < leastTimeEndUs + patienceUs ? Verdict.HOLD : Verdict.ON;
+        long holdUs = holdUs(finding.assessment(), canary);
+        return context.nowUs() < minStageEndUs + holdUs ? Verdict.HOLD : Verdict.ON;
     }
 
     /** How long past the stage's least time an assessment that neither passes nor fails holds. */
-    private long patienceUs(Assessment assessment, BuildState canary) {
+    private long holdUs(Assessment assessment, BuildState canary) {
         boolean samplesDecide = analysis.hasMoreSamples(canary) && policy.fleetSamplesSent();
         if (assessment == Assessment.SUSPECT || samplesDecide) {
-            return LONG_PATIENCE_US;
+            return LONG_HOLD_US;
         }
         // Where half the outcomes are missing, a little more time brings no verdict either.
         boolean isHopeless = assessment == Assessment.NO_VERDICT
-                && analysis.recentOwnOutcomes(canary) < BarComparison.MIN_OUTCOMES / 2;
-        return isHopeless ? 0 : PATIENCE_US;
+                && analysis.recentOwnOutcomes(canary) < ThresholdComparison.MIN_OUTCOMES / 2;
+        return isHopeless ? 0 : HOLD_US;
     }
 
     /** What is voted for a verdict: no vote for what the release controller does anyway without one. */
-    private Verdict votedVerdict(Verdict verdict, long leastTimeEndUs) {
-        boolean clockMovesOn = policy.promotionMode() == RolloutPolicy.PromotionMode.CLOCK;
+    private Verdict votedVerdict(Verdict verdict, long minStageEndUs) {
+        boolean clockPromotes = policy.promotionMode() == RolloutPolicy.PromotionMode.CLOCK;
         // A hold stops the clock, so that it would have to run all its time afterwards.
         boolean isEarlyHold =
-                clockMovesOn && verdict == Verdict.HOLD && context.nowUs() < leastTimeEndUs - HOLD_LEAD_US;
-        Verdict withoutVote = clockMovesOn ? Verdict.ON : Verdict.HOLD;
+                clockPromotes && verdict == Verdict.HOLD && context.nowUs() < minStageEndUs - HOLD_LEAD_US;
+        Verdict withoutVote = clockPromotes ? Verdict.ON : Verdict.HOLD;
         return isEarlyHold || verdict == withoutVote ? Verdict.NONE : verdict;
     }
 }
--- a/src/main/java/gatelock/decision/package-info.java
+++ b/src/main/java/gatelock/decision/package-info.java
@@ -12,7 +12,7 @@
  *   <li>Outcomes: {@link gatelock.decision.AttemptResultRecorder} records how each attempt ended.
  *   <li>Votes: {@link gatelock.decision.VotePolicy} draws the verdict from {@link gatelock.decision.CanaryAnalysis} and the
  *       {@link gatelock.decision.StageClock}; {@link gatelock.decision.VoteCaster} casts it. The analysis rests on
- *       {@link gatelock.decision.BarComparison} and {@link gatelock.decision.EndpointCountAnalysis}.
+ *       {@link gatelock.decision.ThresholdComparison} and {@link gatelock.decision.EndpointCountAnalysis}.
  *   <li>State: {@link gatelock.decision.EndpointRegistry} keeps endpoints and builds as they are listed,
  *       {@link gatelock.decision.RolloutState} the newest build as the release controller describes it.
  * </ul>
--- a/src/test/java/gatelock/ScenarioRecord.java
+++ b/src/test/java/gatelock/ScenarioRecord.java
@@ -16,17 +16,17 @@
     record Attempt(long sentUs, String requestId, String endpoint, int attemptNo) {}
 
     /** Builds by endpoint. */
-    final Map<String, Integer> buildOf = new HashMap<>();
+    final Map<String, Integer> buildByEndpoint = new HashMap<>();
     /** Zones by endpoint. */
-    final Map<String, Integer> zoneOf = new HashMap<>();
+    final Map<String, Integer> zoneByEndpoint = new HashMap<>();
     /** Final answers by request: completed, shed or error. */
     final Map<String, String> answers = new LinkedHashMap<>();
 
     final List<Attempt> attempts = new ArrayList<>();
-    final List<Long> takenUs = new ArrayList<>();
+    final List<Long> acceptedAtUs = new ArrayList<>();
     final List<Verdict> votes = new ArrayList<>();
-    final List<String> cancelledIds = new ArrayList<>();
-    int listFollows;
+    final List<String> cancelledRequestIds = new ArrayList<>();
+    int listSubscriptions;
 
     /** Checks one expectation on what was recorded. */
     void expect(String[] words, ScenarioValues named, String where) {
@@ -45,14 +45,14 @@
             case "vote" -> assertThat(votes).as(where).contains(verdict(words[2]));
             case "no-vote" -> assertThat(votes).as(where).doesNotContain(verdict(words[2]));
             case "votes" -> assertWithin(votes.size(), named, where);
-            case "cancelled" -> assertThat(cancelledIds).as(where).contains(words[2]);
-            case "cancels" -> assertWithin(cancelledIds.size(), named, where);
-            case "follows" -> assertWithin(listFollows, named, where);
+            case "cancelled" -> assertThat(cancelledRequestIds).as(where).contains(words[2]);
+            case "cancels" -> assertWithin(cancelledRequestIds.size(), named, where);
+            case "follows" -> assertWithin(listSubscriptions, named, where);
             case "share" -> {
-                double there = attempts.stream()
+                double matching = attempts.stream()
                         .filter(attempt -> matches(attempt.endpoint, words[2]))
                         .count();
-                assertWithin(there / Math.max(1, attempts.size()), named, where);
+                assertWithin(matching / Math.max(1, attempts.size()), named, where);
             }
             default -> throw new IllegalArgumentException("no such expectation: " + where);
         }
@@ -62,38 +62,39 @@
         return ScenarioValues.parseConstant(Verdict.class, name);
     }
 
-    private static void assertWithin(double figure, ScenarioValues named, String where) {
-        assertThat(figure).as(where).isBetween(named.number("min", 0), named.number("max", 1e9));
+    private static void assertWithin(double value, ScenarioValues named, String where) {
+        assertThat(value).as(where).isBetween(named.number("min", 0), named.number("max", 1e9));
     }
 
     /** Checks that in every window the attempts at a build stay within free + cap x requests taken. */
-    void assertExposure(ScenarioValues charter, ScenarioValues named, String where) {
-        long windowUs = charter.timeUs("window", "2s");
+    void assertExposure(ScenarioValues settings, ScenarioValues named, String where) {
+        long windowUs = settings.timeUs("window", "2s");
         int build = named.integer("build", 2);
-        List<Attempt> there = attempts.stream()
-                .filter(attempt -> buildOf.get(attempt.endpoint) == build)
+        List<Attempt> attemptsAtBuild = attempts.stream()
+                .filter(attempt -> buildByEndpoint.get(attempt.endpoint) == build)
                 .toList();
-        for (Attempt first : there) {
+        for (Attempt first : attemptsAtBuild) {
             long fromUs = first.sentUs;
             long endUs = fromUs + windowUs;
-            long attemptsInWindow = there.stream()
+            long attemptsInWindow = attemptsAtBuild.stream()
                     .filter(attempt -> attempt.sentUs >= fromUs && attempt.sentUs < endUs)
                     .count();
-            long takenInWindow = takenUs.stream()
+            long acceptedInWindow = acceptedAtUs.stream()
                     .filter(atUs -> atUs >= fromUs && atUs < endUs)
                     .count();
             assertThat((double) attemptsInWindow)
                     .as(where)
-                    .isLessThanOrEqualTo(charter.number("free", 2) + named.number("cap", 0.2) * takenInWindow + 1e-9);
+                    .isLessThanOrEqualTo(
+                            settings.number("free", 2) + named.number("cap", 0.2) * acceptedInWindow + 1e-9);
         }
     }
 
     private boolean matches(String endpoint, String pattern) {
         if (pattern.startsWith("zone")) {
-            return zoneOf.get(endpoint) == Integer.parseInt(pattern.substring("zone".length()));
+            return zoneByEndpoint.get(endpoint) == Integer.parseInt(pattern.substring("zone".length()));
         }
         if (pattern.startsWith("build")) {
-            return buildOf.get(endpoint) == Integer.parseInt(pattern.substring("build".length()));
+            return buildByEndpoint.get(endpoint) == Integer.parseInt(pattern.substring("build".length()));
         }
         return endpoint.equals(pattern);
     }
--- a/src/test/java/gatelock/ScenarioRunner.java
+++ b/src/test/java/gatelock/ScenarioRunner.java
@@ -26,8 +26,8 @@
 final class ScenarioRunner implements DecisionActions {
     private record Event(long atUs, long order, Runnable action) {}
 
-    private final ScenarioValues charter = new ScenarioValues();
-    private final ScenarioRecord outcome = new ScenarioRecord();
+    private final ScenarioValues settings = new ScenarioValues();
+    private final ScenarioRecord record = new ScenarioRecord();
     /** How endpoints, or all of a build ({@code build2}), respond by themselves. */
     private final Map<String, ScenarioValues> responders = new LinkedHashMap<>();
 
@@ -38,56 +38,56 @@
     private long nowUs = 1_000_000_000L;
     private final long startUs = nowUs;
     private long nextOrder;
-    private int nextFlowId;
+    private int nextGeneratedId;
 
-    void play(Path file) throws IOException {
+    void run(Path file) throws IOException {
         int number = 0;
         for (String line : Files.readAllLines(file)) {
             number++;
             String[] words = line.replaceFirst("#.*", "").trim().split("\\s+");
             if (!words[0].isEmpty()) {
-                step(words, file.getFileName() + ":" + number + " " + line);
+                runStep(words, file.getFileName() + ":" + number + " " + line);
             }
         }
     }
 
-    private void step(String[] words, String where) {
+    private void runStep(String[] words, String where) {
         ScenarioValues named = ScenarioValues.of(words);
         switch (words[0]) {
-            case "charter" -> charter.putAll(named);
-            case "at" -> runTo(startUs + ScenarioValues.parseTimeUs(words[1]));
+            case "charter" -> settings.putAll(named);
+            case "at" -> advanceTo(startUs + ScenarioValues.parseTimeUs(words[1]));
             case "list" -> engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FULL, endpoints(words));
             case "change" ->
                 engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.DELTA, endpoints(words));
             case "list-failed" -> engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FAILED, List.of());
-            case "news" -> releaseState(named);
-            case "answer" -> voteAnswer(ScenarioValues.parseConstant(DecisionEngine.VoteResponse.class, words[1]));
-            case "take" -> take(words[1], named);
+            case "news" -> updateReleaseState(named);
+            case "answer" -> answerVote(ScenarioValues.parseConstant(DecisionEngine.VoteResponse.class, words[1]));
+            case "take" -> acceptRequest(words[1], named);
             case "leave" -> requests.get(words[1]).responseNoLongerOwed(nowUs);
             case "end" -> endAttempt(words[1], ScenarioValues.parseConstant(AttemptResult.class, words[2]));
             case "unit" ->
                 responders
                         .computeIfAbsent(words[1], name -> new ScenarioValues())
                         .putAll(named);
-            case "flow" -> flow(named);
+            case "flow" -> sendRequests(named);
             case "stand" -> {
                 nowUs += ScenarioValues.parseTimeUs(words[1]);
-                runTo(nowUs);
+                advanceTo(nowUs);
             }
-            case "counted" -> countedOutcomes(named);
+            case "counted" -> receiveFleetSample(named);
             case "silent-time-out" -> timeOutSilent();
             case "complaint" -> engine().complaintReceived(nowUs, words[1], 0, named.timeUs("ago", "0s"));
             case "forget" -> {
-                outcome.attempts.clear();
-                outcome.votes.clear();
-                outcome.takenUs.clear();
+                record.attempts.clear();
+                record.votes.clear();
+                record.acceptedAtUs.clear();
             }
             case "expect" -> expect(words, named, where);
             default -> throw new IllegalArgumentException("no such step: " + where);
         }
     }
 
-    private void releaseState(ScenarioValues named) {
+    private void updateReleaseState(ScenarioValues named) {
         engine().releaseStateUpdated(
                         nowUs,
                         named.integer("build", 2),
@@ -98,11 +98,11 @@
                         DecisionEngine.VoteResponse.NOT_ASKED);
     }
 
-    private void voteAnswer(DecisionEngine.VoteResponse answer) {
-        engine().releaseStateUpdated(nowUs, 0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, answer);
+    private void answerVote(DecisionEngine.VoteResponse response) {
+        engine().releaseStateUpdated(nowUs, 0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, response);
     }
 
-    private void countedOutcomes(ScenarioValues named) {
+    private void receiveFleetSample(ScenarioValues named) {
         engine().fleetSampleReceived(
                         nowUs,
                         named.integer("build", 2),
@@ -115,31 +115,31 @@
 
     private void expect(String[] words, ScenarioValues named, String where) {
         switch (words[1]) {
-            case "may-go" -> assertThat(mayGo(words[2])).as(where).isTrue();
-            case "stays" -> assertThat(mayGo(words[2])).as(where).isFalse();
-            case "exposure" -> outcome.assertExposure(charter, named, where);
-            default -> outcome.expect(words, named, where);
+            case "may-go" -> assertThat(mayStart(words[2])).as(where).isTrue();
+            case "stays" -> assertThat(mayStart(words[2])).as(where).isFalse();
+            case "exposure" -> record.assertExposure(settings, named, where);
+            default -> record.expect(words, named, where);
         }
     }
 
     /** Returns whether the last attempt of a request may still go, which is asked once its connection is established. */
-    private boolean mayGo(String requestId) {
+    private boolean mayStart(String requestId) {
         return requests.get(requestId)
-                .mayStart(nowUs, outcome.lastAttempt(requestId).attemptNo());
+                .mayStart(nowUs, record.lastAttempt(requestId).attemptNo());
     }
 
     /** Takes requests at a constant rate. */
-    private void flow(ScenarioValues named) {
+    private void sendRequests(ScenarioValues named) {
         long endUs = nowUs + named.timeUs("for", "1s");
         long intervalUs = named.timeUs("every", "20ms");
         while (nowUs + intervalUs <= endUs) {
-            runTo(nowUs + intervalUs);
-            take("f" + nextFlowId++, named);
+            advanceTo(nowUs + intervalUs);
+            acceptRequest("f" + nextGeneratedId++, named);
         }
     }
 
-    private void take(String requestId, ScenarioValues named) {
-        outcome.takenUs.add(nowUs);
+    private void acceptRequest(String requestId, ScenarioValues named) {
+        record.acceptedAtUs.add(nowUs);
         RequestHandle request = engine().acceptRequest(
                         nowUs,
                         requestId,
@@ -154,45 +154,45 @@
     /** Lets an endpoint that responds by itself respond after its time, every nth time with an error. */
     private void scheduleResponse(ScenarioRecord.Attempt attempt) {
         ScenarioValues responder = responders.getOrDefault(
-                attempt.endpoint(), responders.get("build" + outcome.buildOf.get(attempt.endpoint())));
+                attempt.endpoint(), responders.get("build" + record.buildByEndpoint.get(attempt.endpoint())));
         if (responder == null || !attempt.requestId().startsWith("f") || responder.has("silent")) {
             return;
         }
-        int failsEach = responder.integer("fails-each", 0);
-        long attemptsThere = outcome.attempts.stream()
+        int failureInterval = responder.integer("fails-each", 0);
+        long attemptsAtEndpoint = record.attempts.stream()
                 .filter(other -> other.endpoint().equals(attempt.endpoint()))
                 .count();
-        boolean fails = failsEach > 0 && attemptsThere % failsEach == 0;
-        long tookUs = responder.timeUs("takes", "100ms");
-        events.add(new Event(nowUs + tookUs, nextOrder++, () -> {
+        boolean fails = failureInterval > 0 && attemptsAtEndpoint % failureInterval == 0;
+        long durationUs = responder.timeUs("takes", "100ms");
+        events.add(new Event(nowUs + durationUs, nextOrder++, () -> {
             RequestHandle request = requests.get(attempt.requestId());
             if (!fails) {
-                outcome.answers.putIfAbsent(attempt.requestId(), "completed");
+                record.answers.putIfAbsent(attempt.requestId(), "completed");
             }
             AttemptResult failure = responder.constant(AttemptResult.class, "fails-as", "errored");
             AttemptResult result = fails ? failure : AttemptResult.COMPLETED;
-            request.attemptEnded(nowUs, attempt.attemptNo(), result, tookUs, !fails, LoadReport.NONE);
+            request.attemptEnded(nowUs, attempt.attemptNo(), result, durationUs, !fails, LoadReport.NONE);
         }));
     }
 
     private void endAttempt(String requestId, AttemptResult result) {
-        ScenarioRecord.Attempt attempt = outcome.lastAttempt(requestId);
-        boolean over = result == AttemptResult.COMPLETED || outcome.answers.containsKey(requestId);
-        if (over) {
-            outcome.answers.putIfAbsent(requestId, "completed");
+        ScenarioRecord.Attempt attempt = record.lastAttempt(requestId);
+        boolean answered = result == AttemptResult.COMPLETED || record.answers.containsKey(requestId);
+        if (answered) {
+            record.answers.putIfAbsent(requestId, "completed");
         }
         requests.get(requestId)
-                .attemptEnded(nowUs, attempt.attemptNo(), result, nowUs - attempt.sentUs(), over, LoadReport.NONE);
+                .attemptEnded(nowUs, attempt.attemptNo(), result, nowUs - attempt.sentUs(), answered, LoadReport.NONE);
     }
 
     /** Ends the last attempts that silent endpoints still have as timed out. */
     private void timeOutSilent() {
-        for (ScenarioRecord.Attempt attempt : List.copyOf(outcome.attempts)) {
+        for (ScenarioRecord.Attempt attempt : List.copyOf(record.attempts)) {
             boolean silent = responders.containsKey(attempt.endpoint())
                     && responders.get(attempt.endpoint()).has("silent");
             if (silent
-                    && !outcome.answers.containsKey(attempt.requestId())
-                    && attempt.equals(outcome.lastAttempt(attempt.requestId()))) {
+                    && !record.answers.containsKey(attempt.requestId())
+                    && attempt.equals(record.lastAttempt(attempt.requestId()))) {
                 requests.get(attempt.requestId())
                         .attemptEnded(
                                 nowUs,
@@ -205,7 +205,7 @@
         }
     }
 
-    private void runTo(long toUs) {
+    private void advanceTo(long toUs) {
         engine();
         while (!events.isEmpty() && events.peek().atUs <= toUs) {
             Event event = events.poll();
@@ -218,7 +218,7 @@
     /** Returns the module, made once the charter is complete. */
     private DecisionEngine engine() {
         if (engine == null) {
-            engine = new ReleaseGate(ScenarioSettings.of(charter), this);
+            engine = new ReleaseGate(ScenarioSettings.of(settings), this);
             engine.start(nowUs);
         }
         return engine;
@@ -230,64 +230,64 @@
         for (int i = 1; i < words.length; i++) {
             String[] fields = words[i].split("(?=[/@!#%$])", -1);
             String name = fields[0];
-            Map<Character, String> byMark = new HashMap<>();
-            Arrays.stream(fields).skip(1).forEach(field -> byMark.put(field.charAt(0), field.substring(1)));
-            outcome.buildOf.put(name, Integer.parseInt(byMark.get('/')));
-            outcome.zoneOf.put(name, Integer.parseInt(byMark.getOrDefault('$', "0")));
+            Map<Character, String> valueByMark = new HashMap<>();
+            Arrays.stream(fields).skip(1).forEach(field -> valueByMark.put(field.charAt(0), field.substring(1)));
+            record.buildByEndpoint.put(name, Integer.parseInt(valueByMark.get('/')));
+            record.zoneByEndpoint.put(name, Integer.parseInt(valueByMark.getOrDefault('$', "0")));
             found.add(new Endpoint(
                     name,
-                    outcome.buildOf.get(name),
-                    outcome.zoneOf.get(name),
-                    Integer.parseInt(byMark.getOrDefault('#', "0")),
-                    Integer.parseInt(byMark.getOrDefault('%', "0")),
-                    ScenarioValues.parseConstant(Endpoint.Health.class, byMark.getOrDefault('!', "ready")),
-                    byMark.containsKey('@') ? startUs + ScenarioValues.parseTimeUs(byMark.get('@')) : 0));
+                    record.buildByEndpoint.get(name),
+                    record.zoneByEndpoint.get(name),
+                    Integer.parseInt(valueByMark.getOrDefault('#', "0")),
+                    Integer.parseInt(valueByMark.getOrDefault('%', "0")),
+                    ScenarioValues.parseConstant(Endpoint.Health.class, valueByMark.getOrDefault('!', "ready")),
+                    valueByMark.containsKey('@') ? startUs + ScenarioValues.parseTimeUs(valueByMark.get('@')) : 0));
         }
         return found;
     }
 
     @Override
     public void sendAttempt(String id, String endpoint, long timeoutUs) {
-        assertThat(outcome.answers.get(id))
+        assertThat(record.answers.get(id))
                 .as("nothing is sent after the final answer of " + id)
                 .isNull();
-        ScenarioRecord.Attempt attempt = new ScenarioRecord.Attempt(nowUs, id, endpoint, (int) outcome.attemptsOf(id));
-        outcome.attempts.add(attempt);
+        ScenarioRecord.Attempt attempt = new ScenarioRecord.Attempt(nowUs, id, endpoint, (int) record.attemptsOf(id));
+        record.attempts.add(attempt);
         scheduleResponse(attempt);
     }
 
     @Override
-    public void shedRequest(String id, long pauseUs) {
-        assertThat(outcome.answers.put(id, "shed"))
+    public void shedRequest(String id, long retryAfterUs) {
+        assertThat(record.answers.put(id, "shed"))
                 .as("one final answer for " + id)
                 .isNull();
     }
 
     @Override
     public void failRequest(String id) {
-        assertThat(outcome.answers.put(id, "error"))
+        assertThat(record.answers.put(id, "error"))
                 .as("one final answer for " + id)
                 .isNull();
     }
 
     @Override
     public void cancelAttempt(String id, int attemptNo) {
-        outcome.cancelledIds.add(id);
+        record.cancelledRequestIds.add(id);
     }
 
     @Override
     public void castVote(int build, int stage, Verdict verdict) {
-        outcome.votes.add(verdict);
+        record.votes.add(verdict);
     }
 
     @Override
-    public void scheduleTimer(long inUs, long token) {
-        events.add(new Event(nowUs + inUs, nextOrder++, () -> engine().timerFired(nowUs, token)));
+    public void scheduleTimer(long delayUs, long token) {
+        events.add(new Event(nowUs + delayUs, nextOrder++, () -> engine().timerFired(nowUs, token)));
     }
 
     @Override
     public void subscribeToEndpoints() {
-        outcome.listFollows++;
+        record.listSubscriptions++;
     }
 
     @Override
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -14,7 +14,7 @@
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/scenarios"))) {
             return files.filter(file -> file.toString().endsWith(".txt")).sorted().toList().stream()
                     .map(file -> DynamicTest.dynamicTest(
-                            file.getFileName().toString(), () -> new ScenarioRunner().play(file)));
+                            file.getFileName().toString(), () -> new ScenarioRunner().run(file)));
         }
     }
 }
--- a/src/test/java/gatelock/decision/BootstrapTest.java
+++ b/src/test/java/gatelock/decision/BootstrapTest.java
@@ -13,24 +13,26 @@
     };
 
     @Test
-    void aPercentileCountsEachLatencyAsOftenAsItsSlice() {
-        assertThat(Bootstrap.percentile(LATENCIES, Bootstrap.eachOnce(2), 0.9)).isEqualTo(4);
-        assertThat(Bootstrap.percentile(LATENCIES, Bootstrap.eachOnce(2), 0.5)).isEqualTo(3);
+    void weightsLatencyPercentileByWindowMultiplicity() {
+        assertThat(Bootstrap.percentile(LATENCIES, Bootstrap.originalSample(2), 0.9))
+                .isEqualTo(4);
+        assertThat(Bootstrap.percentile(LATENCIES, Bootstrap.originalSample(2), 0.5))
+                .isEqualTo(3);
         assertThat(Bootstrap.percentile(LATENCIES, new int[] {0, 2}, 0.9)).isEqualTo(3);
         assertThat(Bootstrap.percentile(new RelativeLatency[0], new int[0], 0.9))
                 .isZero();
     }
 
     @Test
-    void anErrorShareCountsEachSliceAsOftenAsItWasDrawn() {
+    void weightsErrorShareByWindowMultiplicity() {
         ErrorCount[] counts = {new ErrorCount(10, 1), new ErrorCount(10, 5)};
-        assertThat(Bootstrap.errorShare(counts, Bootstrap.eachOnce(2))).isEqualTo(0.3);
+        assertThat(Bootstrap.errorShare(counts, Bootstrap.originalSample(2))).isEqualTo(0.3);
         assertThat(Bootstrap.errorShare(counts, new int[] {2, 0})).isEqualTo(0.1);
         assertThat(Bootstrap.errorShare(new ErrorCount[0], new int[0])).isZero();
     }
 
     @Test
-    void anIntervalOfEqualSlicesIsAPointAndWideningMovesOnlyTheLowerEnd() {
+    void returnsPointForConstantStatisticAndWidensOnlyLowerEnd() {
         Bootstrap.Interval point = Bootstrap.interval(5, 1, new SplittableRandom(1), times -> 0.2);
         assertThat(point).isEqualTo(new Bootstrap.Interval(0.2, 0.2));
         Bootstrap.Interval plain = Bootstrap.interval(5, 1, new SplittableRandom(1), times -> times[0]);
@@ -40,7 +42,7 @@
     }
 
     @Test
-    void theBinomialTailAndTheNormalQuantileAreThoseOfTheTables() {
+    void matchesPublishedBinomialTailAndNormalQuantile() {
         assertThat(Bootstrap.binomialTail(20, 2, 0.02)).isCloseTo(0.0599, within(1e-4));
         assertThat(Bootstrap.binomialTail(20, 0, 0.02)).isEqualTo(1);
         assertThat(Bootstrap.normalQuantile(Math.log(0.025))).isCloseTo(1.96, within(0.005));
--- a/src/test/java/gatelock/decision/BudgetsTest.java
+++ b/src/test/java/gatelock/decision/BudgetsTest.java
@@ -9,7 +9,7 @@
 final class BudgetsTest {
 
     @Test
-    void retriesAreATenthOfTheRequestsAfterABurstOfFive() {
+    void grantsOneRetryPerTenRequestsAfterBurstOfFive() {
         RetryBudget budget = new RetryBudget();
         budget.spend(5);
         for (int i = 0; i < 9; i++) {
@@ -22,41 +22,41 @@
     }
 
     @Test
-    void aRetryAfterAFailedConnectCostsATenth() {
-        assertThat(RetryBudget.priceAfter(AttemptResult.NOT_CONNECTED)).isEqualTo(0.1);
-        assertThat(RetryBudget.priceAfter(AttemptResult.NOT_SENT)).isEqualTo(0.1);
-        assertThat(RetryBudget.priceAfter(AttemptResult.ERRORED)).isEqualTo(1);
+    void chargesTenthOfRetryAfterFailedConnect() {
+        assertThat(RetryBudget.costAfter(AttemptResult.NOT_CONNECTED)).isEqualTo(0.1);
+        assertThat(RetryBudget.costAfter(AttemptResult.NOT_SENT)).isEqualTo(0.1);
+        assertThat(RetryBudget.costAfter(AttemptResult.ERRORED)).isEqualTo(1);
     }
 
     @Test
-    void exposureNeverSavesUpMoreThanItsBurst() {
+    void limitsUnusedExposureToBurst() {
         ExposureBudget budget = new ExposureBudget(1, 2);
         for (int i = 0; i < 100; i++) {
-            budget.earn(0, 0.5);
+            budget.credit(0, 0.5);
         }
         budget.spend(0);
         assertThat(budget.allows(0)).isTrue();
         budget.spend(0);
         assertThat(budget.allows(0)).isFalse();
-        budget.earn(0, 0.5);
+        budget.credit(0, 0.5);
         assertThat(budget.allows(0)).isFalse();
-        budget.earn(0, 0.5);
+        budget.credit(0, 0.5);
         assertThat(budget.allows(0)).isTrue();
     }
 
     @Test
-    void exposureIsCountedByRouteWhereThereIsASlotForEach() {
+    void countsExposurePerRouteOnlyWithOneSlotPerRoute() {
         ExposureBudget byRoute = new ExposureBudget(2, 1);
         byRoute.spend(0);
         assertThat(byRoute.allows(0)).isFalse();
         assertThat(byRoute.allows(1)).isTrue();
-        ExposureBudget common = new ExposureBudget(1, 1);
-        common.spend(1);
-        assertThat(common.allows(0)).isFalse();
+        ExposureBudget shared = new ExposureBudget(1, 1);
+        shared.spend(1);
+        assertThat(shared.allows(0)).isFalse();
     }
 
     @Test
-    void workFillsAtItsRateAndSavesUpAQuarterOfASecond() {
+    void refillsWorkAtRateAndSavesAtMostQuarterSecond() {
         WorkBudget budget = new WorkBudget(-1_000, 0);
         assertThat(budget.refill(0.5, 2_000)).isFalse();
         assertThat(budget.refill(0.5, 2_001)).isTrue();
--- a/src/test/java/gatelock/decision/EvidenceTest.java
+++ b/src/test/java/gatelock/decision/EvidenceTest.java
@@ -11,7 +11,7 @@
     private static final Evidence.Comparison SLOWNESS = new Evidence.Comparison(new Bootstrap.Interval(3.4, 5), 3.25);
 
     @Test
-    void intervalsAreGivenAsFarAsTheyWereLookedAt() {
+    void logsOnlyComputedIntervals() {
         assertThat(new Evidence.Intervals(7, null, null).logText()).isEqualTo("7 outcomes");
         assertThat(new Evidence.Intervals(40, ERRORS, null).logText())
                 .isEqualTo("40 outcomes, errors 0.013 to 0.250, bar 0.020");
@@ -20,13 +20,13 @@
     }
 
     @Test
-    void endpointsPastTheBarAreCounted() {
-        assertThat(new Evidence.EndpointsPastBar(15, 5, 0.1).logText())
+    void logsNumberOfEndpointsAboveThreshold() {
+        assertThat(new Evidence.EndpointsAboveThreshold(15, 5, 0.1).logText())
                 .isEqualTo("15 outcomes, 5 endpoints past the bar of 0.100");
     }
 
     @Test
-    void aComparisonIsAboveOrBelowItsBarOnlyWithItsWholeInterval() {
+    void isAboveOrBelowThresholdOnlyWithWholeInterval() {
         assertThat(ERRORS.isAbove() || ERRORS.isBelow()).isFalse();
         assertThat(SLOWNESS.isAbove()).isTrue();
         assertThat(new Evidence.Comparison(new Bootstrap.Interval(1, 2), 3).isBelow())
--- a/src/test/java/gatelock/decision/ExactIntervalTableTest.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTableTest.java
@@ -9,7 +9,7 @@
 class ExactIntervalTableTest {
 
     @Test
-    void aloneAVoiceMayBeWrongAsOftenAsAllTogether() {
+    void dividesErrorProbabilityAmongRelaysByQuorum() {
         assertThat(ExactIntervalTable.errorLevel(0.05, 1, 1)).isCloseTo(0.05, within(1e-12));
         // Any of 100 may send back: each may be wrong a hundredth as often.
         assertThat(ExactIntervalTable.errorLevel(0.05, 100, 1)).isCloseTo(0.0005, within(1e-12));
@@ -19,14 +19,16 @@
 
     /** Of 20 at 2%: two or more in 0.060 of cases, three or more in 0.007. */
     @Test
-    void endpointsPastTheBarAreCountedUntilTheyAreRare() {
-        assertThat(ExactIntervalTable.minEndpointsPastBar(20, 0.02, 0.05)).isEqualTo(3);
-        assertThat(ExactIntervalTable.minEndpointsPastBar(20, 0.02, 0.07)).isEqualTo(2);
-        assertThat(ExactIntervalTable.minEndpointsPastBar(2, 0.02, 0.05)).isEqualTo(2);
+    void requiresEndpointsUntilTheirNumberIsRarerThanLevel() {
+        assertThat(ExactIntervalTable.minEndpointsAboveThreshold(20, 0.02, 0.05))
+                .isEqualTo(3);
+        assertThat(ExactIntervalTable.minEndpointsAboveThreshold(20, 0.02, 0.07))
+                .isEqualTo(2);
+        assertThat(ExactIntervalTable.minEndpointsAboveThreshold(2, 0.02, 0.05)).isEqualTo(2);
     }
 
     @Test
-    void whatIsFoundIsTheTailOfItsErrors() {
+    void computesDetectionProbabilityAsBinomialTail() {
         // Both of two outcomes at two endpoints, of which 0.3 fail.
         assertThat(ExactIntervalTable.detectionProbability(2, 100, 0.3, 0.02, 0.05))
                 .isCloseTo(0.09, within(1e-12));
@@ -36,7 +38,7 @@
     }
 
     @Test
-    void fewerOutcomesAreNeededOfAWorseBuildAndNoneAreEnoughOnOneEndpoint() {
+    void needsFewerOutcomesForWorseBuildAndDetectsNoneOnOneEndpoint() {
         int bad = ExactIntervalTable.minOutcomesToDetect(100, 0.1, 0.02, 0.05, 0.5, 500);
         int worse = ExactIntervalTable.minOutcomesToDetect(100, 0.3, 0.02, 0.05, 0.5, 500);
         assertThat(worse).isBetween(2, bad - 1);
--- a/src/test/java/gatelock/decision/MeasurementsTest.java
+++ b/src/test/java/gatelock/decision/MeasurementsTest.java
@@ -12,7 +12,7 @@
     private static final long SECOND_US = DecisionClock.SECOND_US;
 
     @Test
-    void whatWasAddedAMemoryAgoCountsOneOverE() {
+    void decaysToOneOverEAfterOneTimeConstant() {
         DecayingSum sum = new DecayingSum(2_000);
         sum.add(0, 10);
         assertThat(sum.sum(2_000)).isCloseTo(10 / Math.E, within(1e-12));
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aStallIsToldByALateCallAndItsBacklogLastsASecond() {
+    void detectsStallByLateCallAndReportsItForOneSecond() {
         DecisionClock clock = new DecisionClock();
         clock.advanceTo(5 * SECOND_US);
         assertThat(clock.justStalled()).isFalse();
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aZoneIsLostOnlyWhileAnotherAnswersAndUntilItAnswersAgain() {
+    void marksZoneLostOnlyWhileAnotherAnswersAndItDoesNot() {
         TimeoutTracker zones = new TimeoutTracker(2 * SECOND_US);
         for (int i = 0; i < 5; i++) {
             zones.add(0, 1, true);
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void onlyARouteThatIsFarSlowerThanAnotherIsLateEverywhere() {
+    void reportsOnlyFarSlowerRouteAsLateEverywhere() {
         DecisionClock clock = new DecisionClock();
         RoutePolicy route =
                 new RoutePolicy(RoutePolicy.RetrySafety.RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 250_000, 1);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anIdleConnectionIsUsedUpByARequestAndLapses() {
+    void removesIdleConnectionWhenAcquiredOrExpired() {
         IdleConnectionEstimate connections = new IdleConnectionEstimate();
         assertThat(connections.hasIdle(0, 1_000)).isFalse();
         connections.release(0, 1_000);
--- a/src/test/java/gatelock/decision/OutcomeHistoryTest.java
+++ b/src/test/java/gatelock/decision/OutcomeHistoryTest.java
@@ -10,7 +10,7 @@
 final class OutcomeHistoryTest {
 
     @Test
-    void ofManyOutcomesAFairSampleIsHeldAndOfFewAll() {
+    void keepsUniformSampleOfManyOutcomesAndAllOfFew() {
         OutcomeHistory history = new OutcomeHistory(20, 300, new SplittableRandom(7));
         for (int i = 0; i < 10_000; i++) {
             // Only late ones fail: a sample of the first or the last alone would show it.
@@ -19,10 +19,10 @@
         for (int i = 0; i < 300; i++) {
             history.add(2, new AttemptOutcome("u", 0, i == 0, false, 1, 0, 0));
         }
-        List<OutcomeWindow> slices = history.all();
-        assertThat(slices.get(0).outcomes()).hasSize(300);
-        assertThat(OutcomeWindow.errorCounts(slices)[0].failed()).isBetween(70L, 110L);
-        assertThat(slices.get(1).outcomes()).hasSize(300);
-        assertThat(OutcomeWindow.errorCounts(slices)[1].failed()).isEqualTo(1);
+        List<OutcomeWindow> windows = history.all();
+        assertThat(windows.get(0).outcomes()).hasSize(300);
+        assertThat(OutcomeWindow.errorCounts(windows)[0].failed()).isBetween(70L, 110L);
+        assertThat(windows.get(1).outcomes()).hasSize(300);
+        assertThat(OutcomeWindow.errorCounts(windows)[1].failed()).isEqualTo(1);
     }
 }
