--- a/src/test/java/gatelock/decision/OutcomeWindowTest.java
+++ b/src/test/java/gatelock/decision/OutcomeWindowTest.java
@@ -12,64 +12,67 @@
 
 /** Which endpoints are left out when a build is judged without its worst ones. */
 final class OutcomeWindowTest {
-    private static final int SLICES = 8;
+    private static final int WINDOWS = 8;
     private static final int ENDPOINTS = 60;
 
     /** So many outcomes a slice, on endpoints by chance; each is slow by its endpoint's share. */
-    private static List<OutcomeWindow> slices(int perSlice, long seed, double[] slowShare) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        List<OutcomeWindow> slices = new ArrayList<>();
-        for (int i = 0; i < SLICES; i++) {
+    private static List<OutcomeWindow> randomWindows(int outcomesPerWindow, long seed, double[] slowShares) {
+        SplittableRandom random = new SplittableRandom(seed);
+        List<OutcomeWindow> windows = new ArrayList<>();
+        for (int i = 0; i < WINDOWS; i++) {
             List<AttemptOutcome> outcomes = new ArrayList<>();
-            for (int j = 0; j < perSlice; j++) {
-                int endpoint = chance.nextInt(ENDPOINTS);
-                double slowness = chance.nextDouble() < slowShare[endpoint] ? 5 : 1;
+            for (int j = 0; j < outcomesPerWindow; j++) {
+                int endpoint = random.nextInt(ENDPOINTS);
+                double slowness = random.nextDouble() < slowShares[endpoint] ? 5 : 1;
                 outcomes.add(new AttemptOutcome(endpoint, 0, false, false, slowness, 0, 0));
             }
-            slices.add(new OutcomeWindow(1000 + i, outcomes));
+            windows.add(new OutcomeWindow(1000 + i, outcomes));
         }
-        return slices;
+        return windows;
     }
 
-    private static double[] shares(double sickPart, double sick, double well) {
+    private static double[] slowShares(
+            double unhealthyEndpointShare, double unhealthySlowShare, double healthySlowShare) {
         double[] shares = new double[ENDPOINTS];
         for (int i = 0; i < ENDPOINTS; i++) {
-            shares[i] = i < ENDPOINTS * sickPart ? sick : well;
+            shares[i] = i < ENDPOINTS * unhealthyEndpointShare ? unhealthySlowShare : healthySlowShare;
         }
         return shares;
     }
 
-    private static double slow(List<OutcomeWindow> slices) {
-        return OutcomeWindow.outcomes(slices).filter(o -> o.slowness() > 1).count()
-                / (double) Math.max(1, OutcomeWindow.size(slices));
+    private static double slowShare(List<OutcomeWindow> windows) {
+        return OutcomeWindow.outcomes(windows)
+                        .filter(outcome -> outcome.slowness() > 1)
+                        .count()
+                / (double) Math.max(1, OutcomeWindow.size(windows));
     }
 
     @Property(tries = 200)
-    void whatStrikesAllEndpointsByChanceStaysVisibleHoweverFewOutcomesEachHas(
-            @ForAll @IntRange(min = 10, max = 60) int perSlice,
+    void keepsSlowShareWhenAllEndpointsAreEquallySlow(
+            @ForAll @IntRange(min = 10, max = 60) int outcomesPerWindow,
             @ForAll @DoubleRange(min = 0.2, max = 0.6) double share,
             @ForAll long seed) {
-        List<OutcomeWindow> all = slices(perSlice, seed, shares(0, 0, share));
-        List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
-        double chance = Math.sqrt(share * (1 - share) / Math.max(1, OutcomeWindow.size(rest)));
-        assertThat(slow(rest)).isBetween(share - 5 * chance, share + 5 * chance);
+        List<OutcomeWindow> all = randomWindows(outcomesPerWindow, seed, slowShares(0, 0, share));
+        List<OutcomeWindow> remaining = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
+        double standardError = Math.sqrt(share * (1 - share) / Math.max(1, OutcomeWindow.size(remaining)));
+        assertThat(slowShare(remaining)).isBetween(share - 5 * standardError, share + 5 * standardError);
     }
 
     @Property(tries = 200)
-    void endpointsThatAreSickThroughoutAreLeftOut(
-            @ForAll @IntRange(min = 60, max = 120) int perSlice, @ForAll long seed) {
-        List<OutcomeWindow> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
-        assertThat(slow(all)).isGreaterThan(0.15);
-        assertThat(slow(OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5)))
+    void excludesEndpointsThatAreConsistentlySlow(
+            @ForAll @IntRange(min = 60, max = 120) int outcomesPerWindow, @ForAll long seed) {
+        List<OutcomeWindow> all = randomWindows(outcomesPerWindow, seed, slowShares(0.3, 0.9, 0));
+        assertThat(slowShare(all)).isGreaterThan(0.15);
+        assertThat(slowShare(OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5)))
                 .isLessThan(0.08);
     }
 
     @Property(tries = 50)
-    void nothingIsMadeUp(@ForAll @IntRange(min = 0, max = 3) int perSlice, @ForAll long seed) {
-        List<OutcomeWindow> all = slices(perSlice, seed, shares(0.3, 0.9, 0));
-        List<OutcomeWindow> rest = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
-        assertThat(all.stream().flatMap(s -> s.outcomes().stream()).toList())
-                .containsAll(OutcomeWindow.outcomes(rest).toList());
-        assertThat(OutcomeWindow.size(rest)).isLessThanOrEqualTo(OutcomeWindow.size(all));
+    void returnsOnlyOutcomesOfTheInput(@ForAll @IntRange(min = 0, max = 3) int outcomesPerWindow, @ForAll long seed) {
+        List<OutcomeWindow> all = randomWindows(outcomesPerWindow, seed, slowShares(0.3, 0.9, 0));
+        List<OutcomeWindow> remaining = OutcomeWindow.withoutWorst(all, AttemptOutcome::slowness, 0.5);
+        assertThat(all.stream().flatMap(window -> window.outcomes().stream()).toList())
+                .containsAll(OutcomeWindow.outcomes(remaining).toList());
+        assertThat(OutcomeWindow.size(remaining)).isLessThanOrEqualTo(OutcomeWindow.size(all));
     }
 }
--- a/src/test/java/gatelock/decision/RolloutStateTest.java
+++ b/src/test/java/gatelock/decision/RolloutStateTest.java
@@ -29,18 +29,18 @@
     }
 
     @Test
-    void aCanaryIsOpenWithACapAndAWithdrawnBuildIsNot() {
+    void opensCanaryWithCapAndClosesItOnRollback() {
         RolloutState state = canary(5, 0, 100);
         assertThat(state.isCanary(5)).isTrue();
         assertThat(state.isCanary(4)).isFalse();
-        assertThat(state.isOpen(5)).isTrue();
+        assertThat(state.acceptsNewRequests(5)).isTrue();
         state.update(5, 0, ReleasePhase.REVERTING, 0.3, 200);
-        assertThat(state.isOpen(5)).isFalse();
-        assertThat(state.isOpen(4)).isTrue();
+        assertThat(state.acceptsNewRequests(5)).isFalse();
+        assertThat(state.acceptsNewRequests(4)).isTrue();
     }
 
     @Test
-    void aBuildNotAnnouncedYetHasTheFirstStagesCap() {
+    void appliesFirstStageCapToUnannouncedBuild() {
         RolloutState state = canary(5, 1, 100);
         assertThat(state.capOf(5)).isEqualTo(0.3);
         assertThat(state.capOf(6)).isEqualTo(0.2);
@@ -49,27 +49,27 @@
     }
 
     @Test
-    void anEarlierStateThatBeganLaterCounts() {
+    void acceptsEarlierStateOnlyIfItBeganLater() {
         RolloutState state = canary(5, 1, 100);
-        assertThat(state.isOvertaken(5, 0, ReleasePhase.TRIAL, 100)).isTrue();
-        assertThat(state.isOvertaken(5, 0, ReleasePhase.TRIAL, 101)).isFalse();
-        assertThat(state.isOvertaken(4, 3, ReleasePhase.RELEASED, 50)).isTrue();
-        assertThat(state.isOvertaken(5, 1, ReleasePhase.TRIAL, 50)).isFalse();
-        assertThat(state.isOvertaken(5, 0, ReleasePhase.RELEASED, 50)).isFalse();
+        assertThat(state.isStale(5, 0, ReleasePhase.TRIAL, 100)).isTrue();
+        assertThat(state.isStale(5, 0, ReleasePhase.TRIAL, 101)).isFalse();
+        assertThat(state.isStale(4, 3, ReleasePhase.RELEASED, 50)).isTrue();
+        assertThat(state.isStale(5, 1, ReleasePhase.TRIAL, 50)).isFalse();
+        assertThat(state.isStale(5, 0, ReleasePhase.RELEASED, 50)).isFalse();
     }
 
     @Test
-    void aRepeatedStateDoesNotRestartItsStage() {
+    void keepsStageStartWhenStateIsRepeated() {
         RolloutState state = canary(5, 1, 100);
         state.update(5, 1, ReleasePhase.TRIAL, 0.4, 900);
         assertThat(state.stageStartUs()).isEqualTo(100);
         assertThat(state.capOf(5)).isEqualTo(0.4);
         state.endpointListed(5, 150, 700);
-        assertThat(state.machineStartupUs()).isEqualTo(600);
+        assertThat(state.endpointStartupUs()).isEqualTo(600);
     }
 
     @Test
-    void aKeyGoesToNoBuildBeforeTheOneThatAnsweredItUnlessThatWasWithdrawn() {
+    void allowsKeyOnEarlierBuildOnlyAfterWithdrawal() {
         StickyBuilds sticky = new StickyBuilds();
         RolloutState state = canary(5, 0, 100);
         sticky.recordAnswer(7, 5);
@@ -79,7 +79,7 @@
         state.update(5, 0, ReleasePhase.WITHDRAWN, 0, 200);
         assertThat(sticky.allows(7, 4, state)).isTrue();
         state.update(5, 0, ReleasePhase.TRIAL, 0.3, 300);
-        sticky.forgetUpTo(5);
+        sticky.evictUpTo(5);
         assertThat(sticky.allows(7, 4, state)).isTrue();
     }
 }
