--- a/src/main/java/gatelock/decision/AttemptResultRecorder.java
+++ b/src/main/java/gatelock/decision/AttemptResultRecorder.java
@@ -9,6 +9,7 @@
     private final OutlierDetector outliers;
     private final StickyBuilds stickyBuilds;
 
+    /** Creates a recorder that updates the measurements of the context. */
     AttemptResultRecorder(DecisionContext context, OutlierDetector outliers, StickyBuilds stickyBuilds) {
         this.context = context;
         this.outliers = outliers;
--- a/src/main/java/gatelock/decision/EndpointCapacity.java
+++ b/src/main/java/gatelock/decision/EndpointCapacity.java
@@ -20,6 +20,7 @@
     private final DecisionContext context;
     private final SlowStart slowStart;
 
+    /** Creates the limits from the measurements of the context. */
     EndpointCapacity(DecisionContext context, SlowStart slowStart) {
         this.context = context;
         this.slowStart = slowStart;
--- a/src/main/java/gatelock/decision/EndpointRegistry.java
+++ b/src/main/java/gatelock/decision/EndpointRegistry.java
@@ -15,6 +15,7 @@
     private final TreeMap<Integer, BuildState> builds = new TreeMap<>();
     private int fleetSize = 1;
 
+    /** Creates a registry without endpoints. */
     EndpointRegistry(DecisionContext context) {
         this.context = context;
     }
--- a/src/main/java/gatelock/decision/EndpointSelector.java
+++ b/src/main/java/gatelock/decision/EndpointSelector.java
@@ -23,6 +23,7 @@
     private final EndpointCapacity capacity;
     private final OutlierDetector outliers;
 
+    /** Creates a selector over the endpoints of the registry. */
     EndpointSelector(
             DecisionContext context,
             EndpointRegistry registry,
--- a/src/main/java/gatelock/decision/ExposureBudget.java
+++ b/src/main/java/gatelock/decision/ExposureBudget.java
@@ -3,32 +3,35 @@
 import java.util.Arrays;
 
 /**
- * The attempts that a canary build may get under its cap, for all routes together or for each. Within any span it allows
- * what was earned in it and a burst: as no more than the burst is ever saved up, no window opens after the requests that
- * earned it have aged out.
+ * The number of attempts that a canary build may receive under its cap, for all routes together or for each route. In
+ * any period it allows the attempts credited in that period plus a burst. As unused credit never exceeds the burst, no
+ * window contains attempts that only requests before the window have paid for, apart from the burst.
  */
 final class ExposureBudget {
     private final double burst;
     private final double[] remaining;
 
-    /** So many slots, one a route or one for all; each starts with the whole burst. */
+    /**
+     * Creates a budget with the full burst in each slot; there is one slot per route, or a single one for all routes.
+     */
     ExposureBudget(int slots, double burst) {
         this.burst = burst;
         remaining = new double[slots];
         Arrays.fill(remaining, burst);
     }
 
-    /** A request of this route has arrived; the cap is the share of an attempt that it earns. */
+    /** Credits an arrived request of this route; {@code cap} is the share of an attempt that it adds. */
     void credit(int route, double cap) {
         int slot = slotOf(route);
         remaining[slot] = Math.min(burst, remaining[slot] + cap);
     }
 
-    /** Whether one more attempt of this route is within the cap. */
+    /** Whether one more attempt on this route is within the cap. */
     boolean allows(int route) {
         return remaining[slotOf(route)] >= 1;
     }
 
+    /** Charges one attempt on this route. */
     void spend(int route) {
         remaining[slotOf(route)] -= 1;
     }
--- a/src/main/java/gatelock/decision/LatencyByLoad.java
+++ b/src/main/java/gatelock/decision/LatencyByLoad.java
@@ -6,17 +6,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** The mean slowness of a build's outcomes by machine kind and by load, in steps of one request in flight. */
+/**
+ * The mean slowness of a build's outcomes by instance type and by load. A load bucket is one request in flight wide.
+ */
 final class LatencyByLoad {
     private static final int ANY_INSTANCE_TYPE = -1;
 
-    /** Loads of this many requests in flight and more count as one. */
+    /** The number of load buckets; the last one also contains all higher loads. */
     private static final int LOAD_BUCKETS = 24;
 
     private final int minOutcomes;
     private final Map<Integer, Table> tables = new HashMap<>();
 
-    /** Takes the successful outcomes of these slices; a mean needs so many outcomes. */
+    /** Creates the means of the successful outcomes in these windows; a mean needs {@code minOutcomes} outcomes. */
     LatencyByLoad(List<OutcomeWindow> windows, int minOutcomes) {
         this.minOutcomes = minOutcomes;
         for (OutcomeWindow window : windows) {
@@ -33,16 +35,19 @@
         return tables.computeIfAbsent(instanceType, k -> new Table());
     }
 
-    /** The mean under about this outcome's load, of its machine kind or else of any; NaN where too few are known. */
+    /**
+     * Returns the mean under a load similar to that of this outcome, for its instance type or else for all types; NaN
+     * if there are too few outcomes.
+     */
     double baseline(AttemptOutcome outcome) {
         double ofInstanceType = baseline(outcome.instanceType(), bucket(outcome));
         return Double.isNaN(ofInstanceType) ? baseline(ANY_INSTANCE_TYPE, bucket(outcome)) : ofInstanceType;
     }
 
     /**
-     * The slowness of successful outcomes at endpoints older than {@code warmUs}, relative to the usual one under like
-     * load, highest first. Where the earlier build never had as many in flight there is none: a canary endpoint that the
-     * cap fills fuller proves nothing by that.
+     * Returns the slowness of successful outcomes at endpoints older than {@code warmUpUs}, relative to the baseline
+     * under similar load, in descending order. Outcomes under a load that the earlier build never had are excluded, as
+     * a canary endpoint with a higher load because of the cap is no evidence of a slow build.
      */
     RelativeLatency[] relativeTo(List<OutcomeWindow> windows, long warmUpUs) {
         List<RelativeLatency> latencies = new ArrayList<>();
@@ -62,7 +67,7 @@
         return Math.min(LOAD_BUCKETS - 1, (int) outcome.load());
     }
 
-    /** From one step below the given one upwards, until enough outcomes are found. */
+    /** Returns the mean from one bucket below the given one upwards, until enough outcomes are found. */
     private double baseline(int instanceType, int bucket) {
         Table table = tables.get(instanceType);
         if (table == null) {
@@ -77,7 +82,7 @@
         return count < minOutcomes ? Double.NaN : sum / count;
     }
 
-    /** Sum of slowness and number of outcomes by load. */
+    /** The sum of slowness and the number of outcomes, by load bucket. */
     private static final class Table {
         private final double[] sums = new double[LOAD_BUCKETS];
         private final double[] counts = new double[LOAD_BUCKETS];
--- a/src/main/java/gatelock/decision/ListSubscription.java
+++ b/src/main/java/gatelock/decision/ListSubscription.java
@@ -2,7 +2,7 @@
 
 import gatelock.api.DecisionActions;
 
-/** The subscription to the endpoint list, renewed with a growing backoff where a call for the list fails. */
+/** The subscription to the endpoint list. It is renewed with exponential backoff if a request for the list fails. */
 final class ListSubscription {
     private static final long MIN_BACKOFF_US = 300_000;
     private static final long MAX_BACKOFF_US = 4 * DecisionClock.SECOND_US;
@@ -12,16 +12,18 @@
     private long backoffUs = MIN_BACKOFF_US;
     private boolean timerSet;
 
-    /** Uses timers with this token. */
+    /** Creates a subscription whose timers have this token. */
     ListSubscription(DecisionActions actions, long timerToken) {
         this.actions = actions;
         this.timerToken = timerToken;
     }
 
+    /** Subscribes to the endpoint list. */
     void subscribe() {
         actions.subscribeToEndpoints();
     }
 
+    /** Schedules a new attempt after a failed request for the list. */
     void onFailure() {
         if (!timerSet) {
             timerSet = true;
@@ -30,10 +32,12 @@
         }
     }
 
+    /** Resets the backoff because a list arrived. */
     void onList() {
         backoffUs = MIN_BACKOFF_US;
     }
 
+    /** Subscribes again after the backoff. */
     void onTimer() {
         timerSet = false;
         actions.subscribeToEndpoints();
--- a/src/main/java/gatelock/decision/OutcomeHistory.java
+++ b/src/main/java/gatelock/decision/OutcomeHistory.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** The latest slices of one build's outcomes, and those that were remembered when a new build came. */
+/**
+ * The latest windows of one build's outcomes, and a snapshot of the windows that were current when a new build was
+ * first listed.
+ */
 final class OutcomeHistory {
     private final int maxWindows;
     private final int maxOutcomes;
@@ -14,14 +17,17 @@
     private List<OutcomeWindow> snapshot = List.of();
     private int outcomesAddedToLatest;
 
-    /** Keeps so many slices, and of the outcomes that are added to a slice one by one a fair sample of so many. */
+    /**
+     * Creates a history that keeps {@code maxWindows} windows. Of the outcomes that are added to a window one by one it
+     * keeps a uniform sample of {@code maxOutcomes}.
+     */
     OutcomeHistory(int maxWindows, int maxOutcomes, RandomGenerator random) {
         this.maxWindows = maxWindows;
         this.maxOutcomes = maxOutcomes;
         this.random = random;
     }
 
-    /** Adds to the slice of this number, which is the latest one or a new one. */
+    /** Adds an outcome to the window with this number, which is the latest one or a new one. */
     void add(long number, AttemptOutcome outcome) {
         if (windows.isEmpty() || windows.peekLast().number() != number) {
             add(new OutcomeWindow(number, new ArrayList<>(List.of(outcome))));
@@ -40,7 +46,7 @@
         }
     }
 
-    /** Adds a whole slice, unless it is empty. */
+    /** Adds a complete window, unless it is empty. */
     void add(OutcomeWindow window) {
         if (!window.outcomes().isEmpty()) {
             windows.add(window);
@@ -50,30 +56,32 @@
         }
     }
 
+    /** Whether there are no windows. */
     boolean isEmpty() {
         return windows.isEmpty();
     }
 
+    /** Returns all kept windows, the oldest first. */
     List<OutcomeWindow> all() {
         return List.copyOf(windows);
     }
 
-    /** The number of the latest slice, 0 where there is none. */
+    /** Returns the number of the latest window, or 0 if there is none. */
     long lastNumber() {
         return windows.isEmpty() ? 0 : windows.peekLast().number();
     }
 
-    /** The slices with this number and later ones. */
+    /** Returns the windows with this number or a later one. */
     List<OutcomeWindow> since(long number) {
         return windows.stream().filter(window -> window.number() >= number).toList();
     }
 
-    /** Remembers the present slices for {@link #snapshot}. */
+    /** Stores the current windows for {@link #snapshot}. */
     void takeSnapshot() {
         snapshot = List.copyOf(windows);
     }
 
-    /** The slices as they were when the latest snapshot was taken. */
+    /** Returns the windows as they were when the latest snapshot was taken. */
     List<OutcomeWindow> snapshot() {
         return snapshot;
     }
--- a/src/main/java/gatelock/decision/OutcomeWindow.java
+++ b/src/main/java/gatelock/decision/OutcomeWindow.java
@@ -8,25 +8,27 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Stream;
 
-/** The outcomes of one slice of time, by the slice's number; the static methods ask about several slices. */
+/**
+ * The outcomes of one time window, which is identified by its number. The static methods operate on several windows.
+ */
 record OutcomeWindow(long number, List<AttemptOutcome> outcomes) {
 
-    /** How many outcomes there are in all slices. */
+    /** Returns the number of outcomes in all windows. */
     static int size(List<OutcomeWindow> windows) {
         return windows.stream().mapToInt(window -> window.outcomes.size()).sum();
     }
 
-    /** All outcomes, slice by slice. */
+    /** Returns all outcomes, window by window. */
     static Stream<AttemptOutcome> outcomes(List<OutcomeWindow> windows) {
         return windows.stream().flatMap(window -> window.outcomes.stream());
     }
 
-    /** The share of outcomes that failed; 0 where there are none. */
+    /** Returns the share of outcomes that failed; 0 if there are no outcomes. */
     static double errorShare(List<OutcomeWindow> windows) {
         return outcomes(windows).filter(AttemptOutcome::failed).count() / (double) Math.max(1, size(windows));
     }
 
-    /** The same slices without the outcomes of some endpoints. */
+    /** Returns the same windows without the outcomes of some endpoints. */
     static List<OutcomeWindow> without(List<OutcomeWindow> windows, List<Object> endpoints) {
         if (endpoints.isEmpty()) {
             return windows;
@@ -43,9 +45,9 @@
     }
 
     /**
-     * Without a share of the endpoints, one at least: from the odd slices those are left out that are worst by a figure in
-     * the even ones, and the other way round. So no endpoint is left out for the very outcomes that are looked at: where
-     * each has few, that would leave out every outcome that is bad by chance.
+     * Excludes a share of the endpoints, at least one, by cross-validation: the odd windows lose the endpoints that are
+     * worst by a metric in the even windows, and vice versa. So no endpoint is excluded because of the outcomes that
+     * are then examined. If each endpoint has few outcomes, that would exclude every outcome that is bad by chance.
      */
     static List<OutcomeWindow> withoutWorst(
             List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> metric, double share) {
@@ -58,7 +60,7 @@
         return kept;
     }
 
-    /** Outcomes and failures of each slice. */
+    /** Returns the numbers of outcomes and of failures in each window. */
     static ErrorCount[] errorCounts(List<OutcomeWindow> windows) {
         return windows.stream().map(OutcomeWindow::errorCount).toArray(ErrorCount[]::new);
     }
@@ -69,13 +71,13 @@
                 outcomes.stream().filter(AttemptOutcome::failed).count());
     }
 
-    /** A share of the endpoints with outcomes, one at least: those with the highest mean of a figure. */
+    /** Returns a share of the endpoints that have outcomes, at least one: those with the highest mean of a metric. */
     static List<Object> worst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> metric, double share) {
         List<Object> all = worstFirst(windows, metric);
         return all.subList(0, Math.min(all.size(), Math.max(1, (int) (all.size() * share))));
     }
 
-    /** The endpoints with outcomes, ordered from the highest mean of a figure to the lowest. */
+    /** Returns the endpoints that have outcomes, in descending order of the mean of a metric. */
     static List<Object> worstFirst(List<OutcomeWindow> windows, ToDoubleFunction<AttemptOutcome> metric) {
         Map<Object, Mean> means = new LinkedHashMap<>();
         for (OutcomeWindow window : windows) {
@@ -90,7 +92,7 @@
         return endpoints;
     }
 
-    /** A mean that values are added to. */
+    /** An incrementally computed mean. */
     private static final class Mean {
         private double sum;
         private double count;
--- a/src/main/java/gatelock/decision/OutlierDetector.java
+++ b/src/main/java/gatelock/decision/OutlierDetector.java
@@ -5,22 +5,25 @@
 import java.util.Set;
 
 /**
- * Outlier detection: attempts that are long overdue, endpoints that fail much, and zones that are lost. Outliers are
- * ejected, which means that they get only a few retriable requests, unless most endpoints look bad.
+ * Outlier detection: finds attempts that are long overdue, endpoints with a high failure rate, and lost zones. Outliers
+ * are ejected, so that they receive only a few retriable requests, unless most endpoints are unhealthy.
  */
 final class OutlierDetector {
-    /** An attempt is overdue after this time plus a multiple of what its work usually takes. */
+    /** An attempt is overdue after this time plus {@link #OVERDUE_FACTOR} times its expected latency. */
     private static final long OVERDUE_BASE_US = 300_000;
 
     private static final double OVERDUE_FACTOR = 3;
 
-    /** An endpoint looks bad past this share of failures; a zone with a lower share of time-outs is healthy. */
+    /**
+     * An endpoint is unhealthy if its share of failures is above this. A zone is healthy if its share of timeouts is
+     * below it.
+     */
     private static final double MAX_FAILURE_SHARE = 0.35;
 
-    /** If more than this share of the endpoints looks bad, the endpoints are not the cause and none is ejected. */
+    /** If more than this share of the endpoints is unhealthy, the cause is not in the endpoints and none is ejected. */
     private static final double MAX_EJECTED_SHARE = 0.6;
 
-    /** A zone is lost if more than this share of its attempts had no answer. */
+    /** A zone is lost if more than this share of its attempts got no answer. */
     private static final double LOST_ZONE_SHARE = MAX_EJECTED_SHARE;
 
     private static final double MIN_ZONE_ATTEMPTS = 2.5;
@@ -34,6 +37,7 @@
     private final TimeoutTracker zoneTimeouts = new TimeoutTracker(ZONE_TIME_CONSTANT_US);
     private boolean ejectionAllowed = true;
 
+    /** Creates a detector that has not found any outlier. */
     OutlierDetector(
             DecisionContext context, EndpointRegistry registry, AdmissionControl admission, RetryBudget retryBudget) {
         this.context = context;
@@ -42,24 +46,27 @@
         this.retryBudget = retryBudget;
     }
 
+    /** Tracks an attempt that is sent now. */
     void attemptSent(Attempt attempt) {
         attemptsInFlight.add(attempt);
     }
 
+    /** Stops tracking an attempt that has ended. */
     void attemptEnded(Attempt attempt) {
         attemptsInFlight.remove(attempt);
     }
 
-    /** Counts how an attempt in a zone went. */
+    /** Records whether an attempt in a zone timed out. */
     void recordZoneOutcome(int zone, boolean timedOut) {
         zoneTimeouts.add(context.nowUs(), zone, timedOut);
     }
 
-    /** Looks at all attempts, zones and endpoints; called at every tick. */
+    /** Checks all attempts, zones and endpoints; called at every tick. */
     void check() {
         List.copyOf(attemptsInFlight).forEach(this::checkOverdue);
-        // Guards against a zone that is cut off or gone before the list says so: all its endpoints would be tried.
-        // Could harm where its bad endpoints had the few attempts: a tenth of the retriable ones still goes there.
+        // Guards against a zone that is cut off or down before the endpoint list shows it: every one of its endpoints
+        // would be tried. Can wrongly eject a zone whose few attempts went to bad endpoints; a tenth of the retriable
+        // requests still goes there.
         zoneTimeouts.update(context.nowUs(), MIN_ZONE_ATTEMPTS, LOST_ZONE_SHARE, MAX_FAILURE_SHARE);
         int endpoints = 0;
         int unhealthy = 0;
@@ -74,12 +81,12 @@
         ejectionAllowed = unhealthy <= MAX_EJECTED_SHARE * endpoints;
     }
 
-    /** Whether an endpoint gets only the few requests that show whether it has recovered. */
+    /** Whether an endpoint receives only the few requests that show whether it has recovered. */
     boolean isEjected(EndpointState endpoint) {
         return ejectionAllowed && isUnhealthy(endpoint);
     }
 
-    /** Guards against an endpoint that fails much or leaves attempts overdue, whatever the cause. */
+    /** Whether an endpoint fails often, leaves attempts overdue or is in a lost zone, whatever the cause. */
     private boolean isUnhealthy(EndpointState endpoint) {
         double failed = endpoint.recentFailures();
         if (zoneTimeouts.isLost(endpoint.entry().zone()) && !endpoint.isWarmingUp()) {
@@ -89,10 +96,11 @@
     }
 
     /**
-     * Guards against an endpoint that stands still, has vanished, is slow, or loses this relay's attempts, alone or not: an
-     * attempt that is long overdue. It uses no capacity any more and counts against the endpoint. If most endpoints are
-     * well, what may run elsewhere is cancelled and goes on there; the rest waits. Could harm where announced work says
-     * little of the time it takes.
+     * Marks an attempt as overdue if it has taken much longer than expected. Guards against endpoints that are stalled,
+     * gone or slow, or that lose this relay's attempts, whether one or several are affected. An overdue attempt no
+     * longer uses capacity and counts as a failure of its endpoint. If most endpoints are healthy and the request may
+     * be executed elsewhere, the attempt is cancelled so that the request can be retried; otherwise it continues. Can
+     * do harm if the announced cost is a poor estimate of the latency.
      */
     private void checkOverdue(Attempt attempt) {
         EndpointState endpoint = attempt.endpoint();
--- a/src/main/java/gatelock/decision/RelativeLatency.java
+++ b/src/main/java/gatelock/decision/RelativeLatency.java
@@ -1,4 +1,4 @@
 package gatelock.decision;
 
-/** The slowness of one outcome, relative to what is usual under like load, and the position of its slice of time. */
+/** The slowness of one outcome relative to the baseline under similar load, and the index of its time window. */
 record RelativeLatency(double value, int windowIndex) {}
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -15,7 +15,7 @@
  * each call.
  *
  * <p>This class only delegates. Good starting points for readers are {@link RequestRouter}, which handles requests, and
- *       {@link VotePolicy}, which decides on votes. The modules share a {@link DecisionContext}.
+ * {@link VotePolicy}, which decides on votes. The modules share a {@link DecisionContext}.
  */
 public final class ReleaseGate implements DecisionEngine {
     /** The interval of the tick, which checks for overdue attempts and reviews the newest build. */
--- a/src/main/java/gatelock/decision/SlowStart.java
+++ b/src/main/java/gatelock/decision/SlowStart.java
@@ -1,26 +1,31 @@
 package gatelock.decision;
 
 /**
- * Slow start of cold and canary endpoints: a budget of work at each, for all relays together. Each relay sends its part of
- * the work that one place bears, times what an endpoint of its age surely can do; the parts add up to a multiple of what
- * the fleet completes. A part of less than one request accumulates, from a random start.
+ * Slow start of cold endpoints and of canary endpoints: each has a work budget that all relays together respect. Each
+ * relay sends an endpoint its share of the work of an average endpoint, multiplied by the share of capacity that an
+ * endpoint of this age is certain to have; the shares of all relays add up to a multiple of the work that the fleet
+ * completes per endpoint. A share of less than one request accumulates, from a random initial value.
  */
 final class SlowStart {
-    /** Times the work of one place that a canary endpoint may be sent. */
+    /** A canary endpoint may be sent this multiple of the work of an average endpoint. */
     private static final double CANARY_MULTIPLE = 1.5;
 
-    /** The part used of the multiple that the site allows cold endpoints. */
+    /** The share that is used of the multiple of its capacity at which a cold endpoint fails. */
     private static final double COLD_MULTIPLE_SHARE = 0.75;
 
     private final DecisionContext context;
     private final EndpointRegistry registry;
 
+    /** Creates the limits for the endpoints of the registry. */
     SlowStart(DecisionContext context, EndpointRegistry registry) {
         this.context = context;
         this.registry = registry;
     }
 
-    /** Whether an endpoint that is cold or canary has any of its budget left; others have none and need none. */
+    /**
+     * Whether an endpoint may receive another request. Only endpoints that are cold or run the canary are limited by
+     * their budget.
+     */
     boolean allows(EndpointState endpoint) {
         boolean isLimited = endpoint.isWarmingUp() || endpoint.isCanary();
         return !isLimited || hasBudget(endpoint);
@@ -41,7 +46,7 @@
         return endpoint.workBudget().refill(rate, context.nowUs());
     }
 
-    /** The part of its capacity that an endpoint of this age surely has. */
+    /** Returns the share of its capacity that an endpoint of this age is certain to have. */
     private double warmCapacityShare(EndpointState endpoint) {
         long ageUs = context.nowUs() - endpoint.entry().startedAtUs();
         double progress = endpoint.isWarmingUp()
--- a/src/main/java/gatelock/decision/StageClock.java
+++ b/src/main/java/gatelock/decision/StageClock.java
@@ -1,25 +1,29 @@
 package gatelock.decision;
 
-/** When the present stage's clock began to run, as far as a relay can tell. */
+/** Estimates when the clock of the current stage began to run at the release controller. */
 final class StageClock {
-    /** A stage's clock runs so long after its machines are up. */
+    /** The clock of a stage starts this long after its endpoints are up. */
     private static final long CLOCK_DELAY_US = DecisionClock.SECOND_US;
 
-    /** It begins to run at the latest so long after the stage's start. */
+    /** The longest time after the start of a stage for which the clock waits for endpoints. */
     private static final long MAX_STARTUP_WAIT_US = 8 * DecisionClock.SECOND_US;
 
     private final DecisionContext context;
 
+    /** Creates the estimate for the rollout of the context. */
     StageClock(DecisionContext context) {
         this.context = context;
     }
 
-    /** When the stage's least time has passed. */
+    /** Returns when the minimum duration of the stage ends. */
     long minStageEndUs(BuildState canary) {
         return startUs(canary) + context.settings().rollout().minStageUs();
     }
 
-    /** Machines not listed yet are waited for as long as the last ones took: some stages bring none. */
+    /**
+     * Returns when the clock started. For endpoints that are not listed yet, it assumes the startup time of the latest
+     * ones instead of waiting, as some stages add no endpoints.
+     */
     private long startUs(BuildState canary) {
         long stageStartUs = context.rollout().stageStartUs();
         long latestUs = stageStartUs + MAX_STARTUP_WAIT_US;
--- a/src/main/java/gatelock/decision/Throughput.java
+++ b/src/main/java/gatelock/decision/Throughput.java
@@ -1,17 +1,22 @@
 package gatelock.decision;
 
-/** This relay's rate of answers, and the announced work of the requests that recently arrived and completed. */
+/**
+ * This relay's rate of answers, and the announced cost ("work") of the requests that recently arrived and completed.
+ */
 final class Throughput {
-    /** Rates of answers fade over this time. */
+    /** The time constant with which rates of answers decay. */
     static final double RATE_TIME_CONSTANT_US = 3.0 * DecisionClock.SECOND_US;
 
-    /** Work fades over this time. */
+    /** The time constant with which work decays. */
     static final double WORK_TIME_CONSTANT_US = 6.0 * DecisionClock.SECOND_US;
 
-    /** Work that arrives counts in this part where less was completed recently. */
+    /** The share of the arrived work that counts as the minimum of the completed work. */
     private static final double ARRIVED_WORK_SHARE = 0.25;
 
-    /** The fleet is set against its own past only while no more work arrives than this many times that of then. */
+    /**
+     * The fleet is compared with its own past only while the arriving work is at most this multiple of the work at that
+     * time.
+     */
     private static final double WORK_INCREASE_THRESHOLD = 1.2;
 
     private final DecisionClock clock;
@@ -20,30 +25,37 @@
     private final DecayingSum arrivedWork = new DecayingSum(WORK_TIME_CONSTANT_US);
     private double arrivedWorkBeforeCanary;
 
+    /** Creates a measurement without requests. */
     Throughput(DecisionClock clock) {
         this.clock = clock;
     }
 
+    /** Records the cost of a request that arrived. */
     void requestArrived(long costUs) {
         arrivedWork.add(clock.nowUs(), (double) costUs);
     }
 
+    /** Records the cost of a request that was answered successfully. */
     void requestCompleted(long costUs) {
         answers.add(clock.nowUs(), 1);
         completedWork.add(clock.nowUs(), (double) costUs);
     }
 
+    /** Returns the recent rate of answers, per microsecond. */
     double answersPerUs() {
         return answers.count(clock.nowUs()) / RATE_TIME_CONSTANT_US;
     }
 
-    /** Announced work that this relay completes, or a part of what arrives, in microseconds of work per microsecond. */
+    /**
+     * Returns the announced work that this relay completes, or a share of the arriving work if that is higher, in
+     * microseconds of work per microsecond.
+     */
     double workRate() {
         double work = Math.max(completedWork.sum(clock.nowUs()), ARRIVED_WORK_SHARE * arrivedWork.sum(clock.nowUs()));
         return work / WORK_TIME_CONSTANT_US;
     }
 
-    /** A new build was listed: what arrives now is the work from before it. */
+    /** Stores the current rate of arriving work as the rate before the canary, because a new build was listed. */
     void snapshotWorkBeforeCanary() {
         arrivedWorkBeforeCanary = steadyArrivedWork();
     }
@@ -53,7 +65,10 @@
         return steadyArrivedWork() > WORK_INCREASE_THRESHOLD * arrivedWorkBeforeCanary;
     }
 
-    /** The work that arrived recently, scaled as if it had come at the same rate since long before the start. */
+    /**
+     * Returns the work that arrived recently, corrected for the short time since the relay's start as if work had
+     * always arrived at the same rate.
+     */
     private double steadyArrivedWork() {
         double elapsedShare = 1 - Math.exp((clock.startUs() - clock.nowUs() - 1) / WORK_TIME_CONSTANT_US);
         return arrivedWork.sum(clock.nowUs()) / elapsedShare;
--- a/src/main/java/gatelock/decision/VoteCaster.java
+++ b/src/main/java/gatelock/decision/VoteCaster.java
@@ -5,25 +5,29 @@
 import gatelock.api.Verdict;
 
 /**
- * Casts and renews this relay's vote, at a rate that all relays together keep to. A vote to go back waits for no turn.
+ * Casts and renews this relay's vote, at a rate that keeps all relays together within the limit of the release
+ * controller. A vote to roll back is cast at once, without waiting for a slot.
  */
 final class VoteCaster {
-    /** A vote is renewed after this share of its life. */
+    /** A vote is renewed after this share of its time to live. */
     private static final double RENEW_TTL_SHARE = 0.6;
 
-    /** The least wait after a vote that was rejected; up to as much again is added at random. */
+    /** The minimum backoff after a rejected vote; a random time of up to the same length is added. */
     private static final long REJECTED_BACKOFF_US = 400_000;
 
-    /** Votes at once, in seconds of the release controller's rate; it takes two seconds' worth. */
+    /**
+     * The number of votes that may be cast at once, in seconds of the release controller's rate; the controller accepts
+     * the votes of two seconds at once.
+     */
     private static final double BURST_S = 1.5;
 
-    /** The share of the release controller's rate that renewals of all relays may use. */
+    /** The share of the release controller's rate that all relays together may use for renewals. */
     private static final double RENEWAL_RATE_SHARE = 0.9;
 
-    /** How far the turns move on with each stage, as a share of all relays. */
+    /** How far the slots are shifted with each stage, as a share of all relays. */
     private static final double SLOT_SHIFT_SHARE = 0.382;
 
-    /** So many of all relays log a vote that is not one to go back. */
+    /** The mean number of relays that log a vote other than one to roll back. */
     private static final int LOGGING_RELAYS = 2;
 
     private static final double MIN_VOTES_PER_S = 0.1;
@@ -39,6 +43,7 @@
     private Verdict wantedVerdict = Verdict.NONE;
     private long wantedSinceUs;
 
+    /** Creates a caster without a vote. If the relay's index is not known, a random one is drawn. */
     VoteCaster(DecisionContext context) {
         this.context = context;
         this.policy = context.settings().rollout();
@@ -49,8 +54,9 @@
     }
 
     /**
-     * News have come that may answer a vote; tells whether the vote was not counted, in which case it is cast again after a
-     * while. Guards against hammering a release controller that rejects votes or is silent, whatever its reason.
+     * Processes an update that may answer a vote. Returns whether the vote was not counted, in which case it is cast
+     * again after a backoff. Guards against flooding a release controller that rejects votes or does not respond,
+     * whatever the reason.
      */
     boolean onVoteResponse(VoteResponse response) {
         awaitsResponse &= response == VoteResponse.NOT_ASKED;
@@ -63,14 +69,19 @@
         return isRejected;
     }
 
-    /** The newest build or its state changes: a vote to go back holds in all states of its build, others in one. */
+    /**
+     * Processes a change of the newest build or its state. A vote to roll back remains valid in all states of its
+     * build, other votes only in one state.
+     */
     void onRolloutChange(boolean isNewBuild) {
         if (isNewBuild || castVerdict != Verdict.BACK) {
             castVerdict = Verdict.NONE;
         }
     }
 
-    /** Casts a verdict if it is not cast already, or about to lapse, and if it is this relay's turn. */
+    /**
+     * Casts a verdict when this relay's slot is reached, unless the verdict was cast already and does not expire soon.
+     */
     void cast(Verdict verdict, long minStageEndUs, Evidence evidence) {
         long nowUs = context.nowUs();
         if (verdict != wantedVerdict) {
@@ -99,7 +110,10 @@
         return isUnanswered || nowUs < backoffUntilUs;
     }
 
-    /** Turns of votes to go on count from the stage's least time, which all relays know. */
+    /**
+     * Whether this relay's slot is reached. The slots of votes to promote are counted from the end of the stage's
+     * minimum duration, which all relays know.
+     */
     private boolean isSlotReached(Verdict verdict, long minStageEndUs) {
         long fromUs = verdict == Verdict.ON ? minStageEndUs : wantedSinceUs;
         return verdict == Verdict.BACK || context.nowUs() >= slotDelayUs() + fromUs;
@@ -120,10 +134,10 @@
     }
 
     /**
-     * How long this relay waits for its turn. Guards against a fleet whose votes together are more than the release
-     * controller takes, of any size: each waits for its place in a row that every relay knows, and that moves on with each
-     * stage. Could harm where those first in the row are cut off from the release controller: the rest vote later than they
-     * could.
+     * Returns how long this relay waits for its slot. Guards against a fleet, of any size, that casts more votes than
+     * the release controller accepts: each relay votes in its slot of an order that every relay knows and that is
+     * shifted with each stage. Can do harm if the relays with the first slots cannot reach the release controller, as
+     * the others then vote later than necessary.
      */
     private long slotDelayUs() {
         RolloutState rollout = context.rollout();
@@ -133,7 +147,11 @@
         return (long) (Math.max(0, slot - BURST_S * votesPerS()) / votesPerS() * DecisionClock.SECOND_US);
     }
 
-    /** Votes of all relays are renewed no faster than the release controller takes them; back is by its quorum alone. */
+    /**
+     * Returns the interval at which a vote is renewed. All relays together renew no faster than the release controller
+     * accepts votes; a vote to roll back is renewed before it expires, as only a quorum of relays has to keep its votes
+     * valid.
+     */
     private long renewalUs(Verdict verdict) {
         double fleetRenewalUs = relayCount * DecisionClock.SECOND_US / (RENEWAL_RATE_SHARE * votesPerS());
         double beforeExpiryUs = policy.voteTtlUs() * RENEW_TTL_SHARE;
--- a/src/main/java/gatelock/decision/VotePolicy.java
+++ b/src/main/java/gatelock/decision/VotePolicy.java
@@ -4,23 +4,26 @@
 import gatelock.api.RolloutPolicy;
 import gatelock.api.Verdict;
 
-/** Which vote follows from the analysis of the newest build and from the time of its stage. */
+/** Decides on a vote from the analysis of the newest build and the time of its stage. */
 final class VotePolicy {
-    /** How long a fail must last, added up over looks, as one look in many fails by chance. */
+    /**
+     * How long a failure must last before it is confirmed, added up over reviews, as one review in many fails by
+     * chance.
+     */
     private static final long CONFIRM_ERRORS_US = 3 * DecisionClock.SECOND_US / 2;
 
     private static final long CONFIRM_SLOW_US = 3 * DecisionClock.SECOND_US;
 
-    /** A close call holds so long past the stage's least time. */
+    /** How long an inconclusive build is held after the minimum duration of its stage. */
     private static final long HOLD_US = DecisionClock.SECOND_US;
 
-    /** The page's patience, where few endpoints fail or the release controller's samples decide. */
+    /** The specified hold time, used if only few endpoints fail or if the release controller's samples decide. */
     private static final long LONG_HOLD_US = 3 * DecisionClock.SECOND_US;
 
-    /** Where a clock moves stages on, a hold is cast so long before the time is up. */
+    /** If the time promotes builds, a hold is cast this long before the end of the minimum duration. */
     private static final long HOLD_LEAD_US = DecisionClock.SECOND_US;
 
-    /** How long a released build is watched. */
+    /** How long a build is monitored after its release. */
     private static final long POST_RELEASE_WATCH_US = 12 * DecisionClock.SECOND_US;
 
     private final DecisionContext context;
@@ -33,6 +36,7 @@
     private long failedForUs;
     private long lastReviewUs;
 
+    /** Creates the policy for the newest build of the registry. */
     VotePolicy(DecisionContext context, EndpointRegistry registry, CanaryAnalysis analysis, VoteCaster caster) {
         this.context = context;
         this.registry = registry;
@@ -42,7 +46,10 @@
         this.policy = context.settings().rollout();
     }
 
-    /** The ordinary path of a vote: what the outcomes say, what the stage's time allows, what to vote. */
+    /**
+     * Reviews the newest build: analyzes its outcomes, takes the time of the stage into account and casts the resulting
+     * vote.
+     */
     void review() {
         BuildState canary = registry.newestBuild();
         if (canary == null || context.rollout().isRollingBack()) {
@@ -62,7 +69,10 @@
         caster.cast(votedVerdict(verdict, minStageEndUs), minStageEndUs, evidence);
     }
 
-    /** Adds up how long fails have lasted, paid back by looks that do not fail; whether they have lasted long enough. */
+    /**
+     * Adds up how long failures have lasted and subtracts the time without a failure. Returns whether the failure has
+     * lasted long enough.
+     */
     private boolean confirm(Assessment assessment) {
         long sinceUs = Math.min(ReleaseGate.TICK_US, context.nowUs() - lastReviewUs);
         long totalUs = failedForUs + (assessment.isFailure() ? sinceUs : -sinceUs);
@@ -72,7 +82,10 @@
         return assessment.isFailure() && failedForUs >= (confirmsQuickly ? CONFIRM_ERRORS_US : CONFIRM_SLOW_US);
     }
 
-    /** After the release nothing shows like load any more: errors count, or the votes of many relays. */
+    /**
+     * Returns the verdict on a released build. As no endpoint under similar load is left to compare latencies with,
+     * only errors count, or the votes of many relays.
+     */
     private Verdict verdictAfterRelease(Assessment assessment, boolean isConfirmed) {
         boolean counts = assessment == Assessment.ERRORS || context.hasManyRelays();
         boolean isWatched = context.nowUs() - context.rollout().stageStartUs() < POST_RELEASE_WATCH_US;
@@ -90,22 +103,22 @@
         return context.nowUs() < minStageEndUs + holdUs ? Verdict.HOLD : Verdict.ON;
     }
 
-    /** How long past the stage's least time an assessment that neither passes nor fails holds. */
+    /** Returns how long a build is held after the stage's minimum duration if it neither passes nor fails. */
     private long holdUs(Assessment assessment, BuildState canary) {
         boolean samplesDecide = analysis.hasMoreSamples(canary) && policy.fleetSamplesSent();
         if (assessment == Assessment.SUSPECT || samplesDecide) {
             return LONG_HOLD_US;
         }
-        // Where half the outcomes are missing, a little more time brings no verdict either.
+        // If more than half of the required outcomes are missing, a little more time does not lead to a verdict either.
         boolean isHopeless = assessment == Assessment.NO_VERDICT
                 && analysis.recentOwnOutcomes(canary) < ThresholdComparison.MIN_OUTCOMES / 2;
         return isHopeless ? 0 : HOLD_US;
     }
 
-    /** What is voted for a verdict: no vote for what the release controller does anyway without one. */
+    /** Returns the vote for a verdict: no vote for what the release controller does without one. */
     private Verdict votedVerdict(Verdict verdict, long minStageEndUs) {
         boolean clockPromotes = policy.promotionMode() == RolloutPolicy.PromotionMode.CLOCK;
-        // A hold stops the clock, so that it would have to run all its time afterwards.
+        // A hold stops the clock, and the full duration would have to pass again afterwards.
         boolean isEarlyHold =
                 clockPromotes && verdict == Verdict.HOLD && context.nowUs() < minStageEndUs - HOLD_LEAD_US;
         Verdict withoutVote = clockPromotes ? Verdict.ON : Verdict.HOLD;
--- a/src/test/java/gatelock/ScenarioRecord.java
+++ b/src/test/java/gatelock/ScenarioRecord.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the decision module did in a scenario, and the expectations on it. */
+/** Records what the decision engine did in a scenario, and checks the scenario's expectations. */
 final class ScenarioRecord {
-    /** An attempt that the module sent. */
+    /** An attempt that the engine sent. */
     record Attempt(long sentUs, String requestId, String endpoint, int attemptNo) {}
 
-    /** Builds by endpoint. */
+    /** The build of each endpoint, by its name. */
     final Map<String, Integer> buildByEndpoint = new HashMap<>();
-    /** Zones by endpoint. */
+    /** The zone of each endpoint, by its name. */
     final Map<String, Integer> zoneByEndpoint = new HashMap<>();
-    /** Final answers by request: completed, shed or error. */
+    /** The final answer of each request, by its id: completed, shed or error. */
     final Map<String, String> answers = new LinkedHashMap<>();
 
     final List<Attempt> attempts = new ArrayList<>();
@@ -54,7 +54,7 @@
                         .count();
                 assertWithin(matching / Math.max(1, attempts.size()), named, where);
             }
-            default -> throw new IllegalArgumentException("no such expectation: " + where);
+            default -> throw new IllegalArgumentException("unknown expectation: " + where);
         }
     }
 
@@ -66,7 +66,7 @@
         assertThat(value).as(where).isBetween(named.number("min", 0), named.number("max", 1e9));
     }
 
-    /** Checks that in every window the attempts at a build stay within free + cap x requests taken. */
+    /** Checks that the attempts at a build stay within free + cap x accepted requests in every window. */
     void assertExposure(ScenarioValues settings, ScenarioValues named, String where) {
         long windowUs = settings.timeUs("window", "2s");
         int build = named.integer("build", 2);
--- a/src/test/java/gatelock/ScenarioRunner.java
+++ b/src/test/java/gatelock/ScenarioRunner.java
@@ -22,13 +22,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** Plays one scenario: the decision module of one relay, a simulated clock, and a record of all that was decided. */
+/** Runs one scenario: drives the decision engine of one relay with a simulated clock and records all of its actions. */
 final class ScenarioRunner implements DecisionActions {
     private record Event(long atUs, long order, Runnable action) {}
 
     private final ScenarioValues settings = new ScenarioValues();
-    private final ScenarioRecord record = new ScenarioRecord();
-    /** How endpoints, or all of a build ({@code build2}), respond by themselves. */
+    private final ScenarioRecord scenarioRecord = new ScenarioRecord();
+    /** How endpoints, or all endpoints of a build ({@code build2}), respond without an explicit step. */
     private final Map<String, ScenarioValues> responders = new LinkedHashMap<>();
 
     private final PriorityQueue<Event> events =
@@ -40,6 +40,7 @@
     private long nextOrder;
     private int nextGeneratedId;
 
+    /** Runs all steps of a scenario file. */
     void run(Path file) throws IOException {
         int number = 0;
         for (String line : Files.readAllLines(file)) {
@@ -78,12 +79,12 @@
             case "silent-time-out" -> timeOutSilent();
             case "complaint" -> engine().complaintReceived(nowUs, words[1], 0, named.timeUs("ago", "0s"));
             case "forget" -> {
-                record.attempts.clear();
-                record.votes.clear();
-                record.acceptedAtUs.clear();
+                scenarioRecord.attempts.clear();
+                scenarioRecord.votes.clear();
+                scenarioRecord.acceptedAtUs.clear();
             }
             case "expect" -> expect(words, named, where);
-            default -> throw new IllegalArgumentException("no such step: " + where);
+            default -> throw new IllegalArgumentException("unknown step: " + where);
         }
     }
 
@@ -117,18 +118,18 @@
         switch (words[1]) {
             case "may-go" -> assertThat(mayStart(words[2])).as(where).isTrue();
             case "stays" -> assertThat(mayStart(words[2])).as(where).isFalse();
-            case "exposure" -> record.assertExposure(settings, named, where);
-            default -> record.expect(words, named, where);
+            case "exposure" -> scenarioRecord.assertExposure(settings, named, where);
+            default -> scenarioRecord.expect(words, named, where);
         }
     }
 
-    /** Returns whether the last attempt of a request may still go, which is asked once its connection is established. */
+    /** Returns whether the last attempt of a request may still start; a relay asks this once the connection is open. */
     private boolean mayStart(String requestId) {
         return requests.get(requestId)
-                .mayStart(nowUs, record.lastAttempt(requestId).attemptNo());
+                .mayStart(nowUs, scenarioRecord.lastAttempt(requestId).attemptNo());
     }
 
-    /** Takes requests at a constant rate. */
+    /** Sends requests at a constant rate. */
     private void sendRequests(ScenarioValues named) {
         long endUs = nowUs + named.timeUs("for", "1s");
         long intervalUs = named.timeUs("every", "20ms");
@@ -139,7 +140,7 @@
     }
 
     private void acceptRequest(String requestId, ScenarioValues named) {
-        record.acceptedAtUs.add(nowUs);
+        scenarioRecord.acceptedAtUs.add(nowUs);
         RequestHandle request = engine().acceptRequest(
                         nowUs,
                         requestId,
@@ -151,15 +152,15 @@
         requests.put(requestId, request);
     }
 
-    /** Lets an endpoint that responds by itself respond after its time, every nth time with an error. */
+    /** Schedules the response of an endpoint that responds without an explicit step, every nth one an error. */
     private void scheduleResponse(ScenarioRecord.Attempt attempt) {
         ScenarioValues responder = responders.getOrDefault(
-                attempt.endpoint(), responders.get("build" + record.buildByEndpoint.get(attempt.endpoint())));
+                attempt.endpoint(), responders.get("build" + scenarioRecord.buildByEndpoint.get(attempt.endpoint())));
         if (responder == null || !attempt.requestId().startsWith("f") || responder.has("silent")) {
             return;
         }
         int failureInterval = responder.integer("fails-each", 0);
-        long attemptsAtEndpoint = record.attempts.stream()
+        long attemptsAtEndpoint = scenarioRecord.attempts.stream()
                 .filter(other -> other.endpoint().equals(attempt.endpoint()))
                 .count();
         boolean fails = failureInterval > 0 && attemptsAtEndpoint % failureInterval == 0;
@@ -167,7 +168,7 @@
         events.add(new Event(nowUs + durationUs, nextOrder++, () -> {
             RequestHandle request = requests.get(attempt.requestId());
             if (!fails) {
-                record.answers.putIfAbsent(attempt.requestId(), "completed");
+                scenarioRecord.answers.putIfAbsent(attempt.requestId(), "completed");
             }
             AttemptResult failure = responder.constant(AttemptResult.class, "fails-as", "errored");
             AttemptResult result = fails ? failure : AttemptResult.COMPLETED;
@@ -176,23 +177,23 @@
     }
 
     private void endAttempt(String requestId, AttemptResult result) {
-        ScenarioRecord.Attempt attempt = record.lastAttempt(requestId);
-        boolean answered = result == AttemptResult.COMPLETED || record.answers.containsKey(requestId);
+        ScenarioRecord.Attempt attempt = scenarioRecord.lastAttempt(requestId);
+        boolean answered = result == AttemptResult.COMPLETED || scenarioRecord.answers.containsKey(requestId);
         if (answered) {
-            record.answers.putIfAbsent(requestId, "completed");
+            scenarioRecord.answers.putIfAbsent(requestId, "completed");
         }
         requests.get(requestId)
                 .attemptEnded(nowUs, attempt.attemptNo(), result, nowUs - attempt.sentUs(), answered, LoadReport.NONE);
     }
 
-    /** Ends the last attempts that silent endpoints still have as timed out. */
+    /** Ends the open last attempts at silent endpoints as timed out. */
     private void timeOutSilent() {
-        for (ScenarioRecord.Attempt attempt : List.copyOf(record.attempts)) {
+        for (ScenarioRecord.Attempt attempt : List.copyOf(scenarioRecord.attempts)) {
             boolean silent = responders.containsKey(attempt.endpoint())
                     && responders.get(attempt.endpoint()).has("silent");
             if (silent
-                    && !record.answers.containsKey(attempt.requestId())
-                    && attempt.equals(record.lastAttempt(attempt.requestId()))) {
+                    && !scenarioRecord.answers.containsKey(attempt.requestId())
+                    && attempt.equals(scenarioRecord.lastAttempt(attempt.requestId()))) {
                 requests.get(attempt.requestId())
                         .attemptEnded(
                                 nowUs,
@@ -215,7 +216,7 @@
         nowUs = toUs;
     }
 
-    /** Returns the module, made once the charter is complete. */
+    /** Returns the engine. It is created on first use, when all settings have been read. */
     private DecisionEngine engine() {
         if (engine == null) {
             engine = new ReleaseGate(ScenarioSettings.of(settings), this);
@@ -224,7 +225,10 @@
         return engine;
     }
 
-    /** Reads endpoints as id/build, with @start, !draining or !gone, #kind, %cell and $zone where wanted. */
+    /**
+     * Parses endpoints written as name/build, optionally followed by @start, !draining or !gone, #instanceType, %cell
+     * and $zone.
+     */
     private List<Endpoint> endpoints(String[] words) {
         List<Endpoint> found = new ArrayList<>();
         for (int i = 1; i < words.length; i++) {
@@ -232,12 +236,12 @@
             String name = fields[0];
             Map<Character, String> valueByMark = new HashMap<>();
             Arrays.stream(fields).skip(1).forEach(field -> valueByMark.put(field.charAt(0), field.substring(1)));
-            record.buildByEndpoint.put(name, Integer.parseInt(valueByMark.get('/')));
-            record.zoneByEndpoint.put(name, Integer.parseInt(valueByMark.getOrDefault('$', "0")));
+            scenarioRecord.buildByEndpoint.put(name, Integer.parseInt(valueByMark.get('/')));
+            scenarioRecord.zoneByEndpoint.put(name, Integer.parseInt(valueByMark.getOrDefault('$', "0")));
             found.add(new Endpoint(
                     name,
-                    record.buildByEndpoint.get(name),
-                    record.zoneByEndpoint.get(name),
+                    scenarioRecord.buildByEndpoint.get(name),
+                    scenarioRecord.zoneByEndpoint.get(name),
                     Integer.parseInt(valueByMark.getOrDefault('#', "0")),
                     Integer.parseInt(valueByMark.getOrDefault('%', "0")),
                     ScenarioValues.parseConstant(Endpoint.Health.class, valueByMark.getOrDefault('!', "ready")),
@@ -248,36 +252,37 @@
 
     @Override
     public void sendAttempt(String id, String endpoint, long timeoutUs) {
-        assertThat(record.answers.get(id))
-                .as("nothing is sent after the final answer of " + id)
+        assertThat(scenarioRecord.answers.get(id))
+                .as("no attempt is sent after the final answer of " + id)
                 .isNull();
-        ScenarioRecord.Attempt attempt = new ScenarioRecord.Attempt(nowUs, id, endpoint, (int) record.attemptsOf(id));
-        record.attempts.add(attempt);
+        ScenarioRecord.Attempt attempt =
+                new ScenarioRecord.Attempt(nowUs, id, endpoint, (int) scenarioRecord.attemptsOf(id));
+        scenarioRecord.attempts.add(attempt);
         scheduleResponse(attempt);
     }
 
     @Override
     public void shedRequest(String id, long retryAfterUs) {
-        assertThat(record.answers.put(id, "shed"))
-                .as("one final answer for " + id)
+        assertThat(scenarioRecord.answers.put(id, "shed"))
+                .as("exactly one final answer for " + id)
                 .isNull();
     }
 
     @Override
     public void failRequest(String id) {
-        assertThat(record.answers.put(id, "error"))
-                .as("one final answer for " + id)
+        assertThat(scenarioRecord.answers.put(id, "error"))
+                .as("exactly one final answer for " + id)
                 .isNull();
     }
 
     @Override
     public void cancelAttempt(String id, int attemptNo) {
-        record.cancelledRequestIds.add(id);
+        scenarioRecord.cancelledRequestIds.add(id);
     }
 
     @Override
     public void castVote(int build, int stage, Verdict verdict) {
-        record.votes.add(verdict);
+        scenarioRecord.votes.add(verdict);
     }
 
     @Override
@@ -287,7 +292,7 @@
 
     @Override
     public void subscribeToEndpoints() {
-        record.listSubscriptions++;
+        scenarioRecord.listSubscriptions++;
     }
 
     @Override
--- a/src/test/java/gatelock/ScenarioSettings.java
+++ b/src/test/java/gatelock/ScenarioSettings.java
@@ -7,10 +7,11 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The settings of the decision module that a scenario's {@code charter} steps name. */
+/** The settings of the decision engine, as set in the {@code charter} steps of a scenario. */
 final class ScenarioSettings {
     private ScenarioSettings() {}
 
+    /** Creates the settings, with defaults for all values that the scenario does not set. */
     static RelaySettings of(ScenarioValues settings) {
         return new RelaySettings(
                 7,
@@ -33,7 +34,7 @@
                 rollout(settings));
     }
 
-    /** Reads routes such as {@code retriable,deduped:first}. */
+    /** Parses routes such as {@code retriable,deduped:zone}. */
     private static List<RoutePolicy> routes(ScenarioValues settings) {
         List<RoutePolicy> routes = new ArrayList<>();
         for (String route : settings.text("routes", "retriable").split(",", -1)) {
--- a/src/test/java/gatelock/ScenariosTest.java
+++ b/src/test/java/gatelock/ScenariosTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 
-/** Plays each text scenario of src/test/resources/scenarios on the decision module; NOTATION.md has their format. */
+/**
+ * Runs each text scenario in src/test/resources/scenarios against the decision engine. NOTATION.md describes the
+ * format.
+ */
 final class ScenariosTest {
     @TestFactory
     Stream<DynamicTest> scenarios() throws IOException {
--- a/src/test/java/gatelock/decision/BootstrapTest.java
+++ b/src/test/java/gatelock/decision/BootstrapTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The figures that are bootstrapped, and the exact ones. */
+/** Tests bootstrapped intervals, weighted statistics and the binomial and normal approximations. */
 final class BootstrapTest {
     private static final RelativeLatency[] LATENCIES = {
         new RelativeLatency(4, 0), new RelativeLatency(3, 1), new RelativeLatency(2, 1), new RelativeLatency(1, 0)
--- a/src/test/java/gatelock/decision/BudgetsTest.java
+++ b/src/test/java/gatelock/decision/BudgetsTest.java
@@ -5,7 +5,7 @@
 import gatelock.api.AttemptResult;
 import org.junit.jupiter.api.Test;
 
-/** The budgets of retries, of a canary's exposure and of work at endpoints in slow start. */
+/** Tests the budgets of retries, of a canary's exposure and of work at endpoints in slow start. */
 final class BudgetsTest {
 
     @Test
--- a/src/test/java/gatelock/decision/EvidenceTest.java
+++ b/src/test/java/gatelock/decision/EvidenceTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The text of a vote's log line, which on-call pages quote. */
+/** Tests the text of a vote's log line, which on-call pages quote. */
 final class EvidenceTest {
     private static final Evidence.Comparison ERRORS =
             new Evidence.Comparison(new Bootstrap.Interval(0.0125, 0.25), 0.02);
--- a/src/test/java/gatelock/decision/ExactIntervalTable.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTable.java
@@ -1,24 +1,29 @@
 package gatelock.decision;
 
 /**
- * What the exact binomial test of {@link EndpointCountAnalysis} can find with the outcomes that one relay sees. The
- * arithmetic is that of {@link Bootstrap}.
+ * Computes which builds the exact binomial test of {@link EndpointCountAnalysis} can detect from the outcomes that one
+ * relay sees. The calculations are those of {@link Bootstrap}.
  */
 public final class ExactIntervalTable {
 
     private ExactIntervalTable() {}
 
-    /** How often one relay may be wrong, so that a quorum of so many relays is wrong together only so rarely. */
+    /**
+     * Returns the probability with which one relay may be wrong, so that a quorum of the relays is wrong together with
+     * at most the given probability.
+     */
     public static double errorLevel(double quorumErrorProbability, int relays, int quorum) {
         return Math.exp(Bootstrap.logErrorLevel(quorumErrorProbability, relays, Math.max(1, quorum)));
     }
 
-    /** The binomial probability of at least so many cases in so many trials. */
+    /** Returns the binomial probability of at least this number of successes. */
     public static double binomialTail(int trials, int successes, double probability) {
         return Bootstrap.binomialTail(trials, successes, probability);
     }
 
-    /** The fewest endpoints past the bar, two at least, that are rarer than the level among so many outcomes. */
+    /**
+     * Returns the smallest number of endpoints above the threshold, at least two, that is less probable than the level.
+     */
     public static int minEndpointsAboveThreshold(int outcomes, double threshold, double level) {
         int endpoints = 2;
         while (endpoints <= outcomes && Bootstrap.binomialTail(outcomes, endpoints, threshold) >= level) {
@@ -27,7 +32,10 @@
         return endpoints;
     }
 
-    /** How likely it is that a build with such a share of errors is found, its outcomes spread evenly over endpoints. */
+    /**
+     * Returns the probability that a build with this error share is detected, if its outcomes are spread evenly over
+     * the endpoints.
+     */
     public static double detectionProbability(
             int outcomes, int endpoints, double errorShare, double threshold, double level) {
         int endpointsSeen = Math.min(outcomes, endpoints);
@@ -39,7 +47,10 @@
                 : Bootstrap.binomialTail(endpointsSeen, requiredEndpoints, probability);
     }
 
-    /** The fewest outcomes with which such a build is found with this probability; -1 if {@code max} are too few. */
+    /**
+     * Returns the smallest number of outcomes with which such a build is detected with this probability, or -1 if even
+     * {@code maxOutcomes} are not enough.
+     */
     public static int minOutcomesToDetect(
             int endpoints, double errorShare, double threshold, double level, double probability, int maxOutcomes) {
         for (int outcomes = 2; outcomes <= maxOutcomes; outcomes++) {
--- a/src/test/java/gatelock/decision/ExactIntervalTableTest.java
+++ b/src/test/java/gatelock/decision/ExactIntervalTableTest.java
@@ -5,19 +5,21 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Outcomes that an exact interval needs, against sums done by hand. */
+/** Tests the detection probabilities of the exact test against values calculated by hand. */
 class ExactIntervalTableTest {
 
     @Test
     void dividesErrorProbabilityAmongRelaysByQuorum() {
         assertThat(ExactIntervalTable.errorLevel(0.05, 1, 1)).isCloseTo(0.05, within(1e-12));
-        // Any of 100 may send back: each may be wrong a hundredth as often.
+        // Each of 100 relays can roll back alone, so each may be wrong with a hundredth of the probability.
         assertThat(ExactIntervalTable.errorLevel(0.05, 100, 1)).isCloseTo(0.0005, within(1e-12));
-        // Two of two have to be wrong together.
+        // Both of two relays have to be wrong together.
         assertThat(ExactIntervalTable.errorLevel(0.04, 2, 2)).isCloseTo(0.2, within(1e-12));
     }
 
-    /** Of 20 at 2%: two or more in 0.060 of cases, three or more in 0.007. */
+    /**
+     * Of 20 outcomes with a probability of 2%, two or more occur with probability 0.060 and three or more with 0.007.
+     */
     @Test
     void requiresEndpointsUntilTheirNumberIsRarerThanLevel() {
         assertThat(ExactIntervalTable.minEndpointsAboveThreshold(20, 0.02, 0.05))
@@ -29,10 +31,10 @@
 
     @Test
     void computesDetectionProbabilityAsBinomialTail() {
-        // Both of two outcomes at two endpoints, of which 0.3 fail.
+        // Two outcomes at two endpoints, both of which fail with probability 0.3.
         assertThat(ExactIntervalTable.detectionProbability(2, 100, 0.3, 0.02, 0.05))
                 .isCloseTo(0.09, within(1e-12));
-        // Three are asked for, and there are two endpoints.
+        // Three endpoints are required, but there are only two.
         assertThat(ExactIntervalTable.detectionProbability(20, 2, 0.3, 0.02, 0.05))
                 .isZero();
     }
--- a/src/test/java/gatelock/decision/MeasurementsTest.java
+++ b/src/test/java/gatelock/decision/MeasurementsTest.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Figures that decay, the relay's own stalls, zones without answers, and routes that are late everywhere. */
+/**
+ * Tests decaying sums, the detection of stalls and lost zones, routes that are late everywhere, and idle connections.
+ */
 final class MeasurementsTest {
     private static final long SECOND_US = DecisionClock.SECOND_US;
 
--- a/src/test/java/gatelock/decision/OutcomeHistoryTest.java
+++ b/src/test/java/gatelock/decision/OutcomeHistoryTest.java
@@ -6,14 +6,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a history keeps of very many outcomes. */
+/** Tests the sampling of windows with many outcomes. */
 final class OutcomeHistoryTest {
 
     @Test
     void keepsUniformSampleOfManyOutcomesAndAllOfFew() {
         OutcomeHistory history = new OutcomeHistory(20, 300, new SplittableRandom(7));
         for (int i = 0; i < 10_000; i++) {
-            // Only late ones fail: a sample of the first or the last alone would show it.
+            // Only the last outcomes fail, so that a sample of only the first or only the last outcomes is noticed.
             history.add(1, new AttemptOutcome("u", 0, i >= 7_000, false, 1, 0, 0));
         }
         for (int i = 0; i < 300; i++) {
--- a/src/test/java/gatelock/decision/OutcomeWindowTest.java
+++ b/src/test/java/gatelock/decision/OutcomeWindowTest.java
@@ -10,12 +10,12 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** Which endpoints are left out when a build is judged without its worst ones. */
+/** Tests which outcomes remain when the worst endpoints of a build are excluded. */
 final class OutcomeWindowTest {
     private static final int WINDOWS = 8;
     private static final int ENDPOINTS = 60;
 
-    /** So many outcomes a slice, on endpoints by chance; each is slow by its endpoint's share. */
+    /** Returns windows whose outcomes are at random endpoints; an outcome is slow with its endpoint's probability. */
     private static List<OutcomeWindow> randomWindows(int outcomesPerWindow, long seed, double[] slowShares) {
         SplittableRandom random = new SplittableRandom(seed);
         List<OutcomeWindow> windows = new ArrayList<>();
--- a/src/test/java/gatelock/decision/RolloutStateTest.java
+++ b/src/test/java/gatelock/decision/RolloutStateTest.java
@@ -6,7 +6,7 @@
 import gatelock.api.RolloutPolicy;
 import org.junit.jupiter.api.Test;
 
-/** What a relay knows of the newest build, and what the build may get for it. */
+/** Tests the state of the newest build, whether it accepts requests, and the cap that applies to it. */
 final class RolloutStateTest {
     private static final RolloutPolicy POLICY = new RolloutPolicy(
             RolloutPolicy.PromotionMode.COUNT,
