--- a/src/main/java/gatelock/api/DecisionActions.java
+++ b/src/main/java/gatelock/api/DecisionActions.java
@@ -19,7 +19,7 @@
      * Gives the final answer that the request was not executed and may safely be retried.
      *
      * @param id the request
-     * @param retryAfterUs after which time the client should retry, in microseconds; 0 for no advice
+     * @param retryAfterUs the delay after which the client should retry, in microseconds; 0 for no advice
      */
     void shedRequest(String id, long retryAfterUs);
 
--- a/src/main/java/gatelock/decision/CanaryAnalysis.java
+++ b/src/main/java/gatelock/decision/CanaryAnalysis.java
@@ -47,10 +47,10 @@
     }
 
     /**
-     * Assesses the canary. If the release controller's samples contain more of its outcomes than this relay's own
-     * attempts, the samples decide unless the own outcomes fail with confidence. The own outcomes have priority in that
-     * case because samples arrive late and contain means instead of percentiles. The samples are the same for every
-     * relay, so that the random errors of the relays do not accumulate.
+     * Assesses the canary. If many relays share the requests, so that the release controller's samples contain more of
+     * the canary's outcomes than this relay's own attempts, the samples decide unless the own outcomes fail with
+     * confidence. The own outcomes have priority in that case because samples arrive late and contain means instead of
+     * percentiles. As the samples are the same for every relay, the random errors of the relays do not add up.
      *
      * @param earlier the build before it, or null if none has outcomes
      * @return the finding; without evidence if nothing could be compared
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Assesses the samples against the latest samples of the earlier build, as a fault that affects both builds may
-     * have begun only then.
+     * Assesses the samples of the canary against the latest available samples of the earlier build, and not against
+     * older ones, as a fault that affects both builds may have begun only recently.
      */
     private Finding analyseSamples(BuildState canary, BuildState earlier) {
         OutcomeHistory earlierSamples = earlier.sampledOutcomes();
@@ -161,11 +161,11 @@
     }
 
     /**
-     * Guards against a build that slows down old and new endpoints alike, which a threshold relative to the current
-     * earlier build hides: all endpoints are compared with the latencies of the earlier build before the canary. The
-     * slower half of the endpoints is excluded, as other faults do not affect all endpoints. With many relays, whose
-     * estimate of the load is uncertain, this is done only if the load has not increased since then. Can wrongly fail a
-     * build if something else slows the whole fleet during a canary.
+     * Guards against a build that slows down the endpoints of both builds, which stays hidden if the builds are
+     * compared only with each other: all endpoints are compared with the latencies that the earlier build had before
+     * the canary. The slower half of the endpoints is excluded, as other faults do not affect all endpoints. With many
+     * relays, whose estimate of the load is uncertain, this is done only if the load has not increased since then. Can
+     * wrongly fail a build if something else slows the whole fleet during a canary.
      */
     private Finding compareFleetWithPast(
             Finding finding, List<OutcomeWindow> windows, OutcomeHistory earlier, Strictness strictness) {
--- a/src/main/java/gatelock/decision/SlowStart.java
+++ b/src/main/java/gatelock/decision/SlowStart.java
@@ -10,7 +10,7 @@
     /** A canary endpoint may be sent this multiple of the work of an average endpoint. */
     private static final double CANARY_MULTIPLE = 1.5;
 
-    /** The share that is used of the multiple of its capacity at which a cold endpoint fails. */
+    /** Of the multiple of its capacity at which a cold endpoint fails, only this share is used. */
     private static final double COLD_MULTIPLE_SHARE = 0.75;
 
     private final DecisionContext context;
--- a/src/main/java/gatelock/decision/StageClock.java
+++ b/src/main/java/gatelock/decision/StageClock.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Returns when the clock started. For endpoints that are not listed yet, it assumes the startup time of the latest
-     * ones instead of waiting, as some stages add no endpoints.
+     * Returns when the clock started. If no endpoint was listed since the start of the stage, endpoints are expected
+     * only as long as the latest startup took, because some stages add no endpoints.
      */
     private long startUs(BuildState canary) {
         long stageStartUs = context.rollout().stageStartUs();
--- a/src/main/java/gatelock/decision/VoteCaster.java
+++ b/src/main/java/gatelock/decision/VoteCaster.java
@@ -30,6 +30,7 @@
     /** The mean number of relays that log a vote other than one to roll back. */
     private static final int LOGGING_RELAYS = 2;
 
+    /** The rate that is assumed if the release controller's is lower or not set. */
     private static final double MIN_VOTES_PER_S = 0.1;
 
     private final DecisionContext context;
--- a/src/main/java/gatelock/decision/VotePolicy.java
+++ b/src/main/java/gatelock/decision/VotePolicy.java
@@ -20,7 +20,10 @@
     /** The specified hold time, used if only few endpoints fail or if the release controller's samples decide. */
     private static final long LONG_HOLD_US = 3 * DecisionClock.SECOND_US;
 
-    /** If the time promotes builds, a hold is cast this long before the end of the minimum duration. */
+    /**
+     * If the release controller promotes builds by the clock, a hold is cast this long before the end of the minimum
+     * duration.
+     */
     private static final long HOLD_LEAD_US = DecisionClock.SECOND_US;
 
     /** How long a build is monitored after its release. */
--- a/src/test/java/gatelock/ScenarioRecord.java
+++ b/src/test/java/gatelock/ScenarioRecord.java
@@ -29,32 +29,33 @@
     int listSubscriptions;
 
     /** Checks one expectation on what was recorded. */
-    void expect(String[] words, ScenarioValues named, String where) {
+    void expect(String[] words, ScenarioValues values, String location) {
         switch (words[1]) {
             case "sent" ->
                 assertThat(lastAttempt(words[2]))
-                        .as(where)
+                        .as(location)
                         .isNotNull()
                         .extracting(Attempt::endpoint)
                         .asString()
                         .startsWith(words.length > 3 ? words[3] : "");
-            case "tries" -> assertThat(attemptsOf(words[2])).as(where).isEqualTo(Long.parseLong(words[3]));
-            case "answered" -> assertWithin(Collections.frequency(answers.values(), words[2]), named, where);
-            case "shed", "error" -> assertThat(answers.get(words[2])).as(where).isEqualTo(words[1]);
-            case "open" -> assertThat(answers.get(words[2])).as(where).isNull();
-            case "vote" -> assertThat(votes).as(where).contains(verdict(words[2]));
-            case "no-vote" -> assertThat(votes).as(where).doesNotContain(verdict(words[2]));
-            case "votes" -> assertWithin(votes.size(), named, where);
-            case "cancelled" -> assertThat(cancelledRequestIds).as(where).contains(words[2]);
-            case "cancels" -> assertWithin(cancelledRequestIds.size(), named, where);
-            case "follows" -> assertWithin(listSubscriptions, named, where);
+            case "tries" -> assertThat(attemptsOf(words[2])).as(location).isEqualTo(Long.parseLong(words[3]));
+            case "answered" -> assertWithin(Collections.frequency(answers.values(), words[2]), values, location);
+            case "shed", "error" ->
+                assertThat(answers.get(words[2])).as(location).isEqualTo(words[1]);
+            case "open" -> assertThat(answers.get(words[2])).as(location).isNull();
+            case "vote" -> assertThat(votes).as(location).contains(verdict(words[2]));
+            case "no-vote" -> assertThat(votes).as(location).doesNotContain(verdict(words[2]));
+            case "votes" -> assertWithin(votes.size(), values, location);
+            case "cancelled" -> assertThat(cancelledRequestIds).as(location).contains(words[2]);
+            case "cancels" -> assertWithin(cancelledRequestIds.size(), values, location);
+            case "follows" -> assertWithin(listSubscriptions, values, location);
             case "share" -> {
                 double matching = attempts.stream()
                         .filter(attempt -> matches(attempt.endpoint, words[2]))
                         .count();
-                assertWithin(matching / Math.max(1, attempts.size()), named, where);
+                assertWithin(matching / Math.max(1, attempts.size()), values, location);
             }
-            default -> throw new IllegalArgumentException("unknown expectation: " + where);
+            default -> throw new IllegalArgumentException("unknown expectation: " + location);
         }
     }
 
@@ -62,14 +63,14 @@
         return ScenarioValues.parseConstant(Verdict.class, name);
     }
 
-    private static void assertWithin(double value, ScenarioValues named, String where) {
-        assertThat(value).as(where).isBetween(named.number("min", 0), named.number("max", 1e9));
+    private static void assertWithin(double value, ScenarioValues values, String location) {
+        assertThat(value).as(location).isBetween(values.number("min", 0), values.number("max", 1e9));
     }
 
     /** Checks that the attempts at a build stay within free + cap x accepted requests in every window. */
-    void assertExposure(ScenarioValues settings, ScenarioValues named, String where) {
+    void assertExposure(ScenarioValues settings, ScenarioValues values, String location) {
         long windowUs = settings.timeUs("window", "2s");
-        int build = named.integer("build", 2);
+        int build = values.integer("build", 2);
         List<Attempt> attemptsAtBuild = attempts.stream()
                 .filter(attempt -> buildByEndpoint.get(attempt.endpoint) == build)
                 .toList();
@@ -83,9 +84,9 @@
                     .filter(atUs -> atUs >= fromUs && atUs < endUs)
                     .count();
             assertThat((double) attemptsInWindow)
-                    .as(where)
+                    .as(location)
                     .isLessThanOrEqualTo(
-                            settings.number("free", 2) + named.number("cap", 0.2) * acceptedInWindow + 1e-9);
+                            settings.number("free", 2) + values.number("cap", 0.2) * acceptedInWindow + 1e-9);
         }
     }
 
--- a/src/test/java/gatelock/ScenarioRunner.java
+++ b/src/test/java/gatelock/ScenarioRunner.java
@@ -52,50 +52,50 @@
         }
     }
 
-    private void runStep(String[] words, String where) {
-        ScenarioValues named = ScenarioValues.of(words);
+    private void runStep(String[] words, String location) {
+        ScenarioValues values = ScenarioValues.of(words);
         switch (words[0]) {
-            case "charter" -> settings.putAll(named);
+            case "charter" -> settings.putAll(values);
             case "at" -> advanceTo(startUs + ScenarioValues.parseTimeUs(words[1]));
             case "list" -> engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FULL, endpoints(words));
             case "change" ->
                 engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.DELTA, endpoints(words));
             case "list-failed" -> engine().endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FAILED, List.of());
-            case "news" -> updateReleaseState(named);
+            case "news" -> updateReleaseState(values);
             case "answer" -> answerVote(ScenarioValues.parseConstant(DecisionEngine.VoteResponse.class, words[1]));
-            case "take" -> acceptRequest(words[1], named);
+            case "take" -> acceptRequest(words[1], values);
             case "leave" -> requests.get(words[1]).responseNoLongerOwed(nowUs);
             case "end" -> endAttempt(words[1], ScenarioValues.parseConstant(AttemptResult.class, words[2]));
             case "unit" ->
                 responders
                         .computeIfAbsent(words[1], name -> new ScenarioValues())
-                        .putAll(named);
-            case "flow" -> sendRequests(named);
+                        .putAll(values);
+            case "flow" -> sendRequests(values);
             case "stand" -> {
                 nowUs += ScenarioValues.parseTimeUs(words[1]);
                 advanceTo(nowUs);
             }
-            case "counted" -> receiveFleetSample(named);
+            case "counted" -> receiveFleetSample(values);
             case "silent-time-out" -> timeOutSilent();
-            case "complaint" -> engine().complaintReceived(nowUs, words[1], 0, named.timeUs("ago", "0s"));
+            case "complaint" -> engine().complaintReceived(nowUs, words[1], 0, values.timeUs("ago", "0s"));
             case "forget" -> {
                 scenarioRecord.attempts.clear();
                 scenarioRecord.votes.clear();
                 scenarioRecord.acceptedAtUs.clear();
             }
-            case "expect" -> expect(words, named, where);
-            default -> throw new IllegalArgumentException("unknown step: " + where);
+            case "expect" -> expect(words, values, location);
+            default -> throw new IllegalArgumentException("unknown step: " + location);
         }
     }
 
-    private void updateReleaseState(ScenarioValues named) {
+    private void updateReleaseState(ScenarioValues values) {
         engine().releaseStateUpdated(
                         nowUs,
-                        named.integer("build", 2),
-                        named.integer("stage", 0),
-                        named.constant(DecisionEngine.ReleasePhase.class, "phase", "trial"),
-                        named.number("cap", 0.2),
-                        named.timeUs("ago", "0s"),
+                        values.integer("build", 2),
+                        values.integer("stage", 0),
+                        values.constant(DecisionEngine.ReleasePhase.class, "phase", "trial"),
+                        values.number("cap", 0.2),
+                        values.timeUs("ago", "0s"),
                         DecisionEngine.VoteResponse.NOT_ASKED);
     }
 
@@ -103,23 +103,23 @@
         engine().releaseStateUpdated(nowUs, 0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, response);
     }
 
-    private void receiveFleetSample(ScenarioValues named) {
+    private void receiveFleetSample(ScenarioValues values) {
         engine().fleetSampleReceived(
                         nowUs,
-                        named.integer("build", 2),
+                        values.integer("build", 2),
                         0,
-                        named.integer("count", 20),
-                        named.integer("failed", 0),
-                        named.timeUs("mean", "100ms"),
+                        values.integer("count", 20),
+                        values.integer("failed", 0),
+                        values.timeUs("mean", "100ms"),
                         0);
     }
 
-    private void expect(String[] words, ScenarioValues named, String where) {
+    private void expect(String[] words, ScenarioValues values, String location) {
         switch (words[1]) {
-            case "may-go" -> assertThat(mayStart(words[2])).as(where).isTrue();
-            case "stays" -> assertThat(mayStart(words[2])).as(where).isFalse();
-            case "exposure" -> scenarioRecord.assertExposure(settings, named, where);
-            default -> scenarioRecord.expect(words, named, where);
+            case "may-go" -> assertThat(mayStart(words[2])).as(location).isTrue();
+            case "stays" -> assertThat(mayStart(words[2])).as(location).isFalse();
+            case "exposure" -> scenarioRecord.assertExposure(settings, values, location);
+            default -> scenarioRecord.expect(words, values, location);
         }
     }
 
@@ -130,25 +130,25 @@
     }
 
     /** Sends requests at a constant rate. */
-    private void sendRequests(ScenarioValues named) {
-        long endUs = nowUs + named.timeUs("for", "1s");
-        long intervalUs = named.timeUs("every", "20ms");
+    private void sendRequests(ScenarioValues values) {
+        long endUs = nowUs + values.timeUs("for", "1s");
+        long intervalUs = values.timeUs("every", "20ms");
         while (nowUs + intervalUs <= endUs) {
             advanceTo(nowUs + intervalUs);
-            acceptRequest("f" + nextGeneratedId++, named);
+            acceptRequest("f" + nextGeneratedId++, values);
         }
     }
 
-    private void acceptRequest(String requestId, ScenarioValues named) {
+    private void acceptRequest(String requestId, ScenarioValues values) {
         scenarioRecord.acceptedAtUs.add(nowUs);
         RequestHandle request = engine().acceptRequest(
                         nowUs,
                         requestId,
-                        named.integer("route", 0),
-                        named.integer("tenant", 0),
-                        (long) named.number("key", -1),
-                        named.timeUs("left", "4s"),
-                        named.timeUs("cost", "100ms"));
+                        values.integer("route", 0),
+                        values.integer("tenant", 0),
+                        (long) values.number("key", -1),
+                        values.timeUs("left", "4s"),
+                        values.timeUs("cost", "100ms"));
         requests.put(requestId, request);
     }
 
@@ -230,7 +230,7 @@
      * and $zone.
      */
     private List<Endpoint> endpoints(String[] words) {
-        List<Endpoint> found = new ArrayList<>();
+        List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 1; i < words.length; i++) {
             String[] fields = words[i].split("(?=[/@!#%$])", -1);
             String name = fields[0];
@@ -238,7 +238,7 @@
             Arrays.stream(fields).skip(1).forEach(field -> valueByMark.put(field.charAt(0), field.substring(1)));
             scenarioRecord.buildByEndpoint.put(name, Integer.parseInt(valueByMark.get('/')));
             scenarioRecord.zoneByEndpoint.put(name, Integer.parseInt(valueByMark.getOrDefault('$', "0")));
-            found.add(new Endpoint(
+            endpoints.add(new Endpoint(
                     name,
                     scenarioRecord.buildByEndpoint.get(name),
                     scenarioRecord.zoneByEndpoint.get(name),
@@ -247,7 +247,7 @@
                     ScenarioValues.parseConstant(Endpoint.Health.class, valueByMark.getOrDefault('!', "ready")),
                     valueByMark.containsKey('@') ? startUs + ScenarioValues.parseTimeUs(valueByMark.get('@')) : 0));
         }
-        return found;
+        return endpoints;
     }
 
     @Override
--- a/src/test/java/gatelock/ScenarioValues.java
+++ b/src/test/java/gatelock/ScenarioValues.java
@@ -10,14 +10,14 @@
 
     /** Parses the words that contain an equals sign; other words are ignored. */
     static ScenarioValues of(String[] words) {
-        ScenarioValues named = new ScenarioValues();
+        ScenarioValues result = new ScenarioValues();
         for (String word : words) {
             int equals = word.indexOf('=');
             if (equals >= 0) {
-                named.values.put(word.substring(0, equals), word.substring(equals + 1));
+                result.values.put(word.substring(0, equals), word.substring(equals + 1));
             }
         }
-        return named;
+        return result;
     }
 
     /** Adds other values and replaces those of the same name. */
--- a/src/test/java/gatelock/decision/MeasurementsTest.java
+++ b/src/test/java/gatelock/decision/MeasurementsTest.java
@@ -8,7 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests decaying sums, the detection of stalls and lost zones, routes that are late everywhere, and idle connections.
+ * Tests decaying sums, the detection of stalls and lost zones, routes that are late everywhere, and the estimate of
+ * idle connections.
  */
 final class MeasurementsTest {
     private static final long SECOND_US = DecisionClock.SECOND_US;
--- a/src/test/java/gatelock/decision/OutcomeWindowTest.java
+++ b/src/test/java/gatelock/decision/OutcomeWindowTest.java
@@ -10,7 +10,11 @@
 import net.jqwik.api.constraints.DoubleRange;
 import net.jqwik.api.constraints.IntRange;
 
-/** Tests which outcomes remain when the worst endpoints of a build are excluded. */
+/**
+ * Tests which outcomes remain when the worst endpoints of a build are excluded. Guards against two faults: a slowness
+ * that affects all endpoints at random must not disappear because each endpoint has few outcomes, and consistently slow
+ * endpoints must not remain.
+ */
 final class OutcomeWindowTest {
     private static final int WINDOWS = 8;
     private static final int ENDPOINTS = 60;
@@ -31,6 +35,7 @@
         return windows;
     }
 
+    /** Returns the probability of a slow outcome for each endpoint. */
     private static double[] slowShares(
             double unhealthyEndpointShare, double unhealthySlowShare, double healthySlowShare) {
         double[] shares = new double[ENDPOINTS];
@@ -40,6 +45,7 @@
         return shares;
     }
 
+    /** Returns the share of slow outcomes. */
     private static double slowShare(List<OutcomeWindow> windows) {
         return OutcomeWindow.outcomes(windows)
                         .filter(outcome -> outcome.slowness() > 1)
