--- a/src/main/java/gatelock/decision/EndpointSelector.java
+++ b/src/main/java/gatelock/decision/EndpointSelector.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Selects an endpoint of the canary, or else of the newest build that is not a canary and has an endpoint that may
-     * receive the request. Returns null if there is none.
+     * Selects an endpoint of a canary build or, if {@code canary} is false, of the newest other build that has one
+     * which may receive the request. Returns null if there is none.
      */
     EndpointState select(RequestState request, boolean canary) {
         for (BuildState build : registry.buildsNewestFirst()) {
--- a/src/main/java/gatelock/decision/ExposureBudget.java
+++ b/src/main/java/gatelock/decision/ExposureBudget.java
@@ -4,8 +4,8 @@
 
 /**
  * The number of attempts that a canary build may receive under its cap, for all routes together or for each route. In
- * any period it allows the attempts credited in that period plus a burst. As unused credit never exceeds the burst, no
- * window contains attempts that only requests before the window have paid for, apart from the burst.
+ * any period it allows the attempts credited in that period plus a burst. As unused credit never exceeds the burst,
+ * requests that have left a window cannot pay for further attempts in it.
  */
 final class ExposureBudget {
     private final double burst;
