--- a/src/main/java/gatelock/decision/TimeoutTracker.java
+++ b/src/main/java/gatelock/decision/TimeoutTracker.java
@@ -5,32 +5,36 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The share of recent attempts without an answer, by zone, and the zones that count as lost for it. */
+/** The share of recent attempts without an answer, by zone, and the zones that are considered lost because of it. */
 final class TimeoutTracker {
-    private final double memoryUs;
+    private final double timeConstantUs;
     private final Map<Integer, DecayingSum> timeoutsByZone = new TreeMap<>();
     private Set<Integer> lostZones = Set.of();
 
-    TimeoutTracker(double memoryUs) {
-        this.memoryUs = memoryUs;
+    /** Creates a tracker without attempts. */
+    TimeoutTracker(double timeConstantUs) {
+        this.timeConstantUs = timeConstantUs;
     }
 
+    /** Records whether an attempt in a zone timed out. */
     void add(long nowUs, int zone, boolean timedOut) {
-        timeoutsByZone.computeIfAbsent(zone, z -> new DecayingSum(memoryUs)).add(nowUs, timedOut ? 1 : 0);
+        timeoutsByZone
+                .computeIfAbsent(zone, z -> new DecayingSum(timeConstantUs))
+                .add(nowUs, timedOut ? 1 : 0);
     }
 
     /**
-     * Marks the zones as lost in which more than {@code lostShare} of the attempts, of which there must be
-     * {@code minAttempts}, had no answer, if another zone has less than {@code healthyShare}. A lost zone stays so until
-     * answers come from it or its attempts have decayed.
+     * Marks a zone as lost if more than {@code lostShare} of its attempts got no answer and it has at least {@code
+     * minAttempts} attempts, provided that the share of another zone is below {@code healthyShare}. A lost zone remains
+     * lost until its endpoints answer again or its attempts have decayed.
      */
     void update(long nowUs, double minAttempts, double lostShare, double healthyShare) {
         boolean anyHealthy = timeoutsByZone.values().stream().anyMatch(zone -> zone.mean(nowUs, 1) < healthyShare);
         Set<Integer> lost = new HashSet<>();
         if (anyHealthy) {
             timeoutsByZone.forEach((zone, timeouts) -> {
-                boolean mostlySilent = timeouts.mean(nowUs, 0) > lostShare;
-                if (mostlySilent && (lostZones.contains(zone) || timeouts.count(nowUs) >= minAttempts)) {
+                boolean mostlyUnanswered = timeouts.mean(nowUs, 0) > lostShare;
+                if (mostlyUnanswered && (lostZones.contains(zone) || timeouts.count(nowUs) >= minAttempts)) {
                     lost.add(zone);
                 }
             });
@@ -38,7 +42,7 @@
         lostZones = lost;
     }
 
-    /** Whether the latest update found the zone lost. */
+    /** Whether the zone was lost at the latest update. */
     boolean isLost(int zone) {
         return lostZones.contains(zone);
     }
