--- a/src/main/java/gatelock/membership/CandidateSelector.java
+++ b/src/main/java/gatelock/membership/CandidateSelector.java
@@ -5,9 +5,14 @@
 import java.util.List;
 import java.util.PriorityQueue;
 
-/** Selects ready endpoints of a service by the relay's ranking, from its own zone and from the others. */
+/** Selects ready endpoints of a service by the relay's ranking, separately for the relay's own zone and other zones. */
 final class CandidateSelector {
-    /** The first candidates of the ranking, in its order, from the relay's own zone and from the others. */
+    /**
+     * The best-ranked candidates, in ranking order.
+     *
+     * @param local candidates in the relay's own zone
+     * @param remote candidates in other zones
+     */
     record Ranked(List<Candidate> local, List<Candidate> remote) {}
 
     private final EndpointSubset.Policy policy;
@@ -16,7 +21,7 @@
     private final EndpointBudget budget;
     private final SubsetMembers members;
 
-    /** A selector of what is listed. */
+    /** Creates a selector over the listed endpoints. */
     CandidateSelector(
             EndpointSubset.Policy policy,
             RendezvousRanking ranking,
@@ -30,17 +35,20 @@
         this.members = members;
     }
 
-    /** The listed endpoint at a place as a candidate. */
-    Candidate candidate(int place) {
-        return candidate(place, ranking.rank(listed.store().nameHash(place)));
+    /** Returns the listed endpoint with this handle as a candidate. */
+    Candidate candidate(int handle) {
+        return candidate(handle, ranking.rank(listed.store().nameHash(handle)));
     }
 
-    private Candidate candidate(int place, long rank) {
+    private Candidate candidate(int handle, long rank) {
         EndpointStore store = listed.store();
-        return new Candidate(place, rank, store.name(place), policy.isLocal(store.zone(place)));
+        return new Candidate(handle, rank, store.name(handle), policy.isLocal(store.zone(handle)));
     }
 
-    /** Selects the service's preferred endpoints, marks those that are in the subset already, and returns all. */
+    /**
+     * Selects the service's preferred endpoints and returns them. Updates which members are marked as preferred to match
+     * the selection.
+     */
     List<Candidate> selectPreferred(ServiceState service) {
         int target = budget.target(service);
         Ranked ranked = first(service, target, null);
@@ -62,61 +70,65 @@
         return preferred;
     }
 
-    /** The next candidates behind the service's search position that are not in the subset. */
+    /**
+     * Returns the next candidates after the service's search position that are not in the subset.
+     *
+     * @param limit maximum number of candidates from the relay's own zone, and likewise from other zones
+     */
     Ranked next(ServiceState service, int limit) {
         return first(service, limit, service.search);
     }
 
     /**
-     * Whether an endpoint that is not in the subset would be selected as preferred. True at times where it would not,
-     * which costs one selection.
+     * Returns whether an endpoint that is not in the subset might be selected as preferred. A false positive is possible
+     * and only costs one unnecessary selection.
      */
     boolean mayBePreferred(ServiceState service, Candidate candidate) {
         int target = budget.target(service);
         int preferred = 0;
-        int preferredAlike = 0;
+        int preferredSameLocality = 0;
         for (SubsetMember member : service.members) {
             if (!member.isPreferred()) {
                 continue;
             }
             preferred++;
             if (member.isLocal() == candidate.local()) {
-                preferredAlike++;
+                preferredSameLocality++;
                 if (RendezvousRanking.compare(candidate.rank(), candidate.name(), member.rank(), member.name()) < 0) {
                     return true;
                 }
             }
         }
         int remoteTarget = policy.remoteTarget(target);
-        int targetAlike = candidate.local() ? target - remoteTarget : remoteTarget;
-        return preferred < target || preferredAlike < targetAlike;
+        int targetSameLocality = candidate.local() ? target - remoteTarget : remoteTarget;
+        return preferred < target || preferredSameLocality < targetSameLocality;
     }
 
     /**
-     * The first ready endpoints of a service.
+     * Returns the best-ranked ready endpoints of a service.
      *
-     * @param limit candidates from the own zone, and as many from the others
-     * @param after only candidates behind this position that are not in the subset; null for all
+     * @param limit maximum number of candidates from the relay's own zone, and likewise from other zones
+     * @param after if not null, only endpoints after this position that are not in the subset are considered
      */
     private Ranked first(ServiceState service, int limit, SearchPosition after) {
         PriorityQueue<Candidate> local = new PriorityQueue<>(Candidate.BY_RANK.reversed());
         PriorityQueue<Candidate> remote = new PriorityQueue<>(Candidate.BY_RANK.reversed());
         EndpointStore store = listed.store();
-        int place = limit > 0 ? store.first(service.name()) : RecordArena.NONE;
-        for (; place != RecordArena.NONE; place = store.next(place)) {
-            if (store.health(place) != Endpoint.Health.READY) {
+        int handle = limit > 0 ? store.first(service.name()) : RecordArena.NONE;
+        for (; handle != RecordArena.NONE; handle = store.next(handle)) {
+            if (store.health(handle) != Endpoint.Health.READY) {
                 continue;
             }
-            boolean isLocal = policy.isLocal(store.zone(place));
+            boolean isLocal = policy.isLocal(store.zone(handle));
             PriorityQueue<Candidate> first = isLocal ? local : remote;
-            long rank = ranking.rank(store.nameHash(place));
-            // Most endpoints are ruled out by the rank alone, before their names are read.
+            long rank = ranking.rank(store.nameHash(handle));
+            // The rank alone rules out most endpoints, so their names need not be read.
             boolean beyondLimit =
                     first.size() == limit && rank > first.element().rank();
-            if (beyondLimit || (after != null && after.precedes(rank, isLocal))) {
+            if (beyondLimit || (after != null && after.isAfterRank(rank, isLocal))) {
                 continue;
             }
-            Candidate candidate = candidate(place, rank);
+            Candidate candidate = candidate(handle, rank);
             if (after != null && (members.contains(candidate.name()) || !after.isBefore(candidate))) {
                 continue;
             }
--- a/src/main/java/gatelock/membership/EndpointBudget.java
+++ b/src/main/java/gatelock/membership/EndpointBudget.java
@@ -3,10 +3,11 @@
 import java.util.TreeSet;
 
 /**
- * Shares {@code maxEndpoints} among the services: where not all can have what they aim at, all have the same lower
- * limit, so that large services give up places first. The limit falls at once and rises after the settle time. Where
- * there are more services than places, as many services as possible have one endpoint each; those that have one keep
- * it, and the relay's ranking of the services decides which come next.
+ * Divides {@code maxEndpoints} slots among the services. If the slots do not cover the target of every service, the same
+ * lower limit applies to each service, so that services with many endpoints are reduced first. The limit is lowered
+ * immediately and raised only after the settle time. If there are more services than slots, each slot goes to a
+ * different service: a service that has a slot keeps it, and free slots are assigned in the order of the relay's ranking
+ * of the services.
  */
 final class EndpointBudget {
     private static final int UNLIMITED = Integer.MAX_VALUE;
@@ -14,18 +15,19 @@
     private final EndpointSubset.Policy policy;
     private final ListedServices listed;
     private final RecoverySchedule recovery;
-    /** Number of services by how many endpoints they need. */
+    /** Number of services that need exactly as many endpoints as the array index. */
     private final int[] servicesByNeed;
-    /** Endpoints that each service may have; 0 where there are more services than places. */
-    private int limit = UNLIMITED;
+    /** Maximum number of endpoints per service; 0 if there are more services than slots. */
+    private int perServiceLimit = UNLIMITED;
 
-    private long limitRisesAtUs = SettleTimer.NEVER;
-    /** Services without a place, where there are more services than places. */
-    private final TreeSet<ServiceState> waiting = new TreeSet<>();
-    /** Services with a place, where there are more services than places. */
-    private int servicesWithPlace;
+    /** When the limit may be raised; {@link SettleTimer#NEVER} if no raise is pending. */
+    private long limitRaiseDueUs = SettleTimer.NEVER;
+    /** Services that wait for a slot; empty unless there are more services than slots. */
+    private final TreeSet<ServiceState> servicesWaitingForSlot = new TreeSet<>();
+    /** Number of services that have a slot; 0 unless there are more services than slots. */
+    private int servicesWithSlot;
 
-    /** A budget for what is listed. */
+    /** Creates a budget for the listed services. */
     EndpointBudget(EndpointSubset.Policy policy, ListedServices listed, RecoverySchedule recovery) {
         this.policy = policy;
         this.listed = listed;
@@ -33,41 +35,44 @@
         servicesByNeed = new int[policy.maxEndpoints() + 1];
     }
 
-    /** Number of ready endpoints that a service aims at, which may be more than it has. */
+    /** Returns the target number of ready endpoints of a service, which may exceed the number that is listed. */
     int target(ServiceState service) {
-        if (limit == 0) {
-            return service.hasPlace ? 1 : 0;
+        if (perServiceLimit == 0) {
+            return service.hasSlot ? 1 : 0;
         }
-        return Math.min(limit, policy.target(listed.readyCount(service)));
+        return Math.min(perServiceLimit, policy.target(listed.readyCount(service)));
     }
 
-    /** Number of ready endpoints that a service should have in the subset, at most those that are listed. */
+    /** Returns how many ready endpoints of a service should be in the subset: its target, or all ready ones if fewer. */
     int wanted(ServiceState service) {
         return Math.min(target(service), listed.readyCount(service));
     }
 
-    /** Number of endpoints that any service aims at; less than the policy says where places do not suffice. */
+    /** Returns the smallest target of any service; less than the policy's minimum if there are too few slots. */
     int targetPerService() {
-        return Math.min(limit, policy.target(0));
+        return Math.min(perServiceLimit, policy.target(0));
     }
 
-    /** Number of services that have ready endpoints and no place. */
+    /** Returns the number of services that have ready endpoints but no slot. */
     int servicesWithoutPlace() {
-        return waiting.size();
+        return servicesWaitingForSlot.size();
     }
 
-    /** Counts what the dirty services need and shares the places out again; services it affects become dirty. */
+    /**
+     * Recomputes the needs of the dirty services, adjusts the limit and assigns free slots. Services that are affected are
+     * marked dirty.
+     */
     void update(long nowUs) {
         for (ServiceState service : listed.dirty()) {
             updateNeed(service);
         }
         int affordable = affordableLimit();
-        boolean rises = affordable > limit;
-        limitRisesAtUs = SettleTimer.deadline(rises, limitRisesAtUs, nowUs, policy.settleUs());
-        if (affordable < limit || (rises && nowUs >= limitRisesAtUs)) {
+        boolean canRaise = affordable > perServiceLimit;
+        limitRaiseDueUs = SettleTimer.deadline(canRaise, limitRaiseDueUs, nowUs, policy.settleUs());
+        if (affordable < perServiceLimit || (canRaise && nowUs >= limitRaiseDueUs)) {
             setLimit(affordable);
         }
-        givePlaces();
+        assignSlots();
     }
 
     private void updateNeed(ServiceState service) {
@@ -81,61 +86,61 @@
         }
         service.needsSelection |= service.need != need;
         service.need = need;
-        if (need == 0 && service.hasPlace) {
-            service.hasPlace = false;
-            servicesWithPlace--;
+        if (need == 0 && service.hasSlot) {
+            service.hasSlot = false;
+            servicesWithSlot--;
         }
         if (listed.endpointCount(service) == 0) {
             listed.forget(service);
-            waiting.remove(service);
+            servicesWaitingForSlot.remove(service);
             recovery.set(service, SettleTimer.NEVER);
         } else if (need == 0) {
-            waiting.remove(service);
-        } else if (limit == 0 && !service.hasPlace) {
-            waiting.add(service);
+            servicesWaitingForSlot.remove(service);
+        } else if (perServiceLimit == 0 && !service.hasSlot) {
+            servicesWaitingForSlot.add(service);
         }
     }
 
-    /** The largest limit with which all services together stay within the places. */
+    /** Returns the largest per-service limit with which all services together fit into the slots. */
     private int affordableLimit() {
-        int servicesInNeed = 0;
+        int servicesWantingMore = 0;
         for (int services : servicesByNeed) {
-            servicesInNeed += services;
+            servicesWantingMore += services;
         }
         int affordable = 0;
-        int places = 0;
-        while (servicesInNeed > 0) {
-            places += servicesInNeed;
-            if (places > policy.maxEndpoints()) {
+        int slots = 0;
+        while (servicesWantingMore > 0) {
+            slots += servicesWantingMore;
+            if (slots > policy.maxEndpoints()) {
                 return affordable;
             }
             affordable++;
-            servicesInNeed -= servicesByNeed[affordable];
+            servicesWantingMore -= servicesByNeed[affordable];
         }
         return UNLIMITED;
     }
 
     private void setLimit(int newLimit) {
-        limit = newLimit;
-        limitRisesAtUs = SettleTimer.NEVER;
-        waiting.clear();
-        servicesWithPlace = 0;
+        perServiceLimit = newLimit;
+        limitRaiseDueUs = SettleTimer.NEVER;
+        servicesWaitingForSlot.clear();
+        servicesWithSlot = 0;
         for (ServiceState service : listed.services()) {
-            service.hasPlace = false;
+            service.hasSlot = false;
             service.needsSelection = true;
             listed.markDirty(service);
-            if (limit == 0 && service.need > 0) {
-                waiting.add(service);
+            if (perServiceLimit == 0 && service.need > 0) {
+                servicesWaitingForSlot.add(service);
             }
         }
     }
 
-    private void givePlaces() {
-        while (servicesWithPlace < policy.maxEndpoints() && !waiting.isEmpty()) {
-            ServiceState service = waiting.pollFirst();
-            service.hasPlace = true;
+    private void assignSlots() {
+        while (servicesWithSlot < policy.maxEndpoints() && !servicesWaitingForSlot.isEmpty()) {
+            ServiceState service = servicesWaitingForSlot.pollFirst();
+            service.hasSlot = true;
             service.needsSelection = true;
-            servicesWithPlace++;
+            servicesWithSlot++;
             listed.markDirty(service);
         }
     }
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 
 /**
- * One endpoint as discovery lists it, with all that a relay needs to use it.
+ * One endpoint as listed by service discovery, with everything a relay needs to use it.
  *
  * @param name the endpoint's name, unique in the list
- * @param service whose requests it serves; "" where the list names none
- * @param address host and port as the list gives them
- * @param zone number of its zone, -1 for unknown
+ * @param service the service whose requests it serves; "" if the list names none
+ * @param address host and port, exactly as in the list
+ * @param zone number of its zone, or -1 if unknown
  * @param kind number of its kind
  * @param cell number of its cell
- * @param build the build it runs
- * @param health as listed; {@link Endpoint.Health#GONE} in a change that removes it
- * @param startUs its latest start in microseconds since the epoch, 0 for long past
- * @param labels by which plans may choose endpoints; each takes its bytes in the store
+ * @param build number of the build that it runs
+ * @param health its listed health; {@link Endpoint.Health#GONE} in a change that removes it
+ * @param startUs when it last started, in microseconds since the epoch; 0 if it started long ago
+ * @param labels labels by which plans may select endpoints; every label takes up memory in the store
  */
 public record EndpointEntry(
         String name,
@@ -29,7 +29,7 @@
         long startUs,
         Map<String, String> labels) {
 
-    /** An endpoint without labels. */
+    /** Creates an entry without labels. */
     public EndpointEntry(
             String name,
             String service,
@@ -43,17 +43,17 @@
         this(name, service, address, zone, kind, cell, build, health, startUs, Map.of());
     }
 
-    /** The endpoint as the decisions know it: without service, address and labels. */
+    /** Converts the entry to the form used by the decision engine, without service, address and labels. */
     public Endpoint toEndpoint() {
         return new Endpoint(name, build, zone, kind, cell, health, startUs);
     }
 
-    /** The same endpoint as gone. */
+    /** Returns a copy of this entry with health {@link Endpoint.Health#GONE}. */
     EndpointEntry gone() {
         return withHealth(Endpoint.Health.GONE);
     }
 
-    /** The same endpoint with another health. */
+    /** Returns a copy of this entry with another health. */
     EndpointEntry withHealth(Endpoint.Health other) {
         return new EndpointEntry(name, service, address, zone, kind, cell, build, other, startUs, labels);
     }
--- a/src/main/java/gatelock/membership/EndpointStore.java
+++ b/src/main/java/gatelock/membership/EndpointStore.java
@@ -6,10 +6,10 @@
 import java.util.function.IntConsumer;
 
 /**
- * All listed endpoints in packed form, some 60 bytes each, so that a relay can hold the full list beside its work and
- * add any endpoint to its subset without asking discovery again. An endpoint is found by its name
- * ({@link NameIndex}) and by its service (a linked list through the records). It is identified by the place of its
- * record in the {@link RecordArena}, which holds until the endpoint is put again or removed.
+ * Stores all listed endpoints in a compact binary form of about 60 bytes each. A relay can thus keep the full list in
+ * memory and add any endpoint to its subset without another query to service discovery. Endpoints are looked up by name
+ * ({@link NameIndex}) or by service (a linked list through the records). An endpoint is identified by the handle of its
+ * record in the {@link RecordArena}, which remains valid until the endpoint is stored again or removed.
  */
 final class EndpointStore {
     private final RendezvousRanking ranking;
@@ -18,75 +18,76 @@
     private final ServiceTable services = new ServiceTable();
     private final NameIndex index = new NameIndex(new NameIndex.RecordNames() {
         @Override
-        public boolean hasName(int place, byte[] name) {
-            return reader(place).hasName(name);
+        public boolean hasName(int handle, byte[] name) {
+            return reader(handle).hasName(name);
         }
 
         @Override
-        public long nameHash(int place) {
-            return EndpointStore.this.nameHash(place);
+        public long nameHash(int handle) {
+            return EndpointStore.this.nameHash(handle);
         }
     });
 
-    /** An empty store; the ranking hashes the names. */
+    /** Creates an empty store; the ranking provides the hash function for names. */
     EndpointStore(RendezvousRanking ranking) {
         this.ranking = ranking;
     }
 
-    /** Number of endpoints. */
+    /** Returns the number of stored endpoints. */
     int size() {
         return index.size();
     }
 
-    /** Bytes of heap in arrays, for figures. */
+    /** Returns the heap size of the arrays in bytes, for measurements. */
     long bytes() {
         return index.bytes() + arena.bytes();
     }
 
     // Services
 
-    /** Forgets a service if it has no endpoint left. */
+    /** Removes a service if it has no endpoints left. */
     void forgetService(String service) {
         services.forget(service);
     }
 
-    /** Names of the services that have an endpoint. */
+    /** Returns the names of the services that have endpoints. */
     List<String> serviceNames() {
         return services.names();
     }
 
-    /** Number of ready endpoints of a service. */
+    /** Returns the number of ready endpoints of a service. */
     int readyCount(String service) {
-        return services.ring(service).ready;
+        return services.endpointList(service).readyCount;
     }
 
-    /** Number of endpoints of a service. */
+    /** Returns the number of endpoints of a service. */
     int endpointCount(String service) {
-        return services.ring(service).endpoints;
+        return services.endpointList(service).endpointCount;
     }
 
-    /** The place of a service's first endpoint, -1 for none. */
+    /** Returns the handle of a service's first endpoint, or {@link RecordArena#NONE} (-1) if it has none. */
     int first(String service) {
-        return services.ring(service).first;
+        return services.endpointList(service).head;
     }
 
-    /** The place of the next endpoint of the same service, -1 for none. */
-    int next(int place) {
-        return arena.link(place, RecordLayout.NEXT);
+    /** Returns the handle of the next endpoint of the same service, or {@link RecordArena#NONE} (-1) after the last. */
+    int next(int handle) {
+        return arena.link(handle, RecordLayout.NEXT);
     }
 
     // Endpoints
 
-    /** The place of an endpoint, -1 if it is not in the store. */
+    /** Returns the handle of an endpoint, or {@link RecordArena#NONE} (-1) if it is not in the store. */
     int find(String endpoint) {
         byte[] name = endpoint.getBytes(StandardCharsets.UTF_8);
-        return index.place(index.slot(name, hash(name)));
+        return index.handle(index.slot(name, hash(name)));
     }
 
     /**
-     * Stores an entry in place of what was stored under its name and returns its place.
+     * Stores an entry, replacing any entry of the same name, and returns its handle.
      *
-     * @throws IllegalArgumentException where the entry is too large or its name is not text; nothing changes then
+     * @throws IllegalArgumentException if the entry is too large or its name contains an unpaired surrogate; the store's
+     *     endpoints are not changed in that case
      */
     int put(EndpointEntry entry) {
         byte[] name = RecordEncoder.utf8(entry.name());
@@ -94,56 +95,56 @@
         int serviceNumber = services.numberOf(entry.service());
         encoder.encode(entry, name, serviceNumber);
         int slot = index.slot(name, hash);
-        if (index.place(slot) == RecordArena.NONE) {
+        if (index.handle(slot) == RecordArena.NONE) {
             slot = index.reserve(slot, name, hash);
         } else {
-            unlinkAndFree(index.place(slot));
+            unlinkAndFree(index.handle(slot));
         }
-        int place = arena.store(encoder.buffer(), encoder.length());
-        index.set(slot, place);
-        link(place, services.ring(serviceNumber), entry.health());
-        return place;
+        int handle = arena.store(encoder.buffer(), encoder.length());
+        index.set(slot, handle);
+        link(handle, services.endpointList(serviceNumber), entry.health());
+        return handle;
     }
 
-    /** Removes an endpoint; returns whether it was in the store. */
+    /** Removes an endpoint. Returns whether it was in the store. */
     boolean remove(String endpoint) {
         byte[] name = endpoint.getBytes(StandardCharsets.UTF_8);
         int slot = index.slot(name, hash(name));
-        int place = index.place(slot);
-        if (place == RecordArena.NONE) {
+        int handle = index.handle(slot);
+        if (handle == RecordArena.NONE) {
             return false;
         }
-        unlinkAndFree(place);
+        unlinkAndFree(handle);
         index.remove(slot);
         return true;
     }
 
-    /** Health of the endpoint at a place. */
-    Endpoint.Health health(int place) {
-        return RecordLayout.health(arena.page(place)[RecordArena.offset(place) + RecordLayout.FLAGS]);
+    /** Returns the health of the endpoint with this handle. */
+    Endpoint.Health health(int handle) {
+        return RecordLayout.decodeHealth(arena.page(handle)[RecordArena.offset(handle) + RecordLayout.FLAGS]);
     }
 
-    /** Zone of the endpoint at a place. */
-    int zone(int place) {
-        return reader(place).zone();
+    /** Returns the zone of the endpoint with this handle. */
+    int zone(int handle) {
+        return reader(handle).zone();
     }
 
-    /** Hash of the name of the endpoint at a place. */
-    long nameHash(int place) {
-        return reader(place).nameHash(ranking);
+    /** Returns the hash of the name of the endpoint with this handle. */
+    long nameHash(int handle) {
+        return reader(handle).nameHash(ranking);
     }
 
-    /** Name of the endpoint at a place. */
-    String name(int place) {
-        return reader(place).name();
+    /** Returns the name of the endpoint with this handle. */
+    String name(int handle) {
+        return reader(handle).name();
     }
 
-    /** The entry that was stored at a place. */
-    EndpointEntry entry(int place) {
-        return reader(place).entry(services);
+    /** Returns the stored entry with this handle. */
+    EndpointEntry entry(int handle) {
+        return reader(handle).entry(services);
     }
 
-    /** Passes the place of each endpoint on, in the order of the hash table. */
+    /** Calls the action with the handle of each endpoint, in hash table order. */
     void forEach(IntConsumer action) {
         index.forEach(action);
     }
@@ -152,41 +153,41 @@
         return ranking.hash(name, 0, name.length);
     }
 
-    private RecordReader reader(int place) {
-        return new RecordReader(arena.page(place), RecordArena.offset(place));
+    private RecordReader reader(int handle) {
+        return new RecordReader(arena.page(handle), RecordArena.offset(handle));
     }
 
-    /** Puts a record at the head of its service's list. */
-    private void link(int place, ServiceTable.Ring ring, Endpoint.Health health) {
-        arena.setLink(place, RecordLayout.NEXT, ring.first);
-        arena.setLink(place, RecordLayout.PREVIOUS, RecordArena.NONE);
-        if (ring.first != RecordArena.NONE) {
-            arena.setLink(ring.first, RecordLayout.PREVIOUS, place);
+    /** Inserts a record at the head of its service's list. */
+    private void link(int handle, ServiceTable.EndpointList list, Endpoint.Health health) {
+        arena.setLink(handle, RecordLayout.NEXT, list.head);
+        arena.setLink(handle, RecordLayout.PREVIOUS, RecordArena.NONE);
+        if (list.head != RecordArena.NONE) {
+            arena.setLink(list.head, RecordLayout.PREVIOUS, handle);
         }
-        ring.first = place;
-        ring.endpoints++;
+        list.head = handle;
+        list.endpointCount++;
         if (health == Endpoint.Health.READY) {
-            ring.ready++;
+            list.readyCount++;
         }
     }
 
-    /** Takes a record out of its service's list and frees its bytes. */
-    private void unlinkAndFree(int place) {
-        ServiceTable.Ring ring = services.ring(reader(place).serviceNumber());
-        ring.endpoints--;
-        if (health(place) == Endpoint.Health.READY) {
-            ring.ready--;
+    /** Removes a record from its service's list and frees its memory. */
+    private void unlinkAndFree(int handle) {
+        ServiceTable.EndpointList list = services.endpointList(reader(handle).serviceNumber());
+        list.endpointCount--;
+        if (health(handle) == Endpoint.Health.READY) {
+            list.readyCount--;
         }
-        int next = arena.link(place, RecordLayout.NEXT);
-        int previous = arena.link(place, RecordLayout.PREVIOUS);
+        int next = arena.link(handle, RecordLayout.NEXT);
+        int previous = arena.link(handle, RecordLayout.PREVIOUS);
         if (previous == RecordArena.NONE) {
-            ring.first = next;
+            list.head = next;
         } else {
             arena.setLink(previous, RecordLayout.NEXT, next);
         }
         if (next != RecordArena.NONE) {
             arena.setLink(next, RecordLayout.PREVIOUS, previous);
         }
-        arena.free(place, reader(place).length());
+        arena.free(handle, reader(handle).length());
     }
 }
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -3,33 +3,36 @@
 import java.util.List;
 
 /**
- * The endpoints that one relay uses of all that are listed: deterministic subsetting by rendezvous hashing. Of each
- * service it aims at the first ready endpoints of its own ranking, some of them in other zones. Where these are silent
- * it goes on along the ranking, and comes back when they have answered again and the settle time is over.
+ * The subset of the listed endpoints that one relay uses, chosen deterministically by rendezvous hashing. The preferred
+ * endpoints of a service are the first ready ones in the relay's own ranking, some of them in other zones. While
+ * preferred endpoints are silent, the endpoints that follow in the ranking are added in their place; these are removed
+ * again once the preferred ones have answered and the settle time has passed.
  *
- * <p>It is called from one thread with a clock that never goes back. This class stages the list and makes the
- * notifications; {@link ListApplier} applies the list, {@link EndpointBudget} shares the places among the services,
- * {@link CandidateSelector} ranks the endpoints and {@link SubsetReconciler} brings the members up to date.
+ * <p>All methods must be called from one thread, with times that never decrease. This class stages list updates and
+ * returns the notifications for the decision engine. {@link ListApplier} applies the updates, {@link EndpointBudget}
+ * divides the available slots among the services, {@link CandidateSelector} ranks the endpoints and
+ * {@link SubsetReconciler} adds and removes members.
  */
 public final class EndpointSubset {
     /**
-     * Relays that use an endpoint, on the mean at least, where nothing else is configured. Each relay sends its part of
-     * what an endpoint that is warming up may receive, and leaves a quarter of it free (rule 4). The endpoint that is
-     * used by most relays is used by 1 + 3.5 / sqrt(mean) times the mean (docs/measurements/membership.md), which is 4/3
-     * at this number. With fewer than one, some endpoints are not used at all.
+     * Default minimum for the mean number of relays that use an endpoint. Each relay sends its share of the traffic that
+     * an endpoint in slow start may receive and leaves a quarter of that share unused (rule 4). The endpoint that is used
+     * by the most relays is used by 1 + 3.5 / sqrt(mean) times the mean (docs/measurements/membership.md), which is 4/3
+     * for this value. If the mean is below one, some endpoints are not used by any relay.
      */
     public static final int DEFAULT_MIN_HOLDERS = 110;
 
     /**
-     * How a relay chooses its endpoints.
+     * Settings by which a relay chooses its endpoints.
      *
-     * @param relayNumber the relay's own number, or one drawn from its seed where the settings name none
-     * @param zone the relay's own zone, -1 for unknown: then all endpoints count as in its own zone
-     * @param maxEndpoints endpoints in the subset over all services
-     * @param minPerService endpoints aimed at for each service at least
-     * @param fraction of a service's ready endpoints that is aimed at where that is more: from 0 to 1
-     * @param remotePerService how many of these are in other zones, where there are any
-     * @param settleUs how long an endpoint must not be needed before it leaves the subset
+     * @param relayNumber the relay's own number; drawn from its seed if the settings name none
+     * @param zone the relay's own zone, or -1 if unknown, in which case every endpoint counts as local
+     * @param maxEndpoints maximum number of endpoints in the subset, over all services
+     * @param minPerService minimum target number of endpoints for each service
+     * @param fraction fraction of a service's ready endpoints, from 0 to 1, that is the target if it exceeds
+     *     {@code minPerService}
+     * @param remotePerService how many endpoints of the target are in other zones, if those have ready endpoints
+     * @param settleUs how long an endpoint must be unneeded before it is removed from the subset
      */
     public record Policy(
             long relayNumber,
@@ -40,38 +43,44 @@
             int remotePerService,
             long settleUs) {
 
-        /** Throws IllegalArgumentException where a bound makes no sense. */
+        /**
+         * Validates the settings.
+         *
+         * @throws IllegalArgumentException if a setting is out of range
+         */
         public Policy {
             boolean fractionValid = fraction >= 0 && fraction <= 1;
             if (maxEndpoints < 1 || minPerService < 1 || !fractionValid || remotePerService < 0 || settleUs < 0) {
-                throw new IllegalArgumentException("expected at least one endpoint in the subset and one per service, a"
-                        + " fraction from 0 to 1, none or more in other zones and no negative time, got "
-                        + maxEndpoints + ", " + minPerService + ", " + fraction + ", " + remotePerService + ", "
-                        + settleUs);
+                throw new IllegalArgumentException(
+                        "invalid subset policy: expected maxEndpoints >= 1, minPerService >= 1,"
+                                + " fraction from 0 to 1, remotePerService >= 0 and settleUs >= 0, got "
+                                + maxEndpoints + ", " + minPerService + ", " + fraction + ", " + remotePerService + ", "
+                                + settleUs);
             }
         }
 
-        /** Endpoints aimed at of a service with this many ready ones, where there are places for all services. */
+        /** Returns the target number of endpoints for a service with this many ready ones, before slots are divided. */
         public int target(int ready) {
             return Math.min(maxEndpoints, Math.max(minPerService, (int) Math.ceil(fraction * ready)));
         }
 
-        /** How many of the endpoints aimed at are in other zones; one is always left to the own zone. */
+        /** Returns how many endpoints of a target are in other zones; at least one is always in the relay's own zone. */
         int remoteTarget(int target) {
             return Math.max(0, Math.min(remotePerService, target - 1));
         }
 
-        /** Whether a zone counts as the relay's own. */
+        /** Returns whether a zone counts as the relay's own. */
         boolean isLocal(int endpointZone) {
             return zone < 0 || endpointZone == zone;
         }
     }
 
     /**
-     * What the decisions have to be notified of.
+     * A change of the subset of which the decision engine has to be notified.
      *
-     * @param full whether the entries are the complete subset; else they were added, have changed or are gone
-     * @param entries the endpoints
+     * @param full true if the entries are the complete subset; false if they are the endpoints that were added, changed
+     *     or removed
+     * @param entries the endpoints; a removed one has the health {@link gatelock.api.Endpoint.Health#GONE}
      */
     public record Change(boolean full, List<EndpointEntry> entries) {}
 
@@ -83,15 +92,15 @@
     private final ListApplier applier;
     private final SubsetReconciler reconciler;
 
-    private long changedUs;
+    private long lastChangeUs;
     private long index = -1;
 
-    /** An empty subset that follows a policy; nothing is listed yet. */
+    /** Creates an empty subset with no listed endpoints. */
     public EndpointSubset(Policy policy) {
         this(policy, new RendezvousRanking(policy.relayNumber()));
     }
 
-    /** For tests: with a ranking in which names can be made to collide. */
+    /** Creates a subset with a given ranking; tests use one in which the hashes of names collide. */
     EndpointSubset(Policy policy, RendezvousRanking ranking) {
         this.ranking = ranking;
         listed = new ListedServices(ranking);
@@ -106,12 +115,16 @@
 
     // Input
 
-    /** Begins a full list ({@code full}) or a change of it; nothing changes until it is taken. */
+    /**
+     * Begins an update of the endpoint list. Nothing changes until it is committed.
+     *
+     * @param full true for a full list, false for changes to the current list
+     */
     public ListUpdate beginUpdate(boolean full) {
         return new ListUpdate(full);
     }
 
-    /** A list or a change that is being received. To drop it instead of taking it changes nothing. */
+    /** A list update that is being received. It may be dropped without a commit and then has no effect. */
     public final class ListUpdate {
         private final boolean full;
         private EndpointStore staged = new EndpointStore(ranking);
@@ -121,10 +134,10 @@
         }
 
         /**
-         * Adds an entry; of a change the last one of an endpoint counts.
+         * Adds an entry. If an incremental update holds several entries for an endpoint, the last one applies.
          *
-         * @throws IllegalArgumentException for an endpoint that is in a full list twice and for an entry that is too
-         *     large; the reading must be dropped then
+         * @throws IllegalArgumentException if a full list holds the endpoint twice, the entry is too large or its name
+         *     has an unpaired surrogate; the update must then be dropped
          */
         public void add(EndpointEntry entry) {
             if (full && staged.find(entry.name()) != RecordArena.NONE) {
@@ -134,12 +147,12 @@
         }
 
         /**
-         * Puts the list or change in force, whatever its index: a lower one comes from a discovery service that was
-         * started anew. May be called once.
+         * Applies the update, whatever its index: a lower index than before comes from a discovery service that was
+         * restarted. Must be called at most once.
          *
-         * @param nowUs the time
-         * @param index the list's index
-         * @return what the decisions have to be notified of
+         * @param nowUs the current time
+         * @param index the index of the list
+         * @return the change of which the decision engine has to be notified
          */
         public Change commit(long nowUs, long index) {
             EndpointStore received = staged;
@@ -150,7 +163,7 @@
                 applier.applyChange(received);
             }
             EndpointSubset.this.index = index;
-            changedUs = nowUs;
+            lastChangeUs = nowUs;
             reconciler.reconcile(nowUs);
             List<EndpointEntry> changed = changes.drain();
             return new Change(full, full ? members.entries() : changed);
@@ -158,10 +171,10 @@
     }
 
     /**
-     * Records that an attempt at an endpoint, or a connection to it, has ended; of no effect for an endpoint that is not
-     * in the subset.
+     * Records the end of an attempt at an endpoint or of a connection attempt. Has no effect if the endpoint is not in
+     * the subset.
      *
-     * @param answered whether the endpoint answered anything at all
+     * @param answered whether the endpoint sent any response at all
      */
     public void recordAttempt(long nowUs, String endpoint, boolean answered) {
         SubsetMember member = members.find(endpoint);
@@ -171,55 +184,55 @@
     }
 
     /**
-     * Grows the subset where endpoints are silent and shrinks it after the settle time. To be called regularly, for
-     * example every 250 ms.
+     * Adds endpoints in place of silent ones and removes endpoints that were unneeded for the settle time. Must be called
+     * regularly, for example every 250 ms.
      */
     public Change refresh(long nowUs) {
         reconciler.reconcile(nowUs);
         return new Change(false, changes.drain());
     }
 
-    // Figures
+    // Metrics
 
-    /** Number of listed endpoints. */
+    /** Returns the number of listed endpoints. */
     public int listedCount() {
         return listed.store().size();
     }
 
-    /** Number of endpoints in the subset: never more than {@code maxEndpoints}. */
+    /** Returns the number of endpoints in the subset, which never exceeds {@code maxEndpoints}. */
     public int subsetSize() {
         return members.size();
     }
 
-    /** Number of services with a listed endpoint. */
+    /** Returns the number of services with a listed endpoint. */
     public int serviceCount() {
         return listed.size();
     }
 
     /**
-     * Number of services that have ready endpoints and none in the subset, since there are more services than
-     * {@code maxEndpoints}.
+     * Returns the number of services that have ready endpoints but none in the subset, because there are more services
+     * than {@code maxEndpoints}.
      */
     int servicesWithoutPlace() {
         return budget.servicesWithoutPlace();
     }
 
-    /** Endpoints aimed at for any service: less than the policy says where {@code maxEndpoints} does not suffice. */
+    /** Returns the smallest target of any service; less than the policy's minimum if {@code maxEndpoints} is too small. */
     int targetPerService() {
         return budget.targetPerService();
     }
 
-    /** When a list or a change was last taken, 0 for never. */
+    /** Returns when a list update was last applied, or 0 if none was. */
     public long lastChangeUs() {
-        return changedUs;
+        return lastChangeUs;
     }
 
-    /** The index of the last list or change, -1 for none. */
+    /** Returns the index of the last list update that was applied, or -1 if none was. */
     public long index() {
         return index;
     }
 
-    /** Bytes of heap in which the list is kept, for figures. */
+    /** Returns the heap size of the stored list in bytes, for measurements. */
     long bytes() {
         return listed.store().bytes();
     }
--- a/src/main/java/gatelock/membership/EvictionQueue.java
+++ b/src/main/java/gatelock/membership/EvictionQueue.java
@@ -6,49 +6,49 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Members that may be removed when the subset is full, in the order in which they are removed. */
+/** Members that may be evicted when the subset is full, in eviction order. */
 final class EvictionQueue {
-    /** Why a member may be removed, in the order in which members are removed. */
+    /** Why a member may be evicted. The order of the constants is the order of eviction. */
     enum Reason {
-        /** It is not needed any more and leaves after the settle time in any case. */
+        /** The member is no longer needed and will be removed after the settle time in any case. */
         NOT_NEEDED,
-        /** It is not ready, but still listed. */
+        /** The member is not ready but still listed. */
         DRAINING,
-        /** It is silent and beyond the number that the service aims at. */
+        /** The member is silent and exceeds the number of endpoints that the service should have. */
         SILENT,
-        /** It may not be removed. */
+        /** The member must not be evicted. */
         NONE
     }
 
-    private final Map<Reason, Set<SubsetMember>> members = new EnumMap<>(Reason.class);
+    private final Map<Reason, Set<SubsetMember>> membersByReason = new EnumMap<>(Reason.class);
 
-    /** An empty queue. */
+    /** Creates an empty queue. */
     EvictionQueue() {
         for (Reason reason : Reason.values()) {
             if (reason != Reason.NONE) {
-                members.put(reason, new LinkedHashSet<>());
+                membersByReason.put(reason, new LinkedHashSet<>());
             }
         }
     }
 
-    /** Sets why a member may be removed; a member keeps its position while the reason stays the same. */
+    /** Sets why a member may be evicted. A member keeps its position while its reason stays the same. */
     void set(SubsetMember member, Reason reason) {
-        Reason before = member.evictable();
-        if (before == reason) {
+        Reason previousReason = member.evictionReason();
+        if (previousReason == reason) {
             return;
         }
-        if (before != Reason.NONE) {
-            members.get(before).remove(member);
+        if (previousReason != Reason.NONE) {
+            membersByReason.get(previousReason).remove(member);
         }
         if (reason != Reason.NONE) {
-            members.get(reason).add(member);
+            membersByReason.get(reason).add(member);
         }
-        member.setEvictable(reason);
+        member.setEvictionReason(reason);
     }
 
-    /** The member to remove first, null for none. */
+    /** Returns the member to evict first, or null if there is none. */
     SubsetMember first() {
-        for (Set<SubsetMember> ofReason : members.values()) {
+        for (Set<SubsetMember> ofReason : membersByReason.values()) {
             Iterator<SubsetMember> iterator = ofReason.iterator();
             if (iterator.hasNext()) {
                 return iterator.next();
@@ -57,14 +57,15 @@
         return null;
     }
 
-    /** A member that is not needed and whose settle time is over, null for none. */
+    /** Returns an unneeded member whose settle time has passed, or null if there is none. */
     SubsetMember firstOverdue(long nowUs) {
-        Iterator<SubsetMember> notNeeded = members.get(Reason.NOT_NEEDED).iterator();
+        Iterator<SubsetMember> notNeeded =
+                membersByReason.get(Reason.NOT_NEEDED).iterator();
         if (!notNeeded.hasNext()) {
             return null;
         }
-        // The settle time is the same for all and the clock does not go back: the first is due first.
+        // All members have the same settle time and the clock never goes back, so the first member is due first.
         SubsetMember first = notNeeded.next();
-        return first.leavesAtUs() <= nowUs ? first : null;
+        return first.removalDueUs() <= nowUs ? first : null;
     }
 }
--- a/src/main/java/gatelock/membership/ListApplier.java
+++ b/src/main/java/gatelock/membership/ListApplier.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Applies full lists and changes of the list to what is listed and to the members of the subset. */
+/** Applies full and incremental list updates to the listed endpoints and to the members of the subset. */
 final class ListApplier {
     private final EndpointSubset.Policy policy;
     private final ListedServices listed;
@@ -12,7 +12,7 @@
     private final CandidateSelector selector;
     private final PendingChanges changes;
 
-    /** An applier for one subset. */
+    /** Creates an applier for one subset. */
     ListApplier(
             EndpointSubset.Policy policy,
             ListedServices listed,
@@ -26,17 +26,20 @@
         this.changes = changes;
     }
 
-    /** Replaces all that is listed. No notifications are made: the decisions are notified of all members afterwards. */
+    /**
+     * Replaces all listed endpoints. Records no pending changes, because the decision engine is sent the complete subset
+     * after a full list.
+     */
     void applyFull(EndpointStore staged) {
         removeGone(staged);
         listed.replaceStore(staged);
         for (SubsetMember member : members.all()) {
-            int place = staged.find(member.name());
-            EndpointEntry now = place == RecordArena.NONE ? null : staged.entry(place);
-            if (now == null || !now.service().equals(member.service().name())) {
-                members.removeSilently(member);
+            int handle = staged.find(member.name());
+            EndpointEntry updated = handle == RecordArena.NONE ? null : staged.entry(handle);
+            if (updated == null || !updated.service().equals(member.service().name())) {
+                members.removeWithoutNotification(member);
             } else {
-                member.update(now, policy.isLocal(now.zone()));
+                member.update(updated, policy.isLocal(updated.zone()));
             }
         }
         staged.serviceNames().forEach(listed::service);
@@ -46,16 +49,16 @@
         }
     }
 
-    /** Applies a change of the list, in the order of the staged store. */
+    /** Applies an incremental update, in the iteration order of the staged store. */
     void applyChange(EndpointStore staged) {
-        staged.forEach(place -> applyEntry(staged.entry(place)));
+        staged.forEach(handle -> applyEntry(staged.entry(handle)));
     }
 
     private static void removeGone(EndpointStore staged) {
         List<String> gone = new ArrayList<>();
-        staged.forEach(place -> {
-            if (staged.health(place) == Endpoint.Health.GONE) {
-                gone.add(staged.name(place));
+        staged.forEach(handle -> {
+            if (staged.health(handle) == Endpoint.Health.GONE) {
+                gone.add(staged.name(handle));
             }
         });
         gone.forEach(staged::remove);
@@ -63,9 +66,9 @@
 
     private void applyEntry(EndpointEntry entry) {
         EndpointStore store = listed.store();
-        int before = store.find(entry.name());
-        if (before != RecordArena.NONE) {
-            listed.markChanged(listed.service(store.entry(before).service()));
+        int previousHandle = store.find(entry.name());
+        if (previousHandle != RecordArena.NONE) {
+            listed.markChanged(listed.service(store.entry(previousHandle).service()));
         }
         SubsetMember member = members.find(entry.name());
         if (member != null && endsMembership(member, entry)) {
@@ -76,13 +79,13 @@
             store.remove(entry.name());
             return;
         }
-        int place = store.put(entry);
+        int handle = store.put(entry);
         ServiceState service = listed.service(entry.service());
         listed.markChanged(service);
         if (member != null) {
             updateMember(service, member, entry);
         } else if (entry.health() == Endpoint.Health.READY) {
-            service.needsSelection |= selector.mayBePreferred(service, selector.candidate(place));
+            service.needsSelection |= selector.mayBePreferred(service, selector.candidate(handle));
         }
     }
 
@@ -101,11 +104,11 @@
     }
 
     private void updateMember(ServiceState service, SubsetMember member, EndpointEntry entry) {
-        EndpointEntry before = member.entry();
-        if (!before.equals(entry)) {
+        EndpointEntry previous = member.entry();
+        if (!previous.equals(entry)) {
             changes.add(entry);
         }
-        if (before.zone() != entry.zone() || before.health() != entry.health()) {
+        if (previous.zone() != entry.zone() || previous.health() != entry.health()) {
             service.needsSelection = true;
         }
         member.update(entry, policy.isLocal(entry.zone()));
--- a/src/main/java/gatelock/membership/ListedServices.java
+++ b/src/main/java/gatelock/membership/ListedServices.java
@@ -9,78 +9,81 @@
 import java.util.Map;
 import java.util.Set;
 
-/** All that is listed, by service, and which services have to be reconciled with the subset. */
+/** The listed endpoints and their services, and the services that have to be reconciled with the subset. */
 final class ListedServices {
     private final RendezvousRanking ranking;
     private EndpointStore store;
     private final Map<String, ServiceState> services = new LinkedHashMap<>();
-    /** Services whose part of the subset has to be looked at, in the order in which they changed. */
+    /** Services whose members have to be reconciled, in the order in which they were first marked. */
     private final Set<ServiceState> dirty = new LinkedHashSet<>();
 
-    /** Nothing is listed yet. */
+    /** Creates an instance with no listed endpoints. */
     ListedServices(RendezvousRanking ranking) {
         this.ranking = ranking;
         store = new EndpointStore(ranking);
     }
 
-    /** The listed endpoints. */
+    /** Returns the store of the listed endpoints. */
     EndpointStore store() {
         return store;
     }
 
-    /** Replaces all listed endpoints; the services remain until they are forgotten. */
+    /** Replaces all listed endpoints. The services are kept until {@link #forget} is called for them. */
     void replaceStore(EndpointStore replacement) {
         store = replacement;
     }
 
-    /** The state of a service, new if it is not known. */
+    /** Returns the state of a service, which is created if the service is unknown. */
     ServiceState service(String name) {
         return services.computeIfAbsent(name, added -> new ServiceState(added, ranking.rank(ranking.hash(added))));
     }
 
-    /** The known services. */
+    /** Returns a view of the known services. */
     Collection<ServiceState> services() {
         return Collections.unmodifiableCollection(services.values());
     }
 
-    /** Number of known services. */
+    /** Returns the number of known services. */
     int size() {
         return services.size();
     }
 
-    /** Forgets a service that has no listed endpoint left. */
+    /** Removes a service that has no listed endpoints left. */
     void forget(ServiceState service) {
         store.forgetService(service.name());
         services.remove(service.name());
     }
 
-    /** Number of listed endpoints of a service. */
+    /** Returns the number of listed endpoints of a service. */
     int endpointCount(ServiceState service) {
         return store.endpointCount(service.name());
     }
 
-    /** Number of listed endpoints of a service that are ready. */
+    /** Returns the number of ready listed endpoints of a service. */
     int readyCount(ServiceState service) {
         return store.readyCount(service.name());
     }
 
-    /** The service has to be reconciled. */
+    /** Marks a service for reconciliation. */
     void markDirty(ServiceState service) {
         dirty.add(service);
     }
 
-    /** The service's listed endpoints changed: it has to be reconciled, and there may be more to find. */
+    /**
+     * Marks a service whose listed endpoints have changed for reconciliation. Also clears the exhausted search for
+     * replacements, because the changed list may hold new candidates.
+     */
     void markChanged(ServiceState service) {
         service.searchExhausted = false;
         dirty.add(service);
     }
 
-    /** The services that have to be reconciled. */
+    /** Returns a view of the services that have to be reconciled. */
     Set<ServiceState> dirty() {
         return Collections.unmodifiableSet(dirty);
     }
 
-    /** Returns the services that have to be reconciled; none has to be from now on. */
+    /** Returns the services that have to be reconciled and clears their marks. */
     List<ServiceState> drainDirty() {
         List<ServiceState> drained = new ArrayList<>(dirty);
         dirty.clear();
--- a/src/main/java/gatelock/membership/MemberReview.java
+++ b/src/main/java/gatelock/membership/MemberReview.java
@@ -3,58 +3,65 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Decides which members of a service stay, which leave after the settle time and which may be removed at need. */
+/** Decides which members of a service are kept, which are removed after the settle time and which may be evicted. */
 final class MemberReview {
     private final EndpointSubset.Policy policy;
     private final EndpointBudget budget;
     private final EvictionQueue evictions;
 
-    /** A review by the number of endpoints that the budget wants of each service. */
+    /** Creates a review that keeps as many endpoints of each service as the budget wants. */
     MemberReview(EndpointSubset.Policy policy, EndpointBudget budget, EvictionQueue evictions) {
         this.policy = policy;
         this.budget = budget;
         this.evictions = evictions;
     }
 
-    /** Reviews the members of a service; returns how many usable ones are missing, negative for too many. */
+    /**
+     * Reviews the members of a service.
+     *
+     * @return how many usable members are missing; negative if there are more than wanted
+     */
     int review(ServiceState service, long nowUs) {
         int wanted = budget.wanted(service);
         int position = 0;
         int usable = 0;
-        for (SubsetMember member : readyMembersByWorth(service)) {
-            boolean stays = position < wanted;
+        for (SubsetMember member : readyMembersByPriority(service)) {
+            boolean wantedMember = position < wanted;
             position++;
             if (member.isUsable()) {
                 usable++;
             }
-            reviewReady(service, member, stays, nowUs);
+            reviewReady(service, member, wantedMember, nowUs);
         }
         for (SubsetMember member : service.members) {
             if (!member.isReady()) {
                 member.setPreferred(false);
-                member.setLeavesAtUs(SettleTimer.NEVER);
+                member.setRemovalDueUs(SettleTimer.NEVER);
                 evictions.set(member, EvictionQueue.Reason.DRAINING);
             }
         }
         return wanted - usable;
     }
 
-    private void reviewReady(ServiceState service, SubsetMember member, boolean stays, long nowUs) {
-        // A replacement is not removed before it was tried.
+    private void reviewReady(ServiceState service, SubsetMember member, boolean wantedMember, long nowUs) {
+        // A replacement is not removed before an attempt has shown whether it answers.
         boolean onTrial = service.isReplacing() && member.isUsable() && member.isUnproven();
-        boolean leaves = !stays && !member.isPreferred() && !onTrial;
-        member.setLeavesAtUs(SettleTimer.deadline(leaves, member.leavesAtUs(), nowUs, policy.settleUs()));
-        if (leaves) {
+        boolean surplus = !wantedMember && !member.isPreferred() && !onTrial;
+        member.setRemovalDueUs(SettleTimer.deadline(surplus, member.removalDueUs(), nowUs, policy.settleUs()));
+        if (surplus) {
             evictions.set(member, EvictionQueue.Reason.NOT_NEEDED);
-        } else if (stays) {
+        } else if (wantedMember) {
             evictions.set(member, EvictionQueue.Reason.NONE);
         } else {
             evictions.set(member, EvictionQueue.Reason.SILENT);
         }
     }
 
-    /** Ready members: usable ones first, of these proven ones, of these preferred ones, then by rank. */
-    private static List<SubsetMember> readyMembersByWorth(ServiceState service) {
+    /**
+     * Returns the ready members, those most worth keeping first: usable before silent ones, then proven before unproven
+     * ones while silent endpoints are being replaced, then preferred before other ones, then by rank.
+     */
+    private static List<SubsetMember> readyMembersByPriority(ServiceState service) {
         boolean replacing = service.isReplacing();
         return service.members.stream()
                 .filter(SubsetMember::isReady)
--- a/src/main/java/gatelock/membership/NameIndex.java
+++ b/src/main/java/gatelock/membership/NameIndex.java
@@ -3,44 +3,45 @@
 import java.util.function.IntConsumer;
 
 /**
- * Finds records by the endpoint's name: a hash table with open addressing and linear probing that holds only places.
- * Names and their hashes are read from the records, and a name is always compared, so that equal hashes do no harm.
+ * Finds records by endpoint name: a hash table with open addressing and linear probing that holds only record handles.
+ * Names and their hashes are read from the records. A lookup always compares the names, so colliding hashes are safe.
  */
 final class NameIndex {
-    /** The names of the records that the index holds. */
+    /** Gives access to the names of the indexed records. */
     interface RecordNames {
-        /** Whether the record at a place has this name. */
-        boolean hasName(int place, byte[] name);
+        /** Returns whether the record with this handle has this name, given as UTF-8. */
+        boolean hasName(int handle, byte[] name);
 
-        /** The hash of the name of the record at a place. */
-        long nameHash(int place);
+        /** Returns the hash of the name of the record with this handle. */
+        long nameHash(int handle);
     }
 
     private static final int INITIAL_SLOTS = 16;
-    /** The table doubles when it is fuller than this; a search then looks at about three slots. */
+    /** The table doubles when it is fuller than this. At this load a lookup examines about three slots. */
     private static final double MAX_LOAD_FACTOR = 0.8;
 
     private final RecordNames records;
-    /** Each slot holds a place + 1, or 0 if it is empty. */
+    /** Each slot holds a handle + 1, or 0 if it is empty. */
     private int[] slots = new int[INITIAL_SLOTS];
 
     private int size;
 
+    /** Creates an empty index over records whose names can be read. */
     NameIndex(RecordNames records) {
         this.records = records;
     }
 
-    /** Names in the index. */
+    /** Returns the number of names in the index. */
     int size() {
         return size;
     }
 
-    /** Bytes of heap in arrays. */
+    /** Returns the heap size of the arrays in bytes. */
     long bytes() {
         return (long) Integer.BYTES * slots.length;
     }
 
-    /** The slot of a name or, if the name is not in the index, the empty slot where it would go. */
+    /** Returns the slot of a name or, if the name is not in the index, the empty slot where it would be inserted. */
     int slot(byte[] name, long hash) {
         int mask = slots.length - 1;
         int slot = (int) hash & mask;
@@ -50,21 +51,21 @@
         return slot;
     }
 
-    /** The place in a slot, {@link RecordArena#NONE} if the slot is empty. */
-    int place(int slot) {
+    /** Returns the handle in a slot, or {@link RecordArena#NONE} if the slot is empty. */
+    int handle(int slot) {
         return slots[slot] - 1;
     }
 
-    /** Puts a place into the slot of its name. */
-    void set(int slot, int place) {
-        slots[slot] = place + 1;
+    /** Sets the handle in the slot of its name. */
+    void set(int slot, int handle) {
+        slots[slot] = handle + 1;
     }
 
     /**
-     * Counts a name that is about to be added and grows the table if it becomes too full.
+     * Counts a name that is about to be added and grows the table if it would become too full.
      *
-     * @param slot the empty slot of the name so far
-     * @return the empty slot of the name from now on
+     * @param slot the empty slot that {@link #slot} returned for the name
+     * @return the empty slot for the name, which is a different one if the table grew
      */
     int reserve(int slot, byte[] name, long hash) {
         size++;
@@ -75,7 +76,7 @@
         return slot(name, hash);
     }
 
-    /** Empties a slot and moves later names up, so that no search ends before it reaches its name. */
+    /** Empties a slot and shifts the entries after it back, so that no lookup stops at the gap before its name. */
     void remove(int slot) {
         size--;
         int mask = slots.length - 1;
@@ -90,7 +91,7 @@
         slots[hole] = 0;
     }
 
-    /** Passes each place on, in the order of the slots. */
+    /** Calls the action with each handle, in slot order. */
     void forEach(IntConsumer action) {
         for (int slot : slots) {
             if (slot != 0) {
--- a/src/main/java/gatelock/membership/PackedAddress.java
+++ b/src/main/java/gatelock/membership/PackedAddress.java
@@ -1,8 +1,8 @@
 package gatelock.membership;
 
 /**
- * An IPv4 address and port in six bytes: the form in which the {@link EndpointStore} keeps an address that reads back
- * exactly as it was written. Any other address (a host name, IPv6, leading zeros) is kept as text.
+ * Packs an IPv4 address and port into six bytes. The {@link EndpointStore} uses this form for every address that unpacks
+ * to exactly the original text; any other address (a host name, IPv6, numbers with leading zeros) is kept as text.
  */
 final class PackedAddress {
     /** Size of a packed address. */
@@ -19,7 +19,7 @@
 
     private PackedAddress() {}
 
-    /** Returns the address in the upper 32 of 48 bits and the port in the lower 16, or {@link #NONE}. */
+    /** Returns the IP address in the upper 32 of 48 bits and the port in the lower 16, or {@link #NONE}. */
     static long parse(String address) {
         int ip = 0;
         int octets = 0;
@@ -48,7 +48,7 @@
         return ((ip & 0xffff_ffffL) << PORT_BITS) | value;
     }
 
-    /** Writes a packed address, {@link #BYTES} bytes long. */
+    /** Writes a packed address as {@link #BYTES} bytes. */
     static void write(long packed, byte[] target, int from) {
         RecordLayout.INT.set(target, from, (int) (packed >>> PORT_BITS));
         target[from + 4] = (byte) (packed >> 8);
--- a/src/main/java/gatelock/membership/PendingChanges.java
+++ b/src/main/java/gatelock/membership/PendingChanges.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /**
- * Endpoints of which the decisions have to be notified. Of an endpoint only the last entry counts; the order is that
- * in which endpoints first changed.
+ * Changes of which the decision engine has not been notified yet. Only the last entry of an endpoint is kept; endpoints
+ * are in the order in which they first changed.
  */
 final class PendingChanges {
     private Map<String, EndpointEntry> entries = new LinkedHashMap<>();
 
-    /** Notifies the decisions of an entry with the next change. */
+    /** Adds an entry, replacing a pending entry of the same endpoint. */
     void add(EndpointEntry entry) {
         entries.put(entry.name(), entry);
     }
 
-    /** Returns what is pending, which is not pending any more. */
+    /** Returns the pending entries and clears them. */
     List<EndpointEntry> drain() {
         if (entries.isEmpty()) {
             return List.of();
--- a/src/main/java/gatelock/membership/RecordArena.java
+++ b/src/main/java/gatelock/membership/RecordArena.java
@@ -3,78 +3,86 @@
 import java.util.Arrays;
 
 /**
- * Memory for the records of the {@link EndpointStore}: pages of 64 KB that are allocated as they are needed. A record
- * lies on one page and is identified by its place, which counts grains of four bytes from the start of the first
- * page. Freed records form one list for each size and are used again for records of that size; nothing is ever moved,
- * so no change stops the thread.
+ * Memory for the records of the {@link EndpointStore}, in pages of 64 KB that are allocated on demand. A record lies
+ * within one page and is identified by its handle: its distance from the start of the first page, in words of four
+ * bytes. Freed records form one free list per size and are reused for records of that size. Records are never moved, so
+ * no update causes a pause for compaction.
  */
 final class RecordArena {
-    /** Stands for no place. */
+    /** The handle that stands for no record. */
     static final int NONE = -1;
 
     private static final int PAGE_BITS = 16;
     private static final int PAGE_BYTES = 1 << PAGE_BITS;
-    /** A record lies on one page and is no longer than it. */
+    /** Maximum length of a record, which must fit into one page. */
     static final int MAX_RECORD_BYTES = PAGE_BYTES;
 
-    /** The first page starts small and grows, since most lists are short. */
+    /** Initial size of the first page, which starts small and grows because most lists are short. */
     private static final int FIRST_PAGE_BYTES = 1 << 10;
 
     private static final int FIRST_PAGE_GROWTH = 4;
-    private static final int GRAIN_BITS = 2;
+    private static final int WORD_SHIFT = 2;
 
     private byte[][] pages = new byte[1][];
-    /** The place where the next new record begins. */
+    /** The handle of the next record that is not allocated from a free list. */
     private int end;
-    /** The last freed place by the size of its record in grains; each freed record links to the next of its size. */
-    private int[] freeBySize = new int[0];
+    /** The head of each free list, by record size in words; a freed record links to the next one of its size. */
+    private int[] freeListHeads = new int[0];
 
-    /** The page on which a record lies. */
-    byte[] page(int place) {
-        return pages[pageNumber(place)];
+    /** Returns the page that holds a record. */
+    byte[] page(int handle) {
+        return pages[pageNumber(handle)];
     }
 
-    private static int pageNumber(int place) {
-        return place >>> (PAGE_BITS - GRAIN_BITS);
+    private static int pageNumber(int handle) {
+        return handle >>> (PAGE_BITS - WORD_SHIFT);
     }
 
-    /** Where on its page a record begins. */
-    static int offset(int place) {
-        return (place << GRAIN_BITS) & (PAGE_BYTES - 1);
+    /** Returns the offset of a record in its page. */
+    static int offset(int handle) {
+        return (handle << WORD_SHIFT) & (PAGE_BYTES - 1);
     }
 
-    /** The link of a record at an offset of the {@link RecordLayout}. */
-    int link(int place, int which) {
-        return (int) RecordLayout.INT.get(page(place), offset(place) + which);
+    /**
+     * Returns a link of a record.
+     *
+     * @param linkOffset {@link RecordLayout#NEXT} or {@link RecordLayout#PREVIOUS}
+     */
+    int link(int handle, int linkOffset) {
+        return (int) RecordLayout.INT.get(page(handle), offset(handle) + linkOffset);
     }
 
-    /** Sets a link of a record. */
-    void setLink(int place, int which, int target) {
-        RecordLayout.INT.set(page(place), offset(place) + which, target);
+    /**
+     * Sets a link of a record.
+     *
+     * @param linkOffset {@link RecordLayout#NEXT} or {@link RecordLayout#PREVIOUS}
+     */
+    void setLink(int handle, int linkOffset, int target) {
+        RecordLayout.INT.set(page(handle), offset(handle) + linkOffset, target);
     }
 
-    /** Copies a record to a free place and returns the place. */
+    /** Copies a record into the arena and returns its handle. */
     int store(byte[] record, int length) {
-        int place = allocate(grains(length));
-        System.arraycopy(record, 0, page(place), offset(place), length);
-        return place;
+        int handle = allocate(words(length));
+        System.arraycopy(record, 0, page(handle), offset(handle), length);
+        return handle;
     }
 
-    /** Frees a record of this length; its bytes other than the first link remain readable until the next store. */
-    void free(int place, int length) {
-        int grains = grains(length);
-        if (grains >= freeBySize.length) {
-            int known = freeBySize.length;
-            freeBySize = Arrays.copyOf(freeBySize, grains + 1);
-            Arrays.fill(freeBySize, known, freeBySize.length, NONE);
+    /** Frees a record of this length. Except for the first link, its bytes remain readable until the next store. */
+    void free(int handle, int length) {
+        int words = words(length);
+        if (words >= freeListHeads.length) {
+            int previousLength = freeListHeads.length;
+            freeListHeads = Arrays.copyOf(freeListHeads, words + 1);
+            Arrays.fill(freeListHeads, previousLength, freeListHeads.length, NONE);
         }
-        setLink(place, RecordLayout.NEXT, freeBySize[grains]);
-        freeBySize[grains] = place;
+        setLink(handle, RecordLayout.NEXT, freeListHeads[words]);
+        freeListHeads[words] = handle;
     }
 
-    /** Bytes of heap in arrays. */
+    /** Returns the heap size of the arrays in bytes. */
     long bytes() {
-        long bytes = (long) Integer.BYTES * freeBySize.length;
+        long bytes = (long) Integer.BYTES * freeListHeads.length;
         for (byte[] page : pages) {
             if (page != null) {
                 bytes += page.length;
@@ -83,26 +91,26 @@
         return bytes;
     }
 
-    private static int grains(int bytes) {
-        return (bytes + (1 << GRAIN_BITS) - 1) >> GRAIN_BITS;
+    private static int words(int bytes) {
+        return (bytes + (1 << WORD_SHIFT) - 1) >> WORD_SHIFT;
     }
 
-    private int allocate(int grains) {
-        if (grains < freeBySize.length && freeBySize[grains] != NONE) {
-            int place = freeBySize[grains];
-            freeBySize[grains] = link(place, RecordLayout.NEXT);
-            return place;
+    private int allocate(int words) {
+        if (words < freeListHeads.length && freeListHeads[words] != NONE) {
+            int handle = freeListHeads[words];
+            freeListHeads[words] = link(handle, RecordLayout.NEXT);
+            return handle;
         }
-        int bytes = grains << GRAIN_BITS;
+        int bytes = words << WORD_SHIFT;
         int offset = offset(end);
         if (offset + bytes > PAGE_BYTES) {
-            end += (PAGE_BYTES - offset) >> GRAIN_BITS;
+            end += (PAGE_BYTES - offset) >> WORD_SHIFT;
             offset = 0;
         }
         ensurePage(pageNumber(end), offset + bytes);
-        int place = end;
-        end += grains;
-        return place;
+        int handle = end;
+        end += words;
+        return handle;
     }
 
     private void ensurePage(int number, int bytes) {
--- a/src/main/java/gatelock/membership/RecordEncoder.java
+++ b/src/main/java/gatelock/membership/RecordEncoder.java
@@ -7,33 +7,36 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Encodes endpoint entries as records of the {@link RecordLayout}, in a buffer that is used again for each entry. */
+/** Encodes endpoint entries as records of the {@link RecordLayout}, in a buffer that is reused for each entry. */
 final class RecordEncoder {
     private static final int INITIAL_BUFFER_BYTES = 256;
-    /** The largest encoding of a 64-bit number with seven bits a byte. */
+    /** Maximum length of a 64-bit number that is encoded with seven bits per byte. */
     private static final int MAX_NUMBER_BYTES = 10;
 
-    private static final int MAX_QUOTED_NAME = 64;
+    private static final int MAX_QUOTED_NAME_CHARS = 64;
 
     private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
     private int length;
 
-    /** The encoded record in its first {@link #length()} bytes; valid until the next call of {@link #encode}. */
+    /**
+     * Returns the buffer, which holds the encoded record in its first {@link #length()} bytes. The content is valid until
+     * the next call of {@link #encode}.
+     */
     byte[] buffer() {
         return buffer;
     }
 
-    /** Length of the record that was encoded last, in bytes. */
+    /** Returns the length in bytes of the record that was encoded last. */
     int length() {
         return length;
     }
 
     /**
-     * Encodes an entry; its links are left to the caller.
+     * Encodes an entry. The caller sets the links of the record.
      *
      * @param name the entry's name as {@link #utf8} returns it
-     * @param serviceNumber the store's number of the entry's service
-     * @throws IllegalArgumentException where the record would not fit into a page
+     * @param serviceNumber the number of the entry's service in the {@link ServiceTable}
+     * @throws IllegalArgumentException if the record would not fit into a page
      */
     void encode(EndpointEntry entry, byte[] name, int serviceNumber) {
         length = RecordLayout.BODY;
@@ -50,36 +53,37 @@
         writeAddress(entry.address(), packedAddress);
         writeLabels(entry.labels());
         if (length > RecordArena.MAX_RECORD_BYTES) {
-            throw new IllegalArgumentException("an endpoint's entry takes at most " + RecordArena.MAX_RECORD_BYTES
-                    + " bytes, got " + length + " for "
+            throw new IllegalArgumentException("endpoint entry exceeds the maximum of " + RecordArena.MAX_RECORD_BYTES
+                    + " bytes: " + length + " bytes for "
                     + entry.name()
-                            .substring(0, Math.min(MAX_QUOTED_NAME, entry.name().length())));
+                            .substring(
+                                    0,
+                                    Math.min(MAX_QUOTED_NAME_CHARS, entry.name().length())));
         }
     }
 
     /**
-     * The bytes of an endpoint's name.
+     * Encodes an endpoint's name as UTF-8.
      *
-     * @throws IllegalArgumentException for a name with half of a surrogate pair: two such names would be encoded as
-     *     the same bytes and one endpoint would take the other's place
+     * @throws IllegalArgumentException if the name has an unpaired surrogate: two such names could be encoded as the same
+     *     bytes, so that one endpoint would replace the other
      */
     static byte[] utf8(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
         boolean hasSurrogate = name.chars().anyMatch(c -> c >= Character.MIN_SURROGATE && c <= Character.MAX_SURROGATE);
         if (hasSurrogate && !name.equals(new String(bytes, StandardCharsets.UTF_8))) {
-            throw new IllegalArgumentException(
-                    "an endpoint's name must be text, got half of a surrogate pair in " + name);
+            throw new IllegalArgumentException("endpoint name must be text, found an unpaired surrogate in " + name);
         }
         return bytes;
     }
 
     private static byte flags(EndpointEntry entry, boolean packedAddress, boolean startInMillis) {
-        int flags = RecordLayout.healthBits(entry.health());
+        int flags = RecordLayout.encodeHealth(entry.health());
         if (packedAddress) {
             flags |= RecordLayout.PACKED_ADDRESS;
         }
         if (!entry.labels().isEmpty()) {
-            flags |= RecordLayout.LABELLED;
+            flags |= RecordLayout.HAS_LABELS;
         }
         if (startInMillis) {
             flags |= RecordLayout.START_IN_MILLIS;
@@ -92,7 +96,7 @@
             writeText(address.getBytes(StandardCharsets.UTF_8));
             return;
         }
-        ensureRoom(PackedAddress.BYTES);
+        ensureCapacity(PackedAddress.BYTES);
         PackedAddress.write(packedAddress, buffer, length);
         length += PackedAddress.BYTES;
     }
@@ -110,13 +114,13 @@
 
     private void writeText(byte[] bytes) {
         writeNumber(bytes.length);
-        ensureRoom(bytes.length);
+        ensureCapacity(bytes.length);
         System.arraycopy(bytes, 0, buffer, length, bytes.length);
         length += bytes.length;
     }
 
     private void writeNumber(long value) {
-        ensureRoom(MAX_NUMBER_BYTES);
+        ensureCapacity(MAX_NUMBER_BYTES);
         long left = value;
         while ((left & ~0x7fL) != 0) {
             buffer[length++] = (byte) (left | 0x80);
@@ -125,7 +129,7 @@
         buffer[length++] = (byte) left;
     }
 
-    private void ensureRoom(int bytes) {
+    private void ensureCapacity(int bytes) {
         if (length + bytes > buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.max(length + bytes, buffer.length * 2));
         }
--- a/src/main/java/gatelock/membership/RecordReader.java
+++ b/src/main/java/gatelock/membership/RecordReader.java
@@ -7,15 +7,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads one record of the {@link RecordLayout}. Each instance is used for one call of one of its methods. */
+/**
+ * Reads one record of the {@link RecordLayout}. An instance may be used for only one method call, because reading
+ * advances its position.
+ */
 final class RecordReader {
     private final byte[] page;
     private final int start;
     private int position;
 
     /**
-     * @param page the page with the record
-     * @param start where on the page the record begins
+     * Creates a reader.
+     *
+     * @param page the page that holds the record
+     * @param start offset of the record in the page
      */
     RecordReader(byte[] page, int start) {
         this.page = page;
@@ -23,39 +28,39 @@
         position = start + RecordLayout.BODY;
     }
 
-    /** The endpoint's zone. */
+    /** Reads the endpoint's zone. */
     int zone() {
         return (int) unzigzag(readNumber());
     }
 
-    /** The endpoint's name. */
+    /** Reads the endpoint's name. */
     String name() {
         readNumber();
         return readText();
     }
 
-    /** The hash of the endpoint's name. */
+    /** Computes the hash of the endpoint's name. */
     long nameHash(RendezvousRanking ranking) {
         readNumber();
         int length = (int) readNumber();
         return ranking.hash(page, position, length);
     }
 
-    /** Whether the endpoint has this name, given as UTF-8. */
+    /** Returns whether the endpoint has this name, given as UTF-8. */
     boolean hasName(byte[] name) {
         readNumber();
         int length = (int) readNumber();
         return Arrays.equals(page, position, position + length, name, 0, name.length);
     }
 
-    /** The store's number of the endpoint's service. */
+    /** Reads the number of the endpoint's service in the {@link ServiceTable}. */
     int serviceNumber() {
         readNumber();
         skipText();
         return (int) readNumber();
     }
 
-    /** Length of the record in bytes. */
+    /** Computes the length of the record in bytes. */
     int length() {
         serviceNumber();
         for (int field = 0; field < 4; field++) { // build, kind, cell, start
@@ -66,7 +71,7 @@
         } else {
             skipText();
         }
-        if (hasFlag(RecordLayout.LABELLED)) {
+        if (hasFlag(RecordLayout.HAS_LABELS)) {
             for (long texts = 2 * readNumber(); texts > 0; texts--) {
                 skipText();
             }
@@ -74,11 +79,11 @@
         return position - start;
     }
 
-    /** The entry that was encoded. */
+    /** Decodes the whole entry. */
     EndpointEntry entry(ServiceTable services) {
         int zone = (int) unzigzag(readNumber());
         String name = readText();
-        String service = services.ring((int) readNumber()).name;
+        String service = services.endpointList((int) readNumber()).service;
         int build = (int) unzigzag(readNumber());
         int kind = (int) unzigzag(readNumber());
         int cell = (int) unzigzag(readNumber());
@@ -87,7 +92,7 @@
         String address = readAddress();
         Map<String, String> labels = readLabels();
         return new EndpointEntry(
-                name, service, address, zone, kind, cell, build, RecordLayout.health(flags()), startUs, labels);
+                name, service, address, zone, kind, cell, build, RecordLayout.decodeHealth(flags()), startUs, labels);
     }
 
     private String readAddress() {
@@ -100,7 +105,7 @@
     }
 
     private Map<String, String> readLabels() {
-        if (!hasFlag(RecordLayout.LABELLED)) {
+        if (!hasFlag(RecordLayout.HAS_LABELS)) {
             return Map.of();
         }
         Map<String, String> labels = new TreeMap<>();
--- a/src/main/java/gatelock/membership/RecoverySchedule.java
+++ b/src/main/java/gatelock/membership/RecoverySchedule.java
@@ -4,34 +4,37 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** Services of which preferred endpoints had to leave, in the order in which these are to be added again. */
+/**
+ * Services whose preferred endpoints were evicted while they were silent, in the order in which these endpoints are to
+ * be added again.
+ */
 final class RecoverySchedule {
     private final Set<ServiceState> services = new LinkedHashSet<>();
 
     /**
-     * Sets when a service's preferred endpoints are added again.
+     * Sets when a service's missing preferred endpoints are to be added again.
      *
-     * @param atUs the time, {@link SettleTimer#NEVER} where none is missing
+     * @param dueUs the time, or {@link SettleTimer#NEVER} if none are to be added again
      */
-    void set(ServiceState service, long atUs) {
-        if (service.recoversAtUs == atUs) {
+    void set(ServiceState service, long dueUs) {
+        if (service.recoveryDueUs == dueUs) {
             return;
         }
         services.remove(service);
-        service.recoversAtUs = atUs;
-        if (atUs != SettleTimer.NEVER) {
+        service.recoveryDueUs = dueUs;
+        if (dueUs != SettleTimer.NEVER) {
             services.add(service);
         }
     }
 
-    /** Returns a service whose time has come and takes it off the schedule; null for none. */
+    /** Removes a service that is due from the schedule and returns it, or returns null if none is due. */
     ServiceState pollDue(long nowUs) {
         Iterator<ServiceState> iterator = services.iterator();
         if (!iterator.hasNext()) {
             return null;
         }
         ServiceState first = iterator.next();
-        if (first.recoversAtUs > nowUs) {
+        if (first.recoveryDueUs > nowUs) {
             return null;
         }
         set(first, SettleTimer.NEVER);
--- a/src/main/java/gatelock/membership/SearchPosition.java
+++ b/src/main/java/gatelock/membership/SearchPosition.java
@@ -1,24 +1,24 @@
 package gatelock.membership;
 
 /**
- * How far the search for replacements of silent endpoints has gone along a service's ranking, which is searched
- * separately in the relay's own zone and in the others.
+ * The position that the search for replacements of silent endpoints has reached in a service's ranking. The relay's own
+ * zone and the other zones are searched separately and each have their own position.
  */
 final class SearchPosition {
     private Candidate lastLocal;
     private Candidate lastRemote;
 
-    /** The last candidate that was taken from the own zone or from the others, null for none. */
-    Candidate last(boolean local) {
+    /** Returns the last candidate taken from the relay's own zone or from other zones, or null if there is none. */
+    Candidate lastTaken(boolean local) {
         return local ? lastLocal : lastRemote;
     }
 
-    /** Whether any candidate was taken. */
+    /** Returns whether any candidate was taken. */
     boolean started() {
         return lastLocal != null || lastRemote != null;
     }
 
-    /** Goes on to behind a candidate. */
+    /** Moves the position to just after a candidate. */
     void advance(Candidate candidate) {
         if (candidate.local()) {
             lastLocal = candidate;
@@ -27,21 +27,21 @@
         }
     }
 
-    /** Goes back to the start of the ranking. */
+    /** Moves the position back to the start of the ranking. */
     void reset() {
         lastLocal = null;
         lastRemote = null;
     }
 
-    /** Whether a rank is in front of the position, whatever the endpoint's name. */
-    boolean precedes(long rank, boolean local) {
-        Candidate last = last(local);
+    /** Returns whether the position is after every endpoint of this rank, whatever its name. */
+    boolean isAfterRank(long rank, boolean local) {
+        Candidate last = lastTaken(local);
         return last != null && rank < last.rank();
     }
 
-    /** Whether a candidate is behind the position. */
+    /** Returns whether the position is before a candidate, so that the search has not reached it yet. */
     boolean isBefore(Candidate candidate) {
-        Candidate last = last(candidate.local());
+        Candidate last = lastTaken(candidate.local());
         return last == null || Candidate.BY_RANK.compare(candidate, last) > 0;
     }
 }
--- a/src/main/java/gatelock/membership/ServiceState.java
+++ b/src/main/java/gatelock/membership/ServiceState.java
@@ -3,57 +3,61 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the subset knows of one service. Services are ordered by the relay's ranking of their names. */
+/** The state of one service in the subset. Services are ordered by the relay's ranking of their names. */
 final class ServiceState implements Comparable<ServiceState> {
     private final String name;
     private final long rank;
     /** The service's endpoints in the subset, in the order in which they were added. */
     final List<SubsetMember> members = new ArrayList<>();
-    /** How far the ranking was searched for replacements of silent endpoints. */
+    /** The position that the search for replacements of silent endpoints has reached in the ranking. */
     final SearchPosition search = new SearchPosition();
-    /** The search came to the end of the ranking: there is no more to find while one endpoint answers. */
+    /**
+     * Whether the search for replacements reached the end of the ranking. It is not repeated while at least one member is
+     * usable.
+     */
     boolean searchExhausted;
-    /** Endpoints the service would have in the subset if {@code maxEndpoints} left room for all services. */
+    /** How many endpoints the service would have in the subset if {@code maxEndpoints} sufficed for all services. */
     int need;
-    /** Whether the service has one of the places, where there are more services than places. */
-    boolean hasPlace;
-    /** The preferred endpoints have to be selected again. */
+    /** Whether the service has a slot; always false unless there are more services than slots. */
+    boolean hasSlot;
+    /** Whether the preferred endpoints have to be selected again. */
     boolean needsSelection = true;
     /**
-     * A preferred endpoint had to leave while it was silent. Preferred endpoints that are added count as silent then,
-     * until they answer.
+     * Whether a preferred member was evicted while it was silent. Preferred endpoints that are added while this is set
+     * count as silent until they answer.
      */
-    boolean preferredInDoubt;
-    /** When preferred endpoints that had to leave are added again. */
-    long recoversAtUs = SettleTimer.NEVER;
+    boolean preferredPresumedSilent;
+    /** When missing preferred endpoints are added again; {@link SettleTimer#NEVER} if this is not scheduled. */
+    long recoveryDueUs = SettleTimer.NEVER;
 
-    /** A service without endpoints; the rank is that of its name. */
+    /** Creates the state of a service without members; the rank is that of its name. */
     ServiceState(String name, long rank) {
         this.name = name;
         this.rank = rank;
     }
 
+    /** Returns the name of the service. */
     String name() {
         return name;
     }
 
-    /** Whether replacements of silent endpoints are being tried. */
+    /** Returns whether silent endpoints are being replaced. */
     boolean isReplacing() {
-        return search.started() || preferredInDoubt;
+        return search.started() || preferredPresumedSilent;
     }
 
-    /** Whether an endpoint in the subset is ready and answers. */
+    /** Returns whether any member is ready and not silent. */
     boolean hasUsableMember() {
         return members.stream().anyMatch(SubsetMember::isUsable);
     }
 
-    /** Number of its endpoints in the subset that are ready. */
-    int readyMembers() {
+    /** Returns the number of members that are ready. */
+    int readyMemberCount() {
         return (int) members.stream().filter(SubsetMember::isReady).count();
     }
 
-    /** Number of its endpoints in the subset that are preferred. */
-    int preferredMembers() {
+    /** Returns the number of members that are preferred. */
+    int preferredMemberCount() {
         return (int) members.stream().filter(SubsetMember::isPreferred).count();
     }
 
--- a/src/main/java/gatelock/membership/ServiceTable.java
+++ b/src/main/java/gatelock/membership/ServiceTable.java
@@ -7,66 +7,72 @@
 import java.util.List;
 import java.util.Map;
 
-/** Numbers the services of an {@link EndpointStore}, so that a record names its service in one or two bytes. */
+/**
+ * Assigns numbers to the services of an {@link EndpointStore}, so that a record can refer to its service in one or two
+ * bytes, and holds the list of each service's endpoints.
+ */
 final class ServiceTable {
-    /** The endpoints of one service: the head of a doubly linked list through their records, and counts. */
-    static final class Ring {
-        final String name;
-        int first = RecordArena.NONE;
-        int endpoints;
-        int ready;
+    /** The endpoints of one service: the head of the doubly linked list that connects their records, and counts. */
+    static final class EndpointList {
+        final String service;
+        int head = RecordArena.NONE;
+        int endpointCount;
+        int readyCount;
 
-        Ring(String name) {
-            this.name = name;
+        EndpointList(String name) {
+            this.service = name;
         }
     }
 
     private final Map<String, Integer> numbers = new HashMap<>();
-    private final List<Ring> rings = new ArrayList<>();
-    /** Numbers of services that were forgotten, for new ones. */
+    private final List<EndpointList> endpointLists = new ArrayList<>();
+    /** Numbers of removed services, which are reused for new ones. */
     private final Deque<Integer> freeNumbers = new ArrayDeque<>();
 
-    /** The number of a service, which is added if it is not known; it holds until the service is forgotten. */
+    /**
+     * Returns the number of a service, which is added if it is unknown. The number remains valid until {@link #forget}
+     * removes the service.
+     */
     int numberOf(String service) {
-        Integer known = numbers.get(service);
-        if (known != null) {
-            return known;
+        Integer existing = numbers.get(service);
+        if (existing != null) {
+            return existing;
         }
-        int number = freeNumbers.isEmpty() ? rings.size() : freeNumbers.pop();
+        int number = freeNumbers.isEmpty() ? endpointLists.size() : freeNumbers.pop();
         numbers.put(service, number);
-        if (number == rings.size()) {
-            rings.add(new Ring(service));
+        if (number == endpointLists.size()) {
+            endpointLists.add(new EndpointList(service));
         } else {
-            rings.set(number, new Ring(service));
+            endpointLists.set(number, new EndpointList(service));
         }
         return number;
     }
 
-    /** The ring of a service's number. */
-    Ring ring(int number) {
-        return rings.get(number);
+    /** Returns the endpoint list of the service with this number. */
+    EndpointList endpointList(int number) {
+        return endpointLists.get(number);
     }
 
-    /** The ring of a service; an empty one where the service is not known. */
-    Ring ring(String service) {
-        Integer known = numbers.get(service);
-        return known == null ? new Ring(service) : rings.get(known);
+    /** Returns the endpoint list of a service, or an empty one if the service is unknown. */
+    EndpointList endpointList(String service) {
+        Integer existing = numbers.get(service);
+        return existing == null ? new EndpointList(service) : endpointLists.get(existing);
     }
 
-    /** Forgets a service if it has no endpoint left. */
+    /** Removes a service if it has no endpoints left. */
     void forget(String service) {
-        Integer known = numbers.get(service);
-        if (known != null && rings.get(known).endpoints == 0) {
+        Integer existing = numbers.get(service);
+        if (existing != null && endpointLists.get(existing).endpointCount == 0) {
             numbers.remove(service);
-            freeNumbers.push(known);
+            freeNumbers.push(existing);
         }
     }
 
-    /** Names of the services that have an endpoint. */
+    /** Returns the names of the services that have endpoints. */
     List<String> names() {
-        return rings.stream()
-                .filter(ring -> ring.endpoints > 0)
-                .map(ring -> ring.name)
+        return endpointLists.stream()
+                .filter(list -> list.endpointCount > 0)
+                .map(list -> list.service)
                 .toList();
     }
 }
--- a/src/main/java/gatelock/membership/SettleTimer.java
+++ b/src/main/java/gatelock/membership/SettleTimer.java
@@ -1,22 +1,22 @@
 package gatelock.membership;
 
-/** Deadlines for decisions that take effect only after a condition has held without a break for the settle time. */
+/** Deadlines for decisions that take effect only after a condition has held continuously for the settle time. */
 final class SettleTimer {
-    /** The deadline of what is not going to happen. */
+    /** The deadline of an event that is not scheduled. */
     static final long NEVER = Long.MAX_VALUE;
 
     private SettleTimer() {}
 
     /**
-     * The deadline from now on: it starts when the condition begins to hold and is dropped when it no longer does.
+     * Returns the updated deadline. It is set when the condition begins to hold and cleared when it no longer holds.
      *
-     * @param holds whether the condition holds now
-     * @param deadlineUs the deadline so far, {@link #NEVER} for none
-     * @param nowUs the time
+     * @param conditionHolds whether the condition holds now
+     * @param deadlineUs the previous deadline, or {@link #NEVER} if there was none
+     * @param nowUs the current time
      * @param settleUs how long the condition has to hold
      */
-    static long deadline(boolean holds, long deadlineUs, long nowUs, long settleUs) {
-        if (!holds) {
+    static long deadline(boolean conditionHolds, long deadlineUs, long nowUs, long settleUs) {
+        if (!conditionHolds) {
             return NEVER;
         }
         return deadlineUs == NEVER ? nowUs + settleUs : deadlineUs;
--- a/src/main/java/gatelock/membership/SubsetMember.java
+++ b/src/main/java/gatelock/membership/SubsetMember.java
@@ -2,31 +2,31 @@
 
 import gatelock.api.Endpoint;
 
-/** An endpoint in the subset: the decisions were notified of it. Members are ordered by the relay's ranking. */
+/** An endpoint in the subset, which the decision engine may use. Members are ordered by the relay's ranking. */
 final class SubsetMember implements Comparable<SubsetMember> {
-    /** An endpoint is silent after this many attempts in a row without an answer: one alone may be due to load. */
-    private static final int SILENT_ATTEMPTS = 2;
+    /** An endpoint counts as silent after this many consecutive unanswered attempts; a single one may be due to load. */
+    private static final int SILENCE_THRESHOLD = 2;
 
     private final ServiceState service;
     private final long rank;
     private EndpointEntry entry;
     private boolean local;
     private boolean preferred;
-    private int unanswered;
-    /** Added while others are silent, and without an answer since. */
+    private int consecutiveUnanswered;
+    /** Whether it was added while silent endpoints were being replaced and has not answered since. */
     private boolean unproven;
-    /** When it leaves as no longer needed. */
-    private long leavesAtUs = SettleTimer.NEVER;
+    /** When it is removed because it is no longer needed. */
+    private long removalDueUs = SettleTimer.NEVER;
 
-    private EvictionQueue.Reason evictable = EvictionQueue.Reason.NONE;
+    private EvictionQueue.Reason evictionReason = EvictionQueue.Reason.NONE;
 
     /**
-     * An endpoint that is added to the subset.
+     * Creates a member for an endpoint that is added to the subset.
      *
      * @param service the endpoint's service
-     * @param candidate as it was selected
-     * @param entry as it is listed
-     * @param preferred whether it was added as one of the preferred endpoints and not in place of a silent one
+     * @param candidate the endpoint as it was selected
+     * @param entry the endpoint as it is listed
+     * @param preferred whether it is added as a preferred endpoint rather than in place of a silent one
      */
     SubsetMember(ServiceState service, Candidate candidate, EndpointEntry entry, boolean preferred) {
         this.service = service;
@@ -34,100 +34,106 @@
         this.entry = entry;
         this.local = candidate.local();
         this.preferred = preferred;
-        // A preferred endpoint that left while it was silent would otherwise make room for itself by the removal of an
-        // endpoint that answers, which would be lost if the preferred one is silent still.
-        unanswered = preferred && service.preferredInDoubt ? SILENT_ATTEMPTS : 0;
+        // A preferred endpoint that was evicted while it was silent must answer before it counts as usable. Otherwise
+        // its
+        // return would cause the removal of an endpoint that answers, even if the preferred one is still silent.
+        consecutiveUnanswered = preferred && service.preferredPresumedSilent ? SILENCE_THRESHOLD : 0;
         unproven = !preferred || service.isReplacing();
     }
 
+    /** Returns the service of the endpoint. */
     ServiceState service() {
         return service;
     }
 
+    /** Returns the name of the endpoint. */
     String name() {
         return entry.name();
     }
 
+    /** Returns the endpoint's rank in the relay's ranking. */
     long rank() {
         return rank;
     }
 
-    /** The entry of which the decisions were last notified. */
+    /** Returns the latest entry of the endpoint, of which the decision engine is notified. */
     EndpointEntry entry() {
         return entry;
     }
 
-    /** Whether it is in the relay's own zone. */
+    /** Returns whether it counts as being in the relay's own zone. */
     boolean isLocal() {
         return local;
     }
 
-    /** Whether it is among the first of the ranking that the service aims at. */
+    /** Returns whether it is one of the preferred endpoints of its service. */
     boolean isPreferred() {
         return preferred;
     }
 
+    /** Sets whether it is one of the preferred endpoints of its service. */
     void setPreferred(boolean preferred) {
         this.preferred = preferred;
     }
 
-    /** Whether it was added while others are silent and has not answered since. */
+    /** Returns whether it was added while silent endpoints were being replaced and has not answered since. */
     boolean isUnproven() {
         return unproven;
     }
 
-    /** Whether it is listed as ready. */
+    /** Returns whether it is listed as ready. */
     boolean isReady() {
         return entry.health() == Endpoint.Health.READY;
     }
 
-    /** Whether it is ready and not silent. */
+    /** Returns whether it is ready and not silent. */
     boolean isUsable() {
-        return isReady() && unanswered < SILENT_ATTEMPTS;
+        return isReady() && consecutiveUnanswered < SILENCE_THRESHOLD;
     }
 
-    /** Whether it is preferred and either silent or not ready. */
+    /** Returns whether it is preferred but silent or not ready. */
     boolean isPreferredButUnusable() {
         return preferred && !isUsable();
     }
 
-    /** Takes over a new entry of the same endpoint and service. */
-    void update(EndpointEntry now, boolean nowLocal) {
-        if (entry.startUs() != now.startUs() || entry.build() != now.build()) {
-            // Another process of the same name: nothing is known of it.
-            unanswered = 0;
+    /** Replaces the entry with a new one of the same endpoint and service. */
+    void update(EndpointEntry updated, boolean updatedLocal) {
+        if (entry.startUs() != updated.startUs() || entry.build() != updated.build()) {
+            // This is a new process of the same name, about which nothing is known yet.
+            consecutiveUnanswered = 0;
             unproven = false;
         }
-        entry = now;
-        local = nowLocal;
+        entry = updated;
+        local = updatedLocal;
     }
 
-    /** Counts an attempt; returns whether that changed what the subset has to know of the endpoint. */
+    /** Records the outcome of an attempt. Returns whether the member became usable, unusable or proven by it. */
     boolean recordAttempt(boolean answered) {
         boolean wasUsable = isUsable();
         boolean wasUnproven = unproven;
-        unanswered = answered ? 0 : Math.min(SILENT_ATTEMPTS, unanswered + 1);
+        consecutiveUnanswered = answered ? 0 : Math.min(SILENCE_THRESHOLD, consecutiveUnanswered + 1);
         unproven &= !answered;
         return isUsable() != wasUsable || unproven != wasUnproven;
     }
 
-    /** When it leaves as no longer needed, {@link SettleTimer#NEVER} where it does not. */
-    long leavesAtUs() {
-        return leavesAtUs;
+    /** Returns when it is removed as no longer needed, or {@link SettleTimer#NEVER} if it is needed. */
+    long removalDueUs() {
+        return removalDueUs;
     }
 
-    void setLeavesAtUs(long leavesAtUs) {
-        this.leavesAtUs = leavesAtUs;
+    /** Sets when it is removed as no longer needed; {@link SettleTimer#NEVER} if it is needed. */
+    void setRemovalDueUs(long removalDueUs) {
+        this.removalDueUs = removalDueUs;
     }
 
-    /** Why it may be removed when a place is needed; kept by the {@link EvictionQueue}. */
-    EvictionQueue.Reason evictable() {
-        return evictable;
+    /** Returns why it may be evicted when the subset is full, as set by the {@link EvictionQueue}. */
+    EvictionQueue.Reason evictionReason() {
+        return evictionReason;
     }
 
-    /** For the {@link EvictionQueue} alone. */
-    void setEvictable(EvictionQueue.Reason evictable) {
-        this.evictable = evictable;
+    /** Sets why it may be evicted. Only the {@link EvictionQueue} calls this. */
+    void setEvictionReason(EvictionQueue.Reason evictionReason) {
+        this.evictionReason = evictionReason;
     }
 
     @Override
--- a/src/main/java/gatelock/membership/SubsetMembers.java
+++ b/src/main/java/gatelock/membership/SubsetMembers.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The endpoints in the subset, never more than {@code maxEndpoints}. Adds and removes them and keeps the notifications
- * that follow from that.
+ * The endpoints in the subset, of which there are never more than {@code maxEndpoints}. Each member that is added or
+ * removed is recorded in the {@link PendingChanges}.
  */
 final class SubsetMembers {
     private final int capacity;
@@ -15,7 +15,7 @@
     private final EvictionQueue evictions;
     private final Map<String, SubsetMember> byName = new LinkedHashMap<>();
 
-    /** An empty subset. */
+    /** Creates an empty subset that holds up to {@code capacity} members. */
     SubsetMembers(int capacity, ListedServices listed, PendingChanges changes, EvictionQueue evictions) {
         this.capacity = capacity;
         this.listed = listed;
@@ -23,32 +23,32 @@
         this.evictions = evictions;
     }
 
-    /** Number of members. */
+    /** Returns the number of members. */
     int size() {
         return byName.size();
     }
 
-    /** Whether an endpoint is in the subset. */
+    /** Returns whether an endpoint is in the subset. */
     boolean contains(String name) {
         return byName.containsKey(name);
     }
 
-    /** The member of this name, null for none. */
+    /** Returns the member with this name, or null if there is none. */
     SubsetMember find(String name) {
         return byName.get(name);
     }
 
-    /** The members in the order in which they were added. */
+    /** Returns the members in the order in which they were added. */
     List<SubsetMember> all() {
         return List.copyOf(byName.values());
     }
 
-    /** The entries of the members in the order in which they were added. */
+    /** Returns the entries of the members in the order in which they were added. */
     List<EndpointEntry> entries() {
         return byName.values().stream().map(SubsetMember::entry).toList();
     }
 
-    /** Adds a preferred endpoint if there is a place or another member may be removed; returns whether it was added. */
+    /** Adds a preferred endpoint if the subset has room or a member may be evicted. Returns whether it was added. */
     boolean addPreferred(ServiceState service, Candidate candidate) {
         if (!makeRoom(null)) {
             return false;
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Adds an endpoint in place of silent ones if there is a place or another member may be removed; returns whether it
-     * was added. Where no endpoint of the service answers, one of its silent endpoints is removed at need.
+     * Adds an endpoint in place of silent ones if the subset has room or a member may be evicted. If no member of the
+     * service is usable, one of them may be removed to make room. Returns whether the endpoint was added.
      */
     boolean addReplacement(ServiceState service, Candidate candidate) {
         boolean allSilent = !service.members.isEmpty() && !service.hasUsableMember();
@@ -70,32 +70,36 @@
         return true;
     }
 
-    /** Removes a member; the decisions are notified that it is gone. */
+    /** Removes a member and records its entry with health GONE as a pending change. */
     void remove(SubsetMember member) {
         remove(member, member.entry().gone());
     }
 
-    /** Removes a member; the decisions are notified of its last entry. */
-    void remove(SubsetMember member, EndpointEntry last) {
-        removeSilently(member);
-        changes.add(last);
+    /** Removes a member and records its last entry as a pending change. */
+    void remove(SubsetMember member, EndpointEntry lastEntry) {
+        removeWithoutNotification(member);
+        changes.add(lastEntry);
         if (!member.service().hasUsableMember()) {
-            // All members were silent and the search is at its end: the endpoint that left may answer again.
+            // No usable member is left. The search for replacements may resume, as the removed endpoint may answer
+            // again.
             listed.markChanged(member.service());
         }
     }
 
-    /** Removes a member without a notification, for a full list: the decisions are notified of all members then. */
-    void removeSilently(SubsetMember member) {
+    /**
+     * Removes a member without recording a change. Used for full lists, after which the decision engine is sent the
+     * complete subset.
+     */
+    void removeWithoutNotification(SubsetMember member) {
         evictions.set(member, EvictionQueue.Reason.NONE);
         member.service().members.remove(member);
         byName.remove(member.name());
     }
 
     /**
-     * Removes a member if the subset is full; returns whether there is a place now.
+     * Evicts a member if the subset is full. Returns whether there is room afterwards.
      *
-     * @param lastResort removed if no other member may be; null for none
+     * @param lastResort the member to remove if no member may be evicted, or null
      */
     private boolean makeRoom(SubsetMember lastResort) {
         if (byName.size() < capacity) {
@@ -110,14 +114,14 @@
         }
         remove(evicted);
         if (evicted.isPreferred()) {
-            evicted.service().preferredInDoubt = true;
+            evicted.service().preferredPresumedSilent = true;
             listed.markDirty(evicted.service());
         }
         return true;
     }
 
     private void insert(ServiceState service, Candidate candidate, boolean preferred) {
-        EndpointEntry entry = listed.store().entry(candidate.place());
+        EndpointEntry entry = listed.store().entry(candidate.handle());
         SubsetMember member = new SubsetMember(service, candidate, entry, preferred);
         service.members.add(member);
         byName.put(entry.name(), member);
--- a/src/main/java/gatelock/membership/SubsetReconciler.java
+++ b/src/main/java/gatelock/membership/SubsetReconciler.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Brings the subset to what it should be by now: the services that changed, and what has become due. */
+/** Adds and removes members of the subset for the services that have changed and for the deadlines that have passed. */
 final class SubsetReconciler {
     private final EndpointSubset.Policy policy;
     private final ListedServices listed;
@@ -13,10 +13,10 @@
     private final RecoverySchedule recovery;
     private final EndpointBudget budget;
     private final CandidateSelector selector;
-    private final MemberReview review;
+    private final MemberReview memberReview;
     private final SilentEndpointReplacer replacer;
 
-    /** A reconciler of one subset. */
+    /** Creates a reconciler of one subset. */
     SubsetReconciler(
             EndpointSubset.Policy policy,
             ListedServices listed,
@@ -32,16 +32,16 @@
         this.recovery = recovery;
         this.budget = budget;
         this.selector = selector;
-        review = new MemberReview(policy, budget, evictions);
+        memberReview = new MemberReview(policy, budget, evictions);
         replacer = new SilentEndpointReplacer(budget, listed, members, selector);
     }
 
-    /** Reconciles the subset with what is listed and what its members answered. */
+    /** Reconciles the subset with the listed endpoints and the recorded outcomes of attempts. */
     void reconcile(long nowUs) {
         budget.update(nowUs);
         startRecoveries(nowUs);
         List<ServiceState> services = listed.drainDirty();
-        // Before the first endpoint is added, all services are reviewed: what they no longer need makes room.
+        // All services are reviewed before the first endpoint is added, so that unneeded members can make room for it.
         Map<ServiceState, List<Candidate>> preferred = selectPreferred(services, nowUs);
         preferred.forEach((service, candidates) -> addPreferred(service, candidates, nowUs));
         for (ServiceState service : services) {
@@ -60,10 +60,10 @@
     private Map<ServiceState, List<Candidate>> selectPreferred(List<ServiceState> services, long nowUs) {
         Map<ServiceState, List<Candidate>> preferred = new LinkedHashMap<>();
         for (ServiceState service : services) {
-            if (service.needsSelection || service.readyMembers() < budget.wanted(service)) {
+            if (service.needsSelection || service.readyMemberCount() < budget.wanted(service)) {
                 preferred.put(service, selector.selectPreferred(service));
             }
-            review.review(service, nowUs);
+            memberReview.review(service, nowUs);
         }
         return preferred;
     }
@@ -74,25 +74,28 @@
                 members.addPreferred(service, candidate);
             }
         }
-        review.review(service, nowUs);
+        memberReview.review(service, nowUs);
     }
 
     private void replaceSilent(ServiceState service, long nowUs) {
-        int missing = review.review(service, nowUs);
+        int missingUsable = memberReview.review(service, nowUs);
         boolean preferredUsable = service.members.stream().noneMatch(SubsetMember::isPreferredButUnusable);
-        if (missing > 0 && replacer.replace(service, missing)) {
-            review.review(service, nowUs);
+        if (missingUsable > 0 && replacer.replace(service, missingUsable)) {
+            memberReview.review(service, nowUs);
         }
-        boolean preferredMissing = service.preferredMembers() < budget.wanted(service);
+        boolean preferredMissing = service.preferredMemberCount() < budget.wanted(service);
         if (!preferredMissing && allPreferredAnswered(service)) {
             endReplacement(service, nowUs);
         }
-        boolean recovers = preferredMissing && preferredUsable;
-        long recoversAtUs = SettleTimer.deadline(recovers, service.recoversAtUs, nowUs, policy.settleUs());
-        recovery.set(service, recoversAtUs);
+        boolean recoveryPending = preferredMissing && preferredUsable;
+        long recoveryDueUs = SettleTimer.deadline(recoveryPending, service.recoveryDueUs, nowUs, policy.settleUs());
+        recovery.set(service, recoveryDueUs);
     }
 
-    /** A preferred endpoint that was only just added again may still be silent: it has to answer first. */
+    /**
+     * Returns whether every preferred member is usable and proven. A preferred endpoint that was just added again may still
+     * be silent, so it has to answer first.
+     */
     private static boolean allPreferredAnswered(ServiceState service) {
         for (SubsetMember member : service.members) {
             if (member.isPreferred() && (!member.isUsable() || member.isUnproven())) {
@@ -105,8 +108,8 @@
     private void endReplacement(ServiceState service, long nowUs) {
         service.search.reset();
         service.searchExhausted = false;
-        service.preferredInDoubt = false;
-        review.review(service, nowUs);
+        service.preferredPresumedSilent = false;
+        memberReview.review(service, nowUs);
     }
 
     private void removeOverdue(long nowUs) {
--- a/src/main/java/gatelock/membership/package-info.java
+++ b/src/main/java/gatelock/membership/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Deterministic subsetting: which endpoints of each service this relay uses, worked out from the list of endpoints, the
- * relay's own number and zone and a bound. The package decides and keeps state, without I/O and without a clock of its
- * own: times are passed in as whole microseconds. Without a {@code membership} section in the operator's file it is not
- * used, and the decisions receive the list as it comes.
+ * Deterministic subsetting: computes which endpoints of each service this relay uses from the endpoint list, the
+ * relay's number and zone, and an upper bound on the subset size. The package makes decisions and keeps state but does
+ * no I/O and reads no clock: callers pass times in as whole microseconds. If the operator's file has no
+ * {@code membership} section, the package is not used and the decision engine receives the full endpoint list.
  *
- * <p>{@link gatelock.membership.EndpointSubset} is the entry point. The design and its figures are in
- * docs/design/membership.md and docs/measurements/membership.md.
+ * <p>{@link gatelock.membership.EndpointSubset} is the entry point. The design and the measurements behind it
+ * are in docs/design/membership.md and docs/measurements/membership.md.
  */
 package gatelock.membership;
--- a/src/main/java/gatelock/session/CloseReason.java
+++ b/src/main/java/gatelock/session/CloseReason.java
@@ -1,41 +1,41 @@
 package gatelock.session;
 
 /**
- * Why a session ended. Each reason has the close code for either side (RFC 6455, 7.4 and its IANA registry) and the
- * text of the close frame, which clients read and which therefore must not change.
+ * Why a session ended. Each reason has a close code for each side (RFC 6455, 7.4 and its IANA registry) and the reason
+ * text of the close frame, which must not change because clients read it.
  */
 public enum CloseReason {
-    /** A peer closed the session; its own code goes to the other side instead of the codes given here. */
+    /** A side closed the session; its code is forwarded to the other side instead of the codes given here. */
     CLOSED_BY_PEER(1000, 1000, "closed"),
-    /** The connection of the client ended without a close frame. */
+    /** The client's connection ended without a close frame. */
     CLIENT_LOST(1001, 1001, "client lost"),
-    /** The connection of the endpoint ended without a close frame. */
+    /** The endpoint's connection ended without a close frame. */
     ENDPOINT_LOST(1014, 1001, "unit lost, come back"),
-    /** The endpoint drains, is gone or was replaced. */
+    /** The endpoint is draining, was removed or was replaced. */
     ENDPOINT_DRAINING(1012, 1001, "unit leaves, come back"),
-    /** The build of the endpoint is rolled back. */
+    /** The endpoint's build is being or was rolled back. */
     BUILD_ROLLED_BACK(1012, 1001, "build taken back, come back"),
-    /** The relay shuts down. */
+    /** The relay is shutting down. */
     RELAY_SHUTDOWN(1012, 1001, "relay leaves, come back"),
     /** A message waited too long for capacity at its endpoint. */
     OVERLOADED(1013, 1001, "no room for messages, come back"),
-    /** No message came either way for the idle timeout of the route. */
+    /** No message was sent in either direction for the idle timeout of the route. */
     IDLE_TIMEOUT(1000, 1000, "idle"),
-    /** The client did not answer the pings. */
+    /** Nothing was received from the client, not even answers to pings. */
     CLIENT_UNRESPONSIVE(1001, 1001, "no sign of life"),
-    /** The endpoint did not answer the pings. */
+    /** Nothing was received from the endpoint, not even answers to pings. */
     ENDPOINT_UNRESPONSIVE(1014, 1001, "unit silent, come back"),
-    /** A side did not read one message in time. */
+    /** A message could not be written to a side in time, because the side reads too slowly. */
     SLOW_READER(1008, 1001, "reads too slowly"),
-    /** A message of the client is larger than the route permits. */
+    /** A message from the client is larger than the route permits. */
     MESSAGE_TOO_BIG(1009, 1001, "message too big"),
-    /** A text message of the client is not UTF-8. */
+    /** A text message from the client is not valid UTF-8. */
     INVALID_UTF8(1007, 1001, "no UTF-8"),
     /** The client violated RFC 6455. */
     PROTOCOL_ERROR(1002, 1001, "against the protocol"),
-    /** The client sent more frames in a second than the route permits. */
+    /** The client sent more frames per second than the route permits. */
     TOO_MANY_FRAMES(1008, 1001, "too many frames"),
-    /** The endpoint violated RFC 6455 or the message size of the route. */
+    /** The endpoint violated RFC 6455 or sent a message larger than the route permits. */
     ENDPOINT_PROTOCOL_ERROR(1011, 1002, "unit broke the protocol");
 
     private final int clientCode;
@@ -48,12 +48,12 @@
         this.text = text;
     }
 
-    /** Returns the close code that this side receives. */
+    /** Returns the close code that is sent to this side. */
     public int code(SessionSide side) {
         return side == SessionSide.CLIENT ? clientCode : endpointCode;
     }
 
-    /** Returns the text of the close frame. */
+    /** Returns the reason text of the close frame. */
     public String text() {
         return text;
     }
--- a/src/main/java/gatelock/session/DrainQueue.java
+++ b/src/main/java/gatelock/session/DrainQueue.java
@@ -6,15 +6,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Sessions that have to leave their endpoint or the relay, in the order in which they were added. They are closed at
- * the rate at which the remaining endpoints can open sessions, so that clients that reconnect overload nobody, and at
- * their deadline at the latest.
+ * Sessions that are to be closed because their endpoint is draining or the relay is shutting down, in the order in which
+ * they were added. They are closed at the rate at which the remaining endpoints can open sessions, so that reconnecting
+ * clients do not overload these, and at their deadline at the latest.
  */
 final class DrainQueue {
-    private static final double US_PER_S = 1e6;
-    /** Opens saved up for a burst: those of this time at the most. */
+    private static final double MICROS_PER_SECOND = 1e6;
+    /** Unused closes accumulate for at most this long, which limits the size of a burst. */
     private static final long MAX_BURST_US = 100_000;
-    /** At a shutdown each call closes a session beyond the rate with the probability of this time over what is left. */
+    /**
+     * During a shutdown, when the rate alone does not suffice, each call closes a session beyond the rate with the
+     * probability of this time divided by the time until the deadline.
+     */
     private static final long SHUTDOWN_SPREAD_US = 100_000;
 
     private record Entry(WebSocketSession session, CloseReason reason, long deadlineUs) {}
@@ -23,29 +26,35 @@
     private final RandomGenerator random;
     private final ArrayDeque<Entry> entries = new ArrayDeque<>();
     private final Set<WebSocketSession> queued = new HashSet<>();
-    /** Closes that may be made now without exceeding the rate. */
-    private double budget;
+    /** Number of closes that are currently permitted without exceeding the rate. */
+    private double closeBudget;
 
-    private long budgetUpdatedUs;
+    private long closeBudgetUpdatedUs;
 
-    /** @param opensPerEndpointPerS opens a second that each ready endpoint can bear */
+    /**
+     * Creates an empty queue.
+     *
+     * @param opensPerEndpointPerS how many sessions per second each ready endpoint can open
+     * @param random spreads the closes of a shutdown and the times at which clients reconnect
+     */
     DrainQueue(double opensPerEndpointPerS, RandomGenerator random) {
         this.opensPerEndpointPerS = opensPerEndpointPerS;
         this.random = random;
     }
 
+    /** Returns the number of sessions that wait to be closed. */
     int size() {
         return queued.size();
     }
 
-    /** Adds a session that is open and not queued yet; any other is ignored. */
+    /** Adds a session. Has no effect if the session is not open or already queued. */
     void add(WebSocketSession session, CloseReason reason, long deadlineUs) {
         if (session.isOpen() && queued.add(session)) {
             entries.add(new Entry(session, reason, deadlineUs));
         }
     }
 
-    /** Forgets a session that is finished. Its entry has no effect any more and is dropped in its turn. */
+    /** Stops counting a finished session. Its entry has no further effect and is dropped when its turn comes. */
     void remove(WebSocketSession session) {
         queued.remove(session);
     }
@@ -54,44 +63,46 @@
      * Closes the sessions whose turn has come.
      *
      * @param readyEndpoints endpoints to which clients may reconnect
-     * @param relayShutsDown whether the clients go to other relays, so that the closes are spread until the deadline
+     * @param relayShuttingDown whether the relay is shutting down, so that clients reconnect to other relays and closes
+     *     beyond the rate are spread over the time until the deadline
      */
-    void closeDue(long nowUs, long readyEndpoints, boolean relayShutsDown) {
-        double closesPerUs = Math.max(1, readyEndpoints) * opensPerEndpointPerS / US_PER_S;
+    void closeDue(long nowUs, long readyEndpoints, boolean relayShuttingDown) {
+        double closesPerUs = Math.max(1, readyEndpoints) * opensPerEndpointPerS / MICROS_PER_SECOND;
         double maxBudget = Math.max(1, closesPerUs * MAX_BURST_US);
-        budget = Math.min(maxBudget, budget + Math.max(0, nowUs - budgetUpdatedUs) * closesPerUs);
-        budgetUpdatedUs = nowUs;
+        closeBudget = Math.min(maxBudget, closeBudget + Math.max(0, nowUs - closeBudgetUpdatedUs) * closesPerUs);
+        closeBudgetUpdatedUs = nowUs;
         while (!entries.isEmpty()) {
             Entry next = entries.peek();
-            boolean overdue = isOverdue(next, nowUs, closesPerUs, relayShutsDown);
-            if (next.session.isOpen() && budget < 1 && !overdue) {
+            boolean mustCloseNow = mustCloseNow(next, nowUs, closesPerUs, relayShuttingDown);
+            if (next.session.isOpen() && closeBudget < 1 && !mustCloseNow) {
                 break;
             }
             entries.remove();
             queued.remove(next.session);
             if (next.session.isOpen()) {
-                budget = Math.max(0, budget - 1);
+                closeBudget = Math.max(0, closeBudget - 1);
                 next.session.end(nowUs, next.reason, reconnectDelayMs(random));
             }
         }
     }
 
     /**
-     * Returns whether a session is closed whatever the budget: its deadline has come, or the relay shuts down, the
-     * rate alone would not empty the queue in time, and a draw spreads the closes over the time that is left.
+     * Returns whether a session is closed regardless of the budget. This is the case if its deadline has passed. During a
+     * shutdown whose queue cannot be emptied in time at the permitted rate, it is also decided at random, so that the
+     * closes are spread over the remaining time.
      */
-    private boolean isOverdue(Entry entry, long nowUs, double closesPerUs, boolean relayShutsDown) {
+    private boolean mustCloseNow(Entry entry, long nowUs, double closesPerUs, boolean relayShuttingDown) {
         long leftUs = entry.deadlineUs - nowUs;
         if (leftUs <= 0) {
             return true;
         }
         boolean tooManyForRate = entries.size() > leftUs * closesPerUs;
         return tooManyForRate
-                && relayShutsDown
+                && relayShuttingDown
                 && random.nextDouble() < (double) SHUTDOWN_SPREAD_US / Math.max(SHUTDOWN_SPREAD_US, leftUs);
     }
 
-    /** Draws when a client may reconnect, so that clients that are closed together do not come back together. */
+    /** Returns a random reconnect delay, so that clients whose sessions are closed together do not reconnect together. */
     static long reconnectDelayMs(RandomGenerator random) {
         return 50 + random.nextLong(950);
     }
--- a/src/main/java/gatelock/session/SessionRegistry.java
+++ b/src/main/java/gatelock/session/SessionRegistry.java
@@ -12,8 +12,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * All sessions of a relay: how many there may be, and which of them must leave their endpoint and when. Closes after
- * which clients reconnect are paced by {@link DrainQueue}.
+ * All sessions of a relay. Limits their number and decides which of them are drained from their endpoint and when. The
+ * {@link DrainQueue} paces the closes of drained sessions, whose clients reconnect.
  */
 public final class SessionRegistry {
     private final long drainTimeoutUs;
@@ -24,16 +24,16 @@
     private final Map<String, Set<WebSocketSession>> sessionsByEndpoint = new HashMap<>();
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private int nextId;
-    private boolean relayShutsDown;
+    private boolean relayShuttingDown;
     private int newestBuild = -1;
     private DecisionEngine.ReleasePhase newestPhase = DecisionEngine.ReleasePhase.RELEASED;
 
     /**
      * Creates a registry without sessions.
      *
-     * @param maxSessions open sessions at a time
-     * @param opensPerEndpointPerS opens a second that each ready endpoint can bear
-     * @param drainTimeoutUs how long the drain of an endpoint may take at the most
+     * @param maxSessions maximum number of concurrent sessions
+     * @param opensPerEndpointPerS how many sessions per second each ready endpoint can open
+     * @param drainTimeoutUs maximum duration of the drain of an endpoint
      * @param random spreads the closes of a shutdown and the times at which clients reconnect
      */
     public SessionRegistry(int maxSessions, double opensPerEndpointPerS, long drainTimeoutUs, RandomGenerator random) {
@@ -43,19 +43,19 @@
         this.drainQueue = new DrainQueue(opensPerEndpointPerS, random);
     }
 
-    /** Returns the number of sessions of which a side is still connected. */
+    /** Returns the number of sessions with at least one side still connected. */
     public int size() {
         return sessionsById.size();
     }
 
-    /** Returns the number of sessions that wait for their turn to be closed. */
+    /** Returns the number of sessions that wait to be closed by a drain. */
     public int drainingCount() {
         return drainQueue.size();
     }
 
-    /** Returns whether one more session may be opened. */
+    /** Returns whether another session may be opened. */
     public boolean hasCapacity() {
-        return sessionsById.size() < maxSessions && !relayShutsDown;
+        return sessionsById.size() < maxSessions && !relayShuttingDown;
     }
 
     /**
@@ -78,14 +78,14 @@
     }
 
     /**
-     * Takes in the endpoint list or a change of it. Sessions at endpoints that drain, are gone or came back as another
-     * incarnation or build are drained.
+     * Updates the known endpoints. Sessions at endpoints that are draining, were removed, were restarted or run another
+     * build are drained.
      */
-    public void updateEndpoints(long nowUs, DecisionEngine.EndpointUpdateType form, List<Endpoint> listed) {
-        if (form == DecisionEngine.EndpointUpdateType.FAILED) {
+    public void updateEndpoints(long nowUs, DecisionEngine.EndpointUpdateType updateType, List<Endpoint> listed) {
+        if (updateType == DecisionEngine.EndpointUpdateType.FAILED) {
             return;
         }
-        if (form != DecisionEngine.EndpointUpdateType.DELTA) {
+        if (updateType != DecisionEngine.EndpointUpdateType.DELTA) {
             removeUnlisted(nowUs, listed);
         }
         for (Endpoint endpoint : listed) {
@@ -120,8 +120,8 @@
     }
 
     /**
-     * Takes in the release state of the newest build. Once it is rolled back its sessions end at once, as no message
-     * may go to it any more.
+     * Updates the release state of the newest build. When the build is rolled back, its sessions are ended immediately,
+     * because no message may be sent to it any more.
      */
     public void updateRelease(long nowUs, int build, DecisionEngine.ReleasePhase phase) {
         newestBuild = build;
@@ -143,15 +143,15 @@
                         || newestPhase == DecisionEngine.ReleasePhase.WITHDRAWN);
     }
 
-    /** Begins the shutdown of the relay: no session is opened any more, and all end by the deadline. */
+    /** Begins the shutdown of the relay: no more sessions are opened, and all open ones are closed by the deadline. */
     public void drainAll(long nowUs, long deadlineUs) {
-        relayShutsDown = true;
+        relayShuttingDown = true;
         for (WebSocketSession session : sessionsById.values()) {
             drainQueue.add(session, CloseReason.RELAY_SHUTDOWN, deadlineUs);
         }
     }
 
-    /** Ends a session at once because a message of it may not go to its endpoint any more. */
+    /** Ends a session immediately because its messages may no longer be sent to its endpoint. */
     public void endUnreachable(long nowUs, WebSocketSession session) {
         Endpoint endpoint = endpoints.get(session.endpoint());
         CloseReason reason = endpoint != null && isRolledBack(endpoint.build())
@@ -160,12 +160,15 @@
         session.end(nowUs, reason, DrainQueue.reconnectDelayMs(random));
     }
 
-    /** Closes the sessions whose turn has come and forgets those that are finished; to be called ten times a second or more. */
+    /**
+     * Closes the drained sessions whose turn has come and removes the finished sessions. Must be called at least ten times
+     * a second.
+     */
     public void closeDue(long nowUs) {
         long readyEndpoints = endpoints.values().stream()
                 .filter(endpoint -> endpoint.health() == Endpoint.Health.READY)
                 .count();
-        drainQueue.closeDue(nowUs, readyEndpoints, relayShutsDown);
+        drainQueue.closeDue(nowUs, readyEndpoints, relayShuttingDown);
         for (WebSocketSession session : new ArrayList<>(sessionsById.values())) {
             if (session.disconnectOverdue(nowUs)) {
                 forget(session);
--- a/src/main/java/gatelock/session/SessionTransport.java
+++ b/src/main/java/gatelock/session/SessionTransport.java
@@ -1,15 +1,16 @@
 package gatelock.session;
 
-/** The connections of one session, on which its decisions take effect. */
+/** The connections of one session, which carry out its decisions. */
 public interface SessionTransport {
     /**
-     * Sends the only close frame that this side gets. Messages that are already on their way to it go first.
+     * Sends a close frame to a side, after any messages that are already being written to it. Called at most once per
+     * side.
      *
-     * @param code a code for which {@link CloseCodes#sendable} holds
-     * @param reason at most 123 bytes, as a control frame has room for 125
+     * @param code the close code; {@link CloseCodes#isSendable} is true for it
+     * @param reason the reason text of at most 123 bytes, because a control frame holds 125 bytes including the code
      */
     void close(SessionSide side, int code, String reason);
 
-    /** Ends the connection of a side without a close frame: the side has closed, or did not close in time. */
+    /** Ends the connection of a side that has sent a close frame or did not answer one in time. */
     void disconnect(SessionSide side);
 }
--- a/src/main/java/gatelock/session/WebSocketSession.java
+++ b/src/main/java/gatelock/session/WebSocketSession.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * The state machine of one session between a client and an endpoint. Whatever ends the session, and in whatever order
- * events come, each side that can still receive gets exactly one close frame; a side that does not close in turn
- * within {@link #CLOSE_TIMEOUT_US} is disconnected.
+ * The state machine of one session between a client and an endpoint. Whatever ends the session and in whatever order
+ * events arrive, each side that is still connected is sent exactly one close frame. A side that does not answer it within
+ * {@link #CLOSE_TIMEOUT_US} is disconnected.
  */
 public final class WebSocketSession {
-    /** How long a side may take to answer its close frame. */
+    /** How long a side may take to answer a close frame. */
     static final long CLOSE_TIMEOUT_US = 1_000_000;
 
     private enum SideState {
         OPEN,
-        /** The close frame was sent and the close of the side has not come yet. */
+        /** A close frame was sent to the side, which has not answered it yet. */
         CLOSING,
         DISCONNECTED
     }
@@ -28,6 +28,7 @@
     private CloseReason closeReason;
     private long closedAtUs;
 
+    /** Creates an open session with both sides connected. */
     WebSocketSession(int id, String endpoint, int route, SessionTransport transport) {
         this.id = id;
         this.endpoint = endpoint;
@@ -40,16 +41,17 @@
         return endpoint;
     }
 
-    /** Returns the index of the route by which the session was opened. */
+    /** Returns the index of the route through which the session was opened. */
     public int route() {
         return route;
     }
 
+    /** Returns the number that identifies the session in its {@link SessionRegistry}. */
     int id() {
         return id;
     }
 
-    /** Returns whether messages still pass. */
+    /** Returns whether messages are still forwarded. */
     public boolean isOpen() {
         return closeReason == null;
     }
@@ -66,9 +68,9 @@
     }
 
     /**
-     * Ends the session on behalf of the relay. Without effect if it has ended already.
+     * Ends the session on behalf of the relay. Has no effect if it has already ended.
      *
-     * @param reconnectAfterMs when the client may reconnect, told with the reason; 0: not told
+     * @param reconnectAfterMs after how long the client may reconnect, which is appended to the reason text; 0 to omit it
      */
     public void end(long nowUs, CloseReason reason, long reconnectAfterMs) {
         if (closeReason != null) {
@@ -82,21 +84,21 @@
     }
 
     /**
-     * Handles a close frame from a side: the first one ends the session and is forwarded to the other side, a later
-     * one answers the close frame that was sent. The side is disconnected either way.
+     * Handles a close frame from a side. The first one ends the session, is answered and is forwarded to the other side; a
+     * later one is the answer to the close frame that was sent. In both cases the side is disconnected.
      */
     public void closeReceived(long nowUs, SessionSide side, int code, String reason) {
         if (closeReason == null) {
             closeReason = CloseReason.CLOSED_BY_PEER;
             closedAtUs = nowUs;
-            int answer = CloseCodes.answerTo(code);
-            sendClose(side, answer, "");
-            sendClose(side.other(), answer, reason);
+            int reply = CloseCodes.replyTo(code);
+            sendClose(side, reply, "");
+            sendClose(side.other(), reply, reason);
         }
         disconnect(side);
     }
 
-    /** Handles the end of the connection of a side; the other side gets a close frame if the session was open. */
+    /** Handles the loss of a side's connection. The other side is sent a close frame if the session was open. */
     public void connectionLost(long nowUs, SessionSide side) {
         if (states.get(side) == SideState.DISCONNECTED) {
             return;
@@ -105,7 +107,7 @@
         end(nowUs, side == SessionSide.CLIENT ? CloseReason.CLIENT_LOST : CloseReason.ENDPOINT_LOST, 0);
     }
 
-    /** Disconnects the sides that did not answer their close frame in time; returns {@link #isFinished()}. */
+    /** Disconnects the sides that did not answer a close frame in time. Returns the same as {@link #isFinished()}. */
     boolean disconnectOverdue(long nowUs) {
         if (closeReason != null && nowUs - closedAtUs >= CLOSE_TIMEOUT_US) {
             disconnect(SessionSide.CLIENT);
--- a/src/main/java/gatelock/session/package-info.java
+++ b/src/main/java/gatelock/session/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Decisions on open WebSocket sessions: how each one ends, which side gets which close code, and which session must
- * leave its endpoint and when. There is no I/O and no clock here; times are whole microseconds passed in by the
- * caller. At which endpoint a session is opened, and whether a message may go there now, is decided by
- * {@link gatelock.api.DecisionEngine}.
+ * Decisions about open WebSocket sessions: how a session ends, which close code each side receives, and which sessions
+ * are drained from their endpoint and when. The package does no I/O and reads no clock; callers pass times in as whole
+ * microseconds. {@link gatelock.api.DecisionEngine} decides at which endpoint a session is opened and whether a message
+ * may be forwarded.
  */
 package gatelock.session;
--- a/src/main/java/gatelock/websocket/CloseFrame.java
+++ b/src/main/java/gatelock/websocket/CloseFrame.java
@@ -7,14 +7,15 @@
 /**
  * The body of a close frame (RFC 6455, 5.5.1).
  *
- * @param code the close code; {@link CloseCodes#NO_STATUS} where a received frame has none
+ * @param code the close code; {@link CloseCodes#NO_STATUS} if a received frame has none
+ * @param reason the reason text; empty if there is none
  */
 record CloseFrame(int code, String reason) {
     private static final int CODE_BYTES = 2;
-    /** A received reason that is longer is not forwarded. */
+    /** A received reason text that is longer than this is not forwarded. */
     private static final int MAX_REASON_BYTES = 120;
 
-    /** Reads a received body; one of a single byte is malformed and counts as a protocol error. */
+    /** Decodes a received body. A body of a single byte is malformed and is decoded as a protocol error. */
     static CloseFrame decode(ByteBuffer body) {
         int code;
         if (body.remaining() >= CODE_BYTES) {
@@ -27,7 +28,7 @@
         return new CloseFrame(code, tooLong ? "" : reason);
     }
 
-    /** Returns the body as it is sent. */
+    /** Encodes the body. */
     ByteBuffer encode() {
         byte[] reasonBytes = reason.getBytes(StandardCharsets.UTF_8);
         return ByteBuffer.allocate(CODE_BYTES + reasonBytes.length)
--- a/src/main/java/gatelock/websocket/FrameRateLimiter.java
+++ b/src/main/java/gatelock/websocket/FrameRateLimiter.java
@@ -1,6 +1,6 @@
 package gatelock.websocket;
 
-/** Counts the frames of a client in windows of one second. */
+/** Limits the number of frames that a client may send in fixed windows of one second. */
 final class FrameRateLimiter {
     private static final long WINDOW_US = 1_000_000;
 
@@ -8,11 +8,12 @@
     private long windowStartUs;
     private int framesInWindow;
 
+    /** Creates a limiter for at most this many frames per second. */
     FrameRateLimiter(int maxFramesPerS) {
         this.maxFramesPerS = maxFramesPerS;
     }
 
-    /** Counts one frame; returns whether it is within the limit. */
+    /** Counts a frame. Returns whether it is within the limit. */
     boolean tryAcquire(long nowUs) {
         if (nowUs - windowStartUs >= WINDOW_US) {
             windowStartUs = nowUs;
--- a/src/main/java/gatelock/websocket/HandshakeRequest.java
+++ b/src/main/java/gatelock/websocket/HandshakeRequest.java
@@ -13,18 +13,18 @@
 import java.util.Set;
 
 /**
- * What an opening handshake with an endpoint has of the one that the client sent.
+ * The parts of a client's opening handshake that are forwarded in the opening handshake with an endpoint.
  *
  * @param target path and query
- * @param subprotocols those that the client offers and the route permits, in the client's order
- * @param headers forwarded headers by name
+ * @param subprotocols the subprotocols that the client offers and the route permits, in the client's order
+ * @param headers the values of the forwarded headers, by header name
  */
 record HandshakeRequest(String target, List<String> subprotocols, Map<String, List<String>> headers) {
     private static final HttpString SUBPROTOCOL = new HttpString("Sec-WebSocket-Protocol");
     private static final List<String> FORWARDED_HEADERS =
             List.of("X-Trace-Id", "X-Customer", "Cookie", "X-Size-Hint", "Origin");
 
-    /** Reads the handshake of a client. */
+    /** Creates the forwarded handshake from a client's request. */
     static HandshakeRequest of(HttpServerExchange exchange, Set<String> permittedSubprotocols) {
         String query = exchange.getQueryString();
         String target = exchange.getRequestURI() + (query.isEmpty() ? "" : "?" + query);
@@ -54,7 +54,7 @@
         return offered;
     }
 
-    /** Returns the URI at an endpoint. */
+    /** Returns the WebSocket URI for an endpoint with this address. */
     URI uri(InetSocketAddress address) throws URISyntaxException {
         return new URI("ws://" + address.getAddress().getHostAddress() + ":" + address.getPort() + target);
     }
--- a/src/main/java/gatelock/websocket/MessageReader.java
+++ b/src/main/java/gatelock/websocket/MessageReader.java
@@ -7,42 +7,49 @@
 import org.xnio.ChannelListener;
 
 /**
- * Reads one message through all of its fragments. A message that is too big is read to its end and discarded:
- * Undertow's own reader ends the connection with the rest unread, and TCP then resets it before the peer can read the
- * close frame.
+ * Reads one message with all of its fragments. A message that is too big is read to its end and discarded. Undertow's own
+ * reader would close the connection with unread data, which causes a TCP reset before the peer can read the close
+ * frame.
  */
 final class MessageReader implements ChannelListener<StreamSourceFrameChannel> {
-    private static final int READ_BYTES = 4_096;
-    private static final int INITIAL_BYTES = 256;
+    private static final int READ_BUFFER_BYTES = 4_096;
+    private static final int INITIAL_MESSAGE_BYTES = 256;
 
-    /** Receives the outcome of the reading. */
+    /** Receives the message or the failure. */
     interface Handler {
-        /** Handles a message that was read whole. */
+        /** Handles a complete message. */
         void messageRead(boolean text, byte[] message);
 
-        /** Handles, once a message, that it is too big. The rest of it is still read. */
+        /** Handles a message that is too big. Called once per message; the rest of the message is still read. */
         void messageTooBig();
 
-        /** Handles a failure of the connection or a frame that violates the protocol. */
+        /** Handles a connection failure or a frame that violates the protocol. */
         void readFailed(IOException failure);
     }
 
     private final boolean text;
     private final int maxBytes;
     private final Handler handler;
-    private final ByteArrayOutputStream message = new ByteArrayOutputStream(INITIAL_BYTES);
+    private final ByteArrayOutputStream message = new ByteArrayOutputStream(INITIAL_MESSAGE_BYTES);
     private boolean tooBig;
 
+    /**
+     * Creates a reader for one message.
+     *
+     * @param text whether it is a text message rather than a binary one
+     * @param maxBytes maximum size of the message
+     * @param handler receives the message or the failure
+     */
     MessageReader(boolean text, int maxBytes, Handler handler) {
         this.text = text;
         this.maxBytes = maxBytes;
         this.handler = handler;
     }
 
-    /** Reads what is there, and is called again when there is more. */
+    /** Reads the available data. Undertow calls this again when more arrives. */
     @Override
     public void handleEvent(StreamSourceFrameChannel frames) {
-        byte[] bytes = new byte[READ_BYTES];
+        byte[] bytes = new byte[READ_BUFFER_BYTES];
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
         try {
             for (int count = frames.read(buffer); count >= 0; count = frames.read(buffer)) {
--- a/src/main/java/gatelock/websocket/OpeningHandshake.java
+++ b/src/main/java/gatelock/websocket/OpeningHandshake.java
@@ -21,7 +21,7 @@
 import org.xnio.Options;
 import org.xnio.XnioExecutor;
 
-/** One attempt at opening a session: an opening handshake with an endpoint, which ends with exactly one outcome. */
+/** One attempt to open a session: an opening handshake with an endpoint, for which exactly one result is recorded. */
 final class OpeningHandshake {
     private static final int SWITCHING_PROTOCOLS = 101;
 
@@ -29,21 +29,25 @@
     private final EventLoop loop;
     private final InFlightRequest request;
     private final String endpointName;
-    private final Consumer<OpenedEndpoint> whenOpened;
+    private final Consumer<OpenedEndpoint> onOpened;
     private final int attemptNo;
     private final long startUs;
     private IoFuture<WebSocketChannel> connection;
     private XnioExecutor.Key timeout;
     private boolean ended;
 
-    /** @param whenOpened called before the outcome is recorded */
+    /**
+     * Registers the attempt with its request.
+     *
+     * @param onOpened called after a successful handshake, before the result is recorded
+     */
     OpeningHandshake(
-            SessionContext context, InFlightRequest request, String endpointName, Consumer<OpenedEndpoint> whenOpened) {
+            SessionContext context, InFlightRequest request, String endpointName, Consumer<OpenedEndpoint> onOpened) {
         this.context = context;
         this.loop = context.loop();
         this.request = request;
         this.endpointName = endpointName;
-        this.whenOpened = whenOpened;
+        this.onOpened = onOpened;
         this.startUs = loop.nowUs();
         this.attemptNo = request.addAttempt(() -> end(AttemptResult.CANCELLED));
     }
@@ -51,8 +55,8 @@
     /**
      * Begins the handshake.
      *
-     * @param address null where the endpoint cannot be connected to
-     * @param timeoutUs bounds the attempt within the time the request has left; 0: nothing else bounds it
+     * @param address the endpoint's address, or null if no connection to the endpoint can be made
+     * @param timeoutUs timeout of the attempt, which never exceeds the request's remaining time; 0 for that time
      */
     void start(HandshakeRequest handshakeRequest, InetSocketAddress address, long timeoutUs) {
         long leftUs = request.deadlineUs() - startUs;
@@ -91,12 +95,12 @@
         connection.addNotifier(
                 new IoFuture.HandlingNotifier<WebSocketChannel, Void>() {
                     @Override
-                    public void handleDone(WebSocketChannel channel, Void nothing) {
+                    public void handleDone(WebSocketChannel channel, Void attachment) {
                         loop.execute(() -> connected(channel, negotiation.getSelectedSubProtocol()));
                     }
 
                     @Override
-                    public void handleFailed(IOException failure, Void nothing) {
+                    public void handleFailed(IOException failure, Void attachment) {
                         boolean refused = failure instanceof ConnectException;
                         loop.execute(() -> end(refused ? AttemptResult.NOT_CONNECTED : AttemptResult.ERRORED));
                     }
@@ -111,11 +115,11 @@
             return;
         }
         boolean noneSelected = selectedSubprotocol == null || selectedSubprotocol.isEmpty();
-        whenOpened.accept(new OpenedEndpoint(endpointName, channel, noneSelected ? null : selectedSubprotocol));
+        onOpened.accept(new OpenedEndpoint(endpointName, channel, noneSelected ? null : selectedSubprotocol));
         end(AttemptResult.COMPLETED);
     }
 
-    /** Records the outcome, once. */
+    /** Records the result of the attempt. Later calls have no effect. */
     private void end(AttemptResult result) {
         if (ended) {
             return;
--- a/src/main/java/gatelock/websocket/SessionContext.java
+++ b/src/main/java/gatelock/websocket/SessionContext.java
@@ -8,12 +8,14 @@
 import io.undertow.connector.ByteBufferPool;
 
 /**
- * What all sessions of a relay work with.
+ * The components that all sessions of a relay share.
  *
- * @param loop the one I/O thread
- * @param recorder takes in the outcomes of opening handshakes
- * @param engine decides whether a message may go to its endpoint
- * @param buffers of the connections to endpoints
+ * @param loop the event loop of the only I/O thread
+ * @param counters the relay's counters
+ * @param recorder records the results of opening handshakes
+ * @param engine decides whether a message may be forwarded to its endpoint
+ * @param sessions all sessions of the relay
+ * @param buffers buffer pool for the connections to endpoints
  */
 record SessionContext(
         EventLoop loop,
--- a/src/main/java/gatelock/websocket/SessionOpening.java
+++ b/src/main/java/gatelock/websocket/SessionOpening.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 import org.xnio.IoUtils;
 
-/** One request that opens a session, through all of its attempts until the handshake of its client is answered. */
+/** A request that opens a session, from its first attempt until the client's handshake is answered. */
 final class SessionOpening implements InFlightRequest.AttemptLauncher {
     private static final System.Logger LOG = System.getLogger("gatelock.websocket");
 
@@ -23,9 +23,10 @@
     private final int route;
     private final HandshakeRequest handshakeRequest;
     private OpenedEndpoint opened;
-    /** Releases what the session holds of its route's limits. */
-    private Runnable whenFinished;
+    /** Releases the session's share of its route's limits. */
+    private Runnable onFinished;
 
+    /** Creates the opening of a session on a route with this index. */
     SessionOpening(
             SessionContext context,
             InFlightRequest request,
@@ -47,25 +48,25 @@
 
     private void endpointOpened(OpenedEndpoint endpoint) {
         opened = endpoint;
-        // The session holds what the request held of its limits until it is finished.
-        whenFinished = request.takeCompletionAction();
+        // The session keeps the request's share of the route's limits until it is finished.
+        onFinished = request.takeCompletionAction();
         context.counters().increment("sessions opened");
     }
 
-    /** Answers the handshake of the client and couples the two sides; called once an endpoint has opened. */
+    /** Answers the client's handshake and connects the two sides. Called once the handshake with an endpoint succeeded. */
     void answerClient(HttpServerExchange exchange) {
         Set<String> subprotocols = opened.subprotocol() == null ? Set.of() : Set.of(opened.subprotocol());
         Handshake handshake = new Hybi13Handshake(subprotocols, false);
         WebSocketConnectionCallback startSession = (facade, clientChannel) ->
-                new WebSocketProxySession(context, policy, route, clientChannel, opened, whenFinished).start();
+                new WebSocketProxySession(context, policy, route, clientChannel, opened, onFinished).start();
         try {
             new WebSocketProtocolHandshakeHandler(List.of(handshake), startSession).handleRequest(exchange);
         } catch (Exception e) {
-            LOG.log(Level.DEBUG, () -> "a client's upgrade failed: " + e);
+            LOG.log(Level.DEBUG, () -> "WebSocket upgrade of a client failed: " + e);
             IoUtils.safeClose(opened.channel(), exchange.getConnection());
-            if (whenFinished != null) {
-                whenFinished.run();
-                whenFinished = null;
+            if (onFinished != null) {
+                onFinished.run();
+                onFinished = null;
             }
         }
     }
--- a/src/main/java/gatelock/websocket/SessionPeer.java
+++ b/src/main/java/gatelock/websocket/SessionPeer.java
@@ -21,31 +21,34 @@
 import org.xnio.IoUtils;
 
 /**
- * The connection to one side of a session. It reads one message at a time: the next one is read once this one was
- * written to the other side, so that a side that reads slowly stalls its own peer only.
+ * The connection to one side of a session. It reads one message at a time: the next message is read only after the current
+ * one was written to the other side, so that a slow reader delays only its own peer.
  */
 final class SessionPeer extends AbstractReceiveListener implements MessageReader.Handler {
     private static final System.Logger LOG = System.getLogger("gatelock.websocket");
-    /** A side that has not read one message by then stalls the session. */
+    /** A session is stalled if writing one message to a side takes longer than this. */
     private static final long WRITE_TIMEOUT_US = 30_000_000;
-    /** The most bytes in the body of a control frame (RFC 6455, 5.5). */
-    private static final int MAX_CONTROL_BYTES = 125;
+    /** Maximum length of the body of a control frame (RFC 6455, 5.5). */
+    private static final int MAX_CONTROL_FRAME_BYTES = 125;
 
-    /** Handles the events of a side. */
+    /** Receives the events of a side. */
     interface Listener {
-        /** Handles a whole message, which {@link SessionPeer#send} sends; nothing more is read from the side. */
+        /**
+         * Handles a complete message. Nothing more is read from the side until {@link SessionPeer#send} has written the
+         * message to the other side.
+         */
         void messageReceived(SessionPeer from, boolean text, byte[] message);
 
         /** Handles a close frame. */
         void closeReceived(SessionSide side, CloseFrame frame);
 
-        /** Handles the end of the connection. */
+        /** Handles the loss of the connection. */
         void connectionLost(SessionSide side);
 
-        /** Handles a violation of the protocol or a limit. */
+        /** Handles a violation of the protocol or of a limit. */
         void violation(CloseReason reason);
 
-        /** Returns whether messages still pass. */
+        /** Returns whether messages are still forwarded. */
         boolean isOpen();
     }
 
@@ -57,9 +60,10 @@
     private final FrameRateLimiter frameLimiter;
     private long lastFrameUs;
     private long lastPingUs;
-    /** Since when a message is being written to this side; 0: none is. */
+    /** When the write of the current message to this side began, or 0 if no message is being written. */
     private long writingSinceUs;
 
+    /** Wraps an open connection. Nothing is read until {@link #start} is called. */
     SessionPeer(SessionSide side, WebSocketChannel channel, EventLoop loop, SessionPolicy policy, Listener listener) {
         this.side = side;
         this.channel = channel;
@@ -71,28 +75,29 @@
         this.lastPingUs = loop.nowUs();
     }
 
+    /** Returns the side of the session. */
     SessionSide side() {
         return side;
     }
 
-    /** Begins to read. */
+    /** Begins to read frames. */
     void start() {
         channel.addCloseTask(closed -> loop.execute(() -> listener.connectionLost(side)));
         channel.getReceiveSetter().set(this);
         channel.resumeReceives();
     }
 
-    /** Returns whether a message has been on its way to this side for too long. */
+    /** Returns whether the current write to this side has taken longer than the write timeout. */
     boolean isStalled(long nowUs) {
         return writingSinceUs > 0 && nowUs - writingSinceUs > WRITE_TIMEOUT_US;
     }
 
-    /** Returns whether nothing has come for two and a half ping intervals. */
+    /** Returns whether no frame was received for more than two and a half ping intervals. */
     boolean isUnresponsive(long nowUs) {
         return nowUs - lastFrameUs > 2 * policy.pingIntervalUs() + policy.pingIntervalUs() / 2;
     }
 
-    /** Sends a ping if nothing has come and no ping was sent for the ping interval. */
+    /** Sends a ping if no frame was received and no ping was sent during the last ping interval. */
     void pingIfSilent(long nowUs) {
         if (nowUs - Math.max(lastFrameUs, lastPingUs) >= policy.pingIntervalUs()) {
             lastPingUs = nowUs;
@@ -100,18 +105,18 @@
         }
     }
 
-    /** Writes a message to this side; the side it came from is read again once it is written. */
+    /** Writes a message to this side and resumes reading from the other side once it is written. */
     void send(boolean text, byte[] message, SessionPeer from) {
         writingSinceUs = loop.nowUs();
         WebSocketCallback<Void> whenWritten = new WebSocketCallback<>() {
             @Override
-            public void complete(WebSocketChannel to, Void nothing) {
+            public void complete(WebSocketChannel to, Void attachment) {
                 writingSinceUs = 0;
                 from.channel.resumeReceives();
             }
 
             @Override
-            public void onError(WebSocketChannel to, Void nothing, Throwable failure) {
+            public void onError(WebSocketChannel to, Void attachment, Throwable failure) {
                 loop.execute(() -> listener.connectionLost(side));
             }
         };
@@ -122,20 +127,20 @@
         }
     }
 
-    /** Sends a close frame and reads on, so that the answer is received. */
+    /** Sends a close frame and keeps reading, so that the answer is received. */
     void sendClose(CloseFrame frame) {
         WebSocketCallback<Void> whenWritten = new WebSocketCallback<>() {
             @Override
-            public void complete(WebSocketChannel to, Void nothing) {
+            public void complete(WebSocketChannel to, Void attachment) {
                 to.resumeReceives();
             }
 
             @Override
-            public void onError(WebSocketChannel to, Void nothing, Throwable failure) {
+            public void onError(WebSocketChannel to, Void attachment, Throwable failure) {
                 loop.execute(() -> listener.connectionLost(side));
             }
         };
-        // As bytes, because Undertow's close refuses codes over 1011, which were registered later, as numbers.
+        // Sent as encoded bytes because Undertow rejects numeric close codes above 1011, which were registered later.
         WebSockets.sendClose(new CloseMessage(frame.encode()), channel, whenWritten);
         channel.resumeReceives();
     }
@@ -145,7 +150,7 @@
         IoUtils.safeClose(channel);
     }
 
-    /** Notes a frame of this side; returns whether it is within the limit, and ends the session if not. */
+    /** Records a frame from this side. Returns whether it is within the rate limit; if not, reports a violation. */
     private boolean admitFrame() {
         long nowUs = loop.nowUs();
         lastFrameUs = nowUs;
@@ -158,17 +163,17 @@
 
     @Override
     protected long getMaxPingBufferSize() {
-        return MAX_CONTROL_BYTES;
+        return MAX_CONTROL_FRAME_BYTES;
     }
 
     @Override
     protected long getMaxPongBufferSize() {
-        return MAX_CONTROL_BYTES;
+        return MAX_CONTROL_FRAME_BYTES;
     }
 
     @Override
     protected long getMaxCloseBufferSize() {
-        return MAX_CONTROL_BYTES;
+        return MAX_CONTROL_FRAME_BYTES;
     }
 
     @Override
@@ -184,7 +189,7 @@
     @Override
     public void messageRead(boolean text, byte[] message) {
         if (text && !isUtf8(message)) {
-            listener.violation(violationBy(CloseReason.INVALID_UTF8));
+            listener.violation(reasonForViolation(CloseReason.INVALID_UTF8));
             return;
         }
         if (!listener.isOpen() || !admitFrame()) {
@@ -196,7 +201,7 @@
 
     @Override
     public void messageTooBig() {
-        listener.violation(violationBy(CloseReason.MESSAGE_TOO_BIG));
+        listener.violation(reasonForViolation(CloseReason.MESSAGE_TOO_BIG));
     }
 
     @Override
@@ -238,24 +243,24 @@
     }
 
     /**
-     * Handles a failure that Undertow found. It reports violations of the protocol as a {@link WebSocketException} or
-     * as a plain exception whose message has one of its own numbers ("UT002...") in front; all others are failures of
-     * the connection.
+     * Handles a failure reported by Undertow. Undertow reports protocol violations as a {@link WebSocketException} or as a
+     * plain exception whose message begins with one of Undertow's message codes ("UT002..."). All other exceptions are
+     * connection failures.
      */
     @Override
     protected void onError(WebSocketChannel from, Throwable failure) {
-        LOG.log(Level.DEBUG, () -> "session, " + side + ": " + failure);
+        LOG.log(Level.DEBUG, () -> "failure on session side " + side + ": " + failure);
         String message = String.valueOf(failure.getMessage());
         boolean reportedByUndertow = failure instanceof WebSocketException || message.startsWith("UT");
         if (failure instanceof ClosedChannelException || !reportedByUndertow) {
             listener.connectionLost(side);
         } else {
-            listener.violation(
-                    violationBy(message.contains("UTF") ? CloseReason.INVALID_UTF8 : CloseReason.PROTOCOL_ERROR));
+            listener.violation(reasonForViolation(
+                    message.contains("UTF") ? CloseReason.INVALID_UTF8 : CloseReason.PROTOCOL_ERROR));
         }
     }
 
-    private CloseReason violationBy(CloseReason clientReason) {
+    private CloseReason reasonForViolation(CloseReason clientReason) {
         return side == SessionSide.ENDPOINT ? CloseReason.ENDPOINT_PROTOCOL_ERROR : clientReason;
     }
 }
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -9,19 +9,19 @@
 import io.undertow.websockets.core.WebSocketChannel;
 
 /**
- * One session: forwards messages between its two sides as the decisions permit, checks that both sides are alive, and
- * carries out the close that {@link Session} decides on.
+ * One session: forwards messages between its two sides as the decision engine permits, checks that both sides are alive
+ * and carries out the closes decided by {@link WebSocketSession}.
  */
 final class WebSocketProxySession implements SessionTransport, SessionPeer.Listener {
-    /** A message that exceeds the cap is tried again after this time. */
-    private static final long RETRY_US = 20_000;
-    /** A message that exceeds the cap waits this long at the most. */
-    private static final long MAX_WAIT_US = 2_000_000;
-    /** When a client may reconnect whose message waited for too long. */
+    /** Delay after which a message that exceeded the exposure cap is checked again. */
+    private static final long ADMISSION_RETRY_US = 20_000;
+    /** Maximum time that a message waits for admission before its session is closed. */
+    private static final long MAX_ADMISSION_WAIT_US = 2_000_000;
+    /** After how long a client whose message waited too long may reconnect. */
     private static final long OVERLOADED_RECONNECT_MS = 500;
 
-    private static final long CLOSING_CHECK_US = 1_000_000;
-    private static final long MIN_CHECK_US = 50_000;
+    private static final long CLOSING_CHECK_INTERVAL_US = 1_000_000;
+    private static final long MIN_CHECK_INTERVAL_US = 50_000;
 
     private final SessionContext context;
     private final EventLoop loop;
@@ -29,15 +29,15 @@
     private final SessionPeer client;
     private final SessionPeer endpoint;
     private final WebSocketSession session;
-    /** Releases what the session holds of its route's limits; null once run. */
-    private Runnable whenFinished;
+    /** Releases the session's share of its route's limits; null once run. */
+    private Runnable onFinished;
 
     private long lastMessageUs;
 
     /**
-     * Couples two opened connections.
+     * Creates and registers the session of two open connections.
      *
-     * @param whenFinished run once both sides are disconnected
+     * @param onFinished run once both sides are disconnected
      */
     WebSocketProxySession(
             SessionContext context,
@@ -45,21 +45,22 @@
             int route,
             WebSocketChannel clientChannel,
             OpenedEndpoint opened,
-            Runnable whenFinished) {
+            Runnable onFinished) {
         this.context = context;
         this.loop = context.loop();
         this.policy = policy;
-        this.whenFinished = whenFinished;
+        this.onFinished = onFinished;
         this.client = new SessionPeer(SessionSide.CLIENT, clientChannel, loop, policy, this);
         this.endpoint = new SessionPeer(SessionSide.ENDPOINT, opened.channel(), loop, policy, this);
         this.session = context.sessions().register(loop.nowUs(), opened.endpointName(), route, this);
     }
 
+    /** Starts reading from both sides and schedules the liveness checks. */
     void start() {
         lastMessageUs = loop.nowUs();
         client.start();
         endpoint.start();
-        loop.schedule(checkIntervalUs(), this::check);
+        loop.schedule(checkIntervalUs(), this::checkLiveness);
     }
 
     private SessionPeer peer(SessionSide side) {
@@ -79,19 +80,19 @@
     }
 
     private void finishIfDisconnected() {
-        // The session may end while the constructor registers it, when the field is not set yet.
-        if (session != null && session.isFinished() && whenFinished != null) {
-            whenFinished.run();
-            whenFinished = null;
+        // The session may end during its registration in the constructor, before the field is set.
+        if (session != null && session.isFinished() && onFinished != null) {
+            onFinished.run();
+            onFinished = null;
         }
     }
 
-    /** Ends the session if something that should have come by now has not. */
-    private void check() {
+    /** Ends the session if a timeout has expired, pings silent sides otherwise, and schedules the next check. */
+    private void checkLiveness() {
         if (!session.isOpen()) {
             finishIfDisconnected();
             if (!session.isFinished()) {
-                loop.schedule(CLOSING_CHECK_US, this::check);
+                loop.schedule(CLOSING_CHECK_INTERVAL_US, this::checkLiveness);
             }
             return;
         }
@@ -103,10 +104,10 @@
             client.pingIfSilent(nowUs);
             endpoint.pingIfSilent(nowUs);
         }
-        loop.schedule(checkIntervalUs(), this::check);
+        loop.schedule(checkIntervalUs(), this::checkLiveness);
     }
 
-    /** Returns why the session has to end now, or null. */
+    /** Returns the reason for which the session has to end now, or null if there is none. */
     private CloseReason failedCheck(long nowUs) {
         if (policy.idleTimeoutUs() > 0 && nowUs - lastMessageUs >= policy.idleTimeoutUs()) {
             return CloseReason.IDLE_TIMEOUT;
@@ -124,7 +125,7 @@
         long shortestUs = policy.idleTimeoutUs() > 0
                 ? Math.min(policy.idleTimeoutUs(), policy.pingIntervalUs())
                 : policy.pingIntervalUs();
-        return Math.max(MIN_CHECK_US, shortestUs / 2);
+        return Math.max(MIN_CHECK_INTERVAL_US, shortestUs / 2);
     }
 
     @Override
@@ -144,23 +145,23 @@
         }
     }
 
-    /** Forwards a message of the client once the decisions admit it; nothing more is read from the client until then. */
-    private void forwardToEndpoint(boolean text, byte[] message, long receivedUs, boolean firstTime) {
+    /** Forwards a client's message once the decision engine admits it. Until then nothing more is read from the client. */
+    private void forwardToEndpoint(boolean text, byte[] message, long receivedUs, boolean firstCheck) {
         if (!session.isOpen()) {
             return;
         }
         long nowUs = loop.nowUs();
-        switch (context.engine().admitMessage(nowUs, session.endpoint(), session.route(), firstTime)) {
+        switch (context.engine().admitMessage(nowUs, session.endpoint(), session.route(), firstCheck)) {
             case NOW -> {
                 context.counters().increment("messages to units");
                 endpoint.send(text, message, client);
             }
             case NEVER -> context.sessions().endUnreachable(nowUs, session);
             case LATER -> {
-                if (nowUs - receivedUs >= MAX_WAIT_US) {
+                if (nowUs - receivedUs >= MAX_ADMISSION_WAIT_US) {
                     session.end(nowUs, CloseReason.OVERLOADED, OVERLOADED_RECONNECT_MS);
                 } else {
-                    loop.schedule(RETRY_US, () -> forwardToEndpoint(text, message, receivedUs, false));
+                    loop.schedule(ADMISSION_RETRY_US, () -> forwardToEndpoint(text, message, receivedUs, false));
                 }
             }
         }
--- a/src/main/java/gatelock/websocket/WebSocketUpgrader.java
+++ b/src/main/java/gatelock/websocket/WebSocketUpgrader.java
@@ -19,18 +19,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Opens sessions: a request asks for an upgrade, the decisions choose an endpoint as for any request, an attempt is an
- * opening handshake with that endpoint, and only once an endpoint has opened is the handshake of the client answered.
- * Until then the client has an ordinary request, which may be rejected with a time after which to retry.
+ * Opens sessions for requests that ask for an upgrade. The decision engine chooses an endpoint as for any request, and
+ * each attempt is an opening handshake with the chosen endpoint. The client's handshake is answered only after the
+ * handshake with an endpoint has succeeded. Until then the client's request is an ordinary one, which may be rejected
+ * with a Retry-After time.
  */
 public final class WebSocketUpgrader implements RequestReader.SessionUpgrade {
     private static final int BUFFER_BYTES = 4096;
     private static final int MAX_POOLED_BUFFERS = 200;
-    private static final HttpString KEY = new HttpString("Sec-WebSocket-Key");
-    private static final HttpString VERSION = new HttpString("Sec-WebSocket-Version");
-    /** The version of RFC 6455. */
+    private static final HttpString SEC_WEBSOCKET_KEY = new HttpString("Sec-WebSocket-Key");
+    private static final HttpString SEC_WEBSOCKET_VERSION = new HttpString("Sec-WebSocket-Version");
+    /** The protocol version defined by RFC 6455. */
     private static final String SUPPORTED_VERSION = "13";
-    /** 16 bytes in base64 (RFC 6455, 4.1). */
+    /** A key is 16 bytes in base64 (RFC 6455, 4.1). */
     private static final Pattern KEY_FORMAT = Pattern.compile("[A-Za-z0-9+/]{22}==");
 
     private final SessionContext context;
@@ -38,8 +39,11 @@
     /**
      * Creates an upgrader.
      *
-     * @param recorder takes in the outcomes of opening handshakes
-     * @param engine decides whether a message may go to its endpoint
+     * @param loop the event loop of the only I/O thread
+     * @param counters the relay's counters
+     * @param recorder records the results of opening handshakes
+     * @param engine decides whether a message may be forwarded to its endpoint
+     * @param sessions all sessions of the relay
      */
     public WebSocketUpgrader(
             EventLoop loop,
@@ -66,8 +70,8 @@
         if (!isWellFormed(exchange.getRequestHeaders())) {
             return StatusCodes.BAD_REQUEST;
         }
-        if (!SUPPORTED_VERSION.equals(exchange.getRequestHeaders().getFirst(VERSION))) {
-            exchange.getResponseHeaders().put(VERSION, SUPPORTED_VERSION);
+        if (!SUPPORTED_VERSION.equals(exchange.getRequestHeaders().getFirst(SEC_WEBSOCKET_VERSION))) {
+            exchange.getResponseHeaders().put(SEC_WEBSOCKET_VERSION, SUPPORTED_VERSION);
             return StatusCodes.UPGRADE_REQUIRED;
         }
         if (!context.sessions().hasCapacity()) {
@@ -80,12 +84,12 @@
 
     private static boolean isWellFormed(HeaderMap headers) {
         String connection = headers.getFirst(Headers.CONNECTION);
-        String key = headers.getFirst(KEY);
+        String key = headers.getFirst(SEC_WEBSOCKET_KEY);
         return connection != null
                 && connection.toLowerCase(Locale.ROOT).contains("upgrade")
                 && key != null
                 && KEY_FORMAT.matcher(key).matches()
-                && headers.count(KEY) == 1;
+                && headers.count(SEC_WEBSOCKET_KEY) == 1;
     }
 
     @Override
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -15,55 +15,64 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Sessions under events in any order. */
+/**
+ * Guards against sessions that are closed twice, not closed at all or closed too late. Events of a session may arrive in
+ * any order, and drains, rollbacks and shutdowns close many sessions at a time.
+ */
 final class SessionTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_US = 1_000_000;
     private static final List<CloseReason> REASONS = List.of(CloseReason.values());
 
-    /** Both peers as they see it. */
-    private static final class Peers implements SessionTransport {
-        private final Map<SessionSide, Integer> closes = new EnumMap<>(SessionSide.class);
-        private final Set<SessionSide> cut = new HashSet<>();
-        private final Set<SessionSide> lost = new HashSet<>();
-        private String reason;
+    /** Records the closes and disconnects of both sides and fails on any that violates {@link SessionTransport}. */
+    private static final class RecordingTransport implements SessionTransport {
+        private final Map<SessionSide, Integer> closeCodes = new EnumMap<>(SessionSide.class);
+        private final Set<SessionSide> disconnected = new HashSet<>();
+        private final Set<SessionSide> connectionLost = new HashSet<>();
+        private String clientReason;
 
         @Override
         public void close(SessionSide side, int code, String reason) {
-            assertThat(CloseCodes.sendable(code)).as("%d", code).isTrue();
-            assertThat(closes.put(side, code)).as("a second close to %s", side).isNull();
-            assertThat(cut).doesNotContain(side);
-            assertThat(lost).as("nobody is there").doesNotContain(side);
+            assertThat(CloseCodes.isSendable(code))
+                    .as("close code %d may be sent", code)
+                    .isTrue();
+            assertThat(closeCodes.put(side, code))
+                    .as("earlier close frame to %s", side)
+                    .isNull();
+            assertThat(disconnected).doesNotContain(side);
+            assertThat(connectionLost).as("sides whose connection was lost").doesNotContain(side);
             assertThat(reason.length()).isLessThanOrEqualTo(123);
-            this.reason = side == SessionSide.CLIENT ? reason : this.reason;
+            this.clientReason = side == SessionSide.CLIENT ? reason : this.clientReason;
         }
 
         @Override
         public void disconnect(SessionSide side) {
-            assertThat(closes).as("cut without a word").containsKey(side);
-            assertThat(cut.add(side)).isTrue();
+            assertThat(closeCodes)
+                    .as("sides that were sent a close frame before the disconnect")
+                    .containsKey(side);
+            assertThat(disconnected.add(side)).isTrue();
         }
     }
 
     @Property(tries = 2_000, seed = "18")
-    void eachSideThatHearsGetsJustOneCloseWhateverTheOrder(@ForAll long seed) {
+    void sendsExactlyOneCloseToEachConnectedSideInAnyEventOrder(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        Peers peers = new Peers();
-        WebSocketSession session = new WebSocketSession(0, "u", 0, peers);
+        RecordingTransport transport = new RecordingTransport();
+        WebSocketSession session = new WebSocketSession(0, "u", 0, transport);
         long nowUs = 1;
         for (int i = 0; i < 12; i++) {
             nowUs += random.nextLong(400_000);
             SessionSide side = random.nextBoolean() ? SessionSide.CLIENT : SessionSide.ENDPOINT;
-            boolean there = !peers.lost.contains(side) && !peers.cut.contains(side);
+            boolean connected = !transport.connectionLost.contains(side) && !transport.disconnected.contains(side);
             switch (random.nextInt(4)) {
                 case 0 -> session.end(nowUs, REASONS.get(random.nextInt(REASONS.size())), random.nextInt(2) * 100L);
                 case 1 -> {
-                    if (there) {
+                    if (connected) {
                         session.closeReceived(nowUs, side, random.nextInt(5_100), "x");
                     }
                 }
                 case 2 -> {
-                    if (there) {
-                        peers.lost.add(side);
+                    if (connected) {
+                        transport.connectionLost.add(side);
                         session.connectionLost(nowUs, side);
                     }
                 }
@@ -72,12 +81,13 @@
             boolean ended = session.closeReason() != null;
             assertThat(session.isOpen()).isEqualTo(!ended);
             for (SessionSide s : SessionSide.values()) {
-                assertThat(peers.closes.containsKey(s))
-                        .isEqualTo(ended && (peers.closes.containsKey(s) || !peers.lost.contains(s)));
+                assertThat(transport.closeCodes.containsKey(s))
+                        .isEqualTo(ended
+                                && (transport.closeCodes.containsKey(s) || !transport.connectionLost.contains(s)));
             }
         }
         session.end(nowUs, CloseReason.IDLE_TIMEOUT, 0);
-        assertThat(session.disconnectOverdue(nowUs + 2 * SECOND)).isTrue();
+        assertThat(session.disconnectOverdue(nowUs + 2 * SECOND_US)).isTrue();
     }
 
     private static Endpoint endpoint(String name, int build, Endpoint.Health health) {
@@ -85,8 +95,8 @@
     }
 
     @Test
-    void aDrainIsPacedByWhatTheOthersBearAndEndsInTime() {
-        SessionRegistry sessions = new SessionRegistry(10_000, 20, 10 * SECOND, new SplittableRandom(1));
+    void pacesDrainByCapacityOfRemainingEndpointsUntilDeadline() {
+        SessionRegistry sessions = new SessionRegistry(10_000, 20, 10 * SECOND_US, new SplittableRandom(1));
         sessions.updateEndpoints(
                 1,
                 DecisionEngine.EndpointUpdateType.FULL,
@@ -94,70 +104,77 @@
                         endpoint("a", 1, Endpoint.Health.READY),
                         endpoint("b", 1, Endpoint.Health.READY),
                         endpoint("c", 1, Endpoint.Health.READY)));
-        List<Peers> at = new ArrayList<>();
+        List<RecordingTransport> transports = new ArrayList<>();
         for (int i = 0; i < 600; i++) {
-            Peers peers = new Peers();
-            at.add(peers);
-            sessions.register(2, "a", 0, peers);
+            RecordingTransport transport = new RecordingTransport();
+            transports.add(transport);
+            sessions.register(2, "a", 0, transport);
         }
         sessions.updateEndpoints(
-                SECOND, DecisionEngine.EndpointUpdateType.DELTA, List.of(endpoint("a", 1, Endpoint.Health.DRAINING)));
+                SECOND_US,
+                DecisionEngine.EndpointUpdateType.DELTA,
+                List.of(endpoint("a", 1, Endpoint.Health.DRAINING)));
         long closedBefore = 0;
-        for (long us = SECOND; us < 12 * SECOND; us += 100_000) {
-            sessions.closeDue(us);
-            long closed = at.stream()
-                    .filter(p -> p.closes.containsKey(SessionSide.CLIENT))
+        for (long nowUs = SECOND_US; nowUs < 12 * SECOND_US; nowUs += 100_000) {
+            sessions.closeDue(nowUs);
+            long closed = transports.stream()
+                    .filter(p -> p.closeCodes.containsKey(SessionSide.CLIENT))
                     .count();
-            if (us < 11 * SECOND) {
-                assertThat(closed - closedBefore).as("at %d", us).isLessThanOrEqualTo(5);
+            if (nowUs < 11 * SECOND_US) {
+                assertThat(closed - closedBefore)
+                        .as("sessions closed at %d us", nowUs)
+                        .isLessThanOrEqualTo(5);
             }
             closedBefore = closed;
         }
-        // Two endpoints at 20 a second bear 400 in 10 s; what is left then goes all the same.
+        // Two endpoints open 20 sessions a second each, 400 in 10 s; the remaining sessions are closed at the deadline.
         assertThat(closedBefore).isEqualTo(600);
-        assertThat(at)
-                .allMatch(p -> p.closes.get(SessionSide.CLIENT) == 1012 && p.reason.matches(".* after [0-9]+ ms"));
-        sessions.closeDue(14 * SECOND);
+        assertThat(transports)
+                .allMatch(p ->
+                        p.closeCodes.get(SessionSide.CLIENT) == 1012 && p.clientReason.matches(".* after [0-9]+ ms"));
+        sessions.closeDue(14 * SECOND_US);
         assertThat(sessions.size()).isZero();
         assertThat(sessions.drainingCount()).isZero();
     }
 
     @Test
-    void aBuildThatGoesBackTakesItsSessionsAlongAtOnceAndNoOthers() {
-        SessionRegistry sessions = new SessionRegistry(10, 20, 10 * SECOND, new SplittableRandom(1));
+    void closesOnlySessionsOfRolledBackBuildImmediately() {
+        SessionRegistry sessions = new SessionRegistry(10, 20, 10 * SECOND_US, new SplittableRandom(1));
         sessions.updateEndpoints(
                 1,
                 DecisionEngine.EndpointUpdateType.FULL,
                 List.of(endpoint("a", 1, Endpoint.Health.READY), endpoint("b", 2, Endpoint.Health.READY)));
         sessions.updateRelease(1, 2, DecisionEngine.ReleasePhase.TRIAL);
-        Peers old = new Peers();
-        Peers canary = new Peers();
-        sessions.register(2, "a", 0, old);
-        sessions.register(2, "b", 0, canary);
+        RecordingTransport onOldBuild = new RecordingTransport();
+        RecordingTransport onCanary = new RecordingTransport();
+        sessions.register(2, "a", 0, onOldBuild);
+        sessions.register(2, "b", 0, onCanary);
         sessions.updateRelease(3, 2, DecisionEngine.ReleasePhase.REVERTING);
-        assertThat(canary.closes).containsEntry(SessionSide.CLIENT, 1012);
-        assertThat(old.closes).isEmpty();
-        Peers late = new Peers();
-        sessions.register(4, "b", 0, late);
-        assertThat(late.closes).as("its opening crossed the news").containsEntry(SessionSide.CLIENT, 1012);
+        assertThat(onCanary.closeCodes).containsEntry(SessionSide.CLIENT, 1012);
+        assertThat(onOldBuild.closeCodes).isEmpty();
+        RecordingTransport openedAfterRollback = new RecordingTransport();
+        sessions.register(4, "b", 0, openedAfterRollback);
+        assertThat(openedAfterRollback.closeCodes)
+                .as("session registered after the rollback began")
+                .containsEntry(SessionSide.CLIENT, 1012);
     }
 
     @Test
-    void aRelayThatLeavesClosesAllByItsTime() {
-        SessionRegistry sessions = new SessionRegistry(10_000, 20, 10 * SECOND, new SplittableRandom(1));
+    void closesAllSessionsByShutdownDeadline() {
+        SessionRegistry sessions = new SessionRegistry(10_000, 20, 10 * SECOND_US, new SplittableRandom(1));
         sessions.updateEndpoints(
                 1, DecisionEngine.EndpointUpdateType.FULL, List.of(endpoint("a", 1, Endpoint.Health.READY)));
-        List<Peers> at = new ArrayList<>();
+        List<RecordingTransport> transports = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
-            Peers peers = new Peers();
-            at.add(peers);
-            sessions.register(2, "a", 0, peers);
+            RecordingTransport transport = new RecordingTransport();
+            transports.add(transport);
+            sessions.register(2, "a", 0, transport);
         }
-        sessions.drainAll(SECOND, 3 * SECOND);
+        sessions.drainAll(SECOND_US, 3 * SECOND_US);
         assertThat(sessions.hasCapacity()).isFalse();
-        for (long us = SECOND; us <= 3 * SECOND; us += 50_000) {
-            sessions.closeDue(us);
+        for (long nowUs = SECOND_US; nowUs <= 3 * SECOND_US; nowUs += 50_000) {
+            sessions.closeDue(nowUs);
         }
-        assertThat(at).allMatch(p -> p.closes.get(SessionSide.CLIENT) == 1012);
+        assertThat(transports).allMatch(p -> p.closeCodes.get(SessionSide.CLIENT) == 1012);
     }
 }
