--- a/src/main/java/gatelock/membership/CandidateSelector.java
+++ b/src/main/java/gatelock/membership/CandidateSelector.java
@@ -13,7 +13,7 @@
      * @param local candidates in the relay's own zone
      * @param remote candidates in other zones
      */
-    record Ranked(List<Candidate> local, List<Candidate> remote) {}
+    record RankedCandidates(List<Candidate> local, List<Candidate> remote) {}
 
     private final EndpointSubset.Policy policy;
     private final RendezvousRanking ranking;
@@ -46,12 +46,12 @@
     }
 
     /**
-     * Selects the service's preferred endpoints and returns them. Updates which members are marked as preferred to match
-     * the selection.
+     * Selects the service's preferred endpoints and returns them. Updates which members are marked as preferred to
+     * match the selection.
      */
     List<Candidate> selectPreferred(ServiceState service) {
         int target = budget.target(service);
-        Ranked ranked = first(service, target, null);
+        RankedCandidates ranked = firstCandidates(service, target, null);
         int local = Math.max(target - policy.remoteTarget(target), target - ranked.remote.size());
         local = Math.min(ranked.local.size(), local);
         int remote = Math.min(ranked.remote.size(), target - local);
@@ -75,13 +75,13 @@
      *
      * @param limit maximum number of candidates from the relay's own zone, and likewise from other zones
      */
-    Ranked next(ServiceState service, int limit) {
-        return first(service, limit, service.search);
+    RankedCandidates nextCandidates(ServiceState service, int limit) {
+        return firstCandidates(service, limit, service.search);
     }
 
     /**
-     * Returns whether an endpoint that is not in the subset might be selected as preferred. A false positive is possible
-     * and only costs one unnecessary selection.
+     * Returns whether an endpoint that is not in the subset might be selected as preferred. A false positive is
+     * possible and only costs one unnecessary selection.
      */
     boolean mayBePreferred(ServiceState service, Candidate candidate) {
         int target = budget.target(service);
@@ -110,7 +110,7 @@
      * @param limit maximum number of candidates from the relay's own zone, and likewise from other zones
      * @param after if not null, only endpoints after this position that are not in the subset are considered
      */
-    private Ranked first(ServiceState service, int limit, SearchPosition after) {
+    private RankedCandidates firstCandidates(ServiceState service, int limit, SearchPosition after) {
         PriorityQueue<Candidate> local = new PriorityQueue<>(Candidate.BY_RANK.reversed());
         PriorityQueue<Candidate> remote = new PriorityQueue<>(Candidate.BY_RANK.reversed());
         EndpointStore store = listed.store();
@@ -137,7 +137,7 @@
                 first.remove();
             }
         }
-        return new Ranked(sorted(local), sorted(remote));
+        return new RankedCandidates(sorted(local), sorted(remote));
     }
 
     private static List<Candidate> sorted(PriorityQueue<Candidate> candidates) {
--- a/src/main/java/gatelock/membership/EndpointBudget.java
+++ b/src/main/java/gatelock/membership/EndpointBudget.java
@@ -3,11 +3,11 @@
 import java.util.TreeSet;
 
 /**
- * Divides {@code maxEndpoints} slots among the services. If the slots do not cover the target of every service, the same
- * lower limit applies to each service, so that services with many endpoints are reduced first. The limit is lowered
- * immediately and raised only after the settle time. If there are more services than slots, each slot goes to a
- * different service: a service that has a slot keeps it, and free slots are assigned in the order of the relay's ranking
- * of the services.
+ * Divides {@code maxEndpoints} slots among the services. If the slots do not cover the target of every service, the
+ * same lower limit applies to each service, so that services with many endpoints are reduced first. The limit is
+ * lowered immediately and raised only after the settle time. If there are more services than slots, each slot goes to a
+ * different service: a service that has a slot keeps it, and free slots are assigned in the order of the relay's
+ * ranking of the services.
  */
 final class EndpointBudget {
     private static final int UNLIMITED = Integer.MAX_VALUE;
@@ -22,9 +22,9 @@
 
     /** When the limit may be raised; {@link SettleTimer#NEVER} if no raise is pending. */
     private long limitRaiseDueUs = SettleTimer.NEVER;
-    /** Services that wait for a slot; empty unless there are more services than slots. */
+    /** Services that wait for a slot; empty unless the per-service limit is 0. */
     private final TreeSet<ServiceState> servicesWaitingForSlot = new TreeSet<>();
-    /** Number of services that have a slot; 0 unless there are more services than slots. */
+    /** Number of services that have a slot; 0 unless the per-service limit is 0. */
     private int servicesWithSlot;
 
     /** Creates a budget for the listed services. */
@@ -43,7 +43,9 @@
         return Math.min(perServiceLimit, policy.target(listed.readyCount(service)));
     }
 
-    /** Returns how many ready endpoints of a service should be in the subset: its target, or all ready ones if fewer. */
+    /**
+     * Returns how many ready endpoints of a service should be in the subset: its target, or all ready ones if fewer.
+     */
     int wanted(ServiceState service) {
         return Math.min(target(service), listed.readyCount(service));
     }
@@ -59,8 +61,8 @@
     }
 
     /**
-     * Recomputes the needs of the dirty services, adjusts the limit and assigns free slots. Services that are affected are
-     * marked dirty.
+     * Recomputes the needs of the dirty services, adjusts the limit and assigns free slots. Services that are affected
+     * are marked dirty.
      */
     void update(long nowUs) {
         for (ServiceState service : listed.dirty()) {
--- a/src/main/java/gatelock/membership/EndpointStore.java
+++ b/src/main/java/gatelock/membership/EndpointStore.java
@@ -86,8 +86,8 @@
     /**
      * Stores an entry, replacing any entry of the same name, and returns its handle.
      *
-     * @throws IllegalArgumentException if the entry is too large or its name contains an unpaired surrogate; the store's
-     *     endpoints are not changed in that case
+     * @throws IllegalArgumentException if the entry is too large or its name contains an unpaired surrogate; the
+     *     store's endpoints are not changed in that case
      */
     int put(EndpointEntry entry) {
         byte[] name = RecordEncoder.utf8(entry.name());
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -15,10 +15,10 @@
  */
 public final class EndpointSubset {
     /**
-     * Default minimum for the mean number of relays that use an endpoint. Each relay sends its share of the traffic that
-     * an endpoint in slow start may receive and leaves a quarter of that share unused (rule 4). The endpoint that is used
-     * by the most relays is used by 1 + 3.5 / sqrt(mean) times the mean (docs/measurements/membership.md), which is 4/3
-     * for this value. If the mean is below one, some endpoints are not used by any relay.
+     * Default minimum for the mean number of relays that use an endpoint. Each relay sends its share of the traffic
+     * that an endpoint in slow start may receive and leaves a quarter of that share unused (rule 4). The endpoint that
+     * is used by the most relays is used by 1 + 3.5 / sqrt(mean) times the mean (docs/measurements/membership.md),
+     * which is 4/3 for this value. If the mean is below one, some endpoints are not used by any relay.
      */
     public static final int DEFAULT_MIN_HOLDERS = 110;
 
@@ -53,8 +53,9 @@
             if (maxEndpoints < 1 || minPerService < 1 || !fractionValid || remotePerService < 0 || settleUs < 0) {
                 throw new IllegalArgumentException(
                         "invalid subset policy: expected maxEndpoints >= 1, minPerService >= 1,"
-                                + " fraction from 0 to 1, remotePerService >= 0 and settleUs >= 0, got "
-                                + maxEndpoints + ", " + minPerService + ", " + fraction + ", " + remotePerService + ", "
+                                + " fraction from 0 to 1, remotePerService >= 0 and settleUs >= 0, got maxEndpoints="
+                                + maxEndpoints + ", minPerService=" + minPerService + ", fraction=" + fraction
+                                + ", remotePerService=" + remotePerService + ", settleUs="
                                 + settleUs);
             }
         }
@@ -64,7 +65,9 @@
             return Math.min(maxEndpoints, Math.max(minPerService, (int) Math.ceil(fraction * ready)));
         }
 
-        /** Returns how many endpoints of a target are in other zones; at least one is always in the relay's own zone. */
+        /**
+         * Returns how many endpoints of a target are in other zones; at least one is always in the relay's own zone.
+         */
         int remoteTarget(int target) {
             return Math.max(0, Math.min(remotePerService, target - 1));
         }
@@ -184,8 +187,8 @@
     }
 
     /**
-     * Adds endpoints in place of silent ones and removes endpoints that were unneeded for the settle time. Must be called
-     * regularly, for example every 250 ms.
+     * Adds endpoints in place of silent ones and removes endpoints that were unneeded for the settle time. Must be
+     * called regularly, for example every 250 ms.
      */
     public Change refresh(long nowUs) {
         reconciler.reconcile(nowUs);
@@ -217,7 +220,9 @@
         return budget.servicesWithoutPlace();
     }
 
-    /** Returns the smallest target of any service; less than the policy's minimum if {@code maxEndpoints} is too small. */
+    /**
+     * Returns the smallest target of any service; less than the policy's minimum if {@code maxEndpoints} is too small.
+     */
     int targetPerService() {
         return budget.targetPerService();
     }
--- a/src/main/java/gatelock/membership/EvictionQueue.java
+++ b/src/main/java/gatelock/membership/EvictionQueue.java
@@ -14,7 +14,10 @@
         NOT_NEEDED,
         /** The member is not ready but still listed. */
         DRAINING,
-        /** The member is silent and exceeds the number of endpoints that the service should have. */
+        /**
+         * The member exceeds the number of endpoints that the service should have, but is kept while there is room: it
+         * is a preferred endpoint, usually a silent one, or a replacement that has not answered yet.
+         */
         SILENT,
         /** The member must not be evicted. */
         NONE
--- a/src/main/java/gatelock/membership/ListApplier.java
+++ b/src/main/java/gatelock/membership/ListApplier.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Replaces all listed endpoints. Records no pending changes, because the decision engine is sent the complete subset
-     * after a full list.
+     * Replaces all listed endpoints. Records no pending changes, because the decision engine is sent the complete
+     * subset after a full list.
      */
     void applyFull(EndpointStore staged) {
         removeGone(staged);
--- a/src/main/java/gatelock/membership/PackedAddress.java
+++ b/src/main/java/gatelock/membership/PackedAddress.java
@@ -1,8 +1,9 @@
 package gatelock.membership;
 
 /**
- * Packs an IPv4 address and port into six bytes. The {@link EndpointStore} uses this form for every address that unpacks
- * to exactly the original text; any other address (a host name, IPv6, numbers with leading zeros) is kept as text.
+ * Packs an IPv4 address and port into six bytes. The {@link EndpointStore} uses this form for every address that
+ * unpacks to exactly the original text; any other address (a host name, IPv6, numbers with leading zeros) is kept as
+ * text.
  */
 final class PackedAddress {
     /** Size of a packed address. */
--- a/src/main/java/gatelock/membership/RecordEncoder.java
+++ b/src/main/java/gatelock/membership/RecordEncoder.java
@@ -19,8 +19,8 @@
     private int length;
 
     /**
-     * Returns the buffer, which holds the encoded record in its first {@link #length()} bytes. The content is valid until
-     * the next call of {@link #encode}.
+     * Returns the buffer, which holds the encoded record in its first {@link #length()} bytes. The content is valid
+     * until the next call of {@link #encode}.
      */
     byte[] buffer() {
         return buffer;
@@ -65,8 +65,8 @@
     /**
      * Encodes an endpoint's name as UTF-8.
      *
-     * @throws IllegalArgumentException if the name has an unpaired surrogate: two such names could be encoded as the same
-     *     bytes, so that one endpoint would replace the other
+     * @throws IllegalArgumentException if the name has an unpaired surrogate: two such names could be encoded as the
+     *     same bytes, so that one endpoint would replace the other
      */
     static byte[] utf8(String name) {
         byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/gatelock/membership/RendezvousRanking.java
+++ b/src/main/java/gatelock/membership/RendezvousRanking.java
@@ -6,9 +6,9 @@
 
 /**
  * Rendezvous (highest random weight) hashing: each relay ranks all endpoints by a hash of the endpoint's name and the
- * relay's number, and uses the first ones. Adding or removing an endpoint does not change the order of the others, and a
- * relay's ranking does not depend on the number of relays. The hash is 64-bit XXH3. The alternatives and measurements are
- * in docs/design/membership.md.
+ * relay's number, and uses the first ones. Adding or removing an endpoint does not change the order of the others, and
+ * a relay's ranking does not depend on the number of relays. The hash is 64-bit XXH3. The alternatives and measurements
+ * are in docs/design/membership.md.
  */
 class RendezvousRanking {
     private static final Hasher64 HASHER = Hashing.xxh3_64();
--- a/src/main/java/gatelock/membership/ServiceState.java
+++ b/src/main/java/gatelock/membership/ServiceState.java
@@ -12,13 +12,13 @@
     /** The position that the search for replacements of silent endpoints has reached in the ranking. */
     final SearchPosition search = new SearchPosition();
     /**
-     * Whether the search for replacements reached the end of the ranking. It is not repeated while at least one member is
-     * usable.
+     * Whether the search for replacements reached the end of the ranking. It is not repeated while at least one member
+     * is usable.
      */
     boolean searchExhausted;
     /** How many endpoints the service would have in the subset if {@code maxEndpoints} sufficed for all services. */
     int need;
-    /** Whether the service has a slot; always false unless there are more services than slots. */
+    /** Whether the service has been assigned a slot; only used while there are more services than slots. */
     boolean hasSlot;
     /** Whether the preferred endpoints have to be selected again. */
     boolean needsSelection = true;
--- a/src/main/java/gatelock/membership/ServiceTable.java
+++ b/src/main/java/gatelock/membership/ServiceTable.java
@@ -19,8 +19,8 @@
         int endpointCount;
         int readyCount;
 
-        EndpointList(String name) {
-            this.service = name;
+        EndpointList(String service) {
+            this.service = service;
         }
     }
 
--- a/src/main/java/gatelock/membership/SilentEndpointReplacer.java
+++ b/src/main/java/gatelock/membership/SilentEndpointReplacer.java
@@ -68,7 +68,7 @@
     private List<Candidate> nextCandidates(ServiceState service, int count) {
         boolean localFirst = service.members.isEmpty()
                 || service.members.stream().anyMatch(member -> member.isLocal() && member.isUsable());
-        CandidateSelector.Ranked ranked = selector.next(service, count);
+        CandidateSelector.RankedCandidates ranked = selector.nextCandidates(service, count);
         List<Candidate> next = new ArrayList<>(localFirst ? ranked.local() : ranked.remote());
         next.addAll(localFirst ? ranked.remote() : ranked.local());
         return next.subList(0, Math.min(count, next.size()));
--- a/src/main/java/gatelock/membership/SubsetMember.java
+++ b/src/main/java/gatelock/membership/SubsetMember.java
@@ -4,7 +4,9 @@
 
 /** An endpoint in the subset, which the decision engine may use. Members are ordered by the relay's ranking. */
 final class SubsetMember implements Comparable<SubsetMember> {
-    /** An endpoint counts as silent after this many consecutive unanswered attempts; a single one may be due to load. */
+    /**
+     * An endpoint counts as silent after this many consecutive unanswered attempts; a single one may be due to load.
+     */
     private static final int SILENCE_THRESHOLD = 2;
 
     private final ServiceState service;
@@ -34,9 +36,9 @@
         this.entry = entry;
         this.local = candidate.local();
         this.preferred = preferred;
-        // A preferred endpoint that was evicted while it was silent must answer before it counts as usable. Otherwise
-        // its
-        // return would cause the removal of an endpoint that answers, even if the preferred one is still silent.
+        // A preferred endpoint that was evicted while it was silent must answer before it counts as usable.
+        // Otherwise its return would cause the removal of an endpoint that answers, even if the preferred one is still
+        // silent.
         consecutiveUnanswered = preferred && service.preferredPresumedSilent ? SILENCE_THRESHOLD : 0;
         unproven = !preferred || service.isReplacing();
     }
--- a/src/main/java/gatelock/membership/SubsetMembers.java
+++ b/src/main/java/gatelock/membership/SubsetMembers.java
@@ -80,8 +80,7 @@
         removeWithoutNotification(member);
         changes.add(lastEntry);
         if (!member.service().hasUsableMember()) {
-            // No usable member is left. The search for replacements may resume, as the removed endpoint may answer
-            // again.
+            // No usable member is left: the search for replacements may resume, as the removed one may answer again.
             listed.markChanged(member.service());
         }
     }
--- a/src/main/java/gatelock/membership/SubsetReconciler.java
+++ b/src/main/java/gatelock/membership/SubsetReconciler.java
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Returns whether every preferred member is usable and proven. A preferred endpoint that was just added again may still
-     * be silent, so it has to answer first.
+     * Returns whether every preferred member is usable and proven. A preferred endpoint that was just added again may
+     * still be silent, so it has to answer first.
      */
     private static boolean allPreferredAnswered(ServiceState service) {
         for (SubsetMember member : service.members) {
--- a/src/main/java/gatelock/session/CloseCodes.java
+++ b/src/main/java/gatelock/session/CloseCodes.java
@@ -17,8 +17,8 @@
     }
 
     /**
-     * Returns the code with which a received close frame is answered: the received code if it may be sent, {@link #NORMAL}
-     * if the frame had none, and {@link #PROTOCOL_ERROR} otherwise.
+     * Returns the code with which a received close frame is answered: the received code if it may be sent,
+     * {@link #NORMAL} if the frame had none, and {@link #PROTOCOL_ERROR} otherwise.
      */
     static int replyTo(int code) {
         if (isSendable(code)) {
--- a/src/main/java/gatelock/session/DrainQueue.java
+++ b/src/main/java/gatelock/session/DrainQueue.java
@@ -6,9 +6,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Sessions that are to be closed because their endpoint is draining or the relay is shutting down, in the order in which
- * they were added. They are closed at the rate at which the remaining endpoints can open sessions, so that reconnecting
- * clients do not overload these, and at their deadline at the latest.
+ * Sessions that are to be closed because their endpoint is draining or the relay is shutting down, in the order in
+ * which they were added. They are closed at the rate at which the remaining endpoints can open sessions, so that
+ * reconnecting clients do not overload those endpoints, and at their deadline at the latest.
  */
 final class DrainQueue {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -87,8 +87,8 @@
     }
 
     /**
-     * Returns whether a session is closed regardless of the budget. This is the case if its deadline has passed. During a
-     * shutdown whose queue cannot be emptied in time at the permitted rate, it is also decided at random, so that the
+     * Returns whether a session is closed regardless of the budget. This is the case if its deadline has passed. During
+     * a shutdown whose queue cannot be emptied in time at the permitted rate, it is also decided at random, so that the
      * closes are spread over the remaining time.
      */
     private boolean mustCloseNow(Entry entry, long nowUs, double closesPerUs, boolean relayShuttingDown) {
@@ -102,7 +102,9 @@
                 && random.nextDouble() < (double) SHUTDOWN_SPREAD_US / Math.max(SHUTDOWN_SPREAD_US, leftUs);
     }
 
-    /** Returns a random reconnect delay, so that clients whose sessions are closed together do not reconnect together. */
+    /**
+     * Returns a random reconnect delay, so that clients whose sessions are closed together do not reconnect together.
+     */
     static long reconnectDelayMs(RandomGenerator random) {
         return 50 + random.nextLong(950);
     }
--- a/src/main/java/gatelock/session/SessionRegistry.java
+++ b/src/main/java/gatelock/session/SessionRegistry.java
@@ -161,8 +161,8 @@
     }
 
     /**
-     * Closes the drained sessions whose turn has come and removes the finished sessions. Must be called at least ten times
-     * a second.
+     * Closes the drained sessions whose turn has come and removes the finished sessions. Must be called at least ten
+     * times a second.
      */
     public void closeDue(long nowUs) {
         long readyEndpoints = endpoints.values().stream()
--- a/src/main/java/gatelock/session/WebSocketSession.java
+++ b/src/main/java/gatelock/session/WebSocketSession.java
@@ -5,8 +5,8 @@
 
 /**
  * The state machine of one session between a client and an endpoint. Whatever ends the session and in whatever order
- * events arrive, each side that is still connected is sent exactly one close frame. A side that does not answer it within
- * {@link #CLOSE_TIMEOUT_US} is disconnected.
+ * events arrive, each side that is still connected is sent exactly one close frame. A side that does not answer it
+ * within {@link #CLOSE_TIMEOUT_US} is disconnected.
  */
 public final class WebSocketSession {
     /** How long a side may take to answer a close frame. */
@@ -70,7 +70,8 @@
     /**
      * Ends the session on behalf of the relay. Has no effect if it has already ended.
      *
-     * @param reconnectAfterMs after how long the client may reconnect, which is appended to the reason text; 0 to omit it
+     * @param reconnectAfterMs after how long the client may reconnect, which is appended to the reason text; 0 to omit
+     *     it
      */
     public void end(long nowUs, CloseReason reason, long reconnectAfterMs) {
         if (closeReason != null) {
@@ -84,8 +85,8 @@
     }
 
     /**
-     * Handles a close frame from a side. The first one ends the session, is answered and is forwarded to the other side; a
-     * later one is the answer to the close frame that was sent. In both cases the side is disconnected.
+     * Handles a close frame from a side. The first one ends the session, is answered and is forwarded to the other
+     * side; a later one is the answer to the close frame that was sent. In both cases the side is disconnected.
      */
     public void closeReceived(long nowUs, SessionSide side, int code, String reason) {
         if (closeReason == null) {
--- a/src/main/java/gatelock/websocket/MessageReader.java
+++ b/src/main/java/gatelock/websocket/MessageReader.java
@@ -7,8 +7,8 @@
 import org.xnio.ChannelListener;
 
 /**
- * Reads one message with all of its fragments. A message that is too big is read to its end and discarded. Undertow's own
- * reader would close the connection with unread data, which causes a TCP reset before the peer can read the close
+ * Reads one message with all of its fragments. A message that is too big is read to its end and discarded. Undertow's
+ * own reader would close the connection with unread data, which causes a TCP reset before the peer can read the close
  * frame.
  */
 final class MessageReader implements ChannelListener<StreamSourceFrameChannel> {
--- a/src/main/java/gatelock/websocket/SessionOpening.java
+++ b/src/main/java/gatelock/websocket/SessionOpening.java
@@ -53,7 +53,9 @@
         context.counters().increment("sessions opened");
     }
 
-    /** Answers the client's handshake and connects the two sides. Called once the handshake with an endpoint succeeded. */
+    /**
+     * Answers the client's handshake and connects the two sides. Called once the handshake with an endpoint succeeded.
+     */
     void answerClient(HttpServerExchange exchange) {
         Set<String> subprotocols = opened.subprotocol() == null ? Set.of() : Set.of(opened.subprotocol());
         Handshake handshake = new Hybi13Handshake(subprotocols, false);
--- a/src/main/java/gatelock/websocket/SessionPeer.java
+++ b/src/main/java/gatelock/websocket/SessionPeer.java
@@ -21,8 +21,8 @@
 import org.xnio.IoUtils;
 
 /**
- * The connection to one side of a session. It reads one message at a time: the next message is read only after the current
- * one was written to the other side, so that a slow reader delays only its own peer.
+ * The connection to one side of a session. It reads one message at a time: the next message is read only after the
+ * current one was written to the other side, so that a slow reader delays only its own peer.
  */
 final class SessionPeer extends AbstractReceiveListener implements MessageReader.Handler {
     private static final System.Logger LOG = System.getLogger("gatelock.websocket");
@@ -243,9 +243,9 @@
     }
 
     /**
-     * Handles a failure reported by Undertow. Undertow reports protocol violations as a {@link WebSocketException} or as a
-     * plain exception whose message begins with one of Undertow's message codes ("UT002..."). All other exceptions are
-     * connection failures.
+     * Handles a failure reported by Undertow. Undertow reports protocol violations as a {@link WebSocketException} or
+     * as a plain exception whose message begins with one of Undertow's message codes ("UT002..."). All other exceptions
+     * are connection failures.
      */
     @Override
     protected void onError(WebSocketChannel from, Throwable failure) {
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -145,7 +145,9 @@
         }
     }
 
-    /** Forwards a client's message once the decision engine admits it. Until then nothing more is read from the client. */
+    /**
+     * Forwards a client's message once the decision engine admits it. Until then nothing more is read from the client.
+     */
     private void forwardToEndpoint(boolean text, byte[] message, long receivedUs, boolean firstCheck) {
         if (!session.isOpen()) {
             return;
--- a/src/test/java/gatelock/session/SessionTest.java
+++ b/src/test/java/gatelock/session/SessionTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against sessions that are closed twice, not closed at all or closed too late. Events of a session may arrive in
- * any order, and drains, rollbacks and shutdowns close many sessions at a time.
+ * Guards against sessions that are closed twice, not closed at all or closed too late. Events of a session may arrive
+ * in any order, and drains, rollbacks and shutdowns close many sessions at a time.
  */
 final class SessionTest {
     private static final long SECOND_US = 1_000_000;
