--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -12,14 +12,14 @@
 import java.util.TreeMap;
 
 /**
- * Applies the active configuration version to requests: their route, their limits, the endpoints they may reach and the
- * retries they may have. A request is finished under the version that matched it; what limits and retry budgets have
- * counted carries over from version to version. Used by one thread.
+ * Applies the active configuration version to requests: it determines a request's route, its limits, the endpoints it
+ * may be sent to and the retries it may have. A request completes under the version that matched it. The counts of
+ * limits and retry budgets carry over from one version to the next. Not thread-safe: all calls come from one thread.
  */
 public final class Admission {
-    /** The status for a path that an endpoint may read as another path. */
+    /** The HTTP status for a path that an endpoint may interpret as a different path. */
     private static final int BAD_REQUEST = 400;
-    /** The status for a request without a route, if the version rejects such requests. */
+    /** The HTTP status for a request that matches no route, if the active version rejects such requests. */
     private static final int NOT_FOUND = 404;
 
     private final RequestLimiter limiter = new RequestLimiter();
@@ -32,13 +32,14 @@
     /**
      * Creates an admission without an active version.
      *
-     * @param maxDroppedShare of the ready endpoints that routes reach, the share that one version may stop using
+     * @param maxDroppedShare the largest share of the ready endpoints reachable through routes that a single new version
+     *     may make unreachable
      */
     public Admission(double maxDroppedShare) {
         changeGuard = new ConfigChangeGuard(maxDroppedShare);
     }
 
-    /** The route that a request matches, with the version in which it was found. */
+    /** The route that a request matches, together with the configuration version that defines it. */
     public static final class MatchedRoute {
         private final CompiledConfig config;
         private final RouteEntry route;
@@ -58,21 +59,21 @@
             return route.name();
         }
 
-        /** Returns the terms of WebSocket sessions on the route, or null if it has none. */
+        /** Returns the policy for WebSocket sessions on the route, or null if the route does not accept any. */
         public SessionPolicy sessionPolicy() {
             return route.sessionPolicy();
         }
     }
 
-    /** A request under the version that matched it: its place in the limits, and the constraints on its attempts. */
+    /** A request bound to the version that matched it: its hold on the limits, and the constraints on its attempts. */
     public final class RoutedRequest implements RequestConstraints {
         private final MatchedRoute matched;
-        /** The pool that serves the request, chosen when it came; null: all endpoints. */
+        /** The pool that serves the request, chosen on arrival; null if all endpoints may serve it. */
         private final String pool;
 
         private final RetryPolicy retryPolicy;
         private final RetryBudget retryBudget;
-        /** Set once, by {@link Admission#admit}. */
+        /** The outcome of admission, set once by {@link Admission#admit}. */
         private RequestLimiter.Decision decision;
 
         private RoutedRequest(long nowUs, MatchedRoute matched) {
@@ -84,17 +85,17 @@
             retryBudget.recordRequest(nowUs);
         }
 
-        /** Whether the request was shed at once; {@link #retryAfterUs} says when it may come back. */
+        /** Returns whether the request was shed immediately; {@link #retryAfterUs} then tells when it may be retried. */
         public boolean isShed() {
             return decision.outcome() == RequestLimiter.Outcome.SHED;
         }
 
-        /** Returns after how long a request that was shed may come back, in microseconds; otherwise 0. */
+        /** Returns after how many microseconds a request that was shed may be retried, or 0 if it was not shed. */
         public long retryAfterUs() {
             return decision.retryAfterUs();
         }
 
-        /** Whether the request waits in the queue of a limit. */
+        /** Returns whether the request is waiting in the queue of a limit. */
         public boolean isQueued() {
             return decision.ticket() != null && decision.ticket().isQueued();
         }
@@ -109,7 +110,7 @@
             return matched.config.version();
         }
 
-        /** Frees the request's part of its limits, as it is answered or its client left. */
+        /** Releases the request's hold on its limits, once it is answered or its client has disconnected. */
         public void release(long nowUs) {
             if (decision.ticket() != null) {
                 decision.ticket().release(nowUs);
@@ -117,8 +118,8 @@
         }
 
         /**
-         * Whether the endpoint belongs to the pool that was chosen when the request came. That pool stays, although it
-         * may by now have given way to its fallback, or be missing in the active version.
+         * Returns whether the endpoint belongs to the pool that was chosen when the request arrived. The request keeps
+         * that pool even if the pool's fallback has since taken over, or the active version no longer defines the pool.
          */
         @Override
         public boolean allowsEndpoint(String endpoint) {
@@ -147,20 +148,21 @@
         }
     }
 
-    /** Returns the active version, or null before there was one. */
+    /** Returns the active version, or null if none has been activated yet. */
     public CompiledConfig activeConfig() {
         return active;
     }
 
-    /** Returns the route that a request matches in the active version, or null if there is none. */
+    /** Returns the route of the active version that matches a request, or null if there is none. */
     public MatchedRoute matchRoute(RequestAttributes request) {
         RouteEntry route = active == null ? null : active.findRoute(request);
         return route == null ? null : new MatchedRoute(active, route);
     }
 
     /**
-     * Returns the status with which a request is rejected whatever its class, or 0: 400 for a path that an endpoint may
-     * read as another one, 404 for a request that matches no route if the version rejects such. Needs an active version.
+     * Returns the HTTP status with which a request is rejected regardless of its class, or 0 if it is not rejected: 400
+     * for a path that an endpoint may interpret as a different path, and 404 for a request that matches no route if the
+     * version rejects such requests. Must only be called when there is an active version.
      *
      * @param request the request
      * @param matched what {@link #matchRoute} returned for it
@@ -176,14 +178,14 @@
     }
 
     /**
-     * Submits a complete request to its limits: it is admitted, waits or is shed at once. Another version may have
-     * become active since it was matched; it goes on under the one by which it was matched.
+     * Submits a completely received request to its limits: it is admitted, queued or shed immediately. If another
+     * version has become active since the request was matched, the request continues under the version that matched it.
      *
      * @param nowUs the current time
      * @param matched the request's route
-     * @param tenant index of its tenant
-     * @param deadlineUs its deadline
-     * @param request is notified of the outcome if the request waits
+     * @param tenant index of the request's tenant
+     * @param deadlineUs the request's deadline
+     * @param request receives the outcome if the request is queued
      */
     public RoutedRequest admit(long nowUs, MatchedRoute matched, int tenant, long deadlineUs, QueuedRequest request) {
         changeGuard.recordRequest(nowUs, matched.route.name());
@@ -193,7 +195,10 @@
         return routed;
     }
 
-    /** A limit applies with the active version's figures, also to a request that an earlier version matched. */
+    /**
+     * Returns the limits of a matched route with the values of the active version, which also apply to a request that an
+     * earlier version matched. A limit that the active version does not have, or has with another scope, keeps its values.
+     */
     private List<LimitPolicy> currentLimits(MatchedRoute matched) {
         if (matched.config == active) {
             return matched.route.limits();
@@ -207,48 +212,51 @@
         return limits;
     }
 
-    /** Admits and sheds requests that wait for their limits; to be called at {@link #nextDueUs}. */
+    /** Admits or sheds queued requests whose turn or time limit has come; must be called at {@link #nextDueUs}. */
     public void processQueues(long nowUs) {
         limiter.processQueues(nowUs);
     }
 
-    /** Returns when {@link #processQueues} is to be called next, or {@code Long.MAX_VALUE} if nothing waits. */
+    /** Returns when {@link #processQueues} must be called next, or {@code Long.MAX_VALUE} if no request is queued. */
     public long nextDueUs(long nowUs) {
         return limiter.nextDueUs(nowUs);
     }
 
     /**
-     * Applies the endpoint list or a change of it to the pools.
+     * Applies a complete endpoint list, or a change to the current list, to the pools.
      *
      * @param nowUs the current time
-     * @param form whether {@code entries} is the list or a change
-     * @param entries endpoints
-     * @param labels labels of the endpoints that have any, by endpoint name
+     * @param updateType whether {@code endpoints} is a complete list or a change
+     * @param endpoints the listed or changed endpoints
+     * @param labels the labels of each endpoint that has labels, by endpoint name
      */
     public void updateEndpoints(
             long nowUs,
-            DecisionEngine.EndpointUpdateType form,
-            List<Endpoint> entries,
+            DecisionEngine.EndpointUpdateType updateType,
+            List<Endpoint> endpoints,
             Map<String, Map<String, String>> labels) {
-        membership.updateEndpoints(nowUs, form, entries, labels);
+        membership.updateEndpoints(nowUs, updateType, endpoints, labels);
     }
 
-    /** Returns errors for what makes a version that is correct by itself a danger beside the active one. */
+    /** Returns an error for each reason why replacing the active version with a valid one would be dangerous. */
     public List<Diagnostic> checkAgainstActive(long nowUs, CompiledConfig next) {
         return active == null ? List.of() : changeGuard.check(nowUs, active, next, membership);
     }
 
-    /** Makes a version active. */
+    /** Makes a version the active one. */
     public void activate(long nowUs, CompiledConfig next) {
         active = next;
         membership.activate(nowUs, next);
         limiter.applyPolicies(nowUs, next.limits());
         changeGuard.activate(next);
-        // Requests of earlier versions keep their reference to a budget that is dropped here.
+        // Requests matched by earlier versions still hold references to the budgets removed here.
         retryBudgets.keySet().retainAll(next.retryPolicyNames());
     }
 
-    /** Returns figures for the operator's status: what waits, what is in flight by limit, and which pools serve. */
+    /**
+     * Returns the values for the operator's status document: the numbers of queued requests, limit buckets and unmatched
+     * requests, the requests in flight by limit, and for each pool its ready endpoints and the pool that serves for it.
+     */
     public Map<String, Object> state(long nowUs) {
         Map<String, Object> state = new LinkedHashMap<>();
         state.put("waiting", limiter.queuedCount());
--- a/src/main/java/gatelock/config/Backoff.java
+++ b/src/main/java/gatelock/config/Backoff.java
@@ -3,11 +3,11 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Exponential backoff with full jitter: each delay is drawn uniformly between nothing and a bound that doubles with each
- * failure. The jitter keeps many relays that lost the same control service from coming back to it at the same moment.
+ * Exponential backoff with full jitter: each delay is drawn uniformly between zero and a bound that doubles with each
+ * failure. The jitter keeps many relays that lost the same control service from reconnecting at the same moment.
  */
 public final class Backoff {
-    /** Bounds the shift of the doubling, which a long row of failures would otherwise overflow. */
+    /** Bounds the left shift that doubles the delay, which would otherwise overflow after many failures in a row. */
     private static final int MAX_DOUBLINGS = 30;
 
     private final long initialBoundUs;
@@ -28,14 +28,14 @@
         this.random = random;
     }
 
-    /** Counts one more failure and draws the delay before the next attempt, in microseconds; at least 1. */
+    /** Records a failure and returns a random delay before the next attempt, in microseconds and at least 1. */
     public long nextDelayUs() {
         long boundUs = Math.min(maxBoundUs, initialBoundUs << Math.min(consecutiveFailures, MAX_DOUBLINGS));
         consecutiveFailures++;
         return random.nextLong(Math.max(1, boundUs)) + 1;
     }
 
-    /** Forgets the failures after a success. */
+    /** Resets the failure count after a success. */
     public void reset() {
         consecutiveFailures = 0;
     }
--- a/src/main/java/gatelock/config/CompiledConfig.java
+++ b/src/main/java/gatelock/config/CompiledConfig.java
@@ -11,7 +11,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A version compiled for use. Immutable: a request is finished under the version that matched it. */
+/**
+ * A configuration version compiled for use on requests. Immutable, because a request completes under the version that
+ * matched it even after another version has become active.
+ */
 public final class CompiledConfig {
     private final ConfigVersion version;
     private final String author;
@@ -26,11 +29,11 @@
     private final Map<String, LimitPolicy> limits;
     private final Collection<String> removedRoutes;
     private final Map<String, List<String>> fallbackChains = new HashMap<>();
-    /** The distinct selection criteria of all pools; many pools may share one. */
+    /** The distinct selection criteria of all pools; pools with the same criteria share one entry. */
     private final List<Pool> selectors = new ArrayList<>();
 
     private final Map<String, Integer> selectorIndexByPool = new HashMap<>();
-    /** The selectors of pools that some route reaches. */
+    /** The selection criteria of the pools that at least one route reaches, directly or by fallback. */
     private final List<Pool> reachableSelectors = new ArrayList<>();
 
     private final boolean reachesAllEndpoints;
@@ -104,12 +107,12 @@
         reachableIndices.forEach(index -> reachableSelectors.add(selectors.get(index)));
     }
 
-    /** Returns which version this is. */
+    /** Returns the identity of this version. */
     public ConfigVersion version() {
         return version;
     }
 
-    /** Returns the author that the version names, or an empty string. */
+    /** Returns the author named in the version's text, or an empty string. */
     public String author() {
         return author;
     }
@@ -119,22 +122,22 @@
         return note;
     }
 
-    /** Returns the number of routes, without abstract ones. */
+    /** Returns the number of routes, not counting abstract routes. */
     public int routeCount() {
         return routes.size();
     }
 
-    /** Whether requests that match no route are answered 404; otherwise they are routed by their class. */
+    /** Returns whether requests that match no route are answered with 404; otherwise their class determines the routing. */
     boolean rejectsUnmatched() {
         return rejectsUnmatched;
     }
 
-    /** Returns the first route that matches a request, or null. */
+    /** Returns the first route that matches a request, or null if there is none. */
     RouteEntry findRoute(RequestAttributes request) {
         return routeTable.findFirst(request);
     }
 
-    /** Returns at most that many routes whose path is a prefix of this one. */
+    /** Returns up to {@code maxRoutes} routes whose path is a prefix of {@code path}. */
     List<RouteEntry> routesAlongPath(List<String> path, int maxRoutes) {
         List<RouteEntry> found = new ArrayList<>();
         routeTable.findFirstAlongPath(path, (position, match) -> {
@@ -144,26 +147,29 @@
         return found;
     }
 
+    /** Returns the routes by name, in their order in the version. */
     Map<String, RouteEntry> routesByName() {
         return routesByName;
     }
 
+    /** Returns the pools by name. */
     Map<String, Pool> pools() {
         return pools;
     }
 
+    /** Returns the limits by name. */
     Map<String, LimitPolicy> limits() {
         return limits;
     }
 
-    /** Returns the names of the routes that the version says it removes on purpose. */
+    /** Returns the names of the routes that the version declares as intentionally removed. */
     Collection<String> removedRoutes() {
         return removedRoutes;
     }
 
     /**
-     * Returns the retry policy for requests of a route while that pool serves them: the route's own, or else the
-     * pool's, or else the default.
+     * Returns the retry policy for requests of a route that the given pool serves: the route's policy if it has one,
+     * otherwise the pool's, otherwise the default.
      */
     RetryPolicy retryPolicy(RouteEntry route, String pool) {
         return route.retryPolicy() != null
@@ -171,7 +177,7 @@
                 : poolRetryPolicies.getOrDefault(pool, defaultRetryPolicy);
     }
 
-    /** Returns the distinct selection criteria of all pools, see {@link Pool#selector()}. */
+    /** Returns the distinct selection criteria of all pools, as returned by {@link Pool#selector()}. */
     List<Pool> selectors() {
         return selectors;
     }
@@ -181,18 +187,18 @@
         return selectorIndexByPool.get(pool.name());
     }
 
-    /** Whether some request can reach endpoints with these properties. */
+    /** Returns whether any request can reach endpoints with these properties. */
     boolean reaches(int zone, int kind, Map<String, String> labels) {
         return reachesAllEndpoints
                 || reachableSelectors.stream().anyMatch(selector -> selector.selects(zone, kind, labels));
     }
 
-    /** Returns the names of all retry policies that some request can have. */
+    /** Returns the names of all retry policies that can apply to a request. */
     Set<String> retryPolicyNames() {
         return retryPolicyNames;
     }
 
-    /** Returns a pool and its fallbacks, in order; an empty list for null, which stands for all endpoints. */
+    /** Returns a pool followed by its fallbacks in order; null, which means all endpoints, gives an empty list. */
     List<String> fallbackChain(String pool) {
         return pool == null ? List.of() : fallbackChains.get(pool);
     }
--- a/src/main/java/gatelock/config/ConfigChangeGuard.java
+++ b/src/main/java/gatelock/config/ConfigChangeGuard.java
@@ -7,40 +7,49 @@
 import java.util.TreeMap;
 
 /**
- * Checks a version that is correct by itself against the active one. Guards against a version made from an outdated or
- * truncated copy, which is the most likely fault of a configuration that is well formed. Should hold whatever was lost;
- * harms an operator who means it, who lists the routes under {@code removes} or changes the pools in several steps.
+ * Compares a valid version with the active one and rejects changes that drop too much. Guards against a version made
+ * from an outdated or truncated copy, which is the most likely fault of a well-formed configuration, and detects the loss
+ * whichever part was lost. It also rejects the same change when an operator intends it; the operator must then list the
+ * routes under {@code removes}, or change the pools in several steps.
  */
 final class ConfigChangeGuard {
-    /** How long the requests of a route are remembered. */
+    /** The time constant with which the request count of a route decays. */
     private static final double TRAFFIC_TIME_CONSTANT_US = 60e6;
-    /** The decayed count from which a route has traffic: about one request in the last minute. */
+    /** A route has traffic if its decayed request count is at least this; about one request in the last minute. */
     private static final double MIN_TRAFFIC = 0.3;
 
     private final double maxDroppedShare;
-    /** By route; bounded by the routes of the active version and those that were matched under the one before it. */
+    /**
+     * Decaying request counts by route name. Its size is bounded by the routes of the active version and of the version
+     * before it, whose requests may be recorded after the change.
+     */
     private final Map<String, DecayingCounter> trafficByRoute = new HashMap<>();
 
-    /** Creates a guard; {@code maxDroppedShare} of the reached ready endpoints is what one version may stop using. */
+    /**
+     * Creates a guard.
+     *
+     * @param maxDroppedShare the largest share of the reachable ready endpoints that one new version may make unreachable
+     */
     ConfigChangeGuard(double maxDroppedShare) {
         this.maxDroppedShare = maxDroppedShare;
     }
 
+    /** Counts a request of a route. */
     void recordRequest(long nowUs, String route) {
         trafficByRoute
                 .computeIfAbsent(route, name -> new DecayingCounter(TRAFFIC_TIME_CONSTANT_US))
                 .increment(nowUs);
     }
 
-    /** Forgets the traffic of routes that the newly active version does not have. */
+    /** Discards the request counts of routes that the newly active version does not define. */
     void activate(CompiledConfig config) {
         trafficByRoute.keySet().removeIf(name -> !config.routesByName().containsKey(name));
     }
 
-    /** Returns an error for each danger of replacing the active version by the next one. */
+    /** Returns an error for each reason why replacing the active version with the next one would be dangerous. */
     List<Diagnostic> check(long nowUs, CompiledConfig active, CompiledConfig next, PoolMembership membership) {
         List<Diagnostic> findings = new ArrayList<>();
-        // Sorted, so that findings come in a fixed order.
+        // Sorted by route name, so that the findings have a fixed order.
         new TreeMap<>(trafficByRoute).forEach((route, traffic) -> {
             if (isDropped(route, active, next) && traffic.read(nowUs) >= MIN_TRAFFIC) {
                 findings.add(Diagnostic.newError(
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -14,11 +14,11 @@
 import java.util.TreeMap;
 
 /**
- * Compiles the text of a version to a {@link CompiledConfig}, or reports everything that is wrong with it. Stateless; may
+ * Compiles the text of a configuration version to a {@link CompiledConfig}, or reports the errors in it. Stateless; may
  * run on any thread.
  */
 public final class ConfigCompiler {
-    /** How many findings are reported; beyond that only their number is. */
+    /** The maximum number of findings to report; further findings are only counted. */
     private static final int MAX_REPORTED_FINDINGS = 200;
 
     private static final double US_PER_S = 1e6;
@@ -26,7 +26,7 @@
 
     private final DeploymentContext deployment;
 
-    /** Creates a compiler of versions for that deployment. */
+    /** Creates a compiler that checks and compiles versions for the given deployment. */
     public ConfigCompiler(DeploymentContext deployment) {
         this.deployment = deployment;
     }
@@ -38,24 +38,24 @@
      * @param findings errors and warnings, with their locations
      */
     public record Result(CompiledConfig config, List<Diagnostic> findings) {
-        /** Whether the version compiled. */
+        /** Returns whether the version compiled without errors. */
         public boolean isValid() {
             return config != null;
         }
     }
 
-    /** The result for a version on which the compiler itself failed. */
+    /** The result for a version on which the compiler itself failed with an exception. */
     public static final Result FAILED = new Result(
             null,
             List.of(Diagnostic.newError(
                     "G-INTERNAL", "", "the checker failed on it", "report it with the text and the log")));
 
     /**
-     * Parses, checks and compiles a text.
+     * Parses, validates and compiles the text of a version.
      *
      * @param epoch epoch of the version
      * @param number number of the version
-     * @param text UTF-8
+     * @param text the version's text in UTF-8
      */
     public Result compile(ConfigVersion.Epoch epoch, long number, byte[] text) {
         List<Diagnostic> findings = new ArrayList<>();
@@ -155,7 +155,7 @@
                 (long) (queue.path("waitMs").asDouble(0) * US_PER_MS));
     }
 
-    /** Compiles the definition of a retry policy, which must satisfy the schema. */
+    /** Compiles the definition of a retry policy; {@code node} must satisfy the schema. */
     static RetryPolicy retryPolicy(String name, JsonNode node) {
         Set<AttemptResult> retryable = EnumSet.of(AttemptResult.NOT_SENT);
         if (node.has("after")) {
@@ -172,7 +172,7 @@
                 node.path("budget").asDouble(1));
     }
 
-    /** Returns the result that a word under {@code after} stands for. */
+    /** Returns the attempt result that a value of the field {@code after} names. */
     private static AttemptResult attemptResult(String word) {
         return switch (word) {
             case "turned-away" -> AttemptResult.TURNED_AWAY;
@@ -181,7 +181,7 @@
             case "timed-out" -> AttemptResult.TIMED_OUT;
             case "broken-off" -> AttemptResult.BROKEN_OFF;
             case "cancelled" -> AttemptResult.CANCELLED;
-            default -> throw new IllegalArgumentException("the schema allows no attempt result " + word);
+            default -> throw new IllegalArgumentException("attempt result not allowed by the schema: " + word);
         };
     }
 
@@ -199,7 +199,7 @@
                 node.path("leastShare").asDouble(0));
     }
 
-    /** Returns the indices of the names; -1, which is no endpoint's, for a name that the deployment does not have. */
+    /** Returns the indices of the names; an unknown name gets the index -1, which no endpoint has. */
     private static Set<Integer> indices(JsonNode names, List<String> known) {
         Set<Integer> indices = new HashSet<>();
         names.forEach(name -> indices.add(known.indexOf(name.asText())));
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -9,14 +9,14 @@
 import java.util.TreeSet;
 
 /**
- * Compares two versions by what they mean for requests, not by their text: moving text about without changing its
- * meaning is no difference. For the command {@code gatelock diff}, whose output these texts are.
+ * Compares two versions by their effect on requests, not by their text: reordering or reformatting the text without
+ * changing its meaning is not a difference. The command {@code gatelock diff} prints the result.
  */
 public final class ConfigDiff {
     private static final int MAX_DIFFERENCES = 1_000;
-    /** How many routes on the path of one route are compared with it for a change of order. */
+    /** The maximum number of routes along the path of one route that are compared with it for a change of order. */
     private static final int MAX_ROUTES_ALONG_PATH = 50;
-    /** Stands for any value of a header, and for any part of a host, in an example request. */
+    /** Replaces a wildcard for a header value or for the first part of a host in an example request. */
     private static final String EXAMPLE_VALUE = "x";
 
     private final CompiledConfig before;
@@ -30,7 +30,7 @@
         this.deployment = deployment;
     }
 
-    /** Returns a line for each difference, at most 1000; an empty list if both versions mean the same. */
+    /** Returns a line for each difference, at most 1000; the list is empty if both versions treat all requests alike. */
     public static List<String> compare(CompiledConfig before, CompiledConfig after, DeploymentContext deployment) {
         ConfigDiff diff = new ConfigDiff(before, after, deployment);
         diff.compareUnmatched();
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Says where the requests of a route that only one version has go in the other, judged by one example. */
+    /** For a route that only one version has, tells by an example request which route of the other version serves it. */
     private static String describeRouteIn(CompiledConfig otherVersion, RouteEntry route) {
         RouteEntry other = otherVersion.findRoute(exampleRequest(route.match()));
         return other == null ? "" : "; in the other version they meet " + other.name();
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Finds routes that stay but change their order, by an example request that both of a pair match. */
+    /** Finds pairs of unchanged routes whose order changed, using an example request that both routes match. */
     private void compareOrder() {
         Set<String> changes = new TreeSet<>();
         for (RouteEntry route : after.routesByName().values()) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Whether a route matches the same requests in both versions. */
+    /** Returns whether both versions define the route with the same match conditions. */
     private boolean isMatchUnchanged(RouteEntry route) {
         RouteEntry old = before.routesByName().get(route.name());
         RouteEntry current = after.routesByName().get(route.name());
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Returns a request that satisfies all conditions. */
+    /** Returns a request that satisfies all conditions of a match. */
     private static RequestAttributes exampleRequest(RouteMatch match) {
         Map<String, String> required = match.headers();
         return new RequestAttributes(
@@ -156,7 +156,10 @@
         return pattern.startsWith("*.") ? EXAMPLE_VALUE + pattern.substring(1) : pattern;
     }
 
-    /** Returns a request that both match, or null if there is none; the second's path must be a prefix of the first's. */
+    /**
+     * Returns a request that satisfies both matches, or null if there is none. The path of {@code other} must be a prefix
+     * of the path of {@code match}.
+     */
     private static RequestAttributes exampleRequest(RouteMatch match, RouteMatch other) {
         Set<String> methods = new TreeSet<>(match.methods().isEmpty() ? other.methods() : match.methods());
         if (!match.methods().isEmpty() && !other.methods().isEmpty()) {
@@ -195,7 +198,7 @@
                 + (pool.fallback() == null ? "" : ", fallback " + pool.fallback() + " under " + pool.minReadyShare());
     }
 
-    /** Returns the names for a pool's indices; a negative index stands for a name that the deployment does not have. */
+    /** Returns the names for a pool's indices; negative indices, which stand for unknown names, are left out. */
     private static String names(Set<Integer> indices, List<String> names) {
         if (indices.isEmpty()) {
             return "any";
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -18,13 +18,13 @@
 import java.util.Map;
 
 /**
- * A configuration text parsed as JSON. Lines and columns are looked up only for findings, in a second pass over the
- * text: keeping the location of every value took more memory than all else of a large version.
+ * A configuration text parsed as JSON. Lines and columns are determined only for findings, in a second pass over the
+ * text: storing the location of every value used more memory than everything else in a large version.
  */
 public final class ConfigDocument {
-    /** Bound on nested objects and arrays, against texts that are made to exhaust the stack. */
+    /** Bound on the nesting of objects and arrays; guards against texts crafted to exhaust the stack. */
     private static final int MAX_NESTING_DEPTH = 64;
-    /** Bound on the digits of a number, against numbers that are made to take long to parse. */
+    /** Bound on the length of a number; guards against numbers crafted to take long to parse. */
     private static final int MAX_NUMBER_LENGTH = 30;
 
     private static final JsonFactory JSON = JsonFactory.builder()
@@ -44,11 +44,11 @@
     }
 
     /**
-     * Parses a text.
+     * Parses a text as a single JSON object.
      *
-     * @param text UTF-8
-     * @param findings receives an error if the text can't be used
-     * @return null where the text is not JSON, is not a single object, or names a field twice
+     * @param text the text in UTF-8
+     * @param findings receives an error if the text is not valid
+     * @return the document, or null if the text is not JSON, is not a single object, or repeats a field name
      */
     public static ConfigDocument parse(byte[] text, List<Diagnostic> findings) {
         try (JsonParser parser = newParser(text)) {
@@ -124,14 +124,14 @@
         return text;
     }
 
-    /** Returns the document's object. */
+    /** Returns the JSON object at the root of the document. */
     public JsonNode root() {
         return root;
     }
 
     /**
-     * Returns the same findings with the line and column of each, or those of its nearest ancestor that is in the
-     * text.
+     * Returns the same findings with the line and column that each points at. A finding about something absent from the
+     * text gets the location of its nearest ancestor that is present.
      */
     public List<Diagnostic> withLocations(List<Diagnostic> findings) {
         Map<String, JsonLocation> locations = locate(findings);
@@ -147,7 +147,10 @@
         return List.copyOf(located);
     }
 
-    /** Returns the locations of what the findings point at and of its ancestors; null for what is not in the text. */
+    /**
+     * Returns the locations, by JSON pointer, of the values that the findings point at and of their ancestors; a pointer
+     * to something absent from the text maps to null.
+     */
     private Map<String, JsonLocation> locate(List<Diagnostic> findings) {
         Map<String, JsonLocation> locations = new HashMap<>();
         locations.put("", null);
@@ -160,7 +163,7 @@
             parser.nextToken();
             recordLocations(parser, "", locations);
         } catch (IOException e) {
-            throw new IllegalStateException("a text that was parsed before can't be parsed again", e);
+            throw new IllegalStateException("a document that was parsed successfully failed to parse again", e);
         }
         return locations;
     }
@@ -169,7 +172,10 @@
         return pointer.substring(0, pointer.lastIndexOf('/'));
     }
 
-    /** Records where the wanted values (the keys) begin, and skips what contains none of them. */
+    /**
+     * Records where the requested values begin; the keys of {@code locations} are the requested pointers. Values that
+     * contain none of them are skipped.
+     */
     private static void recordLocations(JsonParser parser, String pointer, Map<String, JsonLocation> locations)
             throws IOException {
         if (!locations.containsKey(pointer)) {
--- a/src/main/java/gatelock/config/ConfigValidator.java
+++ b/src/main/java/gatelock/config/ConfigValidator.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Validates the meaning of a document that satisfies the schema: names that refer to nothing, parts that never take
- * effect, and rules that would let a guarantee be broken. Each concern has a class of its own; the order in which they
- * run is the order in which findings are reported.
+ * Validates the semantics of a document that satisfies the schema: references to undefined names, parts that never take
+ * effect, and settings that would break a guarantee. Each concern has its own class; findings are reported in the order
+ * in which these classes run.
  */
 final class ConfigValidator {
-    /** The sections whose definitions must be used, with the word for one definition. */
+    /** The sections whose unused definitions are reported, each with the term for one definition. */
     private static final List<Map.Entry<String, String>> SECTIONS =
             List.of(Map.entry("pools", "pool"), Map.entry("limits", "limit"), Map.entry("retries", "policy"));
 
     private ConfigValidator() {}
 
-    /** Adds all findings about the meaning of a document to {@code findings}. */
+    /** Validates a document and adds all findings to {@code findings}. */
     static void validate(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> findings) {
         ValidationContext context = new ValidationContext(config, deployment, findings);
         validateDefaults(context);
--- a/src/main/java/gatelock/config/ConfigVersion.java
+++ b/src/main/java/gatelock/config/ConfigVersion.java
@@ -9,20 +9,20 @@
  * Identifies one version of the configuration.
  *
  * @param epoch the incarnation of the control service that numbered the version
- * @param number increases within an epoch, from 1; gaps are allowed
- * @param hash SHA-256 of the text in hexadecimal
+ * @param number the version's number, which increases from 1 within an epoch; gaps are allowed
+ * @param hash SHA-256 of the version's text in hexadecimal
  */
 public record ConfigVersion(Epoch epoch, long number, String hash) {
 
     /**
-     * One incarnation of a control service. A service that is rebuilt begins a new epoch and numbers from 1 again.
-     * Epochs are ordered by the time they began and then by identifier, so that all relays prefer the same one.
+     * One incarnation of a control service. A service that is rebuilt begins a new epoch and numbers its versions from 1
+     * again. Epochs are ordered by start time and then by identifier, so that all relays prefer the same one.
      *
-     * @param startedAtMs when the epoch began, in milliseconds of Unix time; the later epoch supersedes the earlier
-     * @param id distinguishes epochs that began at the same time; the greater supersedes
+     * @param startedAtMs when the epoch began, in milliseconds of Unix time; a later epoch supersedes an earlier one
+     * @param id distinguishes epochs that began at the same time; the greater identifier supersedes
      */
     public record Epoch(long startedAtMs, String id) implements Comparable<Epoch> {
-        /** Earlier than any epoch of a control service; for documents that no service has numbered. */
+        /** An epoch earlier than that of any control service, for documents that no service has numbered. */
         public static final Epoch NONE = new Epoch(0, "");
 
         @Override
@@ -43,7 +43,7 @@
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(text));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform must support SHA-256", e);
         }
     }
 
@@ -52,7 +52,7 @@
         return hash(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Whether this version was numbered after the other: by a later epoch, or later in the same one. */
+    /** Returns whether this version supersedes the other: it has a later epoch, or the same epoch and a higher number. */
     boolean isAfter(ConfigVersion other) {
         int epochOrder = epoch.compareTo(other.epoch);
         return epochOrder > 0 || (epochOrder == 0 && number > other.number);
--- a/src/main/java/gatelock/config/DecayingCounter.java
+++ b/src/main/java/gatelock/config/DecayingCounter.java
@@ -1,17 +1,17 @@
 package gatelock.config;
 
-/** A count that decays exponentially, so that it stands for the recent past. */
+/** A counter that decays exponentially, so that it reflects recent events only. */
 final class DecayingCounter {
     private final double timeConstantUs;
     private double count;
     private long updatedUs;
 
-    /** Creates a count of 0, which falls to 1/e in {@code timeConstantUs} microseconds without additions. */
+    /** Creates a counter at 0; without increments it falls to 1/e of its value in {@code timeConstantUs}. */
     DecayingCounter(double timeConstantUs) {
         this.timeConstantUs = timeConstantUs;
     }
 
-    /** Returns the count at that time. */
+    /** Returns the decayed count at the given time. */
     double read(long nowUs) {
         if (nowUs > updatedUs) {
             count *= Math.exp((updatedUs - nowUs) / timeConstantUs);
@@ -20,6 +20,7 @@
         return count;
     }
 
+    /** Adds 1 to the count at the given time. */
     void increment(long nowUs) {
         count = read(nowUs) + 1;
     }
--- a/src/main/java/gatelock/config/DeploymentContext.java
+++ b/src/main/java/gatelock/config/DeploymentContext.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * The parts of the deployment's own settings against which a configuration version is checked and compiled.
+ * The deployment settings against which a configuration version is validated and compiled.
  *
  * @param classIndices index of each request class by its name
  * @param routePolicies the policy of each class, by class index
- * @param deadlinesUs the deadline of each class in microseconds, by class index; 0 where none is stated
+ * @param deadlinesUs the deadline of each class in microseconds, by class index; 0 if the class has none
  * @param tenantIndices index of each tenant by its name
  * @param zones names of the zones, by zone index
  * @param kinds names of the endpoint kinds, by kind index
@@ -22,7 +22,7 @@
         List<String> zones,
         List<String> kinds) {
 
-    /** Returns the name of the class with that index, or {@code "?"} where there is none. */
+    /** Returns the name of the class with that index, or {@code "?"} if there is none. */
     String className(int classIndex) {
         for (Map.Entry<String, Integer> entry : classIndices.entrySet()) {
             if (entry.getValue() == classIndex) {
--- a/src/main/java/gatelock/config/LimitBucket.java
+++ b/src/main/java/gatelock/config/LimitBucket.java
@@ -5,108 +5,120 @@
 import java.util.Set;
 
 /**
- * The state of one limit for one scope (everything, a route, a tenant, or a tenant's requests of a route): its token
- * bucket, what is in flight, and the queue.
+ * The state of one limit within its scope (all requests, a route, a tenant, or a tenant's requests on a route): its token
+ * bucket, its count of requests in flight, and its queue.
  */
 final class LimitBucket {
-    /** The pause after which to come back to a limit whose bound in flight is reached, as the end of these is unknown. */
+    /**
+     * The estimated time to capacity of a limit that has reached its maximum in flight; an estimate is needed because the
+     * end of the requests in flight is unknown.
+     */
     private static final long IN_FLIGHT_RETRY_US = 100_000;
 
     /**
      * Identifies a bucket.
      *
      * @param limit name of the limit
-     * @param route name of the route, or an empty string where the limit is not per route
-     * @param tenant index of the tenant, or -1 where the limit is not per tenant
+     * @param route name of the route, or an empty string if the limit is not per route
+     * @param tenant index of the tenant, or -1 if the limit is not per tenant
      */
     record Key(String limit, String route, int tenant) {}
 
     private final Key key;
     private LimitPolicy policy;
     private double tokens;
-    private long refilledUs;
+    private long lastRefillUs;
     private int inFlight;
     private final TenantFairQueue<RequestLimiter.Ticket> queue = new TenantFairQueue<>();
-    /** Buckets in whose queues requests wait that need this bucket too, with the number of these requests. */
+    /**
+     * Other buckets whose queues hold requests that also need this bucket, with the number of such requests. They are
+     * checked when this bucket frees capacity.
+     */
     private final Map<LimitBucket, Integer> dependents = new LinkedHashMap<>();
 
+    /** Creates a bucket with {@code tokens} tokens and nothing in flight. */
     LimitBucket(Key key, LimitPolicy policy, long nowUs, double tokens) {
         this.key = key;
         this.policy = policy;
-        this.refilledUs = nowUs;
+        this.lastRefillUs = nowUs;
         this.tokens = tokens;
     }
 
+    /** Returns the key that identifies the bucket. */
     Key key() {
         return key;
     }
 
+    /** Returns the policy that applies now. */
     LimitPolicy policy() {
         return policy;
     }
 
+    /** Returns the number of requests in flight. */
     int inFlight() {
         return inFlight;
     }
 
+    /** Returns the queue of requests that wait for this bucket. */
     TenantFairQueue<RequestLimiter.Ticket> queue() {
         return queue;
     }
 
-    /** Whether nothing is in flight and nothing waits. */
+    /** Returns whether no request is in flight or queued. */
     boolean isIdle() {
         return inFlight == 0 && queue.isEmpty();
     }
 
-    /** When the bucket was last used. */
-    long refilledUs() {
-        return refilledUs;
+    /** Returns when the bucket was last refilled, which every use of it does. */
+    long lastRefillUs() {
+        return lastRefillUs;
     }
 
-    /** Adds the tokens earned since the last call, at the rate that applied. */
+    /** Adds the tokens accrued since the last call, at the rate of the current policy. */
     private void refill(long nowUs) {
         if (!policy.hasRate()) {
             tokens = policy.burst();
-        } else if (nowUs > refilledUs) {
-            tokens = Math.min(policy.burst(), tokens + (nowUs - refilledUs) * policy.ratePerUs());
+        } else if (nowUs > lastRefillUs) {
+            tokens = Math.min(policy.burst(), tokens + (nowUs - lastRefillUs) * policy.ratePerUs());
         }
-        refilledUs = Math.max(refilledUs, nowUs);
+        lastRefillUs = Math.max(lastRefillUs, nowUs);
     }
 
-    /** Applies another version's policy from now on; tokens and requests in flight stay counted. */
+    /** Applies the policy of another version from now on; tokens and requests in flight carry over. */
     void applyPolicy(long nowUs, LimitPolicy next) {
         if (next.equals(policy)) {
             return;
         }
         refill(nowUs);
-        // Where there was no rate before, there is nothing saved up either: no burst.
+        // Without a rate before, no tokens were accrued, so the new rate starts with at most one token and not a burst.
         boolean rateIsNew = !policy.hasRate() && next.hasRate();
         tokens = rateIsNew ? Math.min(1, next.burst()) : Math.min(tokens, next.burst());
         policy = next;
     }
 
-    /** Whether a request may pass, leaving aside those that wait. */
+    /** Returns whether a request may be admitted now, disregarding queued requests. */
     boolean hasCapacity(long nowUs) {
         refill(nowUs);
         return (!policy.hasRate() || tokens >= 1) && isBelowMaxInFlight();
     }
 
+    /** Returns whether another request may be in flight. */
     boolean isBelowMaxInFlight() {
         return inFlight < policy.maxInFlight();
     }
 
-    /** Takes a token and counts a request in flight. */
+    /** Consumes a token and counts one more request in flight. */
     void acquire() {
         tokens -= 1;
         inFlight++;
     }
 
-    /** Ends a request in flight. */
+    /** Counts one request less in flight. */
     void release() {
         inFlight--;
     }
 
-    /** Estimates how long it takes until a request may pass, in microseconds. */
+    /** Estimates the time in microseconds until a request may be admitted, disregarding queued requests. */
     long timeToCapacityUs(long nowUs) {
         refill(nowUs);
         boolean lacksToken = policy.hasRate() && tokens < 1;
@@ -114,23 +126,23 @@
         return isBelowMaxInFlight() ? refillUs : Math.max(refillUs, IN_FLIGHT_RETRY_US);
     }
 
-    /** Estimates how long it takes until a new request may pass after those that wait, in microseconds. */
+    /** Estimates the time in microseconds until a new request may be admitted after all queued requests. */
     long retryAfterUs(long nowUs) {
         long queueUs = policy.hasRate() ? (long) (queue.size() / policy.ratePerUs()) : 0;
         return timeToCapacityUs(nowUs) + queueUs;
     }
 
-    /** Notes that a request in the other bucket's queue needs this bucket too. */
+    /** Records that a request in the other bucket's queue also needs this bucket. */
     void addDependent(LimitBucket other) {
         dependents.merge(other, 1, Integer::sum);
     }
 
-    /** Notes that one such request has left the other bucket's queue. */
+    /** Records that a request that also needs this bucket has left the other bucket's queue. */
     void removeDependent(LimitBucket other) {
         dependents.computeIfPresent(other, (bucket, count) -> count > 1 ? count - 1 : null);
     }
 
-    /** Returns the buckets in whose queues requests wait that need this bucket too. */
+    /** Returns the other buckets whose queues hold requests that also need this bucket. */
     Set<LimitBucket> dependents() {
         return dependents.keySet();
     }
--- a/src/main/java/gatelock/config/LimitBuckets.java
+++ b/src/main/java/gatelock/config/LimitBuckets.java
@@ -10,21 +10,21 @@
 
 /** All buckets of all limits, created on demand and bounded in number. */
 final class LimitBuckets {
-    /** An idle bucket that was not used for so long is dropped. */
+    /** The time after which an idle bucket that was not used is evicted. */
     private static final long IDLE_TIMEOUT_US = 600_000_000;
-    /** Beyond so many buckets, idle ones are dropped at once, the least recently used first. */
+    /** With more buckets than this, idle buckets are evicted immediately, the least recently used first. */
     private static final int MAX_BUCKETS = 100_000;
-    /** How many of the least recently used buckets are looked at when one is created. */
+    /** The number of least recently used buckets that are examined for eviction when a bucket is created. */
     private static final int EVICTION_CANDIDATES = 4;
 
-    /** In the order of use, the least recently used first. */
+    /** All buckets in order of access, the least recently used first. */
     private final LinkedHashMap<LimitBucket.Key, LimitBucket> buckets = new LinkedHashMap<>(16, 0.75f, true);
 
     private final Map<String, LimitPolicy.Scope> scopes = new HashMap<>();
-    /** Limits whose scope a version has changed: their new buckets do not begin with a burst. */
+    /** Limits whose scope a version has changed; their new buckets start with at most one token instead of a full burst. */
     private final Set<String> rescopedLimits = new HashSet<>();
 
-    /** Returns the bucket for a request, with that policy applied. */
+    /** Returns the bucket for a request, created if necessary, with the given policy applied. */
     LimitBucket find(long nowUs, LimitPolicy policy, String route, int tenant) {
         LimitBucket.Key key = new LimitBucket.Key(
                 policy.name(),
@@ -44,21 +44,21 @@
     }
 
     /**
-     * Guards against an unbounded number of buckets, by tenants or by the routes of many versions. Harms a limit whose
-     * bucket is dropped beyond {@link #MAX_BUCKETS}: it begins with a full burst again.
+     * Evicts idle buckets. Guards against unbounded growth caused by many tenants or by the routes of many versions. A
+     * bucket that is evicted early because there are more than {@link #MAX_BUCKETS} starts again with a full burst.
      */
     private void evict(long nowUs) {
         Iterator<LimitBucket> leastRecentlyUsed = buckets.values().iterator();
         for (int i = 0; i < EVICTION_CANDIDATES && leastRecentlyUsed.hasNext(); i++) {
             LimitBucket bucket = leastRecentlyUsed.next();
-            boolean expired = nowUs - bucket.refilledUs() > IDLE_TIMEOUT_US;
+            boolean expired = nowUs - bucket.lastRefillUs() > IDLE_TIMEOUT_US;
             if (bucket.isIdle() && (expired || buckets.size() > MAX_BUCKETS)) {
                 leastRecentlyUsed.remove();
             }
         }
     }
 
-    /** Notes which limits have another scope in a new version, and forgets limits that are gone. */
+    /** Records which limits have a different scope in a new version, and forgets limits that it does not define. */
     void updateScopes(Map<String, LimitPolicy> limits) {
         rescopedLimits.retainAll(limits.keySet());
         scopes.keySet().retainAll(limits.keySet());
@@ -70,12 +70,12 @@
         });
     }
 
-    /** Returns all buckets, as a copy. */
+    /** Returns a copy of the list of all buckets. */
     List<LimitBucket> all() {
         return List.copyOf(buckets.values());
     }
 
-    /** Returns how many requests are in flight under a limit, in all its buckets together. */
+    /** Returns the number of requests in flight under a limit, summed over all of its buckets. */
     int inFlight(String limit) {
         int inFlight = 0;
         for (LimitBucket bucket : buckets.values()) {
@@ -86,6 +86,7 @@
         return inFlight;
     }
 
+    /** Returns the number of buckets. */
     int size() {
         return buckets.size();
     }
--- a/src/main/java/gatelock/config/LimitValidator.java
+++ b/src/main/java/gatelock/config/LimitValidator.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Validates limits: their definitions, and the wait in a limit's queue against the deadline of a route that uses it. */
+/** Validates the definitions of limits, and compares the maximum queue wait with the deadlines of routes that use them. */
 final class LimitValidator {
     private static final long US_PER_MS = 1000;
 
@@ -14,6 +14,7 @@
         this.context = context;
     }
 
+    /** Adds findings about the definitions of all limits. */
     void validateDefinitions() {
         for (Map.Entry<String, JsonNode> limit :
                 context.config().section("limits").properties()) {
@@ -47,7 +48,11 @@
         }
     }
 
-    /** Adds an error if requests of the route could wait in the limit's queue until their deadline; 0: no deadline. */
+    /**
+     * Adds an error if requests of the route could wait in the limit's queue until their deadline.
+     *
+     * @param deadlineUs the deadline of the route's requests in microseconds; 0 if they have none
+     */
     void validateQueueWait(ResolvedConfig.RouteDefinition route, String limit, long deadlineUs) {
         JsonNode queue = context.config().definition("limits", limit).path("queue");
         double waitMs = queue.path("waitMs").asDouble(0);
--- a/src/main/java/gatelock/config/Pool.java
+++ b/src/main/java/gatelock/config/Pool.java
@@ -6,11 +6,11 @@
 /**
  * A named set of endpoints that serve the same routes.
  *
- * @param zones indices of the zones whose endpoints belong to it; empty: any zone
- * @param kinds indices of the endpoint kinds that belong to it; empty: any kind
- * @param labels labels that an endpoint must have, all of them
- * @param fallback name of the pool that serves when too few endpoints of this one are ready; null: none
- * @param minReadyShare share of the endpoints that the pool recently had, below which its fallback serves
+ * @param zones indices of the zones whose endpoints belong to the pool; empty for any zone
+ * @param kinds indices of the endpoint kinds that belong to the pool; empty for any kind
+ * @param labels labels that an endpoint must all have
+ * @param fallback name of the pool that serves when too few endpoints of this one are ready; null if there is none
+ * @param minReadyShare the fallback serves when fewer endpoints are ready than this share of the recent peak
  */
 record Pool(
         String name,
@@ -20,12 +20,12 @@
         String fallback,
         double minReadyShare) {
 
-    /** Returns the selection criteria alone, so that pools that choose the same endpoints are equal. */
+    /** Returns a pool with the selection criteria only; the results are equal for pools with the same criteria. */
     Pool selector() {
         return new Pool("", zones, kinds, labels, null, 0);
     }
 
-    /** Whether an endpoint with these properties belongs to the pool. */
+    /** Returns whether an endpoint with these properties belongs to the pool. */
     boolean selects(int zone, int kind, Map<String, String> endpointLabels) {
         return (zones.isEmpty() || zones.contains(zone))
                 && (kinds.isEmpty() || kinds.contains(kind))
--- a/src/main/java/gatelock/config/PoolMembership.java
+++ b/src/main/java/gatelock/config/PoolMembership.java
@@ -11,22 +11,23 @@
 
 /**
  * Tracks which endpoints belong to which pool of the active version, and which pool serves in place of another.
- * Endpoints are grouped by the properties that a pool can select by, so that activating a version costs as much as there
- * are groups times distinct selection criteria, whatever the number of endpoints, routes and pools.
+ * Endpoints are grouped by the properties that a pool can select by, so that the cost of activating a version is
+ * proportional to the number of groups times the number of distinct selection criteria, independent of the number of
+ * endpoints, routes and pools.
  */
 final class PoolMembership {
     private final Map<String, Member> members = new HashMap<>();
     private final Map<Properties, EndpointGroup> groups = new HashMap<>();
     private Map<String, PoolState> pools = Map.of();
-    /** Ready endpoints by the index of the selection criteria. */
+    /** The number of ready endpoints for each of {@link CompiledConfig#selectors()}, by index. */
     private int[] readyBySelector = new int[0];
 
     private CompiledConfig active;
 
-    /** Everything that a pool can select endpoints by. */
+    /** The endpoint properties that a pool can select by. */
     private record Properties(int zone, int kind, Map<String, String> labels) {}
 
-    /** The endpoints with the same properties. */
+    /** The counts of endpoints that have the same properties. */
     private static final class EndpointGroup {
         private final Properties properties;
         private int endpoints;
@@ -58,38 +59,38 @@
     private record Member(EndpointGroup group, boolean ready) {}
 
     /**
-     * How the reach of two versions compares, in ready endpoints.
+     * The numbers of ready endpoints that the routes of two versions reach.
      *
-     * @param reached that the first version's routes reach
-     * @param dropped of these, that the second version's routes do not reach
+     * @param reached number of ready endpoints that the first version's routes reach
+     * @param dropped number of these that the second version's routes do not reach
      */
     record ReachComparison(int reached, int dropped) {}
 
-    /** Applies the endpoint list or a change of it; {@code labels} by endpoint name. */
+    /** Applies a complete endpoint list or a change to the current list; {@code labels} are by endpoint name. */
     void updateEndpoints(
             long nowUs,
-            DecisionEngine.EndpointUpdateType form,
-            List<Endpoint> entries,
+            DecisionEngine.EndpointUpdateType updateType,
+            List<Endpoint> endpoints,
             Map<String, Map<String, String>> labels) {
-        if (form == DecisionEngine.EndpointUpdateType.FAILED) {
+        if (updateType == DecisionEngine.EndpointUpdateType.FAILED) {
             return;
         }
-        // What each pool had until now is noted before it changes.
+        // Record the number of ready endpoints that each pool had until now before the numbers change.
         for (PoolState pool : pools.values()) {
-            pool.updateUsualReady(nowUs, readyBySelector[pool.selectorIndex()]);
+            pool.updateRecentPeak(nowUs, readyBySelector[pool.selectorIndex()]);
         }
-        if (form != DecisionEngine.EndpointUpdateType.DELTA) {
-            removeUnlisted(entries);
+        if (updateType != DecisionEngine.EndpointUpdateType.DELTA) {
+            removeUnlisted(endpoints);
         }
-        for (Endpoint entry : entries) {
-            updateEndpoint(entry, labels.getOrDefault(entry.name(), Map.of()));
+        for (Endpoint endpoint : endpoints) {
+            updateEndpoint(endpoint, labels.getOrDefault(endpoint.name(), Map.of()));
         }
         groups.values().removeIf(group -> group.endpoints == 0);
     }
 
-    private void removeUnlisted(List<Endpoint> entries) {
+    private void removeUnlisted(List<Endpoint> endpoints) {
         Set<String> listed = new HashSet<>();
-        entries.forEach(entry -> listed.add(entry.name()));
+        endpoints.forEach(endpoint -> listed.add(endpoint.name()));
         members.entrySet().removeIf(member -> {
             boolean unlisted = !listed.contains(member.getKey());
             if (unlisted) {
@@ -99,17 +100,17 @@
         });
     }
 
-    private void updateEndpoint(Endpoint entry, Map<String, String> labels) {
-        Member previous = members.remove(entry.name());
+    private void updateEndpoint(Endpoint endpoint, Map<String, String> labels) {
+        Member previous = members.remove(endpoint.name());
         if (previous != null) {
             addToCounts(previous, -1);
         }
-        if (entry.health() == Endpoint.Health.GONE) {
+        if (endpoint.health() == Endpoint.Health.GONE) {
             return;
         }
-        EndpointGroup group = findOrCreateGroup(new Properties(entry.zone(), entry.instanceType(), labels));
-        Member member = new Member(group, entry.health() == Endpoint.Health.READY);
-        members.put(entry.name(), member);
+        EndpointGroup group = findOrCreateGroup(new Properties(endpoint.zone(), endpoint.instanceType(), labels));
+        Member member = new Member(group, endpoint.health() == Endpoint.Health.READY);
+        members.put(endpoint.name(), member);
         addToCounts(member, 1);
     }
 
@@ -140,7 +141,7 @@
         }
     }
 
-    /** Makes a version active; a pool that is defined as before keeps its state. */
+    /** Makes a version the active one; a pool whose definition is unchanged keeps its state. */
     void activate(long nowUs, CompiledConfig next) {
         Map<String, PoolState> previousPools = pools;
         int[] previousReady = readyBySelector;
@@ -161,7 +162,7 @@
         }
     }
 
-    /** Returns the pool that serves in place of this one: itself, or the first fallback with enough endpoints. */
+    /** Returns the pool that serves requests of the given pool: itself, or its first fallback with enough endpoints. */
     String servingPool(long nowUs, String pool) {
         List<String> chain = active.fallbackChain(pool);
         for (String name : chain) {
@@ -170,7 +171,7 @@
                 return name;
             }
         }
-        // None has enough: the pool itself if it has any endpoint, or else the first fallback that has one.
+        // No pool has enough: use the first in the chain with any ready endpoint, starting with the pool itself.
         for (String name : chain) {
             if (readyCount(name) > 0) {
                 return name;
@@ -179,26 +180,26 @@
         return pool;
     }
 
-    /** Whether an endpoint belongs to a pool of the active version. */
+    /** Returns whether an endpoint belongs to a pool of the active version. */
     boolean contains(String pool, String endpoint) {
         Member member = members.get(endpoint);
         PoolState state = pools.get(pool);
         return member != null && state != null && member.group.selectedBy.get(state.selectorIndex());
     }
 
-    /** Whether an endpoint belongs to a pool of any version, also of one that is no longer active. */
+    /** Returns whether an endpoint belongs to a pool of any version, including one that is no longer active. */
     boolean matches(Pool pool, String endpoint) {
         Member member = members.get(endpoint);
         return member != null && member.group.isSelectedBy(pool);
     }
 
-    /** Returns the number of ready endpoints in a pool of the active version; 0 if there is no such pool. */
+    /** Returns the number of ready endpoints in a pool of the active version, or 0 if there is no such pool. */
     int readyCount(String pool) {
         PoolState state = pools.get(pool);
         return state == null ? 0 : readyBySelector[state.selectorIndex()];
     }
 
-    /** Compares which ready endpoints two versions' routes can reach. */
+    /** Counts the ready endpoints that the first version's routes reach, and those of them that the second's do not. */
     ReachComparison compareReach(CompiledConfig first, CompiledConfig second) {
         int reached = 0;
         int dropped = 0;
--- a/src/main/java/gatelock/config/PoolState.java
+++ b/src/main/java/gatelock/config/PoolState.java
@@ -1,33 +1,38 @@
 package gatelock.config;
 
-/** The state of one pool of the active version: how many endpoints it recently had, and whether its fallback serves. */
+/** The state of one pool of the active version: its recent peak of ready endpoints, and whether its fallback serves. */
 final class PoolState {
-    /** How long it takes until a pool that lost endpoints for good is measured by those it has. */
-    private static final double USUAL_TIME_CONSTANT_US = 300e6;
-    /** A pool serves again only with so many times the least share, so that it does not flap at the bound. */
+    /** The time constant with which the recent peak decays to the current count after endpoints are lost for good. */
+    private static final double PEAK_TIME_CONSTANT_US = 300e6;
+    /**
+     * A pool in fallback serves again only when its ready endpoints reach this factor times the minimum; this hysteresis
+     * avoids flapping around the minimum.
+     */
     private static final double RECOVERY_FACTOR = 1.1;
 
     private final Pool pool;
     private final int selectorIndex;
-    /** The ready endpoints that the pool recently had: rises at once and decays to what it has. */
-    private double usualReady;
+    /** The recent peak of ready endpoints: rises immediately with the current count and decays towards it. */
+    private double recentPeakReady;
 
     private long updatedUs;
-    private boolean fallenBack;
+    private boolean usingFallback;
 
+    /** Creates the state of a pool without any history. */
     PoolState(Pool pool, int selectorIndex) {
         this.pool = pool;
         this.selectorIndex = selectorIndex;
     }
 
-    /** Takes over the state of the same pool in the version before. */
+    /** Takes over the state that the same pool had in the previous version. */
     void inherit(long nowUs, PoolState previous, int previousReady) {
-        previous.updateUsualReady(nowUs, previousReady);
-        usualReady = previous.usualReady;
+        previous.updateRecentPeak(nowUs, previousReady);
+        recentPeakReady = previous.recentPeakReady;
         updatedUs = nowUs;
-        fallenBack = previous.fallenBack;
+        usingFallback = previous.usingFallback;
     }
 
+    /** Returns the definition of the pool. */
     Pool pool() {
         return pool;
     }
@@ -37,21 +42,26 @@
         return selectorIndex;
     }
 
-    /** Updates how many endpoints the pool recently had; {@code ready} are ready now, or were until now. */
-    void updateUsualReady(long nowUs, int ready) {
-        double decay = nowUs > updatedUs ? Math.exp((updatedUs - nowUs) / USUAL_TIME_CONSTANT_US) : 1;
-        usualReady = Math.max(ready, ready + (usualReady - ready) * decay);
+    /**
+     * Updates the recent peak of ready endpoints.
+     *
+     * @param nowUs the current time
+     * @param ready number of endpoints that are ready now, or were ready until now
+     */
+    void updateRecentPeak(long nowUs, int ready) {
+        double decay = nowUs > updatedUs ? Math.exp((updatedUs - nowUs) / PEAK_TIME_CONSTANT_US) : 1;
+        recentPeakReady = Math.max(ready, ready + (recentPeakReady - ready) * decay);
         updatedUs = nowUs;
     }
 
-    /** Decides with so many ready endpoints whether the pool serves itself or its fallback does. */
+    /** Decides from the number of ready endpoints whether the fallback serves; returns true if it does. */
     boolean updateFallback(long nowUs, int ready) {
-        updateUsualReady(nowUs, ready);
-        double requiredReady = pool.minReadyShare() * usualReady;
-        if (fallenBack) {
-            requiredReady = Math.min(usualReady, requiredReady * RECOVERY_FACTOR);
+        updateRecentPeak(nowUs, ready);
+        double requiredReady = pool.minReadyShare() * recentPeakReady;
+        if (usingFallback) {
+            requiredReady = Math.min(recentPeakReady, requiredReady * RECOVERY_FACTOR);
         }
-        fallenBack = ready == 0 || ready < requiredReady;
-        return fallenBack;
+        usingFallback = ready == 0 || ready < requiredReady;
+        return usingFallback;
     }
 }
--- a/src/main/java/gatelock/config/PoolValidator.java
+++ b/src/main/java/gatelock/config/PoolValidator.java
@@ -15,6 +15,7 @@
         this.context = context;
     }
 
+    /** Adds findings about the definitions of all pools. */
     void validate() {
         for (Map.Entry<String, JsonNode> pool :
                 context.config().section("pools").properties()) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /** Returns the fallbacks that lead from a pool back to itself, the pool first and last, or an empty list. */
+    /** Returns the cycle of fallbacks from a pool back to itself, with the pool first and last; empty if there is none. */
     private List<String> findCycle(String pool) {
         List<String> path = new ArrayList<>(List.of(pool));
         Set<String> visited = new HashSet<>();
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -7,22 +7,22 @@
 import java.util.Set;
 
 /**
- * Enforces limits on rate and concurrency. A request acquires all of its limits at once or none of them, and waits in
- * the queue of one of them if it lacks capacity. The state belongs to the relay and not to a version: a limit whose name
- * stays keeps its tokens, its requests in flight and its queue, so that a version that changes a rate neither grants a
- * fresh burst nor forgets what is in flight.
+ * Enforces limits on rate and concurrency. A request acquires all of its limits at once or none of them; if one of them
+ * has no capacity, the request waits in that limit's queue. The state belongs to the relay and not to a version: a limit
+ * that keeps its name keeps its tokens, its requests in flight and its queue, so that a version that changes a rate
+ * neither grants a fresh burst nor forgets the requests in flight.
  */
 final class RequestLimiter {
-    /** The shortest pause that a shed request is given. */
+    /** The shortest delay after which a shed request is told to retry. */
     private static final long MIN_RETRY_AFTER_US = 1_000;
-    /** Stands for an unknown time until capacity; far from overflow when it is added to the current time. */
+    /** Marks an unknown time to capacity; small enough to be added to the current time without overflow. */
     private static final long UNKNOWN_US = Long.MAX_VALUE / 2;
 
     private final LimitBuckets buckets = new LimitBuckets();
-    /** Buckets in whose queue a request waits. */
+    /** The buckets whose queues are not empty. */
     private final Set<LimitBucket> bucketsWithQueue = new LinkedHashSet<>();
 
-    /** The outcome of asking for admission. */
+    /** The immediate outcome of an admission request. */
     enum Outcome {
         ADMITTED,
         QUEUED,
@@ -30,14 +30,14 @@
     }
 
     /**
-     * The answer to a request for admission.
+     * The result of an admission request.
      *
-     * @param ticket to be released when the request ends; null if it was shed or has no limits
-     * @param retryAfterUs after how long a shed request may come back, in microseconds; otherwise 0
+     * @param ticket must be released when the request ends; null if the request was shed or has no limits
+     * @param retryAfterUs after how many microseconds a shed request may be retried; 0 if it was not shed
      */
     record Decision(Outcome outcome, Ticket ticket, long retryAfterUs) {}
 
-    /** A request's claim on its limits: it waits in the queue of one, or holds its part of all until it is released. */
+    /** A request's claim on its limits: queued in one of them, or holding a share of all of them until it is released. */
     final class Ticket {
         private final int tenant;
         private final List<LimitBucket> buckets;
@@ -54,11 +54,15 @@
             this.request = request;
         }
 
+        /** Returns whether the request is still queued. */
         boolean isQueued() {
             return queuedIn != null;
         }
 
-        /** Ends the claim, as the request is answered or its client left; requests that wait may be admitted. */
+        /**
+         * Ends the claim, once the request is answered or its client has disconnected. Queued requests may then be
+         * admitted.
+         */
         void release(long nowUs) {
             if (queuedIn != null) {
                 removeFromQueue(this);
@@ -85,7 +89,7 @@
             buckets.forEach(LimitBucket::acquire);
         }
 
-        /** Returns after how long a new request with these limits is likely to be admitted. */
+        /** Estimates the time in microseconds until a new request with these limits would be admitted. */
         private long retryAfterUs(long nowUs) {
             long longestUs = MIN_RETRY_AFTER_US;
             for (LimitBucket bucket : buckets) {
@@ -94,7 +98,10 @@
             return longestUs;
         }
 
-        /** Returns when capacity may be there, as far as it is known; it may also come by a release. */
+        /**
+         * Returns the time in microseconds until all limits may have capacity, or {@link #UNKNOWN_US} while that depends
+         * on the release of a request in flight.
+         */
         private long timeToCapacityUs(long nowUs) {
             long longestUs = 0;
             for (LimitBucket bucket : buckets) {
@@ -106,14 +113,14 @@
     }
 
     /**
-     * Admits a request, lets it wait, or sheds it.
+     * Admits, queues or sheds a request.
      *
      * @param nowUs the current time
      * @param limits the request's limits
-     * @param route name of its route
-     * @param tenant index of its tenant
-     * @param deadlineUs its deadline
-     * @param request is notified of the outcome if the request has to wait
+     * @param route name of the request's route
+     * @param tenant index of the request's tenant
+     * @param deadlineUs the request's deadline
+     * @param request receives the outcome if the request is queued
      */
     Decision admit(
             long nowUs, List<LimitPolicy> limits, String route, int tenant, long deadlineUs, QueuedRequest request) {
@@ -125,7 +132,7 @@
             needed.add(buckets.find(nowUs, limit, route, tenant));
         }
         Ticket ticket = new Ticket(tenant, needed, deadlineUs, request);
-        LimitBucket exhausted = firstExhausted(nowUs, needed);
+        LimitBucket exhausted = firstUnavailable(nowUs, needed);
         if (exhausted == null) {
             ticket.acquire();
             return new Decision(Outcome.ADMITTED, ticket, 0);
@@ -136,8 +143,8 @@
         return new Decision(Outcome.SHED, null, ticket.retryAfterUs(nowUs));
     }
 
-    /** Returns the first bucket without capacity, or in which others wait already, or null. */
-    private static LimitBucket firstExhausted(long nowUs, List<LimitBucket> needed) {
+    /** Returns the first bucket that has no capacity or has queued requests already, or null if there is none. */
+    private static LimitBucket firstUnavailable(long nowUs, List<LimitBucket> needed) {
         for (LimitBucket bucket : needed) {
             if (!bucket.hasCapacity(nowUs) || !bucket.queue().isEmpty()) {
                 return bucket;
@@ -147,22 +154,23 @@
     }
 
     /**
-     * Puts a request in a bucket's queue: in a free place, or in the last place of the tenant with most places if that
-     * has more than the newcomer's tenant would have. Returns false if there is no place.
+     * Adds a request to a bucket's queue. If the queue is full, the last request of the tenant with the most queued
+     * requests is shed to make room, provided that this tenant has more than the new request's tenant would have. Returns
+     * false if the request can't be queued.
      */
     private boolean enqueue(long nowUs, LimitBucket bucket, Ticket ticket) {
         LimitPolicy policy = bucket.policy();
-        // Half of the remaining time is left for the request's execution.
+        // Wait for at most half of the remaining time; the other half is left for executing the request.
         long untilUs = nowUs + Math.min(policy.maxWaitUs(), (ticket.deadlineUs - nowUs) / 2);
         if (policy.maxQueueLength() == 0 || untilUs <= nowUs) {
             return false;
         }
         TenantFairQueue<Ticket> queue = bucket.queue();
         if (queue.size() >= policy.maxQueueLength()) {
-            if (queue.longestSize() <= queue.sizeOf(ticket.tenant) + 1) {
+            if (queue.longestQueueSize() <= queue.sizeOf(ticket.tenant) + 1) {
                 return false;
             }
-            shedQueued(nowUs, queue.lastOfLongest());
+            shedQueued(nowUs, queue.lastOfLongestQueue());
         }
         ticket.queuedIn = bucket;
         ticket.queuedUntilUs = untilUs;
@@ -195,13 +203,13 @@
         ticket.request.onShed(nowUs, ticket.retryAfterUs(nowUs));
     }
 
-    /** Admits requests of a queue while there is capacity: tenants in turn, the longest waiting of each first. */
+    /** Admits queued requests while there is capacity: round robin over the tenants, in order of arrival for each. */
     private void admitQueued(long nowUs, LimitBucket bucket) {
         boolean admittedAny = true;
         while (admittedAny && !bucket.queue().isEmpty()) {
             admittedAny = false;
             for (int tenant : bucket.queue().tenants()) {
-                Ticket first = bucket.queue().first(tenant);
+                Ticket first = bucket.queue().firstOf(tenant);
                 if (first != null && first.hasCapacity(nowUs)) {
                     removeFromQueue(first);
                     bucket.queue().moveToBack(tenant);
@@ -213,21 +221,21 @@
         }
     }
 
-    /** Sheds requests that have waited too long and admits those that may pass; to be called at {@link #nextDueUs}. */
+    /** Sheds requests that have waited too long and admits those with capacity; must be called at {@link #nextDueUs}. */
     void processQueues(long nowUs) {
         for (LimitBucket bucket : List.copyOf(bucketsWithQueue)) {
             for (int tenant : bucket.queue().tenants()) {
-                Ticket first = bucket.queue().first(tenant);
+                Ticket first = bucket.queue().firstOf(tenant);
                 while (first != null && first.queuedUntilUs <= nowUs) {
                     shedQueued(nowUs, first);
-                    first = bucket.queue().first(tenant);
+                    first = bucket.queue().firstOf(tenant);
                 }
             }
             admitQueued(nowUs, bucket);
         }
     }
 
-    /** Applies the limits of a new version; a queue that became shorter sheds, and requests that wait may pass. */
+    /** Applies the limits of a new version: sheds requests beyond a shortened queue and admits those with capacity. */
     void applyPolicies(long nowUs, Map<String, LimitPolicy> limits) {
         buckets.updateScopes(limits);
         for (LimitBucket bucket : buckets.all()) {
@@ -236,17 +244,17 @@
                 bucket.applyPolicy(nowUs, next);
             }
             while (bucket.queue().size() > bucket.policy().maxQueueLength()) {
-                shedQueued(nowUs, bucket.queue().lastOfLongest());
+                shedQueued(nowUs, bucket.queue().lastOfLongestQueue());
             }
             admitQueued(nowUs, bucket);
         }
     }
 
-    /** Returns when {@link #processQueues} is to be called next, or {@code Long.MAX_VALUE} if nothing waits. */
+    /** Returns when {@link #processQueues} must be called next, or {@code Long.MAX_VALUE} if no request is queued. */
     long nextDueUs(long nowUs) {
         long nextUs = Long.MAX_VALUE;
         for (LimitBucket bucket : bucketsWithQueue) {
-            for (Ticket first : bucket.queue().firstOfEach()) {
+            for (Ticket first : bucket.queue().firstOfEachTenant()) {
                 nextUs = Math.min(nextUs, first.queuedUntilUs);
                 nextUs = Math.min(nextUs, nowUs + Math.max(1, first.timeToCapacityUs(nowUs)));
             }
@@ -254,7 +262,7 @@
         return nextUs;
     }
 
-    /** Returns how many requests wait, in all queues together. */
+    /** Returns the number of queued requests in all queues. */
     int queuedCount() {
         int queued = 0;
         for (LimitBucket bucket : bucketsWithQueue) {
@@ -263,12 +271,12 @@
         return queued;
     }
 
-    /** Returns how many requests are in flight under a limit. */
+    /** Returns the number of requests in flight under a limit. */
     int inFlight(String limit) {
         return buckets.inFlight(limit);
     }
 
-    /** Returns the number of buckets. */
+    /** Returns the number of limit buckets. */
     int bucketCount() {
         return buckets.size();
     }
--- a/src/main/java/gatelock/config/ResolvedConfig.java
+++ b/src/main/java/gatelock/config/ResolvedConfig.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** A document that satisfies the schema, with each route's fields resolved by inheritance and defaults. */
+/** A document that satisfies the schema, with the fields of each route resolved from its ancestors and the defaults. */
 final class ResolvedConfig {
     private static final int DEFAULT_MAX_MESSAGE_BYTES = 65_536;
     private static final double DEFAULT_IDLE_TIMEOUT_S = 300;
@@ -24,17 +24,19 @@
     private final List<RouteDefinition> routes = new ArrayList<>();
     private final Map<String, RouteDefinition> routesByName = new HashMap<>();
 
+    /** Creates a view of a document, which must satisfy the schema. */
     ResolvedConfig(ConfigDocument document) {
         this.document = document;
         JsonNode nodes = document.root().path("routes");
         for (int i = 0; i < nodes.size(); i++) {
             RouteDefinition route = new RouteDefinition(nodes.get(i), i);
             routes.add(route);
-            // Of two routes with the same name the first counts; the second is reported as an error.
+            // The first of several routes with the same name is used; the others are reported as errors.
             routesByName.putIfAbsent(route.name(), route);
         }
     }
 
+    /** Returns the root object of the document. */
     JsonNode root() {
         return document.root();
     }
@@ -49,11 +51,12 @@
         return section(section).path(name);
     }
 
+    /** Returns whether a top-level section has an entry of that name. */
     boolean defines(String section, String name) {
         return section(section).has(name);
     }
 
-    /** Returns all routes in the order of the document, abstract ones included. */
+    /** Returns all routes in document order, including abstract ones. */
     List<RouteDefinition> routes() {
         return routes;
     }
@@ -63,22 +66,22 @@
         return routesByName.get(name);
     }
 
-    /** Returns the text of a field under {@code defaults}, or null. */
+    /** Returns the text of a field under {@code defaults}, or null if it is not set. */
     String defaultValue(String field) {
         return section("defaults").path(field).asText(null);
     }
 
-    /** Returns the name of the pool's fallback, or null. */
+    /** Returns the name of a pool's fallback, or null if it has none. */
     String fallbackOf(String pool) {
         return definition("pools", pool).path("fallback").asText(null);
     }
 
-    /** Returns the name of the retry policy that a pool names itself, or null. */
+    /** Returns the name of the retry policy that a pool's definition sets, or null if it sets none. */
     String retryPolicyOf(String pool) {
         return definition("pools", pool).path("retries").asText(null);
     }
 
-    /** Returns a pool and its fallbacks in order, up to the first that is undefined or was seen before. */
+    /** Returns a pool followed by its fallbacks in order, up to the first that is undefined or already in the list. */
     List<String> fallbackChain(String pool) {
         Set<String> chain = new LinkedHashSet<>();
         String current = pool;
@@ -88,7 +91,7 @@
         return List.copyOf(chain);
     }
 
-    /** One route as it is written, read together with the routes from which it inherits. */
+    /** One route of the document; fields that it does not set are read from the routes it inherits from. */
     final class RouteDefinition {
         private final JsonNode node;
         private final int index;
@@ -98,6 +101,7 @@
             this.index = index;
         }
 
+        /** Returns the name of the route. */
         String name() {
             return node.path("name").asText();
         }
@@ -107,27 +111,28 @@
             return index;
         }
 
+        /** Returns the JSON pointer of the route in the document. */
         String pointer() {
             return "/routes/" + index;
         }
 
-        /** Whether the route only exists to be inherited from and takes no requests itself. */
+        /** Returns whether the route only serves as a parent of other routes and matches no requests itself. */
         boolean isAbstract() {
             return node.path("abstract").asBoolean(false);
         }
 
-        /** Returns the name of the route from which this one says it inherits, or null. */
+        /** Returns the name under {@code inherits}, or null; the route of that name may not exist. */
         String parentName() {
             return node.path("inherits").asText(null);
         }
 
-        /** Returns the route from which this one inherits, or null if there is none before it. */
+        /** Returns the route that this one inherits from, or null; only a route that precedes this one counts. */
         RouteDefinition parent() {
             RouteDefinition parent = routesByName.get(node.path("inherits").asText(""));
             return parent == null || parent.index >= index ? null : parent;
         }
 
-        /** Returns the route that sets a field: this one or its nearest ancestor; null if none does. */
+        /** Returns this route or its nearest ancestor that sets a field, or null if none does. */
         RouteDefinition declaringRoute(String field) {
             RouteDefinition route = this;
             while (route != null && !route.node.has(field)) {
@@ -136,7 +141,7 @@
             return route;
         }
 
-        /** Returns the pointer of a field where it is set, or the pointer of this route if no route sets it. */
+        /** Returns the JSON pointer of a field where it is set, or of this route if neither it nor an ancestor sets it. */
         String pointerOf(String field) {
             RouteDefinition declaring = declaringRoute(field);
             return declaring == null ? pointer() : declaring.pointer() + "/" + field;
@@ -147,22 +152,22 @@
             return declaring == null ? MissingNode.getInstance() : declaring.node.get(field);
         }
 
-        /** Returns the name of the request class, or null. */
+        /** Returns the name of the request class, or null if none is set. */
         String className() {
             return value("class").asText(null);
         }
 
-        /** Returns the name of the pool, by default the default pool, or null for all endpoints. */
+        /** Returns the name of the pool, falling back to the default pool; null means all endpoints. */
         String pool() {
             return value("pool").asText(defaultValue("pool"));
         }
 
-        /** Returns the retry policy that the route or an ancestor names, or null; pools and defaults do not count. */
+        /** Returns the retry policy that the route or an ancestor names, or null; ignores the pool's and the default. */
         String retryPolicy() {
             return value("retries").asText(null);
         }
 
-        /** Returns the names of the limits, by default the default limits. */
+        /** Returns the names of the limits, falling back to the default limits. */
         List<String> limits() {
             boolean declared = declaringRoute("limits") != null;
             JsonNode names = declared ? value("limits") : section("defaults").path("limits");
@@ -171,7 +176,7 @@
             return limits;
         }
 
-        /** Returns what the route or an ancestor says of WebSocket sessions, or null. */
+        /** Returns the policy for WebSocket sessions that the route or an ancestor sets, or null if none does. */
         SessionPolicy sessionPolicy() {
             JsonNode sessions = value("sessions");
             if (sessions.isMissingNode()) {
@@ -187,7 +192,7 @@
                     subprotocols);
         }
 
-        /** Returns which requests the route takes. */
+        /** Returns the conditions under which the route matches a request. */
         RouteMatch match() {
             Set<String> methods = new HashSet<>();
             value("methods").forEach(method -> methods.add(method.asText()));
--- a/src/main/java/gatelock/config/RetrySafetyValidator.java
+++ b/src/main/java/gatelock/config/RetrySafetyValidator.java
@@ -7,9 +7,10 @@
 import java.util.Set;
 
 /**
- * Guards rule 2 (a non-retriable request is never executed twice) and the deduplication of repeats before anything is
- * sent. The decision engine would not break the rule in any case; a version that asks for it is a mistake of its author.
- * Could do harm only by rejecting a version that names such a policy on a way that no request takes.
+ * Rejects versions whose retry policies contradict rule 2 (a non-retriable request is never executed twice), or whose
+ * pools would defeat the deduplication of repeats. The decision engine enforces rule 2 in any case; a version that asks
+ * for such retries is a mistake of its author. The check may also reject a version in which no request ever comes under
+ * the offending policy.
  */
 final class RetrySafetyValidator {
     private final ValidationContext context;
@@ -21,14 +22,14 @@
     }
 
     /**
-     * Follows every way by which requests of a non-retriable route come under a retry policy: the route itself, the
-     * routes from which it inherits, its pool, each fallback pool, the default.
+     * Checks every retry policy that can apply to requests of a non-retriable route: the policy set by the route itself,
+     * by a route it inherits from, by its pool, by a fallback pool, or by default.
      */
     void validateNonRetriable(ResolvedConfig.RouteDefinition route) {
         if (route.retryPolicy() != null) {
             ResolvedConfig.RouteDefinition declaring = route.declaringRoute("retries");
-            String way = declaring == route ? "directly" : "by inheritance from route " + declaring.name();
-            requireSafePolicy(route, route.retryPolicy(), declaring.pointer() + "/retries", way);
+            String origin = declaring == route ? "directly" : "by inheritance from route " + declaring.name();
+            requireSafePolicy(route, route.retryPolicy(), declaring.pointer() + "/retries", origin);
             return;
         }
         List<String> chain = config.fallbackChain(route.pool());
@@ -40,8 +41,8 @@
                 continue;
             }
             String pointer = "/pools/" + ConfigDocument.escapePointerToken(pool) + "/retries";
-            String way = pool.equals(route.pool()) ? "by its pool " + pool : "by the fallback pool " + pool;
-            requireSafePolicy(route, policy, pointer, way);
+            String origin = pool.equals(route.pool()) ? "by its pool " + pool : "by the fallback pool " + pool;
+            requireSafePolicy(route, policy, pointer, origin);
         }
         String defaultPolicy = config.defaultValue("retries");
         if (reachesDefault && defaultPolicy != null) {
@@ -50,7 +51,7 @@
     }
 
     private void requireSafePolicy(
-            ResolvedConfig.RouteDefinition route, String policyName, String pointer, String way) {
+            ResolvedConfig.RouteDefinition route, String policyName, String pointer, String origin) {
         JsonNode definition = config.definition("retries", policyName);
         if (definition.isMissingNode()
                 || !ConfigCompiler.retryPolicy(policyName, definition).mayExecuteTwice()) {
@@ -60,24 +61,24 @@
                 "M-ONCE",
                 pointer,
                 "route " + route.name() + " is of the non-retriable class " + route.className()
-                        + " and reaches the policy " + policyName + " " + way
+                        + " and reaches the policy " + policyName + " " + origin
                         + ", which retries requests that may have been executed",
                 "give the route a policy of its own with tries 1, or with after turned-away and not-connected only");
     }
 
     /**
-     * Repeats of a deduped class must reach the endpoints that recognize them, which are those of one zone or of one
-     * cell.
+     * Checks that repeats of a deduped class stay among the endpoints that recognize them; depending on the class, these
+     * are all endpoints, those of one zone or those of one cell.
      */
     void validateDeduplicationGroup(ResolvedConfig.RouteDefinition route, RoutePolicy policy) {
         List<String> chain = config.fallbackChain(route.pool());
-        boolean withinGroup =
+        boolean withinDedupScope =
                 switch (policy.dedupScope()) {
                     case ALL -> true;
                     case ZONE -> context.deployment().zones().size() <= 1 || isWithinOneZone(chain);
                     case CELL -> chain.size() <= 1;
                 };
-        if (withinGroup) {
+        if (withinDedupScope) {
             return;
         }
         boolean byZone = policy.dedupScope() == RoutePolicy.DedupScope.ZONE;
--- a/src/main/java/gatelock/config/RouteEntry.java
+++ b/src/main/java/gatelock/config/RouteEntry.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * One route of a compiled version, with everything that it states, inherits or gets by default.
+ * One route of a compiled version, with inherited and default values resolved.
  *
- * @param position among the version's routes; of two that match a request, the earlier one is used
+ * @param name the route's name, unique within the version
+ * @param position position among the version's routes; the first route that matches a request is used
+ * @param match conditions under which the route matches a request
  * @param classIndex index of the request class whose policy applies
- * @param pool name of the pool; null: all endpoints
- * @param limits limits that a request must pass, all of them
- * @param retryPolicy the policy that the route itself names or inherits; null where its pool's or the default applies
- * @param sessionPolicy terms of WebSocket sessions; null: the route has none
+ * @param pool name of the pool; null for all endpoints
+ * @param limits limits, all of which must admit a request
+ * @param retryPolicy the policy that the route itself names or inherits; null if its pool's or the default policy applies
+ * @param sessionPolicy policy for WebSocket sessions; null if the route does not accept any
  */
 record RouteEntry(
         String name,
--- a/src/main/java/gatelock/config/RouteExplainer.java
+++ b/src/main/java/gatelock/config/RouteExplainer.java
@@ -7,11 +7,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Explains what a version does with a request, for the command {@code gatelock explain}. */
+/** Explains how a version handles a request, for the command {@code gatelock explain}. */
 public final class RouteExplainer {
     private static final double US_PER_S = 1e6;
     private static final long US_PER_MS = 1000;
-    /** Whole numbers below this bound are exact as a double and are printed without a fraction. */
+    /** Whole numbers below this bound are represented exactly by a double and are printed without a fraction. */
     private static final double MAX_WHOLE_NUMBER = 1e15;
 
     private static final String ALL_ENDPOINTS = "all units";
@@ -19,10 +19,10 @@
     private RouteExplainer() {}
 
     /**
-     * Explains a request. The keys and texts are the command's output and stay as they are.
+     * Explains how a request is handled. The keys and texts are the output of the command and must not change.
      *
      * @return in this order {@code route}, {@code class}, {@code pools}, {@code limits} (a list) and {@code tries} (an
-     *     object by pool), or only {@code answer} where no route takes the request
+     *     object by pool), or only {@code answer} if no route matches the request
      */
     public static Map<String, Object> explain(
             CompiledConfig config, DeploymentContext deployment, RequestAttributes request) {
@@ -57,14 +57,14 @@
                 : "no route is for it: it goes by the first part of its path, to all units, without limits";
     }
 
-    /** Describes a limit in words. */
+    /** Returns a human-readable description of a limit. */
     static String describe(LimitPolicy limit) {
         StringBuilder text = new StringBuilder(limit.name())
                 .append(": per ")
                 .append(limit.scope().name().toLowerCase(Locale.ROOT).replace('_', ' '));
         if (limit.hasRate()) {
-            text.append(", ").append(number(limit.ratePerUs() * US_PER_S)).append(" reqs a second, ");
-            text.append(number(limit.burst())).append(" at once");
+            text.append(", ").append(formatNumber(limit.ratePerUs() * US_PER_S)).append(" reqs a second, ");
+            text.append(formatNumber(limit.burst())).append(" at once");
         }
         if (limit.maxInFlight() < Integer.MAX_VALUE) {
             text.append(", ").append(limit.maxInFlight()).append(" in flight");
@@ -78,7 +78,7 @@
         return text.toString();
     }
 
-    /** Describes a retry policy in words. */
+    /** Returns a human-readable description of a retry policy. */
     static String describe(RetryPolicy policy) {
         if (policy.equals(RetryPolicy.UNRESTRICTED)) {
             return "as the module decides";
@@ -87,7 +87,7 @@
         if (policy.maxAttempts() != 1) {
             text.append(" after ").append(resultWords(policy));
             text.append(", further ones up to ")
-                    .append(number(policy.budgetRatio()))
+                    .append(formatNumber(policy.budgetRatio()))
                     .append(" of reqs");
         }
         if (policy.attemptTimeoutUs() > 0) {
@@ -98,7 +98,7 @@
         return text.toString();
     }
 
-    /** Returns the retryable results in the words of a version's text; one that was not sent goes without saying. */
+    /** Returns the retryable results as a version's text names them, without {@code NOT_SENT}, which always applies. */
     private static List<String> resultWords(RetryPolicy policy) {
         List<String> words = new ArrayList<>();
         for (AttemptResult result : policy.retryableResults()) {
@@ -110,7 +110,7 @@
         return words;
     }
 
-    private static String number(double value) {
+    private static String formatNumber(double value) {
         boolean whole = value == Math.rint(value) && Math.abs(value) < MAX_WHOLE_NUMBER;
         return whole ? Long.toString((long) value) : Double.toString(value);
     }
--- a/src/main/java/gatelock/config/RouteMatch.java
+++ b/src/main/java/gatelock/config/RouteMatch.java
@@ -8,17 +8,17 @@
 /**
  * The conditions under which a route matches a request.
  *
- * @param host a host name, {@code *.} and a name for all hosts below it, or {@code *} for any host
- * @param segments segments with which the request's path must begin; empty: any path
- * @param methods allowed methods; empty: any method
- * @param headers required headers by name in lower case, with their value, or {@code *} for any value
+ * @param host a host name, {@code *.} followed by a domain for all hosts below it, or {@code *} for any host
+ * @param segments segments with which the request's path must begin; empty for any path
+ * @param methods allowed methods; empty for any method
+ * @param headers required values by lower-case header name; the value {@code *} stands for any value
  */
 public record RouteMatch(String host, List<String> segments, Set<String> methods, Map<String, String> headers) {
     private static final String ANY = "*";
-    /** Begins a host pattern that stands for all hosts below a name. */
+    /** The prefix of a host pattern that matches all hosts below a domain. */
     private static final String SUBDOMAINS = "*.";
 
-    /** Splits a path into its segments; a slash at the end makes no difference. */
+    /** Splits a path into its segments; a trailing slash is ignored. */
     static List<String> splitPath(String path) {
         String trimmed = path.startsWith("/") ? path.substring(1) : path;
         trimmed = trimmed.endsWith("/") ? trimmed.substring(0, trimmed.length() - 1) : trimmed;
@@ -26,10 +26,9 @@
     }
 
     /**
-     * Whether an endpoint may read a path as another path than this relay does. Guards against requests that would so
-     * get past the route that is meant for them: dot segments, and slashes or dots that are percent-encoded. Should
-     * hold for any endpoint that normalizes paths; harms clients that really use such names, which are told so by
-     * status 400.
+     * Returns whether an endpoint may interpret a path differently than this relay does, because of dot segments, empty
+     * segments, backslashes, or percent-encoded slashes or dots. Such a path could bypass the route that is meant for it
+     * at any endpoint that normalizes paths. Clients that legitimately use such paths get status 400.
      */
     static boolean isAmbiguousPath(String path) {
         if (!path.startsWith("/")) {
@@ -42,7 +41,7 @@
         return hasHiddenSeparator(decoded) || hasDotSegment(decoded);
     }
 
-    /** A quick test that holds for nearly all paths: none of the characters that make a path ambiguous occur. */
+    /** Returns whether a path has none of the characters that can make it ambiguous; a quick test true of most paths. */
     private static boolean isPlain(String path) {
         return path.indexOf('%') < 0
                 && !path.contains("/.")
@@ -70,7 +69,7 @@
         return false;
     }
 
-    /** Whether host, method and headers match; the path is matched by {@link RouteTable}. */
+    /** Returns whether host, method and headers match; {@link RouteTable} matches the path. */
     boolean matchesIgnoringPath(RequestAttributes request) {
         return matchesHost(request.host())
                 && (methods.isEmpty() || methods.contains(request.method()))
@@ -88,7 +87,7 @@
         return host.startsWith(SUBDOMAINS) ? isBelow(name, host) : name.equals(host);
     }
 
-    /** Whether a host name or pattern lies below the name of a pattern that begins with {@code *.}. */
+    /** Returns whether a host name or pattern lies below the domain of a pattern that begins with {@code *.}. */
     private static boolean isBelow(String name, String subdomainPattern) {
         String suffix = subdomainPattern.substring(1);
         return name.endsWith(suffix) && name.length() > suffix.length();
@@ -106,7 +105,7 @@
         return true;
     }
 
-    /** Whether this matches every request that the other one matches. */
+    /** Returns whether this match includes every request that the other one matches. */
     boolean covers(RouteMatch other) {
         return coversHost(other.host)
                 && segments.size() <= other.segments.size()
--- a/src/main/java/gatelock/config/RouteTable.java
+++ b/src/main/java/gatelock/config/RouteTable.java
@@ -8,12 +8,12 @@
 import java.util.function.BiPredicate;
 
 /**
- * An ordered table of routes in which the first one that matches a request is found quickly. It is a compressed trie (a
- * radix tree) over path segments: an edge carries the segments that lead to no choice, a node the routes whose path ends
- * there, by host and in order. Each node knows the lowest position at or below it, so that a search ends where no
- * earlier route can come.
+ * An ordered table of routes with fast lookup of the first route that matches a request. It is a radix tree (compressed
+ * trie) over path segments: an edge carries a run of segments without a branch, and a node holds the routes whose path
+ * ends there, by host and in order. Each node stores the lowest position at or below it, so that a search stops when no
+ * earlier route can follow.
  *
- * @param <T> the value of a route
+ * @param <T> the type of the value associated with a route
  */
 final class RouteTable<T> {
     private final Node<T> root = new Node<>();
@@ -22,14 +22,14 @@
     private record Entry<T>(int position, RouteMatch match, T value) {}
 
     private static final class Node<T> {
-        /** Routes whose path ends here, by their host pattern, each list in order of position. */
+        /** Routes whose path ends at this node, by host pattern; each list is in order of position. */
         private Map<String, List<Entry<T>>> entriesByHost = Map.of();
-        /** Edges by their first segment. */
+        /** Outgoing edges by their first segment. */
         private Map<String, Edge<T>> edges = Map.of();
         /** The lowest position of all routes at or below this node. */
         private int lowestPosition = Integer.MAX_VALUE;
 
-        // Maps are created on demand, as most nodes of a large table have only one of the two.
+        // The maps are created on demand because most nodes of a large table need only one of them.
         private void addEntry(Entry<T> entry) {
             if (entriesByHost.isEmpty()) {
                 entriesByHost = new HashMap<>(2);
@@ -56,7 +56,7 @@
             this.target = target;
         }
 
-        /** Splits the edge after so many segments, with a new node between the two parts. */
+        /** Splits the edge after {@code length} segments by inserting a new node. */
         private void split(int length) {
             Node<T> middle = new Node<>();
             middle.lowestPosition = target.lowestPosition;
@@ -69,7 +69,7 @@
     /**
      * Builds a table.
      *
-     * @param matches the routes' conditions in order
+     * @param matches the match conditions of the routes, in order of position
      * @param values the value of each route, in the same order
      */
     RouteTable(List<RouteMatch> matches, List<T> values) {
@@ -80,11 +80,12 @@
         }
     }
 
+    /** Returns the number of routes. */
     int size() {
         return size;
     }
 
-    /** Returns the node where a path ends, and records the position in all nodes on the way. */
+    /** Returns the node where a path ends, created if necessary, and updates the lowest position of the nodes on the way. */
     private Node<T> findOrCreateNode(List<String> path, int position) {
         Node<T> node = root;
         node.lowestPosition = Math.min(node.lowestPosition, position);
@@ -107,7 +108,7 @@
         return node;
     }
 
-    /** Returns how many segments of an edge agree with a path from that depth on. */
+    /** Returns the number of leading segments of an edge that equal those of a path from {@code depth} on. */
     private static int commonLength(List<String> segments, List<String> path, int depth) {
         int length = 0;
         while (length < segments.size()
@@ -118,7 +119,7 @@
         return length;
     }
 
-    /** Returns the value of the first route that matches a request, or null. */
+    /** Returns the value of the first route that matches a request, or null if there is none. */
     T findFirst(RequestAttributes request) {
         Entry<T> found = search(
                 RouteMatch.splitPath(request.path()),
@@ -128,15 +129,15 @@
     }
 
     /**
-     * Returns the position of the first route whose path is a prefix of this one and that satisfies the condition, or
-     * -1. The condition sees each candidate that could still be the first, of whatever host.
+     * Returns the position of the first route whose path is a prefix of {@code path} and that satisfies the condition, or
+     * -1 if there is none. The condition is evaluated for candidates of all hosts, except those that can't be the first.
      */
     int findFirstAlongPath(List<String> path, BiPredicate<Integer, RouteMatch> condition) {
         Entry<T> found = search(path, null, condition);
         return found == null ? -1 : found.position;
     }
 
-    /** Descends along a path, with candidates of that host; null: of any host. */
+    /** Descends along a path and returns the first matching entry for a host; a null host means any host. */
     private Entry<T> search(List<String> path, String host, BiPredicate<Integer, RouteMatch> condition) {
         String hostName = host == null ? null : host.toLowerCase(Locale.ROOT);
         Entry<T> best = null;
@@ -165,7 +166,7 @@
         return found;
     }
 
-    /** Searches the routes of one node for any host, for the host itself and for the domains above it. */
+    /** Searches the routes of one node whose host pattern is any host, the host itself or a domain above it. */
     private static <T> Entry<T> searchHost(
             Node<T> node, String host, BiPredicate<Integer, RouteMatch> condition, Entry<T> best) {
         if (node.entriesByHost.isEmpty()) {
@@ -179,7 +180,7 @@
         return found;
     }
 
-    /** Returns the first entry that satisfies the condition if it comes before the best one so far, or else that one. */
+    /** Returns the first entry that satisfies the condition if it precedes {@code best}, otherwise {@code best}. */
     private static <T> Entry<T> earlier(
             List<Entry<T>> entries, BiPredicate<Integer, RouteMatch> condition, Entry<T> best) {
         if (entries == null) {
--- a/src/main/java/gatelock/config/RouteValidator.java
+++ b/src/main/java/gatelock/config/RouteValidator.java
@@ -4,7 +4,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Validates each route: its name, its parent, what it refers to, and whether these fit its request class. */
+/** Validates each route: its name, its parent, its references, and whether its settings suit its request class. */
 final class RouteValidator {
     private final ValidationContext context;
     private final LimitValidator limits;
@@ -16,6 +16,7 @@
         this.retrySafety = new RetrySafetyValidator(context);
     }
 
+    /** Adds findings about all routes. */
     void validate() {
         Set<String> names = new HashSet<>();
         for (ResolvedConfig.RouteDefinition route : context.config().routes()) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Returns the index of the route's class, or null, with an error added, if the deployment does not have it. */
+    /** Returns the index of the route's class; if the deployment does not have it, adds an error and returns null. */
     private Integer requireClass(ResolvedConfig.RouteDefinition route) {
         String className = route.className();
         Integer classIndex =
@@ -83,7 +84,7 @@
         return classIndex;
     }
 
-    /** A class determines the method of its requests: a route for other methods never matches one. */
+    /** Adds an error if the route excludes the only method that requests of its class use, so that it never matches. */
     private void validateMethods(ResolvedConfig.RouteDefinition route, RoutePolicy policy) {
         String method = policy.retrySafety() == RoutePolicy.RetrySafety.RETRIABLE ? "GET" : "POST";
         Set<String> methods = route.match().methods();
--- a/src/main/java/gatelock/config/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -11,11 +11,11 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The published JSON Schemas (draft 2020-12), and the validation of a document against them. */
+/** Validates documents against the published JSON Schemas (draft 2020-12). */
 public enum SchemaValidator {
     /** The schema of a configuration version. */
     PLAN("/gatelock/plan.schema.json"),
-    /** The schema of the operator's file. */
+    /** The schema of the operator's configuration file. */
     OPERATOR("/gatelock/operator.schema.json");
 
     private final String resource;
@@ -24,12 +24,12 @@
         this.resource = resource;
     }
 
-    /** Compiles the schema of a configuration version on first use, once for all threads. */
+    /** Holds the compiled schema of a configuration version; compiled once, on first use, for all threads. */
     private static final class CompiledPlanSchema {
         private static final Schema SCHEMA = PLAN.compileSchema();
     }
 
-    /** Compiles the schema of the operator's file on first use, once for all threads. */
+    /** Holds the compiled schema of the operator's configuration file; compiled once, on first use, for all threads. */
     private static final class CompiledOperatorSchema {
         private static final Schema SCHEMA = OPERATOR.compileSchema();
     }
@@ -39,13 +39,13 @@
         try (InputStream in = SchemaValidator.class.getResourceAsStream(resource)) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8);
         } catch (IOException e) {
-            throw new IllegalStateException("the program holds no " + resource, e);
+            throw new IllegalStateException("can't read the resource " + resource, e);
         }
     }
 
     /**
-     * Validates a document and adds an error for each violation. The code is {@code S-} and the schema's keyword in
-     * capitals.
+     * Validates a document and adds an error for each violation. The error's code is {@code S-} followed by the violated
+     * schema keyword in upper case.
      */
     public void validate(ConfigDocument document, List<Diagnostic> findings) {
         for (Error error : schema().validate(document.root())) {
@@ -70,7 +70,10 @@
                 .getSchema(schemaText(), InputFormat.JSON);
     }
 
-    /** An unknown property is reported by the library at its object; the finding points at the property itself. */
+    /**
+     * Returns the JSON pointer for a violation. The library reports an unknown property at the enclosing object; the
+     * finding points at the property itself.
+     */
     private static String pointer(Error error, String keyword) {
         String pointer = error.getInstanceLocation().toString();
         if (error.getProperty() != null && keyword.equals("additionalProperties")) {
--- a/src/main/java/gatelock/config/SessionPolicy.java
+++ b/src/main/java/gatelock/config/SessionPolicy.java
@@ -3,13 +3,14 @@
 import java.util.Set;
 
 /**
- * The terms of WebSocket sessions on a route.
+ * The policy for WebSocket sessions on a route.
  *
- * @param maxMessageBytes largest size of one message in bytes
- * @param idleTimeoutUs time without a message in either direction after which a session is closed, in microseconds; 0: never
- * @param pingIntervalUs time between the pings that are sent to each side, in microseconds
- * @param maxFramesPerSecond frames that a client may send in a second before it counts as flooding
- * @param subprotocols subprotocols that may be negotiated; empty: none
+ * @param maxMessageBytes maximum size of one message in bytes
+ * @param idleTimeoutUs time in microseconds without a message in either direction after which a session is closed; 0
+ *     disables the timeout
+ * @param pingIntervalUs interval in microseconds between pings to each side
+ * @param maxFramesPerSecond maximum number of frames that a client may send per second; more count as flooding
+ * @param subprotocols subprotocols that may be negotiated; empty if none may
  */
 public record SessionPolicy(
         int maxMessageBytes,
--- a/src/main/java/gatelock/config/ShadowedRouteValidator.java
+++ b/src/main/java/gatelock/config/ShadowedRouteValidator.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.function.BiPredicate;
 
-/** Finds routes that no request ever reaches, as an earlier route matches all of theirs. */
+/** Finds routes that no request can reach because an earlier route matches all of their requests. */
 final class ShadowedRouteValidator {
-    /** How many earlier routes are compared with one route; beyond that the check is given up with a warning. */
+    /** The maximum number of earlier routes compared with one route; beyond it a warning says that the check gave up. */
     private static final int MAX_COMPARED_ROUTES = 2_000;
 
     private final ValidationContext context;
@@ -14,7 +14,7 @@
         this.context = context;
     }
 
-    /** Finds the earliest route on the same path that covers another one, and counts comparisons. */
+    /** A search condition that accepts earlier routes that cover a given one, and counts the comparisons. */
     private static final class CoverSearch implements BiPredicate<Integer, RouteMatch> {
         private final int position;
         private final RouteMatch match;
@@ -35,6 +35,7 @@
         }
     }
 
+    /** Adds a finding for each shadowed route, and for each route that could not be checked. */
     void validate() {
         List<ResolvedConfig.RouteDefinition> routes = context.config().routes().stream()
                 .filter(route -> !route.isAbstract())
--- a/src/main/java/gatelock/config/StartupQueue.java
+++ b/src/main/java/gatelock/config/StartupQueue.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Requests that arrive before the relay has its endpoint list, in order of arrival, each with the action that continues
- * it. Guards against clients that were connected before a restart: their requests come as soon as the relay listens, and
- * must not be routed by an endpoint list from before the restart. Could do harm where a start takes longer than clients
- * wait: those requests are given up one by one.
+ * Holds requests that arrive before the relay has received its endpoint list, in order of arrival, each with the action
+ * that continues it. Clients that were connected before a restart send requests as soon as the relay listens, and these
+ * must not be routed by an endpoint list from before the restart. If startup takes longer than requests may wait, they
+ * are rejected one by one.
  *
- * @param <T> a waiting request; equal only to itself
+ * @param <T> the type of a waiting request; must have identity equality
  */
 public final class StartupQueue<T> {
     private final Map<T, Runnable> continuations = new LinkedHashMap<>();
     private boolean open;
 
-    /** Whether requests need not wait any more. */
+    /** Returns whether the queue has been opened, so that requests no longer have to wait. */
     public boolean isOpen() {
         return open;
     }
@@ -29,21 +29,21 @@
      * @param deadlineUs the request's deadline
      * @param request the request
      * @param continuation runs when the queue opens
-     * @return how long the request may wait, in microseconds: half of its remaining time. After that it is better given
-     *     up, so that its client can try another relay in the other half; a later rejection would cost the client its
-     *     deadline.
+     * @return how long the request may wait, in microseconds: half of its remaining time. It should be rejected after
+     *     that, so that its client can try another relay in the other half; a later rejection would make the client miss
+     *     its deadline.
      */
     public long add(long nowUs, long deadlineUs, T request, Runnable continuation) {
         continuations.put(request, continuation);
         return Math.max(0, deadlineUs - nowUs) / 2;
     }
 
-    /** Removes a request that is given up or whose client left; returns whether it was still waiting. */
+    /** Removes a request that was rejected or whose client disconnected; returns whether it was still waiting. */
     public boolean remove(T request) {
         return continuations.remove(request) != null;
     }
 
-    /** Opens the queue for good and continues all waiting requests; returns how many there were. */
+    /** Opens the queue permanently and continues all waiting requests; returns their number. */
     public int openAndDrain() {
         open = true;
         List<Runnable> pending = new ArrayList<>(continuations.values());
--- a/src/main/java/gatelock/config/TenantFairQueue.java
+++ b/src/main/java/gatelock/config/TenantFairQueue.java
@@ -7,43 +7,45 @@
 import java.util.Map;
 
 /**
- * A queue in which tenants take turns, and requests of one tenant keep their order.
+ * A queue that serves tenants round robin and keeps the items of each tenant in order of arrival.
  *
- * @param <T> what waits; equal only to itself
+ * @param <T> the type of queued items; must have identity equality
  */
 final class TenantFairQueue<T> {
-    /** By tenant, in the order of turns; a tenant without anything that waits is not in it. */
+    /** The items by tenant, in the order in which the tenants are served; tenants without items are absent. */
     private final Map<Integer, ArrayDeque<T>> queues = new LinkedHashMap<>();
 
     private int size;
 
+    /** Returns the number of items of all tenants. */
     int size() {
         return size;
     }
 
+    /** Returns whether the queue has no items. */
     boolean isEmpty() {
         return size == 0;
     }
 
-    /** Returns how many of one tenant wait. */
+    /** Returns the number of items of one tenant. */
     int sizeOf(int tenant) {
         ArrayDeque<T> queue = queues.get(tenant);
         return queue == null ? 0 : queue.size();
     }
 
-    /** Returns the tenants in the order of their turns, as a copy. */
+    /** Returns a copy of the list of tenants with items, in the order in which they are served. */
     List<Integer> tenants() {
         return List.copyOf(queues.keySet());
     }
 
-    /** Returns a tenant's first, or null if none of its waits. */
-    T first(int tenant) {
+    /** Returns the first item of a tenant, or null if the tenant has none. */
+    T firstOf(int tenant) {
         ArrayDeque<T> queue = queues.get(tenant);
         return queue == null ? null : queue.peekFirst();
     }
 
-    /** Returns the first of each tenant, in the order of turns. */
-    List<T> firstOfEach() {
+    /** Returns the first item of each tenant, in the order in which the tenants are served. */
+    List<T> firstOfEachTenant() {
         List<T> firsts = new ArrayList<>(queues.size());
         for (ArrayDeque<T> queue : queues.values()) {
             firsts.add(queue.peekFirst());
@@ -51,12 +53,13 @@
         return firsts;
     }
 
+    /** Adds an item after the other items of its tenant. */
     void add(int tenant, T item) {
         queues.computeIfAbsent(tenant, t -> new ArrayDeque<>()).addLast(item);
         size++;
     }
 
-    /** Removes an item that waits. */
+    /** Removes an item, which must be in the queue. */
     void remove(int tenant, T item) {
         ArrayDeque<T> queue = queues.get(tenant);
         queue.remove(item);
@@ -66,7 +69,7 @@
         size--;
     }
 
-    /** Gives a tenant its turn after all others. */
+    /** Moves a tenant behind all others in the order in which they are served. */
     void moveToBack(int tenant) {
         ArrayDeque<T> queue = queues.remove(tenant);
         if (queue != null) {
@@ -74,19 +77,19 @@
         }
     }
 
-    /** Returns how many wait of the tenant with most; 0 if the queue is empty. */
-    int longestSize() {
-        ArrayDeque<T> longest = longest();
+    /** Returns the number of items of the tenant that has the most, or 0 if the queue is empty. */
+    int longestQueueSize() {
+        ArrayDeque<T> longest = longestQueue();
         return longest == null ? 0 : longest.size();
     }
 
-    /** Returns the last of the tenant with most, or null if the queue is empty. */
-    T lastOfLongest() {
-        ArrayDeque<T> longest = longest();
+    /** Returns the last item of the tenant that has the most, or null if the queue is empty. */
+    T lastOfLongestQueue() {
+        ArrayDeque<T> longest = longestQueue();
         return longest == null ? null : longest.peekLast();
     }
 
-    private ArrayDeque<T> longest() {
+    private ArrayDeque<T> longestQueue() {
         ArrayDeque<T> longest = null;
         for (ArrayDeque<T> queue : queues.values()) {
             if (longest == null || queue.size() > longest.size()) {
--- a/src/main/java/gatelock/config/ValidationContext.java
+++ b/src/main/java/gatelock/config/ValidationContext.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** What all validators of one document share: the document, the deployment, the findings, and which names are used. */
+/** The state shared by all validators of one document: the document, the deployment, the findings and the used names. */
 final class ValidationContext {
-    /** How many of the existing names a finding about an undefined one suggests. */
+    /** The maximum number of defined names that a finding about an undefined name suggests. */
     private static final int MAX_SUGGESTED_NAMES = 10;
 
     private final ResolvedConfig config;
@@ -15,29 +15,37 @@
     private final List<Diagnostic> findings;
     private final Set<String> usedDefinitions = new HashSet<>();
 
+    /** Creates a context whose findings are added to {@code findings}. */
     ValidationContext(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> findings) {
         this.config = config;
         this.deployment = deployment;
         this.findings = findings;
     }
 
+    /** Returns the document under validation. */
     ResolvedConfig config() {
         return config;
     }
 
+    /** Returns the deployment settings against which the document is validated. */
     DeploymentContext deployment() {
         return deployment;
     }
 
+    /** Adds an error at a JSON pointer. */
     void error(String code, String pointer, String problem, String remedy) {
         findings.add(Diagnostic.newError(code, pointer, problem, remedy));
     }
 
+    /** Adds a warning at a JSON pointer. */
     void warning(String code, String pointer, String problem, String remedy) {
         findings.add(Diagnostic.newWarning(code, pointer, problem, remedy));
     }
 
-    /** Returns whether a section defines a name, which then counts as used; adds an error with that code if not. */
+    /**
+     * Returns whether a section defines a name. A defined name is recorded as used; for an undefined one, an error with
+     * the given code is added at the pointer.
+     */
     boolean requireDefined(String section, String name, String pointer, String code) {
         if (config.defines(section, name)) {
             usedDefinitions.add(usageKey(section, name));
@@ -51,6 +59,7 @@
         return false;
     }
 
+    /** Returns whether any reference to a name of a section was validated. */
     boolean isUsed(String section, String name) {
         return usedDefinitions.contains(usageKey(section, name));
     }
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -9,37 +9,41 @@
 import java.util.Map;
 
 /**
- * Decides on the succession of configuration versions: what to do with a version that is offered, which one is active,
- * which one the control service is told as accepted, and to which ones the operator can roll back. Versions are
- * identified by epoch, number and hash; compiling them is the caller's task.
+ * Tracks configuration versions and decides what to do with an offered version, which version is active, which one is
+ * reported to the control service as accepted, and which ones the operator can roll back to. Versions are identified by
+ * epoch, number and hash; compiling them is the caller's task.
  *
- * <p>Numbers increase within an epoch. A later epoch is a control service that was rebuilt, and it takes over whatever
- * its numbers; an earlier epoch is an old copy of the service that came back, and its versions are rejected. A number's
- * text never changes: when the same number comes with another text, the accepted one stays.
+ * <p>Numbers increase within an epoch. A later epoch belongs to a control service that was rebuilt, and its versions take
+ * precedence whatever their numbers. An earlier epoch belongs to an old copy of the service that came back, and its
+ * versions are rejected. The text of a number never changes: if the same number is offered with another text, the
+ * accepted version stays.
  */
 public final class VersionTracker {
-    /** How many rejected texts are remembered by hash, so that the same text is neither compiled nor logged again. */
+    /** The number of rejected texts remembered by hash, so that the same text is neither compiled nor logged again. */
     private static final int MAX_REMEMBERED_REJECTIONS = 64;
-    /** Bound on the bytes of all texts in the history; two versions are kept whatever their size. */
+    /** Bound on the total size of the texts in the history; does not apply to the last {@link #MIN_HISTORY} versions. */
     private static final long MAX_HISTORY_BYTES = 16 << 20;
-    /** The versions that are kept whatever their size: the active one and the one before it. */
+    /** The number of versions kept whatever their size: the active version and the one before it. */
     private static final int MIN_HISTORY = 2;
 
-    /** What to do with an offered version. The names appear in the log and in the status, in lower case. */
+    /**
+     * What to do with an offered version. The names are sent to the control service and appear in the log and the status,
+     * so they must not change.
+     */
     public enum OfferOutcome {
         /** Compile it, then report the result with {@link #accept} or {@link #reject}. */
         COMPILE,
-        /** It is the latest accepted version: acknowledge it again. */
+        /** It is the latest accepted version; acknowledge it again. */
         HELD,
-        /** It is older than the latest accepted version: do not apply it. */
+        /** It has a lower number than the latest accepted version; do not apply it. */
         OLDER,
-        /** It is from an earlier epoch than the latest accepted version: an old copy of the control service. */
+        /** It has an earlier epoch than the latest accepted version, so it comes from an old copy of the control service. */
         OLD_EPOCH,
-        /** It has the number of the latest accepted version and another text. */
+        /** It has the number of the latest accepted version but a different text. */
         FORK,
-        /** The same text was rejected before: reject it again, without compiling or logging. */
+        /** The same text was rejected before; reject it again without compiling or logging. */
         REFUSED_BEFORE,
-        /** The operator has pinned an earlier version. */
+        /** The operator has pinned a version; do not apply any other. */
         PINNED
     }
 
@@ -47,17 +51,17 @@
      * One activation of a version.
      *
      * @param version the version
-     * @param sinceUs when it was activated, in microseconds of the caller's clock
-     * @param reason the source or reason of the activation, for a person
-     * @param author the author that the version's text names
+     * @param activatedUs when it was activated, in microseconds of the caller's clock
+     * @param reason human-readable source of or reason for the activation
+     * @param author the author named in the version's text
      * @param note the author's note in the version's text
-     * @param text the version's text, shared and not to be changed
+     * @param text the version's text; shared, so it must not be modified
      */
     @SuppressWarnings("ArrayRecordComponent") // Entries are never compared, and texts are too large to copy.
     public record HistoryEntry(
-            ConfigVersion version, long sinceUs, String reason, String author, String note, byte[] text) {}
+            ConfigVersion version, long activatedUs, String reason, String author, String note, byte[] text) {}
 
-    /** Findings of rejected texts by their hash; the least recently used is dropped first. */
+    /** The findings of rejected texts by hash; the least recently used entry is evicted first. */
     private final Map<String, List<Diagnostic>> rejectedByHash = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -70,18 +74,18 @@
     private final Deque<HistoryEntry> history = new ArrayDeque<>();
     private final int maxHistory;
     private long historyBytes;
-    /** The latest version that compiled, active or not: the control service is told this one. */
+    /** The latest accepted version, active or not; this one is reported to the control service. */
     private ConfigVersion latestAccepted;
 
     private ConfigVersion active;
-    private boolean pinned;
+    private boolean isPinned;
     private long rejections;
     private final Map<OfferOutcome, Long> offersByOutcome = new EnumMap<>(OfferOutcome.class);
 
     /**
      * Creates a tracker without any version.
      *
-     * @param maxHistory how many activations are kept to roll back to; at least 1
+     * @param maxHistory the maximum number of activations kept for rollback; at least 1
      */
     public VersionTracker(int maxHistory) {
         this.maxHistory = Math.max(1, maxHistory);
@@ -111,7 +115,7 @@
             rejections++;
             return OfferOutcome.REFUSED_BEFORE;
         }
-        return pinned ? OfferOutcome.PINNED : OfferOutcome.COMPILE;
+        return isPinned ? OfferOutcome.PINNED : OfferOutcome.COMPILE;
     }
 
     /**
@@ -119,15 +123,15 @@
      *
      * @param nowUs the time of the activation
      * @param config the compiled version
-     * @param reason the source or reason of the activation, for a person
+     * @param reason human-readable source of or reason for the activation
      * @param text the version's text
-     * @return false, with nothing changed, if a later version was accepted or the operator pinned one while this one
-     *     was compiled
+     * @return false, without any change, if a later version was accepted or the operator pinned a version while this one
+     *     was being compiled
      */
     public boolean accept(long nowUs, CompiledConfig config, String reason, byte[] text) {
         ConfigVersion version = config.version();
         boolean superseded = latestAccepted != null && !version.isAfter(latestAccepted);
-        if (superseded || pinned) {
+        if (superseded || isPinned) {
             return false;
         }
         latestAccepted = version;
@@ -149,8 +153,8 @@
      *
      * @param version the version that was offered
      * @param findings why it is rejected
-     * @param permanent whether the text is wrong by itself and is remembered as rejected; false where it is only a
-     *     danger beside the active version, and may be fine a minute later
+     * @param permanent true if the text itself is invalid and is remembered as rejected; false if only the change from
+     *     the active version is dangerous, which may no longer be the case a minute later
      */
     public void reject(ConfigVersion version, List<Diagnostic> findings, boolean permanent) {
         rejections++;
@@ -159,42 +163,42 @@
         }
     }
 
-    /** Returns why the text with that hash was rejected, or an empty list if it is not remembered as rejected. */
+    /** Returns the findings with which a text was rejected, or an empty list if its hash is not remembered. */
     public List<Diagnostic> rejectionFindings(String hash) {
         return rejectedByHash.getOrDefault(hash, List.of());
     }
 
-    /** Returns the latest version that was accepted, active or not, or null before there was one. */
+    /** Returns the latest accepted version, active or not, or null if none has been accepted yet. */
     public ConfigVersion latestAccepted() {
         return latestAccepted;
     }
 
-    /** Returns the active version, or null before there was one. */
+    /** Returns the active version, or null if none has been activated yet. */
     public ConfigVersion active() {
         return active;
     }
 
-    /** Whether the operator has pinned a version. */
-    public boolean pinned() {
-        return pinned;
+    /** Returns whether the operator has pinned a version. */
+    public boolean isPinned() {
+        return isPinned;
     }
 
-    /** Returns how many offers were rejected, repeated ones included. */
+    /** Returns the number of rejected offers, including repeated ones. */
     public long rejectionCount() {
         return rejections;
     }
 
-    /** Returns how many offers had each outcome; outcomes that never occurred are missing. */
+    /** Returns the number of offers by outcome; outcomes that never occurred are absent. */
     public Map<OfferOutcome, Long> offerCounts() {
         return offersByOutcome;
     }
 
-    /** Returns the activations that are kept, the earliest first. */
+    /** Returns the activations in the history, the earliest first. */
     public List<HistoryEntry> history() {
         return new ArrayList<>(history);
     }
 
-    /** Returns the latest activation of a version with that number, of whatever epoch, or null if none is kept. */
+    /** Returns the latest activation in the history of a version with that number, of any epoch, or null if none is. */
     public HistoryEntry findInHistory(long number) {
         HistoryEntry latest = null;
         for (HistoryEntry entry : history) {
@@ -206,23 +210,23 @@
     }
 
     /**
-     * Rolls back to an earlier version and pins it: whatever the control service sends is not applied until {@link
+     * Rolls back to an earlier version and pins it: versions from the control service are not applied until {@link
      * #unpin}.
      *
      * @param nowUs the time of the activation
-     * @param entry the activation to go back to
+     * @param entry the activation to roll back to
      * @param reason the operator's reason
      */
     public void pin(long nowUs, HistoryEntry entry, String reason) {
-        pinned = true;
+        isPinned = true;
         activate(new HistoryEntry(entry.version(), nowUs, reason, entry.author(), entry.note(), entry.text()));
     }
 
-    /** Unpins: the control service's versions are applied again, and its latest one is asked for once more. */
+    /** Ends a rollback: versions from the control service are applied again, and its latest one is requested again. */
     public void unpin() {
-        pinned = false;
+        isPinned = false;
         if (active != null && latestAccepted != null && !active.equals(latestAccepted)) {
-            // Naming the version before it makes the control service send the one that was rolled back from again.
+            // Reporting the preceding number makes the control service send the version that was rolled back again.
             latestAccepted = new ConfigVersion(latestAccepted.epoch(), latestAccepted.number() - 1, "");
         }
     }
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -29,8 +29,9 @@
 import org.xnio.channels.AcceptingChannel;
 
 /**
- * The operator's HTTP listener, on loopback: status, history, the text of a version, rolling back to one and
- * letting the control service lead again. It takes few connections at a time, and is not on the path of requests.
+ * The operator's HTTP listener on the loopback interface. It serves the status, the history and the text of a version,
+ * rolls back to an earlier version, and ends a rollback so that versions of the control service are applied again. It
+ * accepts few connections at a time and is not involved in serving client requests.
  */
 public final class AdminServer {
     private static final int MAX_CONNECTIONS = 8;
@@ -39,8 +40,8 @@
     private static final long MAX_BODY_BYTES = 1024;
     private static final int BUFFER_BYTES = 4096;
     private static final int MAX_POOLED_BUFFERS = 16;
-    /** Stands for a version's number that is missing or no number: no version has it. */
-    private static final long NO_NUMBER = -1;
+    /** Replaces a version number that is missing or malformed; no version has this number. */
+    private static final long UNKNOWN_VERSION = -1;
 
     private final EventLoop eventLoop;
     private final ConfigUpdater updater;
@@ -50,7 +51,10 @@
     /**
      * Creates a server that does not listen yet.
      *
-     * @param subscription gives the subscription to the control service, or null where there is none
+     * @param eventLoop runs the listener
+     * @param counters counters to show in the status
+     * @param updater provides the versions and performs rollbacks
+     * @param subscription supplies the subscription to the control service, or null if there is none
      */
     public AdminServer(
             EventLoop eventLoop, Counters counters, ConfigUpdater updater, Supplier<ConfigSubscription> subscription) {
@@ -59,12 +63,12 @@
         this.status = new RelayStatus(counters, updater, subscription);
     }
 
-    /** Has the status show the state of the endpoint list too. */
+    /** Adds the state of the endpoint list to the status. */
     public void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
         status.showEndpointList(endpointList);
     }
 
-    /** Begins to listen; returns the address that it listens on. */
+    /** Starts listening and returns the local address, whose port is assigned if {@code address} has port 0. */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         OptionMap httpOptions = OptionMap.builder()
                 .set(UndertowOptions.MAX_HEADER_SIZE, MAX_HEADER_BYTES)
@@ -95,23 +99,23 @@
     }
 
     private void handle(HttpServerExchange exchange) throws IOException {
-        boolean get = exchange.getRequestMethod().equalToString(Methods.GET_STRING);
+        boolean isGet = exchange.getRequestMethod().equalToString(Methods.GET_STRING);
         switch (exchange.getRequestPath()) {
-            case "/status" -> respond(exchange, okIf(get), status());
-            case "/history" -> respond(exchange, okIf(get), status.history());
+            case "/status" -> respond(exchange, okIf(isGet), status());
+            case "/history" -> respond(exchange, okIf(isGet), status.history());
             case "/version" -> sendVersionText(exchange);
             case "/back" -> {
-                if (get) {
+                if (isGet) {
                     respondError(exchange, StatusCodes.METHOD_NOT_ALLOWED, "POST /back?number=N&why=TEXT");
                 } else {
                     rollBack(exchange);
                 }
             }
             case "/release" -> {
-                if (!get) {
+                if (!isGet) {
                     updater.releasePin();
                 }
-                respond(exchange, okIf(!get), status());
+                respond(exchange, okIf(!isGet), status());
             }
             default ->
                 respondError(
@@ -119,8 +123,8 @@
         }
     }
 
-    private static int okIf(boolean rightMethod) {
-        return rightMethod ? StatusCodes.OK : StatusCodes.METHOD_NOT_ALLOWED;
+    private static int okIf(boolean methodAllowed) {
+        return methodAllowed ? StatusCodes.OK : StatusCodes.METHOD_NOT_ALLOWED;
     }
 
     private Map<String, Object> status() {
@@ -128,18 +132,18 @@
     }
 
     private void sendVersionText(HttpServerExchange exchange) throws IOException {
-        VersionTracker.HistoryEntry past = updater.versions().findInHistory(versionNumber(exchange));
-        if (past == null) {
+        VersionTracker.HistoryEntry entry = updater.versions().findInHistory(versionNumber(exchange));
+        if (entry == null) {
             respondError(exchange, StatusCodes.NOT_FOUND, "no such version is remembered; see /history");
         } else {
             exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
-            exchange.getResponseSender().send(ByteBuffer.wrap(past.text()));
+            exchange.getResponseSender().send(ByteBuffer.wrap(entry.text()));
         }
     }
 
     private void rollBack(HttpServerExchange exchange) {
-        String why = queryParameter(exchange, "why");
-        String reason = why == null ? "" : why;
+        String reasonParameter = queryParameter(exchange, "why");
+        String reason = reasonParameter == null ? "" : reasonParameter;
         exchange.dispatch(
                 SameThreadExecutor.INSTANCE,
                 () -> updater.rollBack(
@@ -167,7 +171,7 @@
         try {
             return Long.parseLong(String.valueOf(queryParameter(exchange, "number")));
         } catch (NumberFormatException e) {
-            return NO_NUMBER;
+            return UNKNOWN_VERSION;
         }
     }
 
--- a/src/main/java/gatelock/control/ConfigRequest.java
+++ b/src/main/java/gatelock/control/ConfigRequest.java
@@ -10,17 +10,18 @@
 import java.util.Map;
 
 /**
- * One poll of the control service: which version this relay holds, and what came of the one it was sent last.
+ * One poll of the control service: the latest version that this relay has accepted, and the result of the version that
+ * it last received.
  *
  * @param relay this relay's name
- * @param held the version that this relay holds; null where it has none
- * @param nonce names the response that {@code lastResult} is about
- * @param lastResult what came of the version that was sent last; null where there is nothing to report
- * @param holdMs how long the service may hold the call until it has a later version
+ * @param heldVersion the latest version that this relay has accepted; null if there is none
+ * @param nonce identifies the response that {@code lastResult} refers to
+ * @param lastResult the result of the last version received; null if there is nothing to report
+ * @param holdMs how long the service may hold the request open until it has a later version (long poll)
  */
-record ConfigRequest(String relay, ConfigVersion held, String nonce, UpdateResult lastResult, long holdMs) {
+record ConfigRequest(String relay, ConfigVersion heldVersion, String nonce, UpdateResult lastResult, long holdMs) {
 
-    /** The whole HTTP request, ready to be written. */
+    /** Returns the complete HTTP request, ready to be written. */
     ByteBuffer toHttp() {
         byte[] body = toJson();
         String header = "POST /v1/plans HTTP/1.1\r\nHost: control\r\nContent-Type: "
@@ -36,10 +37,10 @@
     private byte[] toJson() {
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("relay", relay);
-        if (held != null) {
-            fields.put("epoch", held.epoch().toString());
-            fields.put("version", held.number());
-            fields.put("hash", held.hash());
+        if (heldVersion != null) {
+            fields.put("epoch", heldVersion.epoch().toString());
+            fields.put("version", heldVersion.number());
+            fields.put("hash", heldVersion.hash());
         }
         if (lastResult != null) {
             fields.put("nonce", nonce);
@@ -57,7 +58,7 @@
         try {
             return JSON.std.asBytes(fields);
         } catch (IOException e) {
-            throw new IllegalStateException("plain values are always JSON", e);
+            throw new IllegalStateException("a map of plain values can't be serialized to JSON", e);
         }
     }
 }
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -14,23 +14,23 @@
 import org.xnio.XnioExecutor;
 
 /**
- * The subscription to versions of the configuration: long polls of a control service, one after the other. Each
- * says which version this relay holds and what came of the one before, and waits for a later one.
+ * The subscription to versions of the configuration: successive long polls of a control service. Each poll reports the
+ * version that this relay holds and the result of the version received before, and waits for a later version.
  *
- * <p>The semantics are those of xDS, state of the world: version, nonce, ACK as the same request with the new
- * version, NACK with an error's detail, resumption by the version held. The framing is this project's own:
- * docs/design/versioned-configuration.md.
+ * <p>The semantics follow the state-of-the-world variant of xDS: responses carry a version and a nonce, an ACK is the
+ * next request with the new version, a NACK carries error details, and a relay resumes from the version it holds. The
+ * message format is specific to this project; see docs/design/versioned-configuration.md.
  */
 public final class ConfigSubscription {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
-    /** How much longer than the hold a call may take before it counts as unanswered. */
-    private static final long GRACE_US = 5_000_000;
+    /** How much longer than the hold time a poll may take before it times out. */
+    private static final long RESPONSE_GRACE_US = 5_000_000;
 
     private static final int US_PER_MS = 1_000;
     private static final int HTTP_OK = 200;
     private static final int HTTP_NO_CONTENT = 204;
-    /** Of the failures in a row the first is logged, and the one after this many. */
-    private static final int LOGGED_AGAIN_AFTER = 4;
+    /** In a row of failures, the first is logged, and the one that follows this many failures. */
+    private static final int FAILURES_BEFORE_SECOND_LOG = 4;
 
     private final EventLoop eventLoop;
     private final Counters counters;
@@ -43,21 +43,25 @@
     private int serviceIndex;
     private OutboundConnection connection;
     private XnioExecutor.Key nextPoll;
-    private long polledUs;
-    private long lastHeardUs;
+    private long lastPollUs;
+    private long lastResponseUs;
     private boolean stopped;
-    /** The nonce of the response that came last, and what came of its version: the next poll reports both. */
+    /** The nonce of the last response; the next poll reports it together with the result of that response's version. */
     private String nonce = "";
 
     private UpdateResult lastResult;
 
     /**
-     * Creates a subscription; {@link #start} begins to poll.
+     * Creates a subscription; {@link #start} begins polling.
      *
-     * @param pool connections to control services, with capacity for a complete version in a response
+     * @param eventLoop runs all of the subscription's code
+     * @param counters counts failed polls
+     * @param pool connections to control services; must accept responses that contain a complete version
+     * @param updater receives the versions and provides the latest accepted one
+     * @param backoff determines the delay after a failed poll
      * @param relay this relay's name
      * @param services addresses of control services, in the order in which they are tried
-     * @param holdMs how long the service may hold a call until there is a later version
+     * @param holdMs how long the service may hold a poll open until there is a later version
      */
     public ConfigSubscription(
             EventLoop eventLoop,
@@ -78,13 +82,13 @@
         this.holdMs = holdMs;
     }
 
-    /** Begins to poll. */
+    /** Starts polling. */
     public void start() {
-        lastHeardUs = eventLoop.nowUs();
+        lastResponseUs = eventLoop.nowUs();
         poll();
     }
 
-    /** Polls control services at other addresses from now on. */
+    /** Replaces the addresses of the control services; a poll in progress is aborted and restarted. */
     public void setServices(List<InetSocketAddress> addresses) {
         if (addresses.equals(services)) {
             return;
@@ -98,7 +102,7 @@
         }
     }
 
-    /** Ends the subscription; a version that is on its way is not applied. */
+    /** Ends the subscription; a response that has not arrived yet is discarded. */
     public void stop() {
         stopped = true;
         if (connection != null) {
@@ -110,18 +114,18 @@
         pool.shutdown();
     }
 
-    /** When a control service last answered, or the subscription began, on the event loop's clock. */
-    long lastHeardUs() {
-        return lastHeardUs;
+    /** Returns when a control service last responded, or else when polling started, on the event loop's clock. */
+    long lastResponseUs() {
+        return lastResponseUs;
     }
 
-    /** The address of the control service that is polled now. */
+    /** Returns the address of the control service that is currently polled. */
     InetSocketAddress service() {
         return services.get(serviceIndex);
     }
 
-    /** How many polls in a row have failed. */
-    int failures() {
+    /** Returns the number of consecutive polls that failed or had to be delayed. */
+    int consecutiveFailures() {
         return backoff.consecutiveFailures();
     }
 
@@ -140,51 +144,51 @@
             return;
         }
         nextPoll = null;
-        polledUs = eventLoop.nowUs();
+        lastPollUs = eventLoop.nowUs();
         ConfigRequest request =
                 new ConfigRequest(relay, updater.versions().latestAccepted(), nonce, lastResult, holdMs);
         InetSocketAddress service = service();
-        connection = pool.send(service, request.toHttp(), holdMs * US_PER_MS + GRACE_US, new Poll(service));
+        connection = pool.send(service, request.toHttp(), holdMs * US_PER_MS + RESPONSE_GRACE_US, new Poll(service));
     }
 
-    /** Takes a response; returns whether it reads as one, so that the connection may be used again. */
+    /** Handles a response; returns whether it has the expected content, so that the connection may be reused. */
     private boolean handleResponse(UpstreamResponse response) {
-        lastHeardUs = eventLoop.nowUs();
+        lastResponseUs = eventLoop.nowUs();
         if (response.status() == HTTP_NO_CONTENT) {
             handleNoChange();
             return true;
         }
         if (response.status() != HTTP_OK) {
-            fail("answer " + response.status());
+            fail("responded with status " + response.status());
             return false;
         }
         Optional<ConfigResponse> parsed = ConfigResponse.parse(response);
         if (parsed.isEmpty()) {
-            fail("answer " + response.status() + " without epoch, version and nonce");
+            fail("responded with status " + response.status() + " without a valid epoch, version and nonce");
             return false;
         }
         ConfigResponse offered = parsed.get();
         nonce = offered.nonce();
-        if (offered.damaged()) {
-            fail("version " + offered.version() + " came damaged: its hash is another");
+        if (offered.isDamaged()) {
+            fail("version " + offered.version() + " is corrupted: its hash does not match the hash sent with it");
             return false;
         }
-        updater.offer(offered.version(), response.body(), this::settle);
+        updater.offer(offered.version(), response.body(), this::handleResult);
         return true;
     }
 
     private void handleNoChange() {
         lastResult = null;
-        // A service that does not hold its calls is polled with a growing pause, not in a busy loop.
-        boolean held = lastHeardUs - polledUs >= holdMs * US_PER_MS / 2;
+        // A service that does not hold polls open is polled with an increasing delay instead of in a busy loop.
+        boolean held = lastResponseUs - lastPollUs >= holdMs * US_PER_MS / 2;
         if (held) {
             backoff.reset();
         }
         pollIn(held ? 0 : backoff.nextDelayUs());
     }
 
-    /** Reports what came of a version: at once where that is news, with a pause where it is not. */
-    private void settle(UpdateResult result) {
+    /** Reports the result of a version in the next poll: immediately if the result is new, otherwise after a delay. */
+    private void handleResult(UpdateResult result) {
         lastResult = result;
         if (result.isNew()) {
             backoff.reset();
@@ -196,7 +200,7 @@
 
     private void fail(String reason) {
         counters.increment("control failed");
-        if (backoff.consecutiveFailures() == 0 || backoff.consecutiveFailures() == LOGGED_AGAIN_AFTER) {
+        if (backoff.consecutiveFailures() == 0 || backoff.consecutiveFailures() == FAILURES_BEFORE_SECOND_LOG) {
             LOG.log(
                     Level.WARNING,
                     "control service {0}: {1}; {2} stays in force",
@@ -208,50 +212,51 @@
         pollIn(backoff.nextDelayUs());
     }
 
-    /** Receives the response to one poll. */
+    /** Handles the response to one poll. */
     private final class Poll implements OutboundConnection.ResponseHandler {
         private final InetSocketAddress service;
-        private String unreadable;
+        private String responseError;
 
         Poll(InetSocketAddress service) {
             this.service = service;
         }
 
-        private boolean current() {
+        /** Returns whether the polled service is still the current one; other polls were superseded and are ignored. */
+        private boolean isCurrent() {
             return !stopped && services.contains(service) && service.equals(service());
         }
 
         @Override
         public boolean onResponse(UpstreamResponse response) {
-            return current() && handleResponse(response);
+            return isCurrent() && handleResponse(response);
         }
 
         @Override
         public void onConnectionLost(boolean written) {
-            if (!current()) {
+            if (!isCurrent()) {
                 return;
             }
-            if (unreadable != null) {
-                fail(unreadable);
+            if (responseError != null) {
+                fail(responseError);
             } else {
-                fail(written ? "it broke off" : "it can't be reached");
+                fail(written ? "the connection was lost before a complete response" : "the request could not be sent");
             }
         }
 
         @Override
-        public void onMalformedResponse(String why) {
-            unreadable = why;
+        public void onMalformedResponse(String reason) {
+            responseError = reason;
         }
 
         @Override
-        public void onResponseTooLong(String why) {
-            unreadable = "the version is larger than may be here: " + why;
+        public void onResponseTooLong(String reason) {
+            responseError = "the version is larger than allowed: " + reason;
         }
 
         @Override
         public void onTimeout() {
-            if (current()) {
-                fail("no answer in time");
+            if (isCurrent()) {
+                fail("no response in time");
             }
         }
     }
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -17,17 +17,17 @@
 import java.util.stream.Collectors;
 
 /**
- * Brings a version of the configuration into force, whatever source it came from. {@link VersionTracker} decides
- * what to do with the version; it is then compiled off the I/O thread, compared with the version in force, swapped
- * in within one step and saved to disk.
+ * Activates configuration versions from all sources: the control service, the disk and the operator. {@link
+ * VersionTracker} decides what to do with a version. A version to apply is compiled off the I/O thread, compared with the
+ * active version, activated in a single step on the I/O thread, and saved to disk.
  */
 public final class ConfigUpdater {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
-    /** How many diagnostics of a rejected version go to the log. All of them go to the control service. */
+    /** The maximum number of errors of a rejected version to log; the control service receives all findings. */
     private static final int LOGGED_DIAGNOSTICS = 5;
 
-    private static final String FROM_CONTROL_SERVICE = "control service";
-    private static final String FROM_DISK = "disk";
+    private static final String SOURCE_CONTROL_SERVICE = "control service";
+    private static final String SOURCE_DISK = "disk";
 
     private final EventLoop eventLoop;
     private final Counters counters;
@@ -39,11 +39,14 @@
     private long latestCompileUs;
 
     /**
-     * Creates an updater that has no version in force yet.
+     * Creates an updater without an active version.
      *
-     * @param versions decides which version may follow which
-     * @param admission is given each version that comes into force
-     * @param store where versions in force are saved; null where nothing is saved
+     * @param eventLoop runs the updater; compilation and disk access are offloaded from it
+     * @param counters counts applied, rejected and unsaved versions
+     * @param versions decides which versions may be applied
+     * @param admission applies the active version to requests
+     * @param compiler compiles the versions
+     * @param store stores the versions that were applied; null if they are not stored
      */
     public ConfigUpdater(
             EventLoop eventLoop,
@@ -60,49 +63,51 @@
         this.store = store;
     }
 
-    /** The versions that are in force, pinned, rejected or remembered. */
+    /** Returns the tracker of active, pinned, rejected and past versions. */
     VersionTracker versions() {
         return versions;
     }
 
-    /** The admission control that follows the version in force. */
+    /** Returns the admission control that applies the active version to requests. */
     Admission admission() {
         return admission;
     }
 
-    /** The longest time in microseconds for which a swap has held up the I/O thread. */
+    /** Returns the longest time in microseconds that activating a version has blocked the I/O thread. */
     long longestSwapUs() {
         return longestSwapUs;
     }
 
-    /** How long the latest compilation took in microseconds, with its wait for the worker thread. */
+    /** Returns how long the latest compilation took in microseconds, including the wait for the worker thread. */
     long latestCompileUs() {
         return latestCompileUs;
     }
 
     /**
-     * Takes a version from a control service.
+     * Handles a version received from a control service.
      *
-     * @param whenSettled receives the result on the I/O thread
+     * @param version identifies the version
+     * @param text the version's text
+     * @param onResult receives the result on the I/O thread
      */
-    void offer(ConfigVersion version, byte[] text, Consumer<UpdateResult> whenSettled) {
-        VersionTracker.OfferOutcome meeting = versions.evaluateOffer(version);
-        switch (meeting) {
-            case COMPILE -> compileAndApply(version, text, whenSettled);
-            case HELD -> whenSettled.accept(UpdateResult.alreadyHeld());
+    void offer(ConfigVersion version, byte[] text, Consumer<UpdateResult> onResult) {
+        VersionTracker.OfferOutcome outcome = versions.evaluateOffer(version);
+        switch (outcome) {
+            case COMPILE -> compileAndApply(version, text, onResult);
+            case HELD -> onResult.accept(UpdateResult.alreadyHeld());
             case REFUSED_BEFORE -> {
                 counters.increment("versions refused again");
-                whenSettled.accept(UpdateResult.rejectedBefore(versions.rejectionFindings(version.hash())));
+                onResult.accept(UpdateResult.rejectedBefore(versions.rejectionFindings(version.hash())));
             }
-            default -> whenSettled.accept(rejectOutOfOrder(version, meeting));
+            default -> onResult.accept(rejectOutOfOrder(version, outcome));
         }
     }
 
-    private UpdateResult rejectOutOfOrder(ConfigVersion version, VersionTracker.OfferOutcome meeting) {
+    private UpdateResult rejectOutOfOrder(ConfigVersion version, VersionTracker.OfferOutcome outcome) {
         counters.increment("versions out of order");
-        String answer = meeting.name().toLowerCase(Locale.ROOT).replace('_', '-');
-        boolean firstOfItsKind = versions.offerCounts().get(meeting) == 1;
-        if (firstOfItsKind) {
+        String answer = outcome.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        boolean isFirstOccurrence = versions.offerCounts().get(outcome) == 1;
+        if (isFirstOccurrence) {
             LOG.log(
                     Level.WARNING,
                     "version {0} is not applied, {1}: {2} stays in force",
@@ -113,28 +118,28 @@
         return UpdateResult.outOfOrder(answer);
     }
 
-    private void compileAndApply(ConfigVersion version, byte[] text, Consumer<UpdateResult> whenSettled) {
+    private void compileAndApply(ConfigVersion version, byte[] text, Consumer<UpdateResult> onResult) {
         long startedUs = eventLoop.nowUs();
         eventLoop.offload(
                 () -> compiler.compile(version.epoch(), version.number(), text), ConfigCompiler.FAILED, compiled -> {
                     latestCompileUs = eventLoop.nowUs() - startedUs;
-                    whenSettled.accept(
+                    onResult.accept(
                             compiled.isValid()
                                     ? applyIfSafe(compiled.config(), text, compiled.findings())
                                     : reject(version, compiled.findings(), true));
                 });
     }
 
-    /** Applies a sound version unless going to it from the version in force would be dangerous. */
+    /** Applies a valid version unless replacing the active version with it would be dangerous. */
     private UpdateResult applyIfSafe(CompiledConfig config, byte[] text, List<Diagnostic> diagnostics) {
-        List<Diagnostic> dangers = admission.checkAgainstActive(eventLoop.nowUs(), config);
-        if (dangers.stream().anyMatch(Diagnostic::isError)) {
-            return reject(config.version(), dangers, false);
+        List<Diagnostic> changeFindings = admission.checkAgainstActive(eventLoop.nowUs(), config);
+        if (changeFindings.stream().anyMatch(Diagnostic::isError)) {
+            return reject(config.version(), changeFindings, false);
         }
-        if (!versions.accept(eventLoop.nowUs(), config, FROM_CONTROL_SERVICE, text)) {
+        if (!versions.accept(eventLoop.nowUs(), config, SOURCE_CONTROL_SERVICE, text)) {
             return UpdateResult.outOfOrder("older");
         }
-        swap(config, FROM_CONTROL_SERVICE);
+        swap(config, SOURCE_CONTROL_SERVICE);
         if (store != null) {
             save(config.version(), text);
         }
@@ -142,12 +147,12 @@
     }
 
     private void save(ConfigVersion version, byte[] text) {
-        eventLoop.offload(() -> store.save(version, text), Optional.of("it failed"), failure -> {
+        eventLoop.offload(() -> store.save(version, text), Optional.of("internal error, see the log"), failure -> {
             if (failure.isPresent()) {
                 counters.increment("versions not kept");
                 LOG.log(
                         Level.WARNING,
-                        "version {0} is in force and not kept on disk: {1}",
+                        "version {0} is in force but could not be saved to disk: {1}",
                         LogField.of("version", version),
                         LogField.of("reason", failure.get()));
             }
@@ -169,9 +174,13 @@
                 LogField.of("note", config.note()));
     }
 
-    /** @param always whether the text is wrong in itself, and not only beside the version in force */
-    private UpdateResult reject(ConfigVersion version, List<Diagnostic> diagnostics, boolean always) {
-        versions.reject(version, diagnostics, always);
+    /**
+     * Rejects a version.
+     *
+     * @param permanent true if the text itself is invalid; false if only the change from the active version is dangerous
+     */
+    private UpdateResult reject(ConfigVersion version, List<Diagnostic> diagnostics, boolean permanent) {
+        versions.reject(version, diagnostics, permanent);
         counters.increment("versions refused");
         String reason = diagnostics.stream()
                 .filter(Diagnostic::isError)
@@ -188,9 +197,9 @@
     }
 
     /**
-     * Applies a version from disk, before the first one has come from a control service.
+     * Applies a version stored on disk; called at startup, before the control service has sent a version.
      *
-     * @return whether the version is in force now
+     * @return whether the version is now active
      */
     public boolean recover(LastKnownGoodStore.StoredVersion stored) {
         ConfigVersion version = stored.version();
@@ -198,51 +207,53 @@
         if (!compiled.isValid()) {
             LOG.log(
                     Level.WARNING,
-                    "version {0} from disk is not sound any more: {1}",
+                    "version {0} from disk is no longer valid: {1}",
                     LogField.of("version", version),
                     LogField.of("reason", compiled.findings()));
             return false;
         }
-        if (!versions.accept(eventLoop.nowUs(), compiled.config(), FROM_DISK, stored.text())) {
+        if (!versions.accept(eventLoop.nowUs(), compiled.config(), SOURCE_DISK, stored.text())) {
             return false;
         }
-        swap(compiled.config(), FROM_DISK);
+        swap(compiled.config(), SOURCE_DISK);
         return true;
     }
 
     /**
-     * Rolls back to a version that was in force before and pins it, on an operator's word.
+     * Rolls back to a previously active version and pins it, as requested by an operator.
      *
-     * @param reason the operator's reason, which the history keeps
-     * @param whenSettled receives on the I/O thread why the rollback failed, or nothing where it succeeded
+     * @param number the number of the version to roll back to
+     * @param reason the operator's reason, which is recorded in the history
+     * @param onResult receives on the I/O thread the reason why the rollback failed, or empty if it succeeded
      */
-    void rollBack(long number, String reason, Consumer<Optional<String>> whenSettled) {
-        VersionTracker.HistoryEntry past = versions.findInHistory(number);
-        if (past == null) {
-            whenSettled.accept(Optional.of("no version " + number + " is remembered; see history"));
+    void rollBack(long number, String reason, Consumer<Optional<String>> onResult) {
+        VersionTracker.HistoryEntry entry = versions.findInHistory(number);
+        if (entry == null) {
+            onResult.accept(Optional.of("no version " + number + " is remembered; see history"));
             return;
         }
         eventLoop.offload(
-                () -> compiler.compile(past.version().epoch(), number, past.text()),
+                () -> compiler.compile(entry.version().epoch(), number, entry.text()),
                 ConfigCompiler.FAILED,
-                compiled -> whenSettled.accept(pin(past, compiled, "operator: " + reason)));
+                compiled -> onResult.accept(pin(entry, compiled, "operator: " + reason)));
     }
 
-    private Optional<String> pin(VersionTracker.HistoryEntry past, ConfigCompiler.Result compiled, String source) {
+    private Optional<String> pin(VersionTracker.HistoryEntry entry, ConfigCompiler.Result compiled, String source) {
         if (!compiled.isValid()) {
-            return Optional.of("version " + past.version().number() + " is not sound any more: " + compiled.findings());
+            return Optional.of(
+                    "version " + entry.version().number() + " is not sound any more: " + compiled.findings());
         }
-        versions.pin(eventLoop.nowUs(), past, source);
+        versions.pin(eventLoop.nowUs(), entry, source);
         swap(compiled.config(), source);
         return Optional.empty();
     }
 
-    /** Ends a rollback: versions of the control service are applied again. */
+    /** Ends a rollback: versions from the control service are applied again. */
     void releasePin() {
         versions.unpin();
         LOG.log(
                 Level.INFO,
-                "the control service leads again; {0} is in force",
+                "rollback ended: versions from the control service are applied again; {0} is in force",
                 LogField.of("version", versions.active()));
     }
 }
--- a/src/main/java/gatelock/control/LastKnownGoodStore.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -18,29 +18,30 @@
 import java.util.Optional;
 
 /**
- * Stores the last good version of the configuration on disk, and the one before it beside it.
+ * Stores the last known good version of the configuration and its predecessor on disk, each in its own file.
  *
  * <p>A file is one header line followed by the version's text. The header has six fields, separated by one space:
- * the format's name, when the epoch was born, the epoch's identifier, the version's number, the text's length in
- * bytes and the text's hash. Length and hash reveal a file that is truncated, torn or changed, and such a file is
- * skipped. A new file is written under another name, forced to disk and moved into place.
+ * the format's name, the start time of the epoch, the epoch's identifier, the version's number, the text's length in
+ * bytes and the text's hash. Length and hash reveal a file that is truncated, partially written or modified; such a file
+ * is skipped. A new file is written under a temporary name, forced to disk and moved into place.
  *
- * <p>All of it blocks, so it must never be used on the I/O thread.
+ * <p>All methods block, so they must never be called on the I/O thread.
  */
 public final class LastKnownGoodStore {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
     private static final String FORMAT = "gatelock-plan-1";
     private static final int HEADER_FIELDS = 6;
-    /** A longer header than any version can have. */
+    /** An upper bound on the length of a header line. */
     private static final int MAX_HEADER_BYTES = 1024;
 
     private final Path directory;
     private final long maxTextBytes;
 
     /**
-     * Creates a store in a directory, which need not exist yet.
+     * Creates a store.
      *
-     * @param maxTextBytes a file with a longer text than this is skipped without being read
+     * @param directory holds the files; created on demand
+     * @param maxTextBytes maximum length of a version's text; longer files are skipped without being read
      */
     public LastKnownGoodStore(Path directory, long maxTextBytes) {
         this.directory = directory;
@@ -57,12 +58,12 @@
             this.text = text;
         }
 
-        /** Which version it is. */
+        /** Returns the identity of the version. */
         ConfigVersion version() {
             return version;
         }
 
-        /** The version's text, as the control service sent it; not a copy. */
+        /** Returns the version's text as the control service sent it; not a copy. */
         byte[] text() {
             return text;
         }
@@ -81,9 +82,9 @@
     }
 
     /**
-     * Saves a version as the latest one.
+     * Saves a version as the latest one; the version saved before it becomes the previous one.
      *
-     * @return why the version could not be saved; empty where it was
+     * @return why the version could not be saved; empty if it was saved
      */
     Optional<String> save(ConfigVersion version, byte[] text) {
         try {
@@ -134,21 +135,21 @@
         }
     }
 
-    /** Makes the moves themselves durable: the names of files are part of their directory. */
+    /** Forces the directory to disk, which makes the file moves durable. */
     private void forceDirectory() throws IOException {
-        try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel directoryChannel = FileChannel.open(directory, StandardOpenOption.READ)) {
+            directoryChannel.force(true);
         }
     }
 
-    /** Reads the intact versions on disk, the latest first; a damaged file is logged and skipped. */
+    /** Reads the intact versions on disk, the latest first; damaged files are logged and skipped. */
     public List<StoredVersion> readAll() {
         List<StoredVersion> found = new ArrayList<>();
         for (Path file : List.of(latestFile(), previousFile())) {
             try {
                 found.add(read(file));
             } catch (NoSuchFileException e) {
-                LOG.log(Level.DEBUG, "no {0}", file);
+                LOG.log(Level.DEBUG, "{0} does not exist", file);
             } catch (IOException | RuntimeException e) {
                 LOG.log(Level.WARNING, file + " is passed over: " + e.getMessage());
             }
@@ -158,7 +159,7 @@
 
     private StoredVersion read(Path file) throws IOException {
         if (Files.size(file) > maxTextBytes + MAX_HEADER_BYTES) {
-            throw new IOException("it is larger than any version may be");
+            throw new IOException("it exceeds the maximum size of a version");
         }
         byte[] bytes = Files.readAllBytes(file);
         int headerEnd = 0;
@@ -167,7 +168,7 @@
         }
         String[] header = new String(bytes, 0, headerEnd, StandardCharsets.US_ASCII).split(" ", 0);
         if (header.length != HEADER_FIELDS || !header[0].equals(FORMAT)) {
-            throw new IOException("it does not begin as one of ours");
+            throw new IOException("it does not begin with a valid header");
         }
         byte[] text = Arrays.copyOfRange(bytes, Math.min(bytes.length, headerEnd + 1), bytes.length);
         if (text.length != Integer.parseInt(header[4])) {
@@ -176,7 +177,7 @@
         ConfigVersion.Epoch epoch = new ConfigVersion.Epoch(Long.parseLong(header[1]), header[2]);
         ConfigVersion version = new ConfigVersion(epoch, Long.parseLong(header[3]), ConfigVersion.hash(text));
         if (!version.hash().equals(header[5])) {
-            throw new IOException("its text is not the one that was kept: the hash is another");
+            throw new IOException("its text does not match the hash in its header");
         }
         return new StoredVersion(version, text);
     }
--- a/src/main/java/gatelock/control/RelayStatus.java
+++ b/src/main/java/gatelock/control/RelayStatus.java
@@ -10,7 +10,10 @@
 import java.util.Map;
 import java.util.function.Supplier;
 
-/** The JSON documents in which a running relay describes itself to operators. Their keys are part of its interface. */
+/**
+ * Builds the JSON documents that describe a running relay to its operators. The keys are part of the public interface and
+ * must not change.
+ */
 final class RelayStatus {
     private static final int US_PER_S = 1_000_000;
     private static final int US_PER_MS = 1_000;
@@ -20,26 +23,31 @@
     private final Supplier<ConfigSubscription> subscription;
     private Supplier<DiscoveryClient.ListStatus> endpointList;
 
+    /**
+     * Creates a status without an endpoint list.
+     *
+     * @param subscription supplies the subscription to the control service, or null if there is none
+     */
     RelayStatus(Counters counters, ConfigUpdater updater, Supplier<ConfigSubscription> subscription) {
         this.counters = counters;
         this.updater = updater;
         this.subscription = subscription;
     }
 
-    /** Has the status show the state of the endpoint list too. */
+    /** Adds the state of the endpoint list to the status. */
     void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
         this.endpointList = endpointList;
     }
 
-    /** The version in force, the control service, the endpoint list, limits and counters. */
+    /** Returns the state of the active version, the control service, the endpoint list, the limits and the counters. */
     Map<String, Object> status(long nowUs) {
         Map<String, Object> status = new LinkedHashMap<>();
         putVersions(status, nowUs);
         ConfigSubscription current = subscription.get();
         if (current != null) {
             status.put("service", current.service().toString());
-            status.put("silentForS", (nowUs - current.lastHeardUs()) / US_PER_S);
-            status.put("failures", current.failures());
+            status.put("silentForS", (nowUs - current.lastResponseUs()) / US_PER_S);
+            status.put("failures", current.consecutiveFailures());
         }
         if (endpointList != null) {
             status.put("list", endpointList(nowUs, endpointList.get()));
@@ -51,14 +59,16 @@
 
     private void putVersions(Map<String, Object> status, long nowUs) {
         VersionTracker versions = updater.versions();
-        List<VersionTracker.HistoryEntry> past = versions.history();
+        List<VersionTracker.HistoryEntry> history = versions.history();
         CompiledConfig config = updater.admission().activeConfig();
         status.put("inForce", textOrNull(versions.active()));
         status.put("held", textOrNull(versions.latestAccepted()));
         status.put(
                 "inForceForS",
-                past.isEmpty() ? null : (nowUs - past.get(past.size() - 1).sinceUs()) / US_PER_S);
-        status.put("pinned", versions.pinned());
+                history.isEmpty()
+                        ? null
+                        : (nowUs - history.get(history.size() - 1).activatedUs()) / US_PER_S);
+        status.put("pinned", versions.isPinned());
         status.put("routes", config == null ? 0 : config.routeCount());
         status.put("refusals", versions.rejectionCount());
         status.put("met", versions.offerCounts());
@@ -71,31 +81,31 @@
     }
 
     private static Map<String, Object> endpointList(long nowUs, DiscoveryClient.ListStatus list) {
-        boolean changedOnce = list.changedUs() >= 0;
+        boolean hasChanged = list.changedUs() >= 0;
         Map<String, Object> fields = new LinkedHashMap<>();
         fields.put("units", list.listed());
         fields.put("byScope", list.usesSubset());
         fields.put("inScope", list.inScope());
         fields.put("services", list.services());
         fields.put("index", list.index());
-        fields.put("lastChangeMs", changedOnce ? list.changedUs() / US_PER_MS : null);
-        fields.put("unchangedForS", changedOnce ? (nowUs - list.changedUs()) / US_PER_S : null);
+        fields.put("lastChangeMs", hasChanged ? list.changedUs() / US_PER_MS : null);
+        fields.put("unchangedForS", hasChanged ? (nowUs - list.changedUs()) / US_PER_S : null);
         fields.put("tooLong", list.tooLongLists());
         return fields;
     }
 
-    /** Which versions were in force, since when, from what source, whose they are and why they were made. */
+    /** Returns the activations of versions, each with its time, its source, and the author and note of the version. */
     Map<String, Object> history() {
         List<Map<String, Object>> history = new ArrayList<>();
-        for (VersionTracker.HistoryEntry past : updater.versions().history()) {
+        for (VersionTracker.HistoryEntry entry : updater.versions().history()) {
             Map<String, Object> fields = new LinkedHashMap<>();
-            fields.put("version", past.version().toString());
-            fields.put("number", past.version().number());
-            fields.put("hash", past.version().hash());
-            fields.put("sinceMs", past.sinceUs() / US_PER_MS);
-            fields.put("from", past.reason());
-            fields.put("by", past.author());
-            fields.put("note", past.note());
+            fields.put("version", entry.version().toString());
+            fields.put("number", entry.version().number());
+            fields.put("hash", entry.version().hash());
+            fields.put("sinceMs", entry.activatedUs() / US_PER_MS);
+            fields.put("from", entry.reason());
+            fields.put("by", entry.author());
+            fields.put("note", entry.note());
             history.add(fields);
         }
         return Map.of("history", history);
--- a/src/test/java/gatelock/config/AdmissionTest.java
+++ b/src/test/java/gatelock/config/AdmissionTest.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What versions mean for requests: pools, fallbacks and retry budgets; and checks of one version against another. */
+/** Tests how versions apply to requests (pools, fallbacks and retry budgets), and checks of a change of version. */
 final class AdmissionTest {
     private static final long SECOND = 1_000_000;
     private static final QueuedRequest NEVER_QUEUED = new QueuedRequest() {
@@ -20,7 +20,7 @@
         }
 
         @Override
-        public void onShed(long nowUs, long pauseUs) {
+        public void onShed(long nowUs, long retryAfterUs) {
             throw new AssertionError("the request was not queued");
         }
     };
@@ -40,7 +40,7 @@
         return new Endpoint(name, 1, zone, 0, 0, health, 0);
     }
 
-    private void listReady(int east, int west) {
+    private void setReadyEndpoints(int east, int west) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < east + west; i++) {
             endpoints.add(endpoint((i < east ? "e" + i : "w" + (i - east)), i < east ? 0 : 1, Endpoint.Health.READY));
@@ -58,34 +58,36 @@
     }
 
     @Test
-    void aPoolReachesItsEndpointsAndFallsBackWhenTooFewAreLeft() {
-        listReady(10, 5);
+    void poolFallsBackWhenTooFewEndpointsAreReady() {
+        setReadyEndpoints(10, 5);
         admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
         Admission.RoutedRequest request = admit("/read/x");
         assertThat(request.allowsEndpoint("e0")).isTrue();
         assertThat(request.allowsEndpoint("w0")).isFalse();
-        assertThat(request.allowsEndpoint("unheard of")).isFalse();
+        assertThat(request.allowsEndpoint("unlisted")).isFalse();
         nowUs += SECOND;
-        listReady(5, 5);
+        setReadyEndpoints(5, 5);
         assertThat(admit("/read").allowsEndpoint("e0"))
-                .as("half of them are enough")
+                .as("half of the recent peak is enough")
                 .isTrue();
-        listReady(4, 5);
+        setReadyEndpoints(4, 5);
         Admission.RoutedRequest redirected = admit("/read");
         assertThat(redirected.allowsEndpoint("e0")).isFalse();
-        assertThat(redirected.allowsEndpoint("w0")).as("has the label").isTrue();
+        assertThat(redirected.allowsEndpoint("w0"))
+                .as("in the fallback pool by its label")
+                .isTrue();
         assertThat(redirected.allowsEndpoint("w1")).isFalse();
         assertThat(request.allowsEndpoint("e0"))
-                .as("a request that came before stays with its pool")
+                .as("an earlier request keeps its pool")
                 .isTrue();
-        listReady(5, 5);
+        setReadyEndpoints(5, 5);
         assertThat(admit("/read").allowsEndpoint("e0"))
-                .as("no flapping at the bound")
+                .as("no flapping around the minimum")
                 .isFalse();
-        listReady(6, 5);
+        setReadyEndpoints(6, 5);
         assertThat(admit("/read").allowsEndpoint("e0")).isTrue();
-        // Endpoints that are gone for good are in time no longer counted.
-        listReady(4, 5);
+        // The recent peak decays, so that endpoints lost for good eventually no longer count.
+        setReadyEndpoints(4, 5);
         assertThat(admit("/read").allowsEndpoint("e0")).isFalse();
         nowUs += 1_200 * SECOND;
         assertThat(admit("/read").allowsEndpoint("e0")).isTrue();
@@ -98,8 +100,8 @@
     }
 
     @Test
-    void retriesAreNarrowedByPolicyAndBudget() {
-        listReady(2, 2);
+    void retriesOnlyWithinPolicyAndBudget() {
+        setReadyEndpoints(2, 2);
         admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
         Admission.RoutedRequest request = admit("/read");
         assertThat(request.maxAttempts()).isEqualTo(2);
@@ -111,7 +113,7 @@
             retries += admit("/read").acquireRetry(nowUs, AttemptResult.ERRORED) ? 1 : 0;
         }
         assertThat(retries).isBetween(90, 115);
-        // A budget that is spent stays spent when a new version does not change its policy.
+        // An exhausted budget stays exhausted when a new version does not change its policy.
         admission.activate(
                 nowUs, SampleConfigs.compileValid(POOLS.replace("'format': 1", "'format': 1, 'note': 'again'")));
         retries = 0;
@@ -125,8 +127,8 @@
     }
 
     @Test
-    void aRequestIsFinishedUnderTheVersionThatMatchedIt() {
-        listReady(2, 2);
+    void completesRequestUnderVersionThatMatchedIt() {
+        setReadyEndpoints(2, 2);
         admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
         Admission.RoutedRequest request = admit("/read");
         admission.activate(nowUs, SampleConfigs.compileValid("""
@@ -140,22 +142,22 @@
     }
 
     @Test
-    void aVersionThatIsADangerBesideTheActiveOneIsRejected() {
-        listReady(6, 4);
+    void rejectsVersionThatDropsTrafficOrTooManyEndpoints() {
+        setReadyEndpoints(6, 4);
         admission.activate(nowUs, SampleConfigs.compileValid(POOLS));
-        CompiledConfig without = SampleConfigs.compileValid(
+        CompiledConfig withoutWest = SampleConfigs.compileValid(
                 POOLS.replace(",\n  {'name': 'w', 'path': '/west', 'class': 'read', " + "'pool': 'west'}", ""));
-        assertThat(admission.checkAgainstActive(nowUs, without))
+        assertThat(admission.checkAgainstActive(nowUs, withoutWest))
                 .extracting(Diagnostic::code)
                 .doesNotContain("B-TRAFFIC");
         admit("/west");
-        assertThat(admission.checkAgainstActive(nowUs, without))
+        assertThat(admission.checkAgainstActive(nowUs, withoutWest))
                 .extracting(Diagnostic::code)
                 .contains("B-TRAFFIC");
         nowUs += 61 * SECOND;
         admit("/read");
         nowUs += 20 * SECOND;
-        assertThat(admission.checkAgainstActive(nowUs, without))
+        assertThat(admission.checkAgainstActive(nowUs, withoutWest))
                 .extracting(Diagnostic::code)
                 .doesNotContain("B-TRAFFIC");
         admit("/west");
--- a/src/test/java/gatelock/config/BackoffTest.java
+++ b/src/test/java/gatelock/config/BackoffTest.java
@@ -9,7 +9,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** A thousand relays that lose their control service at the same instant, in simulated time. */
+/**
+ * Guards against a reconnection storm: a thousand relays that lose their control service at the same instant must spread
+ * their attempts. Runs in simulated time.
+ */
 final class BackoffTest {
     private static final int RELAYS = 1_000;
     private static final long SECOND = 1_000_000;
@@ -17,7 +20,7 @@
     private record Attempt(long atUs, int relay) {}
 
     @Test
-    void relaysSpreadTheirAttemptsOverAnHourOfSilence() {
+    void spreadsAttemptsOfManyRelaysWhileServiceIsDown() {
         Backoff[] relays = new Backoff[RELAYS];
         PriorityQueue<Attempt> attempts = new PriorityQueue<>(Comparator.comparingLong(Attempt::atUs));
         for (int i = 0; i < RELAYS; i++) {
@@ -31,17 +34,18 @@
             attempts.add(new Attempt(attempt.atUs + relays[attempt.relay].nextDelayUs(), attempt.relay));
         }
         int peak = IntStream.of(attemptsBySecond).limit(3_600).max().orElseThrow();
-        // Without the first 30 s, in which the delays grow to their bound.
-        IntSummaryStatistics later =
+        // Skips the first 30 s, in which the delays grow to their bound.
+        IntSummaryStatistics steadyState =
                 IntStream.of(attemptsBySecond).limit(3_600).skip(30).summaryStatistics();
-        // Full jitter: on average two attempts a relay in 30 s. Without jitter a thousand would come in one second.
+        // With full jitter each relay makes two attempts in 30 s on average. Without jitter, a thousand attempts would
+        // fall into the same second.
         assertThat(peak).isLessThan(4_000);
-        assertThat(later.getAverage()).isBetween(60.0, 75.0);
-        assertThat(later.getMax()).isLessThan(120);
+        assertThat(steadyState.getAverage()).isBetween(60.0, 75.0);
+        assertThat(steadyState.getMax()).isLessThan(120);
     }
 
     @Test
-    void aSuccessResetsTheDelay() {
+    void resetsDelayAfterSuccess() {
         Backoff backoff = new Backoff(1_000, 1_000_000, new SplittableRandom(1));
         for (int i = 0; i < 100; i++) {
             assertThat(backoff.nextDelayUs()).isBetween(1L, 1_000_000L);
--- a/src/test/java/gatelock/config/ConfigBenchmark.java
+++ b/src/test/java/gatelock/config/ConfigBenchmark.java
@@ -10,8 +10,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the route table against a plain list, and what a version costs until it is active. Not a test: run by {@code
- * make measure-plan}; its tables are kept in docs/measurements/versioned-configuration.md.
+ * Measures lookups in the route table against a linear search, and the cost of activating a version. Not a test: {@code
+ * make measure-plan} runs it; the resulting tables are in docs/measurements/versioned-configuration.md.
  */
 public final class ConfigBenchmark {
     private static final int BATCH = 100;
@@ -29,7 +29,7 @@
         measureActivation();
     }
 
-    private static String path(SplittableRandom random, int entries) {
+    private static String randomPath(SplittableRandom random, int entries) {
         return "/s" + random.nextInt(Math.max(1, entries / 100)) + "/t" + random.nextInt(10) + "/u"
                 + random.nextInt(10);
     }
@@ -44,7 +44,7 @@
             for (int i = 0; i < entries; i++) {
                 matches.add(new RouteMatch(
                         i % 7 == 0 ? "one.lk" : "*",
-                        RouteMatch.splitPath(path(random, entries)),
+                        RouteMatch.splitPath(randomPath(random, entries)),
                         i % 5 == 0 ? Set.of("GET") : Set.of(),
                         i % 11 == 0 ? Map.of("x-a", "1") : Map.of()));
                 positions.add(i);
@@ -54,7 +54,8 @@
             long bytes = usedHeapBytes() - usedBefore;
             List<RequestAttributes> requests = new ArrayList<>();
             for (int i = 0; i < REQUESTS; i++) {
-                requests.add(new RequestAttributes("GET", "one.lk", path(random, entries) + "/more", name -> null));
+                requests.add(
+                        new RequestAttributes("GET", "one.lk", randomPath(random, entries) + "/more", name -> null));
             }
             measure(entries, "trie", bytes, requests, table::findFirst);
             measure(entries, "plain list", 0, requests, request -> searchList(matches, request));
@@ -82,7 +83,7 @@
     private static void measure(
             int entries, String structure, long bytes, List<RequestAttributes> requests, Lookup lookup) {
         Histogram ns = new Histogram(3);
-        // Summed up and checked at the end, so that the lookups are not optimized away.
+        // The sum is checked at the end, so that the JIT compiler does not eliminate the lookups.
         long checksum = 0;
         long untilNs = System.nanoTime() + WARM_UP_NS + MEASURED_NS;
         for (int round = 0; System.nanoTime() < untilNs; round++) {
--- a/src/test/java/gatelock/config/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/config/ConfigCompilerTest.java
@@ -12,13 +12,14 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Faulty versions, each with the findings it must bring: a file under plans/ begins with lines {@code # line:column
- * pointer code}, one for each finding; the version follows, its lines counted from 1 again.
+ * Tests compilation and the findings on invalid versions. Each file under src/test/resources/plans begins with the
+ * expected findings, one line {@code # line:column pointer code} each; the version's text follows, with its lines counted
+ * from 1 again.
  */
 final class ConfigCompilerTest {
 
     @TestFactory
-    Stream<DynamicTest> eachVersionBringsExactlyItsFindings() throws IOException {
+    Stream<DynamicTest> reportsExactlyTheExpectedFindingsOfEachVersion() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("src/test/resources/plans"))) {
             return files.sorted().toList().stream()
                     .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> {
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void aMissingFieldIsInheritedOrElseTakenFromTheDefaults() {
+    void inheritsMissingFieldBeforeUsingDefault() {
         CompiledConfig config = SampleConfigs.compileValid("""
             {'format': 1, 'defaults': {'pool': 'all', 'retries': 'none'},
              'pools': {'all': {}, 'east': {'zones': ['east'], 'fallback': 'all', 'leastShare': 0.5, 'retries': 'two'}},
@@ -73,7 +74,7 @@
     }
 
     @Test
-    void aDiffComparesMeaningNotText() {
+    void diffIgnoresTextChangesWithoutEffect() {
         String text = """
             {'format': 1, 'limits': {'a': {'ratePerS': 5}}, 'routes': [
              {'name': 'x', 'path': '/x', 'class': 'read', 'limits': ['a']}, {'name': 'y', 'path': '/y', 'class': 'claim'}]}
