--- a/src/test/java/gatelock/config/RequestLimiterTest.java
+++ b/src/test/java/gatelock/config/RequestLimiterTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Limits under given and random requests, releases and versions. */
+/** Tests limits under fixed and random sequences of requests, releases and versions. */
 final class RequestLimiterTest {
     private static final long SECOND = 1_000_000;
 
@@ -22,16 +22,16 @@
             double ratePerS,
             double burst,
             int maxInFlight,
-            int length,
-            long waitUs) {
-        return new LimitPolicy(name, scope, ratePerS / 1e6, burst, maxInFlight, length, waitUs);
+            int maxQueueLength,
+            long maxWaitUs) {
+        return new LimitPolicy(name, scope, ratePerS / 1e6, burst, maxInFlight, maxQueueLength, maxWaitUs);
     }
 
     private static LimitPolicy rate(double ratePerS, double burst) {
         return limit("l", LimitPolicy.Scope.ALL, ratePerS, burst, Integer.MAX_VALUE, 0, 0);
     }
 
-    /** A request, with how often it was admitted and shed. */
+    /** A request that counts how often it was admitted and shed. */
     private static final class Request implements QueuedRequest {
         private final long submittedUs;
         private final RequestLimiter.Decision decision;
@@ -70,8 +70,8 @@
         }
     }
 
-    /** Submits so many requests and returns how many were admitted at once. */
-    private static int admitted(RequestLimiter limiter, long nowUs, int requests, LimitPolicy limit) {
+    /** Submits a number of requests and returns how many of them were admitted immediately. */
+    private static int countAdmitted(RequestLimiter limiter, long nowUs, int requests, LimitPolicy limit) {
         int admitted = 0;
         for (int i = 0; i < requests; i++) {
             admitted += new Request(limiter, nowUs, 0, limit).admitted;
@@ -80,29 +80,31 @@
     }
 
     @Test
-    void aChangedRateGrantsNoFreshBurst() {
+    void grantsNoFreshBurstWhenRateChanges() {
         RequestLimiter limiter = new RequestLimiter();
         limiter.applyPolicies(1, Map.of("l", rate(10, 20)));
-        assertThat(admitted(limiter, 1, 30, rate(10, 20))).isEqualTo(20);
-        LimitPolicy more = rate(100, 200);
-        limiter.applyPolicies(2, Map.of("l", more));
-        assertThat(admitted(limiter, 2, 30, more)).isZero();
-        assertThat(admitted(limiter, 2 + SECOND / 10, 30, more)).isEqualTo(10);
+        assertThat(countAdmitted(limiter, 1, 30, rate(10, 20))).isEqualTo(20);
+        LimitPolicy higherRate = rate(100, 200);
+        limiter.applyPolicies(2, Map.of("l", higherRate));
+        assertThat(countAdmitted(limiter, 2, 30, higherRate)).isZero();
+        assertThat(countAdmitted(limiter, 2 + SECOND / 10, 30, higherRate)).isEqualTo(10);
         LimitPolicy byTenant = limit("l", LimitPolicy.Scope.TENANT, 100, 200, Integer.MAX_VALUE, 0, 0);
         limiter.applyPolicies(SECOND, Map.of("l", byTenant));
-        assertThat(admitted(limiter, SECOND, 30, byTenant))
-                .as("counted for something else now")
+        assertThat(countAdmitted(limiter, SECOND, 30, byTenant))
+                .as("the buckets of the new scope start without a burst")
                 .isEqualTo(1);
-        LimitPolicy free =
+        LimitPolicy noRate =
                 limit("l", LimitPolicy.Scope.TENANT, Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1_000, 0, 0);
-        limiter.applyPolicies(SECOND, Map.of("l", free));
-        assertThat(admitted(limiter, SECOND, 30, free)).isEqualTo(30);
+        limiter.applyPolicies(SECOND, Map.of("l", noRate));
+        assertThat(countAdmitted(limiter, SECOND, 30, noRate)).isEqualTo(30);
         limiter.applyPolicies(SECOND, Map.of("l", byTenant));
-        assertThat(admitted(limiter, SECOND, 30, byTenant)).as("no rate before").isEqualTo(1);
+        assertThat(countAdmitted(limiter, SECOND, 30, byTenant))
+                .as("a rate after no rate starts without a burst")
+                .isEqualTo(1);
     }
 
     @Test
-    void whatIsInFlightStaysCountedWhenTheLimitChanges() {
+    void keepsInFlightCountWhenLimitChanges() {
         RequestLimiter limiter = new RequestLimiter();
         LimitPolicy five = limit("l", LimitPolicy.Scope.ALL, Double.POSITIVE_INFINITY, 1, 5, 0, 0);
         limiter.applyPolicies(1, Map.of("l", five));
@@ -122,7 +124,7 @@
     }
 
     @Test
-    void aQueueThatGetsShorterWhileFullShedsTheLastOfTheLongest() {
+    void shedsLastRequestsOfBusiestTenantWhenQueueIsShortened() {
         RequestLimiter limiter = new RequestLimiter();
         LimitPolicy four = limit("l", LimitPolicy.Scope.ALL, 0.001, 1, Integer.MAX_VALUE, 4, SECOND);
         limiter.applyPolicies(1, Map.of("l", four));
@@ -138,25 +140,27 @@
     }
 
     @Test
-    void aTenantWithManyRequestsTakesNoPlaceFromOneWithFew() {
+    void admitsTenantWithFewRequestsDespiteBusyTenant() {
         RequestLimiter limiter = new RequestLimiter();
         LimitPolicy limit = limit("l", LimitPolicy.Scope.ALL, 10, 1, Integer.MAX_VALUE, 10, 10 * SECOND);
         limiter.applyPolicies(1, Map.of("l", limit));
-        List<Request> many = new ArrayList<>();
-        List<Request> few = new ArrayList<>();
+        List<Request> requestsOfBusyTenant = new ArrayList<>();
+        List<Request> requestsOfQuietTenant = new ArrayList<>();
         for (long us = 1; us < 10 * SECOND; us += 10_000) {
-            many.add(new Request(limiter, us, 1, limit));
+            requestsOfBusyTenant.add(new Request(limiter, us, 1, limit));
             if (us % 250_000 < 10_000) {
-                few.add(new Request(limiter, us, 2, limit));
+                requestsOfQuietTenant.add(new Request(limiter, us, 2, limit));
             }
             limiter.processQueues(us);
         }
-        assertThat(few.stream().filter(r -> r.admitted == 1).count()).isGreaterThan(few.size() * 9 / 10);
-        assertThat(many.stream().filter(r -> r.admitted == 1).count()).isBetween(50L, 65L);
+        assertThat(requestsOfQuietTenant.stream().filter(r -> r.admitted == 1).count())
+                .isGreaterThan(requestsOfQuietTenant.size() * 9 / 10);
+        assertThat(requestsOfBusyTenant.stream().filter(r -> r.admitted == 1).count())
+                .isBetween(50L, 65L);
     }
 
     @Test
-    void aRequestQueuedInOneLimitIsAdmittedWhenItsOtherLimitIsFreed() {
+    void admitsQueuedRequestWhenItsOtherLimitIsReleased() {
         RequestLimiter limiter = new RequestLimiter();
         LimitPolicy a = limit("a", LimitPolicy.Scope.ALL, Double.POSITIVE_INFINITY, 1, 1, 5, 5 * SECOND);
         LimitPolicy b = limit("b", LimitPolicy.Scope.ALL, Double.POSITIVE_INFINITY, 1, 1, 0, 0);
@@ -171,7 +175,7 @@
     }
 
     @Property(tries = 300, seed = "17")
-    void boundsHoldAndEachRequestIsNotifiedOnce(@ForAll long seed) {
+    void keepsBoundsAndNotifiesEachRequestAtMostOnce(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         RequestLimiter limiter = new RequestLimiter();
         LimitPolicy[] policies = new LimitPolicy[3];
@@ -200,7 +204,7 @@
                 admittedBefore = all.stream().mapToInt(r -> r.admitted).sum();
             }
             long nextUs = nowUs + 1 + random.nextInt(60_000);
-            // Called when it is due, as by a timer.
+            // Call processQueues whenever it is due, as a timer would.
             for (long us = limiter.nextDueUs(nowUs); us <= nextUs; us = limiter.nextDueUs(us)) {
                 nowUs = Math.max(nowUs + 1, us);
                 limiter.processQueues(nowUs);
@@ -227,8 +231,9 @@
             assertThat(admittedSince)
                     .isLessThanOrEqualTo(
                             policies[0].burst() + 1e-6 + (nowUs - versionSinceUs) * policies[0].ratePerUs());
-            long late = nowUs;
-            assertThat(unreleased.stream().filter(Request::isQueued)).allMatch(r -> late - r.submittedUs <= 500_001);
+            long currentUs = nowUs;
+            assertThat(unreleased.stream().filter(Request::isQueued))
+                    .allMatch(r -> currentUs - r.submittedUs <= 500_001);
         }
         for (Request r : List.copyOf(unreleased)) {
             r.release(nowUs);
--- a/src/test/java/gatelock/config/RouteTableTest.java
+++ b/src/test/java/gatelock/config/RouteTableTest.java
@@ -15,14 +15,14 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** The table against a plain list that is searched from its start. */
+/** Compares the route table with a linear search, and tests covering matches and ambiguous paths. */
 final class RouteTableTest {
     private static final String[] SEGMENTS = {"a", "b", "c", "aa", "x%20y", ""};
     private static final String[] HOSTS = {"*", "one.lk", "*.lk", "*.one.lk", "two.one.lk"};
     private static final String[] REQUESTED_HOSTS = {"one.lk", "two.one.lk", "lk", "One.LK", "three.two.one.lk", "other"
     };
 
-    /** The reference: what a table means, without regard to speed. */
+    /** The reference implementation: a linear search for the first route that matches. */
     private static Integer searchList(List<RouteMatch> matches, RequestAttributes request) {
         for (int i = 0; i < matches.size(); i++) {
             RouteMatch match = matches.get(i);
@@ -36,7 +36,7 @@
         return null;
     }
 
-    private static String path(RandomGenerator random) {
+    private static String randomPath(RandomGenerator random) {
         StringBuilder path = new StringBuilder();
         for (int n = random.nextInt(5); n > 0; n--) {
             path.append('/').append(SEGMENTS[random.nextInt(SEGMENTS.length)]);
@@ -44,37 +44,37 @@
         return path.isEmpty() || random.nextInt(5) == 0 ? path + "/" : path.toString();
     }
 
-    private static RouteMatch match(RandomGenerator random) {
+    private static RouteMatch randomMatch(RandomGenerator random) {
         Set<String> methods = new HashSet<>(random.nextInt(3) == 0 ? List.of("GET") : List.of());
         Map<String, String> headers = new HashMap<>();
         if (random.nextInt(3) == 0) {
             headers.put("x-a", random.nextBoolean() ? "*" : "1");
         }
         return new RouteMatch(
-                HOSTS[random.nextInt(HOSTS.length)], RouteMatch.splitPath(path(random)), methods, headers);
+                HOSTS[random.nextInt(HOSTS.length)], RouteMatch.splitPath(randomPath(random)), methods, headers);
     }
 
-    private static RequestAttributes request(RandomGenerator random) {
+    private static RequestAttributes randomRequest(RandomGenerator random) {
         Map<String, String> headers = random.nextBoolean() ? Map.of() : Map.of("x-a", random.nextBoolean() ? "1" : "2");
         return new RequestAttributes(
                 random.nextBoolean() ? "GET" : "POST",
                 random.nextInt(9) == 0 ? null : REQUESTED_HOSTS[random.nextInt(REQUESTED_HOSTS.length)],
-                path(random),
+                randomPath(random),
                 headers::get);
     }
 
     @Property(tries = 500, seed = "17")
-    void itFindsWhatASearchOfTheListFinds(@ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int size) {
+    void findsSameRouteAsLinearSearch(@ForAll long seed, @ForAll @IntRange(min = 0, max = 60) int size) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         List<RouteMatch> matches = new ArrayList<>();
         List<Integer> positions = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            matches.add(match(random));
+            matches.add(randomMatch(random));
             positions.add(i);
         }
         RouteTable<Integer> table = new RouteTable<>(matches, positions);
         for (int i = 0; i < 200; i++) {
-            RequestAttributes request = request(random);
+            RequestAttributes request = randomRequest(random);
             assertThat(table.findFirst(request))
                     .as("%s in %s", request, matches)
                     .isEqualTo(searchList(matches, request));
@@ -82,13 +82,13 @@
     }
 
     @Property(tries = 500, seed = "17")
-    void aMatchThatCoversAnotherMatchesAllOfItsRequests(@ForAll long seed) {
+    void coveringMatchMatchesAllRequestsOfCoveredMatch(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         for (int i = 0; i < 50; i++) {
-            RouteMatch wide = match(random);
-            RouteMatch narrow = match(random);
+            RouteMatch wide = randomMatch(random);
+            RouteMatch narrow = randomMatch(random);
             for (int j = 0; j < 40 && wide.covers(narrow); j++) {
-                RequestAttributes request = request(random);
+                RequestAttributes request = randomRequest(random);
                 if (searchList(List.of(narrow), request) != null) {
                     assertThat(searchList(List.of(wide), request))
                             .as("%s covers %s, %s", wide, narrow, request)
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aPathThatAnEndpointMayReadAsAnotherIsAmbiguous() {
+    void detectsAmbiguousPath() {
         for (String ambiguous : new String[] {
             "a",
             "/a/../b",
--- a/src/test/java/gatelock/config/SampleConfigs.java
+++ b/src/test/java/gatelock/config/SampleConfigs.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** A small deployment, and configuration versions for it. */
+/** A small sample deployment, and configuration versions for it. */
 public final class SampleConfigs {
-    /** A deployment with a class of each kind of repeat, two tenants, two zones and two kinds of endpoints. */
+    /** A deployment with a class of each retry safety, two tenants, two zones and two kinds of endpoints. */
     public static final DeploymentContext DEPLOYMENT = new DeploymentContext(
             Map.of("read", 0, "post", 1, "claim", 2),
             List.of(
@@ -22,7 +22,7 @@
 
     private SampleConfigs() {}
 
-    /** Returns a version with so many routes, each with a pool and a limit per tenant, as UTF-8. */
+    /** Returns, in UTF-8, a version with {@code routes} routes, each with a pool and a limit per tenant. */
     public static byte[] version(int routes) {
         StringBuilder text = new StringBuilder("{\"format\": 1, \"pools\": {");
         int pools = Math.min(200, routes);
@@ -50,13 +50,13 @@
         return text.append("]}").toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Compiles a version that is written with single quotes. */
+    /** Compiles a version whose text uses single quotes in place of double quotes. */
     static ConfigCompiler.Result compile(String text) {
         return new ConfigCompiler(DEPLOYMENT)
                 .compile(ConfigVersion.Epoch.NONE, 1, text.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Compiles a version that is written with single quotes and must have no errors. */
+    /** Compiles a version whose text uses single quotes in place of double quotes, and fails if it has errors. */
     static CompiledConfig compileValid(String text) {
         ConfigCompiler.Result compiled = compile(text);
         if (!compiled.isValid()) {
--- a/src/test/java/gatelock/config/StartupQueueTest.java
+++ b/src/test/java/gatelock/config/StartupQueueTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests that arrive before the endpoint list is known. */
+/** Tests the queue of requests that arrive before the endpoint list is known. */
 final class StartupQueueTest {
     private final StartupQueue<String> queue = new StartupQueue<>();
     private final List<String> continued = new ArrayList<>();
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void allContinueOnceInOrderOfArrival() {
+    void continuesAllRequestsOnceInOrderOfArrival() {
         add("a", 9_000);
         add("b", 2_000);
         add("c", 5_000);
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void eachMayWaitForHalfOfItsRemainingTime() {
+    void allowsWaitForHalfOfRemainingTime() {
         assertThat(add("a", 9_000)).isEqualTo(4_000);
         assertThat(add("past its deadline", 500)).isZero();
     }
--- a/src/test/java/gatelock/config/VersionTrackerTest.java
+++ b/src/test/java/gatelock/config/VersionTrackerTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The succession of versions, whatever is offered in whatever order. */
+/** Tests the decisions on offered versions, for fixed and random orders of offers. */
 final class VersionTrackerTest {
     private static final byte[] TEXT = "text".getBytes(StandardCharsets.UTF_8);
     private static final ConfigVersion.Epoch OLD = new ConfigVersion.Epoch(1, "z");
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void eachOrderOfVersionsHasItsOutcome() {
+    void decidesOfferByEpochNumberAndHash() {
         VersionTracker tracker = new VersionTracker(3);
         assertThat(tracker.evaluateOffer(version(OLD, 5))).isEqualTo(VersionTracker.OfferOutcome.COMPILE);
         accept(tracker, version(OLD, 5));
@@ -49,13 +49,15 @@
         assertThat(tracker.evaluateOffer(new ConfigVersion(OLD, 5, "other")))
                 .isEqualTo(VersionTracker.OfferOutcome.FORK);
         assertThat(tracker.evaluateOffer(version(OLD, 4))).isEqualTo(VersionTracker.OfferOutcome.OLDER);
-        assertThat(tracker.evaluateOffer(version(OLD, 9))).as("a gap").isEqualTo(VersionTracker.OfferOutcome.COMPILE);
+        assertThat(tracker.evaluateOffer(version(OLD, 9)))
+                .as("a gap in the numbers is allowed")
+                .isEqualTo(VersionTracker.OfferOutcome.COMPILE);
         assertThat(tracker.evaluateOffer(version(NEW, 1)))
-                .as("a rebuilt service")
+                .as("a later epoch of a rebuilt service")
                 .isEqualTo(VersionTracker.OfferOutcome.COMPILE);
         accept(tracker, version(NEW, 1));
         assertThat(tracker.evaluateOffer(version(OLD, 99)))
-                .as("an old copy")
+                .as("an earlier epoch of an old copy of the service")
                 .isEqualTo(VersionTracker.OfferOutcome.OLD_EPOCH);
         tracker.reject(version(NEW, 2), List.of(), true);
         assertThat(tracker.evaluateOffer(version(NEW, 2))).isEqualTo(VersionTracker.OfferOutcome.REFUSED_BEFORE);
@@ -66,7 +68,7 @@
     }
 
     @Test
-    void theOperatorRollsBackAndTheServiceLeadsAgainOnceUnpinned() {
+    void appliesNoOfferedVersionWhilePinned() {
         VersionTracker tracker = new VersionTracker(3);
         for (int i = 1; i <= 5; i++) {
             accept(tracker, version(OLD, i));
@@ -79,18 +81,18 @@
         assertThat(tracker.active()).isEqualTo(version(OLD, 3));
         assertThat(tracker.evaluateOffer(version(OLD, 6))).isEqualTo(VersionTracker.OfferOutcome.PINNED);
         assertThat(accept(tracker, version(OLD, 6)))
-                .as("compiled in the meantime")
+                .as("a version compiled while another was pinned")
                 .isFalse();
         tracker.unpin();
         assertThat(tracker.evaluateOffer(version(OLD, 5)))
-                .as("the one that was rolled back from")
+                .as("the version that was rolled back")
                 .isEqualTo(VersionTracker.OfferOutcome.COMPILE);
         assertThat(accept(tracker, version(OLD, 5))).isTrue();
         assertThat(tracker.active()).isEqualTo(version(OLD, 5));
     }
 
     @Property(tries = 500, seed = "17")
-    void theLatestAcceptedVersionNeverGoesBackAndIsActive(@ForAll long seed) {
+    void latestAcceptedVersionOnlyAdvancesAndIsActive(@ForAll long seed) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         VersionTracker tracker = new VersionTracker(1 + random.nextInt(4));
         List<ConfigVersion> compiling = new ArrayList<>();
@@ -104,7 +106,7 @@
                 compiling.add(offered);
             }
             while (!compiling.isEmpty() && random.nextInt(3) != 0) {
-                // Compiled in any order, as if several were under way.
+                // Compilations finish in any order, as if several were in progress.
                 ConfigVersion done = compiling.remove(random.nextInt(compiling.size()));
                 if (random.nextInt(3) == 0) {
                     tracker.reject(done, List.of(), random.nextBoolean());
--- a/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
+++ b/src/test/java/gatelock/control/LastKnownGoodStoreTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Versions on disk: whatever happens to a file, what is read is what was saved, or nothing. */
+/**
+ * Tests versions on disk. Guards against restoring a damaged version: a file that was truncated, changed or only partly
+ * written must be skipped, so that each version read is one that was saved.
+ */
 final class LastKnownGoodStoreTest {
     private static final int MAX_TEXT_BYTES = 1 << 16;
 
@@ -29,7 +32,7 @@
     }
 
     @Test
-    void theLatestVersionAndTheOneBeforeAreStored() {
+    void storesLatestAndPreviousVersion() {
         LastKnownGoodStore store = new LastKnownGoodStore(directory.resolve("not/there/yet"), MAX_TEXT_BYTES);
         assertThat(store.readAll()).isEmpty();
         for (int i = 1; i <= 3; i++) {
@@ -42,22 +45,22 @@
     }
 
     @Test
-    void aDamagedFileIsSkippedAndThePreviousVersionIsRead() throws IOException {
+    void skipsDamagedFileAndReadsPreviousVersion() throws IOException {
         LastKnownGoodStore store = new LastKnownGoodStore(directory, MAX_TEXT_BYTES);
         store.save(version(1), text(1));
         store.save(version(2), text(2));
         Path latest = directory.resolve("last-good.plan");
-        byte[] sound = Files.readAllBytes(latest);
+        byte[] intact = Files.readAllBytes(latest);
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(17);
         for (int i = 0; i < 500; i++) {
-            byte[] damaged = sound.clone();
+            byte[] damaged = intact.clone();
             if (i % 3 == 0) {
                 damaged = Arrays.copyOf(damaged, random.nextInt(damaged.length));
             } else if (i % 3 == 1) {
                 int at = random.nextInt(damaged.length);
                 damaged[at] ^= (byte) (1 << random.nextInt(8));
             } else {
-                // A write that reached the disk in part: zeros from some byte on.
+                // Simulates a write that reached the disk only in part: zeros from some byte on.
                 Arrays.fill(damaged, random.nextInt(damaged.length), damaged.length, (byte) 0);
             }
             Files.write(latest, damaged);
@@ -75,7 +78,7 @@
     }
 
     @Test
-    void aDirectoryThatCantBeWrittenIsReportedAndHarmsNothing() throws IOException {
+    void reportsUnwritableDirectory() throws IOException {
         Path file = Files.createFile(directory.resolve("a file"));
         assertThat(new LastKnownGoodStore(file, MAX_TEXT_BYTES).save(version(1), text(1)))
                 .isPresent();
@@ -83,7 +86,7 @@
     }
 
     @Test
-    void theFileOnDiskIsOneHeaderLineAndTheText() throws IOException {
+    void writesHeaderLineFollowedByText() throws IOException {
         new LastKnownGoodStore(directory, MAX_TEXT_BYTES).save(version(2), text(2));
         String expected = "gatelock-plan-1 17 a.b-c 2 " + text(2).length + " "
                 + version(2).hash() + "\n" + new String(text(2), StandardCharsets.UTF_8);
