--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -32,8 +32,7 @@
     /**
      * Creates an admission without an active version.
      *
-     * @param maxDroppedShare the largest share of the ready endpoints reachable through routes that a single new version
-     *     may make unreachable
+     * @param maxDroppedShare the largest share of the reachable ready endpoints that one new version may make unreachable
      */
     public Admission(double maxDroppedShare) {
         changeGuard = new ConfigChangeGuard(maxDroppedShare);
@@ -67,7 +66,7 @@
 
     /** A request bound to the version that matched it: its hold on the limits, and the constraints on its attempts. */
     public final class RoutedRequest implements RequestConstraints {
-        private final MatchedRoute matched;
+        private final MatchedRoute matchedRoute;
         /** The pool that serves the request, chosen on arrival; null if all endpoints may serve it. */
         private final String pool;
 
@@ -76,11 +75,11 @@
         /** The outcome of admission, set once by {@link Admission#admit}. */
         private RequestLimiter.Decision decision;
 
-        private RoutedRequest(long nowUs, MatchedRoute matched) {
-            this.matched = matched;
-            String configuredPool = matched.route.pool();
+        private RoutedRequest(long nowUs, MatchedRoute matchedRoute) {
+            this.matchedRoute = matchedRoute;
+            String configuredPool = matchedRoute.route.pool();
             pool = configuredPool == null ? null : membership.servingPool(nowUs, configuredPool);
-            retryPolicy = matched.config.retryPolicy(matched.route, pool);
+            retryPolicy = matchedRoute.config.retryPolicy(matchedRoute.route, pool);
             retryBudget = retryBudgets.computeIfAbsent(retryPolicy.name(), name -> new RetryBudget());
             retryBudget.recordRequest(nowUs);
         }
@@ -102,12 +101,12 @@
 
         /** Returns the name of the route. */
         public String routeName() {
-            return matched.route.name();
+            return matchedRoute.route.name();
         }
 
         /** Returns the version that matched the request. */
         public ConfigVersion version() {
-            return matched.config.version();
+            return matchedRoute.config.version();
         }
 
         /** Releases the request's hold on its limits, once it is answered or its client has disconnected. */
@@ -126,9 +125,9 @@
             if (pool == null) {
                 return true;
             }
-            return matched.config == active
+            return matchedRoute.config == active
                     ? membership.contains(pool, endpoint)
-                    : membership.matches(matched.config.pools().get(pool), endpoint);
+                    : membership.matches(matchedRoute.config.pools().get(pool), endpoint);
         }
 
         @Override
@@ -165,16 +164,16 @@
      * version rejects such requests. Must only be called when there is an active version.
      *
      * @param request the request
-     * @param matched what {@link #matchRoute} returned for it
+     * @param matchedRoute what {@link #matchRoute} returned for it
      */
-    public int rejectionStatus(RequestAttributes request, MatchedRoute matched) {
-        if (matched == null) {
+    public int rejectionStatus(RequestAttributes request, MatchedRoute matchedRoute) {
+        if (matchedRoute == null) {
             unmatchedRequests++;
         }
         if (RouteMatch.isAmbiguousPath(request.path())) {
             return BAD_REQUEST;
         }
-        return matched == null && active.rejectsUnmatched() ? NOT_FOUND : 0;
+        return matchedRoute == null && active.rejectsUnmatched() ? NOT_FOUND : 0;
     }
 
     /**
@@ -182,16 +181,17 @@
      * version has become active since the request was matched, the request continues under the version that matched it.
      *
      * @param nowUs the current time
-     * @param matched the request's route
+     * @param matchedRoute the request's route
      * @param tenant index of the request's tenant
      * @param deadlineUs the request's deadline
      * @param request receives the outcome if the request is queued
      */
-    public RoutedRequest admit(long nowUs, MatchedRoute matched, int tenant, long deadlineUs, QueuedRequest request) {
-        changeGuard.recordRequest(nowUs, matched.route.name());
-        RoutedRequest routed = new RoutedRequest(nowUs, matched);
-        routed.decision =
-                limiter.admit(nowUs, currentLimits(matched), matched.route.name(), tenant, deadlineUs, request);
+    public RoutedRequest admit(
+            long nowUs, MatchedRoute matchedRoute, int tenant, long deadlineUs, QueuedRequest request) {
+        changeGuard.recordRequest(nowUs, matchedRoute.route.name());
+        RoutedRequest routed = new RoutedRequest(nowUs, matchedRoute);
+        routed.decision = limiter.admit(
+                nowUs, currentLimits(matchedRoute), matchedRoute.route.name(), tenant, deadlineUs, request);
         return routed;
     }
 
@@ -199,12 +199,12 @@
      * Returns the limits of a matched route with the values of the active version, which also apply to a request that an
      * earlier version matched. A limit that the active version does not have, or has with another scope, keeps its values.
      */
-    private List<LimitPolicy> currentLimits(MatchedRoute matched) {
-        if (matched.config == active) {
-            return matched.route.limits();
+    private List<LimitPolicy> currentLimits(MatchedRoute matchedRoute) {
+        if (matchedRoute.config == active) {
+            return matchedRoute.route.limits();
         }
         List<LimitPolicy> limits = new ArrayList<>();
-        for (LimitPolicy matchedLimit : matched.route.limits()) {
+        for (LimitPolicy matchedLimit : matchedRoute.route.limits()) {
             LimitPolicy current = active.limits().get(matchedLimit.name());
             boolean sameScope = current != null && current.scope() == matchedLimit.scope();
             limits.add(sameScope ? current : matchedLimit);
@@ -212,7 +212,7 @@
         return limits;
     }
 
-    /** Admits or sheds queued requests whose turn or time limit has come; must be called at {@link #nextDueUs}. */
+    /** Admits queued requests that now have capacity and sheds expired ones; must be called at {@link #nextDueUs}. */
     public void processQueues(long nowUs) {
         limiter.processQueues(nowUs);
     }
--- a/src/main/java/gatelock/config/ConfigChangeGuard.java
+++ b/src/main/java/gatelock/config/ConfigChangeGuard.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * Compares a valid version with the active one and rejects changes that drop too much. Guards against a version made
- * from an outdated or truncated copy, which is the most likely fault of a well-formed configuration, and detects the loss
- * whichever part was lost. It also rejects the same change when an operator intends it; the operator must then list the
- * routes under {@code removes}, or change the pools in several steps.
+ * Compares a valid version with the active one and rejects changes that drop routes with traffic or too many endpoints.
+ * Guards against a version made from an outdated or truncated copy, which is the most likely fault of a well-formed
+ * configuration; the check works whichever part was lost. It also rejects such a change when an operator intends it; the
+ * operator must then list the routes under {@code removes}, or change the pools in several steps.
  */
 final class ConfigChangeGuard {
     /** The time constant with which the request count of a route decays. */
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -43,10 +43,10 @@
 
     private void compareUnmatched() {
         if (before.rejectsUnmatched() != after.rejectsUnmatched()) {
-            differences.add("reqs that no route is for: "
+            differences.add("requests that match no route: "
                     + (after.rejectsUnmatched()
-                            ? "answered 404, went by their class before"
-                            : "go by their class, were answered 404 before"));
+                            ? "answered with 404, previously routed by class"
+                            : "routed by class, previously answered with 404"));
         }
     }
 
@@ -54,42 +54,47 @@
         Set<String> names = new TreeSet<>(before.routesByName().keySet());
         names.addAll(after.routesByName().keySet());
         for (String name : names) {
-            RouteEntry old = before.routesByName().get(name);
+            RouteEntry previous = before.routesByName().get(name);
             RouteEntry current = after.routesByName().get(name);
-            if (old == null) {
+            if (previous == null) {
                 differences.add("route " + name + " is new: " + describe(current.match()) + " to class "
                         + deployment.className(current.classIndex()) + ", pool " + poolName(current)
                         + describeRouteIn(before, current));
             } else if (current == null) {
-                differences.add("route " + name + " is gone: " + describe(old.match()) + describeRouteIn(after, old));
+                differences.add(
+                        "route " + name + " is gone: " + describe(previous.match()) + describeRouteIn(after, previous));
             } else {
-                compareRoute(old, current);
+                compareRoute(previous, current);
             }
         }
     }
 
-    /** For a route that only one version has, tells by an example request which route of the other version serves it. */
+    /**
+     * For a route that only one version has, describes which route of the other version matches its requests, determined
+     * by one example request.
+     */
     private static String describeRouteIn(CompiledConfig otherVersion, RouteEntry route) {
         RouteEntry other = otherVersion.findRoute(exampleRequest(route.match()));
-        return other == null ? "" : "; in the other version they meet " + other.name();
+        return other == null ? "" : "; in the other version its requests match " + other.name();
     }
 
-    private void compareRoute(RouteEntry old, RouteEntry current) {
+    private void compareRoute(RouteEntry previous, RouteEntry current) {
         String name = current.name();
-        addIfChanged(name, "is for", describe(old.match()), describe(current.match()));
-        addIfChanged(name, "class", deployment.className(old.classIndex()), deployment.className(current.classIndex()));
-        addIfChanged(name, "pool", poolName(old), poolName(current));
-        addIfChanged(name, "limits", describe(old.limits()), describe(current.limits()));
+        addIfChanged(name, "matches", describe(previous.match()), describe(current.match()));
+        addIfChanged(
+                name, "class", deployment.className(previous.classIndex()), deployment.className(current.classIndex()));
+        addIfChanged(name, "pool", poolName(previous), poolName(current));
+        addIfChanged(name, "limits", describe(previous.limits()), describe(current.limits()));
         addIfChanged(
                 name,
                 "tries",
-                RouteExplainer.describe(before.retryPolicy(old, old.pool())),
+                RouteExplainer.describe(before.retryPolicy(previous, previous.pool())),
                 RouteExplainer.describe(after.retryPolicy(current, current.pool())));
     }
 
-    private void addIfChanged(String route, String property, Object old, Object current) {
-        if (!Objects.equals(old, current)) {
-            differences.add("route " + route + ": " + property + " " + current + ", was " + old);
+    private void addIfChanged(String route, String property, Object previous, Object current) {
+        if (!Objects.equals(previous, current)) {
+            differences.add("route " + route + ": " + property + " " + current + ", was " + previous);
         }
     }
 
@@ -111,30 +116,30 @@
         if (request == null) {
             return;
         }
-        RouteEntry old = before.findRoute(request);
+        RouteEntry previous = before.findRoute(request);
         RouteEntry current = after.findRoute(request);
-        boolean changed = old != null && current != null && !current.name().equals(old.name());
-        if (changed && isMatchUnchanged(current) && isMatchUnchanged(old)) {
-            changes.add("reqs for both " + route.name() + " and " + other.name() + " meet route " + current.name()
-                    + ", met " + old.name());
+        boolean changed = previous != null && current != null && !current.name().equals(previous.name());
+        if (changed && isMatchUnchanged(current) && isMatchUnchanged(previous)) {
+            changes.add("requests that match both " + route.name() + " and " + other.name() + " go to route "
+                    + current.name() + ", went to " + previous.name());
         }
     }
 
     /** Returns whether both versions define the route with the same match conditions. */
     private boolean isMatchUnchanged(RouteEntry route) {
-        RouteEntry old = before.routesByName().get(route.name());
+        RouteEntry previous = before.routesByName().get(route.name());
         RouteEntry current = after.routesByName().get(route.name());
-        return old != null && current != null && old.match().equals(current.match());
+        return previous != null && current != null && previous.match().equals(current.match());
     }
 
     private void comparePools() {
         Set<String> names = new TreeSet<>(before.pools().keySet());
         names.retainAll(after.pools().keySet());
         for (String name : names) {
-            Pool old = before.pools().get(name);
+            Pool previous = before.pools().get(name);
             Pool current = after.pools().get(name);
-            if (!old.equals(current)) {
-                differences.add("pool " + name + ": " + describe(current) + ", was " + describe(old));
+            if (!previous.equals(current)) {
+                differences.add("pool " + name + ": " + describe(current) + ", was " + describe(previous));
             }
         }
     }
--- a/src/main/java/gatelock/config/LimitValidator.java
+++ b/src/main/java/gatelock/config/LimitValidator.java
@@ -10,6 +10,7 @@
 
     private final ValidationContext context;
 
+    /** Creates a validator that adds its findings to the context. */
     LimitValidator(ValidationContext context) {
         this.context = context;
     }
--- a/src/main/java/gatelock/config/PoolMembership.java
+++ b/src/main/java/gatelock/config/PoolMembership.java
@@ -30,9 +30,9 @@
     /** The counts of endpoints that have the same properties. */
     private static final class EndpointGroup {
         private final Properties properties;
-        private int endpoints;
-        private int ready;
-        /** Indices of the active version's selection criteria that select the group. */
+        private int endpointCount;
+        private int readyCount;
+        /** The indices of those of {@link CompiledConfig#selectors()} in the active version that select the group. */
         private BitSet selectedBy = new BitSet();
 
         private EndpointGroup(Properties properties) {
@@ -56,10 +56,11 @@
         }
     }
 
+    /** A listed endpoint: its group, and whether it is ready. */
     private record Member(EndpointGroup group, boolean ready) {}
 
     /**
-     * The numbers of ready endpoints that the routes of two versions reach.
+     * A comparison of the ready endpoints that the routes of two versions reach.
      *
      * @param reached number of ready endpoints that the first version's routes reach
      * @param dropped number of these that the second version's routes do not reach
@@ -85,7 +86,7 @@
         for (Endpoint endpoint : endpoints) {
             updateEndpoint(endpoint, labels.getOrDefault(endpoint.name(), Map.of()));
         }
-        groups.values().removeIf(group -> group.endpoints == 0);
+        groups.values().removeIf(group -> group.endpointCount == 0);
     }
 
     private void removeUnlisted(List<Endpoint> endpoints) {
@@ -127,9 +128,9 @@
     }
 
     private void addToCounts(Member member, int change) {
-        member.group.endpoints += change;
+        member.group.endpointCount += change;
         if (member.ready) {
-            member.group.ready += change;
+            member.group.readyCount += change;
             addToReadyBySelector(member.group, change);
         }
     }
@@ -149,7 +150,7 @@
         readyBySelector = new int[next.selectors().size()];
         for (EndpointGroup group : groups.values()) {
             group.updateSelectedBy(next);
-            addToReadyBySelector(group, group.ready);
+            addToReadyBySelector(group, group.readyCount);
         }
         pools = new HashMap<>();
         for (Pool pool : next.pools().values()) {
@@ -205,8 +206,8 @@
         int dropped = 0;
         for (EndpointGroup group : groups.values()) {
             if (group.isReachedBy(first)) {
-                reached += group.ready;
-                dropped += group.isReachedBy(second) ? 0 : group.ready;
+                reached += group.readyCount;
+                dropped += group.isReachedBy(second) ? 0 : group.readyCount;
             }
         }
         return new ReachComparison(reached, dropped);
--- a/src/main/java/gatelock/config/PoolValidator.java
+++ b/src/main/java/gatelock/config/PoolValidator.java
@@ -11,6 +11,7 @@
 final class PoolValidator {
     private final ValidationContext context;
 
+    /** Creates a validator that adds its findings to the context. */
     PoolValidator(ValidationContext context) {
         this.context = context;
     }
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -132,12 +132,12 @@
             needed.add(buckets.find(nowUs, limit, route, tenant));
         }
         Ticket ticket = new Ticket(tenant, needed, deadlineUs, request);
-        LimitBucket exhausted = firstUnavailable(nowUs, needed);
-        if (exhausted == null) {
+        LimitBucket unavailable = firstUnavailable(nowUs, needed);
+        if (unavailable == null) {
             ticket.acquire();
             return new Decision(Outcome.ADMITTED, ticket, 0);
         }
-        if (enqueue(nowUs, exhausted, ticket)) {
+        if (enqueue(nowUs, unavailable, ticket)) {
             return new Decision(Outcome.QUEUED, ticket, 0);
         }
         return new Decision(Outcome.SHED, null, ticket.retryAfterUs(nowUs));
--- a/src/main/java/gatelock/config/RouteMatch.java
+++ b/src/main/java/gatelock/config/RouteMatch.java
@@ -27,8 +27,8 @@
 
     /**
      * Returns whether an endpoint may interpret a path differently than this relay does, because of dot segments, empty
-     * segments, backslashes, or percent-encoded slashes or dots. Such a path could bypass the route that is meant for it
-     * at any endpoint that normalizes paths. Clients that legitimately use such paths get status 400.
+     * segments, backslashes, null bytes, or percent-encoded slashes or dots. A request with such a path could bypass the
+     * route that is meant for it at any endpoint that normalizes paths. Clients that really use such paths get status 400.
      */
     static boolean isAmbiguousPath(String path) {
         if (!path.startsWith("/")) {
--- a/src/main/java/gatelock/config/RouteTable.java
+++ b/src/main/java/gatelock/config/RouteTable.java
@@ -19,8 +19,10 @@
     private final Node<T> root = new Node<>();
     private final int size;
 
+    /** A route at its position in the table. */
     private record Entry<T>(int position, RouteMatch match, T value) {}
 
+    /** A node of the tree, which stands for the path that leads to it. */
     private static final class Node<T> {
         /** Routes whose path ends at this node, by host pattern; each list is in order of position. */
         private Map<String, List<Entry<T>>> entriesByHost = Map.of();
@@ -47,6 +49,7 @@
         }
     }
 
+    /** An edge of the tree, labelled with one or more path segments. */
     private static final class Edge<T> {
         private List<String> segments;
         private Node<T> target;
--- a/src/main/java/gatelock/config/RouteValidator.java
+++ b/src/main/java/gatelock/config/RouteValidator.java
@@ -10,6 +10,7 @@
     private final LimitValidator limits;
     private final RetrySafetyValidator retrySafety;
 
+    /** Creates a validator that adds its findings to the context. */
     RouteValidator(ValidationContext context) {
         this.context = context;
         this.limits = new LimitValidator(context);
--- a/src/main/java/gatelock/config/ShadowedRouteValidator.java
+++ b/src/main/java/gatelock/config/ShadowedRouteValidator.java
@@ -10,6 +10,7 @@
 
     private final ValidationContext context;
 
+    /** Creates a validator that adds its findings to the context. */
     ShadowedRouteValidator(ValidationContext context) {
         this.context = context;
     }
--- a/src/main/java/gatelock/control/ConfigSubscription.java
+++ b/src/main/java/gatelock/control/ConfigSubscription.java
@@ -29,7 +29,7 @@
     private static final int US_PER_MS = 1_000;
     private static final int HTTP_OK = 200;
     private static final int HTTP_NO_CONTENT = 204;
-    /** In a row of failures, the first is logged, and the one that follows this many failures. */
+    /** Of consecutive failures, the first is logged, and then only the one that follows this many failures. */
     private static final int FAILURES_BEFORE_SECOND_LOG = 4;
 
     private final EventLoop eventLoop;
@@ -58,7 +58,7 @@
      * @param counters counts failed polls
      * @param pool connections to control services; must accept responses that contain a complete version
      * @param updater receives the versions and provides the latest accepted one
-     * @param backoff determines the delay after a failed poll
+     * @param backoff determines the delay after a poll that failed or had no new result
      * @param relay this relay's name
      * @param services addresses of control services, in the order in which they are tried
      * @param holdMs how long the service may hold a poll open until there is a later version
@@ -217,6 +217,7 @@
         private final InetSocketAddress service;
         private String responseError;
 
+        /** Creates a handler for a poll of the given control service. */
         Poll(InetSocketAddress service) {
             this.service = service;
         }
--- a/src/main/java/gatelock/control/UpdateResult.java
+++ b/src/main/java/gatelock/control/UpdateResult.java
@@ -8,7 +8,7 @@
  *
  * @param accepted true if the version is the accepted one (ACK), false if it was rejected (NACK)
  * @param answer the result as a keyword of the control protocol, such as {@code applied} or {@code refused}
- * @param diagnostics the findings on the version; empty if it was not compiled
+ * @param diagnostics the findings on the version; empty if the order of versions alone decided
  * @param isNew whether the result tells the control service something that it does not know yet
  */
 record UpdateResult(boolean accepted, String answer, List<Diagnostic> diagnostics, boolean isNew) {
