--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 
 /**
- * Compiles the text of a configuration version to a {@link CompiledConfig}, or reports the errors in it. Stateless; may
- * run on any thread.
+ * Compiles the text of a configuration version to a {@link CompiledConfig}, or reports everything that is wrong with it.
+ * Stateless; may run on any thread.
  */
 public final class ConfigCompiler {
     /** The maximum number of findings to report; further findings are only counted. */
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -130,8 +130,8 @@
     }
 
     /**
-     * Returns the same findings with the line and column that each points at. A finding about something absent from the
-     * text gets the location of its nearest ancestor that is present.
+     * Returns the same findings, each with the line and column of the value it points at. A finding about something absent
+     * from the text gets the location of its nearest ancestor that is present.
      */
     public List<Diagnostic> withLocations(List<Diagnostic> findings) {
         Map<String, JsonLocation> locations = locate(findings);
--- a/src/main/java/gatelock/config/DecayingCounter.java
+++ b/src/main/java/gatelock/config/DecayingCounter.java
@@ -6,7 +6,7 @@
     private double count;
     private long updatedUs;
 
-    /** Creates a counter at 0; without increments it falls to 1/e of its value in {@code timeConstantUs}. */
+    /** Creates a counter at 0; without increments, its value falls to 1/e every {@code timeConstantUs} microseconds. */
     DecayingCounter(double timeConstantUs) {
         this.timeConstantUs = timeConstantUs;
     }
--- a/src/main/java/gatelock/config/LimitPolicy.java
+++ b/src/main/java/gatelock/config/LimitPolicy.java
@@ -3,6 +3,7 @@
 /**
  * A limit on requests: a token bucket, a bound on requests in flight and a queue, each of which may be absent.
  *
+ * @param name the limit's name
  * @param scope which requests share a bucket
  * @param ratePerUs tokens added per microsecond; each request takes one; infinite if the rate is not limited
  * @param burst capacity of the token bucket
--- a/src/main/java/gatelock/config/Pool.java
+++ b/src/main/java/gatelock/config/Pool.java
@@ -6,6 +6,7 @@
 /**
  * A named set of endpoints that serve the same routes.
  *
+ * @param name the pool's name; empty in the result of {@link #selector()}
  * @param zones indices of the zones whose endpoints belong to the pool; empty for any zone
  * @param kinds indices of the endpoint kinds that belong to the pool; empty for any kind
  * @param labels labels that an endpoint must all have
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -32,6 +32,7 @@
     /**
      * The result of an admission request.
      *
+     * @param outcome whether the request was admitted, queued or shed
      * @param ticket must be released when the request ends; null if the request was shed or has no limits
      * @param retryAfterUs after how many microseconds a shed request may be retried; 0 if it was not shed
      */
--- a/src/main/java/gatelock/config/RetryBudget.java
+++ b/src/main/java/gatelock/config/RetryBudget.java
@@ -8,6 +8,7 @@
     /** The number of retries that are available regardless of the ratio, so that a policy with few requests has any. */
     private static final double RESERVE = 3;
 
+    /** The time constant with which the counts of requests and retries decay. */
     private static final double TIME_CONSTANT_US = 10e6;
 
     private final DecayingCounter requests = new DecayingCounter(TIME_CONSTANT_US);
--- a/src/main/java/gatelock/config/RetryPolicy.java
+++ b/src/main/java/gatelock/config/RetryPolicy.java
@@ -7,6 +7,7 @@
  * Determines which retries a request may have. A policy can only restrict the retries that the decision engine would make
  * without it.
  *
+ * @param name the policy's name; empty for {@link #UNRESTRICTED}
  * @param maxAttempts maximum number of attempts of a request, including the first
  * @param retryableResults results of an attempt after which another attempt may follow
  * @param attemptTimeoutUs timeout of one attempt in microseconds; 0 if only the request's deadline bounds it
--- a/src/main/java/gatelock/config/TenantFairQueue.java
+++ b/src/main/java/gatelock/config/TenantFairQueue.java
@@ -44,7 +44,7 @@
         return queue == null ? null : queue.peekFirst();
     }
 
-    /** Returns the first item of each tenant, in the order in which the tenants are served. */
+    /** Returns the first item of each tenant with items, in the order in which the tenants are served. */
     List<T> firstOfEachTenant() {
         List<T> firsts = new ArrayList<>(queues.size());
         for (ArrayDeque<T> queue : queues.values()) {
