--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -9,14 +9,14 @@
 import java.util.TreeSet;
 
 /**
- * Compares two versions by what they mean for requests, not by their text: moving text about without changing its
- * meaning is no difference. For the command {@code gatelock diff}, whose output these texts are.
+ * Compares two versions by their effect on requests, not by their text: reordering or reformatting the text without
+ * changing its meaning is not a difference. The command {@code gatelock diff} prints the result.
  */
 public final class ConfigDiff {
     private static final int MAX_DIFFERENCES = 1_000;
-    /** How many routes on the path of one route are compared with it for a change of order. */
+    /** The maximum number of routes along the path of one route that are compared with it for a change of order. */
     private static final int MAX_ROUTES_ALONG_PATH = 50;
-    /** Stands for any value of a header, and for any part of a host, in an example request. */
+    /** Replaces a wildcard for a header value or for the first part of a host in an example request. */
     private static final String EXAMPLE_VALUE = "x";
 
     private final CompiledConfig before;
@@ -30,7 +30,7 @@
         this.deployment = deployment;
     }
 
-    /** Returns a line for each difference, at most 1000; an empty list if both versions mean the same. */
+    /** Returns a line for each difference, at most 1000; the list is empty if both versions treat all requests alike. */
     public static List<String> compare(CompiledConfig before, CompiledConfig after, DeploymentContext deployment) {
         ConfigDiff diff = new ConfigDiff(before, after, deployment);
         diff.compareUnmatched();
@@ -43,10 +43,10 @@
 
     private void compareUnmatched() {
         if (before.rejectsUnmatched() != after.rejectsUnmatched()) {
-            differences.add("reqs that no route is for: "
+            differences.add("requests that match no route: "
                     + (after.rejectsUnmatched()
-                            ? "answered 404, went by their class before"
-                            : "go by their class, were answered 404 before"));
+                            ? "answered with 404, previously routed by class"
+                            : "routed by class, previously answered with 404"));
         }
     }
 
@@ -54,46 +54,51 @@
         Set<String> names = new TreeSet<>(before.routesByName().keySet());
         names.addAll(after.routesByName().keySet());
         for (String name : names) {
-            RouteEntry old = before.routesByName().get(name);
+            RouteEntry previous = before.routesByName().get(name);
             RouteEntry current = after.routesByName().get(name);
-            if (old == null) {
+            if (previous == null) {
                 differences.add("route " + name + " is new: " + describe(current.match()) + " to class "
                         + deployment.className(current.classIndex()) + ", pool " + poolName(current)
                         + describeRouteIn(before, current));
             } else if (current == null) {
-                differences.add("route " + name + " is gone: " + describe(old.match()) + describeRouteIn(after, old));
+                differences.add(
+                        "route " + name + " is gone: " + describe(previous.match()) + describeRouteIn(after, previous));
             } else {
-                compareRoute(old, current);
+                compareRoute(previous, current);
             }
         }
     }
 
-    /** Says where the requests of a route that only one version has go in the other, judged by one example. */
+    /**
+     * For a route that only one version has, describes which route of the other version matches its requests, determined
+     * by one example request.
+     */
     private static String describeRouteIn(CompiledConfig otherVersion, RouteEntry route) {
         RouteEntry other = otherVersion.findRoute(exampleRequest(route.match()));
-        return other == null ? "" : "; in the other version they meet " + other.name();
+        return other == null ? "" : "; in the other version its requests match " + other.name();
     }
 
-    private void compareRoute(RouteEntry old, RouteEntry current) {
+    private void compareRoute(RouteEntry previous, RouteEntry current) {
         String name = current.name();
-        addIfChanged(name, "is for", describe(old.match()), describe(current.match()));
-        addIfChanged(name, "class", deployment.className(old.classIndex()), deployment.className(current.classIndex()));
-        addIfChanged(name, "pool", poolName(old), poolName(current));
-        addIfChanged(name, "limits", describe(old.limits()), describe(current.limits()));
+        addIfChanged(name, "matches", describe(previous.match()), describe(current.match()));
+        addIfChanged(
+                name, "class", deployment.className(previous.classIndex()), deployment.className(current.classIndex()));
+        addIfChanged(name, "pool", poolName(previous), poolName(current));
+        addIfChanged(name, "limits", describe(previous.limits()), describe(current.limits()));
         addIfChanged(
                 name,
                 "tries",
-                RouteExplainer.describe(before.retryPolicy(old, old.pool())),
+                RouteExplainer.describe(before.retryPolicy(previous, previous.pool())),
                 RouteExplainer.describe(after.retryPolicy(current, current.pool())));
     }
 
-    private void addIfChanged(String route, String property, Object old, Object current) {
-        if (!Objects.equals(old, current)) {
-            differences.add("route " + route + ": " + property + " " + current + ", was " + old);
+    private void addIfChanged(String route, String property, Object previous, Object current) {
+        if (!Objects.equals(previous, current)) {
+            differences.add("route " + route + ": " + property + " " + current + ", was " + previous);
         }
     }
 
-    /** Finds routes that stay but change their order, by an example request that both of a pair match. */
+    /** Finds pairs of unchanged routes whose order changed, using an example request that both routes match. */
     private void compareOrder() {
         Set<String> changes = new TreeSet<>();
         for (RouteEntry route : after.routesByName().values()) {
@@ -111,35 +116,35 @@
         if (request == null) {
             return;
         }
-        RouteEntry old = before.findRoute(request);
+        RouteEntry previous = before.findRoute(request);
         RouteEntry current = after.findRoute(request);
-        boolean changed = old != null && current != null && !current.name().equals(old.name());
-        if (changed && isMatchUnchanged(current) && isMatchUnchanged(old)) {
-            changes.add("reqs for both " + route.name() + " and " + other.name() + " meet route " + current.name()
-                    + ", met " + old.name());
+        boolean changed = previous != null && current != null && !current.name().equals(previous.name());
+        if (changed && isMatchUnchanged(current) && isMatchUnchanged(previous)) {
+            changes.add("requests that match both " + route.name() + " and " + other.name() + " go to route "
+                    + current.name() + ", went to " + previous.name());
         }
     }
 
-    /** Whether a route matches the same requests in both versions. */
+    /** Returns whether both versions define the route with the same match conditions. */
     private boolean isMatchUnchanged(RouteEntry route) {
-        RouteEntry old = before.routesByName().get(route.name());
+        RouteEntry previous = before.routesByName().get(route.name());
         RouteEntry current = after.routesByName().get(route.name());
-        return old != null && current != null && old.match().equals(current.match());
+        return previous != null && current != null && previous.match().equals(current.match());
     }
 
     private void comparePools() {
         Set<String> names = new TreeSet<>(before.pools().keySet());
         names.retainAll(after.pools().keySet());
         for (String name : names) {
-            Pool old = before.pools().get(name);
+            Pool previous = before.pools().get(name);
             Pool current = after.pools().get(name);
-            if (!old.equals(current)) {
-                differences.add("pool " + name + ": " + describe(current) + ", was " + describe(old));
+            if (!previous.equals(current)) {
+                differences.add("pool " + name + ": " + describe(current) + ", was " + describe(previous));
             }
         }
     }
 
-    /** Returns a request that satisfies all conditions. */
+    /** Returns a request that satisfies all conditions of a match. */
     private static RequestAttributes exampleRequest(RouteMatch match) {
         Map<String, String> required = match.headers();
         return new RequestAttributes(
@@ -156,7 +161,10 @@
         return pattern.startsWith("*.") ? EXAMPLE_VALUE + pattern.substring(1) : pattern;
     }
 
-    /** Returns a request that both match, or null if there is none; the second's path must be a prefix of the first's. */
+    /**
+     * Returns a request that satisfies both matches, or null if there is none. The path of {@code other} must be a prefix
+     * of the path of {@code match}.
+     */
     private static RequestAttributes exampleRequest(RouteMatch match, RouteMatch other) {
         Set<String> methods = new TreeSet<>(match.methods().isEmpty() ? other.methods() : match.methods());
         if (!match.methods().isEmpty() && !other.methods().isEmpty()) {
@@ -195,7 +203,7 @@
                 + (pool.fallback() == null ? "" : ", fallback " + pool.fallback() + " under " + pool.minReadyShare());
     }
 
-    /** Returns the names for a pool's indices; a negative index stands for a name that the deployment does not have. */
+    /** Returns the names for a pool's indices; negative indices, which stand for unknown names, are left out. */
     private static String names(Set<Integer> indices, List<String> names) {
         if (indices.isEmpty()) {
             return "any";
--- a/src/main/java/gatelock/config/PoolValidator.java
+++ b/src/main/java/gatelock/config/PoolValidator.java
@@ -11,10 +11,12 @@
 final class PoolValidator {
     private final ValidationContext context;
 
+    /** Creates a validator that adds its findings to the context. */
     PoolValidator(ValidationContext context) {
         this.context = context;
     }
 
+    /** Adds findings about the definitions of all pools. */
     void validate() {
         for (Map.Entry<String, JsonNode> pool :
                 context.config().section("pools").properties()) {
@@ -78,7 +80,7 @@
         }
     }
 
-    /** Returns the fallbacks that lead from a pool back to itself, the pool first and last, or an empty list. */
+    /** Returns the cycle of fallbacks from a pool back to itself, with the pool first and last; empty if there is none. */
     private List<String> findCycle(String pool) {
         List<String> path = new ArrayList<>(List.of(pool));
         Set<String> visited = new HashSet<>();
