--- a/src/test/java/gatelock/fleet/CanaryExposureCheck.java
+++ b/src/test/java/gatelock/fleet/CanaryExposureCheck.java
@@ -6,8 +6,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Rule 5: in every window, a relay's attempts at the canary stay within a free number and the cap's share of the
- * requests that it accepted. Two attempts and 4% more than that are tolerated.
+ * Checks rule 5: in every window, the attempts that a relay sends to the canary do not exceed a fixed allowance plus
+ * the exposure cap's share of the requests that the relay accepted. Two more attempts and a share that is 4% higher are
+ * tolerated.
  */
 final class CanaryExposureCheck {
     private static final int TOLERATED_ATTEMPTS = 2;
@@ -21,6 +22,7 @@
         this.parameters = parameters;
     }
 
+    /** Returns at most one violation for each relay and exposure cap. */
     List<RuleViolation> violations() {
         if (records.canaryCaps.stream().allMatch(FleetRecords.CanaryCap::isNone)) {
             return List.of();
@@ -37,7 +39,7 @@
         return violations;
     }
 
-    /** Checks one relay, cap by cap; each cap holds until the next one. */
+    /** Checks one relay against each of its exposure caps; a cap applies until the relay receives the next one. */
     private List<RuleViolation> check(
             List<FleetRecords.CanaryCap> caps,
             List<FleetRecords.Request> requests,
@@ -46,34 +48,37 @@
         for (int i = 0; i < caps.size(); i++) {
             FleetRecords.CanaryCap cap = caps.get(i);
             long untilUs = i + 1 < caps.size() ? caps.get(i + 1).atUs() : Long.MAX_VALUE;
-            List<FleetRecords.Attempt> atCanary = attempts.stream()
+            List<FleetRecords.Attempt> canaryAttempts = attempts.stream()
                     .filter(attempt ->
                             attempt.build() == cap.build() && attempt.atUs() >= cap.atUs() && attempt.atUs() < untilUs)
                     .toList();
-            firstViolation(cap, requests, atCanary, violations);
+            addFirstViolation(cap, requests, canaryAttempts, violations);
         }
         return violations;
     }
 
-    private void firstViolation(
+    private void addFirstViolation(
             FleetRecords.CanaryCap cap,
             List<FleetRecords.Request> requests,
-            List<FleetRecords.Attempt> atCanary,
+            List<FleetRecords.Attempt> canaryAttempts,
             List<RuleViolation> violations) {
-        for (FleetRecords.Attempt first : atCanary) {
+        for (FleetRecords.Attempt first : canaryAttempts) {
             long fromUs = first.atUs();
             long toUs = fromUs + parameters.exposureWindowUs;
-            long attempted = atCanary.stream()
+            long attemptCount = canaryAttempts.stream()
                     .filter(attempt -> attempt.atUs() >= fromUs && attempt.atUs() < toUs)
                     .count();
-            long accepted = requests.stream()
+            long requestCount = requests.stream()
                     .filter(request -> request.atUs() >= fromUs && request.atUs() < toUs)
                     .count();
-            if (attempted
-                    > parameters.freeCanaryAttempts + TOLERATED_ATTEMPTS + cap.cap() * TOLERATED_FACTOR * accepted) {
+            if (attemptCount
+                    > parameters.canaryAttemptAllowance
+                            + TOLERATED_ATTEMPTS
+                            + cap.cap() * TOLERATED_FACTOR * requestCount) {
                 violations.add(new RuleViolation(
                         FleetRule.CANARY_EXPOSURE,
-                        "relay " + cap.relay() + " sent " + attempted + " for " + accepted + " requests"));
+                        "relay " + cap.relay() + " sent " + attemptCount + " attempts to the canary for " + requestCount
+                                + " requests"));
                 return;
             }
         }
--- a/src/test/java/gatelock/fleet/ClientLoad.java
+++ b/src/test/java/gatelock/fleet/ClientLoad.java
@@ -5,11 +5,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The clients of a fleet: each relay gets requests as a Poisson process of its own rate. */
+/** The clients of a fleet. Requests arrive at each relay as a Poisson process with a rate of its own. */
 final class ClientLoad {
-    private static final int KEYS = 5000;
+    private static final int KEY_COUNT = 5000;
 
-    /** A route and how long its clients wait for an answer. */
+    /** A route and how long its clients wait for a response. */
     private record Route(RoutePolicy policy, long clientTimeoutUs) {}
 
     private static final List<Route> ROUTES = List.of(
@@ -18,23 +18,23 @@
             route(RoutePolicy.RetrySafety.NON_RETRIABLE, 10, 4, 5, 16));
 
     private static Route route(
-            RoutePolicy.RetrySafety repeat, int rememberS, int objectiveS, double value, int clientTimeoutS) {
+            RoutePolicy.RetrySafety retrySafety, int dedupWindowS, int objectiveS, double value, int clientTimeoutS) {
         return new Route(
                 new RoutePolicy(
-                        repeat,
+                        retrySafety,
                         RoutePolicy.DedupScope.ALL,
-                        rememberS * VirtualClock.SECOND_US,
+                        dedupWindowS * VirtualClock.SECOND_US,
                         objectiveS * VirtualClock.SECOND_US,
                         value),
                 clientTimeoutS * VirtualClock.SECOND_US);
     }
 
     /** The clients of one relay. */
-    private static final class Client {
+    private static final class RelayClients {
         private final SimulatedRelay relay;
         private double requestsPerS;
 
-        Client(SimulatedRelay relay, double requestsPerS) {
+        RelayClients(SimulatedRelay relay, double requestsPerS) {
             this.relay = relay;
             this.requestsPerS = requestsPerS;
         }
@@ -42,23 +42,24 @@
 
     private final Simulation simulation;
     private final ServiceCatalog services;
-    private final List<Client> clients = new ArrayList<>();
+    private final List<RelayClients> clients = new ArrayList<>();
     private long nextRequestId;
     private boolean stopped;
 
+    /** Creates a load without clients; {@link #start} adds them. */
     ClientLoad(Simulation simulation, ServiceCatalog services) {
         this.simulation = simulation;
         this.services = services;
     }
 
-    /** The policies of all routes, by the index of the route. */
+    /** Returns the policies of all routes, by route index. */
     static List<RoutePolicy> routePolicies() {
         return ROUTES.stream().map(Route::policy).toList();
     }
 
-    /** Requests come to a relay at this rate from now on. */
+    /** Starts to send requests to a relay at the given rate. */
     void start(SimulatedRelay relay, double requestsPerS) {
-        Client client = new Client(relay, requestsPerS);
+        RelayClients client = new RelayClients(relay, requestsPerS);
         clients.add(client);
         scheduleNextRequest(client);
     }
@@ -68,12 +69,12 @@
         clients.forEach(client -> client.requestsPerS *= factor);
     }
 
-    /** No further requests are sent. */
+    /** Stops sending requests. */
     void stop() {
         stopped = true;
     }
 
-    private void scheduleNextRequest(Client client) {
+    private void scheduleNextRequest(RelayClients client) {
         double intervalS = simulation.nextExponential() / client.requestsPerS;
         simulation.schedule((long) (intervalS * VirtualClock.SECOND_US), () -> {
             if (client.relay.isUp() && !stopped) {
@@ -97,6 +98,6 @@
                 .records()
                 .requests
                 .add(new FleetRecords.Request(id, relay.number(), route.policy, nowUs, request.deadlineUs()));
-        relay.accept(request, simulation.random().nextLong(KEYS), constraints);
+        relay.accept(request, simulation.random().nextLong(KEY_COUNT), constraints);
     }
 }
--- a/src/test/java/gatelock/fleet/CpuMeter.java
+++ b/src/test/java/gatelock/fleet/CpuMeter.java
@@ -6,21 +6,22 @@
 import java.util.Map;
 
 /**
- * Processor time of the one thread that simulates a fleet, by the kind of work, and the heap that relays take. Garbage
- * collection runs on other threads and does not count. A meter that is off costs nothing and reports zeros.
+ * Measures the CPU time of the thread that simulates a fleet, by kind of work, and the heap memory that the relays
+ * allocate. Garbage collection runs on other threads and is not included. A disabled meter has no cost and reports
+ * zeros.
  */
 final class CpuMeter {
     /** The kinds of work. */
     enum Role {
-        /** The world around the relays, and the simulation itself. */
+        /** Everything outside the relays, and the simulation itself. */
         SIMULATION,
-        /** A relay's endpoint list. */
+        /** Updates of a relay's endpoint list. */
         ENDPOINT_LIST,
-        /** A relay's subset of the list. */
+        /** Updates of a relay's subset of the list. */
         SUBSET,
-        /** The periodic tick of a relay's decisions. */
+        /** The periodic tick of a relay's decision engine. */
         TICK,
-        /** A relay's requests. */
+        /** Decisions about a relay's requests. */
         REQUESTS
     }
 
@@ -29,50 +30,56 @@
     private final Map<Role, Long> cpuNsByRole = new EnumMap<>(Role.class);
     private Role role = Role.SIMULATION;
     private boolean running;
-    private long switchedNs;
+    private long lastSwitchNs;
     private long heapBeforeBytes;
     private long heapAllocatedBytes;
 
+    /** @param enabled whether anything is measured */
     CpuMeter(boolean enabled) {
         this.enabled = enabled;
     }
 
-    /** Counts what follows to a role; returns the role until now, to switch back to. */
+    /**
+     * Attributes the following CPU time to a role and returns the previous role, so that the caller can switch back.
+     */
     Role switchTo(Role next) {
         Role previous = role;
         if (running && next != previous) {
             long nowNs = threads.getCurrentThreadCpuTime();
-            cpuNsByRole.merge(previous, nowNs - switchedNs, Long::sum);
-            switchedNs = nowNs;
+            cpuNsByRole.merge(previous, nowNs - lastSwitchNs, Long::sum);
+            lastSwitchNs = nowNs;
         }
         role = next;
         return previous;
     }
 
-    /** Times count from now until {@link #stop}. */
+    /** Starts the measurement of CPU time, which continues until {@link #stop}. */
     void start() {
         running = enabled;
-        switchedNs = enabled ? threads.getCurrentThreadCpuTime() : 0;
+        lastSwitchNs = enabled ? threads.getCurrentThreadCpuTime() : 0;
     }
 
+    /** Stops the measurement of CPU time. */
     void stop() {
         running = false;
     }
 
-    /** Processor time of a role, in microseconds. */
-    double cpuUs(Role of) {
-        return cpuNsByRole.getOrDefault(of, 0L) / 1000.0;
+    /** Returns the CPU time of a role, in microseconds. */
+    double cpuUs(Role requestedRole) {
+        return cpuNsByRole.getOrDefault(requestedRole, 0L) / 1000.0;
     }
 
+    /** Measures the used heap before the relays are started. */
     void beforeAllocation() {
         heapBeforeBytes = usedHeapBytes();
     }
 
+    /** Measures the used heap after the relays were started. */
     void afterAllocation() {
         heapAllocatedBytes = usedHeapBytes() - heapBeforeBytes;
     }
 
-    /** Heap that was taken between {@link #beforeAllocation} and {@link #afterAllocation}. */
+    /** Returns the heap that was allocated between {@link #beforeAllocation} and {@link #afterAllocation}. */
     long heapAllocatedBytes() {
         return heapAllocatedBytes;
     }
--- a/src/test/java/gatelock/fleet/EndpointLifecycle.java
+++ b/src/test/java/gatelock/fleet/EndpointLifecycle.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Starts, drains, loses and restarts endpoints, and lets discovery know as it would find out. */
+/** Starts, drains, fails and restarts endpoints and updates discovery when it would detect the change. */
 final class EndpointLifecycle {
     private static final int BASE_BUILD = 1;
 
@@ -18,7 +18,7 @@
         this.publisher = publisher;
     }
 
-    /** Starts endpoints of a build; they run at once, and every relay is notified of them. */
+    /** Starts endpoints of a build immediately and notifies every relay that is up. */
     List<SimulatedEndpoint> launch(int build, int count) {
         List<SimulatedEndpoint> launched = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -29,14 +29,14 @@
         return launched;
     }
 
-    /** Starts one endpoint of a service, in place of one that is gone. */
+    /** Starts an endpoint of a service as a replacement for one that is gone. */
     void launchReplacement(int service) {
         SimulatedEndpoint replacement = endpoints.create(BASE_BUILD, simulation.nowUs(), service);
         replacement.start();
         publisher.publish(List.of(replacement));
     }
 
-    /** Drains all ready endpoints of a build; their processes go on for what still comes. */
+    /** Drains all ready endpoints of a build; their processes continue to serve requests that still arrive. */
     void drain(int build) {
         List<SimulatedEndpoint> draining =
                 endpoints.matching(endpoint -> endpoint.build() == build && endpoint.health() == Endpoint.Health.READY);
@@ -44,7 +44,7 @@
         publisher.publish(draining);
     }
 
-    /** Drains one endpoint, whose process ends once the drain time is over; then runs {@code afterwards}. */
+    /** Drains an endpoint, ends its process after the drain time and then runs {@code afterwards}. */
     void drainAndTerminate(SimulatedEndpoint endpoint, Runnable afterwards) {
         endpoint.setHealth(Endpoint.Health.DRAINING);
         publisher.publish(List.of(endpoint));
@@ -56,18 +56,18 @@
         });
     }
 
-    /** Machines are lost; discovery detects later which of them still are. */
-    void lose(List<SimulatedEndpoint> machines) {
-        machines.forEach(SimulatedEndpoint::lose);
+    /** Fails machines; after the detection time discovery marks those that have not restarted as gone. */
+    void fail(List<SimulatedEndpoint> machines) {
+        machines.forEach(SimulatedEndpoint::fail);
         simulation.schedule(simulation.parameters().failureDetectionUs, () -> {
-            List<SimulatedEndpoint> stillLost =
-                    machines.stream().filter(SimulatedEndpoint::isLost).toList();
-            stillLost.forEach(endpoint -> endpoint.setHealth(Endpoint.Health.GONE));
-            publisher.publish(stillLost);
+            List<SimulatedEndpoint> stillFailed =
+                    machines.stream().filter(SimulatedEndpoint::isFailed).toList();
+            stillFailed.forEach(endpoint -> endpoint.setHealth(Endpoint.Health.GONE));
+            publisher.publish(stillFailed);
         });
     }
 
-    /** Lost machines are back, with cold processes. */
+    /** Restarts failed machines with cold processes. */
     void restart(List<SimulatedEndpoint> machines) {
         machines.forEach(SimulatedEndpoint::restart);
         publisher.publish(machines);
--- a/src/test/java/gatelock/fleet/FleetRecords.java
+++ b/src/test/java/gatelock/fleet/FleetRecords.java
@@ -16,56 +16,61 @@
 import java.util.Set;
 
 /**
- * What endpoints, clients, discovery and the release controller of a fleet saw, in the order in which it happened. No
- * record holds what a relay meant to do; the rules are checked from these records alone ({@link RuleChecker}).
+ * The events that the endpoints, clients, discovery and the release controller of a fleet observed, in chronological
+ * order. They contain no internal state of a relay, and {@link RuleChecker} checks the rules on these records alone.
+ *
+ * <p>The names of the records and of their components are part of {@link #digest}.
  */
 final class FleetRecords {
-    /** A request that a relay accepted; its client gives up at the deadline. */
+    /** A relay accepted a request, whose client gives up at the deadline. */
     record Request(String id, int relay, RoutePolicy route, long atUs, long deadlineUs) {}
 
-    /** An answer that a client got. */
+    /** A client received a response. */
     record Response(String id, long atUs, boolean completed) {}
 
-    /** An attempt that a relay sent; {@code workUs}: the mean work of a request. */
+    /** A relay sent an attempt; {@code workUs} is the mean processing time of a request. */
     record Attempt(String id, int relay, String endpoint, int build, double workUs, long atUs) {}
 
-    /** An endpoint began to process a request. */
+    /** An endpoint started to process a request. */
     record Execution(String id, String endpoint, long atUs) {}
 
-    /** A relay received notice of an endpoint. */
+    /** A relay was notified of a status change of an endpoint. */
     record Notice(int relay, String endpoint, long atUs) {}
 
-    /** A relay received the cap on traffic to a canary build. */
+    /** A relay received the exposure cap of a canary build. */
     record CanaryCap(int relay, int build, double cap, long atUs) {
         private static final int NO_BUILD = -1;
 
-        /** No build is a canary. */
+        /** Returns a record for a time at which no build is a canary. */
         static CanaryCap none(int relay, long atUs) {
             return new CanaryCap(relay, NO_BUILD, 1, atUs);
         }
 
+        /** Returns whether no build is a canary. */
         boolean isNone() {
             return build == NO_BUILD;
         }
     }
 
-    /** The process of an endpoint started; {@code concurrency}: how many requests it processes at once. */
+    /** The process of an endpoint started; {@code concurrency} is the number of requests it processes concurrently. */
     record EndpointStart(String endpoint, double concurrency, long atUs) {}
 
-    /** Discovery learned that an endpoint is ready, or that it is not. */
+    /** Discovery learned that an endpoint became ready or stopped being ready. */
     record StatusChange(String endpoint, long atUs) {}
 
     /**
-     * How many relays hold an endpoint at the end.
+     * The number of relays that hold an endpoint at the end of the run.
      *
-     * @param ready ready endpoints of its service
-     * @param holders relays that hold this one
-     * @param relays all relays
-     * @param aim endpoints of the service that a relay aims to hold
+     * @param ready the number of ready endpoints of its service
+     * @param holders the number of relays that hold this endpoint
+     * @param relays the number of all relays
+     * @param aim the number of endpoints of the service that each relay should hold
      */
     record HolderCount(String endpoint, int ready, int holders, int relays, int aim) {}
 
-    /** A message of discovery with a change or the whole list: the relays that are to receive it, and those that did. */
+    /**
+     * A message from discovery with a change or the full list, the relays that should receive it and those that did.
+     */
     static final class Delivery {
         private final long index;
         private final long sentUs;
@@ -79,39 +84,42 @@
             this.bytes = bytes;
         }
 
-        /** The index of the change. */
+        /** Returns the index of the change. */
         long index() {
             return index;
         }
 
-        /** When discovery knew of the change. */
+        /** Returns the time at which discovery learned of the change. */
         long sentUs() {
             return sentUs;
         }
 
+        /** Returns the length of the message. */
         long bytes() {
             return bytes;
         }
 
-        /** A relay is to receive the message; its link has carried it by then. */
+        /** Records that a relay should receive the message and when its link will have transferred it. */
         void expect(int relay, long atUs) {
             expectedUsByRelay.put(relay, atUs);
         }
 
+        /** Records that a relay received the message. */
         void markReceived(int relay) {
             received.set(relay);
         }
 
+        /** Returns whether a relay received the message. */
         boolean isReceivedBy(int relay) {
             return received.get(relay);
         }
 
-        /** By relay: when its link has carried the message. */
+        /** Returns, for each relay that should receive the message, when its link will have transferred it. */
         Map<Integer, Long> expectedUsByRelay() {
             return expectedUsByRelay;
         }
 
-        /** How many relays are to receive it. */
+        /** Returns the number of relays that should receive the message. */
         int expectedCount() {
             return expectedUsByRelay.size();
         }
@@ -121,10 +129,10 @@
     final List<Response> responses = new ArrayList<>();
     final List<Attempt> attempts = new ArrayList<>();
     final List<Execution> executions = new ArrayList<>();
-    /** Relays received notice that an endpoint is draining or gone. */
-    final List<Notice> departures = new ArrayList<>();
-    /** Relays received notice that an endpoint is ready again. */
-    final List<Notice> returns = new ArrayList<>();
+    /** Notices to relays that an endpoint is draining or gone. */
+    final List<Notice> unavailableNotices = new ArrayList<>();
+    /** Notices to relays that an endpoint is ready again. */
+    final List<Notice> readyNotices = new ArrayList<>();
 
     final List<CanaryCap> canaryCaps = new ArrayList<>();
     final List<EndpointStart> endpointStarts = new ArrayList<>();
@@ -132,58 +140,63 @@
     final List<StatusChange> becameReady = new ArrayList<>();
     final List<Delivery> deliveries = new ArrayList<>();
     final List<HolderCount> holderCounts = new ArrayList<>();
-    /** When votes came to the release controller. */
+    /** Times at which the release controller received votes. */
     final List<Long> voteTimesUs = new ArrayList<>();
-    /** Requests whose relay was killed while they were in flight: they need not be answered. */
-    private final Set<String> abandoned = new HashSet<>();
-    /** By relay: the endpoints that it has notice of leaving, and not of being back. */
-    private final Map<Integer, Set<String>> departedByRelay = new HashMap<>();
+    /** Requests that were in flight when their relay crashed; they need no response. */
+    private final Set<String> abandonedRequests = new HashSet<>();
+    /** By relay: the endpoints whose last notice to the relay said that they are draining or gone. */
+    private final Map<Integer, Set<String>> unavailableByRelay = new HashMap<>();
 
     int connectionsOpened;
-    /** When the run ended; what was expected later is no violation. */
+    /** End of the run; a message that is expected later and not received is no violation. */
     long endUs = Long.MAX_VALUE;
 
-    /** A relay received a message; a whole list brings back the endpoints that the relay knew to be leaving. */
-    void received(int relay, SimulatedDiscovery.Message message, long atUs) {
-        Set<String> departed = departedByRelay.computeIfAbsent(relay, number -> new HashSet<>());
-        if (message.whole() && departed.isEmpty()) {
+    /**
+     * Records that a relay received a message. A full list can report endpoints as ready again that the relay knew to
+     * be draining or gone.
+     */
+    void recordReceived(int relay, SimulatedDiscovery.Message message, long atUs) {
+        Set<String> unavailable = unavailableByRelay.computeIfAbsent(relay, number -> new HashSet<>());
+        if (message.full() && unavailable.isEmpty()) {
             return;
         }
         for (SimulatedDiscovery.Entry entry : message.entries()) {
             String endpoint = entry.name();
             boolean ready = entry.endpoint().health() == Endpoint.Health.READY;
-            boolean changed = ready ? departed.remove(endpoint) : departed.add(endpoint);
+            boolean changed = ready ? unavailable.remove(endpoint) : unavailable.add(endpoint);
             if (changed) {
-                (ready ? returns : departures).add(new Notice(relay, endpoint, atUs));
+                (ready ? readyNotices : unavailableNotices).add(new Notice(relay, endpoint, atUs));
             }
         }
     }
 
+    /** Adds a message that discovery sends to relays. */
     Delivery addDelivery(long index, long sentUs, long bytes) {
         Delivery delivery = new Delivery(index, sentUs, bytes);
         deliveries.add(delivery);
         return delivery;
     }
 
-    /** A relay's process has ended: what it had not received by then is not expected any more. */
-    void relayEnded(int relay) {
+    /** Records that the process of a relay ended; messages that it has not received are no longer expected. */
+    void recordRelayStopped(int relay) {
         deliveries.stream()
                 .filter(delivery -> !delivery.isReceivedBy(relay))
                 .forEach(delivery -> delivery.expectedUsByRelay.remove(relay));
     }
 
-    /** The relay of a request was killed. */
-    void abandoned(String request) {
-        abandoned.add(request);
+    /** Records that the relay of a request crashed while the request was in flight. */
+    void markAbandoned(String request) {
+        abandonedRequests.add(request);
     }
 
+    /** Returns whether the relay of a request crashed while the request was in flight. */
     boolean isAbandoned(String request) {
-        return abandoned.contains(request);
+        return abandonedRequests.contains(request);
     }
 
-    // ---- Figures -------------------------------------------------------------------------------------------
+    // ---- Statistics ----------------------------------------------------------------------------------------
 
-    /** How long each message took to each relay, sorted; also those that a link still carries. */
+    /** Returns the sorted delays of all messages to each relay, including messages still in transit. */
     long[] deliveryDelaysUs() {
         return deliveries.stream()
                 .flatMapToLong(delivery ->
@@ -192,7 +205,7 @@
                 .toArray();
     }
 
-    /** How many messages links still carry at the end. */
+    /** Returns the number of messages that are still in transit at the end of the run. */
     long undelivered() {
         return deliveries.stream()
                 .flatMap(delivery -> delivery.expectedUsByRelay.values().stream())
@@ -200,12 +213,14 @@
                 .count();
     }
 
-    /** How many requests were answered without being completed. */
+    /** Returns the number of requests whose response says that they were not completed. */
     long rejectedRequests() {
         return responses.stream().filter(response -> !response.completed()).count();
     }
 
-    /** The share of requests accepted in a span that were completed within their route's latency objective. */
+    /**
+     * Returns the share of requests accepted in a period that completed within the latency objective of their route.
+     */
     double shareWithinObjective(long fromUs, long toUs) {
         Map<String, Response> responseById = new HashMap<>();
         responses.forEach(response -> responseById.put(response.id, response));
@@ -226,7 +241,7 @@
                 && response.atUs - request.atUs <= request.route.latencyObjectiveUs();
     }
 
-    /** A digest of all that was recorded, in order: one seed gives one digest. */
+    /** Returns a digest of the recorded events, in order; the same seed always produces the same digest. */
     String digest() {
         MessageDigest sha = sha256();
         for (List<?> records : List.of(
@@ -234,8 +249,8 @@
                 attempts,
                 executions,
                 responses,
-                departures,
-                returns,
+                unavailableNotices,
+                readyNotices,
                 canaryCaps,
                 endpointStarts,
                 holderCounts)) {
--- a/src/test/java/gatelock/fleet/FleetScenario.java
+++ b/src/test/java/gatelock/fleet/FleetScenario.java
@@ -2,74 +2,84 @@
 
 import java.util.List;
 
-/** What happens to the machines of a fleet in a run at a step of the ladder; at the end of each everything is at rest. */
+/**
+ * A sequence of outages and restarts in a scale run. Each scenario ends with time to recover, so that no change is
+ * pending.
+ */
 enum FleetScenario {
-    /** Restarts and failures at the daily rates of the whole target, whatever the step's share of it. */
+    /** Endpoint restarts and failures at the daily rates of the full target scale, at every step. */
     DAY {
         @Override
-        void play(SimulatedFleet fleet, ScaleStep step) {
-            double eventsPerS = (step.restartsPerS() + step.failuresPerS()) * compression(step);
-            int events = (int) Math.round(eventsPerS * DAY_SPAN_S);
-            int failures = (int) Math.max(1, Math.round(step.failuresPerS() * compression(step) * DAY_SPAN_S));
+        void applyEvents(SimulatedFleet fleet, ScaleStep step) {
+            double eventsPerS = (step.restartsPerS() + step.failuresPerS()) * timeCompression(step);
+            int events = (int) Math.round(eventsPerS * DAY_DURATION_S);
+            int failures = (int) Math.max(1, Math.round(step.failuresPerS() * timeCompression(step) * DAY_DURATION_S));
             int eventsPerFailure = events / failures;
             for (int i = 0; i < events; i++) {
-                fleet.run(DAY_SPAN_S * VirtualClock.SECOND_US / events);
+                fleet.run(DAY_DURATION_S * VirtualClock.SECOND_US / events);
                 if (i % eventsPerFailure == eventsPerFailure / 2) {
-                    fleet.outages().loseOne();
+                    fleet.outages().failOne();
                 } else {
                     fleet.outages().replaceOne();
                 }
             }
-            fleet.run(AFTER_DAY_S * VirtualClock.SECOND_US);
+            fleet.run(DAY_RECOVERY_S * VirtualClock.SECOND_US);
         }
 
         @Override
-        double compression(ScaleStep step) {
+        double timeCompression(ScaleStep step) {
             return 1 / step.targetShare();
         }
     },
-    /** All endpoints under a switch are lost, and back cold. */
+    /** All endpoints behind one switch fail and restart cold. */
     RACK {
         @Override
-        void play(SimulatedFleet fleet, ScaleStep step) {
-            fleet.outages().loseRack(0, step.rackEndpoints(), DOWNTIME_S * VirtualClock.SECOND_US);
-            fleet.run((DOWNTIME_S + AFTER_S) * VirtualClock.SECOND_US);
+        void applyEvents(SimulatedFleet fleet, ScaleStep step) {
+            fleet.outages().failRack(0, step.rackEndpoints(), OUTAGE_DURATION_S * VirtualClock.SECOND_US);
+            fleet.run((OUTAGE_DURATION_S + OUTAGE_RECOVERY_S) * VirtualClock.SECOND_US);
         }
     },
-    /** All endpoints and relays of a zone are lost, and back cold. */
+    /** All endpoints and relays of a zone fail and restart cold. */
     ZONE {
         @Override
-        void play(SimulatedFleet fleet, ScaleStep step) {
-            fleet.outages().loseZone(0, DOWNTIME_S * VirtualClock.SECOND_US);
-            fleet.run((DOWNTIME_S + AFTER_S) * VirtualClock.SECOND_US);
+        void applyEvents(SimulatedFleet fleet, ScaleStep step) {
+            fleet.outages().failZone(0, OUTAGE_DURATION_S * VirtualClock.SECOND_US);
+            fleet.run((OUTAGE_DURATION_S + OUTAGE_RECOVERY_S) * VirtualClock.SECOND_US);
         }
     },
-    /** Everything restarts at once: relays are back after 3 s, endpoints from 5 to 7 s. */
+    /** All processes stop at once: the relays restart after 3 s, the endpoints after 5 to 7 s. */
     RESTART {
         @Override
-        void play(SimulatedFleet fleet, ScaleStep step) {
+        void applyEvents(SimulatedFleet fleet, ScaleStep step) {
             fleet.outages().restartAll(3 * VirtualClock.SECOND_US, 5 * VirtualClock.SECOND_US);
-            fleet.run((DOWNTIME_S + AFTER_S) * VirtualClock.SECOND_US);
+            fleet.run((OUTAGE_DURATION_S + OUTAGE_RECOVERY_S) * VirtualClock.SECOND_US);
         }
     };
 
-    private static final int DAY_SPAN_S = 25;
-    private static final int AFTER_DAY_S = 14;
-    private static final int DOWNTIME_S = 12;
-    private static final int AFTER_S = 12;
-    /** Time to settle before the events begin. */
+    private static final int DAY_DURATION_S = 25;
+    private static final int DAY_RECOVERY_S = 14;
+    private static final int OUTAGE_DURATION_S = 12;
+    private static final int OUTAGE_RECOVERY_S = 12;
+    /** Time for the fleet to reach a steady state before the events begin. */
     private static final int SETTLE_S = 6;
 
-    /** Plays the events of the scenario on a fleet that has settled. */
-    abstract void play(SimulatedFleet fleet, ScaleStep step);
+    /** Applies the events of the scenario to a fleet in a steady state. */
+    abstract void applyEvents(SimulatedFleet fleet, ScaleStep step);
 
-    /** How many times as often events come as on an ordinary day of that step. */
-    double compression(ScaleStep step) {
+    /** Returns the factor by which events are more frequent than on an ordinary day at that step. */
+    double timeCompression(ScaleStep step) {
         return 1;
     }
 
-    /** What came of a run; {@code spanS} is simulated time and {@code wallS} the time that it took. */
-    record Result(SimulatedFleet fleet, CpuMeter cpuMeter, List<RuleViolation> violations, double spanS, double wallS) {
+    /**
+     * The result of a run.
+     *
+     * @param simulatedS simulated time of the events and the recovery
+     * @param wallS elapsed real time of the whole run
+     */
+    record Result(
+            SimulatedFleet fleet, CpuMeter cpuMeter, List<RuleViolation> violations, double simulatedS, double wallS) {
+        /** Returns the number of violations of a rule. */
         long count(FleetRule rule) {
             return violations.stream()
                     .filter(violation -> violation.rule() == rule)
@@ -77,18 +87,18 @@
         }
     }
 
-    /** One run; the meter is on where figures of time and memory are wanted. */
+    /** Runs the scenario on a new fleet; the meter is enabled if CPU time and memory are to be measured. */
     Result run(ScaleStep step, FleetParameters parameters, CpuMeter cpuMeter) {
         long startedNs = System.nanoTime();
         SimulatedFleet fleet = new SimulatedFleet(parameters, cpuMeter);
         fleet.run(SETTLE_S * VirtualClock.SECOND_US);
         cpuMeter.start();
-        long fromUs = fleet.nowUs();
-        play(fleet, step);
-        double spanS = (fleet.nowUs() - fromUs) / (double) VirtualClock.SECOND_US;
+        long eventsStartUs = fleet.nowUs();
+        applyEvents(fleet, step);
+        double simulatedS = (fleet.nowUs() - eventsStartUs) / (double) VirtualClock.SECOND_US;
         cpuMeter.switchTo(CpuMeter.Role.SIMULATION);
         cpuMeter.stop();
         List<RuleViolation> violations = fleet.finish();
-        return new Result(fleet, cpuMeter, violations, spanS, (System.nanoTime() - startedNs) / 1e9);
+        return new Result(fleet, cpuMeter, violations, simulatedS, (System.nanoTime() - startedNs) / 1e9);
     }
 }
--- a/src/test/java/gatelock/fleet/ListPublisher.java
+++ b/src/test/java/gatelock/fleet/ListPublisher.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Sends discovery's changes to the relays, each with a delay of its own. */
+/** Sends changes of the endpoint list from discovery to the relays, each with a random delay. */
 final class ListPublisher {
     private static final long MIN_DELAY_US = 200 * VirtualClock.MILLISECOND_US;
     private static final long DELAY_RANGE_US = 600 * VirtualClock.MILLISECOND_US;
@@ -12,14 +12,14 @@
     private final SimulatedDiscovery discovery;
     private final List<SimulatedRelay> relays;
 
-    /** @param relays all relays of the fleet, which may still be added to */
+    /** @param relays all relays of the fleet; relays may be added to this list later */
     ListPublisher(Simulation simulation, SimulatedDiscovery discovery, List<SimulatedRelay> relays) {
         this.simulation = simulation;
         this.discovery = discovery;
         this.relays = relays;
     }
 
-    /** The list has changed: every relay that is up is sent the change. */
+    /** Updates the list with the changed endpoints and sends the change to every relay that is up. */
     void publish(List<SimulatedEndpoint> changed) {
         SimulatedDiscovery.Message message = discovery.update(
                 simulation.nowUs(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Sends the whole list to a relay that has just started. */
+    /** Sends the full list to a relay that has just started. */
     void publishFullList(SimulatedRelay relay) {
         relay.deliver(discovery.fullList(simulation.nowUs()), simulation.nowUs() + nextDelayUs());
     }
--- a/src/test/java/gatelock/fleet/Outages.java
+++ b/src/test/java/gatelock/fleet/Outages.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** What happens to the machines of a fleet: replacements, losses, restarts and pauses. */
+/** Injects replacements, failures, restarts and pauses of machines into a fleet. */
 final class Outages {
     private static final long REPLACEMENT_DELAY_US = 2 * VirtualClock.SECOND_US;
-    /** Span over which the zones restart one after the other. */
+    /** Period over which the zones restart one after another. */
     private static final long ZONE_RESTARTS_US = 2 * VirtualClock.SECOND_US;
 
     private final Simulation simulation;
@@ -24,7 +24,7 @@
         this.lifecycle = lifecycle;
     }
 
-    /** One endpoint is drained and terminated, and another one takes its place: three changes of the list. */
+    /** Drains and terminates an endpoint and starts a replacement, which causes three changes of the list. */
     void replaceOne() {
         SimulatedEndpoint endpoint = endpoints.randomReady();
         lifecycle.drainAndTerminate(
@@ -32,39 +32,39 @@
                 () -> simulation.schedule(REPLACEMENT_DELAY_US, () -> lifecycle.launchReplacement(endpoint.service())));
     }
 
-    /** One machine is lost, which discovery detects later, and another one takes its place. */
-    void loseOne() {
+    /** Fails a machine, which discovery detects later, and starts a replacement. */
+    void failOne() {
         SimulatedEndpoint endpoint = endpoints.randomReady();
-        lifecycle.lose(List.of(endpoint));
+        lifecycle.fail(List.of(endpoint));
         simulation.schedule(
                 simulation.parameters().failureDetectionUs + REPLACEMENT_DELAY_US,
                 () -> lifecycle.launchReplacement(endpoint.service()));
     }
 
-    /** Endpoints under one switch, all in one zone, are lost; they are back after a while, cold. */
-    void loseRack(int zone, int count, long downtimeUs) {
+    /** Fails endpoints behind one switch, all in one zone, and restarts them cold after the downtime. */
+    void failRack(int zone, int count, long downtimeUs) {
         List<SimulatedEndpoint> rack =
                 endpoints.inZone(zone).stream().limit(count).toList();
-        lifecycle.lose(rack);
+        lifecycle.fail(rack);
         simulation.schedule(downtimeUs, () -> lifecycle.restart(rack));
     }
 
-    /** All endpoints and relays of a zone are lost; they are back after a while, cold. */
-    void loseZone(int zone, long downtimeUs) {
+    /** Fails all endpoints and relays of a zone and restarts them cold after the downtime. */
+    void failZone(int zone, long downtimeUs) {
         List<SimulatedEndpoint> inZone = endpoints.inZone(zone);
-        relays.stream().filter(relay -> relay.zone() == zone).forEach(relay -> relay.kill(downtimeUs));
-        lifecycle.lose(inZone);
+        relays.stream().filter(relay -> relay.zone() == zone).forEach(relay -> relay.crash(downtimeUs));
+        lifecycle.fail(inZone);
         simulation.schedule(downtimeUs, () -> lifecycle.restart(inZone));
     }
 
     /**
-     * All endpoints and relays go down at once. The relays are back first, with the list that they had cached, and then
-     * the endpoints, zone by zone.
+     * Stops all endpoints and relays at once. Each relay restarts after the relay downtime with its cached list, and
+     * the endpoints restart zone by zone from the endpoint downtime on.
      */
     void restartAll(long relayDowntimeUs, long endpointDowntimeUs) {
         List<SimulatedEndpoint> all = endpoints.all();
-        relays.forEach(relay -> relay.kill(relayDowntimeUs));
-        all.forEach(SimulatedEndpoint::lose);
+        relays.forEach(relay -> relay.crash(relayDowntimeUs));
+        all.forEach(SimulatedEndpoint::fail);
         int zones = simulation.parameters().zones;
         for (int i = 0; i < zones; i++) {
             int zone = i;
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A random share of the endpoints stands still again and again from now on. */
+    /** Makes a random share of the endpoints pause repeatedly from now on. */
     void pauseSome(double share, long durationUs, long meanIntervalUs) {
         for (SimulatedEndpoint endpoint : endpoints.all()) {
             if (simulation.random().nextDouble() < share) {
@@ -92,7 +92,7 @@
         });
     }
 
-    /** All endpoints of a zone stand still for a while, and discovery does not know of it. */
+    /** Pauses all endpoints of a zone without a change in discovery. */
     void pauseZone(int zone, long durationUs) {
         endpoints.inZone(zone).forEach(endpoint -> endpoint.pause(durationUs));
     }
--- a/src/test/java/gatelock/fleet/PropagationCheck.java
+++ b/src/test/java/gatelock/fleet/PropagationCheck.java
@@ -8,7 +8,10 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** How the endpoint list reaches the relays: whether all have every change, in time, and who holds what. */
+/**
+ * Checks how the endpoint list propagates to the relays: that every change reaches every relay in time and, with
+ * subsetting, that no endpoint is held by too many relays.
+ */
 final class PropagationCheck {
     private final FleetRecords records;
     private final FleetParameters parameters;
@@ -19,6 +22,7 @@
         this.parameters = parameters;
     }
 
+    /** Returns all violations of the rules about propagation. */
     List<RuleViolation> violations() {
         violations.clear();
         checkDelivery();
@@ -31,7 +35,7 @@
         violations.add(new RuleViolation(rule, description));
     }
 
-    /** Each change reaches each relay that is to receive it, unless the relay's link still carries it. */
+    /** Checks that each change reaches each relay that should receive it, unless it is still in transit. */
     private void checkDelivery() {
         for (FleetRecords.Delivery delivery : records.deliveries) {
             delivery.expectedUsByRelay().forEach((relay, atUs) -> {
@@ -43,8 +47,9 @@
     }
 
     /**
-     * Rule 3 by discovery's own clock: once a relay should have notice that an endpoint leaves, and after the same
-     * grace period, nothing is sent there, whatever the relay itself received. Each relay and endpoint is reported once.
+     * Checks rule 3 measured from the change in discovery: after the propagation limit and the same grace period, a
+     * relay sends no attempt to an endpoint that is draining or gone, regardless of what the relay received. Each pair
+     * of relay and endpoint is reported once.
      */
     private void checkDelay() {
         if (parameters.discoveryLinkBytesPerS == 0) {
@@ -68,8 +73,8 @@
                 long delayMs = (attempt.atUs() - sinceUs.getAsLong()) / VirtualClock.MILLISECOND_US;
                 report(
                         FleetRule.PROPAGATION_DELAY,
-                        "relay " + attempt.relay() + " sent to " + attempt.endpoint() + " " + delayMs
-                                + " ms after it left");
+                        "relay " + attempt.relay() + " sent an attempt to " + attempt.endpoint() + " " + delayMs
+                                + " ms after it became unavailable");
             }
         }
     }
@@ -82,23 +87,27 @@
                         + RuleChecker.TOLERANCE_US;
     }
 
-    /** Where a service has more endpoints than a relay is to hold, none of them is held by all or most relays. */
+    /** Checks that no more relays hold an endpoint than {@link #maxHolders} allows. */
     private void checkHolders() {
         for (FleetRecords.HolderCount count : records.holderCounts) {
             if (count.holders() > maxHolders(count.ready(), count.relays(), count.aim())) {
                 report(
                         FleetRule.HOLDER_LIMIT,
-                        count.endpoint() + " by " + count.holders() + " of " + count.relays() + " relays");
+                        count.endpoint() + " is held by " + count.holders() + " of " + count.relays() + " relays");
             }
         }
     }
 
-    /** Twice an even share and a margin, as relays prefer their own zones; never all where half of them would do. */
-    static int maxHolders(int ready, int relays, int aim) {
-        if (ready < 2 * aim) {
+    /**
+     * Returns the maximum number of relays that may hold one endpoint: twice an even share plus a margin, because
+     * relays prefer endpoints in their own zones, and never all relays. There is no limit if the service has fewer than
+     * twice as many ready endpoints as each relay should hold.
+     */
+    static int maxHolders(int ready, int relays, int target) {
+        if (ready < 2 * target) {
             return relays;
         }
-        double evenShare = relays * (double) aim / ready;
+        double evenShare = relays * (double) target / ready;
         return (int) Math.min(relays - 1, Math.ceil(2 * evenShare + 3 * Math.sqrt(evenShare)));
     }
 }
--- a/src/test/java/gatelock/fleet/RelayEndpointList.java
+++ b/src/test/java/gatelock/fleet/RelayEndpointList.java
@@ -8,19 +8,19 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A relay's endpoint list: all that discovery sends, or the relay's subset of it, handed to its decisions. */
+/** Passes the endpoint list from discovery, or the relay's subset of it, to the relay's decision engine. */
 final class RelayEndpointList {
-    private static final long SUBSET_POLL_US = 250 * VirtualClock.MILLISECOND_US;
+    private static final long SUBSET_REFRESH_INTERVAL_US = 250 * VirtualClock.MILLISECOND_US;
 
     private final Simulation simulation;
     private final SimulatedEndpoints endpoints;
     private final SimulatedDiscovery discovery;
     private final SimulatedRelay relay;
-    /** By the number of the endpoint: those that this relay holds; maintained only with a subset. */
-    private final BitSet held = new BitSet();
+    /** Numbers of the endpoints that this relay holds; maintained only with subsetting. */
+    private final BitSet heldEndpoints = new BitSet();
 
     private DecisionEngine engine;
-    /** Null: the relay holds the whole list. */
+    /** The relay's subset; null if the relay holds the full list. */
     private EndpointSubset subset;
 
     RelayEndpointList(
@@ -31,52 +31,56 @@
         this.relay = relay;
     }
 
-    /** A process of the relay starts, with decisions that know no endpoint yet. */
+    /** Starts with the engine of a new process, which has no endpoints yet. */
     void start(DecisionEngine newEngine) {
         FleetParameters parameters = simulation.parameters();
         engine = newEngine;
-        subset = parameters.subsetting ? new EndpointSubset(parameters.subsetTerms(relay.number())) : null;
+        subset = parameters.subsetting ? new EndpointSubset(parameters.subsetPolicy(relay.number())) : null;
     }
 
-    /** Takes in what discovery sent, or what the relay had cached. */
-    void update(DecisionEngine.EndpointUpdateType form, List<SimulatedDiscovery.Entry> entries, long index) {
+    /** Applies a list or change from discovery, or the relay's cached list. */
+    void update(DecisionEngine.EndpointUpdateType updateType, List<SimulatedDiscovery.Entry> entries, long index) {
         if (subset == null) {
-            engine.endpointsUpdated(simulation.nowUs(), form, SimulatedDiscovery.endpoints(entries));
+            engine.endpointsUpdated(simulation.nowUs(), updateType, SimulatedDiscovery.endpointView(entries));
             return;
         }
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.SUBSET);
-        EndpointSubset.ListUpdate reading = subset.beginUpdate(form != DecisionEngine.EndpointUpdateType.DELTA);
-        entries.forEach(entry -> reading.add(entry.listed()));
-        EndpointSubset.Change change = reading.commit(simulation.nowUs(), index);
+        EndpointSubset.ListUpdate listUpdate =
+                subset.beginUpdate(updateType != DecisionEngine.EndpointUpdateType.DELTA);
+        entries.forEach(entry -> listUpdate.add(entry.listEntry()));
+        EndpointSubset.Change change = listUpdate.commit(simulation.nowUs(), index);
         simulation.cpuMeter().switchTo(previous);
-        passOn(change.full() ? form : DecisionEngine.EndpointUpdateType.DELTA, change);
+        forwardToEngine(change.full() ? updateType : DecisionEngine.EndpointUpdateType.DELTA, change);
     }
 
-    /** Polls the subset for changes of its own, for as long as this process of the relay runs; no-op without one. */
-    void pollSubset() {
+    /**
+     * Refreshes the subset periodically while this process of the relay runs, because it also changes over time. Does
+     * nothing without subsetting.
+     */
+    void refreshSubsetPeriodically() {
         if (subset == null) {
             return;
         }
-        relay.scheduleWhileUp(SUBSET_POLL_US, () -> {
+        relay.scheduleWhileUp(SUBSET_REFRESH_INTERVAL_US, () -> {
             CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.SUBSET);
             EndpointSubset.Change change = subset.refresh(simulation.nowUs());
             simulation.cpuMeter().switchTo(CpuMeter.Role.ENDPOINT_LIST);
-            passOn(DecisionEngine.EndpointUpdateType.DELTA, change);
+            forwardToEngine(DecisionEngine.EndpointUpdateType.DELTA, change);
             simulation.cpuMeter().switchTo(previous);
-            pollSubset();
+            refreshSubsetPeriodically();
         });
     }
 
-    /** Tells the subset how an attempt ended; {@code responded}: the endpoint itself answered it. */
+    /** Reports the end of an attempt to the subset; {@code responded} is true if the endpoint itself responded. */
     void attemptEnded(String endpoint, boolean responded) {
         if (subset != null) {
             subset.recordAttempt(simulation.nowUs(), endpoint, responded);
         }
     }
 
-    private void passOn(DecisionEngine.EndpointUpdateType form, EndpointSubset.Change change) {
+    private void forwardToEngine(DecisionEngine.EndpointUpdateType updateType, EndpointSubset.Change change) {
         List<EndpointEntry> entries = change.entries();
-        if (simulation.parameters().plantedFault == PlantedFault.ENDPOINT_HELD_BY_ALL) {
+        if (simulation.parameters().injectedFault == InjectedFault.ENDPOINT_HELD_BY_ALL) {
             entries = withFirstEndpoint(entries);
         }
         if (!change.full() && entries.isEmpty()) {
@@ -84,30 +88,30 @@
         }
         engine.endpointsUpdated(
                 simulation.nowUs(),
-                form,
+                updateType,
                 entries.stream().map(EndpointEntry::toEndpoint).toList());
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.SIMULATION);
-        countHeld(entries, change.full());
+        updateHolderCounts(entries, change.full());
         simulation.cpuMeter().switchTo(previous);
     }
 
     private List<EndpointEntry> withFirstEndpoint(List<EndpointEntry> entries) {
         List<EndpointEntry> changed = new ArrayList<>(entries);
         changed.removeIf(entry -> endpoints.get(entry.name()).number() == 0);
-        changed.add(endpoints.first().entry().listed());
+        changed.add(endpoints.first().entry().listEntry());
         return changed;
     }
 
-    private void countHeld(List<EndpointEntry> entries, boolean whole) {
-        if (whole) {
-            held.stream().forEach(number -> discovery.addHolders(number, -1));
-            held.clear();
+    private void updateHolderCounts(List<EndpointEntry> entries, boolean full) {
+        if (full) {
+            heldEndpoints.stream().forEach(number -> discovery.addHolders(number, -1));
+            heldEndpoints.clear();
         }
         for (EndpointEntry entry : entries) {
             int number = endpoints.get(entry.name()).number();
             boolean holds = entry.health() != Endpoint.Health.GONE;
-            if (held.get(number) != holds) {
-                held.set(number, holds);
+            if (heldEndpoints.get(number) != holds) {
+                heldEndpoints.set(number, holds);
                 discovery.addHolders(number, holds ? 1 : -1);
             }
         }
--- a/src/test/java/gatelock/fleet/RuleChecker.java
+++ b/src/test/java/gatelock/fleet/RuleChecker.java
@@ -6,11 +6,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checks the records of a fleet against all of its rules. */
+/** Checks the records of a fleet against all rules. */
 final class RuleChecker {
-    /** Tolerance for what was under way when a deadline passed. */
+    /** Tolerance for messages that were in transit when a deadline passed. */
     static final long TOLERANCE_US = 50 * VirtualClock.MILLISECOND_US;
-    /** How long after notice of a departure an endpoint may still be sent requests. */
+    /**
+     * How long a relay may still send attempts to an endpoint after it was notified that the endpoint is draining or
+     * gone.
+     */
     static final long DRAIN_GRACE_US = VirtualClock.SECOND_US;
 
     private final FleetRecords records;
@@ -22,12 +25,12 @@
         this.parameters = parameters;
     }
 
-    /** Every violation, in the order of the rules. */
+    /** Returns all violations, in the order of the rules. */
     List<RuleViolation> violations() {
         violations.clear();
-        checkOneAnswer();
-        checkNoRepeatedEffect();
-        checkNothingToLeavingEndpoints();
+        checkExactlyOneResponse();
+        checkAtMostOneExecution();
+        checkNoAttemptsToUnavailableEndpoints();
         checkColdEndpointLoad();
         violations.addAll(new CanaryExposureCheck(records, parameters).violations());
         violations.addAll(new PropagationCheck(records, parameters).violations());
@@ -38,7 +41,7 @@
         violations.add(new RuleViolation(rule, description));
     }
 
-    private void checkOneAnswer() {
+    private void checkExactlyOneResponse() {
         Map<String, List<FleetRecords.Response>> responsesById = new HashMap<>();
         for (FleetRecords.Response response : records.responses) {
             responsesById
@@ -48,33 +51,34 @@
         for (FleetRecords.Request request : records.requests) {
             List<FleetRecords.Response> responses = responsesById.getOrDefault(request.id(), List.of());
             if (responses.size() > 1) {
-                report(FleetRule.ONE_ANSWER, request.id() + " has " + responses.size() + " answers");
-            } else if (!records.isAbandoned(request.id()) && !isInTime(request, responses)) {
-                report(FleetRule.ONE_ANSWER, request.id() + " has no answer in time");
+                report(FleetRule.EXACTLY_ONE_RESPONSE, request.id() + " has " + responses.size() + " responses");
+            } else if (!records.isAbandoned(request.id()) && !isAnsweredInTime(request, responses)) {
+                report(FleetRule.EXACTLY_ONE_RESPONSE, request.id() + " has no response before its deadline");
             }
         }
     }
 
-    private static boolean isInTime(FleetRecords.Request request, List<FleetRecords.Response> responses) {
+    private static boolean isAnsweredInTime(FleetRecords.Request request, List<FleetRecords.Response> responses) {
         return !responses.isEmpty() && responses.get(0).atUs() <= request.deadlineUs() + TOLERANCE_US;
     }
 
-    private void checkNoRepeatedEffect() {
+    private void checkAtMostOneExecution() {
         Map<String, RoutePolicy> routeById = new HashMap<>();
         records.requests.forEach(request -> routeById.put(request.id(), request.route()));
         Map<String, Integer> executionsById = new HashMap<>();
         records.executions.forEach(execution -> executionsById.merge(execution.id(), 1, Integer::sum));
         executionsById.forEach((id, executions) -> {
             if (executions > 1 && routeById.get(id).retrySafety() == RoutePolicy.RetrySafety.NON_RETRIABLE) {
-                report(FleetRule.NO_REPEATED_EFFECT, id + " ran " + executions + " times");
+                report(FleetRule.AT_MOST_ONE_EXECUTION, id + " was executed " + executions + " times");
             }
         });
     }
 
-    private void checkNothingToLeavingEndpoints() {
+    private void checkNoAttemptsToUnavailableEndpoints() {
         Map<Integer, Map<String, StatusHistory>> historyByRelay = new HashMap<>();
-        records.departures.forEach(notice -> history(historyByRelay, notice).addUnavailableIfAbsent(notice.atUs()));
-        records.returns.forEach(notice -> history(historyByRelay, notice).addAvailable(notice.atUs()));
+        records.unavailableNotices.forEach(
+                notice -> history(historyByRelay, notice).addUnavailableIfAbsent(notice.atUs()));
+        records.readyNotices.forEach(notice -> history(historyByRelay, notice).addAvailable(notice.atUs()));
         for (FleetRecords.Attempt attempt : records.attempts) {
             StatusHistory history = historyByRelay
                     .getOrDefault(attempt.relay(), Map.of())
@@ -82,8 +86,8 @@
             history.unavailableSinceUs(attempt.atUs()).ifPresent(sinceUs -> {
                 if (attempt.atUs() > sinceUs + DRAIN_GRACE_US + TOLERANCE_US) {
                     report(
-                            FleetRule.NOTHING_TO_LEAVING_ENDPOINTS,
-                            attempt.id() + " went to " + attempt.endpoint() + " after it left");
+                            FleetRule.NO_ATTEMPTS_TO_UNAVAILABLE_ENDPOINTS,
+                            attempt.id() + " was sent to " + attempt.endpoint() + " while it was unavailable");
                 }
             });
         }
@@ -112,7 +116,7 @@
         }
     }
 
-    /** Checks every window that begins with an attempt; reports the first in which there is too much work. */
+    /** Checks every window that begins with an attempt and reports the first one with too much work. */
     private void checkColdEndpointLoad(FleetRecords.EndpointStart start, List<FleetRecords.Attempt> attempts) {
         for (int first = 0; first < attempts.size(); first++) {
             long windowStartUs = attempts.get(first).atUs();
--- a/src/test/java/gatelock/fleet/RuleViolation.java
+++ b/src/test/java/gatelock/fleet/RuleViolation.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-/** One case in which a fleet broke a rule. */
+/** A single violation of a rule by a fleet. */
 record RuleViolation(FleetRule rule, String description) {
     @Override
     public String toString() {
--- a/src/test/java/gatelock/fleet/ScaleReport.java
+++ b/src/test/java/gatelock/fleet/ScaleReport.java
@@ -7,7 +7,7 @@
 import java.time.format.DateTimeFormatter;
 import java.util.Locale;
 
-/** The figures of one run at a step of the ladder, as docs/capacity/scale.json has them. */
+/** The results of one scale run in the format of docs/capacity/scale.json. */
 final class ScaleReport {
     private static final DateTimeFormatter RUN_TIME =
             DateTimeFormatter.ofPattern("yyyyMMdd'T'HHmmss'Z'").withZone(ZoneOffset.UTC);
@@ -31,6 +31,7 @@
         this.relays = parameters.simulatedRelayCount();
     }
 
+    /** Returns the results as JSON; {@code commit} becomes part of the run's id. */
     ObjectNode json(String commit) {
         ObjectNode json = JsonNodeFactory.instance.objectNode();
         putRun(json, commit);
@@ -45,9 +46,9 @@
     private void putRun(ObjectNode json, String commit) {
         json.put("play", scenario.name().toLowerCase(Locale.ROOT)).put("scope", mode);
         json.put("run", RUN_TIME.format(Instant.now()) + "-" + commit);
-        json.put("relaysPlayed", relays).put("squeeze", tenths(scenario.compression(step)));
+        json.put("relaysPlayed", relays).put("squeeze", tenths(scenario.timeCompression(step)));
         json.put("reqsShare", step.requestsShare());
-        json.put("spanS", result.spanS()).put("wallS", tenths(result.wallS()));
+        json.put("spanS", result.simulatedS()).put("wallS", tenths(result.wallS()));
     }
 
     private long expectedDeliveries() {
@@ -66,16 +67,18 @@
         json.put("reachedLastMs", quantileMs(delaysUs, 1)).put("onTheWayAtTheEnd", records.undelivered());
         json.put("entryBytes", tenths(result.fleet().discovery().meanEntryBytes()));
         json.put("bytesPerRelay", bytes / relays);
-        json.put("bytesPerRelayS", tenths(bytes / (double) relays / result.spanS() / scenario.compression(step)));
+        json.put(
+                "bytesPerRelayS",
+                tenths(bytes / (double) relays / result.simulatedS() / scenario.timeCompression(step)));
     }
 
     private void putResources(ObjectNode json) {
         CpuMeter meter = result.cpuMeter();
-        double spanUs = result.spanS() * VirtualClock.SECOND_US;
+        double spanUs = result.simulatedS() * VirtualClock.SECOND_US;
         double listUs = meter.cpuUs(CpuMeter.Role.ENDPOINT_LIST) + meter.cpuUs(CpuMeter.Role.SUBSET);
         double tickUs = meter.cpuUs(CpuMeter.Role.TICK);
         long deliveries = Math.max(1, expectedDeliveries());
-        json.put("cpuPerRelayShare", millionths((listUs / scenario.compression(step) + tickUs) / relays / spanUs));
+        json.put("cpuPerRelayShare", millionths((listUs / scenario.timeCompression(step) + tickUs) / relays / spanUs));
         json.put("cpuListUsPerChange", tenths(meter.cpuUs(CpuMeter.Role.ENDPOINT_LIST) / deliveries));
         json.put("cpuScopeUsPerChange", tenths(meter.cpuUs(CpuMeter.Role.SUBSET) / deliveries));
         json.put("cpuBeatShare", millionths(tickUs / relays / spanUs));
@@ -93,10 +96,11 @@
     }
 
     private void putRules(ObjectNode json) {
-        // Sums over all relays mean nothing where only some of them are simulated.
+        // Rules about sums over all relays cannot be checked if only some relays are simulated.
         boolean complete = relays == parameters.relays;
-        json.put("rule1", verdict(FleetRule.ONE_ANSWER)).put("rule2", verdict(FleetRule.NO_REPEATED_EFFECT));
-        json.put("rule3", verdict(FleetRule.NOTHING_TO_LEAVING_ENDPOINTS));
+        json.put("rule1", verdict(FleetRule.EXACTLY_ONE_RESPONSE))
+                .put("rule2", verdict(FleetRule.AT_MOST_ONE_EXECUTION));
+        json.put("rule3", verdict(FleetRule.NO_ATTEMPTS_TO_UNAVAILABLE_ENDPOINTS));
         json.put("rule4", verdict(FleetRule.COLD_ENDPOINT_LOAD, complete));
         json.put("toldLate", result.count(FleetRule.PROPAGATION_DELAY));
         json.put("neverTold", result.count(FleetRule.CHANGE_DELIVERY));
--- a/src/test/java/gatelock/fleet/ScaleResultsFile.java
+++ b/src/test/java/gatelock/fleet/ScaleResultsFile.java
@@ -12,43 +12,47 @@
 import java.time.Instant;
 import java.util.List;
 
-/** The file of results at the steps of the ladder: for each step the last run of each scenario and mode. */
+/** The file of scale results, which has the last run of each step, scenario and mode. */
 final class ScaleResultsFile {
-    /** Relays hold the whole list. */
-    static final String MODE_ALL = "all";
-    /** Relays hold a subset of it. */
+    /** Relays hold the full list. */
+    static final String MODE_FULL_LIST = "all";
+    /** Relays hold a subset of the list. */
     static final String MODE_SUBSET = "scope";
 
-    static final List<String> MODES = List.of(MODE_ALL, MODE_SUBSET);
+    /** All modes, in the order of the file. */
+    static final List<String> MODES = List.of(MODE_FULL_LIST, MODE_SUBSET);
+
     private static final ObjectMapper MAPPER = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
 
     private final Path path;
 
+    /** @param path the file, which need not exist yet */
     ScaleResultsFile(Path path) {
         this.path = path;
     }
 
+    /** Returns indented JSON. */
     static String text(JsonNode node) throws JsonProcessingException {
         return MAPPER.writeValueAsString(node);
     }
 
-    /** Puts a result in place of an earlier one of the same step, scenario and mode; steps stay in their order. */
+    /** Writes a result to the file, replacing one of the same step, scenario and mode; the order of steps is kept. */
     void merge(ScaleStep step, ObjectNode result, String commit) throws IOException {
         ObjectNode file = Files.exists(path) ? (ObjectNode) MAPPER.readTree(path.toFile()) : MAPPER.createObjectNode();
         putRun(file.putObject("run"), result, commit);
         JsonNode previousSteps = file.path("steps");
         ArrayNode steps = MAPPER.createArrayNode();
         String largest = "";
-        for (ScaleStep each : ScaleStep.LADDER) {
-            ObjectNode previous = findStep(previousSteps, each);
-            if (previous == null && !each.equals(step)) {
+        for (ScaleStep listedStep : ScaleStep.STEPS) {
+            ObjectNode previous = findStep(previousSteps, listedStep);
+            if (previous == null && !listedStep.equals(step)) {
                 continue;
             }
             ObjectNode merged = previous == null ? MAPPER.createObjectNode() : previous;
-            ArrayNode plays = mergePlays(merged.path("plays"), each.equals(step) ? result : null);
-            putStep(merged, each, plays);
+            ArrayNode results = mergeResults(merged.path("plays"), listedStep.equals(step) ? result : null);
+            putStep(merged, listedStep, results);
             steps.add(merged);
-            largest = isComplete(each, plays) ? each.name() : largest;
+            largest = isComplete(listedStep, results) ? listedStep.name() : largest;
         }
         file.put("largest", largest);
         file.set("steps", steps);
@@ -63,32 +67,34 @@
         run.put("java", System.getProperty("java.version"));
     }
 
-    private static void putStep(ObjectNode node, ScaleStep step, ArrayNode plays) {
+    private static void putStep(ObjectNode node, ScaleStep step, ArrayNode results) {
         node.put("step", step.name()).put("relays", step.relays()).put("units", step.endpoints());
         node.put("services", step.services()).put("zones", step.zones());
-        node.set("plays", plays);
+        node.set("plays", results);
     }
 
-    /** The results of a step in the order of scenarios and modes; {@code replacement}: a new one of them, or null. */
-    private static ArrayNode mergePlays(JsonNode previous, ObjectNode replacement) {
-        ArrayNode plays = MAPPER.createArrayNode();
+    /**
+     * Returns the results of a step in the order of scenarios and modes; {@code replacement} is a new result or null.
+     */
+    private static ArrayNode mergeResults(JsonNode previous, ObjectNode replacement) {
+        ArrayNode results = MAPPER.createArrayNode();
         for (FleetScenario scenario : FleetScenario.values()) {
             for (String mode : MODES) {
-                JsonNode play = replacement != null && isOf(replacement, scenario, mode)
+                JsonNode result = replacement != null && isResultOf(replacement, scenario, mode)
                         ? replacement
-                        : findPlay(previous, scenario, mode);
-                if (play != null) {
-                    plays.add(play);
+                        : findResult(previous, scenario, mode);
+                if (result != null) {
+                    results.add(result);
                 }
             }
         }
-        return plays;
+        return results;
     }
 
-    /** Whether some run of a step simulated all of its relays. */
-    private static boolean isComplete(ScaleStep step, ArrayNode plays) {
-        for (JsonNode play : plays) {
-            if (play.get("relaysPlayed").asInt() == step.relays()) {
+    /** Returns whether any run of a step simulated all of its relays. */
+    private static boolean isComplete(ScaleStep step, ArrayNode results) {
+        for (JsonNode result : results) {
+            if (result.get("relaysPlayed").asInt() == step.relays()) {
                 return true;
             }
         }
@@ -97,23 +103,23 @@
 
     private static ObjectNode findStep(JsonNode steps, ScaleStep step) {
         ObjectNode found = null;
-        for (JsonNode each : steps) {
-            found = each.get("step").asText().equals(step.name()) ? (ObjectNode) each : found;
+        for (JsonNode node : steps) {
+            found = node.get("step").asText().equals(step.name()) ? (ObjectNode) node : found;
         }
         return found;
     }
 
-    private static JsonNode findPlay(JsonNode plays, FleetScenario scenario, String mode) {
-        for (JsonNode play : plays) {
-            if (isOf(play, scenario, mode)) {
-                return play;
+    private static JsonNode findResult(JsonNode results, FleetScenario scenario, String mode) {
+        for (JsonNode result : results) {
+            if (isResultOf(result, scenario, mode)) {
+                return result;
             }
         }
         return null;
     }
 
-    private static boolean isOf(JsonNode play, FleetScenario scenario, String mode) {
-        return play.get("play").asText().equalsIgnoreCase(scenario.name())
-                && play.get("scope").asText().equals(mode);
+    private static boolean isResultOf(JsonNode result, FleetScenario scenario, String mode) {
+        return result.get("play").asText().equalsIgnoreCase(scenario.name())
+                && result.get("scope").asText().equals(mode);
     }
 }
--- a/src/test/java/gatelock/fleet/SimulatedAttempt.java
+++ b/src/test/java/gatelock/fleet/SimulatedAttempt.java
@@ -2,7 +2,7 @@
 
 import gatelock.api.AttemptResult;
 
-/** One attempt of a request, on its way from a relay to an endpoint. */
+/** An attempt that a relay sends to an endpoint for a request. */
 final class SimulatedAttempt {
     private static final long RESPONSE_DELAY_US = VirtualClock.MILLISECOND_US;
 
@@ -29,32 +29,37 @@
         this.sentUs = simulation.nowUs();
     }
 
+    /** Returns the id of the request. */
     String requestId() {
         return request.id();
     }
 
+    /** Returns the number of this attempt within its request, from 0. */
     int number() {
         return number;
     }
 
+    /** Returns the name of the endpoint. */
     String endpointName() {
         return endpoint.name();
     }
 
+    /** Returns the processing time that the attempt needs at an endpoint of full speed. */
     double workUs() {
         return request.workUs();
     }
 
+    /** Returns the time at which the relay sent this attempt. */
     long sentUs() {
         return sentUs;
     }
 
-    /** The incarnation of the relay that sent this attempt. */
+    /** Returns the incarnation of the relay that sent this attempt. */
     int relayIncarnation() {
         return relayIncarnation;
     }
 
-    /** The endpoint is done with this attempt; the relay hears of it when the response has travelled back. */
+    /** Ends this attempt at the endpoint; the relay receives the result after the response delay. */
     void finish(AttemptResult result) {
         simulation.schedule(RESPONSE_DELAY_US, () -> relay.attemptEnded(this, result));
     }
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -10,15 +10,15 @@
 import java.util.function.ToIntFunction;
 import java.util.stream.Collectors;
 
-/** The endpoint list as discovery holds it, with an index that counts its changes, and the messages it sends. */
+/** Service discovery: the endpoint list, an index that counts its changes, and the messages about them. */
 final class SimulatedDiscovery {
     /**
-     * An entry as it was at one time, shared by all relays.
+     * An immutable entry of the endpoint list, shared by all relays.
      *
-     * @param listed the entry as a relay reads it from discovery
-     * @param endpoint the same as the decisions take it
+     * @param listEntry the entry as a relay parses it from a message
+     * @param endpoint the same endpoint in the form that the decision engine uses
      */
-    record Entry(EndpointEntry listed, Endpoint endpoint) {
+    record Entry(EndpointEntry listEntry, Endpoint endpoint) {
         private static final Map<Endpoint.Health, String> STATUS = Map.of(
                 Endpoint.Health.READY,
                 "in_service",
@@ -27,31 +27,35 @@
                 Endpoint.Health.GONE,
                 "terminated");
 
-        Entry(EndpointEntry listed) {
-            this(listed, listed.toEndpoint());
+        /** Creates an entry from its form in a message. */
+        Entry(EndpointEntry listEntry) {
+            this(listEntry, listEntry.toEndpoint());
         }
 
+        /** Returns the name of the endpoint. */
         String name() {
             return endpoint.name();
         }
 
+        /** Returns the name of the endpoint's service. */
         String service() {
-            return listed.service();
+            return listEntry.service();
         }
 
+        /** Returns whether the endpoint is ready. */
         boolean isReady() {
             return endpoint.health() == Endpoint.Health.READY;
         }
 
-        /** As it stands in a list on the wire. */
-        String json() {
+        /** Returns the entry as it is encoded in a message. */
+        String toJson() {
             return String.format(
                     "{\"name\":\"%s\",\"service\":\"%s\",\"address\":\"%s\",\"status\":\"%s\","
                             + "\"weight\":1.0,\"since_ms\":%d,\"image_id\":%d,\"zone\":\"zone-%02d\",\"type\":\"standard\","
                             + "\"group\":%d},",
                     name(),
                     service(),
-                    listed.address(),
+                    listEntry.address(),
                     STATUS.get(endpoint.health()),
                     endpoint.startedAtUs() / 1000,
                     endpoint.build(),
@@ -61,23 +65,25 @@
     }
 
     /**
-     * An answer to a relay's watch: what changed, or the whole list as of an index.
+     * A response to a relay's long poll.
      *
-     * @param bytes its length on the wire
-     * @param delivery the record of which relays are to receive it and which did
+     * @param index the index of the list after the change
+     * @param full whether the entries are the full list; otherwise only the changed entries
+     * @param bytes the length of the message on the wire
+     * @param delivery records which relays should receive the message and which did
      */
-    record Message(long index, boolean whole, List<Entry> entries, long bytes, FleetRecords.Delivery delivery) {}
+    record Message(long index, boolean full, List<Entry> entries, long bytes, FleetRecords.Delivery delivery) {}
 
-    /** Length of an answer without its entries: its headers, its index and whether it is the whole list. */
-    private static final int ANSWER_BYTES = 160;
+    /** Length of a message without its entries: the headers, the index and the flag for a full list. */
+    private static final int RESPONSE_OVERHEAD_BYTES = 160;
 
     private final FleetParameters parameters;
     private final FleetRecords records;
     private final Map<String, Entry> entriesByName = new LinkedHashMap<>();
-    /** The list as it is now; null after a change until it is asked for. */
+    /** The current list; null after a change until it is requested. */
     private List<Entry> snapshot;
-    /** By the number of an endpoint: how many relays hold it. */
-    private int[] holders = new int[0];
+    /** The number of relays that hold each endpoint, by endpoint number. */
+    private int[] holdersByEndpoint = new int[0];
 
     private long index;
     private long listBytes;
@@ -87,7 +93,7 @@
         this.records = records;
     }
 
-    /** Sets what is listed at the beginning. */
+    /** Sets the initial list. */
     void initialize(List<Entry> entries) {
         entries.forEach(this::put);
         snapshot = null;
@@ -100,12 +106,12 @@
         listBytes -= previous == null ? 0 : length(previous);
     }
 
-    /** Length of an entry on the wire; not counted where links carry any amount. */
+    /** Returns the length of an entry on the wire; 0 if the bandwidth of links is unlimited. */
     private long length(Entry entry) {
-        return parameters.discoveryLinkBytesPerS > 0 ? entry.json().length() : 0;
+        return parameters.discoveryLinkBytesPerS > 0 ? entry.toJson().length() : 0;
     }
 
-    /** All that is listed now; the same object until the list changes. */
+    /** Returns the current list, as the same object until the list changes. */
     List<Entry> list() {
         if (snapshot == null) {
             snapshot = List.copyOf(entriesByName.values());
@@ -113,16 +119,17 @@
         return snapshot;
     }
 
-    /** The number of changes so far. */
+    /** Returns the number of changes so far. */
     long index() {
         return index;
     }
 
+    /** Returns the address of the endpoint with a number. */
     static String address(int number) {
         return "10." + (number >> 16) + "." + (number >> 8 & 255) + "." + (number & 255) + ":8080";
     }
 
-    /** Applies changed entries; returns the message that tells of them. */
+    /** Applies changed entries and returns the message with them. */
     Message update(long nowUs, List<Entry> entries) {
         entries.forEach(this::put);
         snapshot = null;
@@ -131,34 +138,36 @@
             List<FleetRecords.StatusChange> changes = entry.isReady() ? records.becameReady : records.becameNotReady;
             changes.add(new FleetRecords.StatusChange(entry.name(), nowUs));
         }
-        long bytes = ANSWER_BYTES + entries.stream().mapToLong(this::length).sum();
+        long bytes = RESPONSE_OVERHEAD_BYTES
+                + entries.stream().mapToLong(this::length).sum();
         return new Message(index, false, entries, bytes, records.addDelivery(index, nowUs, bytes));
     }
 
-    /** The message with the whole list as it is now. */
+    /** Returns a message with the current full list. */
     Message fullList(long nowUs) {
-        long bytes = ANSWER_BYTES + listBytes;
+        long bytes = RESPONSE_OVERHEAD_BYTES + listBytes;
         return new Message(index, true, list(), bytes, records.addDelivery(index, nowUs, bytes));
     }
 
-    /** Mean length of an entry on the wire. */
+    /** Returns the mean length of an entry on the wire. */
     double meanEntryBytes() {
         return listBytes / (double) Math.max(1, entriesByName.size());
     }
 
-    /** So many more relays hold the endpoint of a number; negative: fewer. */
-    void addHolders(int endpoint, int change) {
-        if (endpoint >= holders.length) {
-            holders = Arrays.copyOf(holders, Math.max(endpoint + 1, holders.length * 2));
+    /** Adds a positive or negative change to the number of relays that hold an endpoint. */
+    void addHolders(int endpointNumber, int delta) {
+        if (endpointNumber >= holdersByEndpoint.length) {
+            holdersByEndpoint =
+                    Arrays.copyOf(holdersByEndpoint, Math.max(endpointNumber + 1, holdersByEndpoint.length * 2));
         }
-        holders[endpoint] += change;
+        holdersByEndpoint[endpointNumber] += delta;
     }
 
     /**
-     * Records how many relays hold each listed endpoint, where relays hold a subset.
+     * Records how many relays hold each listed endpoint; does nothing without subsetting.
      *
-     * @param relays how many relays there are
-     * @param numberOf the number of the endpoint of a name
+     * @param relays the number of simulated relays
+     * @param numberOf returns the number of the endpoint with a name
      */
     void recordHolders(int relays, ToIntFunction<String> numberOf) {
         if (!parameters.subsetting) {
@@ -169,17 +178,17 @@
                 .collect(Collectors.groupingBy(Entry::service, Collectors.counting()));
         for (Entry entry : list()) {
             int number = numberOf.applyAsInt(entry.name());
-            if (number < holders.length && holders[number] > 0) {
+            if (number < holdersByEndpoint.length && holdersByEndpoint[number] > 0) {
                 int ready = readyByService.getOrDefault(entry.service(), 0L).intValue();
-                int aim = parameters.subsetTerms(0).target(ready);
+                int target = parameters.subsetPolicy(0).target(ready);
                 records.holderCounts.add(
-                        new FleetRecords.HolderCount(entry.name(), ready, holders[number], relays, aim));
+                        new FleetRecords.HolderCount(entry.name(), ready, holdersByEndpoint[number], relays, target));
             }
         }
     }
 
-    /** A view of the entries as the decisions take them, without a copy for each relay. */
-    static List<Endpoint> endpoints(List<Entry> entries) {
+    /** Returns a view of the entries in the form that the decision engine uses, which avoids a copy for each relay. */
+    static List<Endpoint> endpointView(List<Entry> entries) {
         return new AbstractList<>() {
             @Override
             public Endpoint get(int i) {
--- a/src/test/java/gatelock/fleet/SimulatedEndpoint.java
+++ b/src/test/java/gatelock/fleet/SimulatedEndpoint.java
@@ -5,12 +5,12 @@
 import gatelock.membership.EndpointEntry;
 import java.util.ArrayDeque;
 
-/** An endpoint's process: bounded concurrency, a bounded queue and a warm-up. */
+/** An endpoint with bounded concurrency, a bounded queue and a warm-up period after a start. */
 final class SimulatedEndpoint {
     private static final double MIN_SPEED = 0.85;
     private static final double SPEED_RANGE = 0.3;
 
-    /** What an endpoint keeps over all its restarts; {@code service} is the index of its service. */
+    /** The attributes of an endpoint that survive restarts; {@code service} is the index of its service. */
     record Identity(String name, int number, int build, int service, String serviceName) {}
 
     private final Simulation simulation;
@@ -23,13 +23,18 @@
     private Endpoint.Health health = Endpoint.Health.READY;
     private long pausedUntilUs;
     private int inProgress;
-    /** The machine is lost: nothing that is sent there gets an answer, and no connection comes up. */
-    private boolean lost;
-    /** The process has ended in order: connections are refused. */
+    /** The machine has failed: it does not respond to requests or to new connections. */
+    private boolean failed;
+    /** The process has shut down: connections are refused. */
     private boolean terminated;
-    /** Counts processes: what an earlier one was working on is gone. */
+    /** The number of the current process; work that an earlier process started is discarded. */
     private int incarnation;
 
+    /**
+     * Creates an endpoint whose process is running.
+     *
+     * @param startUs start time of the process; 0 for an endpoint that is warm from the beginning
+     */
     SimulatedEndpoint(Simulation simulation, Identity identity, long startUs) {
         this.simulation = simulation;
         this.parameters = simulation.parameters();
@@ -39,39 +44,47 @@
         this.speed = MIN_SPEED + SPEED_RANGE * simulation.random().nextDouble();
     }
 
+    /** Returns the unique name of this endpoint. */
     String name() {
         return identity.name;
     }
 
+    /** Returns the number of this endpoint, from 0 in the order of creation. */
     int number() {
         return identity.number;
     }
 
+    /** Returns the build that this endpoint runs. */
     int build() {
         return identity.build;
     }
 
+    /** Returns the index of this endpoint's service. */
     int service() {
         return identity.service;
     }
 
+    /** Returns the zone of this endpoint. */
     int zone() {
         return zone;
     }
 
+    /** Returns the health that discovery reports for this endpoint. */
     Endpoint.Health health() {
         return health;
     }
 
+    /** Sets the health that discovery will report for this endpoint. */
     void setHealth(Endpoint.Health health) {
         this.health = health;
     }
 
-    boolean isLost() {
-        return lost;
+    /** Returns whether the machine of this endpoint has failed. */
+    boolean isFailed() {
+        return failed;
     }
 
-    /** The entry that discovery lists for this endpoint as it is now. */
+    /** Returns the current discovery entry of this endpoint. */
     SimulatedDiscovery.Entry entry() {
         return new SimulatedDiscovery.Entry(new EndpointEntry(
                 identity.name,
@@ -85,51 +98,51 @@
                 startUs));
     }
 
-    /** A process starts, with nothing queued. */
+    /** Starts a process with an empty queue. */
     void start() {
-        lost = false;
-        dropWork();
+        failed = false;
+        discardWork();
         simulation
                 .records()
                 .endpointStarts
                 .add(new FleetRecords.EndpointStart(identity.name, parameters.endpointConcurrency, simulation.nowUs()));
     }
 
-    /** A process starts cold on a machine that was lost. */
+    /** Starts a cold process after a failure of the machine. */
     void restart() {
         health = Endpoint.Health.READY;
         startUs = simulation.nowUs();
         start();
     }
 
-    /** The machine is lost with all that it was working on; nobody is notified. */
-    void lose() {
-        lost = true;
-        dropWork();
+    /** Fails the machine and discards its work without notifying any relay. */
+    void fail() {
+        failed = true;
+        discardWork();
     }
 
-    private void dropWork() {
+    private void discardWork() {
         incarnation++;
         inProgress = 0;
         queue.clear();
     }
 
-    /** The process ends: what is unfinished is broken off. */
+    /** Ends the process and breaks off unfinished attempts. */
     void terminate() {
         terminated = true;
         queue.forEach(attempt -> attempt.finish(AttemptResult.BROKEN_OFF));
         queue.clear();
     }
 
-    /** Stands still for a while: what it has queued and what comes in waits. */
+    /** Pauses the start of processing; queued and arriving attempts wait until the pause is over. */
     void pause(long durationUs) {
         pausedUntilUs = simulation.nowUs() + durationUs;
         simulation.schedule(durationUs, this::processQueue);
     }
 
-    /** An attempt has arrived. */
+    /** Handles an attempt that has arrived at this endpoint. */
     void receive(SimulatedAttempt attempt) {
-        if (lost) {
+        if (failed) {
             return;
         }
         if (terminated) {
@@ -152,29 +165,29 @@
         inProgress++;
         long nowUs = simulation.nowUs();
         simulation.records().executions.add(new FleetRecords.Execution(attempt.requestId(), identity.name, nowUs));
-        // Endpoints that were there from the beginning have no start time and are warm.
+        // Endpoints that exist from the beginning have start time 0 and are warm.
         double capacity = speed * (startUs == 0 ? 1 : parameters.capacityShare(nowUs - startUs));
         boolean faulty = isFaulty();
-        boolean fails = faulty && simulation.random().nextDouble() < parameters.canaryErrorRate;
+        boolean returnsError = faulty && simulation.random().nextDouble() < parameters.canaryErrorRate;
         double workFactor = faulty ? parameters.canaryWorkFactor : 1;
-        int processedBy = incarnation;
+        int processingIncarnation = incarnation;
         simulation.schedule((long) (attempt.workUs() * workFactor / capacity), () -> {
-            if (processedBy == incarnation) {
+            if (processingIncarnation == incarnation) {
                 inProgress--;
-                attempt.finish(result(fails));
+                attempt.finish(result(returnsError));
                 processQueue();
             }
         });
     }
 
-    private AttemptResult result(boolean fails) {
+    private AttemptResult result(boolean returnsError) {
         if (terminated) {
             return AttemptResult.BROKEN_OFF;
         }
-        return fails ? AttemptResult.ERRORED : AttemptResult.COMPLETED;
+        return returnsError ? AttemptResult.ERRORED : AttemptResult.COMPLETED;
     }
 
-    /** Whether the canary build shows its fault here and now. */
+    /** Returns whether the fault of the canary build is active on this endpoint now. */
     private boolean isFaulty() {
         return identity.build > 1
                 && simulation.nowUs() - startUs >= parameters.canaryFaultAgeUs
--- a/src/test/java/gatelock/fleet/SimulatedEndpoints.java
+++ b/src/test/java/gatelock/fleet/SimulatedEndpoints.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** All endpoints that a fleet ever had, by name and in the order in which they were created. */
+/** All endpoints of a fleet, including terminated ones, by name and in the order of their creation. */
 final class SimulatedEndpoints {
     private final Simulation simulation;
     private final ServiceCatalog services;
@@ -17,7 +17,7 @@
         this.services = services;
     }
 
-    /** Adds an endpoint; with several services its name tells which of them it belongs to. */
+    /** Creates and adds an endpoint; if there are several services, its name starts with that of its service. */
     SimulatedEndpoint create(int build, long startUs, int service) {
         int number = byName.size();
         String prefix = services.hasSeveral() ? services.name(service) + "-" : "";
@@ -31,31 +31,37 @@
         return endpoint;
     }
 
+    /** Returns the endpoint with a name. */
     SimulatedEndpoint get(String name) {
         return byName.get(name);
     }
 
+    /** Returns the endpoint that was created first. */
     SimulatedEndpoint first() {
         return byName.values().iterator().next();
     }
 
+    /** Returns all endpoints in the order of their creation. */
     List<SimulatedEndpoint> all() {
         return List.copyOf(byName.values());
     }
 
+    /** Returns the endpoints that meet a condition. */
     List<SimulatedEndpoint> matching(Predicate<SimulatedEndpoint> condition) {
         return byName.values().stream().filter(condition).toList();
     }
 
+    /** Returns the endpoints in a zone. */
     List<SimulatedEndpoint> inZone(int zone) {
         return matching(endpoint -> endpoint.zone() == zone);
     }
 
+    /** Returns the endpoints that run a build. */
     List<SimulatedEndpoint> ofBuild(int build) {
         return matching(endpoint -> endpoint.build() == build);
     }
 
-    /** A ready endpoint drawn at random. */
+    /** Returns a randomly selected ready endpoint. */
     SimulatedEndpoint randomReady() {
         List<SimulatedEndpoint> ready = matching(endpoint -> endpoint.health() == Endpoint.Health.READY);
         return ready.get(simulation.random().nextInt(ready.size()));
--- a/src/test/java/gatelock/fleet/SimulatedFleet.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleet.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * A fleet in simulated time: the real decision module of every relay, and simulated endpoints, clients, discovery and a
- * release controller around them. One seed gives one course of events.
+ * A fleet in simulated time: the production decision engine of every relay, with simulated endpoints, clients, service
+ * discovery and a release controller. The same seed always produces the same sequence of events.
  */
 final class SimulatedFleet {
     private static final int BASE_BUILD = 1;
-    /** Long enough for every request in flight to reach its deadline. */
+    /** Time after the last request; long enough for every request in flight to reach its deadline. */
     private static final long SETTLE_US = 20 * VirtualClock.SECOND_US;
 
     private final Simulation simulation;
@@ -22,10 +22,12 @@
     private final ClientLoad clientLoad;
     private final List<SimulatedRelay> relays = new ArrayList<>();
 
+    /** Creates a fleet whose CPU time and memory are not measured. */
     SimulatedFleet(FleetParameters parameters) {
         this(parameters, new CpuMeter(false));
     }
 
+    /** Creates a fleet and starts all of its endpoints and relays. */
     SimulatedFleet(FleetParameters parameters, CpuMeter cpuMeter) {
         simulation = new Simulation(parameters, cpuMeter);
         ServiceCatalog services = new ServiceCatalog(parameters);
@@ -65,35 +67,42 @@
         simulation.cpuMeter().afterAllocation();
     }
 
+    /** Returns the parameters that the fleet was created with. */
     FleetParameters parameters() {
         return simulation.parameters();
     }
 
+    /** Returns the events recorded so far. */
     FleetRecords records() {
         return simulation.records();
     }
 
+    /** Returns the release controller that rolls out builds in this fleet. */
     SimulatedReleaseController releaseController() {
         return releaseController;
     }
 
+    /** Returns the outages that can be injected into this fleet. */
     Outages outages() {
         return outages;
     }
 
+    /** Returns the service discovery of this fleet. */
     SimulatedDiscovery discovery() {
         return discovery;
     }
 
+    /** Returns the simulated relays. */
     List<SimulatedRelay> relays() {
         return relays;
     }
 
+    /** Returns the current simulated time. */
     long nowUs() {
         return simulation.nowUs();
     }
 
-    /** Lets simulated time pass. */
+    /** Advances simulated time and runs the events that become due. */
     void run(long durationUs) {
         simulation.clock().runFor(durationUs);
     }
@@ -103,12 +112,15 @@
         clientLoad.scale(factor);
     }
 
-    /** Starts endpoints of a build at once. */
+    /** Starts endpoints of a build immediately. */
     List<SimulatedEndpoint> launch(int build, int count) {
         return lifecycle.launch(build, count);
     }
 
-    /** Ends the run: no further request comes, and all that are in flight end; returns the rules that were broken. */
+    /**
+     * Ends the run: stops the client load, waits until all requests in flight have ended, and returns the rule
+     * violations.
+     */
     List<RuleViolation> finish() {
         clientLoad.stop();
         run(SETTLE_US);
--- a/src/test/java/gatelock/fleet/SimulatedFleetTest.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleetTest.java
@@ -9,9 +9,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Properties of many relays together, whatever one of them does alone. */
+/**
+ * Tests the behavior of many relays together. Each relay sees only a few outcomes, so that decisions that are correct
+ * for one relay can still release a bad build, roll back a good one or overload an endpoint when all relays make them.
+ */
 final class SimulatedFleetTest {
-    private static final long S = VirtualClock.SECOND_US;
+    private static final long SECOND_US = VirtualClock.SECOND_US;
 
     private static FleetParameters parameters(int relays, long seed) {
         FleetParameters parameters = new FleetParameters();
@@ -22,20 +25,20 @@
         return parameters;
     }
 
-    private static SimulatedFleet withCanary(FleetParameters parameters) {
+    private static SimulatedFleet fleetWithCanary(FleetParameters parameters) {
         SimulatedFleet fleet = new SimulatedFleet(parameters);
-        fleet.run(10 * S);
-        fleet.releaseController().offerNextBuild();
+        fleet.run(10 * SECOND_US);
+        fleet.releaseController().startNextRollout();
         return fleet;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 14, 50, 120})
-    void goodBuildGetsEnoughVotesAndNoVoteIsRejected(int relays) {
-        SimulatedFleet fleet = withCanary(parameters(relays, 1));
-        fleet.run(21 * S);
+    void releasesGoodBuildWithoutRejectingVotes(int relays) {
+        SimulatedFleet fleet = fleetWithCanary(parameters(relays, 1));
+        fleet.run(21 * SECOND_US);
         assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.RELEASED);
-        assertThat(fleet.releaseController().stageDurationsUs()).allMatch(us -> us <= 7 * S);
+        assertThat(fleet.releaseController().stageDurationsUs()).allMatch(us -> us <= 7 * SECOND_US);
         assertThat(fleet.releaseController().rejectedVotes()).isZero();
         assertThat(fleet.records().voteTimesUs.size()).isLessThanOrEqualTo(4 * relays);
         assertThat(fleet.finish()).isEmpty();
@@ -54,12 +57,12 @@
         "50, 0, 3",
         "120, 0, 3"
     })
-    void badBuildIsRolledBackThoughEachRelaySeesLittleOfIt(int relays, double errorRate, double workFactor) {
+    void rollsBackBadBuildWhenEachRelaySeesFewOutcomes(int relays, double errorRate, double workFactor) {
         FleetParameters parameters = parameters(relays, 1);
         parameters.canaryErrorRate = errorRate;
         parameters.canaryWorkFactor = workFactor;
-        SimulatedFleet fleet = withCanary(parameters);
-        fleet.run(25 * S);
+        SimulatedFleet fleet = fleetWithCanary(parameters);
+        fleet.run(25 * SECOND_US);
         assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.REVERTING);
         assertThat(fleet.releaseController().stageDurationsUs().size())
                 .as("stages passed")
@@ -67,110 +70,113 @@
         assertThat(fleet.finish()).isEmpty();
     }
 
-    /** No endpoint is an outlier, and each relay sees few outcomes of each. */
+    /** No endpoint is an outlier because all of them are slow, and each relay sees few outcomes of each endpoint. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void buildThatIsSlowEverywhereIsRolledBackThoughEachEndpointHasFewOutcomes(long seed) {
+    void rollsBackUniformlySlowBuildWhenEachEndpointHasFewOutcomes(long seed) {
         FleetParameters parameters = parameters(14, seed);
         parameters.endpoints = 60;
         parameters.requestsPerS = 340;
         parameters.canaryWorkFactor = 1.7;
-        SimulatedFleet fleet = withCanary(parameters);
-        fleet.run(25 * S);
+        SimulatedFleet fleet = fleetWithCanary(parameters);
+        fleet.run(25 * SECOND_US);
         assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.REVERTING);
         assertThat(fleet.finish()).isEmpty();
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void goodBuildIsNotRolledBackWhileEndpointsPause(long seed) {
+    void releasesGoodBuildWhileEndpointsPause(long seed) {
         FleetParameters parameters = parameters(100, seed);
-        SimulatedFleet fleet = withCanary(parameters);
+        SimulatedFleet fleet = fleetWithCanary(parameters);
         for (int i = 0; i < 5; i++) {
-            fleet.run(5 * S);
-            fleet.outages().pauseSome(0.3, 500 * VirtualClock.MILLISECOND_US, 2 * S);
+            fleet.run(5 * SECOND_US);
+            fleet.outages().pauseSome(0.3, 500 * VirtualClock.MILLISECOND_US, 2 * SECOND_US);
         }
         assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.RELEASED);
     }
 
     @Test
-    void rollingRestartsDoNotDelayGoodBuild() {
+    void releasesGoodBuildOnTimeDuringRollingRelayRestarts() {
         SimulatedFleet fleet = new SimulatedFleet(parameters(100, 9));
-        fleet.run(10 * S);
-        fleet.outages().pauseSome(0.3, 500 * VirtualClock.MILLISECOND_US, 2 * S);
-        fleet.releaseController().offerNextBuild();
+        fleet.run(10 * SECOND_US);
+        fleet.outages().pauseSome(0.3, 500 * VirtualClock.MILLISECOND_US, 2 * SECOND_US);
+        fleet.releaseController().startNextRollout();
         for (int i = 0; i < 100; i += 10) {
-            fleet.relays().subList(i, i + 10).forEach(r -> r.kill(S));
-            fleet.run(8 * S / 5);
+            fleet.relays().subList(i, i + 10).forEach(r -> r.crash(SECOND_US));
+            fleet.run(8 * SECOND_US / 5);
         }
-        fleet.run(7 * S);
+        fleet.run(7 * SECOND_US);
         assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.RELEASED);
-        assertThat(fleet.releaseController().stageDurationsUs()).allMatch(us -> us <= 9 * S);
+        assertThat(fleet.releaseController().stageDurationsUs()).allMatch(us -> us <= 9 * SECOND_US);
     }
 
     @Test
-    void simultaneousRestartOfManyRelaysKeepsColdEndpointsUnderTheirLimit() {
+    void limitsColdEndpointLoadAfterManyRelaysRestartAtOnce() {
         FleetParameters parameters = parameters(100, 5);
         SimulatedFleet fleet = new SimulatedFleet(parameters);
-        fleet.run(10 * S);
-        fleet.relays().stream().limit(70).forEach(r -> r.kill(S));
-        fleet.run(S / 2);
+        fleet.run(10 * SECOND_US);
+        fleet.relays().stream().limit(70).forEach(r -> r.crash(SECOND_US));
+        fleet.run(SECOND_US / 2);
         fleet.launch(1, 6);
-        fleet.run(8 * S);
+        fleet.run(8 * SECOND_US);
         assertThat(fleet.finish()).isEmpty();
     }
 
     @Test
-    void burstIsServed() {
+    void servesLoadBurstWithinObjective() {
         SimulatedFleet fleet = new SimulatedFleet(parameters(100, 6));
-        fleet.run(15 * S);
+        fleet.run(15 * SECOND_US);
         fleet.scaleLoad(1.4);
-        fleet.run(5 * S);
-        assertThat(fleet.records().shareWithinObjective(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S))
+        fleet.run(5 * SECOND_US);
+        assertThat(fleet.records().shareWithinObjective(fleet.nowUs() - 5 * SECOND_US, fleet.nowUs() - 2 * SECOND_US))
                 .isGreaterThan(0.95);
     }
 
     @ParameterizedTest
     @CsvSource({"14, 1", "14, 2", "100, 1", "100, 2"})
-    void silentZoneIsAvoidedBeforeDiscoveryReportsIt(int relays, long seed) {
+    void avoidsUnresponsiveZoneBeforeDiscoveryReportsIt(int relays, long seed) {
         FleetParameters parameters = parameters(relays, seed);
         parameters.endpoints = 60;
         parameters.requestsPerS = 200;
         SimulatedFleet fleet = new SimulatedFleet(parameters);
-        fleet.run(15 * S);
-        fleet.outages().pauseZone(0, 8 * S);
-        fleet.run(8 * S);
-        assertThat(fleet.records().shareWithinObjective(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S))
+        fleet.run(15 * SECOND_US);
+        fleet.outages().pauseZone(0, 8 * SECOND_US);
+        fleet.run(8 * SECOND_US);
+        assertThat(fleet.records().shareWithinObjective(fleet.nowUs() - 5 * SECOND_US, fleet.nowUs() - 2 * SECOND_US))
                 .isGreaterThan(relays < 50 ? 0.93 : 0.84);
-        fleet.run(15 * S);
-        assertThat(fleet.records().shareWithinObjective(fleet.nowUs() - 5 * S, fleet.nowUs() - 2 * S))
+        fleet.run(15 * SECOND_US);
+        assertThat(fleet.records().shareWithinObjective(fleet.nowUs() - 5 * SECOND_US, fleet.nowUs() - 2 * SECOND_US))
                 .isGreaterThan(0.97);
         assertThat(fleet.finish()).isEmpty();
     }
 
     @Test
-    void openConnectionsAreReusedWhereNewOnesHaveACost() {
-        FleetParameters free = parameters(100, 7);
-        free.newConnectionCost = 0;
-        SimulatedFleet without = new SimulatedFleet(free);
-        without.run(40 * S);
-        SimulatedFleet with = new SimulatedFleet(parameters(100, 7));
-        with.run(40 * S);
-        assertThat(with.records().connectionsOpened).isLessThan(without.records().connectionsOpened / 2);
-        assertThat(with.records().shareWithinObjective(0, with.nowUs() - 5 * S))
-                .isGreaterThan(without.records().shareWithinObjective(0, without.nowUs() - 5 * S) - 0.005);
+    void reusesConnectionsWhenNewOnesHaveCost() {
+        FleetParameters parametersWithoutCost = parameters(100, 7);
+        parametersWithoutCost.newConnectionCost = 0;
+        SimulatedFleet fleetWithoutCost = new SimulatedFleet(parametersWithoutCost);
+        fleetWithoutCost.run(40 * SECOND_US);
+        SimulatedFleet fleetWithCost = new SimulatedFleet(parameters(100, 7));
+        fleetWithCost.run(40 * SECOND_US);
+        assertThat(fleetWithCost.records().connectionsOpened)
+                .isLessThan(fleetWithoutCost.records().connectionsOpened / 2);
+        assertThat(fleetWithCost.records().shareWithinObjective(0, fleetWithCost.nowUs() - 5 * SECOND_US))
+                .isGreaterThan(
+                        fleetWithoutCost.records().shareWithinObjective(0, fleetWithoutCost.nowUs() - 5 * SECOND_US)
+                                - 0.005);
     }
 
     @Test
-    void oneSeedGivesOneCourseOfEvents() {
-        List<FleetRecords> two =
+    void repeatsSameEventsForSameSeed() {
+        List<FleetRecords> records =
                 List.of(new SimulatedFleet(parameters(50, 8)), new SimulatedFleet(parameters(50, 8))).stream()
                         .map(f -> {
-                            f.run(8 * S);
+                            f.run(8 * SECOND_US);
                             return f.records();
                         })
                         .toList();
-        assertThat(two.get(0).attempts).isEqualTo(two.get(1).attempts);
-        assertThat(two.get(0).responses).isEqualTo(two.get(1).responses);
+        assertThat(records.get(0).attempts).isEqualTo(records.get(1).attempts);
+        assertThat(records.get(0).responses).isEqualTo(records.get(1).responses);
     }
 }
--- a/src/test/java/gatelock/fleet/SimulatedRelay.java
+++ b/src/test/java/gatelock/fleet/SimulatedRelay.java
@@ -14,19 +14,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** One relay: the real decision module of its process, and simulated requests, connections and messages around it. */
+/** A relay: the production decision engine of its process, with simulated requests, connections and messages. */
 final class SimulatedRelay implements DecisionActions {
-    private static final long ON_CONNECTION_US = VirtualClock.MILLISECOND_US;
-    private static final long WITH_HANDSHAKE_US = 3 * VirtualClock.MILLISECOND_US;
+    private static final long REUSED_CONNECTION_DELAY_US = VirtualClock.MILLISECOND_US;
+    private static final long NEW_CONNECTION_DELAY_US = 3 * VirtualClock.MILLISECOND_US;
     private static final long CANCEL_DELAY_US = VirtualClock.MILLISECOND_US;
     private static final long VOTE_DELAY_US = 100 * VirtualClock.MILLISECOND_US;
     private static final long VOTE_REPLY_DELAY_US = 50 * VirtualClock.MILLISECOND_US;
-    private static final long LATE_NOTICE_US = 9 * VirtualClock.SECOND_US;
-    private static final int MISSED_INDEX = 3;
-    /** The module's first two timer tokens are its own ticks; every other is a request's. */
+    private static final long INJECTED_NOTICE_DELAY_US = 9 * VirtualClock.SECOND_US;
+    private static final int MISSED_CHANGE_INDEX = 3;
+    /** The engine uses its first two timer tokens for its periodic ticks and all others for requests. */
     private static final long LAST_TICK_TOKEN = 1;
 
-    /** What a relay talks to. */
+    /** The parts of the fleet that a relay communicates with. */
     record Environment(
             SimulatedEndpoints endpoints,
             SimulatedDiscovery discovery,
@@ -44,7 +44,7 @@
     private int incarnation;
     private boolean up;
     private DecisionEngine engine;
-    /** The list that an ended process left behind on disk. */
+    /** The endpoint list that the previous process stored on disk; null while a process runs. */
     private List<SimulatedDiscovery.Entry> cachedList;
 
     SimulatedRelay(Simulation simulation, Environment environment, int number) {
@@ -55,39 +55,46 @@
         this.link = new DiscoveryLink(simulation.parameters().discoveryLinkBytesPerS);
     }
 
+    /** Returns the number of this relay among all relays, from 0. */
     int number() {
         return number;
     }
 
+    /** Returns the zone of this relay. */
     int zone() {
         return number % simulation.parameters().zones;
     }
 
+    /** Returns whether a process of this relay is running. */
     boolean isUp() {
         return up;
     }
 
-    /** Counts the processes of this relay that have ended. */
+    /** Returns the number of processes of this relay that have ended. */
     int incarnation() {
         return incarnation;
     }
 
-    // ---- Its process -------------------------------------------------------------------------------------
+    // ---- Process -----------------------------------------------------------------------------------------
 
-    /** Ends without notice; a process that knows nothing but the cached list starts after a while. */
-    void kill(long restartAfterUs) {
+    /** Ends the process without a drain and later starts a new one, which has no state but the cached endpoint list. */
+    void crash(long restartAfterUs) {
         up = false;
         incarnation++;
         cachedList = environment.discovery.list();
-        simulation.records().relayEnded(number);
+        simulation.records().recordRelayStopped(number);
         link.reset();
-        requests.keySet().forEach(simulation.records()::abandoned);
+        requests.keySet().forEach(simulation.records()::markAbandoned);
         requests.clear();
         connections.clear();
         attempts.clear();
         simulation.schedule(restartAfterUs, this::start);
     }
 
+    /**
+     * Starts a process. It begins with the cached endpoint list if there is one and the link's bandwidth is limited,
+     * and with the current list otherwise.
+     */
     void start() {
         boolean fromCache = simulation.parameters().discoveryLinkBytesPerS > 0 && cachedList != null;
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.ENDPOINT_LIST);
@@ -104,18 +111,18 @@
                 environment.discovery.index());
         simulation.cpuMeter().switchTo(previous);
         cachedList = null;
-        endpointList.pollSubset();
+        endpointList.refreshSubsetPeriodically();
         environment.releaseController.sendState(this, DecisionEngine.VoteResponse.NOT_ASKED);
         if (fromCache) {
             environment.publisher.publishFullList(this);
         }
     }
 
-    /** Runs the action after a delay, unless this process of the relay has ended by then. */
+    /** Runs the action after a delay, unless the current process of this relay has ended by then. */
     void scheduleWhileUp(long delayUs, Runnable action) {
-        int scheduledBy = incarnation;
+        int schedulingIncarnation = incarnation;
         simulation.schedule(delayUs, () -> {
-            if (isSameProcess(scheduledBy)) {
+            if (isSameProcess(schedulingIncarnation)) {
                 action.run();
             }
         });
@@ -125,37 +132,39 @@
         return up && earlierIncarnation == incarnation;
     }
 
-    // ---- Messages of discovery and of the release controller -----------------------------------------------
+    // ---- Messages from discovery and from the release controller --------------------------------------------
 
-    /** Discovery sends a message at a time; it arrives after all that was sent before it. */
+    /**
+     * Transfers a message that discovery sends at {@code sentUs}; messages arrive in the order in which they were sent.
+     */
     void deliver(SimulatedDiscovery.Message message, long sentUs) {
-        PlantedFault fault = number == 0 ? simulation.parameters().plantedFault : PlantedFault.NONE;
-        boolean isLate = fault == PlantedFault.LATE_DRAIN_NOTICE && announcesDrain(message);
-        long receivedUs = link.deliver(message.bytes(), sentUs + (isLate ? LATE_NOTICE_US : 0));
+        InjectedFault fault = number == 0 ? simulation.parameters().injectedFault : InjectedFault.NONE;
+        boolean isLate = fault == InjectedFault.LATE_DRAIN_NOTICE && announcesDrain(message);
+        long receivedUs = link.deliver(message.bytes(), sentUs + (isLate ? INJECTED_NOTICE_DELAY_US : 0));
         message.delivery().expect(number, receivedUs);
-        if (fault == PlantedFault.MISSED_CHANGE && message.index() == MISSED_INDEX) {
+        if (fault == InjectedFault.MISSED_CHANGE && message.index() == MISSED_CHANGE_INDEX) {
             return;
         }
         scheduleWhileUp(receivedUs - simulation.nowUs(), () -> receive(message));
     }
 
     private static boolean announcesDrain(SimulatedDiscovery.Message message) {
-        return !message.whole()
+        return !message.full()
                 && message.entries().stream().anyMatch(entry -> entry.endpoint().health() == Endpoint.Health.DRAINING);
     }
 
     private void receive(SimulatedDiscovery.Message message) {
         message.delivery().markReceived(number);
-        simulation.records().received(number, message, simulation.nowUs());
+        simulation.records().recordReceived(number, message, simulation.nowUs());
         CpuMeter.Role previous = simulation.cpuMeter().switchTo(CpuMeter.Role.ENDPOINT_LIST);
         endpointList.update(
-                message.whole() ? DecisionEngine.EndpointUpdateType.FULL : DecisionEngine.EndpointUpdateType.DELTA,
+                message.full() ? DecisionEngine.EndpointUpdateType.FULL : DecisionEngine.EndpointUpdateType.DELTA,
                 message.entries(),
                 message.index());
         simulation.cpuMeter().switchTo(previous);
     }
 
-    /** The state of the rollout, or the release controller's answer to a vote. */
+    /** Handles the state of the rollout or the response to a vote from the release controller. */
     void receive(SimulatedReleaseController.State state) {
         engine.releaseStateUpdated(
                 simulation.nowUs(),
@@ -164,12 +173,12 @@
                 state.phase(),
                 state.cap(),
                 state.ageUs(),
-                state.answer());
+                state.voteResponse());
     }
 
     // ---- Requests ------------------------------------------------------------------------------------------
 
-    /** A client's request arrives. */
+    /** Accepts a request from a client. */
     void accept(SimulatedRequest request, long key, RequestConstraints constraints) {
         requests.put(request.id(), request);
         long nowUs = simulation.nowUs();
@@ -188,7 +197,9 @@
         removeIfSettled(request);
     }
 
-    /** An attempt has ended; ignored where it ended before, or was sent by an earlier process of this relay. */
+    /**
+     * Handles the end of an attempt; ignored if it has ended already or was sent by an earlier process of this relay.
+     */
     void attemptEnded(SimulatedAttempt attempt, AttemptResult result) {
         SimulatedRequest request = requests.get(attempt.requestId());
         if (attempt.relayIncarnation() != incarnation || request == null || !attempts.remove(attempt)) {
@@ -234,7 +245,7 @@
         }
     }
 
-    // ---- What its decisions ask for --------------------------------------------------------------------------
+    // ---- Actions requested by the decision engine ------------------------------------------------------------
 
     @Override
     public void sendAttempt(String id, String endpoint, long timeoutUs) {
@@ -249,7 +260,8 @@
                 id, number, endpoint, target.build(), simulation.parameters().meanWorkUs, nowUs));
         boolean reused = connections.tryTake(endpoint, nowUs);
         records.connectionsOpened += reused ? 0 : 1;
-        simulation.schedule(reused ? ON_CONNECTION_US : WITH_HANDSHAKE_US, () -> target.receive(attempt));
+        simulation.schedule(
+                reused ? REUSED_CONNECTION_DELAY_US : NEW_CONNECTION_DELAY_US, () -> target.receive(attempt));
         simulation.schedule(request.deadlineUs() - nowUs, () -> attemptEnded(attempt, AttemptResult.TIMED_OUT));
         simulation.cpuMeter().switchTo(previous);
     }
@@ -282,13 +294,13 @@
 
     @Override
     public void castVote(int build, int stage, Verdict verdict) {
-        int voter = incarnation;
+        int votingIncarnation = incarnation;
         simulation.schedule(VOTE_DELAY_US, () -> {
-            DecisionEngine.VoteResponse answer =
+            DecisionEngine.VoteResponse voteResponse =
                     environment.releaseController.receiveVote(number, build, stage, verdict);
             simulation.schedule(VOTE_REPLY_DELAY_US, () -> {
-                if (isSameProcess(voter)) {
-                    environment.releaseController.sendState(this, answer);
+                if (isSameProcess(votingIncarnation)) {
+                    environment.releaseController.sendState(this, voteResponse);
                 }
             });
         });
--- a/src/test/java/gatelock/fleet/SimulatedRelaySettings.java
+++ b/src/test/java/gatelock/fleet/SimulatedRelaySettings.java
@@ -4,15 +4,16 @@
 import gatelock.api.RolloutPolicy;
 import java.util.List;
 
-/** The settings that simulated relays give to their decisions. */
+/** The settings of the decision engines of simulated relays. */
 final class SimulatedRelaySettings {
     private SimulatedRelaySettings() {}
 
     /**
-     * The settings of one process of a relay.
+     * Returns the settings of one process of a relay.
      *
-     * @param relay its number, and {@code incarnation} that of its process: each process draws its own random numbers
-     * @param stageCaps for each stage, the largest share of requests that may go to the canary
+     * @param relay the number of the relay
+     * @param incarnation the number of the relay's process; each process has a different random seed
+     * @param stageCaps for each stage, the maximum share of requests that may be sent to the canary
      */
     static RelaySettings of(FleetParameters parameters, int relay, int incarnation, double[] stageCaps) {
         return new RelaySettings(
@@ -46,7 +47,7 @@
                 0,
                 false,
                 false,
-                parameters.freeCanaryAttempts,
+                parameters.canaryAttemptAllowance,
                 parameters.votesNeeded(parameters.rollbackShare),
                 parameters.votesPerS,
                 false);
--- a/src/test/java/gatelock/fleet/SimulatedReleaseController.java
+++ b/src/test/java/gatelock/fleet/SimulatedReleaseController.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** A release controller: counts the relays' votes, at a limited rate, and rolls a canary build out in stages. */
+/** A release controller, which accepts the relays' votes at a limited rate and rolls out a canary build in stages. */
 final class SimulatedReleaseController {
-    /** How long a vote counts. */
+    /** How long a vote is valid. */
     static final long VOTE_LIFETIME_US = 6 * VirtualClock.SECOND_US;
 
     private static final long EVALUATION_INTERVAL_US = 250 * VirtualClock.MILLISECOND_US;
     private static final long LAUNCH_DELAY_US = 2 * VirtualClock.SECOND_US;
-    /** Time from the launch of a stage's endpoints until its bake time starts to count. */
+    /** Time from the launch of a stage's endpoints until its bake time begins. */
     private static final long BAKE_DELAY_US = VirtualClock.SECOND_US;
 
     private static final long MIN_BROADCAST_DELAY_US = 50 * VirtualClock.MILLISECOND_US;
@@ -24,26 +24,29 @@
 
     private record Vote(int build, int stage, Verdict verdict, long expiresUs) {}
 
-    /** What a relay is sent: the state of the rollout, how long it has been so, and the answer to the relay's vote. */
+    /**
+     * A message to a relay: the state of the rollout, the time since it last changed, and the response to the relay's
+     * vote.
+     */
     record State(
             int build,
             int stage,
             DecisionEngine.ReleasePhase phase,
             double cap,
             long ageUs,
-            DecisionEngine.VoteResponse answer) {}
+            DecisionEngine.VoteResponse voteResponse) {}
 
     private final Simulation simulation;
     private final FleetParameters parameters;
     private final SimulatedEndpoints endpoints;
     private final EndpointLifecycle lifecycle;
     private final List<SimulatedRelay> relays;
-    /** By relay: its last vote on the current build. */
+    /** The last vote of each relay since the current stage began, by relay number. */
     private final Map<Integer, Vote> votes = new HashMap<>();
 
     private final List<Long> stageDurationsUs = new ArrayList<>();
     private double voteTokens;
-    private long voteTokensUs;
+    private long voteTokensRefilledUs;
     private int build = BASE_BUILD;
     private int stage;
     private DecisionEngine.ReleasePhase phase = DecisionEngine.ReleasePhase.RELEASED;
@@ -51,7 +54,11 @@
     private long bakeFromUs;
     private int rejectedVotes;
 
-    /** @param relays all relays of the fleet, which may still be added to */
+    /**
+     * Creates a release controller whose base build is released.
+     *
+     * @param relays all relays of the fleet; relays may be added to this list later
+     */
     SimulatedReleaseController(
             Simulation simulation,
             SimulatedEndpoints endpoints,
@@ -65,31 +72,32 @@
         this.voteTokens = 2 * parameters.votesPerS;
     }
 
+    /** Returns the phase of the last rollout. */
     DecisionEngine.ReleasePhase phase() {
         return phase;
     }
 
-    /** When the current phase or stage began. */
+    /** Returns the time at which the current phase or stage began. */
     long phaseSinceUs() {
         return phaseSinceUs;
     }
 
-    /** How long each stage took that was passed. */
+    /** Returns the duration of each stage that was passed. */
     List<Long> stageDurationsUs() {
         return List.copyOf(stageDurationsUs);
     }
 
-    /** Whether the last build passed all of its stages. */
+    /** Returns whether the rollout passed all stages. */
     boolean passedAllStages() {
         return stageDurationsUs.size() == parameters.stageShares.length;
     }
 
-    /** Votes that were rejected because they came too fast. */
+    /** Returns the number of votes that were rejected by the rate limit. */
     int rejectedVotes() {
         return rejectedVotes;
     }
 
-    /** For each stage, the largest share of requests that may go to the canary. */
+    /** Returns, for each stage, the maximum share of requests that may be sent to the canary. */
     double[] stageCaps() {
         return Arrays.stream(parameters.stageShares)
                 .map(share -> Math.min(1, share * parameters.stageCapFactor))
@@ -98,8 +106,8 @@
 
     // ---- Rollout -------------------------------------------------------------------------------------------
 
-    /** Begins the rollout of the next build. */
-    void offerNextBuild() {
+    /** Starts the rollout of the next build. */
+    void startNextRollout() {
         build++;
         stage = 0;
         phase = DecisionEngine.ReleasePhase.TRIAL;
@@ -110,24 +118,25 @@
         phaseSinceUs = simulation.nowUs();
         bakeFromUs = Long.MAX_VALUE;
         votes.clear();
-        int running = endpoints.ofBuild(build).size();
-        int wanted = (int) Math.ceil(parameters.stageShares[stage] * parameters.endpoints);
+        int runningCount = endpoints.ofBuild(build).size();
+        int targetCount = (int) Math.ceil(parameters.stageShares[stage] * parameters.endpoints);
         simulation.schedule(LAUNCH_DELAY_US, () -> {
-            lifecycle.launch(build, wanted - running);
+            lifecycle.launch(build, targetCount - runningCount);
             bakeFromUs = simulation.nowUs() + BAKE_DELAY_US;
         });
         broadcastState();
     }
 
-    /** Evaluates the votes now, and again at a fixed interval. */
+    /** Evaluates the votes now and then periodically. */
     void evaluate() {
         simulation.schedule(EVALUATION_INTERVAL_US, this::evaluate);
-        boolean undecided = phase == DecisionEngine.ReleasePhase.TRIAL || phase == DecisionEngine.ReleasePhase.RELEASED;
-        if (!undecided || build == BASE_BUILD) {
+        boolean acceptsVotes =
+                phase == DecisionEngine.ReleasePhase.TRIAL || phase == DecisionEngine.ReleasePhase.RELEASED;
+        if (!acceptsVotes || build == BASE_BUILD) {
             return;
         }
         if (countVotes(Verdict.BACK) >= parameters.votesNeeded(parameters.rollbackShare)) {
-            enter(DecisionEngine.ReleasePhase.REVERTING, build);
+            enterPhase(DecisionEngine.ReleasePhase.REVERTING, build);
         } else if (mayPromote()) {
             promote();
         }
@@ -145,11 +154,11 @@
             stage++;
             beginStage();
         } else {
-            enter(DecisionEngine.ReleasePhase.RELEASED, build - 1);
+            enterPhase(DecisionEngine.ReleasePhase.RELEASED, build - 1);
         }
     }
 
-    private void enter(DecisionEngine.ReleasePhase next, int drainedBuild) {
+    private void enterPhase(DecisionEngine.ReleasePhase next, int drainedBuild) {
         phase = next;
         phaseSinceUs = simulation.nowUs();
         lifecycle.drain(drainedBuild);
@@ -169,10 +178,11 @@
         }
     }
 
-    /** Sends a relay the answer to its vote and, unless the vote was not counted, the state of the rollout. */
-    void sendState(SimulatedRelay relay, DecisionEngine.VoteResponse answer) {
-        if (answer != DecisionEngine.VoteResponse.NOT_ASKED && answer != DecisionEngine.VoteResponse.COUNTED) {
-            relay.receive(new State(0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, answer));
+    /** Sends a relay the response to its vote and, unless the vote was not counted, the state of the rollout. */
+    void sendState(SimulatedRelay relay, DecisionEngine.VoteResponse voteResponse) {
+        if (voteResponse != DecisionEngine.VoteResponse.NOT_ASKED
+                && voteResponse != DecisionEngine.VoteResponse.COUNTED) {
+            relay.receive(new State(0, 0, DecisionEngine.ReleasePhase.TRIAL, 0, 0, voteResponse));
             return;
         }
         long nowUs = simulation.nowUs();
@@ -183,7 +193,7 @@
                         phase == DecisionEngine.ReleasePhase.TRIAL
                                 ? new FleetRecords.CanaryCap(relay.number(), build, cap(), nowUs)
                                 : FleetRecords.CanaryCap.none(relay.number(), nowUs));
-        relay.receive(new State(build, stage, phase, cap(), nowUs - phaseSinceUs, answer));
+        relay.receive(new State(build, stage, phase, cap(), nowUs - phaseSinceUs, voteResponse));
     }
 
     private double cap() {
@@ -194,7 +204,7 @@
         };
     }
 
-    /** Takes a relay's vote: counts it, or tells that it is too much at once or of no use. */
+    /** Counts a relay's vote, or rejects it because of the rate limit or because it is for another build or stage. */
     DecisionEngine.VoteResponse receiveVote(int relay, int votedBuild, int votedStage, Verdict verdict) {
         long nowUs = simulation.nowUs();
         simulation.records().voteTimesUs.add(nowUs);
@@ -211,9 +221,9 @@
     }
 
     private boolean tryTakeToken(long nowUs) {
-        double refill = (nowUs - voteTokensUs) * parameters.votesPerS / VirtualClock.SECOND_US;
+        double refill = (nowUs - voteTokensRefilledUs) * parameters.votesPerS / VirtualClock.SECOND_US;
         voteTokens = Math.min(2 * parameters.votesPerS, voteTokens + refill);
-        voteTokensUs = nowUs;
+        voteTokensRefilledUs = nowUs;
         if (voteTokens < 1) {
             return false;
         }
@@ -221,7 +231,7 @@
         return true;
     }
 
-    /** The votes that count now; a vote for a rollback counts in whichever stage it was cast. */
+    /** Counts the valid votes; a vote for a rollback counts regardless of the stage in which it was cast. */
     private long countVotes(Verdict verdict) {
         return votes.values().stream()
                 .filter(vote -> vote.verdict == verdict
--- a/src/test/java/gatelock/fleet/VerdictRates.java
+++ b/src/test/java/gatelock/fleet/VerdictRates.java
@@ -4,19 +4,19 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** How often bad builds are released and good ones rolled back, over many seeds: prints a table, tests nothing. */
+/** Prints a table of how often bad builds are released and good ones rolled back, over many seeds. It is not a test. */
 final class VerdictRates {
     private static final int[] DEFAULT_FLEET_SIZES = {14, 50, 100};
     private static final double REQUESTS_PER_S = 340;
-    private static final long BEFORE_OFFER_US = 10 * VirtualClock.SECOND_US;
+    private static final long WARM_UP_US = 10 * VirtualClock.SECOND_US;
     private static final int PERIODS = 6;
     private static final long PERIOD_US = 5 * VirtualClock.SECOND_US;
     private static final double BURST_FACTOR = 1.5;
     private static final int BURST_START = 1;
     private static final int BURST_END = 3;
 
-    /** A canary build, and what happens beside it. */
-    private record Case(
+    /** A canary build and the disturbances during its rollout. */
+    private record BuildCase(
             String name,
             double errorRate,
             double workFactor,
@@ -24,29 +24,29 @@
             double faultUtilization,
             boolean pauses,
             boolean burst) {
-        Case(String name, double errorRate, double workFactor) {
+        BuildCase(String name, double errorRate, double workFactor) {
             this(name, errorRate, workFactor, 0, 0, false, false);
         }
     }
 
-    private static final List<Case> CASES = List.of(
-            new Case("good", 0, 1),
-            new Case("good, 15% slower", 0, 1.15),
-            new Case("good, units pause", 0, 1, 0, 0, true, false),
-            new Case("good, a burst", 0, 1, 0, 0, false, true),
-            new Case("errors 5%", 0.05, 1),
-            new Case("errors 10%", 0.1, 1),
-            new Case("errors 30%", 0.3, 1),
-            new Case("work x1.7", 0, 1.7),
-            new Case("work x2", 0, 2),
-            new Case("work x3", 0, 3),
-            new Case("work x2.5 from 6 s on", 0, 2.5, 6 * VirtualClock.SECOND_US, 0, false, false),
-            new Case("errors 10% from 6 s on", 0.1, 1, 6 * VirtualClock.SECOND_US, 0, false, false),
-            new Case("work x2.5 when busy", 0, 2.5, 0, 0.4, false, false));
+    private static final List<BuildCase> CASES = List.of(
+            new BuildCase("good", 0, 1),
+            new BuildCase("good, 15% slower", 0, 1.15),
+            new BuildCase("good, units pause", 0, 1, 0, 0, true, false),
+            new BuildCase("good, a burst", 0, 1, 0, 0, false, true),
+            new BuildCase("errors 5%", 0.05, 1),
+            new BuildCase("errors 10%", 0.1, 1),
+            new BuildCase("errors 30%", 0.3, 1),
+            new BuildCase("work x1.7", 0, 1.7),
+            new BuildCase("work x2", 0, 2),
+            new BuildCase("work x3", 0, 3),
+            new BuildCase("work x2.5 from 6 s on", 0, 2.5, 6 * VirtualClock.SECOND_US, 0, false, false),
+            new BuildCase("errors 10% from 6 s on", 0.1, 1, 6 * VirtualClock.SECOND_US, 0, false, false),
+            new BuildCase("work x2.5 when busy", 0, 2.5, 0, 0.4, false, false));
 
     private VerdictRates() {}
 
-    /** The first argument is the number of seeds, any further ones are sizes of fleets. */
+    /** Runs all cases; the first argument is the number of seeds, further ones are numbers of relays. */
     public static void main(String[] args) {
         int seeds = Integer.parseInt(args[0]);
         int[] fleetSizes = args.length == 1
@@ -56,7 +56,7 @@
                         .toArray();
         System.out.println("| relays | build | back before release | back after | stays | a stage, s |");
         for (int relays : fleetSizes) {
-            for (Case buildCase : CASES) {
+            for (BuildCase buildCase : CASES) {
                 List<SimulatedFleet> fleets = IntStream.rangeClosed(1, seeds)
                         .parallel()
                         .mapToObj(seed -> run(relays, seed, buildCase))
@@ -71,7 +71,7 @@
         long rolledBackLate = fleets.stream()
                 .filter(fleet -> isRolledBack(fleet) && wasReleased(fleet))
                 .count();
-        long stays = fleets.stream()
+        long keptReleases = fleets.stream()
                 .filter(fleet -> !isRolledBack(fleet) && wasReleased(fleet))
                 .count();
         double meanStageUs = fleets.stream()
@@ -81,7 +81,12 @@
                 .orElse(0);
         System.out.printf(
                 "| %d | %s | %d | %d | %d | %.2f |%n",
-                relays, name, rolledBack - rolledBackLate, rolledBackLate, stays, meanStageUs / VirtualClock.SECOND_US);
+                relays,
+                name,
+                rolledBack - rolledBackLate,
+                rolledBackLate,
+                keptReleases,
+                meanStageUs / VirtualClock.SECOND_US);
     }
 
     private static boolean isRolledBack(SimulatedFleet fleet) {
@@ -92,7 +97,7 @@
         return fleet.releaseController().passedAllStages();
     }
 
-    private static SimulatedFleet run(int relays, long seed, Case buildCase) {
+    private static SimulatedFleet run(int relays, long seed, BuildCase buildCase) {
         FleetParameters parameters = new FleetParameters();
         parameters.relays = relays;
         parameters.seed = seed;
@@ -102,8 +107,8 @@
         parameters.canaryFaultUtilization = buildCase.faultUtilization;
         parameters.requestsPerS = REQUESTS_PER_S;
         SimulatedFleet fleet = new SimulatedFleet(parameters);
-        fleet.run(BEFORE_OFFER_US);
-        fleet.releaseController().offerNextBuild();
+        fleet.run(WARM_UP_US);
+        fleet.releaseController().startNextRollout();
         for (int period = 0; period < PERIODS; period++) {
             fleet.run(PERIOD_US);
             if (buildCase.pauses) {
--- a/src/test/java/gatelock/fleet/VirtualClock.java
+++ b/src/test/java/gatelock/fleet/VirtualClock.java
@@ -4,8 +4,8 @@
 import java.util.PriorityQueue;
 
 /**
- * The simulated time of a fleet and its event queue. Events run in the order of their time; events due at the same time
- * run in the order in which they were scheduled, so that one seed gives one course of events.
+ * The simulated time of a fleet and its event queue. Events run in the order of their time. Events due at the same time
+ * run in the order in which they were scheduled, so that the same seed always produces the same sequence of events.
  */
 final class VirtualClock {
     static final long MILLISECOND_US = 1_000;
@@ -19,6 +19,7 @@
     private long nowUs = START_US;
     private long nextSequence;
 
+    /** Returns the current simulated time. */
     long nowUs() {
         return nowUs;
     }
@@ -28,7 +29,7 @@
         events.add(new Event(nowUs + delayUs, nextSequence++, action));
     }
 
-    /** Runs every event that is due within the next {@code durationUs} and then advances to their end. */
+    /** Runs every event that is due within the next {@code durationUs} and advances the clock by that time. */
     void runFor(long durationUs) {
         long untilUs = nowUs + durationUs;
         while (!events.isEmpty() && events.peek().atUs <= untilUs) {
--- a/src/test/java/gatelock/fleet/package-info.java
+++ b/src/test/java/gatelock/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * A simulated fleet: the real decision modules of many relays on one virtual clock, with simulated endpoints, clients,
- * discovery and a release controller around them. Its rules are checked from the records of what these saw.
+ * A discrete-event simulation of a fleet: the production decision engines of many relays on one virtual clock, with
+ * simulated endpoints, clients, service discovery and a release controller. The fleet's rules are checked against the
+ * recorded observations of these simulated parts.
  */
 package gatelock.fleet;
