--- a/src/test/java/gatelock/fleet/ClientLoad.java
+++ b/src/test/java/gatelock/fleet/ClientLoad.java
@@ -18,14 +18,18 @@
             route(RoutePolicy.RetrySafety.NON_RETRIABLE, 10, 4, 5, 16));
 
     private static Route route(
-            RoutePolicy.RetrySafety retrySafety, int dedupWindowS, int objectiveS, double value, int clientTimeoutS) {
+            RoutePolicy.RetrySafety retrySafety,
+            int dedupWindowS,
+            int latencyObjectiveS,
+            double priorityWeight,
+            int clientTimeoutS) {
         return new Route(
                 new RoutePolicy(
                         retrySafety,
                         RoutePolicy.DedupScope.ALL,
                         dedupWindowS * VirtualClock.SECOND_US,
-                        objectiveS * VirtualClock.SECOND_US,
-                        value),
+                        latencyObjectiveS * VirtualClock.SECOND_US,
+                        priorityWeight),
                 clientTimeoutS * VirtualClock.SECOND_US);
     }
 
--- a/src/test/java/gatelock/fleet/FleetParameters.java
+++ b/src/test/java/gatelock/fleet/FleetParameters.java
@@ -3,8 +3,8 @@
 import gatelock.membership.EndpointSubset;
 
 /**
- * The parameters of a simulated fleet. The defaults are round numbers that were chosen, not measured. Callers set
- * individual fields before they create a {@link SimulatedFleet}.
+ * The parameters of a simulated fleet. The defaults are round numbers. Callers set individual fields before they create
+ * a {@link SimulatedFleet}.
  */
 final class FleetParameters {
     int relays = 100;
@@ -41,7 +41,7 @@
 
     /** The window of rule 5. */
     long exposureWindowUs = 2 * VirtualClock.SECOND_US;
-    /** Minimum time in a stage before the canary may be promoted. */
+    /** Time for which the canary must have run in a stage before it may be promoted. */
     long bakeTimeUs = VirtualClock.SECOND_US;
     /** Share of all relays that must vote for promotion to the next stage. */
     double promotionShare = 0.4;
--- a/src/test/java/gatelock/fleet/InjectedFault.java
+++ b/src/test/java/gatelock/fleet/InjectedFault.java
@@ -1,6 +1,6 @@
 package gatelock.fleet;
 
-/** A fault that is injected into a simulated fleet to test that the rule checker detects it. */
+/** A fault that can be injected into a simulated fleet to test that the rule checker detects it. */
 enum InjectedFault {
     /** No fault. */
     NONE,
--- a/src/test/java/gatelock/fleet/RelayEndpointList.java
+++ b/src/test/java/gatelock/fleet/RelayEndpointList.java
@@ -109,10 +109,10 @@
         }
         for (EndpointEntry entry : entries) {
             int number = endpoints.get(entry.name()).number();
-            boolean holds = entry.health() != Endpoint.Health.GONE;
-            if (heldEndpoints.get(number) != holds) {
-                heldEndpoints.set(number, holds);
-                discovery.addHolders(number, holds ? 1 : -1);
+            boolean isHeld = entry.health() != Endpoint.Health.GONE;
+            if (heldEndpoints.get(number) != isHeld) {
+                heldEndpoints.set(number, isHeld);
+                discovery.addHolders(number, isHeld ? 1 : -1);
             }
         }
     }
--- a/src/test/java/gatelock/fleet/RuleCheckerTest.java
+++ b/src/test/java/gatelock/fleet/RuleCheckerTest.java
@@ -126,7 +126,7 @@
         assertThat(violations()).isEmpty();
         delivery.expect(2, 4 * SECOND_US);
         assertThat(violations())
-                .as("violations while the change is still in transit")
+                .as("no violation while the change is still in transit")
                 .isEmpty();
         assertThat(records.undelivered()).isEqualTo(1);
     }
--- a/src/test/java/gatelock/fleet/SimulatedDiscovery.java
+++ b/src/test/java/gatelock/fleet/SimulatedDiscovery.java
@@ -100,9 +100,9 @@
     }
 
     private void put(Entry entry) {
-        boolean gone = entry.endpoint.health() == Endpoint.Health.GONE;
-        Entry previous = gone ? entriesByName.remove(entry.name()) : entriesByName.put(entry.name(), entry);
-        listBytes += gone ? 0 : length(entry);
+        boolean isGone = entry.endpoint.health() == Endpoint.Health.GONE;
+        Entry previous = isGone ? entriesByName.remove(entry.name()) : entriesByName.put(entry.name(), entry);
+        listBytes += isGone ? 0 : length(entry);
         listBytes -= previous == null ? 0 : length(previous);
     }
 
@@ -164,7 +164,7 @@
     }
 
     /**
-     * Records how many relays hold each listed endpoint; does nothing without subsetting.
+     * Records how many relays hold each listed endpoint that any relay holds; does nothing without subsetting.
      *
      * @param relays the number of simulated relays
      * @param numberOf returns the number of the endpoint with a name
--- a/src/test/java/gatelock/fleet/SimulatedFleetTest.java
+++ b/src/test/java/gatelock/fleet/SimulatedFleetTest.java
@@ -65,7 +65,7 @@
         fleet.run(25 * SECOND_US);
         assertThat(fleet.releaseController().phase()).isEqualTo(DecisionEngine.ReleasePhase.REVERTING);
         assertThat(fleet.releaseController().stageDurationsUs().size())
-                .as("stages passed")
+                .as("stages passed before the rollback")
                 .isLessThan(parameters.stageShares.length);
         assertThat(fleet.finish()).isEmpty();
     }
