--- a/src/main/java/gatelock/api/AttemptResult.java
+++ b/src/main/java/gatelock/api/AttemptResult.java
@@ -20,9 +20,9 @@
     NOT_SENT(true);
 
     /** Whether this result proves that the endpoint never executed the request. */
-    public final boolean neverRan;
+    public final boolean neverExecuted;
 
     AttemptResult(boolean neverExecuted) {
-        this.neverRan = neverExecuted;
+        this.neverExecuted = neverExecuted;
     }
 }
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -178,7 +178,7 @@
         pipeline.start();
         DiscoveryClient discovery = pipeline.discovery();
         if (controlPlane != null) {
-            controlPlane.showEndpointList(discovery::state);
+            controlPlane.showEndpointList(discovery::status);
         }
         discovery.onPollFailure(() -> reloader.reloadOnDiscoveryFailure(() -> config.discovery()));
     }
@@ -289,7 +289,7 @@
 
     /** Returns the state of the endpoint list if this relay uses a subset of it, otherwise an empty text. */
     private String endpointListState() {
-        DiscoveryClient.ListStatus list = pipeline.discovery().state();
+        DiscoveryClient.ListStatus list = pipeline.discovery().status();
         if (!list.usesSubset()) {
             return "";
         }
--- a/src/main/java/gatelock/config/RetryPolicy.java
+++ b/src/main/java/gatelock/config/RetryPolicy.java
@@ -22,6 +22,6 @@
 
     /** Returns whether the policy allows a retry after an attempt that may have been executed. */
     boolean mayExecuteTwice() {
-        return maxAttempts > 1 && retryableResults.stream().anyMatch(result -> !result.neverRan);
+        return maxAttempts > 1 && retryableResults.stream().anyMatch(result -> !result.neverExecuted);
     }
 }
--- a/src/main/java/gatelock/decision/Attempt.java
+++ b/src/main/java/gatelock/decision/Attempt.java
@@ -58,8 +58,8 @@
     }
 
     /** Whether it has ended and was provably not executed. */
-    boolean neverRan() {
-        return result != null && result.neverRan;
+    boolean neverExecuted() {
+        return result != null && result.neverExecuted;
     }
 
     /** Marks it as cancelled by this relay. */
--- a/src/main/java/gatelock/decision/RequestRouter.java
+++ b/src/main/java/gatelock/decision/RequestRouter.java
@@ -142,7 +142,7 @@
         RelaySettings settings = context.settings();
         int maxAttempts = Math.min(settings.maxAttempts(), request.constraints().maxAttempts());
         return !request.isPastDeadline()
-                && (request.neverRan() || !request.isNonRetriable())
+                && (request.neverExecuted() || !request.isNonRetriable())
                 && retryBudget.covers(cost)
                 && request.attempts().size() < maxAttempts
                 && request.constraints().acquireRetry(context.nowUs(), last);
--- a/src/main/java/gatelock/decision/RequestState.java
+++ b/src/main/java/gatelock/decision/RequestState.java
@@ -167,13 +167,15 @@
     }
 
     /** Whether none of its attempts can have been executed. */
-    boolean neverRan() {
-        return attempts.stream().allMatch(Attempt::neverRan);
+    boolean neverExecuted() {
+        return attempts.stream().allMatch(Attempt::neverExecuted);
     }
 
     /** Whether the client may safely send it again, to any endpoint. */
     boolean isSafeToRetry() {
-        return neverRan() || isRetriable() || (isDeduplicated() && policy.dedupScope() == RoutePolicy.DedupScope.ALL);
+        return neverExecuted()
+                || isRetriable()
+                || (isDeduplicated() && policy.dedupScope() == RoutePolicy.DedupScope.ALL);
     }
 
     /** Whether an attempt was sent to this endpoint before. */
@@ -189,7 +191,7 @@
         return isRetriable()
                 || attempts.stream()
                         .limit(earlierAttemptCount)
-                        .allMatch(earlier -> earlier.neverRan() || isDuplicateDropped(earlier, endpoint));
+                        .allMatch(earlier -> earlier.neverExecuted() || isDuplicateDropped(earlier, endpoint));
     }
 
     /**
--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -211,7 +211,7 @@
     }
 
     /** Returns the status of the endpoint list. */
-    public ListStatus state() {
+    public ListStatus status() {
         if (subsetOptions == null) {
             int used = addresses.size();
             return new ListStatus(false, used, used, 1, index, applier.changedUs(), failures.tooLongCount());
@@ -298,7 +298,7 @@
 
         @Override
         public void fullListApplied() {
-            failures.logStatus(state());
+            failures.logStatus(status());
         }
 
         @Override
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -235,7 +235,7 @@
 
     /** Called when the client has closed its connection or aborted its own request. */
     void clientLeft(HttpServerExchange exchange) {
-        connections.close(eventLoop.nowUs(), connectionOf(exchange), ClientCloseReason.CLIENT_LEFT);
+        connections.close(eventLoop.nowUs(), connectionOf(exchange), ClientCloseReason.CLIENT_DISCONNECTED);
     }
 
     /**
@@ -296,7 +296,7 @@
 
     private void awaitLastConnection(Runnable onComplete) {
         if (draining) {
-            connections.closeQuiet(eventLoop.nowUs());
+            connections.closeInactive(eventLoop.nowUs());
         }
         if (connections.size() == 0) {
             onComplete.run();
--- a/src/main/java/gatelock/http/HttpResponseSink.java
+++ b/src/main/java/gatelock/http/HttpResponseSink.java
@@ -50,7 +50,7 @@
      * response, and would not detect it.
      */
     void watchForClose() {
-        if (request.isOver()
+        if (request.isCompleted()
                 || !(exchange.getConnection() instanceof HttpServerConnection connection)
                 || connection.getExtraBytes() != null) {
             return;
@@ -62,7 +62,7 @@
 
     private void readAhead(HttpServerConnection connection, StreamSourceConduit source) {
         source.suspendReads();
-        if (request.isOver()) {
+        if (request.isCompleted()) {
             return;
         }
         PooledByteBuffer pooled = connection.getByteBufferPool().allocate();
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -51,7 +51,7 @@
     /** Registers and sends an attempt. Without an address it ends as not connected. */
     void send(InFlightRequest request, String endpoint, InetSocketAddress address, long timeoutUs) {
         Attempt attempt = new Attempt(request, endpoint);
-        if (request.isOver() || eventLoop.nowUs() >= request.deadlineUs()) {
+        if (request.isCompleted() || eventLoop.nowUs() >= request.deadlineUs()) {
             attempt.end(AttemptResult.NOT_SENT, null);
         } else if (address == null) {
             attempt.end(AttemptResult.NOT_CONNECTED, null);
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -44,19 +44,19 @@
     public void attemptEnded(
             InFlightRequest request, int attemptNo, AttemptResult result, long durationUs, UpstreamResponse response) {
         counters.attemptEnded(result);
-        if (result == AttemptResult.COMPLETED && !request.isOver()) {
+        if (result == AttemptResult.COMPLETED && !request.isCompleted()) {
             responseWriter.forward(request, response);
         }
         request.handle()
-                .attemptEnded(eventLoop.nowUs(), attemptNo, result, durationUs, request.isOver(), LoadReport.NONE);
+                .attemptEnded(eventLoop.nowUs(), attemptNo, result, durationUs, request.isCompleted(), LoadReport.NONE);
         removeIfSettled(request);
     }
 
     /** Records that the client of a request has closed the connection. */
     void clientLeft(InFlightRequest request) {
-        if (!request.isOver()) {
+        if (!request.isCompleted()) {
             counters.increment("callers left");
-            inFlight.markOver(request);
+            inFlight.markCompleted(request);
             if (request.isAccepted()) {
                 request.handle().responseNoLongerOwed(eventLoop.nowUs());
             }
@@ -66,7 +66,7 @@
 
     /** Removes a request if it is over and its last attempt has ended. Its response may still be in transit. */
     void removeIfSettled(InFlightRequest request) {
-        if (request.isOver() && (!request.isAccepted() || request.handle().isSettled())) {
+        if (request.isCompleted() && (!request.isAccepted() || request.handle().isSettled())) {
             inFlight.remove(request);
         }
     }
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -87,7 +87,7 @@
         Admission.RoutedRequest routedRequest = admission.admit(
                 eventLoop.nowUs(), matchedRoute, profile.tenant(), request.deadlineUs(), limitedRequest);
         limitedRequest.routedRequest = routedRequest;
-        request.onOver(() -> {
+        request.onCompleted(() -> {
             routedRequest.release(eventLoop.nowUs());
             scheduleLimitCheck();
         });
@@ -114,7 +114,7 @@
     private void submitToEngine(InFlightRequest request, RequestProfile profile, RequestConstraints constraints) {
         if (startupQueue.isOpen()) {
             long nowUs = eventLoop.nowUs();
-            request.accepted(engine.acceptRequest(
+            request.markAccepted(engine.acceptRequest(
                     nowUs,
                     request.id(),
                     profile.route(),
@@ -160,7 +160,7 @@
             // This method may be called while the decision engine processes another request, so the request is passed
             // to the engine later.
             eventLoop.execute(() -> {
-                if (!request.isOver()) {
+                if (!request.isCompleted()) {
                     submitToEngine(request, profile, routedRequest);
                 }
             });
--- a/src/main/java/gatelock/pipeline/ResponseWriter.java
+++ b/src/main/java/gatelock/pipeline/ResponseWriter.java
@@ -28,24 +28,24 @@
     /** Forwards the response of an endpoint to the client of a request that is not over. */
     void forward(InFlightRequest request, UpstreamResponse response) {
         counters.increment("completed");
-        inFlight.markOver(request);
+        inFlight.markCompleted(request);
         request.responseSink().forward(response);
     }
 
     /** Rejects a request, unless it is over. If {@code retryAfterUs} is 0, no Retry-After is sent. */
     void reject(InFlightRequest request, long retryAfterUs) {
-        if (!request.isOver()) {
+        if (!request.isCompleted()) {
             counters.increment("shed");
-            inFlight.markOver(request);
+            inFlight.markCompleted(request);
             request.responseSink().reject(retryAfterUs);
         }
     }
 
     /** Reports a request as failed, unless it is over. */
     void fail(InFlightRequest request) {
-        if (!request.isOver()) {
+        if (!request.isCompleted()) {
             counters.increment("errored");
-            inFlight.markOver(request);
+            inFlight.markCompleted(request);
             request.responseSink().fail(eventLoop.nowUs() >= request.deadlineUs());
         }
     }
--- a/src/main/java/gatelock/state/ClientCloseReason.java
+++ b/src/main/java/gatelock/state/ClientCloseReason.java
@@ -19,7 +19,7 @@
     /** A request was rejected before it was read completely. */
     REJECTED("clients closed, refused"),
     /** The client closed the connection or aborted its request. */
-    CLIENT_LEFT("clients closed, gone first");
+    CLIENT_DISCONNECTED("clients closed, gone first");
 
     private final String counter;
 
@@ -37,7 +37,7 @@
      * response any more.
      */
     boolean appliesInAnyState() {
-        return this == CLIENT_LEFT || this == REJECTED;
+        return this == CLIENT_DISCONNECTED || this == REJECTED;
     }
 
     /** Returns the reason for closing a connection that timed out in a state. */
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -262,7 +262,7 @@
     }
 
     /** Closes, for shutdown, the connections without a request or response in progress. */
-    public void closeQuiet(long nowUs) {
+    public void closeInactive(long nowUs) {
         for (ClientConnectionState state :
                 List.of(ClientConnectionState.AWAITING_FIRST_REQUEST, ClientConnectionState.IDLE)) {
             for (C connection : new ArrayList<>(byState.get(state))) {
--- a/src/main/java/gatelock/state/IdleConnections.java
+++ b/src/main/java/gatelock/state/IdleConnections.java
@@ -94,7 +94,7 @@
     }
 
     /** Closes the connections that became idle before the given time. */
-    public void closeBefore(long timeUs) {
+    public void closeIdleSinceBefore(long timeUs) {
         while (!idleSince.isEmpty() && idleSince.values().iterator().next().timeUs < timeUs) {
             closeOldest();
         }
--- a/src/main/java/gatelock/state/InFlightRequest.java
+++ b/src/main/java/gatelock/state/InFlightRequest.java
@@ -64,13 +64,13 @@
         return responseSink;
     }
 
-    /** Returns the decision engine's handle, or null before {@link #accepted}. */
+    /** Returns the decision engine's handle, or null before {@link #markAccepted}. */
     public RequestHandle handle() {
         return handle;
     }
 
     /** Records that the decision engine has accepted the request. */
-    public void accepted(RequestHandle handle) {
+    public void markAccepted(RequestHandle handle) {
         this.handle = handle;
     }
 
@@ -80,12 +80,12 @@
     }
 
     /** Returns whether the request has its final answer or the client has disconnected. */
-    public boolean isOver() {
+    public boolean isCompleted() {
         return completed;
     }
 
     /** Marks the request as completed and runs the completion action. */
-    void markOver() {
+    void markCompleted() {
         completed = true;
         if (completionAction != null) {
             completionAction.run();
@@ -124,7 +124,7 @@
     }
 
     /** Sets the action that runs once the request is completed. */
-    public void onOver(Runnable action) {
+    public void onCompleted(Runnable action) {
         completionAction = action;
     }
 
--- a/src/main/java/gatelock/state/InFlightRequests.java
+++ b/src/main/java/gatelock/state/InFlightRequests.java
@@ -33,9 +33,9 @@
     }
 
     /** Marks a request as completed: it gets its final answer now, or its client has disconnected. */
-    public void markOver(InFlightRequest request) {
-        counters.checkInvariant(!request.isOver(), "a second final answer");
-        request.markOver();
+    public void markCompleted(InFlightRequest request) {
+        counters.checkInvariant(!request.isCompleted(), "a second final answer");
+        request.markCompleted();
     }
 
     /** Removes a request that is completed and whose attempts have all ended. */
--- a/src/main/java/gatelock/websocket/OpeningHandshake.java
+++ b/src/main/java/gatelock/websocket/OpeningHandshake.java
@@ -60,7 +60,7 @@
      */
     void start(HandshakeRequest handshakeRequest, InetSocketAddress address, long timeoutUs) {
         long leftUs = request.deadlineUs() - startUs;
-        if (request.isOver() || leftUs <= 0) {
+        if (request.isCompleted() || leftUs <= 0) {
             end(AttemptResult.NOT_SENT);
             return;
         }
@@ -109,7 +109,7 @@
     }
 
     private void connected(WebSocketChannel channel, String selectedSubprotocol) {
-        if (ended || request.isOver()) {
+        if (ended || request.isCompleted()) {
             IoUtils.safeClose(channel);
             end(AttemptResult.CANCELLED);
             return;
