--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -147,8 +147,8 @@
     }
 
     /** Includes the state of the endpoint list in the status that operators see. */
-    void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
-        adminServer.showEndpointList(endpointList);
+    void setEndpointListStatus(Supplier<DiscoveryClient.ListStatus> endpointList) {
+        adminServer.setEndpointListStatus(endpointList);
     }
 
     /** Polls the control services that a reloaded operator's file names, from now on. */
--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -178,7 +178,7 @@
         pipeline.start();
         DiscoveryClient discovery = pipeline.discovery();
         if (controlPlane != null) {
-            controlPlane.showEndpointList(discovery::status);
+            controlPlane.setEndpointListStatus(discovery::status);
         }
         discovery.onPollFailure(() -> reloader.reloadOnDiscoveryFailure(() -> config.discovery()));
     }
@@ -257,7 +257,7 @@
         LOG.log(Level.INFO, "shutdown complete: " + counters);
     }
 
-    private void shutDown(Runnable whenDone) {
+    private void shutDown(Runnable onComplete) {
         if (controlPlane != null) {
             controlPlane.stop();
         }
@@ -267,14 +267,14 @@
         if (sessions != null) {
             sessions.drainAll(eventLoop.nowUs(), eventLoop.nowUs() + remainingUs - SESSION_CLOSE_MARGIN_US);
         }
-        clientListener.shutDown(remainingUs, () -> awaitSessions(whenDone));
+        clientListener.shutDown(remainingUs, () -> awaitSessions(onComplete));
     }
 
-    private void awaitSessions(Runnable whenDone) {
+    private void awaitSessions(Runnable onComplete) {
         if (sessions == null || sessions.size() == 0) {
-            whenDone.run();
+            onComplete.run();
         } else {
-            eventLoop.schedule(SESSION_CHECK_INTERVAL_US, () -> awaitSessions(whenDone));
+            eventLoop.schedule(SESSION_CHECK_INTERVAL_US, () -> awaitSessions(onComplete));
         }
     }
 
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -27,10 +27,10 @@
             int route,
             int tenant,
             long key,
-            long leftUs,
+            long remainingUs,
             long costUs,
             RequestConstraints constraints) {
-        return engine.acceptRequest(nowUs, id, route, tenant, key, leftUs, costUs, constraints);
+        return engine.acceptRequest(nowUs, id, route, tenant, key, remainingUs, costUs, constraints);
     }
 
     @Override
@@ -39,15 +39,15 @@
     }
 
     @Override
-    public void endpointsUpdated(long nowUs, EndpointUpdateType form, List<Endpoint> endpoints) {
-        engine.endpointsUpdated(nowUs, form, endpoints);
-        sessions.updateEndpoints(nowUs, form, endpoints);
+    public void endpointsUpdated(long nowUs, EndpointUpdateType updateType, List<Endpoint> endpoints) {
+        engine.endpointsUpdated(nowUs, updateType, endpoints);
+        sessions.updateEndpoints(nowUs, updateType, endpoints);
     }
 
     @Override
     public void releaseStateUpdated(
-            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse voteResponse) {
-        engine.releaseStateUpdated(nowUs, build, stage, phase, cap, agoUs, voteResponse);
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long ageUs, VoteResponse voteResponse) {
+        engine.releaseStateUpdated(nowUs, build, stage, phase, cap, ageUs, voteResponse);
         // Any other response is about a vote that was not counted, and carries no release state.
         if (voteResponse == VoteResponse.NOT_ASKED || voteResponse == VoteResponse.COUNTED) {
             sessions.updateRelease(nowUs, build, phase);
@@ -55,13 +55,13 @@
     }
 
     @Override
-    public void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
-        engine.complaintReceived(nowUs, endpoint, route, agoUs);
+    public void complaintReceived(long nowUs, String endpoint, int route, long attemptAgeUs) {
+        engine.complaintReceived(nowUs, endpoint, route, attemptAgeUs);
     }
 
     @Override
-    public void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
-        engine.fleetSampleReceived(nowUs, build, route, count, failed, meanUs, agoUs);
+    public void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long sampleAgeUs) {
+        engine.fleetSampleReceived(nowUs, build, route, count, failed, meanUs, sampleAgeUs);
     }
 
     @Override
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -51,7 +51,7 @@
     private final EventLoop eventLoop;
     private final ClientListener clientListener;
     private final HttpHandler clientHandler;
-    private final Consumer<StartupWarmUp> whenDone;
+    private final Consumer<StartupWarmUp> onComplete;
     private final Counters counters = new Counters();
     private final RequestPipeline pipeline;
     private final ConnectionPool clientPool;
@@ -67,7 +67,7 @@
      * @param address the address on which this relay listens
      * @param clientListener accepts the connections of the warm-up and of clients
      * @param clientHandler handles requests that do not belong to the warm-up
-     * @param whenDone called once all requests of the warm-up have ended
+     * @param onComplete called once all requests of the warm-up have ended
      */
     StartupWarmUp(
             RelayConfig config,
@@ -75,13 +75,13 @@
             EventLoop eventLoop,
             ClientListener clientListener,
             HttpHandler clientHandler,
-            Consumer<StartupWarmUp> whenDone) {
+            Consumer<StartupWarmUp> onComplete) {
         this.clientHandler = clientHandler;
         this.config = config;
         this.address = address;
         this.eventLoop = eventLoop;
         this.clientListener = clientListener;
-        this.whenDone = whenDone;
+        this.onComplete = onComplete;
         this.pipeline = new RequestPipeline(config, eventLoop, counters, clientListener, null, null, null);
         this.clientPool = new ConnectionPool(
                 eventLoop, new Counters(), CONNECT_TIMEOUT_US, IDLE_TIMEOUT_US, 0, CONCURRENT_REQUESTS);
@@ -225,6 +225,6 @@
         LOG.log(Level.INFO, "rehearsed " + sent + " requests: " + counters);
         pipeline.stopWarmUp();
         clientPool.shutdown();
-        whenDone.accept(this);
+        onComplete.accept(this);
     }
 }
--- a/src/main/java/gatelock/config/CompiledConfig.java
+++ b/src/main/java/gatelock/config/CompiledConfig.java
@@ -188,9 +188,9 @@
     }
 
     /** Returns whether any request can reach endpoints with these properties. */
-    boolean reaches(int zone, int kind, Map<String, String> labels) {
+    boolean reaches(int zone, int instanceType, Map<String, String> labels) {
         return reachesAllEndpoints
-                || reachableSelectors.stream().anyMatch(selector -> selector.selects(zone, kind, labels));
+                || reachableSelectors.stream().anyMatch(selector -> selector.selects(zone, instanceType, labels));
     }
 
     /** Returns the names of all retry policies that can apply to a request. */
--- a/src/main/java/gatelock/config/ConfigChangeGuard.java
+++ b/src/main/java/gatelock/config/ConfigChangeGuard.java
@@ -48,11 +48,11 @@
 
     /** Returns an error for each reason why replacing the active version with the next one would be dangerous. */
     List<Diagnostic> check(long nowUs, CompiledConfig active, CompiledConfig next, PoolMembership membership) {
-        List<Diagnostic> findings = new ArrayList<>();
+        List<Diagnostic> diagnostics = new ArrayList<>();
         // Sorted by route name, so that the findings have a fixed order.
         new TreeMap<>(trafficByRoute).forEach((route, traffic) -> {
             if (isDropped(route, active, next) && traffic.read(nowUs) >= MIN_TRAFFIC) {
-                findings.add(Diagnostic.newError(
+                diagnostics.add(Diagnostic.newError(
                         "B-TRAFFIC",
                         "/routes",
                         "route " + route + " is gone, and had requests in the last minute",
@@ -61,14 +61,14 @@
         });
         PoolMembership.ReachComparison reach = membership.compareReach(active, next);
         if (reach.dropped() > maxDroppedShare * reach.reached()) {
-            findings.add(Diagnostic.newError(
+            diagnostics.add(Diagnostic.newError(
                     "B-UNITS",
                     "/pools",
                     reach.dropped() + " of " + reach.reached()
                             + " endpoints that routes reach would get no requests any more",
                     "do it in steps of less than " + Math.round(maxDroppedShare * 100) + "%, or correct the pools"));
         }
-        return findings;
+        return diagnostics;
     }
 
     private static boolean isDropped(String route, CompiledConfig active, CompiledConfig next) {
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -58,33 +58,33 @@
      * @param text the version's text in UTF-8
      */
     public Result compile(ConfigVersion.Epoch epoch, long number, byte[] text) {
-        List<Diagnostic> findings = new ArrayList<>();
-        ConfigDocument document = ConfigDocument.parse(text, findings);
+        List<Diagnostic> diagnostics = new ArrayList<>();
+        ConfigDocument document = ConfigDocument.parse(text, diagnostics);
         if (document == null) {
-            return new Result(null, List.copyOf(findings));
+            return new Result(null, List.copyOf(diagnostics));
         }
         CompiledConfig compiled = null;
-        SchemaValidator.PLAN.validate(document, findings);
-        if (!hasErrors(findings)) {
+        SchemaValidator.PLAN.validate(document, diagnostics);
+        if (!hasErrors(diagnostics)) {
             ResolvedConfig config = new ResolvedConfig(document);
-            ConfigValidator.validate(config, deployment, findings);
-            if (!hasErrors(findings)) {
+            ConfigValidator.validate(config, deployment, diagnostics);
+            if (!hasErrors(diagnostics)) {
                 compiled = compile(new ConfigVersion(epoch, number, ConfigVersion.hash(text)), config);
             }
         }
-        return new Result(compiled, document.withLocations(truncate(findings)));
+        return new Result(compiled, document.withLocations(truncate(diagnostics)));
     }
 
-    private static boolean hasErrors(List<Diagnostic> findings) {
-        return findings.stream().anyMatch(Diagnostic::isError);
+    private static boolean hasErrors(List<Diagnostic> diagnostics) {
+        return diagnostics.stream().anyMatch(Diagnostic::isError);
     }
 
-    private static List<Diagnostic> truncate(List<Diagnostic> findings) {
-        if (findings.size() <= MAX_REPORTED_FINDINGS) {
-            return findings;
+    private static List<Diagnostic> truncate(List<Diagnostic> diagnostics) {
+        if (diagnostics.size() <= MAX_REPORTED_FINDINGS) {
+            return diagnostics;
         }
-        List<Diagnostic> reported = new ArrayList<>(findings.subList(0, MAX_REPORTED_FINDINGS));
-        int omitted = findings.size() - MAX_REPORTED_FINDINGS;
+        List<Diagnostic> reported = new ArrayList<>(diagnostics.subList(0, MAX_REPORTED_FINDINGS));
+        int omitted = diagnostics.size() - MAX_REPORTED_FINDINGS;
         reported.add(Diagnostic.newWarning(
                 "G-MORE", "", omitted + " more findings are not reported", "correct these first"));
         return reported;
@@ -193,7 +193,7 @@
         return new Pool(
                 name,
                 indices(node.path("zones"), deployment.zones()),
-                indices(node.path("kinds"), deployment.kinds()),
+                indices(node.path("kinds"), deployment.instanceTypes()),
                 labels,
                 node.path("fallback").asText(null),
                 node.path("leastShare").asDouble(0));
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -198,7 +198,7 @@
 
     private String describe(Pool pool) {
         return "zones " + names(pool.zones(), deployment.zones())
-                + ", kinds " + names(pool.kinds(), deployment.kinds())
+                + ", kinds " + names(pool.instanceTypes(), deployment.instanceTypes())
                 + ", labels " + (pool.labels().isEmpty() ? "any" : pool.labels())
                 + (pool.fallback() == null ? "" : ", fallback " + pool.fallback() + " under " + pool.minReadyShare());
     }
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -47,25 +47,25 @@
      * Parses a text as a single JSON object.
      *
      * @param text the text in UTF-8
-     * @param findings receives an error if the text is not valid
+     * @param diagnostics receives an error if the text is not valid
      * @return the document, or null if the text is not JSON, is not a single object, or repeats a field name
      */
-    public static ConfigDocument parse(byte[] text, List<Diagnostic> findings) {
+    public static ConfigDocument parse(byte[] text, List<Diagnostic> diagnostics) {
         try (JsonParser parser = newParser(text)) {
             parser.nextToken();
             JsonNode root = parser.currentToken() == null ? null : readValue(parser);
             if (root instanceof ObjectNode && parser.nextToken() == null) {
                 return new ConfigDocument(text, root);
             }
-            findings.add(Diagnostic.newError(
+            diagnostics.add(Diagnostic.newError(
                             "G-FORM", "", "it is not one JSON object", "send one object and nothing behind it")
                     .withLocation(
                             parser.currentTokenLocation().getLineNr(),
                             parser.currentTokenLocation().getColumnNr()));
         } catch (JsonProcessingException e) {
-            findings.add(syntaxError(e));
+            diagnostics.add(syntaxError(e));
         } catch (IOException e) {
-            findings.add(Diagnostic.newError("G-JSON", "", "it can't be read: " + e.getMessage(), "correct the text"));
+            diagnostics.add(Diagnostic.newError("G-JSON", "", "it can't be read: " + e.getMessage(), "correct the text"));
         }
         return null;
     }
@@ -133,10 +133,10 @@
      * Returns the same findings, each with the line and column of the value it points at. A finding about something absent
      * from the text gets the location of its nearest ancestor that is present.
      */
-    public List<Diagnostic> withLocations(List<Diagnostic> findings) {
-        Map<String, JsonLocation> locations = locate(findings);
-        List<Diagnostic> located = new ArrayList<>(findings.size());
-        for (Diagnostic finding : findings) {
+    public List<Diagnostic> withLocations(List<Diagnostic> diagnostics) {
+        Map<String, JsonLocation> locations = locate(diagnostics);
+        List<Diagnostic> located = new ArrayList<>(diagnostics.size());
+        for (Diagnostic finding : diagnostics) {
             String nearest = finding.pointer();
             while (locations.get(nearest) == null) {
                 nearest = parentPointer(nearest);
@@ -151,10 +151,10 @@
      * Returns the locations, by JSON pointer, of the values that the findings point at and of their ancestors; a pointer
      * to something absent from the text maps to null.
      */
-    private Map<String, JsonLocation> locate(List<Diagnostic> findings) {
+    private Map<String, JsonLocation> locate(List<Diagnostic> diagnostics) {
         Map<String, JsonLocation> locations = new HashMap<>();
         locations.put("", null);
-        for (Diagnostic finding : findings) {
+        for (Diagnostic finding : diagnostics) {
             for (String pointer = finding.pointer(); !pointer.isEmpty(); pointer = parentPointer(pointer)) {
                 locations.put(pointer, null);
             }
--- a/src/main/java/gatelock/config/ConfigValidator.java
+++ b/src/main/java/gatelock/config/ConfigValidator.java
@@ -18,8 +18,8 @@
     private ConfigValidator() {}
 
     /** Validates a document and adds all findings to {@code findings}. */
-    static void validate(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> findings) {
-        ValidationContext context = new ValidationContext(config, deployment, findings);
+    static void validate(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> diagnostics) {
+        ValidationContext context = new ValidationContext(config, deployment, diagnostics);
         validateDefaults(context);
         new PoolValidator(context).validate();
         new LimitValidator(context).validateDefinitions();
--- a/src/main/java/gatelock/config/DeploymentContext.java
+++ b/src/main/java/gatelock/config/DeploymentContext.java
@@ -12,7 +12,7 @@
  * @param deadlinesUs the deadline of each class in microseconds, by class index; 0 if the class has none
  * @param tenantIndices index of each tenant by its name
  * @param zones names of the zones, by zone index
- * @param kinds names of the endpoint kinds, by kind index
+ * @param instanceTypes names of the endpoint kinds, by kind index
  */
 public record DeploymentContext(
         Map<String, Integer> classIndices,
@@ -20,7 +20,7 @@
         List<Long> deadlinesUs,
         Map<String, Integer> tenantIndices,
         List<String> zones,
-        List<String> kinds) {
+        List<String> instanceTypes) {
 
     /** Returns the name of the class with that index, or {@code "?"} if there is none. */
     String className(int classIndex) {
--- a/src/main/java/gatelock/config/Pool.java
+++ b/src/main/java/gatelock/config/Pool.java
@@ -8,7 +8,7 @@
  *
  * @param name the pool's name; empty in the result of {@link #selector()}
  * @param zones indices of the zones whose endpoints belong to the pool; empty for any zone
- * @param kinds indices of the endpoint kinds that belong to the pool; empty for any kind
+ * @param instanceTypes indices of the endpoint kinds that belong to the pool; empty for any kind
  * @param labels labels that an endpoint must all have
  * @param fallback name of the pool that serves when too few endpoints of this one are ready; null if there is none
  * @param minReadyShare the fallback serves when fewer endpoints are ready than this share of the recent peak
@@ -16,20 +16,20 @@
 record Pool(
         String name,
         Set<Integer> zones,
-        Set<Integer> kinds,
+        Set<Integer> instanceTypes,
         Map<String, String> labels,
         String fallback,
         double minReadyShare) {
 
     /** Returns a pool with the selection criteria only; the results are equal for pools with the same criteria. */
     Pool selector() {
-        return new Pool("", zones, kinds, labels, null, 0);
+        return new Pool("", zones, instanceTypes, labels, null, 0);
     }
 
     /** Returns whether an endpoint with these properties belongs to the pool. */
-    boolean selects(int zone, int kind, Map<String, String> endpointLabels) {
+    boolean selects(int zone, int instanceType, Map<String, String> endpointLabels) {
         return (zones.isEmpty() || zones.contains(zone))
-                && (kinds.isEmpty() || kinds.contains(kind))
+                && (instanceTypes.isEmpty() || instanceTypes.contains(instanceType))
                 && (labels.isEmpty() || endpointLabels.entrySet().containsAll(labels.entrySet()));
     }
 }
--- a/src/main/java/gatelock/config/PoolMembership.java
+++ b/src/main/java/gatelock/config/PoolMembership.java
@@ -25,7 +25,7 @@
     private CompiledConfig active;
 
     /** The endpoint properties that a pool can select by. */
-    private record Properties(int zone, int kind, Map<String, String> labels) {}
+    private record Properties(int zone, int instanceType, Map<String, String> labels) {}
 
     /** The counts of endpoints that have the same properties. */
     private static final class EndpointGroup {
@@ -48,11 +48,11 @@
         }
 
         private boolean isSelectedBy(Pool pool) {
-            return pool.selects(properties.zone, properties.kind, properties.labels);
+            return pool.selects(properties.zone, properties.instanceType, properties.labels);
         }
 
         private boolean isReachedBy(CompiledConfig config) {
-            return config.reaches(properties.zone, properties.kind, properties.labels);
+            return config.reaches(properties.zone, properties.instanceType, properties.labels);
         }
     }
 
--- a/src/main/java/gatelock/config/PoolValidator.java
+++ b/src/main/java/gatelock/config/PoolValidator.java
@@ -27,7 +27,7 @@
     private void validate(String name, JsonNode pool) {
         String pointer = "/pools/" + ConfigDocument.escapePointerToken(name);
         validateSelection(pool, "zones", context.deployment().zones(), pointer);
-        validateSelection(pool, "kinds", context.deployment().kinds(), pointer);
+        validateSelection(pool, "kinds", context.deployment().instanceTypes(), pointer);
         if (pool.has("retries")) {
             context.requireDefined("retries", pool.get("retries").asText(), pointer + "/retries", "M-RETRIES");
         }
--- a/src/main/java/gatelock/config/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -47,10 +47,10 @@
      * Validates a document and adds an error for each violation. The error's code is {@code S-} followed by the violated
      * schema keyword in upper case.
      */
-    public void validate(ConfigDocument document, List<Diagnostic> findings) {
+    public void validate(ConfigDocument document, List<Diagnostic> diagnostics) {
         for (Error error : schema().validate(document.root())) {
             String keyword = error.getKeyword();
-            findings.add(Diagnostic.newError(
+            diagnostics.add(Diagnostic.newError(
                     "S-" + keyword.toUpperCase(Locale.ROOT),
                     pointer(error, keyword),
                     error.getMessage(),
--- a/src/main/java/gatelock/config/ValidationContext.java
+++ b/src/main/java/gatelock/config/ValidationContext.java
@@ -16,10 +16,10 @@
     private final Set<String> usedDefinitions = new HashSet<>();
 
     /** Creates a context whose findings are added to {@code findings}. */
-    ValidationContext(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> findings) {
+    ValidationContext(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> diagnostics) {
         this.config = config;
         this.deployment = deployment;
-        this.findings = findings;
+        this.findings = diagnostics;
     }
 
     /** Returns the document under validation. */
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -152,19 +152,19 @@
      * Rejects a version.
      *
      * @param version the version that was offered
-     * @param findings why it is rejected
+     * @param diagnostics why it is rejected
      * @param permanent true if the text itself is invalid and is remembered as rejected; false if only the change from
      *     the active version is dangerous, which may no longer be the case a minute later
      */
-    public void reject(ConfigVersion version, List<Diagnostic> findings, boolean permanent) {
+    public void reject(ConfigVersion version, List<Diagnostic> diagnostics, boolean permanent) {
         rejections++;
         if (permanent) {
-            rejectedByHash.put(version.hash(), findings);
+            rejectedByHash.put(version.hash(), diagnostics);
         }
     }
 
     /** Returns the findings with which a text was rejected, or an empty list if its hash is not remembered. */
-    public List<Diagnostic> rejectionFindings(String hash) {
+    public List<Diagnostic> rejectionDiagnostics(String hash) {
         return rejectedByHash.getOrDefault(hash, List.of());
     }
 
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -64,8 +64,8 @@
     }
 
     /** Adds the state of the endpoint list to the status. */
-    public void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
-        status.showEndpointList(endpointList);
+    public void setEndpointListStatus(Supplier<DiscoveryClient.ListStatus> endpointList) {
+        status.setEndpointListStatus(endpointList);
     }
 
     /** Starts listening and returns the local address, whose port is assigned if {@code address} has port 0. */
@@ -113,7 +113,7 @@
             }
             case "/release" -> {
                 if (!isGet) {
-                    updater.releasePin();
+                    updater.unpin();
                 }
                 respond(exchange, okIf(!isGet), status());
             }
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -97,7 +97,7 @@
             case HELD -> onResult.accept(UpdateResult.alreadyHeld());
             case REFUSED_BEFORE -> {
                 counters.increment("versions refused again");
-                onResult.accept(UpdateResult.rejectedBefore(versions.rejectionFindings(version.hash())));
+                onResult.accept(UpdateResult.rejectedBefore(versions.rejectionDiagnostics(version.hash())));
             }
             default -> onResult.accept(rejectOutOfOrder(version, outcome));
         }
@@ -249,7 +249,7 @@
     }
 
     /** Ends a rollback: versions from the control service are applied again. */
-    void releasePin() {
+    void unpin() {
         versions.unpin();
         LOG.log(
                 Level.INFO,
--- a/src/main/java/gatelock/control/RelayStatus.java
+++ b/src/main/java/gatelock/control/RelayStatus.java
@@ -35,7 +35,7 @@
     }
 
     /** Adds the state of the endpoint list to the status. */
-    void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
+    void setEndpointListStatus(Supplier<DiscoveryClient.ListStatus> endpointList) {
         this.endpointList = endpointList;
     }
 
--- a/src/main/java/gatelock/decision/CanaryAnalysis.java
+++ b/src/main/java/gatelock/decision/CanaryAnalysis.java
@@ -59,17 +59,17 @@
         if (earlier == null) {
             return context.hasManyRelays()
                     ? endpointCountAnalysis.assess(recentOwn(canary), List.of(), List.of())
-                    : new Finding(Assessment.NO_VERDICT, new Evidence.Nothing());
+                    : new Finding(Assessment.NO_VERDICT, new Evidence.None());
         }
         Finding ownFinding = analyseOwn(canary, earlier);
-        return ownFinding.isFailure() || !hasMoreSamples(canary) ? ownFinding : analyseSamples(canary, earlier);
+        return ownFinding.isFailure() || !hasSufficientSamples(canary) ? ownFinding : analyseSamples(canary, earlier);
     }
 
     /**
      * Whether the release controller's samples contain at least as many recent outcomes of the canary as this relay's
      * own attempts.
      */
-    boolean hasMoreSamples(BuildState canary) {
+    boolean hasSufficientSamples(BuildState canary) {
         return OutcomeWindow.size(canary.sampledOutcomes().since(firstWindowNumber())) >= recentOwnOutcomes(canary);
     }
 
--- a/src/main/java/gatelock/decision/EndpointRegistry.java
+++ b/src/main/java/gatelock/decision/EndpointRegistry.java
@@ -86,8 +86,8 @@
     }
 
     /** Returns the endpoint that is listed under this id, or null. */
-    EndpointState endpoint(String id) {
-        return endpoints.get(id);
+    EndpointState endpoint(String name) {
+        return endpoints.get(name);
     }
 
     /** Returns all builds, the oldest first. */
@@ -139,7 +139,7 @@
      */
     boolean mayReceive(EndpointState endpoint) {
         return endpoint.isReady()
-                && endpoints.get(endpoint.id()) == endpoint
+                && endpoints.get(endpoint.name()) == endpoint
                 && endpoint.build().acceptsNewRequests();
     }
 }
--- a/src/main/java/gatelock/decision/EndpointSelector.java
+++ b/src/main/java/gatelock/decision/EndpointSelector.java
@@ -96,7 +96,7 @@
         boolean isProbe = request.isRetriable()
                 && request.isFirstAttempt()
                 && context.random().nextDouble() < PROBE_SHARE;
-        return request.constraints().allowsEndpoint(endpoint.id())
+        return request.constraints().allowsEndpoint(endpoint.name())
                 && capacity.hasCapacity(endpoint, request, share)
                 && request.mayBeSentTo(endpoint, request.attempts().size())
                 && !request.wasAttemptedAt(endpoint)
--- a/src/main/java/gatelock/decision/EndpointState.java
+++ b/src/main/java/gatelock/decision/EndpointState.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns its name in the list. */
-    String id() {
+    String name() {
         return entry.name();
     }
 
--- a/src/main/java/gatelock/decision/Evidence.java
+++ b/src/main/java/gatelock/decision/Evidence.java
@@ -7,7 +7,7 @@
     String logText();
 
     /** No comparison was possible yet. */
-    record Nothing() implements Evidence {
+    record None() implements Evidence {
         @Override
         public String logText() {
             return "";
--- a/src/main/java/gatelock/decision/ReleaseGate.java
+++ b/src/main/java/gatelock/decision/ReleaseGate.java
@@ -89,12 +89,12 @@
      * the canary receives messages only within its cap.
      */
     @Override
-    public MessageAdmission admitMessage(long nowUs, String endpointId, int route, boolean first) {
+    public MessageAdmission admitMessage(long nowUs, String endpointName, int route, boolean first) {
         context.clock().advanceTo(nowUs);
         if (first) {
             registry.builds().forEach(build -> build.creditExposure(route));
         }
-        EndpointState endpoint = registry.endpoint(endpointId);
+        EndpointState endpoint = registry.endpoint(endpointName);
         if (endpoint == null || !registry.mayReceive(endpoint)) {
             return MessageAdmission.NEVER;
         }
@@ -139,9 +139,9 @@
     }
 
     @Override
-    public void complaintReceived(long nowUs, String endpointId, int route, long attemptAgeUs) {
+    public void complaintReceived(long nowUs, String endpointName, int route, long attemptAgeUs) {
         context.clock().advanceTo(nowUs);
-        EndpointState endpoint = registry.endpoint(endpointId);
+        EndpointState endpoint = registry.endpoint(endpointName);
         if (endpoint != null && nowUs - attemptAgeUs >= endpoint.entry().startedAtUs()) {
             // A wrong answer is an error of the build, even though it was recorded as a success when it arrived.
             endpoint.build().recordOutcome(endpoint, true, false, 0, 0);
--- a/src/main/java/gatelock/decision/RequestRouter.java
+++ b/src/main/java/gatelock/decision/RequestRouter.java
@@ -84,7 +84,7 @@
         admission.attemptSent(attempt);
         endpoint.attemptSent(attempt);
         context.actions()
-                .sendAttempt(request.id(), endpoint.id(), request.constraints().attemptTimeoutUs());
+                .sendAttempt(request.id(), endpoint.name(), request.constraints().attemptTimeoutUs());
     }
 
     /**
--- a/src/main/java/gatelock/decision/VotePolicy.java
+++ b/src/main/java/gatelock/decision/VotePolicy.java
@@ -35,7 +35,7 @@
     private final VoteCaster caster;
     private final StageClock stageClock;
     private final RolloutPolicy policy;
-    private Evidence evidence = new Evidence.Nothing();
+    private Evidence evidence = new Evidence.None();
     private long failedForUs;
     private long lastReviewUs;
 
@@ -59,7 +59,7 @@
             return;
         }
         Finding finding = analysis.analyse(canary, registry.buildBeforeNewest());
-        if (!(finding.evidence() instanceof Evidence.Nothing)) {
+        if (!(finding.evidence() instanceof Evidence.None)) {
             evidence = finding.evidence();
         }
         boolean isConfirmed = confirm(finding.assessment());
@@ -108,7 +108,7 @@
 
     /** Returns how long a build is held after the stage's minimum duration if it neither passes nor fails. */
     private long holdUs(Assessment assessment, BuildState canary) {
-        boolean samplesDecide = analysis.hasMoreSamples(canary) && policy.fleetSamplesSent();
+        boolean samplesDecide = analysis.hasSufficientSamples(canary) && policy.fleetSamplesSent();
         if (assessment == Assessment.SUSPECT || samplesDecide) {
             return LONG_HOLD_US;
         }
--- a/src/main/java/gatelock/discovery/EndpointEntryReader.java
+++ b/src/main/java/gatelock/discovery/EndpointEntryReader.java
@@ -72,8 +72,8 @@
         if (health == null) {
             throw new MalformedMessageException("unknown status of endpoint " + endpoint);
         }
-        long startUs = entry.nonNegativeLongOr("since_ms", 0) * 1000;
-        if (startUs > nowUs + MAX_CLOCK_SKEW_US) {
+        long startedAtUs = entry.nonNegativeLongOr("since_ms", 0) * 1000;
+        if (startedAtUs > nowUs + MAX_CLOCK_SKEW_US) {
             throw new MalformedMessageException("start time in the future for endpoint " + endpoint);
         }
         Map<String, String> labels = labels(entry);
@@ -86,7 +86,7 @@
                 (int) entry.nonNegativeLongOr("group", 0),
                 entry.nonNegativeInt("image_id"),
                 health,
-                startUs,
+                startedAtUs,
                 labels);
     }
 
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -234,7 +234,7 @@
     }
 
     /** Called when the client has closed its connection or aborted its own request. */
-    void clientLeft(HttpServerExchange exchange) {
+    void clientDisconnected(HttpServerExchange exchange) {
         connections.close(eventLoop.nowUs(), connectionOf(exchange), ClientCloseReason.CLIENT_DISCONNECTED);
     }
 
--- a/src/main/java/gatelock/http/HttpResponseSink.java
+++ b/src/main/java/gatelock/http/HttpResponseSink.java
@@ -82,8 +82,8 @@
         } catch (IOException e) {
             pooled.close();
         }
-        admitter.clientLeft(request);
-        clientListener.clientLeft(exchange);
+        admitter.clientDisconnected(request);
+        clientListener.clientDisconnected(exchange);
     }
 
     @Override
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -184,7 +184,7 @@
             public void onAborted() {
                 // The request was never complete, so no response is owed.
                 counters.increment("not taken, broken off");
-                clientListener.clientLeft(exchange);
+                clientListener.clientDisconnected(exchange);
             }
         });
         reader.handleEvent(exchange.getRequestChannel());
--- a/src/main/java/gatelock/membership/EndpointBudget.java
+++ b/src/main/java/gatelock/membership/EndpointBudget.java
@@ -93,7 +93,7 @@
             servicesWithSlot--;
         }
         if (listed.endpointCount(service) == 0) {
-            listed.forget(service);
+            listed.remove(service);
             servicesWaitingForSlot.remove(service);
             recovery.set(service, SettleTimer.NEVER);
         } else if (need == 0) {
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -10,11 +10,11 @@
  * @param service the service whose requests it serves; "" if the list names none
  * @param address host and port, exactly as in the list
  * @param zone number of its zone, or -1 if unknown
- * @param kind number of its kind
+ * @param instanceType number of its kind
  * @param cell number of its cell
  * @param build number of the build that it runs
  * @param health its listed health; {@link Endpoint.Health#GONE} in a change that removes it
- * @param startUs when it last started, in microseconds since the epoch; 0 if it started long ago
+ * @param startedAtUs when it last started, in microseconds since the epoch; 0 if it started long ago
  * @param labels labels by which plans may select endpoints; every label takes up memory in the store
  */
 public record EndpointEntry(
@@ -22,11 +22,11 @@
         String service,
         String address,
         int zone,
-        int kind,
+        int instanceType,
         int cell,
         int build,
         Endpoint.Health health,
-        long startUs,
+        long startedAtUs,
         Map<String, String> labels) {
 
     /** Creates an entry without labels. */
@@ -45,7 +45,7 @@
 
     /** Converts the entry to the form used by the decision engine, without service, address and labels. */
     public Endpoint toEndpoint() {
-        return new Endpoint(name, build, zone, kind, cell, health, startUs);
+        return new Endpoint(name, build, zone, instanceType, cell, health, startedAtUs);
     }
 
     /** Returns a copy of this entry with health {@link Endpoint.Health#GONE}. */
@@ -55,6 +55,6 @@
 
     /** Returns a copy of this entry with another health. */
     EndpointEntry withHealth(Endpoint.Health other) {
-        return new EndpointEntry(name, service, address, zone, kind, cell, build, other, startUs, labels);
+        return new EndpointEntry(name, service, address, zone, instanceType, cell, build, other, startedAtUs, labels);
     }
 }
--- a/src/main/java/gatelock/membership/EndpointStore.java
+++ b/src/main/java/gatelock/membership/EndpointStore.java
@@ -47,7 +47,7 @@
 
     /** Removes a service if it has no endpoints left. */
     void forgetService(String service) {
-        services.forget(service);
+        services.remove(service);
     }
 
     /** Returns the names of the services that have endpoints. */
--- a/src/main/java/gatelock/membership/ListApplier.java
+++ b/src/main/java/gatelock/membership/ListApplier.java
@@ -31,7 +31,7 @@
      * subset after a full list.
      */
     void applyFull(EndpointStore staged) {
-        removeGone(staged);
+        removeUnlisted(staged);
         listed.replaceStore(staged);
         for (SubsetMember member : members.all()) {
             int handle = staged.find(member.name());
@@ -54,7 +54,7 @@
         staged.forEach(handle -> applyEntry(staged.entry(handle)));
     }
 
-    private static void removeGone(EndpointStore staged) {
+    private static void removeUnlisted(EndpointStore staged) {
         List<String> gone = new ArrayList<>();
         staged.forEach(handle -> {
             if (staged.health(handle) == Endpoint.Health.GONE) {
--- a/src/main/java/gatelock/membership/ListedServices.java
+++ b/src/main/java/gatelock/membership/ListedServices.java
@@ -28,7 +28,7 @@
         return store;
     }
 
-    /** Replaces all listed endpoints. The services are kept until {@link #forget} is called for them. */
+    /** Replaces all listed endpoints. The services are kept until {@link #remove} is called for them. */
     void replaceStore(EndpointStore replacement) {
         store = replacement;
     }
@@ -49,7 +49,7 @@
     }
 
     /** Removes a service that has no listed endpoints left. */
-    void forget(ServiceState service) {
+    void remove(ServiceState service) {
         store.forgetService(service.name());
         services.remove(service.name());
     }
--- a/src/main/java/gatelock/membership/MemberReview.java
+++ b/src/main/java/gatelock/membership/MemberRetention.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /** Decides which members of a service are kept, which are removed after the settle time and which may be evicted. */
-final class MemberReview {
+final class MemberRetention {
     private final EndpointSubset.Policy policy;
     private final EndpointBudget budget;
     private final EvictionQueue evictions;
 
     /** Creates a review that keeps as many endpoints of each service as the budget wants. */
-    MemberReview(EndpointSubset.Policy policy, EndpointBudget budget, EvictionQueue evictions) {
+    MemberRetention(EndpointSubset.Policy policy, EndpointBudget budget, EvictionQueue evictions) {
         this.policy = policy;
         this.budget = budget;
         this.evictions = evictions;
--- a/src/main/java/gatelock/membership/RecordEncoder.java
+++ b/src/main/java/gatelock/membership/RecordEncoder.java
@@ -41,15 +41,15 @@
     void encode(EndpointEntry entry, byte[] name, int serviceNumber) {
         length = RecordLayout.BODY;
         long packedAddress = PackedAddress.parse(entry.address());
-        boolean startInMillis = entry.startUs() % RecordLayout.MICROS_PER_MILLI == 0;
+        boolean startInMillis = entry.startedAtUs() % RecordLayout.MICROS_PER_MILLI == 0;
         buffer[RecordLayout.FLAGS] = flags(entry, packedAddress != PackedAddress.NONE, startInMillis);
         writeNumber(zigzag(entry.zone()));
         writeText(name);
         writeNumber(serviceNumber);
         writeNumber(zigzag(entry.build()));
-        writeNumber(zigzag(entry.kind()));
+        writeNumber(zigzag(entry.instanceType()));
         writeNumber(zigzag(entry.cell()));
-        writeNumber(zigzag(startInMillis ? entry.startUs() / RecordLayout.MICROS_PER_MILLI : entry.startUs()));
+        writeNumber(zigzag(startInMillis ? entry.startedAtUs() / RecordLayout.MICROS_PER_MILLI : entry.startedAtUs()));
         writeAddress(entry.address(), packedAddress);
         writeLabels(entry.labels());
         if (length > RecordArena.MAX_RECORD_BYTES) {
--- a/src/main/java/gatelock/membership/RecordReader.java
+++ b/src/main/java/gatelock/membership/RecordReader.java
@@ -85,14 +85,14 @@
         String name = readText();
         String service = services.endpointList((int) readNumber()).service;
         int build = (int) unzigzag(readNumber());
-        int kind = (int) unzigzag(readNumber());
+        int instanceType = (int) unzigzag(readNumber());
         int cell = (int) unzigzag(readNumber());
         long start = unzigzag(readNumber());
-        long startUs = hasFlag(RecordLayout.START_IN_MILLIS) ? start * RecordLayout.MICROS_PER_MILLI : start;
+        long startedAtUs = hasFlag(RecordLayout.START_IN_MILLIS) ? start * RecordLayout.MICROS_PER_MILLI : start;
         String address = readAddress();
         Map<String, String> labels = readLabels();
         return new EndpointEntry(
-                name, service, address, zone, kind, cell, build, RecordLayout.decodeHealth(flags()), startUs, labels);
+                name, service, address, zone, instanceType, cell, build, RecordLayout.decodeHealth(flags()), startedAtUs, labels);
     }
 
     private String readAddress() {
--- a/src/main/java/gatelock/membership/ServiceTable.java
+++ b/src/main/java/gatelock/membership/ServiceTable.java
@@ -30,7 +30,7 @@
     private final Deque<Integer> freeNumbers = new ArrayDeque<>();
 
     /**
-     * Returns the number of a service, which is added if it is unknown. The number remains valid until {@link #forget}
+     * Returns the number of a service, which is added if it is unknown. The number remains valid until {@link #remove}
      * removes the service.
      */
     int numberOf(String service) {
@@ -60,7 +60,7 @@
     }
 
     /** Removes a service if it has no endpoints left. */
-    void forget(String service) {
+    void remove(String service) {
         Integer existing = numbers.get(service);
         if (existing != null && endpointLists.get(existing).endpointCount == 0) {
             numbers.remove(service);
--- a/src/main/java/gatelock/membership/SubsetMember.java
+++ b/src/main/java/gatelock/membership/SubsetMember.java
@@ -100,7 +100,7 @@
 
     /** Replaces the entry with a new one of the same endpoint and service. */
     void update(EndpointEntry updated, boolean updatedLocal) {
-        if (entry.startUs() != updated.startUs() || entry.build() != updated.build()) {
+        if (entry.startedAtUs() != updated.startedAtUs() || entry.build() != updated.build()) {
             // This is a new process of the same name, about which nothing is known yet.
             consecutiveUnanswered = 0;
             unproven = false;
--- a/src/main/java/gatelock/membership/SubsetReconciler.java
+++ b/src/main/java/gatelock/membership/SubsetReconciler.java
@@ -13,7 +13,7 @@
     private final RecoverySchedule recovery;
     private final EndpointBudget budget;
     private final CandidateSelector selector;
-    private final MemberReview memberReview;
+    private final MemberRetention memberRetention;
     private final SilentEndpointReplacer replacer;
 
     /** Creates a reconciler of one subset. */
@@ -32,7 +32,7 @@
         this.recovery = recovery;
         this.budget = budget;
         this.selector = selector;
-        memberReview = new MemberReview(policy, budget, evictions);
+        memberRetention = new MemberRetention(policy, budget, evictions);
         replacer = new SilentEndpointReplacer(budget, listed, members, selector);
     }
 
@@ -63,7 +63,7 @@
             if (service.needsSelection || service.readyMemberCount() < budget.wanted(service)) {
                 preferred.put(service, selector.selectPreferred(service));
             }
-            memberReview.review(service, nowUs);
+            memberRetention.review(service, nowUs);
         }
         return preferred;
     }
@@ -74,14 +74,14 @@
                 members.addPreferred(service, candidate);
             }
         }
-        memberReview.review(service, nowUs);
+        memberRetention.review(service, nowUs);
     }
 
     private void replaceSilent(ServiceState service, long nowUs) {
-        int missingUsable = memberReview.review(service, nowUs);
+        int missingUsable = memberRetention.review(service, nowUs);
         boolean preferredUsable = service.members.stream().noneMatch(SubsetMember::isPreferredButUnusable);
         if (missingUsable > 0 && replacer.replace(service, missingUsable)) {
-            memberReview.review(service, nowUs);
+            memberRetention.review(service, nowUs);
         }
         boolean preferredMissing = service.preferredMemberCount() < budget.wanted(service);
         if (!preferredMissing && allPreferredAnswered(service)) {
@@ -109,7 +109,7 @@
         service.search.reset();
         service.searchExhausted = false;
         service.preferredPresumedSilent = false;
-        memberReview.review(service, nowUs);
+        memberRetention.review(service, nowUs);
     }
 
     private void removeOverdue(long nowUs) {
--- a/src/main/java/gatelock/net/ConnectionPool.java
+++ b/src/main/java/gatelock/net/ConnectionPool.java
@@ -161,7 +161,7 @@
     }
 
     private OutboundConnection send(InetSocketAddress address, OutboundRequest request) {
-        OutboundConnection connection = takeUsable(address);
+        OutboundConnection connection = takeUsableConnection(address);
         if (connection == null) {
             return openConnection(address, request);
         }
@@ -170,7 +170,7 @@
     }
 
     /** Takes a connection that has been idle for long enough and is still open, or returns null if there is none. */
-    private OutboundConnection takeUsable(InetSocketAddress address) {
+    private OutboundConnection takeUsableConnection(InetSocketAddress address) {
         long idleSinceUs = eventLoop.nowUs() - minIdleUs;
         OutboundConnection connection = idleConnections.take(address, idleSinceUs);
         while (connection != null && !connection.isUsable()) {
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -53,7 +53,7 @@
     }
 
     /** Records that the client of a request has closed the connection. */
-    void clientLeft(InFlightRequest request) {
+    void clientDisconnected(InFlightRequest request) {
         if (!request.isCompleted()) {
             counters.increment("callers left");
             inFlight.markCompleted(request);
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -192,8 +192,8 @@
     }
 
     /** Records that the client of a request has closed the connection, so that no response is owed any more. */
-    public void clientLeft(InFlightRequest request) {
+    public void clientDisconnected(InFlightRequest request) {
         startupQueue.remove(request);
-        outcomeRecorder.clientLeft(request);
+        outcomeRecorder.clientDisconnected(request);
     }
 }
--- a/src/main/java/gatelock/session/DrainQueue.java
+++ b/src/main/java/gatelock/session/DrainQueue.java
@@ -92,14 +92,14 @@
      * closes are spread over the remaining time.
      */
     private boolean mustCloseNow(Entry entry, long nowUs, double closesPerUs, boolean relayShuttingDown) {
-        long leftUs = entry.deadlineUs - nowUs;
-        if (leftUs <= 0) {
+        long remainingUs = entry.deadlineUs - nowUs;
+        if (remainingUs <= 0) {
             return true;
         }
-        boolean tooManyForRate = entries.size() > leftUs * closesPerUs;
+        boolean tooManyForRate = entries.size() > remainingUs * closesPerUs;
         return tooManyForRate
                 && relayShuttingDown
-                && random.nextDouble() < (double) SHUTDOWN_SPREAD_US / Math.max(SHUTDOWN_SPREAD_US, leftUs);
+                && random.nextDouble() < (double) SHUTDOWN_SPREAD_US / Math.max(SHUTDOWN_SPREAD_US, remainingUs);
     }
 
     /**
--- a/src/main/java/gatelock/session/SessionRegistry.java
+++ b/src/main/java/gatelock/session/SessionRegistry.java
@@ -171,12 +171,12 @@
         drainQueue.closeDue(nowUs, readyEndpoints, relayShuttingDown);
         for (WebSocketSession session : new ArrayList<>(sessionsById.values())) {
             if (session.disconnectOverdue(nowUs)) {
-                forget(session);
+                unregister(session);
             }
         }
     }
 
-    private void forget(WebSocketSession session) {
+    private void unregister(WebSocketSession session) {
         sessionsById.remove(session.id());
         drainQueue.remove(session);
         sessionsByEndpoint.computeIfPresent(session.endpoint(), (name, sessions) -> {
--- a/src/main/java/gatelock/simulator/ReplyWriter.java
+++ b/src/main/java/gatelock/simulator/ReplyWriter.java
@@ -69,12 +69,12 @@
         }
 
         @Override
-        public void shedRequest(String id, long pauseUs) {
+        public void shedRequest(String id, long retryAfterUs) {
             line(relay, "SAY_NO")
                     .append(' ')
                     .append(id)
                     .append(' ')
-                    .append(pauseUs * NS_PER_US)
+                    .append(retryAfterUs * NS_PER_US)
                     .append('\n');
         }
 
@@ -106,10 +106,10 @@
         }
 
         @Override
-        public void scheduleTimer(long inUs, long token) {
+        public void scheduleTimer(long delayUs, long token) {
             line(relay, "SET_TIMER")
                     .append(' ')
-                    .append(inUs * NS_PER_US)
+                    .append(delayUs * NS_PER_US)
                     .append(' ')
                     .append(token)
                     .append('\n');
--- a/src/main/java/gatelock/simulator/SimulatorHost.java
+++ b/src/main/java/gatelock/simulator/SimulatorHost.java
@@ -102,14 +102,14 @@
 
     private static Endpoint readEndpoint(FieldReader fields) {
         int build = fields.requiredInt("ver");
-        String address = fields.requiredText("unit");
+        String name = fields.requiredText("unit");
         int zone = fields.optionalInt(0);
-        int kind = fields.optionalInt(0);
+        int instanceType = fields.optionalInt(0);
         int cell = fields.optionalInt(0);
         Endpoint.Health health =
                 WireCodes.HEALTH_STATES.get(fields.requiredIndex("health", WireCodes.HEALTH_STATES.size()));
         fields.optionalDouble(1); // the weight, which the decision engine does not use
-        long startUs = fields.optionalLong(0) / NS_PER_US;
-        return new Endpoint(address, build, zone, kind, cell, health, startUs);
+        long startedAtUs = fields.optionalLong(0) / NS_PER_US;
+        return new Endpoint(name, build, zone, instanceType, cell, health, startedAtUs);
     }
 }
--- a/src/main/java/gatelock/websocket/OpeningHandshake.java
+++ b/src/main/java/gatelock/websocket/OpeningHandshake.java
@@ -59,8 +59,8 @@
      * @param timeoutUs timeout of the attempt, which never exceeds the request's remaining time; 0 for that time
      */
     void start(HandshakeRequest handshakeRequest, InetSocketAddress address, long timeoutUs) {
-        long leftUs = request.deadlineUs() - startUs;
-        if (request.isCompleted() || leftUs <= 0) {
+        long remainingUs = request.deadlineUs() - startUs;
+        if (request.isCompleted() || remainingUs <= 0) {
             end(AttemptResult.NOT_SENT);
             return;
         }
@@ -76,7 +76,7 @@
             return;
         }
         timeout =
-                loop.schedule(timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs, () -> end(AttemptResult.TIMED_OUT));
+                loop.schedule(timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs, () -> end(AttemptResult.TIMED_OUT));
         connect(handshakeRequest, uri);
     }
 
