--- a/src/main/java/gatelock/boot/ControlPlane.java
+++ b/src/main/java/gatelock/boot/ControlPlane.java
@@ -95,7 +95,7 @@
         return max;
     }
 
-    /** Returns the admission rules of the configuration version in force. */
+    /** Returns the admission rules of the active configuration version. */
     Admission admission() {
         return admission;
     }
@@ -146,7 +146,7 @@
         ready.run();
     }
 
-    /** Includes the state of the endpoint list in the status that operators see. */
+    /** Sets the source of the endpoint list status that operators see. */
     void setEndpointListStatus(Supplier<DiscoveryClient.ListStatus> endpointList) {
         adminServer.setEndpointListStatus(endpointList);
     }
--- a/src/main/java/gatelock/boot/FileCommands.java
+++ b/src/main/java/gatelock/boot/FileCommands.java
@@ -50,7 +50,7 @@
             }
         }
 
-        /** Compiles a file; the result holds all findings. */
+        /** Compiles a file; the result holds all diagnostics. */
         final ConfigCompiler.Result compile(Path file, DeploymentContext context) throws UnusableInputException {
             try {
                 return new ConfigCompiler(context).compile(ConfigVersion.Epoch.NONE, 0, Files.readAllBytes(file));
@@ -59,7 +59,7 @@
             }
         }
 
-        /** Compiles a file that must not have any findings that make it invalid. */
+        /** Compiles a file, whose diagnostics must not contain an error. */
         final CompiledConfig compileValid(Path file, DeploymentContext context) throws UnusableInputException {
             ConfigCompiler.Result compiled = compile(file, context);
             if (!compiled.isValid()) {
@@ -68,7 +68,7 @@
             return compiled.config();
         }
 
-        /** Formats each finding as a line with its file, line and column. */
+        /** Formats each diagnostic as a line with its file, line and column. */
         static String format(Path file, List<Diagnostic> diagnostics) {
             return diagnostics.stream()
                     .map(diagnostic -> file + ":" + diagnostic)
--- a/src/main/java/gatelock/boot/SessionAwareEngine.java
+++ b/src/main/java/gatelock/boot/SessionAwareEngine.java
@@ -60,7 +60,8 @@
     }
 
     @Override
-    public void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long sampleAgeUs) {
+    public void fleetSampleReceived(
+            long nowUs, int build, int route, int count, int failed, long meanUs, long sampleAgeUs) {
         engine.fleetSampleReceived(nowUs, build, route, count, failed, meanUs, sampleAgeUs);
     }
 
--- a/src/main/java/gatelock/config/ConfigChangeGuard.java
+++ b/src/main/java/gatelock/config/ConfigChangeGuard.java
@@ -49,7 +49,7 @@
     /** Returns an error for each reason why replacing the active version with the next one would be dangerous. */
     List<Diagnostic> check(long nowUs, CompiledConfig active, CompiledConfig next, PoolMembership membership) {
         List<Diagnostic> diagnostics = new ArrayList<>();
-        // Sorted by route name, so that the findings have a fixed order.
+        // Sorted by route name, so that the diagnostics have a fixed order.
         new TreeMap<>(trafficByRoute).forEach((route, traffic) -> {
             if (isDropped(route, active, next) && traffic.read(nowUs) >= MIN_TRAFFIC) {
                 diagnostics.add(Diagnostic.newError(
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -18,7 +18,7 @@
  * Stateless; may run on any thread.
  */
 public final class ConfigCompiler {
-    /** The maximum number of findings to report; further findings are only counted. */
+    /** The maximum number of diagnostics to report; further diagnostics are only counted. */
     private static final int MAX_REPORTED_FINDINGS = 200;
 
     private static final double US_PER_S = 1e6;
@@ -34,7 +34,7 @@
     /**
      * The result of a compilation.
      *
-     * @param config the compiled version, or null if a finding is an error
+     * @param config the compiled version, or null if a diagnostic is an error
      * @param findings errors and warnings, with their locations
      */
     public record Result(CompiledConfig config, List<Diagnostic> findings) {
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -18,7 +18,7 @@
 import java.util.Map;
 
 /**
- * A configuration text parsed as JSON. Lines and columns are determined only for findings, in a second pass over the
+ * A configuration text parsed as JSON. Lines and columns are determined only for diagnostics, in a second pass over the
  * text: storing the location of every value used more memory than everything else in a large version.
  */
 public final class ConfigDocument {
@@ -65,7 +65,8 @@
         } catch (JsonProcessingException e) {
             diagnostics.add(syntaxError(e));
         } catch (IOException e) {
-            diagnostics.add(Diagnostic.newError("G-JSON", "", "it can't be read: " + e.getMessage(), "correct the text"));
+            diagnostics.add(
+                    Diagnostic.newError("G-JSON", "", "it can't be read: " + e.getMessage(), "correct the text"));
         }
         return null;
     }
@@ -130,7 +131,7 @@
     }
 
     /**
-     * Returns the same findings, each with the line and column of the value it points at. A finding about something absent
+     * Returns the same diagnostics, each with the line and column of the value it points at. A diagnostic about something absent
      * from the text gets the location of its nearest ancestor that is present.
      */
     public List<Diagnostic> withLocations(List<Diagnostic> diagnostics) {
@@ -148,7 +149,7 @@
     }
 
     /**
-     * Returns the locations, by JSON pointer, of the values that the findings point at and of their ancestors; a pointer
+     * Returns the locations, by JSON pointer, of the values that the diagnostics point at and of their ancestors; a pointer
      * to something absent from the text maps to null.
      */
     private Map<String, JsonLocation> locate(List<Diagnostic> diagnostics) {
--- a/src/main/java/gatelock/config/ConfigValidator.java
+++ b/src/main/java/gatelock/config/ConfigValidator.java
@@ -7,7 +7,7 @@
 
 /**
  * Validates the semantics of a document that satisfies the schema: references to undefined names, parts that never take
- * effect, and settings that would break a guarantee. Each concern has its own class; findings are reported in the order
+ * effect, and settings that would break a guarantee. Each concern has its own class; diagnostics are reported in the order
  * in which these classes run.
  */
 final class ConfigValidator {
@@ -17,7 +17,7 @@
 
     private ConfigValidator() {}
 
-    /** Validates a document and adds all findings to {@code findings}. */
+    /** Validates a document and adds all diagnostics to {@code diagnostics}. */
     static void validate(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> diagnostics) {
         ValidationContext context = new ValidationContext(config, deployment, diagnostics);
         validateDefaults(context);
--- a/src/main/java/gatelock/config/DeploymentContext.java
+++ b/src/main/java/gatelock/config/DeploymentContext.java
@@ -12,7 +12,7 @@
  * @param deadlinesUs the deadline of each class in microseconds, by class index; 0 if the class has none
  * @param tenantIndices index of each tenant by its name
  * @param zones names of the zones, by zone index
- * @param instanceTypes names of the endpoint kinds, by kind index
+ * @param instanceTypes names of the instance types, by instance type index
  */
 public record DeploymentContext(
         Map<String, Integer> classIndices,
--- a/src/main/java/gatelock/config/Diagnostic.java
+++ b/src/main/java/gatelock/config/Diagnostic.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * One finding about a configuration document: either an error, which causes the document to be rejected, or a warning.
+ * A problem found in a configuration document: either an error, which causes the document to be rejected, or a warning.
  *
  * @param code stable identifier such as {@code M-POOL}; all codes are listed in docs/operate/versioned-configuration.md
  * @param isError true for an error, false for a warning
@@ -27,13 +27,13 @@
         return new Diagnostic(code, false, pointer, 0, 0, problem, remedy);
     }
 
-    /** Returns the same finding with its location in the text. */
+    /** Returns the same diagnostic with its location in the text. */
     Diagnostic withLocation(int newLine, int newColumn) {
         return new Diagnostic(code, isError, pointer, newLine, newColumn, problem, remedy);
     }
 
     /**
-     * Returns the finding as an ordered JSON object, as it is sent to a control service and printed with {@code --json}.
+     * Returns the diagnostic as an ordered JSON object, as it is sent to a control service and printed with {@code --json}.
      * The keys are part of the public interface and must not change.
      */
     public Map<String, Object> toJsonFields() {
@@ -48,7 +48,7 @@
         return fields;
     }
 
-    /** Returns the finding as one line for the log or the console: location, code, problem and remedy. */
+    /** Returns the diagnostic as one line for the log or the console: location, code, problem and remedy. */
     @Override
     public String toString() {
         String location = line + ":" + column + " " + (pointer.isEmpty() ? "/" : pointer);
--- a/src/main/java/gatelock/config/LimitValidator.java
+++ b/src/main/java/gatelock/config/LimitValidator.java
@@ -10,12 +10,12 @@
 
     private final ValidationContext context;
 
-    /** Creates a validator that adds its findings to the context. */
+    /** Creates a validator that adds its diagnostics to the context. */
     LimitValidator(ValidationContext context) {
         this.context = context;
     }
 
-    /** Adds findings about the definitions of all limits. */
+    /** Adds diagnostics about the definitions of all limits. */
     void validateDefinitions() {
         for (Map.Entry<String, JsonNode> limit :
                 context.config().section("limits").properties()) {
--- a/src/main/java/gatelock/config/Pool.java
+++ b/src/main/java/gatelock/config/Pool.java
@@ -8,7 +8,7 @@
  *
  * @param name the pool's name; empty in the result of {@link #selector()}
  * @param zones indices of the zones whose endpoints belong to the pool; empty for any zone
- * @param instanceTypes indices of the endpoint kinds that belong to the pool; empty for any kind
+ * @param instanceTypes indices of the instance types whose endpoints belong to the pool; empty for any type
  * @param labels labels that an endpoint must all have
  * @param fallback name of the pool that serves when too few endpoints of this one are ready; null if there is none
  * @param minReadyShare the fallback serves when fewer endpoints are ready than this share of the recent peak
--- a/src/main/java/gatelock/config/PoolValidator.java
+++ b/src/main/java/gatelock/config/PoolValidator.java
@@ -11,12 +11,12 @@
 final class PoolValidator {
     private final ValidationContext context;
 
-    /** Creates a validator that adds its findings to the context. */
+    /** Creates a validator that adds its diagnostics to the context. */
     PoolValidator(ValidationContext context) {
         this.context = context;
     }
 
-    /** Adds findings about the definitions of all pools. */
+    /** Adds diagnostics about the definitions of all pools. */
     void validate() {
         for (Map.Entry<String, JsonNode> pool :
                 context.config().section("pools").properties()) {
--- a/src/main/java/gatelock/config/RetrySafetyValidator.java
+++ b/src/main/java/gatelock/config/RetrySafetyValidator.java
@@ -16,7 +16,7 @@
     private final ValidationContext context;
     private final ResolvedConfig config;
 
-    /** Creates a validator that adds its findings to the context. */
+    /** Creates a validator that adds its diagnostics to the context. */
     RetrySafetyValidator(ValidationContext context) {
         this.context = context;
         this.config = context.config();
--- a/src/main/java/gatelock/config/RouteValidator.java
+++ b/src/main/java/gatelock/config/RouteValidator.java
@@ -10,14 +10,14 @@
     private final LimitValidator limits;
     private final RetrySafetyValidator retrySafety;
 
-    /** Creates a validator that adds its findings to the context. */
+    /** Creates a validator that adds its diagnostics to the context. */
     RouteValidator(ValidationContext context) {
         this.context = context;
         this.limits = new LimitValidator(context);
         this.retrySafety = new RetrySafetyValidator(context);
     }
 
-    /** Adds findings about all routes. */
+    /** Adds diagnostics about all routes. */
     void validate() {
         Set<String> names = new HashSet<>();
         for (ResolvedConfig.RouteDefinition route : context.config().routes()) {
--- a/src/main/java/gatelock/config/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -72,7 +72,7 @@
 
     /**
      * Returns the JSON pointer for a violation. The library reports an unknown property at the enclosing object; the
-     * finding points at the property itself.
+     * diagnostic points at the property itself.
      */
     private static String pointer(Error error, String keyword) {
         String pointer = error.getInstanceLocation().toString();
--- a/src/main/java/gatelock/config/ShadowedRouteValidator.java
+++ b/src/main/java/gatelock/config/ShadowedRouteValidator.java
@@ -10,7 +10,7 @@
 
     private final ValidationContext context;
 
-    /** Creates a validator that adds its findings to the context. */
+    /** Creates a validator that adds its diagnostics to the context. */
     ShadowedRouteValidator(ValidationContext context) {
         this.context = context;
     }
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Adds a finding for each shadowed route, and for each route that could not be checked. */
+    /** Adds a diagnostic for each shadowed route, and for each route that could not be checked. */
     void validate() {
         List<ResolvedConfig.RouteDefinition> routes = context.config().routes().stream()
                 .filter(route -> !route.isAbstract())
--- a/src/main/java/gatelock/config/ValidationContext.java
+++ b/src/main/java/gatelock/config/ValidationContext.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** The state shared by all validators of one document: the document, the deployment, the findings and the used names. */
+/** The state shared by all validators of one document: the document, the deployment, the diagnostics and the used names. */
 final class ValidationContext {
-    /** The maximum number of defined names that a finding about an undefined name suggests. */
+    /** The maximum number of defined names that a diagnostic about an undefined name suggests. */
     private static final int MAX_SUGGESTED_NAMES = 10;
 
     private final ResolvedConfig config;
@@ -15,7 +15,7 @@
     private final List<Diagnostic> findings;
     private final Set<String> usedDefinitions = new HashSet<>();
 
-    /** Creates a context whose findings are added to {@code findings}. */
+    /** Creates a context whose diagnostics are added to {@code diagnostics}. */
     ValidationContext(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> diagnostics) {
         this.config = config;
         this.deployment = deployment;
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -61,7 +61,7 @@
     public record HistoryEntry(
             ConfigVersion version, long activatedUs, String reason, String author, String note, byte[] text) {}
 
-    /** The findings of rejected texts by hash; the least recently used entry is evicted first. */
+    /** The diagnostics of rejected texts by hash; the least recently used entry is evicted first. */
     private final Map<String, List<Diagnostic>> rejectedByHash = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Returns the findings with which a text was rejected, or an empty list if its hash is not remembered. */
+    /** Returns the diagnostics with which a text was rejected, or an empty list if its hash is not remembered. */
     public List<Diagnostic> rejectionDiagnostics(String hash) {
         return rejectedByHash.getOrDefault(hash, List.of());
     }
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -63,7 +63,7 @@
         this.status = new RelayStatus(counters, updater, subscription);
     }
 
-    /** Adds the state of the endpoint list to the status. */
+    /** Sets the source of the endpoint list status that the status document includes. */
     public void setEndpointListStatus(Supplier<DiscoveryClient.ListStatus> endpointList) {
         status.setEndpointListStatus(endpointList);
     }
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -23,7 +23,7 @@
  */
 public final class ConfigUpdater {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
-    /** The maximum number of errors of a rejected version to log; the control service receives all findings. */
+    /** The maximum number of errors of a rejected version to log; the control service receives all diagnostics. */
     private static final int LOGGED_DIAGNOSTICS = 5;
 
     private static final String SOURCE_CONTROL_SERVICE = "control service";
--- a/src/main/java/gatelock/control/RelayStatus.java
+++ b/src/main/java/gatelock/control/RelayStatus.java
@@ -34,7 +34,7 @@
         this.subscription = subscription;
     }
 
-    /** Adds the state of the endpoint list to the status. */
+    /** Sets the source of the endpoint list status that the status document includes. */
     void setEndpointListStatus(Supplier<DiscoveryClient.ListStatus> endpointList) {
         this.endpointList = endpointList;
     }
--- a/src/main/java/gatelock/control/UpdateResult.java
+++ b/src/main/java/gatelock/control/UpdateResult.java
@@ -8,7 +8,7 @@
  *
  * @param accepted true if the version is the accepted one (ACK), false if it was rejected (NACK)
  * @param answer the result as a keyword of the control protocol, such as {@code applied} or {@code refused}
- * @param diagnostics the findings on the version; empty if the order of versions alone decided
+ * @param diagnostics the diagnostics of the version; empty if the order of versions alone decided
  * @param isNew whether the result tells the control service something that it does not know yet
  */
 record UpdateResult(boolean accepted, String answer, List<Diagnostic> diagnostics, boolean isNew) {
@@ -23,12 +23,12 @@
         return new UpdateResult(true, "held", List.of(), false);
     }
 
-    /** The version was rejected because of the findings. */
+    /** The version was rejected because of the diagnostics. */
     static UpdateResult rejected(List<Diagnostic> diagnostics) {
         return new UpdateResult(false, "refused", diagnostics, true);
     }
 
-    /** The same text was rejected before, with the given findings, and was not compiled again. */
+    /** The same text was rejected before, with the given diagnostics, and was not compiled again. */
     static UpdateResult rejectedBefore(List<Diagnostic> diagnostics) {
         return new UpdateResult(false, "refused-before", diagnostics, false);
     }
--- a/src/main/java/gatelock/decision/BuildState.java
+++ b/src/main/java/gatelock/decision/BuildState.java
@@ -97,8 +97,8 @@
     /** Adds an outcome of this relay's own attempts to the current window. */
     void recordOutcome(EndpointState endpoint, boolean failed, boolean late, double slowness, double load) {
         long nowUs = context.nowUs();
-        long startUs = endpoint.entry().startedAtUs();
-        long ageUs = startUs > 0 ? nowUs - startUs : Long.MAX_VALUE;
+        long startedAtUs = endpoint.entry().startedAtUs();
+        long ageUs = startedAtUs > 0 ? nowUs - startedAtUs : Long.MAX_VALUE;
         ownOutcomes.add(
                 nowUs / WINDOW_US,
                 new AttemptOutcome(endpoint, endpoint.entry().instanceType(), failed, late, slowness, load, ageUs));
--- a/src/main/java/gatelock/decision/EndpointRegistry.java
+++ b/src/main/java/gatelock/decision/EndpointRegistry.java
@@ -20,14 +20,14 @@
         this.context = context;
     }
 
-    /** Applies a complete list or a partial update. Endpoints that a complete list does not contain are gone. */
+    /** Applies a complete list or a partial update. Endpoints that a complete list does not contain have left it. */
     void update(EndpointUpdateType updateType, List<Endpoint> entries) {
         if (updateType != EndpointUpdateType.DELTA) {
             endpoints.values().forEach(endpoint -> endpoint.setHealth(Endpoint.Health.GONE));
         }
         for (Endpoint entry : entries) {
             EndpointState known = endpoints.get(entry.name());
-            // An entry for a restarted process or a reused id is a new endpoint without measurements.
+            // An entry for a restarted process or a reused name is a new endpoint without measurements.
             EndpointState endpoint = known != null && known.isProcessOf(entry) ? known : addEndpoint(entry);
             endpoint.setHealth(entry.health());
         }
@@ -58,7 +58,7 @@
 
     /**
      * Removes an endpoint that has left once its last attempt has ended, and a build once it has no endpoints and is
-     * older than the builds that are compared. Otherwise ids and builds would accumulate.
+     * older than the builds that are compared. Otherwise endpoints and builds would accumulate.
      */
     private void removeUnused() {
         builds.values().forEach(build -> build.readyEndpoints().clear());
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Returns the endpoint that is listed under this id, or null. */
+    /** Returns the endpoint with this name, or null if there is none. */
     EndpointState endpoint(String name) {
         return endpoints.get(name);
     }
--- a/src/main/java/gatelock/decision/EndpointState.java
+++ b/src/main/java/gatelock/decision/EndpointState.java
@@ -71,7 +71,7 @@
         return build.isCanary();
     }
 
-    /** Whether a list entry describes this process, not a restarted one or one that reuses the id. */
+    /** Whether a list entry describes this process, not a restarted one or one that reuses the name. */
     boolean isProcessOf(Endpoint listed) {
         return entry.startedAtUs() == listed.startedAtUs() && build.number() == listed.build();
     }
--- a/src/main/java/gatelock/decision/Evidence.java
+++ b/src/main/java/gatelock/decision/Evidence.java
@@ -3,7 +3,7 @@
 /** The measured values on which an assessment of a build is based, as the log line of a vote shows them. */
 sealed interface Evidence {
 
-    /** Returns the text for the log line. On-call pages quote it. */
+    /** Returns the text for the log line. The on-call documentation quotes it. */
     String logText();
 
     /** No comparison was possible yet. */
--- a/src/main/java/gatelock/decision/RequestRouter.java
+++ b/src/main/java/gatelock/decision/RequestRouter.java
@@ -84,7 +84,8 @@
         admission.attemptSent(attempt);
         endpoint.attemptSent(attempt);
         context.actions()
-                .sendAttempt(request.id(), endpoint.name(), request.constraints().attemptTimeoutUs());
+                .sendAttempt(
+                        request.id(), endpoint.name(), request.constraints().attemptTimeoutUs());
     }
 
     /**
--- a/src/main/java/gatelock/decision/RolloutState.java
+++ b/src/main/java/gatelock/decision/RolloutState.java
@@ -62,8 +62,8 @@
      * Records an endpoint process that was listed for the first time. One that started in the current stage shows how
      * long the startup of its endpoints takes.
      */
-    void endpointListed(int build, long startUs, long nowUs) {
-        if (build == newestBuild && startUs >= stageStartUs) {
+    void endpointListed(int build, long startedAtUs, long nowUs) {
+        if (build == newestBuild && startedAtUs >= stageStartUs) {
             endpointStartupUs = nowUs - stageStartUs;
         }
     }
--- a/src/main/java/gatelock/discovery/DiscoveryClient.java
+++ b/src/main/java/gatelock/discovery/DiscoveryClient.java
@@ -29,7 +29,7 @@
 public final class DiscoveryClient {
     /**
      * The maximum length of a buffered list, in bytes. It has room for 1,024 endpoints and twice as many that are
-     * leaving, with names of usual length.
+     * leaving, with names of typical length.
      */
     public static final int MAX_LIST_BYTES = 2 * 1024 * 1024;
 
@@ -145,7 +145,7 @@
     /**
      * Applies the cached list and starts to poll, unless polling is on demand.
      *
-     * @param admission the admission pools to update, or null if there are none
+     * @param admission receives the endpoints for its pools, or null if there is no versioned configuration
      * @param cachedList the last endpoint list that this relay received before it was restarted
      * @throws IOException if the cached list is malformed
      */
--- a/src/main/java/gatelock/discovery/EndpointListApplier.java
+++ b/src/main/java/gatelock/discovery/EndpointListApplier.java
@@ -18,7 +18,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Applies endpoint lists to the address table, the admission pools, the decision engine and the connection pool of the
+ * Applies endpoint lists to the address table, the pools of the configuration, the decision engine and the connection pool of the
  * endpoints. With a subset, only the entries that the subset selects are applied.
  */
 final class EndpointListApplier {
@@ -49,7 +49,7 @@
     /**
      * Applies the cached list and starts the periodic review of the subset.
      *
-     * @param admission the admission pools to update, or null if there are none
+     * @param admission receives the endpoints for its pools, or null if there is no versioned configuration
      * @param cached the entries of the last list that this relay received before it was restarted
      * @param index the index of that list
      */
@@ -66,7 +66,7 @@
         apply(DecisionEngine.EndpointUpdateType.CACHED, used);
     }
 
-    /** Applies a list whose endpoints are all in use. The admission pools are updated before the decision engine. */
+    /** Applies a list whose endpoints are all in use. The pools of the configuration are updated before the decision engine. */
     void apply(DecisionEngine.EndpointUpdateType updateType, List<EndpointEntry> entries) {
         List<Endpoint> endpoints =
                 entries.stream().map(EndpointEntry::toEndpoint).toList();
--- a/src/main/java/gatelock/http/RequestHeaders.java
+++ b/src/main/java/gatelock/http/RequestHeaders.java
@@ -15,7 +15,7 @@
     static final HttpString EXPIRES_IN_MS = new HttpString("X-Expires-In-Ms");
     static final HttpString SIZE_HINT = new HttpString("X-Size-Hint");
     static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
-    /** The cookie that contains the key of the subject of a request. */
+    /** The cookie that contains the sticky key of a request. */
     static final String KEY_COOKIE = "k";
     /** Headers that apply to one connection only, or that the relay sets for each attempt. */
     static final Set<HttpString> NOT_FORWARDED = Set.of(
@@ -33,7 +33,7 @@
     static final int MAX_DIGITS = 9;
 
     private static final int MAX_ID_LENGTH = 256;
-    /** One hour; a declared cost above it is ignored. */
+    /** One hour; an announced cost above it is ignored. */
     private static final long MAX_COST_US = 3_600_000_000L;
     /** The parameters of the 64-bit FNV-1a hash. */
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Converts the key of a subject to a non-negative number: hexadecimal digits are parsed, any other text is hashed.
+     * Converts a sticky key to a non-negative number: hexadecimal digits are parsed, any other text is hashed.
      */
     static long key(String text) {
         if (text == null || text.isEmpty()) {
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Returns the declared cost in microseconds. The cost is only a hint, so an invalid one is ignored and results in
+     * Returns the announced cost in microseconds. The cost is only a hint, so an invalid one is ignored and results in
      * 0.
      */
     static long costUs(String text) {
--- a/src/main/java/gatelock/http/RequestReader.java
+++ b/src/main/java/gatelock/http/RequestReader.java
@@ -89,7 +89,7 @@
      * @param eventLoop the I/O thread
      * @param admitter the next stage
      * @param clientListener manages the client connections
-     * @param admission the configuration in force, or null if the relay has none
+     * @param admission the active configuration version, or null if the relay has none
      */
     public RequestReader(
             Counters counters,
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -10,7 +10,7 @@
  * @param service the service whose requests it serves; "" if the list names none
  * @param address host and port, exactly as in the list
  * @param zone number of its zone, or -1 if unknown
- * @param instanceType number of its kind
+ * @param instanceType number of its instance type
  * @param cell number of its cell
  * @param build number of the build that it runs
  * @param health its listed health; {@link Endpoint.Health#GONE} in a change that removes it
@@ -35,12 +35,12 @@
             String service,
             String address,
             int zone,
-            int kind,
+            int instanceType,
             int cell,
             int build,
             Endpoint.Health health,
-            long startUs) {
-        this(name, service, address, zone, kind, cell, build, health, startUs, Map.of());
+            long startedAtUs) {
+        this(name, service, address, zone, instanceType, cell, build, health, startedAtUs, Map.of());
     }
 
     /** Converts the entry to the form used by the decision engine, without service, address and labels. */
--- a/src/main/java/gatelock/membership/ListApplier.java
+++ b/src/main/java/gatelock/membership/ListApplier.java
@@ -31,7 +31,7 @@
      * subset after a full list.
      */
     void applyFull(EndpointStore staged) {
-        removeUnlisted(staged);
+        dropRemovedEntries(staged);
         listed.replaceStore(staged);
         for (SubsetMember member : members.all()) {
             int handle = staged.find(member.name());
@@ -54,14 +54,14 @@
         staged.forEach(handle -> applyEntry(staged.entry(handle)));
     }
 
-    private static void removeUnlisted(EndpointStore staged) {
-        List<String> gone = new ArrayList<>();
+    private static void dropRemovedEntries(EndpointStore staged) {
+        List<String> removedNames = new ArrayList<>();
         staged.forEach(handle -> {
             if (staged.health(handle) == Endpoint.Health.GONE) {
-                gone.add(staged.name(handle));
+                removedNames.add(staged.name(handle));
             }
         });
-        gone.forEach(staged::remove);
+        removedNames.forEach(staged::remove);
     }
 
     private void applyEntry(EndpointEntry entry) {
--- a/src/main/java/gatelock/membership/MemberRetention.java
+++ b/src/main/java/gatelock/membership/MemberRetention.java
@@ -9,7 +9,7 @@
     private final EndpointBudget budget;
     private final EvictionQueue evictions;
 
-    /** Creates a review that keeps as many endpoints of each service as the budget wants. */
+    /** Creates an instance that keeps as many endpoints of each service as the budget grants. */
     MemberRetention(EndpointSubset.Policy policy, EndpointBudget budget, EvictionQueue evictions) {
         this.policy = policy;
         this.budget = budget;
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Reviews the members of a service.
+     * Updates the removal deadline and eviction reason of each member of a service.
      *
      * @return how many usable members are missing; negative if there are more than wanted
      */
@@ -26,12 +26,12 @@
         int position = 0;
         int usable = 0;
         for (SubsetMember member : readyMembersByPriority(service)) {
-            boolean wantedMember = position < wanted;
+            boolean withinTarget = position < wanted;
             position++;
             if (member.isUsable()) {
                 usable++;
             }
-            reviewReady(service, member, wantedMember, nowUs);
+            reviewReady(service, member, withinTarget, nowUs);
         }
         for (SubsetMember member : service.members) {
             if (!member.isReady()) {
@@ -43,14 +43,14 @@
         return wanted - usable;
     }
 
-    private void reviewReady(ServiceState service, SubsetMember member, boolean wantedMember, long nowUs) {
+    private void reviewReady(ServiceState service, SubsetMember member, boolean withinTarget, long nowUs) {
         // A replacement is not removed before an attempt has shown whether it answers.
-        boolean onTrial = service.isReplacing() && member.isUsable() && member.isUnproven();
-        boolean surplus = !wantedMember && !member.isPreferred() && !onTrial;
+        boolean awaitingFirstAnswer = service.isReplacing() && member.isUsable() && member.isUnproven();
+        boolean surplus = !withinTarget && !member.isPreferred() && !awaitingFirstAnswer;
         member.setRemovalDueUs(SettleTimer.deadline(surplus, member.removalDueUs(), nowUs, policy.settleUs()));
         if (surplus) {
             evictions.set(member, EvictionQueue.Reason.NOT_NEEDED);
-        } else if (wantedMember) {
+        } else if (withinTarget) {
             evictions.set(member, EvictionQueue.Reason.NONE);
         } else {
             evictions.set(member, EvictionQueue.Reason.SILENT);
--- a/src/main/java/gatelock/membership/RecordReader.java
+++ b/src/main/java/gatelock/membership/RecordReader.java
@@ -63,7 +63,7 @@
     /** Computes the length of the record in bytes. */
     int length() {
         serviceNumber();
-        for (int field = 0; field < 4; field++) { // build, kind, cell, start
+        for (int field = 0; field < 4; field++) { // build, instance type, cell, start
             readNumber();
         }
         if (hasFlag(RecordLayout.PACKED_ADDRESS)) {
@@ -92,7 +92,16 @@
         String address = readAddress();
         Map<String, String> labels = readLabels();
         return new EndpointEntry(
-                name, service, address, zone, instanceType, cell, build, RecordLayout.decodeHealth(flags()), startedAtUs, labels);
+                name,
+                service,
+                address,
+                zone,
+                instanceType,
+                cell,
+                build,
+                RecordLayout.decodeHealth(flags()),
+                startedAtUs,
+                labels);
     }
 
     private String readAddress() {
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -91,7 +91,7 @@
             long attemptTimeoutUs = timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs;
             byte[] timeoutHeader = (TIMEOUT_HEADER + ": " + Math.max(1, attemptTimeoutUs / 1000) + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1);
-            // A single buffer, so that a request of usual size is sent with one write.
+            // A single buffer, so that a request of typical size is sent with one write.
             ByteBuffer message =
                     ByteBuffer.allocate(request.head().length + timeoutHeader.length + request.body().length);
             message.put(request.head()).put(timeoutHeader).put(request.body()).flip();
--- a/src/main/java/gatelock/pipeline/OutcomeRecorder.java
+++ b/src/main/java/gatelock/pipeline/OutcomeRecorder.java
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Removes a request if it is over and its last attempt has ended. Its response may still be in transit. */
+    /** Removes a request if it is completed and its last attempt has ended. Its response may still be in transit. */
     void removeIfSettled(InFlightRequest request) {
         if (request.isCompleted() && (!request.isAccepted() || request.handle().isSettled())) {
             inFlight.remove(request);
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -11,7 +11,7 @@
 import gatelock.state.InFlightRequests;
 
 /**
- * Second stage: applies the limits of the configuration in force, if there is one, to a valid request and passes it to
+ * Second stage: applies the limits of the active configuration version, if there is one, to a valid request and passes it to
  * the decision engine. From this stage on, the relay owes the client a response.
  */
 public final class RequestAdmitter {
@@ -38,7 +38,7 @@
      * @param outcomeRecorder notified of the requests that end in this stage
      * @param responseWriter responds to the requests that are rejected in this stage
      * @param engine decides on the requests
-     * @param admission the limits of the configuration in force, or null if the relay has no such configuration
+     * @param admission applies the active configuration version, or null if versioned configuration is disabled
      * @param maxRetryAfterUs the maximum Retry-After sent to a client, in microseconds; 0 to send none
      */
     public RequestAdmitter(
@@ -72,8 +72,7 @@
      * Accepts a valid request, to which exactly one response will be sent unless its client leaves first.
      *
      * @param request the request
-     * @param matchedRoute the route that the configuration in force assigns to it, or null if there is no configuration
-     *     or no route matches
+     * @param matchedRoute the route of the active configuration version that matches it, or null if there is no version or no route matches
      * @param profile the properties of the request that the decision engine uses
      */
     public void admit(InFlightRequest request, Admission.MatchedRoute matchedRoute, RequestProfile profile) {
--- a/src/main/java/gatelock/pipeline/ResponseWriter.java
+++ b/src/main/java/gatelock/pipeline/ResponseWriter.java
@@ -17,7 +17,7 @@
      *
      * @param eventLoop the I/O thread
      * @param inFlight the requests in flight
-     * @param counters counts the responses by kind
+     * @param counters counts the responses by outcome
      */
     public ResponseWriter(EventLoop eventLoop, InFlightRequests inFlight, Counters counters) {
         this.eventLoop = eventLoop;
@@ -25,14 +25,14 @@
         this.counters = counters;
     }
 
-    /** Forwards the response of an endpoint to the client of a request that is not over. */
+    /** Forwards the response of an endpoint to the client of a request that is not completed. */
     void forward(InFlightRequest request, UpstreamResponse response) {
         counters.increment("completed");
         inFlight.markCompleted(request);
         request.responseSink().forward(response);
     }
 
-    /** Rejects a request, unless it is over. If {@code retryAfterUs} is 0, no Retry-After is sent. */
+    /** Rejects a request, unless it is completed. If {@code retryAfterUs} is 0, no Retry-After is sent. */
     void reject(InFlightRequest request, long retryAfterUs) {
         if (!request.isCompleted()) {
             counters.increment("shed");
@@ -41,7 +41,7 @@
         }
     }
 
-    /** Reports a request as failed, unless it is over. */
+    /** Reports a request as failed, unless it is completed. */
     void fail(InFlightRequest request) {
         if (!request.isCompleted()) {
             counters.increment("errored");
--- a/src/main/java/gatelock/session/SessionRegistry.java
+++ b/src/main/java/gatelock/session/SessionRegistry.java
@@ -130,7 +130,7 @@
             return;
         }
         for (WebSocketSession session : List.copyOf(sessionsById.values())) {
-            Endpoint endpoint = endpoints.get(session.endpoint());
+            Endpoint endpoint = endpoints.get(session.endpointName());
             if (endpoint != null && isRolledBack(endpoint.build())) {
                 session.end(nowUs, CloseReason.BUILD_ROLLED_BACK, DrainQueue.reconnectDelayMs(random));
             }
@@ -153,7 +153,7 @@
 
     /** Ends a session immediately because its messages may no longer be sent to its endpoint. */
     public void endUnreachable(long nowUs, WebSocketSession session) {
-        Endpoint endpoint = endpoints.get(session.endpoint());
+        Endpoint endpoint = endpoints.get(session.endpointName());
         CloseReason reason = endpoint != null && isRolledBack(endpoint.build())
                 ? CloseReason.BUILD_ROLLED_BACK
                 : CloseReason.ENDPOINT_DRAINING;
@@ -179,7 +179,7 @@
     private void unregister(WebSocketSession session) {
         sessionsById.remove(session.id());
         drainQueue.remove(session);
-        sessionsByEndpoint.computeIfPresent(session.endpoint(), (name, sessions) -> {
+        sessionsByEndpoint.computeIfPresent(session.endpointName(), (name, sessions) -> {
             sessions.remove(session);
             return sessions.isEmpty() ? null : sessions;
         });
--- a/src/main/java/gatelock/session/WebSocketSession.java
+++ b/src/main/java/gatelock/session/WebSocketSession.java
@@ -23,22 +23,22 @@
     private final Map<SessionSide, SideState> states =
             new EnumMap<>(Map.of(SessionSide.CLIENT, SideState.OPEN, SessionSide.ENDPOINT, SideState.OPEN));
     private final int id;
-    private final String endpoint;
+    private final String endpointName;
     private final int route;
     private CloseReason closeReason;
     private long closedAtUs;
 
     /** Creates an open session with both sides connected. */
-    WebSocketSession(int id, String endpoint, int route, SessionTransport transport) {
+    WebSocketSession(int id, String endpointName, int route, SessionTransport transport) {
         this.id = id;
-        this.endpoint = endpoint;
+        this.endpointName = endpointName;
         this.route = route;
         this.transport = transport;
     }
 
     /** Returns the name of the endpoint at which the session was opened. */
-    public String endpoint() {
-        return endpoint;
+    public String endpointName() {
+        return endpointName;
     }
 
     /** Returns the index of the route through which the session was opened. */
--- a/src/main/java/gatelock/simulator/ReplyWriter.java
+++ b/src/main/java/gatelock/simulator/ReplyWriter.java
@@ -121,8 +121,8 @@
         }
 
         @Override
-        public void log(String message) {
-            line(relay, "EMIT").append(' ').append(message).append('\n');
+        public void log(String line) {
+            line(relay, "EMIT").append(' ').append(line).append('\n');
         }
     }
 }
--- a/src/main/java/gatelock/websocket/OpeningHandshake.java
+++ b/src/main/java/gatelock/websocket/OpeningHandshake.java
@@ -75,8 +75,8 @@
             end(AttemptResult.NOT_SENT);
             return;
         }
-        timeout =
-                loop.schedule(timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs, () -> end(AttemptResult.TIMED_OUT));
+        timeout = loop.schedule(
+                timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs, () -> end(AttemptResult.TIMED_OUT));
         connect(handshakeRequest, uri);
     }
 
--- a/src/main/java/gatelock/websocket/WebSocketProxySession.java
+++ b/src/main/java/gatelock/websocket/WebSocketProxySession.java
@@ -153,7 +153,7 @@
             return;
         }
         long nowUs = loop.nowUs();
-        switch (context.engine().admitMessage(nowUs, session.endpoint(), session.route(), firstCheck)) {
+        switch (context.engine().admitMessage(nowUs, session.endpointName(), session.route(), firstCheck)) {
             case NOW -> {
                 context.counters().increment("messages to units");
                 endpoint.send(text, message, client);
