--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -38,7 +38,7 @@
     private static final long SESSION_CHECK_INTERVAL_US = 20_000;
     /**
      * Guards against serving with the endpoint list from before a restart. The new process is expected to know what
-     * discovery has sent since then, and requests that are forwarded by the old list go to endpoints that are gone.
+     * discovery has sent since then, and requests that are forwarded by the old list go to endpoints that no longer exist.
      * Discovery is considered down, and the initial list is used, only if a poll has failed this long after the first
      * one was sent; each poll has its full timeout. If discovery is down, every start is delayed by this time, which is
      * well within the time that a start may take.
@@ -178,7 +178,7 @@
         pipeline.start();
         DiscoveryClient discovery = pipeline.discovery();
         if (controlPlane != null) {
-            controlPlane.showEndpointList(discovery::state);
+            controlPlane.setEndpointListStatus(discovery::status);
         }
         discovery.onPollFailure(() -> reloader.reloadOnDiscoveryFailure(() -> config.discovery()));
     }
@@ -257,7 +257,7 @@
         LOG.log(Level.INFO, "shutdown complete: " + counters);
     }
 
-    private void shutDown(Runnable whenDone) {
+    private void shutDown(Runnable onComplete) {
         if (controlPlane != null) {
             controlPlane.stop();
         }
@@ -267,14 +267,14 @@
         if (sessions != null) {
             sessions.drainAll(eventLoop.nowUs(), eventLoop.nowUs() + remainingUs - SESSION_CLOSE_MARGIN_US);
         }
-        clientListener.shutDown(remainingUs, () -> awaitSessions(whenDone));
+        clientListener.shutDown(remainingUs, () -> awaitSessions(onComplete));
     }
 
-    private void awaitSessions(Runnable whenDone) {
+    private void awaitSessions(Runnable onComplete) {
         if (sessions == null || sessions.size() == 0) {
-            whenDone.run();
+            onComplete.run();
         } else {
-            eventLoop.schedule(SESSION_CHECK_INTERVAL_US, () -> awaitSessions(whenDone));
+            eventLoop.schedule(SESSION_CHECK_INTERVAL_US, () -> awaitSessions(onComplete));
         }
     }
 
@@ -289,7 +289,7 @@
 
     /** Returns the state of the endpoint list if this relay uses a subset of it, otherwise an empty text. */
     private String endpointListState() {
-        DiscoveryClient.ListStatus list = pipeline.discovery().state();
+        DiscoveryClient.ListStatus list = pipeline.discovery().status();
         if (!list.usesSubset()) {
             return "";
         }
--- a/src/main/java/gatelock/control/AdminServer.java
+++ b/src/main/java/gatelock/control/AdminServer.java
@@ -63,9 +63,9 @@
         this.status = new RelayStatus(counters, updater, subscription);
     }
 
-    /** Adds the state of the endpoint list to the status. */
-    public void showEndpointList(Supplier<DiscoveryClient.ListStatus> endpointList) {
-        status.showEndpointList(endpointList);
+    /** Sets the source of the endpoint list status that the status document includes. */
+    public void setEndpointListStatus(Supplier<DiscoveryClient.ListStatus> endpointList) {
+        status.setEndpointListStatus(endpointList);
     }
 
     /** Starts listening and returns the local address, whose port is assigned if {@code address} has port 0. */
@@ -113,7 +113,7 @@
             }
             case "/release" -> {
                 if (!isGet) {
-                    updater.releasePin();
+                    updater.unpin();
                 }
                 respond(exchange, okIf(!isGet), status());
             }
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -23,7 +23,7 @@
  */
 public final class ConfigUpdater {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
-    /** The maximum number of errors of a rejected version to log; the control service receives all findings. */
+    /** The maximum number of errors of a rejected version to log; the control service receives all diagnostics. */
     private static final int LOGGED_DIAGNOSTICS = 5;
 
     private static final String SOURCE_CONTROL_SERVICE = "control service";
@@ -97,7 +97,7 @@
             case HELD -> onResult.accept(UpdateResult.alreadyHeld());
             case REFUSED_BEFORE -> {
                 counters.increment("versions refused again");
-                onResult.accept(UpdateResult.rejectedBefore(versions.rejectionFindings(version.hash())));
+                onResult.accept(UpdateResult.rejectedBefore(versions.rejectionDiagnostics(version.hash())));
             }
             default -> onResult.accept(rejectOutOfOrder(version, outcome));
         }
@@ -249,7 +249,7 @@
     }
 
     /** Ends a rollback: versions from the control service are applied again. */
-    void releasePin() {
+    void unpin() {
         versions.unpin();
         LOG.log(
                 Level.INFO,
--- a/src/main/java/gatelock/decision/RequestRouter.java
+++ b/src/main/java/gatelock/decision/RequestRouter.java
@@ -84,7 +84,8 @@
         admission.attemptSent(attempt);
         endpoint.attemptSent(attempt);
         context.actions()
-                .sendAttempt(request.id(), endpoint.id(), request.constraints().attemptTimeoutUs());
+                .sendAttempt(
+                        request.id(), endpoint.name(), request.constraints().attemptTimeoutUs());
     }
 
     /**
@@ -142,7 +143,7 @@
         RelaySettings settings = context.settings();
         int maxAttempts = Math.min(settings.maxAttempts(), request.constraints().maxAttempts());
         return !request.isPastDeadline()
-                && (request.neverRan() || !request.isNonRetriable())
+                && (request.neverExecuted() || !request.isNonRetriable())
                 && retryBudget.covers(cost)
                 && request.attempts().size() < maxAttempts
                 && request.constraints().acquireRetry(context.nowUs(), last);
--- a/src/main/java/gatelock/pipeline/AttemptSender.java
+++ b/src/main/java/gatelock/pipeline/AttemptSender.java
@@ -51,7 +51,7 @@
     /** Registers and sends an attempt. Without an address it ends as not connected. */
     void send(InFlightRequest request, String endpoint, InetSocketAddress address, long timeoutUs) {
         Attempt attempt = new Attempt(request, endpoint);
-        if (request.isOver() || eventLoop.nowUs() >= request.deadlineUs()) {
+        if (request.isCompleted() || eventLoop.nowUs() >= request.deadlineUs()) {
             attempt.end(AttemptResult.NOT_SENT, null);
         } else if (address == null) {
             attempt.end(AttemptResult.NOT_CONNECTED, null);
@@ -91,7 +91,7 @@
             long attemptTimeoutUs = timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs;
             byte[] timeoutHeader = (TIMEOUT_HEADER + ": " + Math.max(1, attemptTimeoutUs / 1000) + "\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1);
-            // A single buffer, so that a request of usual size is sent with one write.
+            // A single buffer, so that a request of typical size is sent with one write.
             ByteBuffer message =
                     ByteBuffer.allocate(request.head().length + timeoutHeader.length + request.body().length);
             message.put(request.head()).put(timeoutHeader).put(request.body()).flip();
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -11,7 +11,7 @@
 import gatelock.state.InFlightRequests;
 
 /**
- * Second stage: applies the limits of the configuration in force, if there is one, to a valid request and passes it to
+ * Second stage: applies the limits of the active configuration version, if there is one, to a valid request and passes it to
  * the decision engine. From this stage on, the relay owes the client a response.
  */
 public final class RequestAdmitter {
@@ -38,7 +38,7 @@
      * @param outcomeRecorder notified of the requests that end in this stage
      * @param responseWriter responds to the requests that are rejected in this stage
      * @param engine decides on the requests
-     * @param admission the limits of the configuration in force, or null if the relay has no such configuration
+     * @param admission applies the active configuration version, or null if versioned configuration is disabled
      * @param maxRetryAfterUs the maximum Retry-After sent to a client, in microseconds; 0 to send none
      */
     public RequestAdmitter(
@@ -72,8 +72,7 @@
      * Accepts a valid request, to which exactly one response will be sent unless its client leaves first.
      *
      * @param request the request
-     * @param matchedRoute the route that the configuration in force assigns to it, or null if there is no configuration
-     *     or no route matches
+     * @param matchedRoute the route of the active configuration version that matches it, or null if there is no version or no route matches
      * @param profile the properties of the request that the decision engine uses
      */
     public void admit(InFlightRequest request, Admission.MatchedRoute matchedRoute, RequestProfile profile) {
@@ -87,7 +86,7 @@
         Admission.RoutedRequest routedRequest = admission.admit(
                 eventLoop.nowUs(), matchedRoute, profile.tenant(), request.deadlineUs(), limitedRequest);
         limitedRequest.routedRequest = routedRequest;
-        request.onOver(() -> {
+        request.onCompleted(() -> {
             routedRequest.release(eventLoop.nowUs());
             scheduleLimitCheck();
         });
@@ -114,7 +113,7 @@
     private void submitToEngine(InFlightRequest request, RequestProfile profile, RequestConstraints constraints) {
         if (startupQueue.isOpen()) {
             long nowUs = eventLoop.nowUs();
-            request.accepted(engine.acceptRequest(
+            request.markAccepted(engine.acceptRequest(
                     nowUs,
                     request.id(),
                     profile.route(),
@@ -160,7 +159,7 @@
             // This method may be called while the decision engine processes another request, so the request is passed
             // to the engine later.
             eventLoop.execute(() -> {
-                if (!request.isOver()) {
+                if (!request.isCompleted()) {
                     submitToEngine(request, profile, routedRequest);
                 }
             });
@@ -192,8 +191,8 @@
     }
 
     /** Records that the client of a request has closed the connection, so that no response is owed any more. */
-    public void clientLeft(InFlightRequest request) {
+    public void clientDisconnected(InFlightRequest request) {
         startupQueue.remove(request);
-        outcomeRecorder.clientLeft(request);
+        outcomeRecorder.clientDisconnected(request);
     }
 }
--- a/src/main/java/gatelock/websocket/OpeningHandshake.java
+++ b/src/main/java/gatelock/websocket/OpeningHandshake.java
@@ -59,8 +59,8 @@
      * @param timeoutUs timeout of the attempt, which never exceeds the request's remaining time; 0 for that time
      */
     void start(HandshakeRequest handshakeRequest, InetSocketAddress address, long timeoutUs) {
-        long leftUs = request.deadlineUs() - startUs;
-        if (request.isOver() || leftUs <= 0) {
+        long remainingUs = request.deadlineUs() - startUs;
+        if (request.isCompleted() || remainingUs <= 0) {
             end(AttemptResult.NOT_SENT);
             return;
         }
@@ -75,8 +75,8 @@
             end(AttemptResult.NOT_SENT);
             return;
         }
-        timeout =
-                loop.schedule(timeoutUs > 0 ? Math.min(timeoutUs, leftUs) : leftUs, () -> end(AttemptResult.TIMED_OUT));
+        timeout = loop.schedule(
+                timeoutUs > 0 ? Math.min(timeoutUs, remainingUs) : remainingUs, () -> end(AttemptResult.TIMED_OUT));
         connect(handshakeRequest, uri);
     }
 
@@ -109,7 +109,7 @@
     }
 
     private void connected(WebSocketChannel channel, String selectedSubprotocol) {
-        if (ended || request.isOver()) {
+        if (ended || request.isCompleted()) {
             IoUtils.safeClose(channel);
             end(AttemptResult.CANCELLED);
             return;
