--- a/src/test/java/gatelock/capacity/AnswersTable.java
+++ b/src/test/java/gatelock/capacity/AnswersTable.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The four questions of the page, each answered in a sentence. */
+/** Table of the four design questions of the capacity page, each answered in one sentence. */
 final class AnswersTable {
     private final TargetFigures figures;
     private final VoteTables votes;
@@ -12,73 +12,74 @@
         this.votes = votes;
     }
 
+    /** Returns the table of questions and answers. */
     MarkdownTable answers() {
         return new MarkdownTable("question", "answer")
-                .row("a: who serves what", whoServesWhat())
-                .row("b: how changes come", howChangesCome())
-                .row("c: who can vote", whoCanVote())
-                .row("d: how many hold a unit", howManyHoldAnEndpoint());
+                .row("a: who serves what", servicePlacementAnswer())
+                .row("b: how changes come", configDeliveryAnswer())
+                .row("c: who can vote", votingAnswer())
+                .row("d: how many hold a unit", relaysPerEndpointAnswer());
     }
 
-    private String whoServesWhat() {
-        double requests = figures.of("meanReqs*demandS");
-        return text(
+    private String servicePlacementAnswer() {
+        double requests = figures.value("meanReqs*demandS");
+        return formatSentence(
                 "each service at some relays of a zone, by its weight, at least %s: the "
                         + "mean service at %s relays, %s relays at one unit; by demand a relay would hold %s to %s of %s "
                         + "services",
-                figures.of("leastAZone"),
-                figures.of("leastAZone*zones"),
+                figures.value("leastAZone"),
+                figures.value("leastAZone*zones"),
                 relaysPerEndpoint(),
                 figures.services(TargetFigures.Skew.HIGH).expectedDistinct(requests),
                 figures.services(TargetFigures.Skew.LOW).expectedDistinct(requests),
-                figures.of("services"));
+                figures.value("services"));
     }
 
-    /** Relays that hold an endpoint of the mean service where services are placed by their weight. */
+    /** Returns how many relays hold an endpoint of the mean service when services are placed by weight. */
     private double relaysPerEndpoint() {
-        return figures.of("leastAZone*zones*unitsAService/(units/services)");
+        return figures.value("leastAZone*zones*unitsAService/(units/services)");
     }
 
-    private String howChangesCome() {
-        return text(
+    private String configDeliveryAnswer() {
+        return formatSentence(
                 "by difference, gathered for %s s: %s bytes/s a relay in the busy hour; one "
                         + "text takes %s s at the bound of bytes, where %s s are allowed",
-                figures.of("batchS"),
-                figures.of("configPerS*busyHour*configChangeBytes"),
-                figures.of("routes*routeBytes/relayBytesPerSBound"),
-                figures.of("inForceSBound"));
+                figures.value("batchS"),
+                figures.value("configPerS*busyHour*configChangeBytes"),
+                figures.value("routes*routeBytes/relayBytesPerSBound"),
+                figures.value("inForceSBound"));
     }
 
-    private String whoCanVote() {
+    private String votingAnswer() {
         double outcomes = votes.meanServiceOutcomes();
-        return text(
+        return formatSentence(
                 "the mean service's trial has %s outcomes in %s s of its first stage: each relay "
                         + "alone stops to work past %s relays by the page's %s outcomes, past %s by the exact interval where a "
                         + "build fails 30%% of reqs, past %s where it fails 10%%; all relays are %s",
                 outcomes,
-                figures.of("weighedS"),
-                votes.widestSpreadByPage(outcomes),
-                figures.of("fewestOutcomes"),
-                votes.widestSpread(outcomes, 0.3),
-                votes.widestSpread(outcomes, 0.1),
-                figures.of("relays"));
+                figures.value("weighedS"),
+                votes.maxRelaysByPageMinimum(outcomes),
+                figures.value("fewestOutcomes"),
+                votes.maxRelaysByExactInterval(outcomes, 0.3),
+                votes.maxRelaysByExactInterval(outcomes, 0.1),
+                figures.value("relays"));
     }
 
-    private String howManyHoldAnEndpoint() {
-        HolderTables holders = new HolderTables(figures);
-        return text(
+    private String relaysPerEndpointAnswer() {
+        RelaysPerEndpointTables relaysPerEndpointTables = new RelaysPerEndpointTables(figures);
+        return formatSentence(
                 "%s for a req of its own in a cold second, %s where each sent one at once, "
                         + "%s by probes, %s by handshakes, %s by connections; by weight (a) there are %s",
-                holders.maxByColdBudget(),
-                Math.floor(figures.of("coldReqsBound+2*sqrt(coldReqsBound)+2")),
-                holders.maxByProbes(),
-                holders.maxByHandshakes(),
-                figures.of("unitConnectionsBound"),
+                relaysPerEndpointTables.maxBySlowStartBudget(),
+                Math.floor(figures.value("coldReqsBound+2*sqrt(coldReqsBound)+2")),
+                relaysPerEndpointTables.maxByProbes(),
+                relaysPerEndpointTables.maxByHandshakes(),
+                figures.value("unitConnectionsBound"),
                 relaysPerEndpoint());
     }
 
-    /** A text with figures as the page writes them. */
-    private static String text(String format, Double... values) {
+    /** Formats a sentence, with its numbers in the notation of the page. */
+    private static String formatSentence(String format, Double... values) {
         return String.format(
                 format, Arrays.stream(values).map(MarkdownTable::figure).toArray());
     }
--- a/src/test/java/gatelock/capacity/CapacityEvaluator.java
+++ b/src/test/java/gatelock/capacity/CapacityEvaluator.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** Evaluates every metric against its bound, at any share of the target and under any load. */
+/** Evaluates the metrics of the capacity model against their bounds, at any share of the target and under any load. */
 final class CapacityEvaluator {
-    /** The load at the whole target that figures without a load of their own are for. */
+    /** Name of the load that applies to figures that do not name a load. */
     static final String TARGET_LOAD = "target";
 
     private static final String BOUND_SUFFIX = "Bound";
@@ -26,43 +26,51 @@
     }
 
     /**
-     * A metric under a load.
+     * The result of evaluating a metric under a load.
      *
-     * @param value NaN: not measured
-     * @param bound NaN: there is none
-     * @param ratio of the value to the bound, above 1 where the bound is passed; NaN: not measured, or no bound
+     * @param value value of the metric; NaN if it depends on a slope that was not measured
+     * @param bound value of the bound; NaN if the metric has none
+     * @param ratio ratio of the value to the bound, inverted for a minimum, so that it is above 1 if the bound is
+     *     crossed; NaN if the value was not measured or the metric has no bound
      */
     record Evaluation(double value, double bound, double ratio) {
+        /** Whether the metric crosses its bound. */
         boolean isOverBound() {
             return ratio > 1;
         }
     }
 
+    /** Returns the target that metrics are evaluated for. */
     CapacityTarget target() {
         return target;
     }
 
+    /** Returns the model that defines metrics and loads. */
     CapacityModel model() {
         return model;
     }
 
+    /** Returns the measured slopes that formulas use. */
     MeasurementRun slopes() {
         return slopes;
     }
 
-    /** The value of a formula; NaN where it uses a name that has no value. */
+    /** Returns the value of a formula, or NaN if it uses a variable that has no value. */
     double value(String formula, Map<String, Double> variables) {
         return formulas.value(formula, variables);
     }
 
-    /** What formulas may name: inputs, slopes, bounds, what is derived of these, and the load's own variables. */
+    /**
+     * Returns the variables that formulas can use: inputs, slopes, bounds, derived variables and the variables of the
+     * load.
+     */
     Map<String, Double> variables(double share, String load) {
         return variablesByLoad.computeIfAbsent(load + share, key -> computeVariables(share, load));
     }
 
     private Map<String, Double> computeVariables(double share, String load) {
         Map<String, Double> variables = new LinkedHashMap<>(target.inputsAt(share));
-        variables.putAll(slopes.values());
+        variables.putAll(slopes.slopesAndIntercepts());
         target.bounds().forEach((name, bound) -> variables.put(name + BOUND_SUFFIX, boundValue(bound, variables)));
         model.derived().forEach((name, formula) -> variables.put(name, formulas.value(formula, variables)));
         model.loads()
@@ -77,16 +85,17 @@
         return bound.formula() == null ? bound.value() : formulas.value(bound.formula(), variables);
     }
 
-    /** The value of a bound at the whole target. */
+    /** Returns the value of a bound at the whole target. */
     double boundAtTarget(String bound) {
         return variables(1, TARGET_LOAD).get(bound + BOUND_SUFFIX);
     }
 
+    /** Evaluates a metric at a share of the target and under a load. */
     Evaluation evaluate(CapacityModel.Metric metric, double share, String load) {
         return evaluate(metric, metric.formula(), variables(share, load));
     }
 
-    /** As it is once membership by scope is in place. */
+    /** Evaluates a metric as it is with membership by scope, where each relay holds only a subset of the endpoints. */
     Evaluation evaluateWithSubsets(CapacityModel.Metric metric, double share, String load) {
         String formula = metric.formulaWithSubsets() == null ? metric.formula() : metric.formulaWithSubsets();
         return evaluate(metric, formula, variables(share, load));
@@ -106,7 +115,7 @@
         return model.loads().keySet().stream().filter(metric::appliesUnder);
     }
 
-    /** The worst ratio of a metric over its loads at the whole target; NaN: none is known. */
+    /** Returns the highest ratio of a metric under any of its loads at the whole target, or NaN if none is known. */
     double worstRatio(CapacityModel.Metric metric) {
         return loadsOf(metric)
                 .mapToDouble(load -> evaluate(metric, 1, load).ratio())
@@ -115,7 +124,7 @@
                 .orElse(Double.NaN);
     }
 
-    /** Metrics that pass their bound under some load at the whole target. */
+    /** Returns the metrics that cross their bound under at least one load at the whole target. */
     List<CapacityModel.Metric> metricsOverBound() {
         return model.metrics().stream().filter(metric -> worstRatio(metric) > 1).toList();
     }
--- a/src/test/java/gatelock/capacity/CapacityPage.java
+++ b/src/test/java/gatelock/capacity/CapacityPage.java
@@ -14,29 +14,29 @@
 import java.util.regex.Pattern;
 
 /**
- * The page docs/CAPACITY.md, whose tables and chart are generated from the files of docs/capacity/. {@code make
- * capacity} writes them; {@link #problems} reports where the page and the files differ.
+ * The page docs/CAPACITY.md, whose tables and chart are generated from the data files in docs/capacity/. {@code make
+ * capacity} writes them; {@link #problems} reports differences between the page and the data files.
  */
 final class CapacityPage {
     private static final Pattern TABLE = Pattern.compile("<!-- table:([a-z-]+) -->\n(.*?)<!-- end -->", Pattern.DOTALL);
     private static final Pattern NAMED_RUN = Pattern.compile("\\| (slopes|membership|scale) \\| `([^`]*)` \\|");
     private static final List<String> RUN_FILES = List.of("slopes", "membership", "scale");
 
-    private final Path page;
-    private final Path data;
+    private final Path pagePath;
+    private final Path dataDirectory;
 
     /**
-     * A page and its data.
+     * Creates a page with its data files.
      *
-     * @param page the text, with a marker around each table
-     * @param data the directory of the files; the chart is there, too
+     * @param pagePath Markdown file, with a pair of markers around each table
+     * @param dataDirectory directory of the data files and the chart
      */
-    CapacityPage(Path page, Path data) {
-        this.page = page;
-        this.data = data;
+    CapacityPage(Path pagePath, Path dataDirectory) {
+        this.pagePath = pagePath;
+        this.dataDirectory = dataDirectory;
     }
 
-    /** Writes tables and chart and prints the problems that remain: {@code [PAGE DATA]}. */
+    /** Writes the tables and the chart, and prints the remaining problems. Arguments: {@code [PAGE DATA]}. */
     public static void main(String[] args) throws IOException {
         CapacityPage page = args.length > 1
                 ? new CapacityPage(Path.of(args[0]), Path.of(args[1]))
@@ -45,36 +45,36 @@
         page.problems().forEach(System.err::println);
     }
 
-    /** What the files give. */
-    private record Generated(
+    /** The content that is generated from the data files, and the inputs that it was generated from. */
+    private record GeneratedContent(
             Map<String, String> tables, String chart, Map<String, MeasurementRun> runs, CapacityEvaluator evaluator) {}
 
-    private Generated generate() throws IOException {
+    private GeneratedContent generate() throws IOException {
         Map<String, MeasurementRun> runs = new LinkedHashMap<>();
         for (String file : RUN_FILES) {
-            runs.put(file, MeasurementRun.read(data.resolve(file + ".json")));
+            runs.put(file, MeasurementRun.read(dataDirectory.resolve(file + ".json")));
         }
         CapacityEvaluator evaluator = new CapacityEvaluator(
-                CapacityTarget.read(data.resolve("target.json")),
+                CapacityTarget.read(dataDirectory.resolve("target.json")),
                 runs.get("slopes").withSlopesOf(runs.get("membership")),
-                CapacityModel.read(data.resolve("lines.json")));
-        List<ScaleLadder.Rung> rungs = ScaleLadder.rungs(evaluator);
-        return new Generated(
-                PageTables.all(evaluator, runs, rungs),
-                new LadderChart(evaluator.target()).svg(rungs),
+                CapacityModel.read(dataDirectory.resolve("lines.json")));
+        List<ScaleLadder.ScalingCurve> curves = ScaleLadder.scalingCurves(evaluator);
+        return new GeneratedContent(
+                PageTables.all(evaluator, runs, curves),
+                new LadderChart(evaluator.target()).svg(curves),
                 runs,
                 evaluator);
     }
 
-    private Path chart() {
-        return data.resolve("ladder.svg");
+    private Path chartPath() {
+        return dataDirectory.resolve("ladder.svg");
     }
 
-    /** Writes the tables into the page, and the chart. */
+    /** Writes the tables into the page, and the chart into its file. */
     void write() throws IOException {
-        Generated generated = generate();
-        Files.writeString(page, withTables(Files.readString(page), generated.tables));
-        Files.writeString(chart(), generated.chart);
+        GeneratedContent generated = generate();
+        Files.writeString(pagePath, withTables(Files.readString(pagePath), generated.tables));
+        Files.writeString(chartPath(), generated.chart);
     }
 
     private static String withTables(String text, Map<String, String> tables) {
@@ -85,15 +85,15 @@
         });
     }
 
-    /** Where the page and the files differ, one line for each difference. */
+    /** Returns the differences between the page and the data files, one line for each. */
     List<String> problems() throws IOException {
-        Generated generated = generate();
-        String text = Files.readString(page);
+        GeneratedContent generated = generate();
+        String text = Files.readString(pagePath);
         List<String> problems = new ArrayList<>();
         addTableProblems(text, generated.tables, problems);
         addRunProblems(text, generated.runs, problems);
-        if (!Files.exists(chart()) || !Files.readString(chart()).equals(generated.chart)) {
-            problems.add("the chart is not what the files give: run make capacity");
+        if (!Files.exists(chartPath()) || !Files.readString(chartPath()).equals(generated.chart)) {
+            problems.add("the chart differs from the data files: run make capacity");
         }
         addMechanismProblems(text, generated.evaluator, problems);
         return problems;
@@ -105,12 +105,12 @@
         while (table.find()) {
             String name = table.group(1);
             if (!tables.containsKey(name)) {
-                problems.add("table " + name + " is none that the files give");
+                problems.add("table " + name + " is not generated from any data file");
             } else if (!table.group(2).equals(tables.get(name) + "\n")) {
-                problems.add("table " + name + " is not what the files give: run make capacity");
+                problems.add("table " + name + " differs from the data files: run make capacity");
             }
             if (!seen.add(name)) {
-                problems.add("table " + name + " stands there twice");
+                problems.add("table " + name + " appears more than once");
             }
         }
         tables.keySet().stream()
@@ -118,7 +118,7 @@
                 .forEach(name -> problems.add("table " + name + " is missing"));
     }
 
-    /** The page names the runs that the files are of. */
+    /** Checks that the run ID that the page names for each data file is the ID in that file. */
     private static void addRunProblems(String text, Map<String, MeasurementRun> runs, List<String> problems) {
         Map<String, String> namedRuns = new LinkedHashMap<>();
         Matcher run = NAMED_RUN.matcher(text);
@@ -129,16 +129,16 @@
             String id = measured.runId();
             if (!id.equals(namedRuns.get(file))) {
                 problems.add(
-                        "the page names run " + namedRuns.get(file) + " for " + file + ", the file is of run " + id);
+                        "the page has run ID " + namedRuns.get(file) + " for " + file + ", the data file has: " + id);
             }
         });
     }
 
-    /** Each metric over its bound has a mechanism, and each mechanism a heading. */
+    /** Checks that each metric over its bound names a mechanism, and that the page has a heading for each mechanism. */
     private static void addMechanismProblems(String text, CapacityEvaluator evaluator, List<String> problems) {
         for (CapacityModel.Metric metric : evaluator.metricsOverBound()) {
             if (metric.mechanism() == null) {
-                problems.add("line " + metric.id() + " is over its bound and names no mechanism");
+                problems.add("line " + metric.id() + " crosses its bound and names no mechanism");
             }
         }
         String lowerCaseText = text.toLowerCase(Locale.ROOT);
--- a/src/test/java/gatelock/capacity/CapacityPageTest.java
+++ b/src/test/java/gatelock/capacity/CapacityPageTest.java
@@ -14,37 +14,37 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** docs/CAPACITY.md has what its files give, and every way in which it might not is reported. */
+/** Guards against a capacity page that does not match its data files, and against a check that misses a mismatch. */
 class CapacityPageTest {
     private static final Path PAGE = Path.of("docs/CAPACITY.md");
     private static final Path DATA = Path.of("docs/capacity");
     private static final Path FIXTURES = Path.of("src/test/resources/capacity");
 
     @TempDir
-    private static Path agreed;
+    private static Path matchingFiles;
 
     @TempDir
     private Path scratch;
 
     private CapacityPage page;
 
-    /** A copy of the page on invented runs, written out and agreeing. */
+    /** Writes a copy of the page that matches a set of made-up runs. */
     @BeforeAll
-    static void agree() throws IOException {
-        Files.copy(PAGE, agreed.resolve("CAPACITY.md"));
-        Files.copy(DATA.resolve("target.json"), agreed.resolve("target.json"));
-        Files.copy(DATA.resolve("lines.json"), agreed.resolve("lines.json"));
-        Files.copy(FIXTURES.resolve("slopes.json"), agreed.resolve("slopes.json"));
-        Files.copy(FIXTURES.resolve("membership.json"), agreed.resolve("membership.json"));
-        Files.copy(FIXTURES.resolve("scale.json"), agreed.resolve("scale.json"));
-        CapacityPage page = new CapacityPage(agreed.resolve("CAPACITY.md"), agreed);
+    static void writeMatchingPage() throws IOException {
+        Files.copy(PAGE, matchingFiles.resolve("CAPACITY.md"));
+        Files.copy(DATA.resolve("target.json"), matchingFiles.resolve("target.json"));
+        Files.copy(DATA.resolve("lines.json"), matchingFiles.resolve("lines.json"));
+        Files.copy(FIXTURES.resolve("slopes.json"), matchingFiles.resolve("slopes.json"));
+        Files.copy(FIXTURES.resolve("membership.json"), matchingFiles.resolve("membership.json"));
+        Files.copy(FIXTURES.resolve("scale.json"), matchingFiles.resolve("scale.json"));
+        CapacityPage page = new CapacityPage(matchingFiles.resolve("CAPACITY.md"), matchingFiles);
         page.write();
         assertThat(page.problems()).isEmpty();
     }
 
     @BeforeEach
-    void copy() throws IOException {
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(agreed)) {
+    void copyMatchingFiles() throws IOException {
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(matchingFiles)) {
             for (Path file : files) {
                 Files.copy(file, scratch.resolve(file.getFileName()));
             }
@@ -52,7 +52,7 @@
         page = new CapacityPage(scratch.resolve("CAPACITY.md"), scratch);
     }
 
-    private void change(String file, String from, String to) throws IOException {
+    private void replaceInFile(String file, String from, String to) throws IOException {
         Path path = scratch.resolve(file);
         String text = Files.readString(path);
         assertThat(text).contains(from);
@@ -60,34 +60,34 @@
     }
 
     @Test
-    void thePageHasWhatItsFilesGive() throws IOException {
+    void pageMatchesDataFiles() throws IOException {
         assertThat(new CapacityPage(PAGE, DATA).problems()).isEmpty();
     }
 
     @Test
-    void writingThePageAgainChangesNothing() throws IOException {
-        String once = Files.readString(scratch.resolve("CAPACITY.md"));
+    void rewritesMatchingPageUnchanged() throws IOException {
+        String textBefore = Files.readString(scratch.resolve("CAPACITY.md"));
         page.write();
-        assertThat(Files.readString(scratch.resolve("CAPACITY.md"))).isEqualTo(once);
+        assertThat(Files.readString(scratch.resolve("CAPACITY.md"))).isEqualTo(textBefore);
     }
 
     @Test
-    void aFigureChangedInThePageIsReported() throws IOException {
-        change("CAPACITY.md", "| relays | 5,700 |", "| relays | 5,701 |");
+    void reportsFigureChangedInPage() throws IOException {
+        replaceInFile("CAPACITY.md", "| relays | 5,700 |", "| relays | 5,701 |");
         assertThat(page.problems()).singleElement().asString().contains("table inputs");
     }
 
     @Test
-    void aFigureChangedInTheTargetIsReported() throws IOException {
-        change("target.json", "\"value\": 200000", "\"value\": 200001");
+    void reportsFigureChangedInTarget() throws IOException {
+        replaceInFile("target.json", "\"value\": 200000", "\"value\": 200001");
         assertThat(page.problems())
                 .anyMatch(p -> p.contains("table inputs"))
                 .anyMatch(p -> p.contains("table role-relay"));
     }
 
     @Test
-    void aSlopeChangedInItsFileIsReported() throws IOException {
-        change("slopes.json", "\"slope\": 2000", "\"slope\": 2100");
+    void reportsSlopeChangedInDataFile() throws IOException {
+        replaceInFile("slopes.json", "\"slope\": 2000", "\"slope\": 2100");
         assertThat(page.problems())
                 .anyMatch(p -> p.contains("table slopes"))
                 .anyMatch(p -> p.contains("table ladder"))
@@ -95,84 +95,87 @@
     }
 
     @Test
-    void aFormulaChangedIsReported() throws IOException {
-        change("lines.json", "\"units*heapPerUnit/1000000\"", "\"units*heapPerUnit/1048576\"");
+    void reportsChangedFormula() throws IOException {
+        replaceInFile("lines.json", "\"units*heapPerUnit/1000000\"", "\"units*heapPerUnit/1048576\"");
         assertThat(page.problems()).anyMatch(p -> p.contains("table role-relay"));
     }
 
     @Test
-    void slopesOfAnotherRunAreReported() throws IOException {
-        change("slopes.json", "fixture-1", "fixture-9");
-        assertThat(page.problems()).contains("the page names run fixture-1 for slopes, the file is of run fixture-9");
+    void reportsSlopesOfAnotherRun() throws IOException {
+        replaceInFile("slopes.json", "fixture-1", "fixture-9");
+        assertThat(page.problems()).contains("the page has run ID fixture-1 for slopes, the data file has: fixture-9");
     }
 
     @Test
-    void slopesOfAScopeOfAnotherRunOrChangedAreReported() throws IOException {
-        change("membership.json", "fixture-3", "fixture-9");
+    void reportsMembershipOfAnotherRunOrWithChangedSlope() throws IOException {
+        replaceInFile("membership.json", "fixture-3", "fixture-9");
         assertThat(page.problems())
-                .contains("the page names run fixture-3 for membership, the file is of run fixture-9");
-        change("membership.json", "fixture-9", "fixture-3");
+                .contains("the page has run ID fixture-3 for membership, the data file has: fixture-9");
+        replaceInFile("membership.json", "fixture-9", "fixture-3");
         assertThat(page.problems()).isEmpty();
-        change("membership.json", "\"slope\": 60", "\"slope\": 66");
+        replaceInFile("membership.json", "\"slope\": 60", "\"slope\": 66");
         assertThat(page.problems()).anyMatch(p -> p.contains("table slopes")).anyMatch(p -> p.contains("table ladder"));
     }
 
     @Test
-    void scaleOfAnotherRunIsReported() throws IOException {
-        change("scale.json", "fixture-2", "fixture-9");
-        assertThat(page.problems()).contains("the page names run fixture-2 for scale, the file is of run fixture-9");
+    void reportsScaleOfAnotherRun() throws IOException {
+        replaceInFile("scale.json", "fixture-2", "fixture-9");
+        assertThat(page.problems()).contains("the page has run ID fixture-2 for scale, the data file has: fixture-9");
     }
 
     @Test
-    void aRunThatIsNoLongerThereIsReported() throws IOException {
+    void reportsRunWithMissingDataFile() throws IOException {
         Files.delete(scratch.resolve("scale.json"));
-        assertThat(page.problems()).contains("the page names run fixture-2 for scale, the file is of run not run");
+        assertThat(page.problems()).contains("the page has run ID fixture-2 for scale, the data file has: not run");
     }
 
     @Test
-    void aRunWithoutAnIdIsRefused() throws IOException {
-        change("slopes.json", "\"id\": \"fixture-1\", ", "");
-        assertThatThrownBy(page::problems).isInstanceOf(IOException.class).hasMessageContaining("no run.id");
+    void rejectsDataFileWithoutRunId() throws IOException {
+        replaceInFile("slopes.json", "\"id\": \"fixture-1\", ", "");
+        assertThatThrownBy(page::problems)
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("run.id is missing or blank");
     }
 
     @Test
-    void aChartChangedOrGoneIsReported() throws IOException {
-        change("ladder.svg", "stroke-width=\"1.5\"", "stroke-width=\"1.6\"");
+    void reportsChangedOrMissingChart() throws IOException {
+        replaceInFile("ladder.svg", "stroke-width=\"1.5\"", "stroke-width=\"1.6\"");
         assertThat(page.problems()).singleElement().asString().contains("chart");
         Files.delete(scratch.resolve("ladder.svg"));
         assertThat(page.problems()).singleElement().asString().contains("chart");
     }
 
     @Test
-    void aMissingUnknownOrRepeatedTableIsReported() throws IOException {
-        change("CAPACITY.md", "<!-- table:over -->", "<!-- table:under -->");
-        assertThat(page.problems()).contains("table under is none that the files give", "table over is missing");
-        change("CAPACITY.md", "<!-- table:under -->", "<!-- table:inputs -->");
-        assertThat(page.problems()).contains("table inputs stands there twice");
+    void reportsMissingUnknownOrRepeatedTable() throws IOException {
+        replaceInFile("CAPACITY.md", "<!-- table:over -->", "<!-- table:under -->");
+        assertThat(page.problems())
+                .contains("table under is not generated from any data file", "table over is missing");
+        replaceInFile("CAPACITY.md", "<!-- table:under -->", "<!-- table:inputs -->");
+        assertThat(page.problems()).contains("table inputs appears more than once");
     }
 
     @Test
-    void aMetricOverItsBoundNeedsAMechanismAndAMechanismNeedsAHeading() throws IOException {
-        change(
+    void reportsMetricOverBoundWithoutMechanismAndMechanismWithoutHeading() throws IOException {
+        replaceInFile(
                 "lines.json",
                 "\"mechanism\": \"membership by scope\", \"ladder\": \"anew\", \"after\": " + "\"entryBytes/1000000\"",
                 "\"ladder\": \"anew\", \"after\": \"entryBytes/1000000\"");
-        assertThat(page.problems()).contains("line list is over its bound and names no mechanism");
-        change("CAPACITY.md", "\n### Tenants by demand\n", "\n### Tenants\n");
+        assertThat(page.problems()).contains("line list crosses its bound and names no mechanism");
+        replaceInFile("CAPACITY.md", "\n### Tenants by demand\n", "\n### Tenants\n");
         assertThat(page.problems()).contains("mechanism 'tenants by demand' has no heading");
     }
 
-    /** A misspelt name would pass for a slope that was not measured. */
+    /** A misspelled name evaluates to NaN and would be taken for a slope that was not measured. */
     @Test
-    void formulasUseKnownNames() throws IOException {
+    void modelUsesOnlyKnownNames() throws IOException {
         CapacityTarget target = CapacityTarget.read(DATA.resolve("target.json"));
         CapacityModel model = CapacityModel.read(DATA.resolve("lines.json"));
         Set<String> known = new HashSet<>(target.inputs().keySet());
         target.bounds().keySet().forEach(b -> known.add(b + "Bound"));
         known.addAll(model.derived().keySet());
         model.loads().values().forEach(l -> known.addAll(l.variables().keySet()));
-        known.addAll(MeasurementRun.KNOWN_NAMES);
-        MeasurementRun.KNOWN_NAMES.forEach(k -> known.add(k + "0"));
+        known.addAll(MeasurementRun.KNOWN_SLOPES);
+        MeasurementRun.KNOWN_SLOPES.forEach(k -> known.add(k + "0"));
         for (CapacityModel.Metric metric : model.metrics()) {
             assertThat(known).as(metric.id()).containsAll(FormulaEvaluator.names(metric.formula()));
             assertThat(known)
@@ -189,11 +192,11 @@
                     .isTrue();
         }
         assertThat(model.metrics().stream().map(CapacityModel.Metric::id)).doesNotHaveDuplicates();
-        MeasurementRun.KNOWN_NAMES.forEach(k -> assertThat(target.inputs()).doesNotContainKey(k));
+        MeasurementRun.KNOWN_SLOPES.forEach(k -> assertThat(target.inputs()).doesNotContainKey(k));
     }
 
     @Test
-    void everyInputHasASourceAndIsMarkedIfAssumed() throws IOException {
+    void targetNamesSourcesAndMarksAssumedInputs() throws IOException {
         CapacityTarget target = CapacityTarget.read(DATA.resolve("target.json"));
         assertThat(target.inputs().values())
                 .allSatisfy(i -> assertThat(i.source()).isNotBlank());
--- a/src/test/java/gatelock/capacity/CapacityTarget.java
+++ b/src/test/java/gatelock/capacity/CapacityTarget.java
@@ -9,13 +9,13 @@
 import java.util.Map;
 
 /**
- * What the system has to carry, from docs/capacity/target.json.
+ * The load that the system has to carry and the bounds that it has to keep, read from docs/capacity/target.json.
  *
- * @param inputs by name
- * @param bounds by name
- * @param steps the ladder to the target
- * @param canaryRelayCounts over how many relays a service's canary may be spread
- * @param badBuildErrorRates error rates of bad builds, as shares
+ * @param inputs inputs of the model by name
+ * @param bounds bounds by name
+ * @param steps shares of the target at which the ladder evaluates metrics
+ * @param canaryRelayCounts numbers of relays among which the requests to a service's canary can be divided
+ * @param badBuildErrorRates error rates of bad builds, from 0 to 1
  */
 record CapacityTarget(
         Map<String, Input> inputs,
@@ -24,14 +24,20 @@
         @JsonProperty("spreads") List<Integer> canaryRelayCounts,
         @JsonProperty("errors") List<Double> badBuildErrorRates) {
 
-    /** A figure, its unit and its source; {@code scales}: it goes down with the steps of the ladder. */
+    /**
+     * An input of the model.
+     *
+     * @param scales whether the value is multiplied by the share of the target
+     * @param assumed whether the value is an assumption rather than given
+     */
     record Input(double value, String unit, boolean scales, boolean assumed, String source) {}
 
     /**
-     * A value, or a formula of inputs, that a figure may not pass.
+     * A limit on metrics: either a value, or a formula of inputs.
      *
-     * @param what what it limits
-     * @param minimum the figure may not be below it, instead of above
+     * @param what description of what it limits
+     * @param minimum whether it is a lower limit instead of an upper one
+     * @param assumed whether the limit is an assumption rather than given
      */
     record Bound(
             Double value,
@@ -42,15 +48,19 @@
             boolean assumed,
             String source) {}
 
-    /** A share of the target. */
+    /** A step of the ladder: a share of the target and its name. */
     record Step(String name, double share) {}
 
-    /** @throws IOException where the file can't be read, or has a key that is not known */
+    /**
+     * Reads the target from a JSON file.
+     *
+     * @throws IOException if the file cannot be read or has an unknown key
+     */
     static CapacityTarget read(Path file) throws IOException {
         return new ObjectMapper().readValue(file.toFile(), CapacityTarget.class);
     }
 
-    /** The value of every input, by name, at a share of the target. */
+    /** Returns the value of each input, by name, at a share of the target. */
     Map<String, Double> inputsAt(double share) {
         Map<String, Double> values = new LinkedHashMap<>();
         inputs.forEach((name, input) -> values.put(name, input.value * (input.scales ? share : 1)));
--- a/src/test/java/gatelock/capacity/ClassHistogram.java
+++ b/src/test/java/gatelock/capacity/ClassHistogram.java
@@ -8,12 +8,12 @@
 import javax.management.JMException;
 import javax.management.ObjectName;
 
-/** Bytes of heap that live objects take, by class, as the JVM's class histogram gives them after a full collection. */
+/** Bytes of heap that live objects occupy, by class, from the JVM's class histogram after a full garbage collection. */
 record ClassHistogram(Map<String, Long> bytes) {
-    /** A rank, the number of instances, their bytes and the name of their class. */
+    /** A line with the rank, the number of instances, their bytes and the class name. */
     private static final Pattern LINE = Pattern.compile("(?m)^ *\\d+: +\\d+ +(\\d+) +(\\S+)");
 
-    /** Reads the text that {@code jcmd GC.class_histogram} prints. */
+    /** Parses the output of {@code jcmd GC.class_histogram}. */
     static ClassHistogram parse(String text) {
         Map<String, Long> bytes = new LinkedHashMap<>();
         Matcher line = LINE.matcher(text);
@@ -23,6 +23,7 @@
         return new ClassHistogram(bytes);
     }
 
+    /** Takes a histogram of this process, which runs a full garbage collection first. */
     static ClassHistogram ofThisProcess() {
         try {
             return parse((String) ManagementFactory.getPlatformMBeanServer()
@@ -32,19 +33,19 @@
                             new Object[] {new String[0]},
                             new String[] {String[].class.getName()}));
         } catch (JMException e) {
-            throw new IllegalStateException("this JVM gives no class histogram", e);
+            throw new IllegalStateException("cannot read the class histogram of this JVM", e);
         }
     }
 
-    /** Bytes of all classes. */
+    /** Returns the bytes of all classes. */
     long totalBytes() {
         return bytes.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    /** By class, the bytes that this histogram has more than an earlier one; negative: fewer. */
+    /** Returns the bytes added since an earlier histogram, by class; negative if a class has fewer bytes now. */
     ClassHistogram since(ClassHistogram before) {
         Map<String, Long> difference = new LinkedHashMap<>(bytes);
-        before.bytes.forEach((name, heldBefore) -> difference.merge(name, -heldBefore, Long::sum));
+        before.bytes.forEach((name, bytesBefore) -> difference.merge(name, -bytesBefore, Long::sum));
         return new ClassHistogram(difference);
     }
 }
--- a/src/test/java/gatelock/capacity/ClassHistogramTest.java
+++ b/src/test/java/gatelock/capacity/ClassHistogramTest.java
@@ -5,7 +5,7 @@
 import java.lang.ref.Reference;
 import org.junit.jupiter.api.Test;
 
-/** The histogram is read from its text, and finds what this process allocated. */
+/** Guards against heap measurements that misread the JVM's histogram or miss objects that this process allocates. */
 class ClassHistogramTest {
     private static final String TEXT = """
          num     #instances         #bytes  class name (module)
@@ -16,14 +16,14 @@
         """;
 
     @Test
-    void linesAreReadByClass() {
+    void parsesBytesByClass() {
         ClassHistogram histogram = ClassHistogram.parse(TEXT);
         assertThat(histogram.bytes()).containsEntry("[B", 2_216_344L).containsEntry("gatelock.api.Listed", 2_400L);
         assertThat(histogram.totalBytes()).isEqualTo(2_218_744);
     }
 
     @Test
-    void differenceHoldsWhatWasAllocatedSince() {
+    void reportsBytesAllocatedSinceEarlierHistogram() {
         ClassHistogram before = ClassHistogram.ofThisProcess();
         long[] held = new long[1_000_000];
         try {
--- a/src/test/java/gatelock/capacity/ConfigDeliveryTable.java
+++ b/src/test/java/gatelock/capacity/ConfigDeliveryTable.java
@@ -1,9 +1,10 @@
 package gatelock.capacity;
 
-/** The question how changes come: ways to deliver changes of the configuration to relays. */
+/** Table for the question of how configuration changes reach relays: it compares the methods of delivery. */
 final class ConfigDeliveryTable {
-    /** A way, with formulas of its figures for one relay. */
-    private record Way(String name, String bytesPerS, String messageBytes, String cores, String catchUpBytes) {}
+    /** A method of delivery, with formulas of its costs for one relay. */
+    private record DeliveryMethod(
+            String name, String bytesPerS, String messageBytes, String cores, String catchUpBytes) {}
 
     private final TargetFigures figures;
     private final ServicePlacement placement;
@@ -13,35 +14,43 @@
         this.placement = placement;
     }
 
-    MarkdownTable changes() {
+    /** Returns a table with the costs and the delay of each method. */
+    MarkdownTable deliveryMethods() {
         MarkdownTable table = new MarkdownTable(
                 "way",
                 "bytes/s a relay",
                 "of its bound",
                 "one message, KB",
                 "in force after, s",
-                "within " + MarkdownTable.figure(figures.of("inForceSBound")) + " s",
+                "within " + MarkdownTable.figure(figures.value("inForceSBound")) + " s",
                 "cores a relay",
                 "MB/s out of a machine",
-                "to catch up after " + MarkdownTable.figure(figures.of("regionCutS")) + " s, KB",
+                "to catch up after " + MarkdownTable.figure(figures.value("regionCutS")) + " s, KB",
                 "s at the bound");
-        String text = "routes*routeBytes";
-        String compile = "max(0,cpuPerVersionUs0+cpuPerVersionUs*routes)/1000000";
-        String differences = "configPerS*busyHour*configChangeBytes";
-        String differenceCores = "configPerS*busyHour*cpuPerVersionUs/1000000";
+        String textBytes = "routes*routeBytes";
+        String compileS = "max(0,cpuPerVersionUs0+cpuPerVersionUs*routes)/1000000";
+        String deltaBytesPerS = "configPerS*busyHour*configChangeBytes";
+        String deltaCores = "configPerS*busyHour*cpuPerVersionUs/1000000";
         String servedShare = "(" + servicesPerRelay() + "/services)";
-        add(table, new Way("one text a change", "configPerS*" + text, text, "configPerS*" + compile, text));
         add(
                 table,
-                new Way(
+                new DeliveryMethod(
+                        "one text a change",
+                        "configPerS*" + textBytes,
+                        textBytes,
+                        "configPerS*" + compileS,
+                        textBytes));
+        add(
+                table,
+                new DeliveryMethod(
                         "one text, the newest every 7 s",
-                        "min(configPerS,1/inForceSBound)*" + text,
-                        text,
-                        "min(configPerS,1/inForceSBound)*" + compile,
-                        text));
+                        "min(configPerS,1/inForceSBound)*" + textBytes,
+                        textBytes,
+                        "min(configPerS,1/inForceSBound)*" + compileS,
+                        textBytes));
         add(
                 table,
-                new Way(
+                new DeliveryMethod(
                         "difference, each change",
                         "configPerS*configChangeBytes",
                         "configChangeBytes",
@@ -49,20 +58,20 @@
                         "regionCutS*configPerS*configChangeBytes"));
         add(
                 table,
-                new Way(
+                new DeliveryMethod(
                         "difference, gathered for a second in the busy hour",
-                        differences,
+                        deltaBytesPerS,
                         "configPerS*busyHour*batchS*configChangeBytes",
-                        differenceCores,
-                        "regionCutS*" + differences));
+                        deltaCores,
+                        "regionCutS*" + deltaBytesPerS));
         add(
                 table,
-                new Way(
+                new DeliveryMethod(
                         "difference, only routes of services served (by weight, high skew)",
-                        differences + "*" + servedShare,
+                        deltaBytesPerS + "*" + servedShare,
                         "configChangeBytes",
-                        differenceCores + "*" + servedShare,
-                        "regionCutS*" + differences + "*" + servedShare));
+                        deltaCores + "*" + servedShare,
+                        "regionCutS*" + deltaBytesPerS + "*" + servedShare));
         return table;
     }
 
@@ -70,21 +79,21 @@
         return placement.meanServicesByWeight(figures.services(TargetFigures.Skew.HIGH));
     }
 
-    private void add(MarkdownTable table, Way way) {
-        double bytesPerS = figures.of(way.bytesPerS);
-        double messageBytes = figures.of(way.messageBytes);
-        double catchUpBytes = figures.of(way.catchUpBytes);
-        double boundBytesPerS = figures.of("relayBytesPerSBound");
-        double inForceS = figures.of("batchS+2*hopS") + messageBytes / boundBytesPerS;
+    private void add(MarkdownTable table, DeliveryMethod method) {
+        double bytesPerS = figures.value(method.bytesPerS);
+        double messageBytes = figures.value(method.messageBytes);
+        double catchUpBytes = figures.value(method.catchUpBytes);
+        double boundBytesPerS = figures.value("relayBytesPerSBound");
+        double inForceS = figures.value("batchS+2*hopS") + messageBytes / boundBytesPerS;
         table.row(
-                way.name,
+                method.name,
                 bytesPerS,
                 bytesPerS / boundBytesPerS,
                 messageBytes / 1000,
                 inForceS,
-                inForceS <= figures.of("inForceSBound") ? "yes" : "**no**",
-                figures.of(way.cores),
-                figures.of("relaysAMachine") * bytesPerS / 1e6,
+                inForceS <= figures.value("inForceSBound") ? "yes" : "**no**",
+                figures.value(method.cores),
+                figures.value("relaysAMachine") * bytesPerS / 1e6,
                 catchUpBytes / 1000,
                 catchUpBytes / boundBytesPerS);
     }
--- a/src/test/java/gatelock/capacity/ConfigVersionCosts.java
+++ b/src/test/java/gatelock/capacity/ConfigVersionCosts.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a version of the configuration costs a relay, measured in this process: text, heap and processor time. */
+/** Measures, in this process, what a configuration version costs a relay: size of its text, heap and processor time. */
 final class ConfigVersionCosts {
     private static final int[] ROUTES = {2_875, 11_500, 23_000, 46_000};
     private static final int ENDPOINTS = 1_000;
@@ -22,7 +22,7 @@
     private static final int WARM_UP_REPEATS = 60;
     private static final int KEPT_VERSIONS = 10;
 
-    /** Figures of one version. */
+    /** The measured costs of one version. */
     private record Cost(int textBytes, long heapBytes, double cpuUs) {}
 
     private final SlopeResults results;
@@ -31,6 +31,7 @@
         this.results = results;
     }
 
+    /** Measures the costs by the number of routes and adds their slopes to the results. */
     void measure() {
         costOf(WARM_UP_ROUTES, WARM_UP_REPEATS);
         List<Fit.Point> heap = new ArrayList<>();
@@ -70,7 +71,7 @@
                 text);
     }
 
-    /** The cost of a version with so many routes; its processor time is the median of some repeats. */
+    /** Returns the costs of a version with a number of routes; the processor time is the median of all repeats. */
     private static Cost costOf(int routes, int repeats) {
         byte[] text = SampleConfigs.version(routes);
         ConfigCompiler compiler = new ConfigCompiler(SampleConfigs.DEPLOYMENT);
@@ -80,7 +81,7 @@
             double cpuUs = medianSwapUs(compiler, admission, text, repeats);
             return new Cost(text.length, heapBytes(compiler, text), cpuUs);
         } finally {
-            // Garbage of the repeats must not be collected between the two histograms.
+            // Keeps these objects reachable, so that they are not collected between the two histograms.
             Reference.reachabilityFence(List.of(admission, text));
         }
     }
--- a/src/test/java/gatelock/capacity/DecisionCosts.java
+++ b/src/test/java/gatelock/capacity/DecisionCosts.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Processor time of the decision module alone, by the number of endpoints. */
+/** Measures the processor time of the decision engine alone, by the number of endpoints. */
 final class DecisionCosts {
     private static final int[] SIZES = {1_000, 10_000, 50_000, 100_000, 200_000};
     private static final int REQUESTS = 8_000;
@@ -16,6 +16,7 @@
         this.results = results;
     }
 
+    /** Measures the processor time of requests and timer ticks and adds their slopes to the results. */
     void measure() {
         warmUp();
         List<Fit.Point> requests = new ArrayList<>();
--- a/src/test/java/gatelock/capacity/DecisionHarness.java
+++ b/src/test/java/gatelock/capacity/DecisionHarness.java
@@ -24,22 +24,22 @@
 import java.util.SplittableRandom;
 
 /**
- * The decision module alone, with so many endpoints: 860 requests a second of its own virtual time, each of which
- * completes once some further ones have been sent.
+ * Drives the decision engine alone, with a given number of endpoints, at 860 requests per second of virtual time. The
+ * oldest request completes as soon as more than 4 requests are in flight.
  */
 final class DecisionHarness implements NoOpActions {
-    /** Endpoints of a service, as the target has them on the mean. */
+    /** Endpoints of a service: the mean of the capacity target. */
     static final int ENDPOINTS_PER_SERVICE = 28;
 
     private static final long REQUEST_INTERVAL_US = 1_163;
-    /** Requests between two readings of the processor time. */
-    private static final int BATCH = 16;
+    /** Requests that are sent between two readings of the processor time. */
+    private static final int BATCH_SIZE = 16;
 
     private static final int MAX_IN_FLIGHT = 4;
     private static final long TIMEOUT_US = 1_000_000;
     private static final long TICK_US = 250_000;
     private static final long EXPECTED_WORK_US = 5_000;
-    /** Enough of them that verdicts are weighed as in a fleet. */
+    /** Number of relays in the settings; large enough that verdicts are weighed as in a fleet. */
     private static final int RELAYS = 100;
 
     private static final List<RoutePolicy> ROUTES = List.of(
@@ -52,7 +52,7 @@
     private record InFlight(RequestHandle handle, long sentUs) {}
 
     private final DecisionEngine engine;
-    private final List<Set<String>> services = new ArrayList<>();
+    private final List<Set<String>> endpointsByService = new ArrayList<>();
     private final SplittableRandom random = new SplittableRandom(17);
     private final ArrayDeque<InFlight> inFlight = new ArrayDeque<>();
     private long nowUs = 1_000_000_000_000L;
@@ -60,17 +60,17 @@
     private long nextId;
     private long sent;
 
-    /** Decisions that know so many ready endpoints of a released build. */
+    /** Starts an engine with the given number of ready endpoints, all of a released build. */
     DecisionHarness(int endpoints) {
         engine = newEngine(this, List.of());
         engine.start(nowUs);
         List<Endpoint> list = new ArrayList<>();
         for (int i = 0; i < endpoints; i++) {
             if (i % ENDPOINTS_PER_SERVICE == 0) {
-                services.add(new HashSet<>());
+                endpointsByService.add(new HashSet<>());
             }
             String name = LongListDiscovery.name(i);
-            services.get(services.size() - 1).add(name);
+            endpointsByService.get(endpointsByService.size() - 1).add(name);
             list.add(new Endpoint(name, 1, i % 3, 0, i % 10, Endpoint.Health.READY, 0));
         }
         engine.endpointsUpdated(nowUs, DecisionEngine.EndpointUpdateType.FULL, list);
@@ -84,7 +84,7 @@
                 DecisionEngine.VoteResponse.NOT_ASKED);
     }
 
-    /** Decisions with the settings of examples/relay.json. */
+    /** Creates an engine with the settings of examples/relay.json. */
     static DecisionEngine newEngine(DecisionActions actions, List<RelaySettings.Tenant> tenants) {
         RelaySettings settings = new RelaySettings(
                 17,
@@ -125,10 +125,11 @@
     }
 
     /**
-     * Sends requests, up to a number or a second of processor time; the ticks between them do not count.
+     * Sends requests until their number reaches a maximum or they have used one second of processor time. Timer ticks
+     * between the requests are not included in the processor time.
      *
-     * @param restricted each request reaches only the endpoints of one service
-     * @return microseconds of processor time for one request
+     * @param restricted whether each request may go only to the endpoints of one service
+     * @return processor time of one request in microseconds
      */
     double requestUs(boolean restricted, int maxRequests) {
         long cpuNs = 0;
@@ -137,11 +138,11 @@
         long nextTickUs = nowUs + TICK_US;
         while (requests < maxRequests && cpuNs < 1_000_000_000) {
             long startedNs = THREADS.getCurrentThreadCpuTime();
-            for (int i = 0; i < BATCH; i++) {
+            for (int i = 0; i < BATCH_SIZE; i++) {
                 nowUs += REQUEST_INTERVAL_US;
-                request(restricted);
+                sendRequest(restricted);
             }
-            requests += BATCH;
+            requests += BATCH_SIZE;
             cpuNs += THREADS.getCurrentThreadCpuTime() - startedNs;
             if (nowUs >= nextTickUs) {
                 tick();
@@ -149,15 +150,16 @@
             }
         }
         if (sent - sentBefore < requests * 0.99) {
-            throw new IllegalStateException("of " + requests + " requests only " + (sent - sentBefore) + " were sent");
+            throw new IllegalStateException(
+                    "expected to send " + requests + " requests, but only " + (sent - sentBefore) + " were sent");
         }
         return cpuNs / 1e3 / requests;
     }
 
-    private void request(boolean restricted) {
-        Set<String> service = services.get(random.nextInt(services.size()));
-        EndpointRestriction ofService = service::contains;
-        RequestConstraints constraints = restricted ? ofService : RequestConstraints.NONE;
+    private void sendRequest(boolean restricted) {
+        Set<String> service = endpointsByService.get(random.nextInt(endpointsByService.size()));
+        EndpointRestriction onlyService = service::contains;
+        RequestConstraints constraints = restricted ? onlyService : RequestConstraints.NONE;
         long sentBefore = sent;
         RequestHandle handle = engine.acceptRequest(
                 nowUs, "r" + nextId++, 0, 0, DecisionEngine.NO_KEY, TIMEOUT_US, EXPECTED_WORK_US, constraints);
@@ -174,7 +176,7 @@
         engine.timerFired(nowUs, tickToken);
     }
 
-    /** Runs so many ticks; microseconds of processor time for one. */
+    /** Runs a number of timer ticks and returns the processor time of one in microseconds. */
     double tickUs(int ticks) {
         long startedNs = THREADS.getCurrentThreadCpuTime();
         for (int i = 0; i < ticks; i++) {
@@ -189,7 +191,10 @@
         sent++;
     }
 
-    /** The first timer is the tick's; a request's is due only after its end, when it does nothing. */
+    /**
+     * Records the token of the first timer, which is the engine's tick. Timers of requests are ignored: they would fire
+     * only after the request has ended, and would then have no effect.
+     */
     @Override
     public void scheduleTimer(long inUs, long token) {
         tickToken = tickToken < 0 ? token : tickToken;
--- a/src/test/java/gatelock/capacity/EndpointListCosts.java
+++ b/src/test/java/gatelock/capacity/EndpointListCosts.java
@@ -12,15 +12,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the endpoint list costs a relay, measured in this process: heap, processor time and bytes on the wire. */
+/** Measures, in this process, what the endpoint list costs a relay: heap, processor time and bytes on the wire. */
 final class EndpointListCosts {
-    /** Doubled each time, so that hash tables have the same load factor at each size. */
+    /** Each size is twice the previous one, so that hash tables have the same load factor at each size. */
     private static final int[] SIZES = {25_000, 50_000, 100_000, 200_000};
 
     private static final int[] WIRE_SIZES = {1_000, 10_000, 100_000, 200_000};
     private static final int[] CHANGES = {1, 10, 100};
-    private static final int WATCHED_SIZE = 10_000;
-    private static final int SHOWN_CLASSES = 14;
+    private static final int WATCHED_LIST_SIZE = 10_000;
+    private static final int MAX_CLASSES = 14;
     private static final long START_US = 1_000_000;
 
     private final SlopeResults results;
@@ -31,9 +31,10 @@
 
     // ---- Heap and processor time ---------------------------------------------------------------------------
 
+    /** Measures heap and processor time by the size of the list. */
     void measureHeapAndCpu() throws Exception {
         try (EndpointListHarness warmUp = new EndpointListHarness(2_000, null)) {
-            warmUp.changeUs(300);
+            warmUp.medianChangeUs(300);
         }
         measureHeap();
         measureCpu();
@@ -43,7 +44,7 @@
         List<Fit.Point> heap = new ArrayList<>();
         List<ClassHistogram> histograms = new ArrayList<>();
         for (int size : SIZES) {
-            ClassHistogram histogram = heldBy(size);
+            ClassHistogram histogram = relayStateHistogram(size);
             histograms.add(histogram);
             heap.add(new Fit.Point(size, histogram.totalBytes()));
         }
@@ -60,7 +61,7 @@
         addClasses(histograms.get(last).since(histograms.get(0)), SIZES[last] - SIZES[0]);
     }
 
-    private static ClassHistogram heldBy(int size) throws IOException {
+    private static ClassHistogram relayStateHistogram(int size) throws IOException {
         ClassHistogram before = ClassHistogram.ofThisProcess();
         Object state = relayState(size);
         try {
@@ -70,7 +71,7 @@
         }
     }
 
-    /** What a relay holds of so many endpoints: their addresses, and the decisions' view of them. */
+    /** Creates the state that a relay holds for a number of endpoints: their addresses and a decision engine. */
     private static Object relayState(int size) throws IOException {
         EndpointAddresses addresses = new EndpointAddresses();
         DecisionEngine engine = DecisionHarness.newEngine(new DecisionHarness(1), List.of());
@@ -88,7 +89,7 @@
     private void addClasses(ClassHistogram difference, int endpoints) {
         difference.bytes().entrySet().stream()
                 .sorted(Map.Entry.<String, Long>comparingByValue().reversed())
-                .limit(SHOWN_CLASSES)
+                .limit(MAX_CLASSES)
                 .forEach(entry -> results.addClass(entry.getKey(), entry.getValue() / (double) endpoints));
     }
 
@@ -97,8 +98,8 @@
         List<Fit.Point> reads = new ArrayList<>();
         for (int size : SIZES) {
             try (EndpointListHarness harness = new EndpointListHarness(size, null)) {
-                reads.add(new Fit.Point(size, harness.readUs()));
-                changes.add(new Fit.Point(size, harness.changeUs(size > 50_000 ? 30 : 100)));
+                reads.add(new Fit.Point(size, harness.fullReadUs()));
+                changes.add(new Fit.Point(size, harness.medianChangeUs(size > 50_000 ? 30 : 100)));
                 if (harness.fullReads() > 1) {
                     results.note("units", "the whole list was read " + harness.fullReads() + " times at " + size);
                 }
@@ -128,6 +129,7 @@
 
     // ---- Bytes ---------------------------------------------------------------------------------------------
 
+    /** Measures the bytes on the wire of whole lists and of watches. */
     void measureBytes() throws IOException {
         String method = "Slopes.bytes: bodies and heads of call and answer on a socket, as the stand-in writes them";
         measureListBytes(method);
@@ -139,7 +141,7 @@
         for (int size : WIRE_SIZES) {
             try (LongListDiscovery list = newList(size);
                     Socket socket = connect(list)) {
-                full.add(new Fit.Point(size, bytesOf(socket, "")));
+                full.add(new Fit.Point(size, exchangeBytes(socket, "")));
             }
         }
         results.addSlope(
@@ -151,16 +153,16 @@
     private void measureWatchBytes(String method) throws IOException {
         List<Fit.Point> changed = new ArrayList<>();
         List<Fit.Point> empty = new ArrayList<>();
-        try (LongListDiscovery list = newList(WATCHED_SIZE);
+        try (LongListDiscovery list = newList(WATCHED_LIST_SIZE);
                 Socket socket = connect(list)) {
             for (int changes : CHANGES) {
                 long changedBytes = 0;
                 long emptyBytes = 0;
                 for (int i = 0; i < changes; i++) {
                     long from = list.index();
-                    emptyBytes += bytesOf(socket, "?from=" + from + "&hold_ms=0");
+                    emptyBytes += exchangeBytes(socket, "?from=" + from + "&hold_ms=0");
                     list.replace(i, EndpointListHarness.entry(i, i + 1));
-                    changedBytes += bytesOf(socket, "?from=" + from + "&hold_ms=2000");
+                    changedBytes += exchangeBytes(socket, "?from=" + from + "&hold_ms=2000");
                 }
                 changed.add(new Fit.Point(changes, changedBytes));
                 empty.add(new Fit.Point(changes, emptyBytes));
@@ -192,9 +194,9 @@
         return LoadGenerator.open(RelayHarness.port(list.address("r")));
     }
 
-    /** Bytes of a call to discovery and of its answer. */
-    private static long bytesOf(Socket socket, String query) throws IOException {
-        String call = "GET /api/targets" + query + " HTTP/1.1\r\nHost: discovery\r\n\r\n";
-        return call.length() + LoadGenerator.exchange(socket, call).bytes();
+    /** Sends a request to discovery and returns the bytes of the request and its response. */
+    private static long exchangeBytes(Socket socket, String query) throws IOException {
+        String request = "GET /api/targets" + query + " HTTP/1.1\r\nHost: discovery\r\n\r\n";
+        return request.length() + LoadGenerator.exchange(socket, request).bytes();
     }
 }
--- a/src/test/java/gatelock/capacity/EndpointListHarness.java
+++ b/src/test/java/gatelock/capacity/EndpointListHarness.java
@@ -26,19 +26,20 @@
 import org.xnio.XnioWorker;
 
 /**
- * The part of a relay that follows the endpoint list, in this process and on real sockets, with no bound on the size of
- * the list: its discovery client, addresses and decisions against a discovery with so many entries.
+ * Runs the part of a relay that follows the endpoint list in this process and on real sockets: discovery client,
+ * endpoint addresses and decision engine, against a stand-in for discovery. The size of the list is not limited as in a
+ * relay.
  */
 final class EndpointListHarness implements AutoCloseable {
     private static final int MAX_RESPONSE_BYTES = 256 << 20;
     private static final long CONNECT_TIMEOUT_US = 1_000_000;
     private static final long RESPONSE_TIMEOUT_US = 4_000_000;
     private static final int MAX_CONNECTIONS = 8;
-    private static final long FOLLOWED_WITHIN_MS = 60_000;
-    private static final long STOP_WITHIN_MS = 5_000;
+    private static final long INDEX_TIMEOUT_MS = 60_000;
+    private static final long STOP_TIMEOUT_MS = 5_000;
     private static final long RELEASED_SINCE_US = 60_000_000;
-    private static final long SINCE_MS = 1_764_000_000_000L;
-    /** A prime stride, so that changes go over all of the list. */
+    private static final long CHANGED_SINCE_MS = 1_764_000_000_000L;
+    /** A prime stride, so that successive changes cover the whole list. */
     private static final long CHANGE_STRIDE = 7_919;
 
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
@@ -51,9 +52,9 @@
     private final ConnectionPool endpointConnections;
     private final DiscoveryClient discovery;
     private final DecisionEngine engine;
-    private final double readUs;
+    private final double fullReadUs;
 
-    /** Follows a list of so many entries; when this returns, all of it has been taken in. */
+    /** Starts to follow a list with the given number of entries, and returns once the client has processed all of it. */
     EndpointListHarness(int size, Admission admission) throws IOException, InterruptedException {
         this.size = size;
         list = new LongListDiscovery(size, number -> entry(number, 0));
@@ -82,10 +83,10 @@
                 new SplittableRandom(17),
                 null);
         engine = DecisionHarness.newEngine(new ListOnlyActions(), List.of());
-        long startedNs = cpuNs();
+        long startedNs = ioThreadCpuNs();
         eventLoop.execute(() -> start(admission));
-        awaitFollowed(1);
-        readUs = (cpuNs() - startedNs) / 1e3;
+        awaitIndex(1);
+        fullReadUs = (ioThreadCpuNs() - startedNs) / 1e3;
     }
 
     private void start(Admission admission) {
@@ -106,7 +107,7 @@
         }
     }
 
-    /** An entry of about 190 bytes, as the target has them; each change is of a later start of the endpoint. */
+    /** Returns an entry of about 190 bytes, the size in the capacity target; each change has a later start time. */
     static String entry(int number, int change) {
         return LongListDiscovery.entry(
                 number,
@@ -114,40 +115,40 @@
                 number % 2 == 0 ? "east" : "west",
                 "svc-" + number / DecisionHarness.ENDPOINTS_PER_SERVICE,
                 "in_service",
-                SINCE_MS + change,
+                CHANGED_SINCE_MS + change,
                 1);
     }
 
-    private long cpuNs() {
+    private long ioThreadCpuNs() {
         return THREADS.getThreadCpuTime(eventLoop.ioThread().getId());
     }
 
-    /** Waits until the client has the list up to an index. */
-    private void awaitFollowed(long index) throws InterruptedException {
-        if (list.await(index, 1, FOLLOWED_WITHIN_MS).isEmpty()) {
-            throw new IllegalStateException("a list of " + size + " entries is not followed up to " + index + " after "
-                    + FOLLOWED_WITHIN_MS + " ms; full reads: " + list.snapshotCalls());
+    /** Waits until the client has received the list up to an index. */
+    private void awaitIndex(long index) throws InterruptedException {
+        if (list.await(index, 1, INDEX_TIMEOUT_MS).isEmpty()) {
+            throw new IllegalStateException("the client of a list of " + size + " entries did not reach index " + index
+                    + " within " + INDEX_TIMEOUT_MS + " ms; full reads: " + list.snapshotCalls());
         }
     }
 
-    /** Processor time of the I/O thread to read the whole list and take it in, in microseconds. */
-    double readUs() {
-        return readUs;
+    /** Returns the processor time of the I/O thread to read and process the whole list, in microseconds. */
+    double fullReadUs() {
+        return fullReadUs;
     }
 
-    /** How often the client has read the whole list. */
+    /** Returns how often the client has read the whole list. */
     long fullReads() {
         return list.snapshotCalls();
     }
 
-    /** Restarts so many endpoints, one after the other; the median of the I/O thread's processor time for one. */
-    double changeUs(int changes) throws InterruptedException {
+    /** Restarts a number of endpoints one by one; returns the median I/O thread processor time of one, in microseconds. */
+    double medianChangeUs(int changes) throws InterruptedException {
         List<Long> changeNs = new ArrayList<>();
         for (int i = 1; i <= changes; i++) {
             int number = (int) (i * CHANGE_STRIDE % size);
-            long startedNs = cpuNs();
-            awaitFollowed(list.replace(number, entry(number, i)));
-            changeNs.add(cpuNs() - startedNs);
+            long startedNs = ioThreadCpuNs();
+            awaitIndex(list.replace(number, entry(number, i)));
+            changeNs.add(ioThreadCpuNs() - startedNs);
         }
         Collections.sort(changeNs);
         return changeNs.get(changes / 2) / 1e3;
@@ -160,17 +161,17 @@
         list.close();
         worker.shutdownNow();
         try {
-            worker.awaitTermination(STOP_WITHIN_MS, TimeUnit.MILLISECONDS);
-            eventLoop.ioThread().join(STOP_WITHIN_MS);
+            worker.awaitTermination(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+            eventLoop.ioThread().join(STOP_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** No request is accepted, and no timer runs: only the list is measured. */
+    /** Actions of an engine that only receives the list: it accepts no requests, and its timers do not run. */
     private static final class ListOnlyActions implements NoOpActions {
         private static IllegalStateException unexpected() {
-            return new IllegalStateException("no request was accepted");
+            return new IllegalStateException("unexpected action: the harness accepts no requests");
         }
 
         @Override
--- a/src/test/java/gatelock/capacity/Fit.java
+++ b/src/test/java/gatelock/capacity/Fit.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * A straight line through points, by least squares.
+ * A straight line fitted to points by least squares.
  *
- * @param residual the largest distance of a point from the line, as a share of the line's value there
+ * @param residual the largest distance of a point from the line, relative to the value of the line at that point
  */
 public record Fit(double slope, double intercept, double residual) {
 
-    /** A point that a line is fitted to. */
+    /** A point to which a line is fitted. */
     record Point(double x, double y) {}
 
     /**
      * Fits a line to points that are given as pairs of x and y.
      *
-     * @param points at least two values of x differ
+     * @param points points with at least two different values of x
      */
     public static Fit of(List<double[]> points) {
         return through(points.stream().map(p -> new Point(p[0], p[1])).toList());
@@ -24,7 +24,8 @@
     /**
      * Fits a line to points.
      *
-     * @param points at least two values of x differ
+     * @param points points with at least two different values of x
+     * @throws IllegalArgumentException if all points have the same x
      */
     static Fit through(List<Point> points) {
         double meanX = points.stream().mapToDouble(Point::x).average().orElseThrow();
@@ -32,7 +33,7 @@
         double sumXx =
                 points.stream().mapToDouble(p -> (p.x - meanX) * (p.x - meanX)).sum();
         if (sumXx == 0) {
-            throw new IllegalArgumentException("a line needs two values of x");
+            throw new IllegalArgumentException("fitting a line needs at least two different values of x");
         }
         double sumXy =
                 points.stream().mapToDouble(p -> (p.x - meanX) * (p.y - meanY)).sum();
--- a/src/test/java/gatelock/capacity/FitTest.java
+++ b/src/test/java/gatelock/capacity/FitTest.java
@@ -10,14 +10,14 @@
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
 
-/** The line through known points. */
+/** Guards against wrong slopes, intercepts and residuals of fitted lines. */
 class FitTest {
     private static Fit.Point point(double x, double y) {
         return new Fit.Point(x, y);
     }
 
     @Test
-    void pointsOnALineGiveIt() {
+    void fitsPointsOnLineExactly() {
         Fit fit = Fit.through(List.of(point(1_000, 2_500), point(10_000, 20_500), point(100_000, 200_500)));
         assertThat(fit.slope()).isCloseTo(2, within(1e-9));
         assertThat(fit.intercept()).isCloseTo(500, within(1e-6));
@@ -25,8 +25,9 @@
     }
 
     @Test
-    void aPointOffTheLineGivesItsDistanceAsAShareOfTheLine() {
-        // By hand: means 2 and 20/3; slope 8/2 = 4, intercept -4/3; at 1, 2, 3 the line is 8/3, 20/3, 32/3.
+    void reportsLargestRelativeDistanceAsResidual() {
+        // Means of x and y: 2 and 20/3; slope: 8/2 = 4; intercept: -4/3; values of the line at 1, 2, 3: 8/3, 20/3,
+        // 32/3.
         Fit fit = Fit.through(List.of(point(1, 4), point(2, 4), point(3, 12)));
         assertThat(fit.slope()).isCloseTo(4, within(1e-9));
         assertThat(fit.intercept()).isCloseTo(-4 / 3.0, within(1e-9));
@@ -34,24 +35,24 @@
     }
 
     @Test
-    void aLevelLineHasNoSlope() {
+    void fitsHorizontalLineWithZeroSlope() {
         assertThat(Fit.through(List.of(point(1, 7), point(2, 7), point(9, 7)))).isEqualTo(new Fit(0, 7, 0));
     }
 
     @Test
-    void oneValueOfXGivesNoLine() {
+    void rejectsPointsWithSingleValueOfX() {
         assertThatThrownBy(() -> Fit.through(List.of(point(1, 4), point(1, 5))))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
     @Test
-    void pairsGiveTheSameLineAsPoints() {
+    void fitsPairsLikePoints() {
         assertThat(Fit.of(List.of(new double[] {1, 4}, new double[] {2, 4}, new double[] {3, 12})))
                 .isEqualTo(Fit.through(List.of(point(1, 4), point(2, 4), point(3, 12))));
     }
 
     @Property
-    void anyLineIsFoundAgain(
+    void recoversLineFromItsPoints(
             @ForAll @DoubleRange(min = -1e6, max = 1e6) double slope,
             @ForAll @DoubleRange(min = -1e6, max = 1e6) double intercept) {
         Fit fit = Fit.through(List.of(
--- a/src/test/java/gatelock/capacity/FormulaEvaluator.java
+++ b/src/test/java/gatelock/capacity/FormulaEvaluator.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Evaluates formulas as the capacity model and the page write them; each is parsed once. */
+/** Evaluates the formulas of the capacity model and the page, and caches their parsed form. */
 final class FormulaEvaluator {
     private static final ExpressionConfiguration CONFIGURATION =
             ExpressionConfiguration.builder().mathContext(MathContext.DECIMAL64).build();
@@ -23,10 +23,10 @@
     }
 
     /**
-     * The value of a formula; NaN where it uses a name that has no value.
+     * Returns the value of a formula, or NaN if it uses a variable that has no value.
      *
-     * @param values by name
-     * @throws IllegalArgumentException for a formula that cannot be parsed or evaluated
+     * @param values values of variables by name
+     * @throws IllegalArgumentException if the formula cannot be parsed or evaluated
      */
     double value(String formula, Map<String, Double> values) {
         try {
@@ -45,9 +45,9 @@
     }
 
     /**
-     * The names that a formula uses.
+     * Returns the names of the variables that a formula uses.
      *
-     * @throws IllegalArgumentException for a formula that cannot be parsed
+     * @throws IllegalArgumentException if the formula cannot be parsed
      */
     static Set<String> names(String formula) {
         try {
--- a/src/test/java/gatelock/capacity/LadderChart.java
+++ b/src/test/java/gatelock/capacity/LadderChart.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The ladder as an SVG chart: each bound's ratio over the share of the target, both on logarithmic axes. */
+/** Draws the scale ladder as an SVG chart: the ratio of each metric to its bound by share of the target, on log axes. */
 final class LadderChart {
     private static final int WIDTH = 1000;
     private static final int LEFT = 70;
@@ -20,7 +20,7 @@
             "#0b5fa5", "#b3261e", "#2e7d32", "#8e4ec6", "#c77700", "#00838f", "#6d4c41", "#455a64", "#ad1457",
             "#558b2f");
 
-    /** A label and the height at which its line ends. */
+    /** A label and the y coordinate at which its curve ends. */
     private record Label(String text, String colour, double y) {}
 
     private final List<CapacityTarget.Step> steps;
@@ -30,18 +30,19 @@
         this.steps = target.steps();
     }
 
-    /** The chart of the rungs that are measured. */
-    String svg(List<ScaleLadder.Rung> rungs) {
-        List<ScaleLadder.Rung> drawn =
-                rungs.stream().filter(rung -> !Double.isNaN(rung.crossedAt())).toList();
-        int height = Math.max(BOTTOM + MARGIN, TOP + MARGIN + LABEL_HEIGHT * drawn.size());
+    /** Returns the chart of all curves that were measured. */
+    String svg(List<ScaleLadder.ScalingCurve> curves) {
+        List<ScaleLadder.ScalingCurve> measuredCurves = curves.stream()
+                .filter(curve -> !Double.isNaN(curve.crossedAt()))
+                .toList();
+        int height = Math.max(BOTTOM + MARGIN, TOP + MARGIN + LABEL_HEIGHT * measuredCurves.size());
         svg.setLength(0);
         drawFrame(height);
         drawRatioAxis();
         drawShareAxis();
         List<Label> labels = new ArrayList<>();
-        for (int i = 0; i < drawn.size(); i++) {
-            labels.add(drawRung(drawn.get(i), COLOURS.get(i % COLOURS.size())));
+        for (int i = 0; i < measuredCurves.size(); i++) {
+            labels.add(drawCurve(measuredCurves.get(i), COLOURS.get(i % COLOURS.size())));
         }
         drawLabels(labels);
         return svg.append("</svg>\n").toString();
@@ -79,13 +80,13 @@
         }
     }
 
-    private Label drawRung(ScaleLadder.Rung rung, String colour) {
-        drawLine(rung.ratios(), colour, "");
-        if (rung.metric().formulaWithSubsets() != null && !Double.isNaN(rung.crossedAtWithSubsets())) {
-            drawLine(rung.ratiosWithSubsets(), colour, " stroke-dasharray=\"5 4\"");
+    private Label drawCurve(ScaleLadder.ScalingCurve curve, String colour) {
+        drawLine(curve.ratios(), colour, "");
+        if (curve.metric().formulaWithSubsets() != null && !Double.isNaN(curve.crossedAtWithSubsets())) {
+            drawLine(curve.ratiosWithSubsets(), colour, " stroke-dasharray=\"5 4\"");
         }
-        String text = rung.metric().id() + " " + MarkdownTable.share(rung.crossedAt());
-        return new Label(text, colour, y(rung.lastRatio()));
+        String text = curve.metric().id() + " " + MarkdownTable.share(curve.crossedAt());
+        return new Label(text, colour, y(curve.lastRatio()));
     }
 
     private void drawLine(List<Double> ratios, String colour, String dash) {
@@ -98,7 +99,7 @@
                 String.join(" ", points), colour, dash);
     }
 
-    /** Draws labels beside the ends of their lines, moved apart so that none covers another. */
+    /** Draws labels beside the ends of their curves, and moves them apart so that none covers another. */
     private void drawLabels(List<Label> labels) {
         List<Label> fromTop =
                 labels.stream().sorted(Comparator.comparingDouble(Label::y)).toList();
--- a/src/test/java/gatelock/capacity/MarkdownTable.java
+++ b/src/test/java/gatelock/capacity/MarkdownTable.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A Markdown table, and figures as the page writes them: with three significant digits. */
+/** Builds a Markdown table and formats numbers for the page, with three significant digits. */
 final class MarkdownTable {
     private final List<String> rows = new ArrayList<>();
 
-    /** A table with a heading for each column. */
+    /** Starts a table with a heading for each column. */
     MarkdownTable(String... headings) {
         row((Object[]) headings);
         rows.add("|" + " --- |".repeat(headings.length));
     }
 
-    /** Adds a row: numbers as {@link #figure} writes them, all else as text. */
+    /** Adds a row. Numbers are formatted with {@link #figure}, other values with {@code String.valueOf}. */
     MarkdownTable row(Object... cells) {
         StringBuilder row = new StringBuilder("|");
         for (Object cell : cells) {
@@ -29,7 +29,7 @@
         return this;
     }
 
-    /** The number of rows below the headings. */
+    /** Returns the number of rows below the headings. */
     int size() {
         return rows.size() - 2;
     }
@@ -39,7 +39,10 @@
         return String.join("\n", rows);
     }
 
-    /** A figure with three significant digits; NaN: not measured, infinite: never. */
+    /**
+     * Formats a number with three significant digits. NaN stands for a value that was not measured, infinity for an event
+     * that never happens.
+     */
     static String figure(double value) {
         if (Double.isNaN(value)) {
             return "not measured";
@@ -50,18 +53,21 @@
         if (value == 0) {
             return "0";
         }
-        double size = Math.abs(value);
-        if (size >= 999.5) {
+        double magnitude = Math.abs(value);
+        if (magnitude >= 999.5) {
             return String.format(Locale.ROOT, "%,.0f", value);
         }
-        if (size < 1e-5) {
+        if (magnitude < 1e-5) {
             return String.format(Locale.ROOT, "%.1e", value);
         }
         BigDecimal rounded = new BigDecimal(value).round(new MathContext(3)).stripTrailingZeros();
         return rounded.toPlainString();
     }
 
-    /** A share of the target as a fraction, such as 1/18; NaN: not measured, infinite: not crossed. */
+    /**
+     * Formats the share of the target at which a bound is crossed as a fraction, such as 1/18. NaN stands for a share
+     * that was not measured, infinity for a bound that is not crossed.
+     */
     static String share(double share) {
         if (Double.isNaN(share)) {
             return "not measured";
@@ -76,12 +82,12 @@
         return "1/" + String.format(Locale.ROOT, denominator < 9.95 ? "%.1f" : "%.0f", denominator);
     }
 
-    /** A share in per cent. */
+    /** Formats a share as a percentage. */
     static String percent(double share) {
         return figure(share * 100) + "%";
     }
 
-    /** A ratio of a figure to its bound, in bold where it is over it. */
+    /** Formats the ratio of a value to its bound, in bold if the value is over its bound. */
     static String ratio(double ratio) {
         return ratio > 1 ? "**" + figure(ratio) + "**" : figure(ratio);
     }
--- a/src/test/java/gatelock/capacity/MeasurementRun.java
+++ b/src/test/java/gatelock/capacity/MeasurementRun.java
@@ -16,13 +16,16 @@
 import java.util.TreeMap;
 
 /**
- * What a run has measured, from docs/capacity/slopes.json, membership.json or scale.json. Whatever such a file lacks is
- * not measured; it must have the id of its run.
+ * The results of a measurement run, read from docs/capacity/slopes.json, membership.json or scale.json. The file must have
+ * a run ID; values that it lacks count as not measured.
  */
 final class MeasurementRun {
     static final String NO_RUN = "not run";
-    /** Slopes that formulas may use whether or not a run has measured them; with a 0 behind the name: the intercept. */
-    static final Set<String> KNOWN_NAMES = Set.of(
+    /**
+     * Names of the slopes that formulas may use, whether or not a run has measured them. A name with 0 appended is the
+     * intercept of that slope.
+     */
+    static final Set<String> KNOWN_SLOPES = Set.of(
             "heapPerUnit",
             "heapPerRoute",
             "heapPerTenant",
@@ -46,59 +49,59 @@
             "deskCpuPerVoteUs",
             "operatorCpuPerScrapeUs");
 
-    private final JsonNode file;
-    /** The slopes of this run, and of others that were added to it. */
+    private final JsonNode root;
+    /** The slopes of this run and of the runs that were added to it. */
     private final ArrayNode slopes;
 
-    private MeasurementRun(JsonNode file, ArrayNode slopes) {
-        this.file = file;
+    private MeasurementRun(JsonNode root, ArrayNode slopes) {
+        this.root = root;
         this.slopes = slopes;
     }
 
-    private static MeasurementRun of(JsonNode file) {
+    private static MeasurementRun fromJson(JsonNode root) {
         ArrayNode slopes = JsonNodeFactory.instance.arrayNode();
-        file.path("slopes").forEach(slopes::add);
-        return new MeasurementRun(file, slopes);
+        root.path("slopes").forEach(slopes::add);
+        return new MeasurementRun(root, slopes);
     }
 
-    /** This run with the slopes of another one after its own. */
+    /** Returns a copy of this run with the slopes of another run appended to its own. */
     MeasurementRun withSlopesOf(MeasurementRun other) {
-        return new MeasurementRun(file, slopes.deepCopy().addAll(other.slopes));
+        return new MeasurementRun(root, slopes.deepCopy().addAll(other.slopes));
     }
 
     /**
-     * Reads a file; one that does not exist gives a run that has measured nothing.
+     * Reads a run from a file. If the file does not exist, the run has no results.
      *
-     * @throws IOException where the file can't be read, or has no id of its run
+     * @throws IOException if the file cannot be read or has no run ID
      */
     static MeasurementRun read(Path file) throws IOException {
         if (!Files.exists(file)) {
-            return of(MissingNode.getInstance());
+            return fromJson(MissingNode.getInstance());
         }
-        JsonNode read = new ObjectMapper().readTree(file.toFile());
-        if (read.path("run").path("id").asText().isBlank()) {
-            throw new IOException(file + ": no run.id");
+        JsonNode root = new ObjectMapper().readTree(file.toFile());
+        if (root.path("run").path("id").asText().isBlank()) {
+            throw new IOException(file + ": run.id is missing or blank");
         }
-        return of(read);
+        return fromJson(root);
     }
 
-    /** The id of the run; {@link #NO_RUN} where there is no file. */
+    /** Returns the run ID, or {@link #NO_RUN} if there is no file. */
     String runId() {
-        return file.isMissingNode() ? NO_RUN : file.path("run").path("id").asText();
+        return root.isMissingNode() ? NO_RUN : root.path("run").path("id").asText();
     }
 
-    /** When, where and of which commit the run was. */
+    /** Returns the date, the machine and the commit of the run. */
     JsonNode run() {
-        return file.path("run");
+        return root.path("run");
     }
 
-    /** A section of the file; a missing node where there is none. */
+    /** Returns a section of the file, or a missing node if there is none. */
     JsonNode section(String name) {
-        return name.equals("slopes") ? slopes : file.path(name);
+        return name.equals("slopes") ? slopes : root.path(name);
     }
 
-    /** Slopes and, with a 0 behind the name, intercepts. */
-    Map<String, Double> values() {
+    /** Returns the slopes by name, and their intercepts by the name with 0 appended. */
+    Map<String, Double> slopesAndIntercepts() {
         Map<String, Double> values = new LinkedHashMap<>();
         slopes.forEach(s -> {
             put(values, s.path("name").asText(), s.path("slope"));
@@ -113,7 +116,7 @@
         }
     }
 
-    /** The largest distance of a slope's point from its line, as a share; NaN: not measured. */
+    /** Returns the largest relative distance of a point from the fitted line of a slope, or NaN if it was not measured. */
     double residual(String name) {
         for (JsonNode slope : slopes) {
             if (name.equals(slope.path("name").asText())) {
@@ -123,10 +126,13 @@
         return Double.NaN;
     }
 
-    /** The added p99 latency in milliseconds at a rate, interpolated between measured rates; NaN outside of them. */
+    /**
+     * Returns the added p99 latency in milliseconds at a request rate, interpolated between measured rates, or NaN
+     * outside their range.
+     */
     double addedP99Ms(double requestsPerS) {
         TreeMap<Double, Double> p99MsByRate = new TreeMap<>();
-        for (JsonNode row : file.path("latency")) {
+        for (JsonNode row : root.path("latency")) {
             p99MsByRate.put(row.path("perS").asDouble(), row.path("p99Us").asDouble() / 1000);
         }
         Map.Entry<Double, Double> below = p99MsByRate.floorEntry(requestsPerS);
@@ -139,7 +145,7 @@
         return below.getValue() + position * (above.getValue() - below.getValue());
     }
 
-    /** The points of a slope, which are given as pairs or as objects with x and y. */
+    /** Returns the points of a slope, which the file has as pairs or as objects with x and y. */
     static List<Fit.Point> points(JsonNode slope) {
         List<Fit.Point> points = new ArrayList<>();
         for (JsonNode point : slope.path("points")) {
--- a/src/test/java/gatelock/capacity/MeasurementTables.java
+++ b/src/test/java/gatelock/capacity/MeasurementTables.java
@@ -7,18 +7,18 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Tables of what was measured, as the files of the runs have it. */
+/** Tables of the measured values in the data files of the runs. */
 final class MeasurementTables {
     private static final String NOT_MEASURED = "Not measured.";
     private static final String NO_VALUE = "-";
-    /** Texts in place of flags that are shorter than this are remarks, and not set as code. */
+    /** A shorter text in the place of JVM flags is a remark, which is not formatted as code. */
     private static final int MIN_FLAGS_LENGTH = 12;
 
     private static final double BYTES_PER_MB = 1e6;
 
     private MeasurementTables() {}
 
-    /** The runs that the page is of. */
+    /** Returns the runs whose results are on the page. */
     static String runs(Map<String, MeasurementRun> runs) {
         MarkdownTable table =
                 new MarkdownTable("file", "run", "date", "commit", "cores", "machine", "Java", "flags of a relay");
@@ -41,7 +41,7 @@
         return flags.length() < MIN_FLAGS_LENGTH ? flags : "`" + flags + "`";
     }
 
-    /** What the runs note of themselves: parts that failed, were not run, or are a trial. */
+    /** Returns the notes in the files of the runs, for example on parts that failed or were not run. */
     static String notes(Map<String, MeasurementRun> runs) {
         MarkdownTable table = new MarkdownTable("file", "part", "note");
         runs.forEach((file, measured) -> measured.section("notes")
@@ -50,6 +50,7 @@
         return table.size() == 0 ? "The runs note nothing." : table.toString();
     }
 
+    /** Returns the measured slopes with their points and residuals. */
     static String slopes(MeasurementRun measured) {
         MarkdownTable table = new MarkdownTable(
                 "slope",
@@ -93,6 +94,7 @@
         return MarkdownTable.figure(point.x()) + ": " + MarkdownTable.figure(point.y());
     }
 
+    /** Returns the latency that the relay adds, by request rate. */
     static String latency(MeasurementRun measured) {
         MarkdownTable table =
                 new MarkdownTable("reqs/s", "p50 added, ms", "p99 added, ms", "p99.9 added, ms", "p99 to p50");
@@ -106,7 +108,7 @@
         return table.toString();
     }
 
-    /** Rows of a file as they are, with a column for each field; fields with nested values are left out. */
+    /** Returns rows of a data file unchanged, with a column for each field; fields with nested values are left out. */
     static String rows(JsonNode rows) {
         Set<String> fields = new LinkedHashSet<>();
         rows.forEach(row -> row.properties().stream()
@@ -121,7 +123,7 @@
         return table.toString();
     }
 
-    /** The fields of one object, a row for each. */
+    /** Returns the fields of an object, one row for each. */
     static String figures(JsonNode node) {
         if (node.isEmpty()) {
             return NOT_MEASURED;
@@ -140,7 +142,7 @@
                 : value.asText().replace("|", "\\|");
     }
 
-    /** The runs of simulated fleets at the steps of the ladder. */
+    /** Returns the results of the scenarios run with simulated fleets at the steps of the ladder. */
     static String scale(MeasurementRun scale) {
         if (scale.section("steps").isEmpty()) {
             return "Not run.";
@@ -162,33 +164,35 @@
                 "rule 3",
                 "rule 4",
                 "wall s");
-        scale.section("steps").forEach(step -> step.path("plays").forEach(play -> addPlay(table, step, play)));
+        scale.section("steps")
+                .forEach(step -> step.path("plays").forEach(scenario -> addScenario(table, step, scenario)));
         return table.toString();
     }
 
-    private static void addPlay(MarkdownTable table, JsonNode step, JsonNode play) {
-        JsonNode heap = play.path("heapPerRelayBytes");
+    private static void addScenario(MarkdownTable table, JsonNode step, JsonNode scenario) {
+        JsonNode heap = scenario.path("heapPerRelayBytes");
         table.row(
                 step.path("step").asText(),
                 cell(step.path("relays")),
                 cell(step.path("units")),
                 cell(step.path("services")),
-                play.path("play").asText(),
-                play.path("scope").asText(),
-                text(play, "reachedP50Ms") + ", " + text(play, "reachedP99Ms") + ", " + text(play, "reachedLastMs"),
-                text(play, "bytesPerRelayS"),
-                text(play, "cpuPerRelayShare"),
+                scenario.path("play").asText(),
+                scenario.path("scope").asText(),
+                text(scenario, "reachedP50Ms") + ", " + text(scenario, "reachedP99Ms") + ", "
+                        + text(scenario, "reachedLastMs"),
+                text(scenario, "bytesPerRelayS"),
+                text(scenario, "cpuPerRelayShare"),
                 heap.isNumber() ? MarkdownTable.figure(heap.asDouble() / BYTES_PER_MB) : NO_VALUE,
-                text(play, "taken"),
-                text(play, "refused"),
-                text(play, "lost"),
-                text(play, "rule3"),
-                text(play, "rule4"),
-                text(play, "wallS"));
+                text(scenario, "taken"),
+                text(scenario, "refused"),
+                text(scenario, "lost"),
+                text(scenario, "rule3"),
+                text(scenario, "rule4"),
+                text(scenario, "wallS"));
     }
 
-    private static String text(JsonNode play, String field) {
-        Object cell = cell(play.path(field));
+    private static String text(JsonNode scenario, String field) {
+        Object cell = cell(scenario.path(field));
         return cell instanceof Double figure ? MarkdownTable.figure(figure) : String.valueOf(cell);
     }
 }
--- a/src/test/java/gatelock/capacity/ModelTables.java
+++ b/src/test/java/gatelock/capacity/ModelTables.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Tables of the capacity model: its inputs, bounds and loads, and the metrics of each role. */
+/** Tables of the capacity model: inputs, bounds, loads and the metrics of each role. */
 final class ModelTables {
-    /** A slope whose points are further from its line than this share is marked. */
+    /** Slopes with a larger relative distance of a point from the fitted line get a remark. */
     private static final double POOR_FIT = 0.25;
 
     private final CapacityEvaluator evaluator;
@@ -18,6 +18,7 @@
         this.evaluator = evaluator;
     }
 
+    /** Returns the inputs of the model. */
     String inputs() {
         MarkdownTable table = new MarkdownTable("input", "value", "unit", "given or assumed", "source");
         evaluator
@@ -28,6 +29,7 @@
         return table.toString();
     }
 
+    /** Returns the bounds at the whole target. */
     String bounds() {
         MarkdownTable table = new MarkdownTable("bound", "value", "unit", "of what", "given or assumed", "source");
         evaluator
@@ -48,6 +50,7 @@
         return assumed ? "**assumed**" : "given";
     }
 
+    /** Returns the loads and the rates that they set. */
     String loads() {
         MarkdownTable table = new MarkdownTable(
                 "load",
@@ -69,7 +72,7 @@
         return table.toString();
     }
 
-    /** The metrics of one role under each load. */
+    /** Returns the metrics of one role under each load. */
     String role(String role) {
         Set<String> loads = evaluator.model().loads().keySet();
         List<String> headings = new ArrayList<>(List.of("line", "formula", "slopes", "bound"));
@@ -89,14 +92,14 @@
         return table.toString();
     }
 
-    /** The slopes that a formula uses, and what in it is assumed. */
+    /** Lists the slopes and the assumed inputs that a formula uses. */
     private String slopesOf(String formula) {
         Set<String> texts = new LinkedHashSet<>();
         for (String name : FormulaEvaluator.names(formula)) {
-            // A name with a 0 behind is the intercept of a slope.
+            // A slope name with 0 appended is the intercept of the slope.
             String slope = name.endsWith("0") ? name.substring(0, name.length() - 1) : name;
             CapacityTarget.Input input = evaluator.target().inputs().get(name);
-            if (MeasurementRun.KNOWN_NAMES.contains(slope)) {
+            if (MeasurementRun.KNOWN_SLOPES.contains(slope)) {
                 texts.add(slope + (isMeasured(slope) ? fitRemark(slope) : " (not measured)"));
             } else if (input != null && input.assumed()) {
                 texts.add(name + " (assumed)");
@@ -135,7 +138,7 @@
         return evaluation.isOverBound() ? "**" + withRatio + " over**" : withRatio;
     }
 
-    /** The metrics over their bounds, the worst first. */
+    /** Returns the metrics over their bounds, in descending order of their worst ratio. */
     String overBound() {
         MarkdownTable table = new MarkdownTable("role", "line", "worst factor", "mechanism");
         evaluator.metricsOverBound().stream()
--- a/src/test/java/gatelock/capacity/PageTables.java
+++ b/src/test/java/gatelock/capacity/PageTables.java
@@ -4,16 +4,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** All tables of the capacity page, by the name that their markers have. */
+/** Collects the tables of the capacity page. */
 final class PageTables {
     private PageTables() {}
 
+    /** Returns all tables by the name in their markers. */
     static Map<String, String> all(
-            CapacityEvaluator evaluator, Map<String, MeasurementRun> runs, List<ScaleLadder.Rung> rungs) {
+            CapacityEvaluator evaluator, Map<String, MeasurementRun> runs, List<ScaleLadder.ScalingCurve> curves) {
         Map<String, String> tables = new LinkedHashMap<>();
         addMeasurements(tables, evaluator.slopes(), runs);
         addModel(tables, new ModelTables(evaluator));
-        LadderTables ladder = new LadderTables(evaluator.target().steps(), rungs);
+        LadderTables ladder = new LadderTables(evaluator.target().steps(), curves);
         tables.put("ladder", ladder.ladder());
         tables.put("ladder-lost", ladder.losses());
         addQuestions(tables, new TargetFigures(evaluator));
@@ -48,17 +49,17 @@
     private static void addQuestions(Map<String, String> tables, TargetFigures figures) {
         ServicePlacement placement = new ServicePlacement(figures);
         VoteTables votes = new VoteTables(figures);
-        HolderTables holders = new HolderTables(figures);
+        RelaysPerEndpointTables relaysPerEndpoint = new RelaysPerEndpointTables(figures);
         tables.put("answers", new AnswersTable(figures, votes).answers().toString());
-        tables.put("who-serves", placement.services().toString());
-        tables.put("tenants-met", placement.tenants().toString());
+        tables.put("who-serves", placement.placements().toString());
+        tables.put("tenants-met", placement.tenantsPerRelay().toString());
         tables.put(
                 "how-changes",
-                new ConfigDeliveryTable(figures, placement).changes().toString());
+                new ConfigDeliveryTable(figures, placement).deliveryMethods().toString());
         tables.put("votes-needed", votes.outcomesNeeded().toString());
         tables.put("votes-got", votes.outcomesPerRelay().toString());
-        tables.put("votes-alone", votes.widestSpreads().toString());
-        tables.put("holders", holders.loadByHolders().toString());
-        tables.put("most-holders", holders.maxHolders().toString());
+        tables.put("votes-alone", votes.maxRelaysPerCanary().toString());
+        tables.put("holders", relaysPerEndpoint.loadByRelayCount().toString());
+        tables.put("most-holders", relaysPerEndpoint.maxRelays().toString());
     }
 }
--- a/src/test/java/gatelock/capacity/RelayHarness.java
+++ b/src/test/java/gatelock/capacity/RelayHarness.java
@@ -11,12 +11,12 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Relay processes with the platform's flags, and the stand-ins that they talk to. */
+/** Starts relay processes with the platform's JVM flags, and the stand-ins that they connect to. */
 final class RelayHarness {
-    /** Endpoints that really serve; all entries of a long list lead to them. */
+    /** Number of endpoints that serve requests; all entries of a long list have the address of one of them. */
     static final int SERVING_ENDPOINTS = 4;
 
-    static final long READY_WITHIN_MS = 30_000;
+    static final long READY_TIMEOUT_MS = 30_000;
     private static final byte[] LOOPBACK = {127, 0, 0, 1};
     private static final long CHANGES_SINCE_MS = 1_764_000_000_000L;
     private static final int FIRST_QUOTA_PER_S = 10;
@@ -24,26 +24,31 @@
 
     private final Path directory;
 
-    /** @param directory where the relays keep their files */
+    /**
+     * Creates a harness.
+     *
+     * @param directory directory for the files of the relays
+     */
     RelayHarness(Path directory) {
         this.directory = directory;
     }
 
-    /** The JVM flags of a relay process. */
+    /** Returns the JVM flags of a relay process. */
     static List<String> flags() throws IOException {
         return RelayProcess.flags();
     }
 
+    /** Starts a deployment whose endpoints respond without delay. */
     static FakeDeployment deployment() throws IOException {
         return new FakeDeployment(SERVING_ENDPOINTS, 0);
     }
 
-    /** A list of so many entries, all of which lead to the deployment's endpoints. */
+    /** Starts a discovery stand-in with a list whose entries all have addresses of the deployment's endpoints. */
     static LongListDiscovery list(FakeDeployment deployment, int size) {
         return new LongListDiscovery(size, number -> entry(deployment, number, 0));
     }
 
-    /** The entry of a number as its change of an index has it; 0: as it was at first. */
+    /** Returns the entry of an endpoint after its change of the given index, or its first version if the index is 0. */
     static String entry(FakeDeployment deployment, int number, int change) {
         return LongListDiscovery.entry(
                 number,
@@ -55,14 +60,14 @@
                 1);
     }
 
-    /** Starts a relay that follows the list under a name, with so many tenants in its settings. */
+    /** Starts a relay that follows the list under a name, with the given number of tenants in its settings. */
     RelayProcess start(FakeDeployment deployment, LongListDiscovery list, String name, int tenants) throws IOException {
         int port = RelayProcess.freePorts(1)[0];
         return RelayProcess.start(
                 directory, port, configuration(deployment, "127.0.0.1:" + port, list.address(name), tenants));
     }
 
-    /** The example's configuration with this deployment, this discovery and these tenants, and many sockets. */
+    /** Returns the example configuration with the given deployment, discovery and tenants, and 16,000 sockets. */
     private static String configuration(FakeDeployment deployment, String listen, String discovery, int tenants)
             throws IOException {
         StringBuilder orgs = new StringBuilder("\"orgs\": [{\"name\": \"acme\", \"quotaPerS\": 1000}");
@@ -80,28 +85,28 @@
     /**
      * Waits until the relay is ready.
      *
-     * @return milliseconds since its start
-     * @throws IOException where it does not become ready
+     * @return milliseconds from its start until it is ready
+     * @throws IOException if it does not become ready in time
      */
     static long awaitReady(RelayProcess relay) throws IOException, InterruptedException {
-        long ms = relay.awaitReadyMs(READY_WITHIN_MS);
+        long ms = relay.awaitReadyMs(READY_TIMEOUT_MS);
         if (ms < 0) {
-            throw new IOException("not ready: " + relay.log());
+            throw new IOException("the relay did not become ready; its log: " + relay.log());
         }
         return ms;
     }
 
-    /** Live heap of a relay process after a full collection. */
+    /** Returns the live heap of a relay process after a full garbage collection. */
     static long liveHeapBytes(RelayProcess relay) throws IOException, InterruptedException {
         return ClassHistogram.parse(relay.jcmd("GC.class_histogram")).totalBytes();
     }
 
-    /** An address of this host, with an address object of its own as a relay has for each endpoint. */
+    /** Returns a loopback address as a new object, because a relay has a separate address object for each endpoint. */
     static InetSocketAddress loopback(int port) throws UnknownHostException {
         return new InetSocketAddress(InetAddress.getByAddress(LOOPBACK), port);
     }
 
-    /** The port of an address of the form host:port. */
+    /** Returns the port of an address of the form host:port. */
     static int port(String address) {
         return Integer.parseInt(address.substring(address.lastIndexOf(':') + 1));
     }
--- a/src/test/java/gatelock/capacity/RelayHeapCosts.java
+++ b/src/test/java/gatelock/capacity/RelayHeapCosts.java
@@ -9,11 +9,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Memory of a relay process by tenants and by connections. */
+/** Measures the memory of a relay process by the number of tenants and of client connections. */
 final class RelayHeapCosts {
     private static final int[] TENANTS = {1_000, 5_000, 10_000, 20_000};
     private static final int[] CONNECTIONS = {100, 500, 1_000, 2_000};
-    private static final long MIB = 1 << 20;
+    private static final long BYTES_PER_MIB = 1 << 20;
 
     private final SlopeResults results;
     private final RelayHarness harness;
@@ -23,6 +23,7 @@
         this.harness = harness;
     }
 
+    /** Measures the live heap by the number of tenants. */
     void measureTenants() throws Exception {
         List<Fit.Point> heap = new ArrayList<>();
         for (int tenants : TENANTS) {
@@ -43,6 +44,7 @@
                 heap);
     }
 
+    /** Measures the live heap and the resident memory by the number of idle client connections. */
     void measureConnections() throws Exception {
         List<Fit.Point> heap = new ArrayList<>();
         List<Fit.Point> resident = new ArrayList<>();
@@ -54,7 +56,7 @@
             for (int connections : CONNECTIONS) {
                 openUpTo(connections, relay, sockets);
                 heap.add(new Fit.Point(connections, RelayHarness.liveHeapBytes(relay)));
-                resident.add(new Fit.Point(connections, relay.residentMb() * MIB));
+                resident.add(new Fit.Point(connections, relay.residentMb() * BYTES_PER_MIB));
             }
         } finally {
             for (Socket socket : sockets) {
@@ -79,13 +81,13 @@
                 resident);
     }
 
-    /** Opens connections until there are so many, and serves one request on each. */
+    /** Opens connections until their number reaches the given one, and sends one request on each. */
     private static void openUpTo(int connections, RelayProcess relay, List<Socket> sockets) throws IOException {
         while (sockets.size() < connections) {
             Socket socket = LoadGenerator.open(relay.port);
             sockets.add(socket);
             if (LoadGenerator.requestStatus(socket, "c" + sockets.size()) != 200) {
-                throw new IOException("a req got no 200 on connection " + sockets.size());
+                throw new IOException("expected status 200 for the request on connection " + sockets.size());
             }
         }
     }
--- a/src/test/java/gatelock/capacity/RealRelays.java
+++ b/src/test/java/gatelock/capacity/RelayProcessCosts.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** How relay processes fare on long endpoint lists, one at a time and some tens at once. */
-final class RealRelays {
+/** Measures relay processes with long endpoint lists, one at a time and 40 at once. */
+final class RelayProcessCosts {
     private static final int[] START_SIZES = {1_000, 2_500, 5_000, 10_000};
     private static final int STARTS = 3;
     private static final int[] LIST_SIZES = {1_000, 10_000, 100_000, 200_000};
@@ -23,28 +23,29 @@
     private static final int REQUESTS_PER_S = 200;
     private static final int SERVING_S = 4;
     private static final int IDLE_S = 3;
-    private static final double MIB = 1 << 20;
+    private static final double BYTES_PER_MIB = 1 << 20;
 
-    private static final int MANY_RELAYS = 40;
-    /** Relays that start at the same time. */
-    private static final int START_BATCH = 8;
+    private static final int MANY_RELAY_COUNT = 40;
+    /** Number of relays that are started at the same time. */
+    private static final int START_BATCH_SIZE = 8;
 
     private static final int MANY_LIST_SIZE = 1_000;
     private static final int MANY_CHANGES = 20;
     private static final int MANY_IDLE_S = 4;
-    private static final long MANY_WITHIN_MS = 10_000;
+    private static final long MANY_TIMEOUT_MS = 10_000;
     private static final long CHANGE_INTERVAL_MS = 100;
 
     private final SlopeResults results;
     private final RelayHarness harness;
 
-    RealRelays(SlopeResults results, RelayHarness harness) {
+    RelayProcessCosts(SlopeResults results, RelayHarness harness) {
         this.results = results;
         this.harness = harness;
     }
 
     // ---- One relay -----------------------------------------------------------------------------------------
 
+    /** Measures the start and the resources of one relay at a time, by the size of its list. */
     void measureLongLists() throws Exception {
         List<Fit.Point> starts = new ArrayList<>();
         for (int size : START_SIZES) {
@@ -59,7 +60,7 @@
                         "Slopes.real: processes with the platform's flags, rehearsal included"),
                 starts);
         for (int size : LIST_SIZES) {
-            results.addRealRelay(measureLongList(size));
+            results.addRelayProcess(measureLongList(size));
         }
     }
 
@@ -71,7 +72,8 @@
                 try (RelayProcess relay = harness.start(deployment, list, "r" + i, 1)) {
                     startsMs.add(RelayHarness.awaitReady(relay));
                     if (list.await(1, i + 1, 100).size() <= i) {
-                        throw new IOException("a list of " + size + " was not taken: " + relay.log());
+                        throw new IOException(
+                                "the relay did not accept a list of " + size + " entries; its log: " + relay.log());
                     }
                 }
             }
@@ -86,15 +88,15 @@
         try (FakeDeployment deployment = RelayHarness.deployment();
                 LongListDiscovery list = RelayHarness.list(deployment, size);
                 RelayProcess relay = harness.start(deployment, list, "r", 1)) {
-            long readyMs = relay.awaitReadyMs(RelayHarness.READY_WITHIN_MS);
+            long readyMs = relay.awaitReadyMs(RelayHarness.READY_TIMEOUT_MS);
             boolean accepted = !list.await(1, 1, 1_000).isEmpty();
             row.put("taken", accepted);
             if (readyMs < 0) {
                 row.putNull("readyS");
             } else {
                 row.put("readyS", readyMs / 1e3);
-                putService(row, relay);
-                putChange(row, deployment, list, accepted);
+                putRequests(row, relay);
+                putChangeDelay(row, deployment, list, accepted);
             }
             putResources(row, relay);
             row.put("wholeLists", list.snapshotCalls());
@@ -110,14 +112,18 @@
         return row;
     }
 
-    private static void putService(ObjectNode row, RelayProcess relay) throws InterruptedException {
+    private static void putRequests(ObjectNode row, RelayProcess relay) throws InterruptedException {
         LoadGenerator.Result served = LoadGenerator.run(new int[] {relay.port}, CLIENTS, REQUESTS_PER_S, SERVING_S);
         row.put("served", served.us().getTotalCount());
         row.put("no200", served.other());
     }
 
-    /** How long until the relay has a change of the list; null: it did not within 5 s, or holds no list. */
-    private static void putChange(ObjectNode row, FakeDeployment deployment, LongListDiscovery list, boolean accepted)
+    /**
+     * Measures how long the relay takes to receive a change of the list. The value is null if it does not receive the
+     * change within 5 s or has not accepted the list.
+     */
+    private static void putChangeDelay(
+            ObjectNode row, FakeDeployment deployment, LongListDiscovery list, boolean accepted)
             throws InterruptedException {
         long changedNs = System.nanoTime();
         long index = list.replace(7, RelayHarness.entry(deployment, 7, 1));
@@ -135,19 +141,20 @@
         row.put("idleCpuShare", SlopeResults.round((relay.cpuUs() - cpuBeforeUs) / (IDLE_S * 1e6)));
         row.put("residentMb", SlopeResults.round(relay.residentMb()));
         row.put("cpuS", SlopeResults.round(relay.cpuUs() / 1e6));
-        row.put("liveHeapMb", SlopeResults.round(RelayHarness.liveHeapBytes(relay) / MIB));
+        row.put("liveHeapMb", SlopeResults.round(RelayHarness.liveHeapBytes(relay) / BYTES_PER_MIB));
         row.put("oldHeapMb", SlopeResults.round(relay.oldHeapMb()));
     }
 
-    // ---- Some tens of relays -------------------------------------------------------------------------------
+    // ---- Many relays ---------------------------------------------------------------------------------------
 
-    /** Some tens of relays on one list: how long until each has a change, and what each holds. */
+    /** Measures relays that follow one list at the same time: the delay of changes, and their memory and processor time. */
     void measureManyRelays() throws Exception {
         List<RelayProcess> relays = new ArrayList<>();
         try (FakeDeployment deployment = RelayHarness.deployment();
                 LongListDiscovery list = RelayHarness.list(deployment, MANY_LIST_SIZE)) {
             startMany(relays, deployment, list);
-            int haveFirstList = list.await(1, MANY_RELAYS, MANY_WITHIN_MS).size();
+            int relaysWithFirstList =
+                    list.await(1, MANY_RELAY_COUNT, MANY_TIMEOUT_MS).size();
             double idleCpuShare = idleCpuShare(relays);
             Histogram eachUs = new Histogram(3);
             Histogram lastUs = new Histogram(3);
@@ -160,9 +167,9 @@
                 residentMb.add(SlopeResults.round(relay.residentMb()));
             }
             ObjectNode figures = JsonNodeFactory.instance.objectNode();
-            figures.put("relays", MANY_RELAYS);
+            figures.put("relays", MANY_RELAY_COUNT);
             figures.put("entries", MANY_LIST_SIZE);
-            figures.put("heardFirstList", haveFirstList);
+            figures.put("heardFirstList", relaysWithFirstList);
             figures.put("changes", MANY_CHANGES);
             figures.put("heardP50Ms", eachUs.getValueAtPercentile(50) / 1e3);
             figures.put("heardP99Ms", eachUs.getValueAtPercentile(99) / 1e3);
@@ -182,9 +189,9 @@
 
     private void startMany(List<RelayProcess> relays, FakeDeployment deployment, LongListDiscovery list)
             throws IOException, InterruptedException {
-        while (relays.size() < MANY_RELAYS) {
+        while (relays.size() < MANY_RELAY_COUNT) {
             int first = relays.size();
-            for (int i = first; i < first + START_BATCH; i++) {
+            for (int i = first; i < first + START_BATCH_SIZE; i++) {
                 relays.add(harness.start(deployment, list, "r" + i, 1));
             }
             for (RelayProcess relay : relays.subList(first, relays.size())) {
@@ -193,7 +200,7 @@
         }
     }
 
-    /** The mean share of a core that an idle relay uses. */
+    /** Returns the mean share of a core that an idle relay uses. */
     private static double idleCpuShare(List<RelayProcess> relays) throws InterruptedException {
         long[] beforeUs = relays.stream().mapToLong(RelayProcess::cpuUs).toArray();
         long startedNs = System.nanoTime();
@@ -206,17 +213,17 @@
         return usedUs / 1e6 / spanS / relays.size();
     }
 
-    /** Makes one change; records how long it takes to each relay, and to the last one. */
+    /** Changes one entry, and records the delay until each relay and until the last relay has received the change. */
     private void measureChange(
             int change, FakeDeployment deployment, LongListDiscovery list, Histogram eachUs, Histogram lastUs)
             throws InterruptedException {
         long changedNs = System.nanoTime();
         long index = list.replace(change, RelayHarness.entry(deployment, change, change));
-        Map<String, Long> received = list.await(index, MANY_RELAYS, MANY_WITHIN_MS);
-        if (received.size() < MANY_RELAYS) {
+        Map<String, Long> received = list.await(index, MANY_RELAY_COUNT, MANY_TIMEOUT_MS);
+        if (received.size() < MANY_RELAY_COUNT) {
             results.note(
                     "many",
-                    "change " + change + " reached " + received.size() + " of " + MANY_RELAYS + " relays in 10 s");
+                    "change " + change + " reached " + received.size() + " of " + MANY_RELAY_COUNT + " relays in 10 s");
         }
         received.values().forEach(ns -> eachUs.recordValue((ns - changedNs) / 1_000));
         lastUs.recordValue((Collections.max(received.values()) - changedNs) / 1_000);
--- a/src/test/java/gatelock/capacity/RequestCosts.java
+++ b/src/test/java/gatelock/capacity/RequestCosts.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** Processor time and added latency of requests through a relay process, at several rates. */
+/** Measures processor time and added latency of requests through a relay process, at several rates. */
 final class RequestCosts {
     private static final int CLIENTS = 16;
     private static final int WARM_UP_PER_S = 1_000;
@@ -26,18 +26,19 @@
         this.harness = harness;
     }
 
+    /** Measures all rates and adds their latencies and the slope of processor time to the results. */
     void measure() throws Exception {
         List<Fit.Point> cpu = new ArrayList<>();
         try (FakeDeployment deployment = RelayHarness.deployment();
                 LongListDiscovery list = RelayHarness.list(deployment, RelayHarness.SERVING_ENDPOINTS);
                 RelayProcess relay = harness.start(deployment, list, "r", 1)) {
             RelayHarness.awaitReady(relay);
-            int[] direct = new int[RelayHarness.SERVING_ENDPOINTS];
-            Arrays.setAll(direct, i -> RelayHarness.port(deployment.address(i)));
-            LoadGenerator.run(direct, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
+            int[] directPorts = new int[RelayHarness.SERVING_ENDPOINTS];
+            Arrays.setAll(directPorts, i -> RelayHarness.port(deployment.address(i)));
+            LoadGenerator.run(directPorts, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
             LoadGenerator.run(new int[] {relay.port}, CLIENTS, WARM_UP_PER_S, WARM_UP_S);
             for (int perS : RATES_PER_S) {
-                cpu.add(measure(relay, direct, perS));
+                cpu.add(measure(relay, directPorts, perS));
             }
         }
         results.addSlope(
@@ -52,32 +53,33 @@
                 cpu);
     }
 
-    /** Adds the latency at a rate; returns the requests per second and the processor time per second. */
-    private Fit.Point measure(RelayProcess relay, int[] direct, int perS) throws InterruptedException {
+    /** Adds the latency at a rate to the results; returns the requests and the processor time per second. */
+    private Fit.Point measure(RelayProcess relay, int[] directPorts, int perS) throws InterruptedException {
         int seconds = perS < 1_000 ? 5 : 8;
-        Histogram directUs = LoadGenerator.run(direct, CLIENTS, perS, seconds).us();
+        Histogram directUs =
+                LoadGenerator.run(directPorts, CLIENTS, perS, seconds).us();
         long cpuBeforeUs = relay.cpuUs();
         long startedNs = System.nanoTime();
         LoadGenerator.Result relayed = LoadGenerator.run(new int[] {relay.port}, CLIENTS, perS, seconds);
         double spanS = (System.nanoTime() - startedNs) / 1e9;
         long cpuUs = relay.cpuUs() - cpuBeforeUs;
-        Histogram none = new Histogram(3);
+        Histogram zeroBaseline = new Histogram(3);
         ObjectNode row = JsonNodeFactory.instance.objectNode();
         row.put("perS", perS);
         row.put("reqs", relayed.us().getTotalCount());
         row.put("no200", relayed.other());
         putQuantiles(row, relayed.us(), directUs);
-        putQuantiles(row.putObject("relayed"), relayed.us(), none);
-        putQuantiles(row.putObject("direct"), directUs, none);
+        putQuantiles(row.putObject("relayed"), relayed.us(), zeroBaseline);
+        putQuantiles(row.putObject("direct"), directUs, zeroBaseline);
         results.addLatency(row);
         return new Fit.Point(relayed.us().getTotalCount() / spanS, cpuUs / spanS);
     }
 
-    /** Quantiles of one histogram less those of another. */
-    private static void putQuantiles(ObjectNode row, Histogram us, Histogram less) {
-        row.put("p50Us", us.getValueAtPercentile(50) - less.getValueAtPercentile(50));
-        row.put("p99Us", us.getValueAtPercentile(99) - less.getValueAtPercentile(99));
-        row.put("p999Us", us.getValueAtPercentile(99.9) - less.getValueAtPercentile(99.9));
-        row.put("maxUs", us.getMaxValue() - less.getMaxValue());
+    /** Puts the quantiles of a histogram, minus those of a baseline, into a row. */
+    private static void putQuantiles(ObjectNode row, Histogram us, Histogram baseline) {
+        row.put("p50Us", us.getValueAtPercentile(50) - baseline.getValueAtPercentile(50));
+        row.put("p99Us", us.getValueAtPercentile(99) - baseline.getValueAtPercentile(99));
+        row.put("p999Us", us.getValueAtPercentile(99.9) - baseline.getValueAtPercentile(99.9));
+        row.put("maxUs", us.getMaxValue() - baseline.getMaxValue());
     }
 }
--- a/src/test/java/gatelock/capacity/ScaleLadder.java
+++ b/src/test/java/gatelock/capacity/ScaleLadder.java
@@ -5,61 +5,68 @@
 import java.util.Optional;
 import java.util.function.DoubleUnaryOperator;
 
-/** At which share of the target each bound is crossed, before and after the mechanism 'membership by scope'. */
+/**
+ * Finds the share of the target at which each bound is crossed, without and with the mechanism 'membership by scope'. The
+ * ladder is the sequence of shares of the target at which metrics are evaluated.
+ */
 final class ScaleLadder {
-    /** Shares below this are not examined: the fleet has half a relay there. */
+    /** Smallest share that is examined; at this share the fleet has about half a relay. */
     static final double MIN_SHARE = 1e-4;
 
-    /** Shares that are examined, evenly spaced on a logarithmic scale. */
+    /** Number of intervals between the examined shares, which are evenly spaced on a logarithmic scale. */
     private static final int SAMPLES = 80;
-    /** Halvings of the interval in which a bound is crossed. */
+    /** Number of bisections of the interval in which a bound is crossed. */
     private static final int BISECTIONS = 24;
 
     private ScaleLadder() {}
 
     /**
-     * A metric on the ladder.
+     * The ratios of a metric to its bound at the steps of the ladder.
      *
-     * @param ratios figure to bound at each step
-     * @param ratiosWithSubsets the same once membership by scope is in place
-     * @param crossedAt the share of the target at which the bound is first crossed; infinite: not up to the whole
-     *     target, NaN: not measured
-     * @param crossedAtWithSubsets the same once membership by scope is in place
+     * @param ratios ratio of the metric to its bound at each step
+     * @param ratiosWithSubsets the same ratios with membership by scope
+     * @param crossedAt smallest share of the target at which the bound is crossed; infinite if it is not crossed up to
+     *     the whole target, NaN if the metric was not measured
+     * @param crossedAtWithSubsets the same share with membership by scope
      */
-    record Rung(
+    record ScalingCurve(
             CapacityModel.Metric metric,
             List<Double> ratios,
             List<Double> ratiosWithSubsets,
             double crossedAt,
             double crossedAtWithSubsets) {
 
-        /** The ratio at the last step, the whole target. */
+        /** Returns the ratio at the last step, the whole target. */
         double lastRatio() {
             return ratios.get(ratios.size() - 1);
         }
 
+        /** Returns the ratio at the last step with membership by scope. */
         double lastRatioWithSubsets() {
             return ratiosWithSubsets.get(ratiosWithSubsets.size() - 1);
         }
     }
 
-    /** All metrics on the ladder: those crossed first in front, then those not crossed, then those not measured. */
-    static List<Rung> rungs(CapacityEvaluator evaluator) {
+    /**
+     * Returns the curves of all metrics on the ladder, sorted by the share at which their bound is crossed; bounds that
+     * are not crossed come next, then metrics that were not measured.
+     */
+    static List<ScalingCurve> scalingCurves(CapacityEvaluator evaluator) {
         return evaluator.model().metrics().stream()
                 .filter(metric -> metric.ladderLoad() != null)
-                .map(metric -> rung(evaluator, metric))
-                .sorted(Comparator.comparingDouble(Rung::crossedAt))
+                .map(metric -> scalingCurve(evaluator, metric))
+                .sorted(Comparator.comparingDouble(ScalingCurve::crossedAt))
                 .toList();
     }
 
-    private static Rung rung(CapacityEvaluator evaluator, CapacityModel.Metric metric) {
+    private static ScalingCurve scalingCurve(CapacityEvaluator evaluator, CapacityModel.Metric metric) {
         DoubleUnaryOperator ratio =
                 share -> evaluator.evaluate(metric, share, metric.ladderLoad()).ratio();
         DoubleUnaryOperator ratioWithSubsets = share -> evaluator
                 .evaluateWithSubsets(metric, share, metric.ladderLoad())
                 .ratio();
         List<CapacityTarget.Step> steps = evaluator.target().steps();
-        return new Rung(
+        return new ScalingCurve(
                 metric,
                 ratiosAt(steps, ratio),
                 ratiosAt(steps, ratioWithSubsets),
@@ -71,7 +78,10 @@
         return steps.stream().map(step -> ratio.applyAsDouble(step.share())).toList();
     }
 
-    /** The least share at which a ratio passes 1; infinite: none up to 1; NaN: not known. */
+    /**
+     * Returns the smallest share at which a ratio exceeds 1. It is infinite if the ratio does not exceed 1 up to the whole
+     * target, and NaN if the ratio at the whole target is not known.
+     */
     static double crossing(DoubleUnaryOperator ratio) {
         if (Double.isNaN(ratio.applyAsDouble(1))) {
             return Double.NaN;
@@ -101,7 +111,7 @@
         return high;
     }
 
-    /** The name of the first step at which a ratio is over 1; empty: none. */
+    /** Returns the name of the first step at which the ratio exceeds 1, or empty if there is none. */
     static Optional<String> firstStepOver(List<CapacityTarget.Step> steps, List<Double> ratios) {
         for (int i = 0; i < ratios.size(); i++) {
             if (ratios.get(i) > 1) {
--- a/src/test/java/gatelock/capacity/ScaleLadderTest.java
+++ b/src/test/java/gatelock/capacity/ScaleLadderTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Where bounds are crossed, with inputs small enough to check by hand. */
+/** Guards against wrong shares at which bounds are crossed, with inputs small enough to verify by hand. */
 class ScaleLadderTest {
     private static final List<CapacityTarget.Step> STEPS = List.of(
             new CapacityTarget.Step("1/100", 0.01),
@@ -23,30 +23,33 @@
     private Path scratch;
 
     @Test
-    void aGrowingRatioCrossesItsBoundWhereItPassesOne() {
+    void findsShareWhereGrowingRatioExceedsOne() {
         assertThat(ScaleLadder.crossing(share -> 18 * share)).isCloseTo(1 / 18.0, within(1e-6));
         assertThat(ScaleLadder.crossing(share -> 25 * share * share)).isCloseTo(0.2, within(1e-6));
     }
 
     @Test
-    void aFallingRatioCrossesItsBoundAtTheSmallestShare() {
+    void returnsSmallestShareForFallingRatio() {
         assertThat(ScaleLadder.crossing(share -> 0.01 / share)).isEqualTo(ScaleLadder.MIN_SHARE);
     }
 
     @Test
-    void aRatioThatStaysBelowNeverCrossesAndOneNotMeasuredIsNotKnown() {
+    void returnsInfinityForUncrossedBoundAndNanForUnmeasuredRatio() {
         assertThat(ScaleLadder.crossing(share -> 1)).isInfinite();
         assertThat(ScaleLadder.crossing(share -> Double.NaN)).isNaN();
     }
 
     @Test
-    void theFirstStepOverTheBoundIsFound() {
+    void findsFirstStepOverBound() {
         assertThat(ScaleLadder.firstStepOver(STEPS, List.of(0.5, 1.5, 15.0))).contains("1/10");
         assertThat(ScaleLadder.firstStepOver(STEPS, List.of(0.1, 0.5, 1.0))).isEmpty();
         assertThat(ScaleLadder.firstStepOver(STEPS, List.of(2.0, 20.0, 200.0))).contains("1/100");
     }
 
-    /** 1,000 endpoints of 20 bytes against 10,000 bytes: crossed at a half; with the mechanism 100 of them: never. */
+    /**
+     * Returns an evaluator in which 1,000 endpoints of 20 bytes have a bound of 10,000 bytes, which they cross at half of
+     * the target. With membership by scope a relay holds at most 100 endpoints and never crosses the bound.
+     */
     private CapacityEvaluator evaluator() throws IOException {
         Path slopes = scratch.resolve("slopes.json");
         Files.writeString(
@@ -79,26 +82,27 @@
                                 metric("few", "units", "few", null))));
     }
 
-    private static CapacityModel.Metric metric(String id, String formula, String bound, String after) {
-        return new CapacityModel.Metric(id, "relay", id, formula, "bytes", bound, null, null, "day", after, "nothing");
+    private static CapacityModel.Metric metric(String id, String formula, String bound, String formulaWithSubsets) {
+        return new CapacityModel.Metric(
+                id, "relay", id, formula, "bytes", bound, null, null, "day", formulaWithSubsets, "nothing");
     }
 
     @Test
-    void rungsAreInTheOrderInWhichTheirBoundsAreCrossed() throws IOException {
-        List<ScaleLadder.Rung> rungs = ScaleLadder.rungs(evaluator());
-        assertThat(rungs).extracting(r -> r.metric().id()).containsExactly("few", "early", "heap", "never", "late");
-        ScaleLadder.Rung heap = rungs.get(2);
+    void sortsScalingCurvesByShareAtCrossing() throws IOException {
+        List<ScaleLadder.ScalingCurve> curves = ScaleLadder.scalingCurves(evaluator());
+        assertThat(curves).extracting(r -> r.metric().id()).containsExactly("few", "early", "heap", "never", "late");
+        ScaleLadder.ScalingCurve heap = curves.get(2);
         assertThat(heap.crossedAt()).isCloseTo(0.5, within(1e-6));
         assertThat(heap.crossedAtWithSubsets()).isInfinite();
         assertThat(heap.ratios()).containsExactly(0.02, 0.2, 2.0);
         assertThat(heap.ratiosWithSubsets()).containsExactly(0.02, 0.2, 0.2);
-        assertThat(rungs.get(1).crossedAt()).isCloseTo(0.2, within(1e-6));
-        assertThat(rungs.get(1).crossedAtWithSubsets()).isNaN();
-        assertThat(rungs.get(4).crossedAt()).isNaN();
+        assertThat(curves.get(1).crossedAt()).isCloseTo(0.2, within(1e-6));
+        assertThat(curves.get(1).crossedAtWithSubsets()).isNaN();
+        assertThat(curves.get(4).crossedAt()).isNaN();
     }
 
     @Test
-    void aMinimumIsPassedWhereTheFigureIsBelowIt() throws IOException {
+    void reportsMinimumCrossedWhenValueIsBelow() throws IOException {
         CapacityEvaluator evaluator = evaluator();
         CapacityModel.Metric few = evaluator.model().metric("few");
         assertThat(evaluator.evaluate(few, 1, "day").ratio()).isEqualTo(0.1);
@@ -109,7 +113,7 @@
     }
 
     @Test
-    void addedLatencyIsInterpolatedBetweenMeasuredRatesAndNotKnownOutside() throws IOException {
+    void interpolatesAddedLatencyOnlyBetweenMeasuredRates() throws IOException {
         Path slopes = scratch.resolve("latency.json");
         Files.writeString(
                 slopes,
@@ -122,7 +126,7 @@
     }
 
     @Test
-    void figuresAreWrittenWithThreeSignificantDigits() {
+    void formatsFiguresWithThreeSignificantDigits() {
         assertThat(MarkdownTable.figure(1234567)).isEqualTo("1,234,567");
         assertThat(MarkdownTable.figure(0.012345)).isEqualTo("0.0123");
         assertThat(MarkdownTable.figure(40)).isEqualTo("40");
--- a/src/test/java/gatelock/capacity/ServicePlacement.java
+++ b/src/test/java/gatelock/capacity/ServicePlacement.java
@@ -2,7 +2,7 @@
 
 import java.util.stream.IntStream;
 
-/** The question who serves what: ways to place services on relays, and what a relay holds with each. */
+/** Tables for the question of which relays serve which services: ways to place services, and the costs of each. */
 final class ServicePlacement {
     private static final int[] RELAYS_PER_ZONE = {100, 30, 10, 3};
 
@@ -12,20 +12,20 @@
         this.figures = figures;
     }
 
-    /** Ways to place services on relays. */
-    MarkdownTable services() {
+    /** Returns the ways to place services on relays, with what a relay holds for each. */
+    MarkdownTable placements() {
         MarkdownTable table = new MarkdownTable(
                 "way",
                 "services a relay",
                 "their units",
                 "heap of these, MB",
-                "units kept, " + MarkdownTable.figure(figures.of("unitsAService")) + " a service",
+                "units kept, " + MarkdownTable.figure(figures.value("unitsAService")) + " a service",
                 "heap of these, MB",
                 "relays a service",
                 "outcomes of the mean service in a first stage, a relay",
                 "relays at one unit",
                 "busiest relay to the mean, high skew");
-        addWay(table, "all relays all services", figures.of("services"), figures.of("relays"), 1);
+        addPlacement(table, "all relays all services", figures.value("services"), figures.value("relays"), 1);
         for (int relays : RELAYS_PER_ZONE) {
             addEvenPlacement(table, relays);
         }
@@ -33,12 +33,12 @@
             addWeightedPlacement(table, skew);
         }
         for (TargetFigures.Skew skew : TargetFigures.Skew.values()) {
-            double requested = figures.services(skew).expectedDistinct(figures.of("meanReqs*demandS"));
-            addWay(
+            double requestedServices = figures.services(skew).expectedDistinct(figures.value("meanReqs*demandS"));
+            addPlacement(
                     table,
-                    "by demand, held " + MarkdownTable.figure(figures.of("demandS")) + " s, " + skew.label(),
-                    requested,
-                    figures.of("relays"),
+                    "by demand, held " + MarkdownTable.figure(figures.value("demandS")) + " s, " + skew.label(),
+                    requestedServices,
+                    figures.value("relays"),
                     1);
         }
         return table;
@@ -46,70 +46,75 @@
 
     private void addEvenPlacement(MarkdownTable table, int relays) {
         double largestShare = figures.services(TargetFigures.Skew.HIGH).share(1);
-        addWay(
+        addPlacement(
                 table,
                 "each service at " + relays + " relays of a zone",
-                figures.of("services") * relays / figures.of("relaysAZone"),
-                relays * figures.of("zones"),
-                1 + figures.of("peakPerS/zones/meanReqs") / relays * largestShare);
+                figures.value("services") * relays / figures.value("relaysAZone"),
+                relays * figures.value("zones"),
+                1 + figures.value("peakPerS/zones/meanReqs") / relays * largestShare);
     }
 
     private void addWeightedPlacement(MarkdownTable table, TargetFigures.Skew skew) {
         ZipfDistribution distribution = figures.services(skew);
-        addWay(
+        addPlacement(
                 table,
-                "by its weight, at least " + MarkdownTable.figure(figures.of("leastAZone")) + " of a zone, "
+                "by its weight, at least " + MarkdownTable.figure(figures.value("leastAZone")) + " of a zone, "
                         + skew.label(),
                 meanServicesByWeight(distribution),
-                relaysByWeight(1.0 / distribution.count()) * figures.of("zones"),
-                1 + figures.of("mostOfRelay"));
+                relaysByWeight(1.0 / distribution.count()) * figures.value("zones"),
+                1 + figures.value("mostOfRelay"));
     }
 
     /**
-     * Adds one way: what a relay holds of it, and how many relays meet at an endpoint.
+     * Adds a way to place services: what a relay holds with it, and how many relays send requests to an endpoint.
      *
-     * @param services services of a relay
-     * @param relaysPerService relays of the mean service
-     * @param busiest load of the busiest relay to the mean
+     * @param services number of services that a relay holds
+     * @param relaysPerService number of relays that hold the mean service
+     * @param busiestToMean ratio of the load of the busiest relay to the mean load
      */
-    private void addWay(MarkdownTable table, String way, double services, double relaysPerService, double busiest) {
-        double heapMbPerEndpoint = figures.of("heapPerUnit/1000000");
-        double endpoints = services * figures.of("units/services");
-        double keptEndpoints = Math.min(endpoints, services * figures.of("unitsAService"));
+    private void addPlacement(
+            MarkdownTable table, String placement, double services, double relaysPerService, double busiestToMean) {
+        double heapMbPerEndpoint = figures.value("heapPerUnit/1000000");
+        double endpoints = services * figures.value("units/services");
+        double keptEndpoints = Math.min(endpoints, services * figures.value("unitsAService"));
         table.row(
-                way,
+                placement,
                 services,
                 endpoints,
                 heapMbPerEndpoint * endpoints,
                 keptEndpoints,
                 heapMbPerEndpoint * keptEndpoints,
                 relaysPerService,
-                figures.of("peakPerS/services*firstCap*weighedS") / relaysPerService,
+                figures.value("peakPerS/services*firstCap*weighedS") / relaysPerService,
                 relaysPerService * keptEndpoints / endpoints,
-                busiest);
+                busiestToMean);
     }
 
-    /** Services of a relay where each service is placed by its weight. */
+    /** Returns the mean number of services that a relay holds if services are placed by their share of the requests. */
     double meanServicesByWeight(ZipfDistribution services) {
         long placements = IntStream.rangeClosed(1, services.count())
                 .mapToLong(rank -> relaysByWeight(services.share(rank)))
                 .sum();
-        return placements / figures.of("relaysAZone");
+        return placements / figures.value("relaysAZone");
     }
 
-    /** Relays of a zone for a service: so many that it fills no more than a part of each, and a minimum. */
+    /**
+     * Returns the number of relays of a zone for a service: enough that the service uses at most a set part of the load of
+     * each, and at least a set minimum.
+     */
     private long relaysByWeight(double share) {
-        double wanted = Math.ceil(share * figures.of("peakPerS/zones/(mostOfRelay*meanReqs)"));
-        return (long) Math.min(figures.of("relaysAZone"), Math.max(figures.of("leastAZone"), wanted));
+        double relaysNeeded = Math.ceil(share * figures.value("peakPerS/zones/(mostOfRelay*meanReqs)"));
+        return (long) Math.min(figures.value("relaysAZone"), Math.max(figures.value("leastAZone"), relaysNeeded));
     }
 
-    /** Tenants whose requests a relay gets in a minute. */
-    MarkdownTable tenants() {
+    /** Returns the number of tenants from which a relay gets requests within a minute. */
+    MarkdownTable tenantsPerRelay() {
         MarkdownTable table = new MarkdownTable("skew", "tenants", "met by a relay in a minute", "share of all");
         for (TargetFigures.Skew skew : TargetFigures.Skew.values()) {
             ZipfDistribution tenants = figures.tenants(skew);
-            double met = tenants.expectedDistinct(figures.of("meanReqs*demandS"));
-            table.row(figures.tenantExponent(skew), tenants.count(), met, met / tenants.count());
+            double expectedTenants = tenants.expectedDistinct(figures.value("meanReqs*demandS"));
+            table.row(
+                    figures.tenantExponent(skew), tenants.count(), expectedTenants, expectedTenants / tenants.count());
         }
         return table;
     }
--- a/src/test/java/gatelock/capacity/SlopeResults.java
+++ b/src/test/java/gatelock/capacity/SlopeResults.java
@@ -19,42 +19,47 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a run of {@link Slopes} has measured, and the file docs/capacity/slopes.json that it goes into. */
+/** Collects the results of a run of {@link Slopes} and writes them to docs/capacity/slopes.json. */
 final class SlopeResults {
     private static final String NOT_RUN = "not run";
     private static final String CUT_SHORT = "cut short";
-    /** The slope that others are compared with: processor time for one request. */
+    /** The slope with which others are compared: processor time of one request. */
     private static final String REQUEST_SLOPE = "cpuPerReqUs";
 
     private static final int SIGNIFICANT_DIGITS = 5;
-    private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
+    private static final JsonNodeFactory NODE_FACTORY = JsonNodeFactory.instance;
 
     /**
-     * What a slope says.
+     * Describes a slope.
      *
-     * @param x what it is counted by
-     * @param y the unit of what is measured
-     * @param method how it was measured
+     * @param what description of the measured quantity
+     * @param x quantity on the x axis, by which the measured quantity grows
+     * @param y unit of the measured quantity
+     * @param method method of measurement
      */
     record Description(String name, String what, String x, String y, String method) {}
 
     private final Path path;
-    private final ObjectNode run = NODES.objectNode();
+    private final ObjectNode run = NODE_FACTORY.objectNode();
     private final Map<String, ObjectNode> slopes = new LinkedHashMap<>();
-    private final ArrayNode latency = NODES.arrayNode();
-    private final ArrayNode classes = NODES.arrayNode();
-    private final ArrayNode realRelays = NODES.arrayNode();
-    private final ObjectNode manyRelays = NODES.objectNode();
+    private final ArrayNode latency = NODE_FACTORY.arrayNode();
+    private final ArrayNode classes = NODE_FACTORY.arrayNode();
+    private final ArrayNode relayProcesses = NODE_FACTORY.arrayNode();
+    private final ObjectNode manyRelays = NODE_FACTORY.objectNode();
     private final Map<String, String> notes = new LinkedHashMap<>();
 
     SlopeResults(Path path) {
         this.path = path;
     }
 
-    /** Notes when, where and of which commit the run is; {@code relayFlags}: JVM flags of the relay processes. */
+    /**
+     * Records the date, the machine and the commit of the run.
+     *
+     * @param relayFlags JVM flags of the relay processes
+     */
     void describeRun(List<String> relayFlags) throws IOException {
         Instant now = Instant.now().truncatedTo(ChronoUnit.SECONDS);
-        String commit = output("git", "rev-parse", "--short", "HEAD");
+        String commit = commandOutput("git", "rev-parse", "--short", "HEAD");
         run.put("id", now.toString().replaceAll("[-:]", "") + "-" + commit);
         run.put("date", now.toString());
         run.put("commit", commit);
@@ -76,37 +81,39 @@
                 .orElse("not told");
     }
 
-    private static String output(String... command) throws IOException {
+    private static String commandOutput(String... command) throws IOException {
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
         return new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).trim();
     }
 
-    // ---- Notes on the parts --------------------------------------------------------------------------------
+    // ---- Notes on parts of the measurement -----------------------------------------------------------------
 
+    /** Notes that a part was not run. */
     void markNotRun(String part) {
         note(part, NOT_RUN);
     }
 
-    /** The part has started; if the process ends before {@link #markComplete}, the note stays. */
+    /** Notes that a part was cut short, which holds if the process ends before {@link #markComplete}. */
     void markStarted(String part) {
         note(part, CUT_SHORT);
     }
 
-    /** The part is complete; a note of its own stays. */
+    /** Removes the note that a part was cut short; any other note of the part stays. */
     void markComplete(String part) {
         notes.remove(part, CUT_SHORT);
     }
 
+    /** Sets the note of a part. */
     void note(String part, String text) {
         notes.put(part, text);
     }
 
     // ---- Figures -------------------------------------------------------------------------------------------
 
-    /** Fits a line through the points and adds its slope. */
+    /** Fits a line to the points, adds its slope and prints it. */
     void addSlope(Description description, List<Fit.Point> points) {
         Fit fit = Fit.through(points);
-        ObjectNode slope = NODES.objectNode();
+        ObjectNode slope = NODE_FACTORY.objectNode();
         slope.put("name", description.name);
         slope.put("what", description.what);
         slope.put("x", description.x);
@@ -123,22 +130,22 @@
                 description.name, fit.slope(), description.x, fit.intercept(), fit.residual(), pointNodes);
     }
 
-    /** Adds the latency at one request rate. */
+    /** Adds and prints the latency at one request rate. */
     void addLatency(ObjectNode row) {
         add(latency, row);
     }
 
-    /** Adds the heap that objects of one class take for each endpoint. */
+    /** Adds and prints the heap that objects of one class occupy for each endpoint. */
     void addClass(String name, double bytesPerEndpoint) {
-        add(classes, NODES.objectNode().put("class", name).put("perUnitBytes", round(bytesPerEndpoint)));
+        add(classes, NODE_FACTORY.objectNode().put("class", name).put("perUnitBytes", round(bytesPerEndpoint)));
     }
 
-    /** Adds how a real relay fared on a list. */
-    void addRealRelay(ObjectNode row) {
-        add(realRelays, row);
+    /** Adds and prints the measurements of a relay process with a long list. */
+    void addRelayProcess(ObjectNode row) {
+        add(relayProcesses, row);
     }
 
-    /** Sets how many real relays fared on one list. */
+    /** Sets and prints the measurements of the relay processes that follow one list at the same time. */
     void setManyRelays(ObjectNode figures) {
         manyRelays.setAll(figures);
         System.out.println(figures);
@@ -149,7 +156,7 @@
         System.out.println(row);
     }
 
-    /** Rounded to five significant digits, as no figure here is more precise. */
+    /** Rounds to five significant digits, because no measured value is more precise. */
     static double round(double value) {
         return value == 0 || !Double.isFinite(value)
                 ? value
@@ -158,15 +165,15 @@
                         .doubleValue();
     }
 
-    /** Writes all that is known so far. */
+    /** Writes all results so far to the file. */
     void write() throws IOException {
         putRatios();
-        ObjectNode file = NODES.objectNode();
+        ObjectNode file = NODE_FACTORY.objectNode();
         file.set("run", run);
         file.putArray("slopes").addAll(slopes.values());
         file.set("latency", latency);
         file.set("classes", classes);
-        file.set("real", realRelays);
+        file.set("real", relayProcesses);
         file.set("many", manyRelays);
         ObjectNode noteNodes = file.putObject("notes");
         notes.forEach(noteNodes::put);
@@ -176,7 +183,7 @@
                 new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValueAsString(file) + "\n");
     }
 
-    /** Sets each slope of processor time in relation to that of a request. */
+    /** Adds the ratio to the processor time of one request to each slope of processor time. */
     private void putRatios() {
         JsonNode request = slopes.get(REQUEST_SLOPE);
         if (request == null) {
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -10,9 +10,9 @@
 import java.util.logging.Logger;
 
 /**
- * Measures what a relay costs by endpoints, routes, tenants, connections, requests, changes and versions, and how real
- * relays fare on long lists. Not a test: run by {@code make measure-capacity}, which writes
- * docs/capacity/slopes.json. Where parts are named after the file, only these are measured.
+ * Measures what a relay costs by the number of endpoints, routes, tenants, connections, requests, changes and versions, and
+ * the behavior of relay processes with long lists. This is not a test: {@code make measure-capacity} runs it and writes
+ * docs/capacity/slopes.json.
  */
 public final class Slopes {
     private static final Logger LOG = Logger.getLogger("gatelock");
@@ -24,10 +24,10 @@
 
     private Slopes() {}
 
-    /** {@code FILE [PART...]}. */
+    /** Runs the named parts, or all if none is named, and writes the file. Arguments: {@code FILE [PART...]}. */
     public static void main(String[] args) throws Exception {
         System.setProperty("org.jboss.logging.provider", "jdk");
-        // Each measurement ends by cutting its connections; what the program logs about that is no finding.
+        // Each measurement ends by closing its connections abruptly; the resulting log lines are not findings.
         LOG.setLevel(Level.OFF);
         SlopeResults results = new SlopeResults(Path.of(args[0]));
         Map<String, Part> parts = parts(results);
@@ -46,7 +46,7 @@
         RelayHarness harness = new RelayHarness(Files.createTempDirectory("gatelock-slopes"));
         EndpointListCosts listCosts = new EndpointListCosts(results);
         RelayHeapCosts heapCosts = new RelayHeapCosts(results, harness);
-        RealRelays realRelays = new RealRelays(results, harness);
+        RelayProcessCosts processCosts = new RelayProcessCosts(results, harness);
         Map<String, Part> parts = new LinkedHashMap<>();
         parts.put("reqs", () -> new RequestCosts(results, harness).measure());
         parts.put("units", listCosts::measureHeapAndCpu);
@@ -55,8 +55,8 @@
         parts.put("bytes", listCosts::measureBytes);
         parts.put("tenants", heapCosts::measureTenants);
         parts.put("connections", heapCosts::measureConnections);
-        parts.put("real", realRelays::measureLongLists);
-        parts.put("many", realRelays::measureManyRelays);
+        parts.put("real", processCosts::measureLongLists);
+        parts.put("many", processCosts::measureManyRelays);
         return parts;
     }
 
--- a/src/test/java/gatelock/capacity/TargetFigures.java
+++ b/src/test/java/gatelock/capacity/TargetFigures.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Figures at the whole target that the questions of the page are answered from. */
+/** Evaluates formulas at the whole target, for the tables that answer the questions of the page. */
 final class TargetFigures {
-    /** How unevenly requests are spread over services or tenants: the ends of the assumed range. */
+    /** How unevenly requests are distributed over services or tenants: the two ends of the assumed range. */
     enum Skew {
         LOW("Low"),
         HIGH("High");
@@ -17,7 +17,7 @@
             this.suffix = suffix;
         }
 
-        /** As the page writes it. */
+        /** Returns the name on the page. */
         String label() {
             return suffix.toLowerCase(Locale.ROOT) + " skew";
         }
@@ -31,35 +31,36 @@
         this.variables = evaluator.variables(1, CapacityEvaluator.TARGET_LOAD);
     }
 
-    /** The value of a formula at the whole target. */
-    double of(String formula) {
+    /** Returns the value of a formula at the whole target. */
+    double value(String formula) {
         return evaluator.value(formula, variables);
     }
 
-    /** How requests are spread over services. */
+    /** Returns the distribution of requests over services. */
     ZipfDistribution services(Skew skew) {
-        return new ZipfDistribution((int) of("services"), serviceExponent(skew));
+        return new ZipfDistribution((int) value("services"), serviceExponent(skew));
     }
 
     private double serviceExponent(Skew skew) {
-        return of("zipfServices" + skew.suffix);
+        return value("zipfServices" + skew.suffix);
     }
 
-    /** How requests are spread over tenants. */
+    /** Returns the distribution of requests over tenants. */
     ZipfDistribution tenants(Skew skew) {
-        return new ZipfDistribution((int) of("tenants"), tenantExponent(skew));
+        return new ZipfDistribution((int) value("tenants"), tenantExponent(skew));
     }
 
+    /** Returns the Zipf exponent of the distribution of requests over tenants. */
     double tenantExponent(Skew skew) {
-        return of("zipfTenants" + skew.suffix);
+        return value("zipfTenants" + skew.suffix);
     }
 
-    /** Over how many relays a service's canary may be spread. */
+    /** Returns the numbers of relays among which the requests to a service's canary can be divided. */
     List<Integer> canaryRelayCounts() {
         return evaluator.target().canaryRelayCounts();
     }
 
-    /** Error rates of bad builds. */
+    /** Returns the error rates of bad builds, from 0 to 1. */
     List<Double> badBuildErrorRates() {
         return evaluator.target().badBuildErrorRates();
     }
--- a/src/test/java/gatelock/capacity/VoteTables.java
+++ b/src/test/java/gatelock/capacity/VoteTables.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The question who can vote: whether a relay sees enough outcomes of a canary to vote on it. */
+/** Tables for the question of which relays can vote: whether a relay gets enough outcomes of a canary to vote on it. */
 final class VoteTables {
     private static final int MAX_OUTCOMES = 2_000;
     private static final double EVEN_CHANCE = 0.5;
@@ -17,34 +17,37 @@
         this.figures = figures;
     }
 
-    /** Votes of so many relays that roll a build back. */
+    /** Returns the number of votes that roll a build back, if the given number of relays vote. */
     private int votesNeeded(int relays) {
-        return Math.max(1, (int) Math.ceil(relays * figures.of("backVotes")));
+        return Math.max(1, (int) Math.ceil(relays * figures.value("backVotes")));
     }
 
-    /** The share of looks in which one relay may be wrong, so that enough of them hardly ever are. */
+    /**
+     * Returns the share of evaluations in which one relay may reject a good build, so that relays enough for a rollback do
+     * so only at the target's rate of false rollbacks.
+     */
     private double significanceLevel(int relays) {
-        return ExactIntervalTable.errorLevel(figures.of("falseBacks"), relays, votesNeeded(relays));
+        return ExactIntervalTable.errorLevel(figures.value("falseBacks"), relays, votesNeeded(relays));
     }
 
-    /** The probability with which each relay has to find a bad build, so that just enough of them do. */
+    /** Returns the probability with which each relay has to detect a bad build, so that just enough of them do. */
     private double powerNeeded(int relays) {
         return Math.min(EVEN_CHANCE, (double) votesNeeded(relays) / relays);
     }
 
-    /** Outcomes of all canary endpoints in the first stage, over all services. */
+    /** Returns the outcomes of all canary endpoints in the first stage, summed over all services. */
     private double firstStageOutcomes() {
-        return figures.of("peakPerS*firstCap*weighedS");
+        return figures.value("peakPerS*firstCap*weighedS");
     }
 
-    /** Outcomes of the mean service's canary in the first stage. */
+    /** Returns the outcomes of the mean service's canary in the first stage. */
     double meanServiceOutcomes() {
-        return figures.of("peakPerS*firstCap*weighedS/services");
+        return figures.value("peakPerS*firstCap*weighedS/services");
     }
 
-    // ---- Outcomes that are needed --------------------------------------------------------------------------
+    // ---- Outcomes that a relay needs -----------------------------------------------------------------------
 
-    /** Outcomes that a relay needs to find a bad build, by how many relays share its canary. */
+    /** Returns the outcomes that a relay needs to detect a bad build, by the number of relays that share the canary. */
     MarkdownTable outcomesNeeded() {
         List<String> headings = new ArrayList<>(List.of("relays", "voices that send back", "one may be wrong in"));
         for (double errorRate : figures.badBuildErrorRates()) {
@@ -68,18 +71,18 @@
     }
 
     private int canaryEndpoints() {
-        return Math.max(1, (int) Math.round(figures.of("trialUnits")));
+        return Math.max(1, (int) Math.round(figures.value("trialUnits")));
     }
 
     private Object outcomesNeeded(int endpoints, double errorRate, int relays, double power) {
         int outcomes = ExactIntervalTable.minOutcomesToDetect(
-                endpoints, errorRate, figures.of("errorBar"), significanceLevel(relays), power, MAX_OUTCOMES);
+                endpoints, errorRate, figures.value("errorBar"), significanceLevel(relays), power, MAX_OUTCOMES);
         return outcomes < 0 ? "none do" : (Object) outcomes;
     }
 
-    // ---- Outcomes that there are ---------------------------------------------------------------------------
+    // ---- Outcomes that a relay gets ------------------------------------------------------------------------
 
-    /** Outcomes that a relay gets in a first stage, by rank of the service, skew and spread. */
+    /** Returns the outcomes that a relay gets in a first stage, by rank of the service, skew and number of relays. */
     MarkdownTable outcomesPerRelay() {
         List<String> headings = new ArrayList<>(List.of("relays that share it", "mean service"));
         for (TargetFigures.Skew skew : TargetFigures.Skew.values()) {
@@ -87,13 +90,13 @@
                     skew.label() + ": first service",
                     "median",
                     "last",
-                    "services with " + MarkdownTable.figure(figures.of("fewestOutcomes")) + " (page)",
+                    "services with " + MarkdownTable.figure(figures.value("fewestOutcomes")) + " (page)",
                     "services with enough for errors 30%"));
         }
         MarkdownTable table = new MarkdownTable(headings.toArray(String[]::new));
         double total = firstStageOutcomes();
         for (int relays : figures.canaryRelayCounts()) {
-            List<Object> row = new ArrayList<>(List.of(relays, total / figures.of("services") / relays));
+            List<Object> row = new ArrayList<>(List.of(relays, total / figures.value("services") / relays));
             for (TargetFigures.Skew skew : TargetFigures.Skew.values()) {
                 row.addAll(outcomesByRank(figures.services(skew), total, relays));
             }
@@ -106,79 +109,82 @@
         int needed = ExactIntervalTable.minOutcomesToDetect(
                 MAX_OUTCOMES,
                 HIGH_ERROR_RATE,
-                figures.of("errorBar"),
+                figures.value("errorBar"),
                 significanceLevel(relays),
                 powerNeeded(relays),
                 MAX_OUTCOMES);
-        double enoughByPage = figures.of("fewestOutcomes") * relays / total;
+        double shareForPageMinimum = figures.value("fewestOutcomes") * relays / total;
         return List.of(
                 total * services.share(1) / relays,
                 total * services.share(services.count() / 2) / relays,
                 total * services.share(services.count()) / relays,
-                MarkdownTable.percent(services.proportionWithShare(enoughByPage)),
+                MarkdownTable.percent(services.proportionWithShare(shareForPageMinimum)),
                 MarkdownTable.percent(services.proportionWithShare(needed * relays / total)));
     }
 
-    // ---- Spreads -------------------------------------------------------------------------------------------
+    // ---- Relays that can share a canary --------------------------------------------------------------------
 
-    /** The widest spread at which each relay alone still gets the outcomes that a verdict needs. */
-    MarkdownTable widestSpreads() {
+    /** Returns the largest number of relays at which each relay alone still gets the outcomes that a verdict needs. */
+    MarkdownTable maxRelaysPerCanary() {
         MarkdownTable table = new MarkdownTable(
                 "service",
                 "its trial's outcomes in 8 s, all relays",
-                "relays at which each still gets " + MarkdownTable.figure(figures.of("fewestOutcomes")),
+                "relays at which each still gets " + MarkdownTable.figure(figures.value("fewestOutcomes")),
                 "relays at which each still finds errors 30%",
                 "errors 10%");
         double total = firstStageOutcomes();
-        addSpread(table, "mean", total / figures.of("services"));
+        addMaxRelays(table, "mean", total / figures.value("services"));
         for (TargetFigures.Skew skew : TargetFigures.Skew.values()) {
             ZipfDistribution services = figures.services(skew);
-            addSpread(table, skew.label() + ": first", total * services.share(1));
-            addSpread(table, skew.label() + ": median", total * services.share(services.count() / 2));
-            addSpread(table, skew.label() + ": last", total * services.share(services.count()));
+            addMaxRelays(table, skew.label() + ": first", total * services.share(1));
+            addMaxRelays(table, skew.label() + ": median", total * services.share(services.count() / 2));
+            addMaxRelays(table, skew.label() + ": last", total * services.share(services.count()));
         }
         return table;
     }
 
-    private void addSpread(MarkdownTable table, String service, double outcomes) {
+    private void addMaxRelays(MarkdownTable table, String service, double outcomes) {
         table.row(
                 service,
                 outcomes,
-                widestSpreadByPage(outcomes),
-                widestSpread(outcomes, HIGH_ERROR_RATE),
-                widestSpread(outcomes, LOW_ERROR_RATE));
+                maxRelaysByPageMinimum(outcomes),
+                maxRelaysByExactInterval(outcomes, HIGH_ERROR_RATE),
+                maxRelaysByExactInterval(outcomes, LOW_ERROR_RATE));
     }
 
-    /** The widest spread at which each relay still gets the page's fewest outcomes. */
-    double widestSpreadByPage(double outcomes) {
-        return Math.min(figures.of("relays"), Math.floor(outcomes / figures.of("fewestOutcomes")));
+    /** Returns the largest number of relays at which each still gets the minimum of outcomes that the page states. */
+    double maxRelaysByPageMinimum(double outcomes) {
+        return Math.min(figures.value("relays"), Math.floor(outcomes / figures.value("fewestOutcomes")));
     }
 
-    /** The widest spread at which enough relays still find an error rate by the exact interval. */
-    double widestSpread(double outcomes, double errorRate) {
-        int widest = 0;
-        for (int relays : spreads((int) figures.of("relays"))) {
+    /**
+     * Returns the largest number of relays at which enough of them still detect an error rate with the exact confidence
+     * interval.
+     */
+    double maxRelaysByExactInterval(double outcomes, double errorRate) {
+        int maxRelays = 0;
+        for (int relays : relayCounts((int) figures.value("relays"))) {
             int perRelay = (int) Math.min(MAX_OUTCOMES, outcomes / relays);
             double power = ExactIntervalTable.detectionProbability(
-                    perRelay, MAX_OUTCOMES, errorRate, figures.of("errorBar"), significanceLevel(relays));
+                    perRelay, MAX_OUTCOMES, errorRate, figures.value("errorBar"), significanceLevel(relays));
             if (power >= powerNeeded(relays)) {
-                widest = relays;
+                maxRelays = relays;
             }
         }
-        return widest;
+        return maxRelays;
     }
 
-    /** From 1 to a maximum, in steps of a twentieth. */
-    private static List<Integer> spreads(int max) {
-        List<Integer> spreads = new ArrayList<>();
+    /** Returns numbers of relays from 1 to a maximum, each at least 1 and about a twentieth above the previous one. */
+    private static List<Integer> relayCounts(int max) {
+        List<Integer> relayCounts = new ArrayList<>();
         int relays = 1;
         while (relays < max) {
-            spreads.add(relays);
+            relayCounts.add(relays);
             relays = Math.max(relays + 1, relays * 21 / 20);
         }
         if (max >= 1) {
-            spreads.add(max);
+            relayCounts.add(max);
         }
-        return spreads;
+        return relayCounts;
     }
 }
--- a/src/test/java/gatelock/capacity/ZipfDistribution.java
+++ b/src/test/java/gatelock/capacity/ZipfDistribution.java
@@ -2,11 +2,15 @@
 
 import java.util.stream.IntStream;
 
-/** A Zipf distribution: the share of rank n is proportional to n to the minus exponent. */
+/** A Zipf distribution: the share of rank n is proportional to n to the power of minus the exponent. */
 final class ZipfDistribution {
     private final double[] shares;
 
-    /** @param count how many ranks there are */
+    /**
+     * Creates a distribution.
+     *
+     * @param count number of ranks
+     */
     ZipfDistribution(int count, double exponent) {
         shares = IntStream.rangeClosed(1, count)
                 .mapToDouble(n -> Math.pow(n, -exponent))
@@ -17,17 +21,17 @@
         }
     }
 
-    /** How many ranks there are. */
+    /** Returns the number of ranks. */
     int count() {
         return shares.length;
     }
 
-    /** The share of a rank, from 1 on. */
+    /** Returns the share of a rank; ranks start at 1. */
     double share(int rank) {
         return shares[rank - 1];
     }
 
-    /** The expected number of different ranks among so many draws. */
+    /** Returns the expected number of distinct ranks in the given number of draws. */
     double expectedDistinct(double draws) {
         double expected = 0;
         for (double share : shares) {
@@ -36,7 +40,7 @@
         return expected;
     }
 
-    /** The proportion of the ranks whose share is at least so much. */
+    /** Returns the proportion of ranks whose share is at least the given one. */
     double proportionWithShare(double minShare) {
         int ranks = 0;
         while (ranks < shares.length && shares[ranks] >= minShare) {
--- a/src/test/java/gatelock/capacity/ZipfDistributionTest.java
+++ b/src/test/java/gatelock/capacity/ZipfDistributionTest.java
@@ -10,11 +10,11 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Shares by rank, and how many ranks are drawn. */
+/** Guards against wrong shares by rank, numbers of distinct ranks and Poisson tails. */
 class ZipfDistributionTest {
 
     @Test
-    void sharesFallWithTheRank() {
+    void sharesDecreaseWithRank() {
         ZipfDistribution zipf = new ZipfDistribution(3, 1);
         assertThat(zipf.share(1)).isCloseTo(6 / 11.0, within(1e-12));
         assertThat(zipf.share(3)).isCloseTo(2 / 11.0, within(1e-12));
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void tailOfAPoissonDistribution() {
-        assertThat(HolderTables.poissonTail(1, 0)).isCloseTo(1 - Math.exp(-1), within(1e-12));
-        assertThat(HolderTables.poissonTail(26, 48)).isLessThan(1e-4);
+    void computesPoissonTail() {
+        assertThat(RelaysPerEndpointTables.poissonTail(1, 0)).isCloseTo(1 - Math.exp(-1), within(1e-12));
+        assertThat(RelaysPerEndpointTables.poissonTail(26, 48)).isLessThan(1e-4);
     }
 }
