--- a/src/test/java/gatelock/capacity/CapacityEvaluator.java
+++ b/src/test/java/gatelock/capacity/CapacityEvaluator.java
@@ -8,7 +8,7 @@
 
 /** Evaluates the metrics of the capacity model against their bounds, at any share of the target and under any load. */
 final class CapacityEvaluator {
-    /** Name of the load that applies to figures that do not name a load. */
+    /** Name of the load, at the whole target, for figures that do not name a load of their own. */
     static final String TARGET_LOAD = "target";
 
     private static final String BOUND_SUFFIX = "Bound";
--- a/src/test/java/gatelock/capacity/CapacityPage.java
+++ b/src/test/java/gatelock/capacity/CapacityPage.java
@@ -60,7 +60,7 @@
                 CapacityModel.read(dataDirectory.resolve("lines.json")));
         List<ScaleLadder.ScalingCurve> curves = ScaleLadder.scalingCurves(evaluator);
         return new GeneratedContent(
-                PageTables.all(evaluator, runs, curves),
+                PageTables.allTables(evaluator, runs, curves),
                 new LadderChart(evaluator.target()).svg(curves),
                 runs,
                 evaluator);
--- a/src/test/java/gatelock/capacity/CapacityPageTest.java
+++ b/src/test/java/gatelock/capacity/CapacityPageTest.java
@@ -24,7 +24,7 @@
     private static Path matchingFiles;
 
     @TempDir
-    private Path scratch;
+    private Path directory;
 
     private CapacityPage page;
 
@@ -46,14 +46,14 @@
     void copyMatchingFiles() throws IOException {
         try (DirectoryStream<Path> files = Files.newDirectoryStream(matchingFiles)) {
             for (Path file : files) {
-                Files.copy(file, scratch.resolve(file.getFileName()));
+                Files.copy(file, directory.resolve(file.getFileName()));
             }
         }
-        page = new CapacityPage(scratch.resolve("CAPACITY.md"), scratch);
+        page = new CapacityPage(directory.resolve("CAPACITY.md"), directory);
     }
 
     private void replaceInFile(String file, String from, String to) throws IOException {
-        Path path = scratch.resolve(file);
+        Path path = directory.resolve(file);
         String text = Files.readString(path);
         assertThat(text).contains(from);
         Files.writeString(path, text.replace(from, to));
@@ -66,9 +66,9 @@
 
     @Test
     void rewritesMatchingPageUnchanged() throws IOException {
-        String textBefore = Files.readString(scratch.resolve("CAPACITY.md"));
+        String textBefore = Files.readString(directory.resolve("CAPACITY.md"));
         page.write();
-        assertThat(Files.readString(scratch.resolve("CAPACITY.md"))).isEqualTo(textBefore);
+        assertThat(Files.readString(directory.resolve("CAPACITY.md"))).isEqualTo(textBefore);
     }
 
     @Test
@@ -125,7 +125,7 @@
 
     @Test
     void reportsRunWithMissingDataFile() throws IOException {
-        Files.delete(scratch.resolve("scale.json"));
+        Files.delete(directory.resolve("scale.json"));
         assertThat(page.problems()).contains("the page has run ID fixture-2 for scale, the data file has: not run");
     }
 
@@ -141,7 +141,7 @@
     void reportsChangedOrMissingChart() throws IOException {
         replaceInFile("ladder.svg", "stroke-width=\"1.5\"", "stroke-width=\"1.6\"");
         assertThat(page.problems()).singleElement().asString().contains("chart");
-        Files.delete(scratch.resolve("ladder.svg"));
+        Files.delete(directory.resolve("ladder.svg"));
         assertThat(page.problems()).singleElement().asString().contains("chart");
     }
 
--- a/src/test/java/gatelock/capacity/ConfigDeliveryTable.java
+++ b/src/test/java/gatelock/capacity/ConfigDeliveryTable.java
@@ -32,7 +32,7 @@
         String deltaBytesPerS = "configPerS*busyHour*configChangeBytes";
         String deltaCores = "configPerS*busyHour*cpuPerVersionUs/1000000";
         String servedShare = "(" + servicesPerRelay() + "/services)";
-        add(
+        addMethod(
                 table,
                 new DeliveryMethod(
                         "one text a change",
@@ -40,7 +40,7 @@
                         textBytes,
                         "configPerS*" + compileS,
                         textBytes));
-        add(
+        addMethod(
                 table,
                 new DeliveryMethod(
                         "one text, the newest every 7 s",
@@ -48,7 +48,7 @@
                         textBytes,
                         "min(configPerS,1/inForceSBound)*" + compileS,
                         textBytes));
-        add(
+        addMethod(
                 table,
                 new DeliveryMethod(
                         "difference, each change",
@@ -56,7 +56,7 @@
                         "configChangeBytes",
                         "configPerS*cpuPerVersionUs/1000000",
                         "regionCutS*configPerS*configChangeBytes"));
-        add(
+        addMethod(
                 table,
                 new DeliveryMethod(
                         "difference, gathered for a second in the busy hour",
@@ -64,7 +64,7 @@
                         "configPerS*busyHour*batchS*configChangeBytes",
                         deltaCores,
                         "regionCutS*" + deltaBytesPerS));
-        add(
+        addMethod(
                 table,
                 new DeliveryMethod(
                         "difference, only routes of services served (by weight, high skew)",
@@ -79,7 +79,7 @@
         return placement.meanServicesByWeight(figures.services(TargetFigures.Skew.HIGH));
     }
 
-    private void add(MarkdownTable table, DeliveryMethod method) {
+    private void addMethod(MarkdownTable table, DeliveryMethod method) {
         double bytesPerS = figures.value(method.bytesPerS);
         double messageBytes = figures.value(method.messageBytes);
         double catchUpBytes = figures.value(method.catchUpBytes);
--- a/src/test/java/gatelock/capacity/ConfigVersionCosts.java
+++ b/src/test/java/gatelock/capacity/ConfigVersionCosts.java
@@ -78,7 +78,7 @@
         Admission admission = new Admission(1);
         try {
             admission.updateEndpoints(1, DecisionEngine.EndpointUpdateType.FULL, endpoints(), Map.of());
-            double cpuUs = medianSwapUs(compiler, admission, text, repeats);
+            double cpuUs = medianActivationUs(compiler, admission, text, repeats);
             return new Cost(text.length, heapBytes(compiler, text), cpuUs);
         } finally {
             // Keeps these objects reachable, so that they are not collected between the two histograms.
@@ -94,7 +94,7 @@
         return endpoints;
     }
 
-    private static double medianSwapUs(ConfigCompiler compiler, Admission admission, byte[] text, int repeats) {
+    private static double medianActivationUs(ConfigCompiler compiler, Admission admission, byte[] text, int repeats) {
         List<Double> us = new ArrayList<>();
         for (int i = 1; i <= repeats; i++) {
             long startedNs = cpuNs();
--- a/src/test/java/gatelock/capacity/DecisionHarness.java
+++ b/src/test/java/gatelock/capacity/DecisionHarness.java
@@ -40,14 +40,14 @@
     private static final long TICK_US = 250_000;
     private static final long EXPECTED_WORK_US = 5_000;
     /** Number of relays in the settings; large enough that verdicts are weighed as in a fleet. */
-    private static final int RELAYS = 100;
+    private static final int RELAY_COUNT = 100;
 
     private static final List<RoutePolicy> ROUTES = List.of(
             new RoutePolicy(RoutePolicy.RetrySafety.RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 250_000, 1),
             new RoutePolicy(RoutePolicy.RetrySafety.DEDUPED, RoutePolicy.DedupScope.ALL, 5_000_000, 400_000, 3),
             new RoutePolicy(RoutePolicy.RetrySafety.NON_RETRIABLE, RoutePolicy.DedupScope.ALL, 0, 500_000, 3));
 
-    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+    private static final ThreadMXBean THREAD_MX_BEAN = ManagementFactory.getThreadMXBean();
 
     private record InFlight(RequestHandle handle, long sentUs) {}
 
@@ -88,7 +88,7 @@
     static DecisionEngine newEngine(DecisionActions actions, List<RelaySettings.Tenant> tenants) {
         RelaySettings settings = new RelaySettings(
                 17,
-                RELAYS,
+                RELAY_COUNT,
                 0,
                 ROUTES,
                 tenants,
@@ -137,13 +137,13 @@
         long sentBefore = sent;
         long nextTickUs = nowUs + TICK_US;
         while (requests < maxRequests && cpuNs < 1_000_000_000) {
-            long startedNs = THREADS.getCurrentThreadCpuTime();
+            long startedNs = THREAD_MX_BEAN.getCurrentThreadCpuTime();
             for (int i = 0; i < BATCH_SIZE; i++) {
                 nowUs += REQUEST_INTERVAL_US;
                 sendRequest(restricted);
             }
             requests += BATCH_SIZE;
-            cpuNs += THREADS.getCurrentThreadCpuTime() - startedNs;
+            cpuNs += THREAD_MX_BEAN.getCurrentThreadCpuTime() - startedNs;
             if (nowUs >= nextTickUs) {
                 tick();
                 nextTickUs += TICK_US;
@@ -178,12 +178,12 @@
 
     /** Runs a number of timer ticks and returns the processor time of one in microseconds. */
     double tickUs(int ticks) {
-        long startedNs = THREADS.getCurrentThreadCpuTime();
+        long startedNs = THREAD_MX_BEAN.getCurrentThreadCpuTime();
         for (int i = 0; i < ticks; i++) {
             nowUs += TICK_US;
             tick();
         }
-        return (THREADS.getCurrentThreadCpuTime() - startedNs) / 1e3 / ticks;
+        return (THREAD_MX_BEAN.getCurrentThreadCpuTime() - startedNs) / 1e3 / ticks;
     }
 
     @Override
--- a/src/test/java/gatelock/capacity/EndpointListHarness.java
+++ b/src/test/java/gatelock/capacity/EndpointListHarness.java
@@ -26,9 +26,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * Runs the part of a relay that follows the endpoint list in this process and on real sockets: discovery client,
- * endpoint addresses and decision engine, against a stand-in for discovery. The size of the list is not limited as in a
- * relay.
+ * Runs the part of a relay that follows the endpoint list: discovery client, endpoint addresses and decision engine. It
+ * runs in this process and connects to a discovery stand-in over real sockets. Unlike in a relay, the size of the list is
+ * not bounded.
  */
 final class EndpointListHarness implements AutoCloseable {
     private static final int MAX_RESPONSE_BYTES = 256 << 20;
@@ -42,7 +42,7 @@
     /** A prime stride, so that successive changes cover the whole list. */
     private static final long CHANGE_STRIDE = 7_919;
 
-    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
+    private static final ThreadMXBean THREAD_MX_BEAN = ManagementFactory.getThreadMXBean();
 
     private final LongListDiscovery list;
     private final int size;
@@ -54,7 +54,7 @@
     private final DecisionEngine engine;
     private final double fullReadUs;
 
-    /** Starts to follow a list with the given number of entries, and returns once the client has processed all of it. */
+    /** Starts to follow a list with the given number of entries and waits until the client has processed all of it. */
     EndpointListHarness(int size, Admission admission) throws IOException, InterruptedException {
         this.size = size;
         list = new LongListDiscovery(size, number -> entry(number, 0));
@@ -120,7 +120,7 @@
     }
 
     private long ioThreadCpuNs() {
-        return THREADS.getThreadCpuTime(eventLoop.ioThread().getId());
+        return THREAD_MX_BEAN.getThreadCpuTime(eventLoop.ioThread().getId());
     }
 
     /** Waits until the client has received the list up to an index. */
@@ -141,7 +141,7 @@
         return list.snapshotCalls();
     }
 
-    /** Restarts a number of endpoints one by one; returns the median I/O thread processor time of one, in microseconds. */
+    /** Restarts a number of endpoints one by one; returns the median processor time of the I/O thread for one, in us. */
     double medianChangeUs(int changes) throws InterruptedException {
         List<Long> changeNs = new ArrayList<>();
         for (int i = 1; i <= changes; i++) {
--- a/src/test/java/gatelock/capacity/LadderChart.java
+++ b/src/test/java/gatelock/capacity/LadderChart.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Draws the scale ladder as an SVG chart: the ratio of each metric to its bound by share of the target, on log axes. */
+/** Draws an SVG chart of the ratio of each metric to its bound by share of the target, on logarithmic axes. */
 final class LadderChart {
     private static final int WIDTH = 1000;
     private static final int LEFT = 70;
@@ -49,12 +49,12 @@
     }
 
     private void drawFrame(int height) {
-        add(
+        append(
                 "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 %d %d\" font-family=\"sans-serif\" "
                         + "font-size=\"12\">",
                 WIDTH, height);
-        add("<rect width=\"%d\" height=\"%d\" fill=\"#ffffff\"/>", WIDTH, height);
-        add(
+        append("<rect width=\"%d\" height=\"%d\" fill=\"#ffffff\"/>", WIDTH, height);
+        append(
                 "<text x=\"%d\" y=\"22\" font-size=\"15\">The ladder: figure over bound by share of the target "
                         + "(dashed: with membership by scope)</text>",
                 LEFT);
@@ -63,10 +63,10 @@
     private void drawRatioAxis() {
         for (double ratio = MIN_RATIO; ratio <= MAX_RATIO * 1.01; ratio *= 10) {
             boolean isBound = Math.abs(ratio - 1) < 0.01;
-            add(
+            append(
                     "<line x1=\"%d\" y1=\"%.1f\" x2=\"%d\" y2=\"%.1f\" stroke=\"%s\" stroke-width=\"%s\"/>",
                     LEFT, y(ratio), RIGHT, y(ratio), isBound ? "#222222" : "#dddddd", isBound ? "2" : "1");
-            add(
+            append(
                     "<text x=\"%d\" y=\"%.1f\" text-anchor=\"end\">%s</text>",
                     LEFT - 6, y(ratio) + 4, isBound ? "bound" : MarkdownTable.figure(ratio));
         }
@@ -75,8 +75,8 @@
     private void drawShareAxis() {
         for (CapacityTarget.Step step : steps) {
             double x = x(step.share());
-            add("<line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"#dddddd\"/>", x, TOP, x, BOTTOM);
-            add("<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%s</text>", x, BOTTOM + 18, step.name());
+            append("<line x1=\"%.1f\" y1=\"%d\" x2=\"%.1f\" y2=\"%d\" stroke=\"#dddddd\"/>", x, TOP, x, BOTTOM);
+            append("<text x=\"%.1f\" y=\"%d\" text-anchor=\"middle\">%s</text>", x, BOTTOM + 18, step.name());
         }
     }
 
@@ -94,7 +94,7 @@
         for (int i = 0; i < ratios.size(); i++) {
             points.add(String.format(Locale.ROOT, "%.1f,%.1f", x(steps.get(i).share()), y(ratios.get(i))));
         }
-        add(
+        append(
                 "<polyline points=\"%s\" fill=\"none\" stroke=\"%s\" stroke-width=\"1.5\"%s/>",
                 String.join(" ", points), colour, dash);
     }
@@ -107,10 +107,10 @@
         for (Label label : fromTop) {
             double labelY = Math.max(nextFreeY, label.y);
             nextFreeY = labelY + LABEL_HEIGHT;
-            add(
+            append(
                     "<line x1=\"%d\" y1=\"%.1f\" x2=\"%d\" y2=\"%.1f\" stroke=\"%s\" stroke-width=\"0.5\"/>",
                     RIGHT, label.y, RIGHT + 30, labelY, label.colour);
-            add("<text x=\"%d\" y=\"%.1f\" fill=\"%s\">%s</text>", RIGHT + 34, labelY + 4, label.colour, label.text);
+            append("<text x=\"%d\" y=\"%.1f\" fill=\"%s\">%s</text>", RIGHT + 34, labelY + 4, label.colour, label.text);
         }
     }
 
@@ -124,7 +124,7 @@
         return BOTTOM - (BOTTOM - TOP) * (exponent - Math.log10(MIN_RATIO)) / Math.log10(MAX_RATIO / MIN_RATIO);
     }
 
-    private void add(String format, Object... values) {
+    private void append(String format, Object... values) {
         svg.append(String.format(Locale.ROOT, format, values)).append('\n');
     }
 }
--- a/src/test/java/gatelock/capacity/MarkdownTable.java
+++ b/src/test/java/gatelock/capacity/MarkdownTable.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * Formats a number with three significant digits. NaN stands for a value that was not measured, infinity for an event
-     * that never happens.
+     * Formats a number with three significant digits. NaN stands for a value that was not measured, infinity for an
+     * event that never happens.
      */
     static String figure(double value) {
         if (Double.isNaN(value)) {
--- a/src/test/java/gatelock/capacity/MeasurementRun.java
+++ b/src/test/java/gatelock/capacity/MeasurementRun.java
@@ -16,8 +16,8 @@
 import java.util.TreeMap;
 
 /**
- * The results of a measurement run, read from docs/capacity/slopes.json, membership.json or scale.json. The file must have
- * a run ID; values that it lacks count as not measured.
+ * The results of a measurement run, read from docs/capacity/slopes.json, membership.json or scale.json. The file must
+ * have a run ID; values that it lacks count as not measured.
  */
 final class MeasurementRun {
     static final String NO_RUN = "not run";
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Returns the largest relative distance of a point from the fitted line of a slope, or NaN if it was not measured. */
+    /** Returns the largest relative distance of a point of a slope from the fitted line, or NaN if not measured. */
     double residual(String name) {
         for (JsonNode slope : slopes) {
             if (name.equals(slope.path("name").asText())) {
--- a/src/test/java/gatelock/capacity/MeasurementTables.java
+++ b/src/test/java/gatelock/capacity/MeasurementTables.java
@@ -63,11 +63,11 @@
                 "last to first",
                 "to a req's time",
                 "how");
-        measured.section("slopes").forEach(slope -> addSlope(table, slope));
+        measured.section("slopes").forEach(slope -> addSlopeRow(table, slope));
         return table.toString();
     }
 
-    private static void addSlope(MarkdownTable table, JsonNode slope) {
+    private static void addSlopeRow(MarkdownTable table, JsonNode slope) {
         List<Fit.Point> points = MeasurementRun.points(slope);
         Fit.Point first = points.get(0);
         Fit.Point last = points.get(points.size() - 1);
@@ -165,11 +165,11 @@
                 "rule 4",
                 "wall s");
         scale.section("steps")
-                .forEach(step -> step.path("plays").forEach(scenario -> addScenario(table, step, scenario)));
+                .forEach(step -> step.path("plays").forEach(scenario -> addScenarioRow(table, step, scenario)));
         return table.toString();
     }
 
-    private static void addScenario(MarkdownTable table, JsonNode step, JsonNode scenario) {
+    private static void addScenarioRow(MarkdownTable table, JsonNode step, JsonNode scenario) {
         JsonNode heap = scenario.path("heapPerRelayBytes");
         table.row(
                 step.path("step").asText(),
--- a/src/test/java/gatelock/capacity/ModelTables.java
+++ b/src/test/java/gatelock/capacity/ModelTables.java
@@ -10,7 +10,7 @@
 /** Tables of the capacity model: inputs, bounds, loads and the metrics of each role. */
 final class ModelTables {
     /** Slopes with a larger relative distance of a point from the fitted line get a remark. */
-    private static final double POOR_FIT = 0.25;
+    private static final double MAX_GOOD_FIT_RESIDUAL = 0.25;
 
     private final CapacityEvaluator evaluator;
 
@@ -110,7 +110,7 @@
 
     private String fitRemark(String slope) {
         double residual = evaluator.slopes().residual(slope);
-        return residual > POOR_FIT ? " (points up to " + MarkdownTable.percent(residual) + " off)" : "";
+        return residual > MAX_GOOD_FIT_RESIDUAL ? " (points up to " + MarkdownTable.percent(residual) + " off)" : "";
     }
 
     private boolean isMeasured(String slope) {
--- a/src/test/java/gatelock/capacity/PageTables.java
+++ b/src/test/java/gatelock/capacity/PageTables.java
@@ -9,7 +9,7 @@
     private PageTables() {}
 
     /** Returns all tables by the name in their markers. */
-    static Map<String, String> all(
+    static Map<String, String> allTables(
             CapacityEvaluator evaluator, Map<String, MeasurementRun> runs, List<ScaleLadder.ScalingCurve> curves) {
         Map<String, String> tables = new LinkedHashMap<>();
         addMeasurements(tables, evaluator.slopes(), runs);
--- a/src/test/java/gatelock/capacity/RelayHarness.java
+++ b/src/test/java/gatelock/capacity/RelayHarness.java
@@ -18,7 +18,7 @@
 
     static final long READY_TIMEOUT_MS = 30_000;
     private static final byte[] LOOPBACK = {127, 0, 0, 1};
-    private static final long CHANGES_SINCE_MS = 1_764_000_000_000L;
+    private static final long CHANGED_SINCE_MS = 1_764_000_000_000L;
     private static final int FIRST_QUOTA_PER_S = 10;
     private static final int QUOTAS = 90;
 
@@ -39,12 +39,12 @@
     }
 
     /** Starts a deployment whose endpoints respond without delay. */
-    static FakeDeployment deployment() throws IOException {
+    static FakeDeployment newDeployment() throws IOException {
         return new FakeDeployment(SERVING_ENDPOINTS, 0);
     }
 
     /** Starts a discovery stand-in with a list whose entries all have addresses of the deployment's endpoints. */
-    static LongListDiscovery list(FakeDeployment deployment, int size) {
+    static LongListDiscovery newList(FakeDeployment deployment, int size) {
         return new LongListDiscovery(size, number -> entry(deployment, number, 0));
     }
 
@@ -56,7 +56,7 @@
                 number % 2 == 0 ? "east" : "west",
                 "svc-" + number / DecisionHarness.ENDPOINTS_PER_SERVICE,
                 "in_service",
-                change == 0 ? 0 : CHANGES_SINCE_MS + change,
+                change == 0 ? 0 : CHANGED_SINCE_MS + change,
                 1);
     }
 
@@ -64,11 +64,11 @@
     RelayProcess start(FakeDeployment deployment, LongListDiscovery list, String name, int tenants) throws IOException {
         int port = RelayProcess.freePorts(1)[0];
         return RelayProcess.start(
-                directory, port, configuration(deployment, "127.0.0.1:" + port, list.address(name), tenants));
+                directory, port, newConfiguration(deployment, "127.0.0.1:" + port, list.address(name), tenants));
     }
 
     /** Returns the example configuration with the given deployment, discovery and tenants, and 16,000 sockets. */
-    private static String configuration(FakeDeployment deployment, String listen, String discovery, int tenants)
+    private static String newConfiguration(FakeDeployment deployment, String listen, String discovery, int tenants)
             throws IOException {
         StringBuilder orgs = new StringBuilder("\"orgs\": [{\"name\": \"acme\", \"quotaPerS\": 1000}");
         for (int i = 1; i < tenants; i++) {
--- a/src/test/java/gatelock/capacity/RelayHeapCosts.java
+++ b/src/test/java/gatelock/capacity/RelayHeapCosts.java
@@ -27,8 +27,8 @@
     void measureTenants() throws Exception {
         List<Fit.Point> heap = new ArrayList<>();
         for (int tenants : TENANTS) {
-            try (FakeDeployment deployment = RelayHarness.deployment();
-                    LongListDiscovery list = RelayHarness.list(deployment, RelayHarness.SERVING_ENDPOINTS);
+            try (FakeDeployment deployment = RelayHarness.newDeployment();
+                    LongListDiscovery list = RelayHarness.newList(deployment, RelayHarness.SERVING_ENDPOINTS);
                     RelayProcess relay = harness.start(deployment, list, "r", tenants)) {
                 RelayHarness.awaitReady(relay);
                 heap.add(new Fit.Point(tenants, RelayHarness.liveHeapBytes(relay)));
@@ -49,8 +49,8 @@
         List<Fit.Point> heap = new ArrayList<>();
         List<Fit.Point> resident = new ArrayList<>();
         List<Socket> sockets = new ArrayList<>();
-        try (FakeDeployment deployment = RelayHarness.deployment();
-                LongListDiscovery list = RelayHarness.list(deployment, RelayHarness.SERVING_ENDPOINTS);
+        try (FakeDeployment deployment = RelayHarness.newDeployment();
+                LongListDiscovery list = RelayHarness.newList(deployment, RelayHarness.SERVING_ENDPOINTS);
                 RelayProcess relay = harness.start(deployment, list, "r", 1)) {
             RelayHarness.awaitReady(relay);
             for (int connections : CONNECTIONS) {
--- a/src/test/java/gatelock/capacity/RelayProcessCosts.java
+++ b/src/test/java/gatelock/capacity/RelayProcessCosts.java
@@ -66,8 +66,8 @@
 
     private long medianStartMs(int size) throws Exception {
         List<Long> startsMs = new ArrayList<>();
-        try (FakeDeployment deployment = RelayHarness.deployment();
-                LongListDiscovery list = RelayHarness.list(deployment, size)) {
+        try (FakeDeployment deployment = RelayHarness.newDeployment();
+                LongListDiscovery list = RelayHarness.newList(deployment, size)) {
             for (int i = 0; i < STARTS; i++) {
                 try (RelayProcess relay = harness.start(deployment, list, "r" + i, 1)) {
                     startsMs.add(RelayHarness.awaitReady(relay));
@@ -85,8 +85,8 @@
     private ObjectNode measureLongList(int size) throws Exception {
         ObjectNode row = JsonNodeFactory.instance.objectNode();
         row.put("entries", size);
-        try (FakeDeployment deployment = RelayHarness.deployment();
-                LongListDiscovery list = RelayHarness.list(deployment, size);
+        try (FakeDeployment deployment = RelayHarness.newDeployment();
+                LongListDiscovery list = RelayHarness.newList(deployment, size);
                 RelayProcess relay = harness.start(deployment, list, "r", 1)) {
             long readyMs = relay.awaitReadyMs(RelayHarness.READY_TIMEOUT_MS);
             boolean accepted = !list.await(1, 1, 1_000).isEmpty();
@@ -147,11 +147,11 @@
 
     // ---- Many relays ---------------------------------------------------------------------------------------
 
-    /** Measures relays that follow one list at the same time: the delay of changes, and their memory and processor time. */
+    /** Measures 40 relays that follow one list: the delay of changes, memory, and processor time when idle. */
     void measureManyRelays() throws Exception {
         List<RelayProcess> relays = new ArrayList<>();
-        try (FakeDeployment deployment = RelayHarness.deployment();
-                LongListDiscovery list = RelayHarness.list(deployment, MANY_LIST_SIZE)) {
+        try (FakeDeployment deployment = RelayHarness.newDeployment();
+                LongListDiscovery list = RelayHarness.newList(deployment, MANY_LIST_SIZE)) {
             startMany(relays, deployment, list);
             int relaysWithFirstList =
                     list.await(1, MANY_RELAY_COUNT, MANY_TIMEOUT_MS).size();
--- a/src/test/java/gatelock/capacity/RequestCosts.java
+++ b/src/test/java/gatelock/capacity/RequestCosts.java
@@ -29,8 +29,8 @@
     /** Measures all rates and adds their latencies and the slope of processor time to the results. */
     void measure() throws Exception {
         List<Fit.Point> cpu = new ArrayList<>();
-        try (FakeDeployment deployment = RelayHarness.deployment();
-                LongListDiscovery list = RelayHarness.list(deployment, RelayHarness.SERVING_ENDPOINTS);
+        try (FakeDeployment deployment = RelayHarness.newDeployment();
+                LongListDiscovery list = RelayHarness.newList(deployment, RelayHarness.SERVING_ENDPOINTS);
                 RelayProcess relay = harness.start(deployment, list, "r", 1)) {
             RelayHarness.awaitReady(relay);
             int[] directPorts = new int[RelayHarness.SERVING_ENDPOINTS];
@@ -76,10 +76,10 @@
     }
 
     /** Puts the quantiles of a histogram, minus those of a baseline, into a row. */
-    private static void putQuantiles(ObjectNode row, Histogram us, Histogram baseline) {
-        row.put("p50Us", us.getValueAtPercentile(50) - baseline.getValueAtPercentile(50));
-        row.put("p99Us", us.getValueAtPercentile(99) - baseline.getValueAtPercentile(99));
-        row.put("p999Us", us.getValueAtPercentile(99.9) - baseline.getValueAtPercentile(99.9));
-        row.put("maxUs", us.getMaxValue() - baseline.getMaxValue());
+    private static void putQuantiles(ObjectNode row, Histogram latencyUs, Histogram baseline) {
+        row.put("p50Us", latencyUs.getValueAtPercentile(50) - baseline.getValueAtPercentile(50));
+        row.put("p99Us", latencyUs.getValueAtPercentile(99) - baseline.getValueAtPercentile(99));
+        row.put("p999Us", latencyUs.getValueAtPercentile(99.9) - baseline.getValueAtPercentile(99.9));
+        row.put("maxUs", latencyUs.getMaxValue() - baseline.getMaxValue());
     }
 }
--- a/src/test/java/gatelock/capacity/ScaleLadder.java
+++ b/src/test/java/gatelock/capacity/ScaleLadder.java
@@ -6,8 +6,8 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * Finds the share of the target at which each bound is crossed, without and with the mechanism 'membership by scope'. The
- * ladder is the sequence of shares of the target at which metrics are evaluated.
+ * Finds the share of the target at which each bound is crossed, without and with the mechanism 'membership by scope'.
+ * The ladder is the sequence of shares of the target at which metrics are evaluated.
  */
 final class ScaleLadder {
     /** Smallest share that is examined; at this share the fleet has about half a relay. */
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Returns the smallest share at which a ratio exceeds 1. It is infinite if the ratio does not exceed 1 up to the whole
-     * target, and NaN if the ratio at the whole target is not known.
+     * Returns the smallest share at which a ratio exceeds 1. It is infinite if the ratio does not exceed 1 up to the
+     * whole target, and NaN if the ratio at the whole target is not known.
      */
     static double crossing(DoubleUnaryOperator ratio) {
         if (Double.isNaN(ratio.applyAsDouble(1))) {
--- a/src/test/java/gatelock/capacity/ScaleLadderTest.java
+++ b/src/test/java/gatelock/capacity/ScaleLadderTest.java
@@ -20,7 +20,7 @@
             new CapacityTarget.Step("1", 1));
 
     @TempDir
-    private Path scratch;
+    private Path directory;
 
     @Test
     void findsShareWhereGrowingRatioExceedsOne() {
@@ -47,11 +47,11 @@
     }
 
     /**
-     * Returns an evaluator in which 1,000 endpoints of 20 bytes have a bound of 10,000 bytes, which they cross at half of
-     * the target. With membership by scope a relay holds at most 100 endpoints and never crosses the bound.
+     * Returns an evaluator in which 1,000 endpoints of 20 bytes have a bound of 10,000 bytes, which they cross at half
+     * of the target. With membership by scope a relay holds at most 100 endpoints and never crosses the bound.
      */
     private CapacityEvaluator evaluator() throws IOException {
-        Path slopes = scratch.resolve("slopes.json");
+        Path slopes = directory.resolve("slopes.json");
         Files.writeString(
                 slopes,
                 "{\"run\": {\"id\": \"r\"}, \"slopes\": [{\"name\": \"heapPerUnit\", \"slope\": 20, "
@@ -114,7 +114,7 @@
 
     @Test
     void interpolatesAddedLatencyOnlyBetweenMeasuredRates() throws IOException {
-        Path slopes = scratch.resolve("latency.json");
+        Path slopes = directory.resolve("latency.json");
         Files.writeString(
                 slopes,
                 "{\"run\": {\"id\": \"r\"}, \"latency\": [{\"perS\": 100, \"p99Us\": 1000}, "
--- a/src/test/java/gatelock/capacity/ServicePlacement.java
+++ b/src/test/java/gatelock/capacity/ServicePlacement.java
@@ -99,15 +99,15 @@
     }
 
     /**
-     * Returns the number of relays of a zone for a service: enough that the service uses at most a set part of the load of
-     * each, and at least a set minimum.
+     * Returns the number of relays in a zone that serve a service: enough that the service causes at most a given part
+     * of the load of each relay, and at least a given minimum.
      */
     private long relaysByWeight(double share) {
         double relaysNeeded = Math.ceil(share * figures.value("peakPerS/zones/(mostOfRelay*meanReqs)"));
         return (long) Math.min(figures.value("relaysAZone"), Math.max(figures.value("leastAZone"), relaysNeeded));
     }
 
-    /** Returns the number of tenants from which a relay gets requests within a minute. */
+    /** Returns the expected number of tenants from which a relay gets requests within a minute, by skew. */
     MarkdownTable tenantsPerRelay() {
         MarkdownTable table = new MarkdownTable("skew", "tenants", "met by a relay in a minute", "share of all");
         for (TargetFigures.Skew skew : TargetFigures.Skew.values()) {
--- a/src/test/java/gatelock/capacity/SlopeResults.java
+++ b/src/test/java/gatelock/capacity/SlopeResults.java
@@ -32,12 +32,12 @@
     /**
      * Describes a slope.
      *
-     * @param what description of the measured quantity
-     * @param x quantity on the x axis, by which the measured quantity grows
-     * @param y unit of the measured quantity
+     * @param quantity description of the measured quantity
+     * @param xQuantity quantity on the x axis, by which the measured quantity grows
+     * @param unit unit of the measured quantity
      * @param method method of measurement
      */
-    record Description(String name, String what, String x, String y, String method) {}
+    record Description(String name, String quantity, String xQuantity, String unit, String method) {}
 
     private final Path path;
     private final ObjectNode run = NODE_FACTORY.objectNode();
@@ -115,9 +115,9 @@
         Fit fit = Fit.through(points);
         ObjectNode slope = NODE_FACTORY.objectNode();
         slope.put("name", description.name);
-        slope.put("what", description.what);
-        slope.put("x", description.x);
-        slope.put("y", description.y);
+        slope.put("what", description.quantity);
+        slope.put("x", description.xQuantity);
+        slope.put("y", description.unit);
         ArrayNode pointNodes = slope.putArray("points");
         points.forEach(point -> pointNodes.addArray().add((long) point.x()).add(round(point.y())));
         slope.put("slope", round(fit.slope()));
@@ -126,8 +126,8 @@
         slope.put("how", description.method);
         slopes.put(description.name, slope);
         System.out.printf(
-                "%s: %.5g a %s, from %.5g; residual %.3f; %s%n",
-                description.name, fit.slope(), description.x, fit.intercept(), fit.residual(), pointNodes);
+                "%s: slope %.5g per %s, intercept %.5g; residual %.3f; %s%n",
+                description.name, fit.slope(), description.xQuantity, fit.intercept(), fit.residual(), pointNodes);
     }
 
     /** Adds and prints the latency at one request rate. */
--- a/src/test/java/gatelock/capacity/Slopes.java
+++ b/src/test/java/gatelock/capacity/Slopes.java
@@ -10,9 +10,9 @@
 import java.util.logging.Logger;
 
 /**
- * Measures what a relay costs by the number of endpoints, routes, tenants, connections, requests, changes and versions, and
- * the behavior of relay processes with long lists. This is not a test: {@code make measure-capacity} runs it and writes
- * docs/capacity/slopes.json.
+ * Measures the costs of a relay by the number of endpoints, routes, tenants, connections, requests, changes and
+ * versions, and how relay processes perform with long lists. This is not a test: {@code make measure-capacity} runs it
+ * and writes docs/capacity/slopes.json.
  */
 public final class Slopes {
     private static final Logger LOG = Logger.getLogger("gatelock");
--- a/src/test/java/gatelock/capacity/VoteTables.java
+++ b/src/test/java/gatelock/capacity/VoteTables.java
@@ -7,7 +7,9 @@
 /** Tables for the question of which relays can vote: whether a relay gets enough outcomes of a canary to vote on it. */
 final class VoteTables {
     private static final int MAX_OUTCOMES = 2_000;
+    /** Detection probability of a relay that is as likely to detect a bad build as not. */
     private static final double EVEN_CHANCE = 0.5;
+
     private static final double HIGH_ERROR_RATE = 0.3;
     private static final double LOW_ERROR_RATE = 0.1;
 
@@ -23,8 +25,8 @@
     }
 
     /**
-     * Returns the share of evaluations in which one relay may reject a good build, so that relays enough for a rollback do
-     * so only at the target's rate of false rollbacks.
+     * Returns the probability with which one relay may reject a good build in an evaluation. It is chosen so that enough
+     * relays for a rollback do so together only at the rate of false rollbacks that the target allows.
      */
     private double significanceLevel(int relays) {
         return ExactIntervalTable.errorLevel(figures.value("falseBacks"), relays, votesNeeded(relays));
@@ -82,7 +84,7 @@
 
     // ---- Outcomes that a relay gets ------------------------------------------------------------------------
 
-    /** Returns the outcomes that a relay gets in a first stage, by rank of the service, skew and number of relays. */
+    /** Returns the outcomes that a relay gets in the first stage, by rank of the service, skew and number of relays. */
     MarkdownTable outcomesPerRelay() {
         List<String> headings = new ArrayList<>(List.of("relays that share it", "mean service"));
         for (TargetFigures.Skew skew : TargetFigures.Skew.values()) {
@@ -158,8 +160,8 @@
     }
 
     /**
-     * Returns the largest number of relays at which enough of them still detect an error rate with the exact confidence
-     * interval.
+     * Returns the largest number of relays at which enough of them still detect a build with the given error rate by the
+     * exact confidence interval.
      */
     double maxRelaysByExactInterval(double outcomes, double errorRate) {
         int maxRelays = 0;
@@ -174,7 +176,7 @@
         return maxRelays;
     }
 
-    /** Returns numbers of relays from 1 to a maximum, each at least 1 and about a twentieth above the previous one. */
+    /** Returns increasing numbers of relays from 1 to a maximum, in steps of about one twentieth but at least 1. */
     private static List<Integer> relayCounts(int max) {
         List<Integer> relayCounts = new ArrayList<>();
         int relays = 1;
