--- a/src/test/java/gatelock/ClientConnectionLimitsTest.java
+++ b/src/test/java/gatelock/ClientConnectionLimitsTest.java
@@ -13,39 +13,39 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How many client connections the relay keeps, and which of them it closes. */
+/** The limit on client connections, and which connections the relay closes to accept new ones. */
 final class ClientConnectionLimitsTest extends RelayTestCase {
     @Test
-    void clientsThatSayNothingMakeRoomAndAreClosed() throws Exception {
+    void closesSilentClientsToAcceptNewOnes() throws Exception {
         relay.replaceInConfig("\"sockets\": 1024", "\"sockets\": 128");
         startRelay();
-        List<Socket> silent = new ArrayList<>();
+        List<Socket> silentClients = new ArrayList<>();
         for (int i = 0; i < 120; i++) {
-            silent.add(relay.connect());
+            silentClients.add(relay.connect());
         }
         try (Socket client = relay.connect();
                 Socket slow = relay.connect()) {
-            sendRequest(client, "GET /read", "usual", "", "");
+            sendRequest(client, "GET /read", "served", "", "");
             endpoint.awaitCall().respond("200 OK", "", "fine");
             assertThat(readMessage(client).body()).isEqualTo("fine");
             RawHttp.write(slow, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: d\r\nContent-Length: 9\r\n\r\nhalf");
             assertThat(isClosedByPeer(slow)).isTrue();
             assertThat(isClosedByPeer(client)).isTrue();
         }
-        for (Socket s : silent) {
-            assertThat(isClosedByPeer(s)).isTrue();
-            s.close();
+        for (Socket silentClient : silentClients) {
+            assertThat(isClosedByPeer(silentClient)).isTrue();
+            silentClient.close();
         }
     }
 
     @Test
-    void clientsThatAskOnceAndStayMakeRoomForThoseThatHaveJustCome() throws Exception {
+    void servesNewClientsWhenIdleClientsUseAllConnections() throws Exception {
         relay.replaceInConfig("\"sockets\": 1024", "\"sockets\": 128");
         startRelay();
-        List<Socket> staying = new ArrayList<>();
+        List<Socket> idleClients = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             Socket client = relay.connect();
-            staying.add(client);
+            idleClients.add(client);
             sendRequest(client, "GET /read", "stays" + i, "", "");
             endpoint.awaitCall().respond("200 OK", "", "fine");
             assertThat(readMessage(client).body()).isEqualTo("fine");
@@ -53,24 +53,24 @@
         try (Socket first = relay.connect();
                 Socket second = relay.connect()) {
             for (Socket client : List.of(second, first)) {
-                sendRequest(client, "GET /read", "comes", "", "");
+                sendRequest(client, "GET /read", "new", "", "");
                 endpoint.awaitCall().respond("200 OK", "", "mine");
                 assertThat(readMessage(client).body()).isEqualTo("mine");
             }
         }
-        for (Socket s : staying) {
-            s.close();
+        for (Socket idleClient : idleClients) {
+            idleClient.close();
         }
     }
 
     @Test
-    void aClientThatLeavesHarmsNoOther() throws Exception {
+    void servesOtherClientsAfterOneDisconnects() throws Exception {
         startRelay();
         Socket leaving = relay.connect();
         sendRequest(leaving, "POST /claim", "left", "", "x");
-        HttpMessage at = endpoint.awaitCall();
+        HttpMessage call = endpoint.awaitCall();
         leaving.close();
-        at.respond("200 OK", "", "late");
+        call.respond("200 OK", "", "late");
         try (Socket client = relay.connect()) {
             sendRequest(client, "GET /read", "stays", "", "");
             endpoint.awaitCall().respond("200 OK", "", "mine");
--- a/src/test/java/gatelock/ConfigUpdateTest.java
+++ b/src/test/java/gatelock/ConfigUpdateTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Configuration versions from a control service on their way to a relay that serves. */
+/** Updates of the versioned configuration: a control service sends versions to a running relay. */
 final class ConfigUpdateTest extends RelayTestCase {
     private static final long EPOCH = 1_700_000_000_000L;
 
@@ -33,9 +33,9 @@
     private Path directory;
 
     private ControlService control;
-    /** Further addresses of control services in the operator's file. */
+    /** Additional control services in the operator's file, as JSON text. */
     private String moreServices = "";
-    /** Further settings in the operator's file. */
+    /** Additional settings in the operator's file, as JSON text. */
     private String moreSettings = "";
 
     @BeforeEach
@@ -48,8 +48,13 @@
         control.close();
     }
 
-    /** Returns a configuration version in which reads are limited to this burst. */
-    private static String plan(String note, int burst) {
+    /**
+     * Returns a configuration version that limits the read route.
+     *
+     * @param note the note of the version
+     * @param burst the burst of the limit
+     */
+    private static String versionText(String note, int burst) {
         return String.format(
                 "{\"format\": 1, \"by\": \"test\", \"note\": \"%s\", "
                         + "\"unmatched\": \"refuse\",\n"
@@ -71,75 +76,77 @@
         startRelay("--operator", operator.toString());
     }
 
-    /** Starts the relay and waits until it reports that the first version is in force. */
+    /** Starts the relay and waits until it has reported on the first version. */
     private void startOnFirstVersion() throws Exception {
-        control.offer(EPOCH, "a", 1, plan("first", 1_000_000));
+        control.offer(EPOCH, "a", 1, versionText("first", 1_000_000));
         start();
         control.awaitReport(EPOCH + "/1");
     }
 
-    /** Returns the status of the response that the relay gives by itself. */
-    private String status(String line, String id) throws Exception {
+    /** Sends a request that the relay answers without an endpoint; returns the status of the response. */
+    private String relayStatus(String requestLine, String traceId) throws Exception {
         try (Socket client = relay.connect()) {
-            sendRequest(client, line, id, "", "x");
+            sendRequest(client, requestLine, traceId, "", "x");
             return readMessage(client).head().substring(9, 12);
         }
     }
 
-    private void assertServed(String line, String id) throws Exception {
+    private void assertServed(String requestLine, String traceId) throws Exception {
         try (Socket client = relay.connect()) {
-            sendRequest(client, line, id, "", "x");
+            sendRequest(client, requestLine, traceId, "", "x");
             endpoint.awaitCall().respond("200 OK", "", "done");
             assertThat(readMessage(client).body()).isEqualTo("done");
         }
     }
 
     @Test
-    void aVersionComesInForceAndIsAcknowledgedAndABadOneIsTurnedDownWithItsReason() throws Exception {
-        control.offer(EPOCH, "a", 1, plan("first", 2));
+    void appliesValidVersionAndRejectsInvalidOneWithFindings() throws Exception {
+        control.offer(EPOCH, "a", 1, versionText("first", 2));
         start();
         Map<String, Object> first = control.awaitReport(EPOCH + "/1");
         assertThat(first).containsEntry("accepted", true).containsEntry("version", 1);
         assertServed("GET /read", "r1");
         assertServed("GET /read", "r2");
-        assertThat(status("GET /read", "r3")).isEqualTo("503");
-        assertThat(status("POST /post", "p1")).isEqualTo("404");
+        assertThat(relayStatus("GET /read", "r3")).isEqualTo("503");
+        assertThat(relayStatus("POST /post", "p1")).isEqualTo("404");
         assertServed("POST /claim", "c1");
-        control.offer(EPOCH, "a", 2, plan("broken", 2).replace("\"class\": \"claim\"", "\"class\": \"clam\""));
+        control.offer(EPOCH, "a", 2, versionText("broken", 2).replace("\"class\": \"claim\"", "\"class\": \"clam\""));
         Map<String, Object> second = control.awaitReport(EPOCH + "/2");
         assertThat(second).containsEntry("accepted", false).containsEntry("version", 1);
         assertThat(second.get("findings").toString()).contains("M-CLASS", "/routes/1/class", "clam");
         assertServed("POST /claim", "c2");
-        control.offer(EPOCH, "a", 3, plan("third", 1000));
+        control.offer(EPOCH, "a", 3, versionText("third", 1000));
         assertThat(control.awaitReport(EPOCH + "/3"))
                 .containsEntry("accepted", true)
                 .containsEntry("version", 3);
-        assertThat(status("GET /read", "r4")).as("no fresh burst").isEqualTo("503");
+        assertThat(relayStatus("GET /read", "r4"))
+                .as("a new version does not refill the burst")
+                .isEqualTo("503");
     }
 
     @Test
-    void versionsInAnyOrderComeWhileRequestsFlowAndEachIsAnswered() throws Exception {
-        control.offer(EPOCH, "a", 10, plan("first", 1_000_000));
+    void reportsEachVersionThatArrivesOutOfOrderDuringTraffic() throws Exception {
+        control.offer(EPOCH, "a", 10, versionText("first", 1_000_000));
         start();
         control.awaitReport(EPOCH + "/10");
         try (SteadyTraffic traffic = new SteadyTraffic(relay, endpoint, 4)) {
             control.behave(ControlService.Behavior.REPEATS_VERSION);
-            control.offer(EPOCH, "a", 9, plan("older", 1));
+            control.offer(EPOCH, "a", 9, versionText("older", 1));
             assertThat(control.awaitReport(EPOCH + "/9"))
                     .containsEntry("answer", "older")
                     .containsEntry("version", 10);
-            control.offer(EPOCH, "a", 10, plan("a fork", 1));
+            control.offer(EPOCH, "a", 10, versionText("a fork", 1));
             assertThat(awaitForkReport()).containsEntry("version", 10);
-            control.offer(EPOCH - 5, "a", 50, plan("an old copy", 1));
+            control.offer(EPOCH - 5, "a", 50, versionText("an old copy", 1));
             assertThat(control.awaitReport((EPOCH - 5) + "/50")).containsEntry("answer", "old-epoch");
             control.behave(ControlService.Behavior.NORMAL);
-            control.offer(EPOCH, "a", 20, plan("a gap", 1_000_000));
+            control.offer(EPOCH, "a", 20, versionText("a gap", 1_000_000));
             assertThat(control.awaitReport(EPOCH + "/20")).containsEntry("accepted", true);
-            control.offer(EPOCH, "a", 21, planOfManyRoutes());
+            control.offer(EPOCH, "a", 21, versionTextWithManyRoutes());
             assertThat(control.awaitReport(EPOCH + "/21")).containsEntry("accepted", true);
             control.offer(EPOCH, "a", 22, "x".repeat(9 << 20));
             relay.awaitLog("the version is larger than");
-            control.offer(EPOCH + 1, "b", 1, plan("built anew", 1_000_000));
+            control.offer(EPOCH + 1, "b", 1, versionText("built anew", 1_000_000));
             assertThat(control.awaitReport((EPOCH + 1) + "/1")).containsEntry("accepted", true);
             Map<String, Integer> responses = traffic.stop();
             assertThat(responses.keySet()).containsExactly("200");
@@ -147,7 +154,7 @@
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
-    private static String planOfManyRoutes() {
+    private static String versionTextWithManyRoutes() {
         List<String> routes = new ArrayList<>();
         for (int i = 0; i < 8_000; i++) {
             routes.add("{\"name\": \"r" + i + "\", \"path\": \"/x/" + i + "\", \"class\": \"read\"}");
@@ -156,7 +163,7 @@
                 + "], \"removes\": [\"reads\", \"claims\"]}";
     }
 
-    /** Returns the report on a fork, whose nonce is that of an earlier version. */
+    /** Waits for the report on a fork; skips reports on the earlier version, whose nonce is the same. */
     private Map<String, Object> awaitForkReport() throws Exception {
         Map<String, Object> report = control.awaitReport(EPOCH + "/10");
         while (!"fork".equals(report.get("answer"))) {
@@ -166,21 +173,21 @@
     }
 
     @Test
-    void whatIsCutDamagedOrFailsChangesNothingAndIsAskedForAgain() throws Exception {
+    void pollsAgainAfterTruncatedCorruptOrFailedResponse() throws Exception {
         startOnFirstVersion();
         int number = 1;
-        for (ControlService.Behavior manner : List.of(
+        for (ControlService.Behavior behavior : List.of(
                 ControlService.Behavior.TRUNCATES,
                 ControlService.Behavior.WRONG_HASH,
                 ControlService.Behavior.FAILS,
                 ControlService.Behavior.SILENT)) {
-            control.behave(manner);
-            control.offer(EPOCH, "a", ++number, plan("later", 1_000_000));
-            int calls = control.pollCount();
-            while (control.pollCount() < calls + 2) {
+            control.behave(behavior);
+            control.offer(EPOCH, "a", ++number, versionText("later", 1_000_000));
+            int pollsBefore = control.pollCount();
+            while (control.pollCount() < pollsBefore + 2) {
                 Thread.sleep(10);
             }
-            assertServed("GET /read", "m" + manner);
+            assertServed("GET /read", "m" + behavior);
             control.behave(ControlService.Behavior.NORMAL);
             assertThat(control.awaitReport(EPOCH + "/" + number)).containsEntry("accepted", true);
         }
@@ -188,37 +195,37 @@
     }
 
     @Test
-    void aServiceThatSendsTheSameBadVersionAgainAndAgainMakesNoCircleAndNoFlood() throws Exception {
+    void backsOffWhenServiceRepeatsInvalidVersion() throws Exception {
         startOnFirstVersion();
         control.behave(ControlService.Behavior.REPEATS_VERSION);
         control.offer(EPOCH, "a", 2, "{}");
         assertThat(control.awaitReport(EPOCH + "/2")).containsEntry("accepted", false);
-        int calls = control.pollCount();
+        int pollsBefore = control.pollCount();
         Thread.sleep(2_000);
-        // The backoff grows to 0.4 s here, with full jitter: about ten polls, where a busy loop would make thousands.
-        assertThat(control.pollCount() - calls).isBetween(2, 60);
+        // The backoff grows to 0.4 s with full jitter: about ten polls in 2 s, where a busy loop would make thousands.
+        assertThat(control.pollCount() - pollsBefore).isBetween(2, 60);
         assertThat(relay.log().split("is turned down", -1)).hasSize(2);
         control.behave(ControlService.Behavior.IGNORES_HOLD);
-        calls = control.pollCount();
+        pollsBefore = control.pollCount();
         Thread.sleep(1_000);
-        assertThat(control.pollCount() - calls).isBetween(1, 40);
+        assertThat(control.pollCount() - pollsBefore).isBetween(1, 40);
     }
 
     @Test
-    void aSwarmOfVersionsIsFollowedWithoutHarmToRequests() throws Exception {
+    void followsRapidVersionsWithoutFailingRequests() throws Exception {
         startOnFirstVersion();
         try (SteadyTraffic traffic = new SteadyTraffic(relay, endpoint, 4)) {
             for (int i = 2; i < 1_002; i++) {
-                control.offer(EPOCH, "a", i, plan("swarm " + i, 1_000_000));
+                control.offer(EPOCH, "a", i, versionText("rapid " + i, 1_000_000));
                 Thread.sleep(5);
             }
             long latest = 1;
             while (latest < 1_001) {
                 Map<String, Object> report = control.awaitReport();
                 assertThat(report).containsEntry("accepted", true);
-                long told = ((Number) report.get("version")).longValue();
-                assertThat(told).isGreaterThan(latest);
-                latest = told;
+                long reportedVersion = ((Number) report.get("version")).longValue();
+                assertThat(reportedVersion).isGreaterThan(latest);
+                latest = reportedVersion;
             }
             assertThat(traffic.stop().keySet()).containsExactly("200");
         }
@@ -226,45 +233,45 @@
     }
 
     @Test
-    void aVersionThatComesWhileTheRelayLeavesOrReadsItsFileAnewHarmsNothing() throws Exception {
+    void servesRequestsWhenVersionArrivesDuringReloadOrShutdown() throws Exception {
         startOnFirstVersion();
         try (SteadyTraffic traffic = new SteadyTraffic(relay, endpoint, 2)) {
             for (int i = 2; i < 12; i++) {
                 relay.signal("HUP");
-                control.offer(EPOCH, "a", i, plan("hang up " + i, 1_000_000));
+                control.offer(EPOCH, "a", i, versionText("reload " + i, 1_000_000));
                 assertThat(control.awaitReport(EPOCH + "/" + i)).containsEntry("accepted", true);
             }
             relay.signal("TERM");
-            control.offer(EPOCH, "a", 12, plan("leaving", 1_000_000));
+            control.offer(EPOCH, "a", 12, versionText("leaving", 1_000_000));
             assertThat(traffic.stop().keySet()).containsExactly("200");
         }
         assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(relay.log()).contains("ends:").doesNotContain("unexpected");
+        assertThat(relay.log()).contains("shutdown complete:").doesNotContain("unexpected");
     }
 
     @Test
-    void aLimitThatChangesWhileItsQueueIsFullLetsThoseGoThatMay() throws Exception {
-        String queued =
-                plan("queue", 1).replace("\"burst\": 1", "\"burst\": 1, \"queue\": {\"length\": 3, \"waitMs\": 900}");
-        control.offer(EPOCH, "a", 1, queued);
+    void forwardsQueuedRequestsWhenLimitIsRaised() throws Exception {
+        String versionWithQueue = versionText("queue", 1)
+                .replace("\"burst\": 1", "\"burst\": 1, \"queue\": {\"length\": 3, \"waitMs\": 900}");
+        control.offer(EPOCH, "a", 1, versionWithQueue);
         start();
         control.awaitReport(EPOCH + "/1");
         assertServed("GET /read", "takes the burst");
-        List<Socket> waiting = new ArrayList<>();
+        List<Socket> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            waiting.add(relay.connect());
-            sendRequest(waiting.get(i), "GET /read", "waits" + i, "X-Expires-In-Ms: 5000\r\n", "");
+            clients.add(relay.connect());
+            sendRequest(clients.get(i), "GET /read", "waits" + i, "X-Expires-In-Ms: 5000\r\n", "");
         }
-        // The queue has three places: one of the four requests is shed at once, with a Retry-After.
-        HttpMessage shed = firstResponse(waiting);
+        // The queue holds three requests: one of the four is shed at once, with a Retry-After header.
+        HttpMessage shed = firstResponse(clients);
         assertThat(shed.head()).startsWith("HTTP/1.1 503");
         assertThat(Double.parseDouble(shed.header("Retry-After"))).isPositive();
-        control.offer(EPOCH, "a", 2, queued.replace("\"ratePerS\": 0.5", "\"ratePerS\": 1000"));
+        control.offer(EPOCH, "a", 2, versionWithQueue.replace("\"ratePerS\": 0.5", "\"ratePerS\": 1000"));
         assertThat(control.awaitReport(EPOCH + "/2")).containsEntry("accepted", true);
         for (int i = 0; i < 3; i++) {
             endpoint.awaitCall().respond("200 OK", "", "done");
         }
-        for (Socket client : waiting) {
+        for (Socket client : clients) {
             if (client != shed.socket()) {
                 assertThat(readMessage(client).body()).isEqualTo("done");
             }
@@ -273,33 +280,33 @@
     }
 
     @Test
-    void aRelayStartsOnWhatItKeptWhenTheServiceIsAwayAndPassesOverWhatIsTorn() throws Exception {
+    void startsOnStoredVersionAndSkipsTruncatedFileWhenServiceIsSilent() throws Exception {
         startOnFirstVersion();
-        control.offer(EPOCH, "a", 2, plan("second", 1_000_000));
+        control.offer(EPOCH, "a", 2, versionText("second", 1_000_000));
         control.awaitReport(EPOCH + "/2");
-        Path kept = directory.resolve("kept");
-        while (!Files.exists(kept.resolve("last-good.plan.1"))) {
+        Path storeDirectory = directory.resolve("kept");
+        while (!Files.exists(storeDirectory.resolve("last-good.plan.1"))) {
             Thread.sleep(10);
         }
         relay.process().destroyForcibly().waitFor();
         control.behave(ControlService.Behavior.SILENT);
-        byte[] latest = Files.readAllBytes(kept.resolve("last-good.plan"));
-        Files.write(kept.resolve("last-good.plan"), Arrays.copyOf(latest, latest.length - 7));
+        byte[] latestFile = Files.readAllBytes(storeDirectory.resolve("last-good.plan"));
+        Files.write(storeDirectory.resolve("last-good.plan"), Arrays.copyOf(latestFile, latestFile.length - 7));
         start();
         assertThat(relay.log())
                 .contains("last-good.plan is passed over: it is cut or torn")
                 .contains("-a:1 in force, 2 routes, from disk");
-        assertThat(status("POST /post", "p1")).isEqualTo("404");
+        assertThat(relayStatus("POST /post", "p1")).isEqualTo("404");
         assertServed("POST /claim", "c1");
         control.behave(ControlService.Behavior.NORMAL);
         assertThat(control.awaitReport(EPOCH + "/2")).containsEntry("accepted", true);
     }
 
     @Test
-    void ofTwoServicesThatDisagreeTheOneBornLaterHoldsAndItIsLoggedOnce() throws Exception {
-        control.offer(EPOCH, "a", 7, plan("first", 1_000_000));
+    void keepsVersionOfLaterEpochWhenServicesDisagree() throws Exception {
+        control.offer(EPOCH, "a", 7, versionText("first", 1_000_000));
         try (ControlService other = new ControlService()) {
-            other.offer(EPOCH + 10, "b", 1, plan("other", 1_000_000));
+            other.offer(EPOCH + 10, "b", 1, versionText("other", 1_000_000));
             moreServices = "\", \"" + other.address();
             start();
             control.awaitReport(EPOCH + "/7");
@@ -318,44 +325,48 @@
     }
 
     @Test
-    void theOperatorSeesWhatIsInForceGoesBackAndLetsTheServiceLeadAgain() throws Exception {
-        control.offer(EPOCH, "a", 1, plan("first", 1_000_000));
-        String at = "127.0.0.1:" + RelayProcess.freePort();
-        moreSettings = ", \"listener\": \"" + at + "\", \"log\": {\"form\": \"json\"}";
+    void rollsBackOnOperatorCommandAndFollowsServiceAfterRelease() throws Exception {
+        control.offer(EPOCH, "a", 1, versionText("first", 1_000_000));
+        String listener = "127.0.0.1:" + RelayProcess.freePort();
+        moreSettings = ", \"listener\": \"" + listener + "\", \"log\": {\"form\": \"json\"}";
         start();
         control.awaitReport(EPOCH + "/1");
         control.offer(
                 EPOCH,
                 "a",
                 2,
-                plan("second", 1_000_000).replace("claims", "CLAIMS").replace("}]}", "}], \"removes\": [\"claims\"]}"));
+                versionText("second", 1_000_000)
+                        .replace("claims", "CLAIMS")
+                        .replace("}]}", "}], \"removes\": [\"claims\"]}"));
         control.awaitReport(EPOCH + "/2");
-        assertThat(command(0, "status", "--at", at)).contains("inForce: " + EPOCH + "-a:2");
-        assertThat(command(0, "back", "1", "--why", "second is odd", "--at", at))
+        assertThat(runCommand(0, "status", "--at", listener)).contains("inForce: " + EPOCH + "-a:2");
+        assertThat(runCommand(0, "back", "1", "--why", "second is odd", "--at", listener))
                 .contains("inForce: " + EPOCH + "-a:1", "pinned: true");
-        control.offer(EPOCH, "a", 3, plan("third", 1_000_000));
+        control.offer(EPOCH, "a", 3, versionText("third", 1_000_000));
         assertThat(control.awaitReport(EPOCH + "/3"))
                 .containsEntry("answer", "pinned")
                 .containsEntry("accepted", false);
-        assertThat(command(0, "history", "--at", at)).contains("by=test", "note=first", "from=operator: second is odd");
-        assertThat(command(1, "back", "77", "--why", "none", "--at", at)).contains("no version 77 is remembered");
-        assertThat(command(0, "release", "--at", at)).contains("pinned: false");
+        assertThat(runCommand(0, "history", "--at", listener))
+                .contains("by=test", "note=first", "from=operator: second is odd");
+        assertThat(runCommand(1, "back", "77", "--why", "none", "--at", listener))
+                .contains("no version 77 is remembered");
+        assertThat(runCommand(0, "release", "--at", listener)).contains("pinned: false");
         Map<String, Object> report = control.awaitReport(EPOCH + "/3");
         while (!Boolean.TRUE.equals(report.get("accepted"))) {
             report = control.awaitReport(EPOCH + "/3");
         }
         assertServed("POST /claim", "c1");
-        // Each log line on configuration updates has the version as a field of its own.
-        assertThat(relay.log().lines().filter(l -> l.startsWith("{") && l.contains("in force, ")))
+        // Each log line about a version in force has the version as a separate field.
+        assertThat(relay.log().lines().filter(line -> line.startsWith("{") && line.contains("in force, ")))
                 .hasSizeGreaterThanOrEqualTo(4)
-                .allMatch(l -> l.contains("\"version\""));
+                .allMatch(line -> line.contains("\"version\""));
     }
 
-    private String command(int code, String... words) throws Exception {
+    private String runCommand(int expectedExitCode, String... arguments) throws Exception {
         Process process =
-                RelayUnderTest.command(words).redirectErrorStream(true).start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        assertThat(process.waitFor()).as(said).isEqualTo(code);
-        return said;
+                RelayUnderTest.command(arguments).redirectErrorStream(true).start();
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        assertThat(process.waitFor()).as(output).isEqualTo(expectedExitCode);
+        return output;
     }
 }
--- a/src/test/java/gatelock/DiscoveryTest.java
+++ b/src/test/java/gatelock/DiscoveryTest.java
@@ -15,14 +15,14 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What discovery and the release controller send to a relay that serves: lists, changes, states, and spoilt ones. */
+/** Endpoint lists, changes and release states from discovery and the release controller, valid and malformed. */
 final class DiscoveryTest extends RelayTestCase {
     @Test
-    void aListThatMovesAnEndpointSendsRequestsToItsNewAddress() throws Exception {
+    void sendsRequestsToNewAddressOfMovedEndpoint() throws Exception {
         relay.launchCold();
-        HttpMessage whole = discovery.awaitCall();
-        assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
-        whole.respond(
+        HttpMessage listCall = discovery.awaitCall();
+        assertThat(listCall.head()).startsWith("GET /api/targets HTTP/1.1");
+        listCall.respond(
                 "200 OK",
                 "",
                 snapshot(5, entry("a", otherEndpoint, "in_service", 1), entry("b", endpoint, "terminating", 1)));
@@ -36,28 +36,29 @@
     }
 
     @Test
-    void aListOfAThousandEndpointsIsReadWholeOrInPiecesAndAsOneChange() throws Exception {
+    void readsThousandEndpointsAsSegmentedListAndAsOneChange() throws Exception {
         relay.launchCold();
-        String name = "unit-of-a-long-name-in-a-far-away-place-0123456789-0123456789-";
+        String namePrefix = "unit-of-a-long-name-in-a-far-away-place-0123456789-0123456789-";
         String entryFormat = "{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"z\",\"type\":\"m\",\"group\":3,"
                 + "\"status\":\"%s\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}";
-        List<String> rest = new ArrayList<>();
+        List<String> drainingEntries = new ArrayList<>();
         for (int i = 0; i < 1023; i++) {
-            rest.add(String.format(entryFormat, name + i, "127.0.0.1:1", "terminating"));
+            drainingEntries.add(String.format(entryFormat, namePrefix + i, "127.0.0.1:1", "terminating"));
         }
-        String listFormat = "{\"index\":%d,\"snapshot\":%s,\"endpoints\":[" + String.join(",", rest) + ",%s]}";
-        String there = String.format(entryFormat, "a", otherEndpoint.address(), "in_service");
-        String body = String.format(listFormat, 5, true, there);
+        String listFormat =
+                "{\"index\":%d,\"snapshot\":%s,\"endpoints\":[" + String.join(",", drainingEntries) + ",%s]}";
+        String servingEntry = String.format(entryFormat, "a", otherEndpoint.address(), "in_service");
+        String body = String.format(listFormat, 5, true, servingEntry);
         assertThat(body.length()).isGreaterThan(2 * 64 * 1024);
-        HttpMessage asked = discovery.awaitCall();
-        RawHttp.write(asked.socket(), "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n");
-        for (int at = 0; at < body.length(); at += 9_000) {
-            RawHttp.write(asked.socket(), body.substring(at, Math.min(body.length(), at + 9_000)));
+        HttpMessage listCall = discovery.awaitCall();
+        RawHttp.write(listCall.socket(), "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n");
+        for (int offset = 0; offset < body.length(); offset += 9_000) {
+            RawHttp.write(listCall.socket(), body.substring(offset, Math.min(body.length(), offset + 9_000)));
         }
         HttpMessage watch = discovery.awaitCall();
         assertThat(watch.head()).startsWith("GET /api/targets?from=5&");
         assertServedBy(otherEndpoint, "whole");
-        // All of the entries as one change.
+        // The same entries as one change.
         watch.respond(
                 "200 OK",
                 "",
@@ -68,19 +69,19 @@
     }
 
     @Test
-    void aListThatIsBadInOneEntryIsSaidOnceAndChangesNothing() throws Exception {
+    void rejectsListWithInvalidEntryAndLogsItOnce() throws Exception {
         startRelay();
         String entryFormat = "{\"name\":\"%s\",\"address\":\"" + otherEndpoint.address()
                 + "\",\"status\":\"in_service\",\"since_ms\":%s,\"image_id\":1}";
-        String good = String.format(entryFormat, "x", "0");
-        for (String odd : new String[] {
-            good,
+        String validEntry = String.format(entryFormat, "x", "0");
+        for (String invalidEntry : new String[] {
+            validEntry,
             String.format(entryFormat, "y", "-5"),
             String.format(entryFormat, "y", "9999999999999"),
             String.format(entryFormat, "y", "0").replace("\"image_id\":1", "\"image_id\":\"one\"")
         }) {
             for (int i = 0; i < 3; i++) {
-                discovery.awaitCall().respond("200 OK", "", snapshot(5, good, odd));
+                discovery.awaitCall().respond("200 OK", "", snapshot(5, validEntry, invalidEntry));
             }
         }
         discovery.awaitCall();
@@ -90,14 +91,14 @@
     }
 
     @Test
-    void spoiltWordsOfDiscoveryAndControllerChangeNothingAndEndTheirConnections() throws Exception {
+    void closesConnectionsOfDiscoveryAndControllerOnMalformedResponse() throws Exception {
         startRelay();
-        HttpMessage news = controller.awaitCall();
-        writeChunk(startChunkedResponse(news), "{}\n{\"type\":\"news\",\"object\":{\"release\":-1}}\n");
+        HttpMessage controllerCall = controller.awaitCall();
+        writeChunk(startChunkedResponse(controllerCall), "{}\n{\"type\":\"news\",\"object\":{\"release\":-1}}\n");
         assertThat(controller.awaitCall().head()).startsWith("GET /v2/projects/main/changes");
         String entry = entry("a", otherEndpoint, "in_service", 1);
         String list = snapshot(5, entry, entry);
-        for (String spoilt : new String[] {
+        for (String malformed : new String[] {
             list.substring(0, list.length() - 9),
             list + "x",
             "[]",
@@ -107,19 +108,19 @@
             list.replace("in_service", "zz_zzzzzzz"),
             list.replace("\"index\":5", "\"index\":\"5\"")
         }) {
-            HttpMessage asked = discovery.awaitCall();
-            assertThat(asked.head()).startsWith("GET /api/targets?from=1&");
-            asked.respond("200 OK", "", spoilt);
+            HttpMessage listCall = discovery.awaitCall();
+            assertThat(listCall.head()).startsWith("GET /api/targets?from=1&");
+            listCall.respond("200 OK", "", malformed);
             assertThat(discovery.closedConnections().poll(20, TimeUnit.SECONDS))
-                    .as(spoilt)
-                    .isSameAs(asked.socket());
+                    .as(malformed)
+                    .isSameAs(listCall.socket());
         }
         assertServedBy(endpoint, "still");
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     @Test
-    void newsComeOnAConnectionThatIsOpenedAgainWhenItEnds() throws Exception {
+    void reopensReleaseStateConnectionWhenItEnds() throws Exception {
         startRelay();
         HttpMessage first = controller.awaitCall();
         assertThat(first.head()).startsWith("GET /v2/projects/main/changes");
--- a/src/test/java/gatelock/EndingsTest.java
+++ b/src/test/java/gatelock/EndingsTest.java
@@ -17,11 +17,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Races at the end of a request, a connection or the process. A stand-in that waits forces each of them. They are the
- * rows of docs/design/endings.md.
+ * Races at the end of a request, a connection or the process, as listed in docs/design/endings.md. Each test forces its
+ * race with a stand-in that delays a connection or a response.
  */
 final class EndingsTest extends RelayTestCase {
-    /** Waits until the relay has handled all that came before: its event loop answers a request on a new connection. */
+    /**
+     * Waits until the relay has handled everything that arrived before the call: its event loop answers health checks
+     * on two new connections.
+     */
     private void awaitEventLoopTurn() throws Exception {
         for (int i = 0; i < 2; i++) {
             try (Socket client = relay.connect()) {
@@ -31,77 +34,79 @@
         }
     }
 
-    private static void assertServed(Socket client, String line, String id, FakeServer by) throws Exception {
-        sendRequest(client, line, id, "X-Expires-In-Ms: 10000\r\n", line.startsWith("GET") ? "" : "x");
-        HttpMessage at = by.awaitCall();
-        assertThat(at.header("X-Trace-Id")).isEqualTo(id);
-        at.respond("200 OK", "", "for " + id);
-        assertThat(readMessage(client).body()).isEqualTo("for " + id);
+    private static void assertServed(Socket client, String requestLine, String traceId, FakeServer server)
+            throws Exception {
+        sendRequest(
+                client, requestLine, traceId, "X-Expires-In-Ms: 10000\r\n", requestLine.startsWith("GET") ? "" : "x");
+        HttpMessage call = server.awaitCall();
+        assertThat(call.header("X-Trace-Id")).isEqualTo(traceId);
+        call.respond("200 OK", "", "for " + traceId);
+        assertThat(readMessage(client).body()).isEqualTo("for " + traceId);
     }
 
     // ---- Clients ----
 
     @Test
-    void aRequestWhoseClientLeftWhileAConnectionCameUpNeverGoesOut() throws Exception {
+    void doesNotSendRequestWhenClientDisconnectsDuringConnect() throws Exception {
         relay.replaceInConfig("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000");
-        try (FakeServer late = FakeServer.thatAcceptsLater()) {
+        try (FakeServer slowEndpoint = FakeServer.thatAcceptsLater()) {
             relay.launchCold();
-            listOnly(discovery.awaitCall(), 1, late);
+            listOnly(discovery.awaitCall(), 1, slowEndpoint);
             discovery.awaitCall();
             Socket leaving = relay.connect();
             sendRequest(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
             awaitEventLoopTurn();
             leaving.close();
             awaitEventLoopTurn();
-            late.accept();
-            // The wait is longer than TCP takes to retry a SYN.
-            assertThat(late.calls().poll(4, TimeUnit.SECONDS)).isNull();
+            slowEndpoint.accept();
+            // TCP may have to retransmit a SYN first, which takes less than 4 s.
+            assertThat(slowEndpoint.calls().poll(4, TimeUnit.SECONDS)).isNull();
         }
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     @Test
-    void aClientThatLeavesDuringItsAttemptOrItsAnswerIsOwedNothingMore() throws Exception {
+    void discardsResponseWhenClientDisconnectsDuringAttemptOrResponse() throws Exception {
         startRelay();
-        for (boolean half : new boolean[] {false, true}) {
+        for (boolean responseStarted : new boolean[] {false, true}) {
             Socket leaving = relay.connect();
-            sendRequest(leaving, "POST /claim", "left" + half, "", "x");
-            HttpMessage at = endpoint.awaitCall();
-            if (half) {
-                RawHttp.write(at.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
+            sendRequest(leaving, "POST /claim", "left" + responseStarted, "", "x");
+            HttpMessage call = endpoint.awaitCall();
+            if (responseStarted) {
+                RawHttp.write(call.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
             }
             leaving.close();
             awaitEventLoopTurn();
-            RawHttp.write(at.socket(), half ? "lf" : "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
+            RawHttp.write(call.socket(), responseStarted ? "lf" : "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             try (Socket client = relay.connect()) {
-                assertServed(client, "POST /claim", "next" + half, endpoint);
+                assertServed(client, "POST /claim", "next" + responseStarted, endpoint);
             }
         }
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     @Test
-    void aFloodOfConnectionsLeavesThoseThatWereTakenTheirAnswers() throws Exception {
+    void answersAcceptedRequestDuringConnectionFlood() throws Exception {
         relay.replaceInConfig("\"sockets\": 1024", "\"sockets\": 128");
         startRelay();
         List<Socket> flood = new ArrayList<>();
-        try (Socket taken = relay.connect()) {
-            sendRequest(taken, "POST /claim", "taken", "X-Expires-In-Ms: 10000\r\n", "x");
-            HttpMessage at = endpoint.awaitCall();
+        try (Socket accepted = relay.connect()) {
+            sendRequest(accepted, "POST /claim", "taken", "X-Expires-In-Ms: 10000\r\n", "x");
+            HttpMessage call = endpoint.awaitCall();
             for (int i = 0; i < 300; i++) {
-                Socket one = new Socket();
-                flood.add(one);
+                Socket socket = new Socket();
+                flood.add(socket);
                 try {
-                    one.connect(taken.getRemoteSocketAddress(), 200);
+                    socket.connect(accepted.getRemoteSocketAddress(), 200);
                 } catch (IOException e) {
                     break;
                 }
             }
-            at.respond("200 OK", "", "answered");
-            assertThat(readMessage(taken).body()).isEqualTo("answered");
+            call.respond("200 OK", "", "answered");
+            assertThat(readMessage(accepted).body()).isEqualTo("answered");
         } finally {
-            for (Socket one : flood) {
-                one.close();
+            for (Socket socket : flood) {
+                socket.close();
             }
         }
         try (Socket client = relay.connect()) {
@@ -113,54 +118,54 @@
     // ---- Endpoints ----
 
     @Test
-    void anIdleConnectionThatAnEndpointClosedCarriesNoRequest() throws Exception {
+    void doesNotSendRequestOnIdleConnectionClosedByEndpoint() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             for (int i = 0; i < 5; i++) {
                 assertServed(client, "POST /claim", "once" + i, endpoint);
-                for (Socket s : endpoint.connections()) {
-                    s.close();
+                for (Socket connection : endpoint.connections()) {
+                    connection.close();
                 }
             }
         }
     }
 
     @Test
-    void aSecondAnswerOnAnIdleConnectionIsNeverTheNextRequests() throws Exception {
+    void discardsSecondResponseOnIdleConnection() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             for (int i = 0; i < 5; i++) {
                 sendRequest(client, "POST /claim", "first" + i, "X-Expires-In-Ms: 10000\r\n", "x");
-                HttpMessage at = endpoint.awaitCall();
-                at.respond("200 OK", "", "first");
+                HttpMessage call = endpoint.awaitCall();
+                call.respond("200 OK", "", "first");
                 assertThat(readMessage(client).body()).isEqualTo("first");
-                at.respond("200 OK", "", "again");
+                call.respond("200 OK", "", "again");
                 assertThat(endpoint.closedConnections().poll(20, TimeUnit.SECONDS))
-                        .isSameAs(at.socket());
+                        .isSameAs(call.socket());
                 assertServed(client, "POST /claim", "second" + i, endpoint);
             }
         }
     }
 
     @Test
-    void aNonRetriableRequestWhoseAnswerIsCutOrLateIsErroredOnceAndNeverRepeated() throws Exception {
+    void failsNonRetriableRequestOnceWhenResponseIsTruncatedOrLate() throws Exception {
         startRelay();
-        String whole = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
-        for (String cut : new String[] {"", "HTTP/1.1 2", whole, whole + "ha"}) {
+        String responseHead = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n";
+        for (String truncated : new String[] {"", "HTTP/1.1 2", responseHead, responseHead + "ha"}) {
             try (Socket client = relay.connect()) {
                 sendRequest(client, "POST /claim", "cut", "", "x");
-                HttpMessage at = endpoint.awaitCall();
-                RawHttp.write(at.socket(), cut);
-                at.socket().close();
-                assertThat(readMessage(client).head()).as(cut).startsWith("HTTP/1.1 502");
+                HttpMessage call = endpoint.awaitCall();
+                RawHttp.write(call.socket(), truncated);
+                call.socket().close();
+                assertThat(readMessage(client).head()).as(truncated).startsWith("HTTP/1.1 502");
                 for (int i = 0; i < 3; i++) {
-                    // Good responses keep the endpoint from being ejected as an outlier.
+                    // Valid responses keep the endpoint from being ejected as an outlier.
                     assertServed(client, "POST /claim", "good" + i, endpoint);
                 }
                 sendRequest(client, "POST /claim", "late", "X-Expires-In-Ms: 300\r\n", "x");
-                at = endpoint.awaitCall();
-                RawHttp.write(at.socket(), cut);
-                assertThat(readMessage(client).head()).as(cut).startsWith("HTTP/1.1 504");
+                call = endpoint.awaitCall();
+                RawHttp.write(call.socket(), truncated);
+                assertThat(readMessage(client).head()).as(truncated).startsWith("HTTP/1.1 504");
                 assertThat(endpoint.closedConnections().poll(20, TimeUnit.SECONDS))
                         .isNotNull();
                 endpoint.closedConnections().clear();
@@ -176,62 +181,66 @@
     // ---- Shutdown ----
 
     @Test
-    void onSigtermWhatIsHalfReadOrHasItsAnswerHalfWrittenIsAnsweredWhole() throws Exception {
+    void completesPartialRequestAndPartialResponseOnSigterm() throws Exception {
         startRelay();
         try (Socket reading = relay.connect();
                 Socket answering = relay.connect()) {
             RawHttp.write(
                     reading, "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: reading\r\nContent-Length: 4\r\n\r\nha");
             sendRequest(answering, "POST /claim", "answering", "", "x");
-            HttpMessage half = endpoint.awaitCall();
-            RawHttp.write(half.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
+            HttpMessage partialCall = endpoint.awaitCall();
+            RawHttp.write(partialCall.socket(), "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nha");
             relay.process().destroy();
             relay.signal("TERM");
             relay.signal("HUP");
             relay.awaitLog("SIGHUP, discovery at");
             RawHttp.write(reading, "lf");
-            RawHttp.write(half.socket(), "lf");
+            RawHttp.write(partialCall.socket(), "lf");
             assertThat(readMessage(answering).body()).isEqualTo("half");
-            HttpMessage at = endpoint.awaitCall();
-            assertThat(at.body()).isEqualTo("half");
-            at.respond("200 OK", "", "whole");
+            HttpMessage call = endpoint.awaitCall();
+            assertThat(call.body()).isEqualTo("half");
+            call.respond("200 OK", "", "whole");
             assertThat(readMessage(reading).body()).isEqualTo("whole");
-            // New connections are accepted for a while.
-            try (Socket comes = relay.connect()) {
-                assertServed(comes, "POST /claim", "comes", endpoint);
+            // The relay still accepts new connections at the start of the drain.
+            try (Socket newClient = relay.connect()) {
+                assertServed(newClient, "POST /claim", "new", endpoint);
             }
         }
         assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(relay.log()).contains("ends:").doesNotContain("unexpected");
+        assertThat(relay.log()).contains("shutdown complete:").doesNotContain("unexpected");
     }
 
     @Test
-    void onSigtermWhatWaitsForItsConnectionOrItsListIsStillAnswered() throws Exception {
+    void answersRequestsWaitingForListAndConnectionOnSigterm() throws Exception {
         relay.replaceInConfig("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000");
-        try (FakeServer late = FakeServer.thatAcceptsLater();
-                Socket held = connectUnlisted();
-                Socket dials = relay.connect()) {
-            HttpMessage asked = discovery.awaitCall();
-            for (Socket client : List.of(held, dials)) {
+        try (FakeServer slowEndpoint = FakeServer.thatAcceptsLater();
+                Socket heldClient = launchColdAndConnect();
+                Socket dialingClient = relay.connect()) {
+            HttpMessage listCall = discovery.awaitCall();
+            for (Socket client : List.of(heldClient, dialingClient)) {
                 sendRequest(
-                        client, "POST /claim", client == held ? "held" : "dials", "X-Expires-In-Ms: 20000\r\n", "x");
+                        client,
+                        "POST /claim",
+                        client == heldClient ? "held" : "dials",
+                        "X-Expires-In-Ms: 20000\r\n",
+                        "x");
             }
             awaitEventLoopTurn();
             relay.process().destroy();
-            listOnly(asked, 1, late);
+            listOnly(listCall, 1, slowEndpoint);
             discovery.awaitCall();
-            late.accept();
+            slowEndpoint.accept();
             for (int i = 0; i < 2; i++) {
-                late.awaitCall().respond("200 OK", "", "served");
+                slowEndpoint.awaitCall().respond("200 OK", "", "served");
             }
-            assertThat(readMessage(held).body()).isEqualTo("served");
-            assertThat(readMessage(dials).body()).isEqualTo("served");
+            assertThat(readMessage(heldClient).body()).isEqualTo("served");
+            assertThat(readMessage(dialingClient).body()).isEqualTo("served");
         }
         assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(relay.log()).contains("ends:").doesNotContain("unexpected");
+        assertThat(relay.log()).contains("shutdown complete:").doesNotContain("unexpected");
     }
 
-    private Socket connectUnlisted() throws Exception {
+    private Socket launchColdAndConnect() throws Exception {
         relay.launchCold();
         return relay.connectWhenListening();
     }
@@ -239,19 +248,20 @@
     // ---- Discovery ----
 
     @Test
-    void aWatchThatFallsSilentOrStopsHalfwayIsOpenedAnewFromWhereItStood() throws Exception {
+    void reopensWatchAtSameIndexWhenItTimesOut() throws Exception {
         relay.launchCold();
         listOnly(discovery.awaitCall(), 7, endpoint);
-        for (String half : new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\":9,"}) {
+        for (String partialResponse :
+                new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\":9,"}) {
             HttpMessage watch = discovery.awaitCall();
             assertThat(watch.head()).startsWith("GET /api/targets?from=7&");
-            RawHttp.write(watch.socket(), half);
+            RawHttp.write(watch.socket(), partialResponse);
             assertThat(discovery.closedConnections().poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
         }
-        HttpMessage again = discovery.awaitCall();
-        assertThat(again.head()).startsWith("GET /api/targets?from=7&");
-        // An index that goes back shows that discovery restarted: its new list is in force.
-        listOnly(again, 2, otherEndpoint);
+        HttpMessage nextWatch = discovery.awaitCall();
+        assertThat(nextWatch.head()).startsWith("GET /api/targets?from=7&");
+        // A lower index shows that discovery has restarted, so its new list replaces the old one.
+        listOnly(nextWatch, 2, otherEndpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=2&");
         try (Socket client = relay.connect()) {
             assertServed(client, "POST /claim", "moved", otherEndpoint);
@@ -260,18 +270,18 @@
     }
 
     @Test
-    void aMoveOfDiscoveryIsFoundWithoutSighupOnceTheOldOneIsSilent() throws Exception {
+    void followsMovedDiscoveryWithoutSighupWhenWatchFails() throws Exception {
         relay.launchCold();
         listOnly(discovery.awaitCall(), 7, endpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=7&");
-        String first = relay.configText();
-        try (FakeServer moved = new FakeServer()) {
-            relay.writeConfig(first.substring(0, first.length() / 2));
-            // The watch fails while the file cannot be read: the previous configuration stays in force.
-            HttpMessage again = discovery.awaitCall();
-            relay.writeConfig(first.replace(discovery.address(), moved.address()));
-            again.socket().close();
-            listOnly(moved.awaitCall(), 1, otherEndpoint);
+        String originalConfig = relay.configText();
+        try (FakeServer newDiscovery = new FakeServer()) {
+            relay.writeConfig(originalConfig.substring(0, originalConfig.length() / 2));
+            // The watch fails while the configuration file is truncated: the previous configuration stays in force.
+            HttpMessage nextWatch = discovery.awaitCall();
+            relay.writeConfig(originalConfig.replace(discovery.address(), newDiscovery.address()));
+            nextWatch.socket().close();
+            listOnly(newDiscovery.awaitCall(), 1, otherEndpoint);
             try (Socket client = relay.connect()) {
                 assertServed(client, "POST /claim", "moved", otherEndpoint);
             }
@@ -281,17 +291,17 @@
     }
 
     @Test
-    void afterAMoveTheOldDiscoveryIsNotHeardAnyMore() throws Exception {
+    void closesWatchOnOldDiscoveryWhenReloaded() throws Exception {
         relay.launchCold();
         listOnly(discovery.awaitCall(), 7, endpoint);
         HttpMessage watch = discovery.awaitCall();
-        try (FakeServer moved = new FakeServer()) {
-            relay.writeConfig(relay.configText().replace(discovery.address(), moved.address()));
+        try (FakeServer newDiscovery = new FakeServer()) {
+            relay.writeConfig(relay.configText().replace(discovery.address(), newDiscovery.address()));
             relay.signal("HUP");
-            HttpMessage asked = moved.awaitCall();
+            HttpMessage listCall = newDiscovery.awaitCall();
             assertThat(discovery.closedConnections().poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
-            listOnly(asked, 1, otherEndpoint);
-            assertThat(moved.awaitCall().head()).startsWith("GET /api/targets?from=1&");
+            listOnly(listCall, 1, otherEndpoint);
+            assertThat(newDiscovery.awaitCall().head()).startsWith("GET /api/targets?from=1&");
             try (Socket client = relay.connect()) {
                 assertServed(client, "POST /claim", "moved", otherEndpoint);
             }
--- a/src/test/java/gatelock/LateConnectionsTest.java
+++ b/src/test/java/gatelock/LateConnectionsTest.java
@@ -19,35 +19,41 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints to which a connection comes up only after something has changed; judged by the bytes that reach them. */
+/**
+ * Guards against requests that reach an endpoint that may no longer get them: while a slow connection is being
+ * established, the endpoint leaves or its build is rolled back. The tests check which requests reach the endpoint.
+ */
 final class LateConnectionsTest extends RelayTestCase {
-    private FakeServer late;
+    private FakeServer slowEndpoint;
 
     @BeforeEach
     void makeConnectionsSlow() throws Exception {
-        late = FakeServer.thatAcceptsLater();
+        slowEndpoint = FakeServer.thatAcceptsLater();
         relay.writeConfig(relay.configText()
                 .replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000")
                 .replaceAll("\"deadlineNs\": \\d+", "\"deadlineNs\": 20000000000"));
     }
 
     @AfterEach
-    void closeLateEndpoint() throws Exception {
-        late.close();
+    void closeSlowEndpoint() throws Exception {
+        slowEndpoint.close();
     }
 
-    /** Answers a call to discovery; returns the watch that the relay sends once it has taken in the answer. */
-    private HttpMessage answerList(HttpMessage asked, int index, String... entries) throws Exception {
-        asked.respond("200 OK", "", index == 1 ? snapshot(index, entries) : delta(index, entries));
+    /** Answers a call to discovery with a list or change; returns the watch that the relay sends after applying it. */
+    private HttpMessage answerList(HttpMessage call, int index, String... entries) throws Exception {
+        call.respond("200 OK", "", index == 1 ? snapshot(index, entries) : delta(index, entries));
         HttpMessage watch = discovery.awaitCall();
         assertThat(watch.head()).startsWith("GET /api/targets?from=" + index + "&");
         return watch;
     }
 
-    /** Lets connections be established and checks that no call comes, for longer than TCP takes to retry a SYN. */
+    /**
+     * Accepts connections and checks that no request arrives within 4 s, which is longer than TCP takes to retransmit a
+     * SYN.
+     */
     private void assertNoCallAfterConnecting() throws Exception {
-        late.accept();
-        assertThat(late.calls().poll(4, TimeUnit.SECONDS)).isNull();
+        slowEndpoint.accept();
+        assertThat(slowEndpoint.calls().poll(4, TimeUnit.SECONDS)).isNull();
     }
 
     private void assertServedByOtherEndpoint(Socket client) throws Exception {
@@ -56,53 +62,57 @@
     }
 
     @Test
-    void nothingGoesToAnEndpointThatLeftWhileAConnectionToItCameUp() throws Exception {
+    void doesNotSendRequestToEndpointThatLeavesDuringConnect() throws Exception {
         relay.launchCold();
-        HttpMessage watch = answerList(discovery.awaitCall(), 1, entry("x", late, "in_service", 1));
+        HttpMessage watch = answerList(discovery.awaitCall(), 1, entry("x", slowEndpoint, "in_service", 1));
         for (String status : new String[] {"terminating", "terminated"}) {
             try (Socket client = relay.connect()) {
                 sendRequest(client, "POST /claim", "waits-" + status, "", "x");
                 Thread.sleep(200);
-                watch = answerList(watch, 2, entry("x", late, status, 1), entry("y", otherEndpoint, "in_service", 1));
+                watch = answerList(
+                        watch, 2, entry("x", slowEndpoint, status, 1), entry("y", otherEndpoint, "in_service", 1));
                 assertServedByOtherEndpoint(client);
             }
-            watch = answerList(watch, 3, entry("x", late, "in_service", 1), entry("y", otherEndpoint, "terminated", 1));
+            watch = answerList(
+                    watch, 3, entry("x", slowEndpoint, "in_service", 1), entry("y", otherEndpoint, "terminated", 1));
         }
-        answerList(watch, 4, entry("x", late, "terminated", 1));
+        answerList(watch, 4, entry("x", slowEndpoint, "terminated", 1));
         assertNoCallAfterConnecting();
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     @Test
-    void nothingGoesToABuildThatWentBackWhileAConnectionToItCameUp() throws Exception {
+    void doesNotSendRequestToBuildRolledBackDuringConnect() throws Exception {
         relay.launchCold();
         answerList(
                 discovery.awaitCall(),
                 1,
-                entry("x", late, "in_service", 2),
+                entry("x", slowEndpoint, "in_service", 2),
                 entry("y", otherEndpoint, "in_service", 1));
-        HttpMessage news = controller.awaitCall();
-        String state = "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\","
+        HttpMessage controllerCall = controller.awaitCall();
+        String stateFormat = "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\","
                 + "\"exposure\":%s,\"old_ms\":0}}\n";
-        OutputStream states = startChunkedResponse(news);
-        writeChunk(states, String.format(state, "trial", "1.0"));
+        OutputStream stateStream = startChunkedResponse(controllerCall);
+        writeChunk(stateStream, String.format(stateFormat, "trial", "1.0"));
         Thread.sleep(200);
         try (Socket client = relay.connect()) {
-            // A canary endpoint gets a part of the requests; the first one that reaches no server was sent there.
-            HttpMessage usual;
-            int i = 0;
+            // The canary gets a share of the requests. The first request that does not reach the other endpoint waits
+            // for
+            // the connection to the canary.
+            HttpMessage callAtOther;
+            int requestCount = 0;
             do {
-                sendRequest(client, "POST /claim", "claim" + i++, "X-Size-Hint: 90000\r\n", "x");
-                usual = otherEndpoint.calls().poll(500, TimeUnit.MILLISECONDS);
-                if (usual != null) {
-                    usual.respond("200 OK", "", "usual");
-                    assertThat(readMessage(client).body()).isEqualTo("usual");
+                sendRequest(client, "POST /claim", "claim" + requestCount++, "X-Size-Hint: 90000\r\n", "x");
+                callAtOther = otherEndpoint.calls().poll(500, TimeUnit.MILLISECONDS);
+                if (callAtOther != null) {
+                    callAtOther.respond("200 OK", "", "other");
+                    assertThat(readMessage(client).body()).isEqualTo("other");
                 }
-            } while (usual != null && i < 200);
-            assertThat(usual).isNull();
-            writeChunk(states, String.format(state, "rolling_back", "0.0"));
+            } while (callAtOther != null && requestCount < 200);
+            assertThat(callAtOther).isNull();
+            writeChunk(stateStream, String.format(stateFormat, "rolling_back", "0.0"));
             Thread.sleep(200);
-            late.accept();
+            slowEndpoint.accept();
             assertServedByOtherEndpoint(client);
         }
         assertNoCallAfterConnecting();
@@ -110,14 +120,14 @@
     }
 
     @Test
-    void whatMayStillGoGoesOnceItsConnectionIsUp() throws Exception {
+    void sendsWaitingRequestOnceConnectionIsEstablished() throws Exception {
         relay.launchCold();
-        answerList(discovery.awaitCall(), 1, entry("x", late, "in_service", 1));
+        answerList(discovery.awaitCall(), 1, entry("x", slowEndpoint, "in_service", 1));
         try (Socket client = relay.connect()) {
             sendRequest(client, "POST /claim", "patient", "", "x");
             Thread.sleep(200);
-            late.accept();
-            late.awaitCall().respond("200 OK", "", "there");
+            slowEndpoint.accept();
+            slowEndpoint.awaitCall().respond("200 OK", "", "there");
             assertThat(readMessage(client).body()).isEqualTo("there");
         }
     }
--- a/src/test/java/gatelock/OversizedListTest.java
+++ b/src/test/java/gatelock/OversizedListTest.java
@@ -12,16 +12,16 @@
 import java.io.OutputStream;
 import org.junit.jupiter.api.Test;
 
-/** Endpoint lists over the size limit: what the relay logs and counts, and which endpoints serve then. */
+/** Endpoint lists over the size limit: what the relay logs and counts, and which endpoints it uses. */
 final class OversizedListTest extends RelayTestCase {
     private static final int OVERSIZED_BYTES = 3_000_000;
 
-    private static void beginOversizedList(HttpMessage asked) throws Exception {
-        RawHttp.write(asked.socket(), "HTTP/1.1 200 OK\r\nContent-Length: " + OVERSIZED_BYTES + "\r\n\r\n{\"index\":1");
+    private static void beginOversizedList(HttpMessage call) throws Exception {
+        RawHttp.write(call.socket(), "HTTP/1.1 200 OK\r\nContent-Length: " + OVERSIZED_BYTES + "\r\n\r\n{\"index\":1");
     }
 
     @Test
-    void aNewProcessSaysThatTheListIsTooLongAndNotThatDiscoveryIsSilent() throws Exception {
+    void logsOversizedFirstListAndServesConfiguredEndpoints() throws Exception {
         relay.launchCold();
         BackgroundTask.start(() -> {
             while (true) {
@@ -38,14 +38,16 @@
                 .doesNotContain("silent")
                 .containsPattern("lists too long=[1-9]")
                 .doesNotContain("discovery failed");
-        assertThat(relay.log().split("is longer than", -1)).as("said once").hasSize(2);
+        assertThat(relay.log().split("is longer than", -1))
+                .as("the log reports the oversized list once")
+                .hasSize(2);
     }
 
     @Test
-    void aListInPiecesIsTooLongAsSoonAsSoMuchHasCome() throws Exception {
+    void rejectsChunkedListOnceItExceedsLimit() throws Exception {
         relay.launchCold();
-        HttpMessage asked = discovery.awaitCall();
-        OutputStream out = startChunkedResponse(asked);
+        HttpMessage listCall = discovery.awaitCall();
+        OutputStream out = startChunkedResponse(listCall);
         BackgroundTask.start(() -> {
             while (true) {
                 writeChunk(out, " ".repeat(60_000));
@@ -60,23 +62,25 @@
     }
 
     @Test
-    void aChangeThatIsTooLongLeavesWhatWasListedAndTheWholeListIsAskedFor() throws Exception {
+    void keepsListAndRequestsFullListWhenChangeIsOversized() throws Exception {
         relay.launchCold();
         listOnly(discovery.awaitCall(), 5, otherEndpoint);
         HttpMessage watch = discovery.awaitCall();
         assertThat(watch.head()).startsWith("GET /api/targets?from=5&");
         beginOversizedList(watch);
-        HttpMessage whole = discovery.awaitCall();
-        assertThat(whole.head()).startsWith("GET /api/targets HTTP/1.1");
+        HttpMessage listCall = discovery.awaitCall();
+        assertThat(listCall.head()).startsWith("GET /api/targets HTTP/1.1");
         assertServedBy(otherEndpoint, "stays");
-        beginOversizedList(whole);
-        HttpMessage again = discovery.awaitCall();
+        beginOversizedList(listCall);
+        HttpMessage nextListCall = discovery.awaitCall();
         assertServedBy(otherEndpoint, "stays longer");
-        listOnly(again, 9, endpoint);
+        listOnly(nextListCall, 9, endpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=9&");
-        assertServedBy(endpoint, "comes");
+        assertServedBy(endpoint, "replaced");
         assertStopsCleanly();
         assertThat(relay.log()).contains("lists too long=2").doesNotContain("silent");
-        assertThat(relay.log().split("is longer than", -1)).as("said once").hasSize(2);
+        assertThat(relay.log().split("is longer than", -1))
+                .as("the log reports the oversized list once")
+                .hasSize(2);
     }
 }
--- a/src/test/java/gatelock/ReloadTest.java
+++ b/src/test/java/gatelock/ReloadTest.java
@@ -16,33 +16,34 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** SIGHUP: the configuration is read again and followed. */
+/** On SIGHUP the relay reads its configuration again and applies it. */
 final class ReloadTest extends RelayTestCase {
     @Test
-    void onSighupDiscoveryAndControllerAreFollowedAtTheirNewAddresses() throws Exception {
+    void followsMovedDiscoveryAndControllerOnSighup() throws Exception {
         relay.launchCold();
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
-        HttpMessage news = controller.awaitCall();
-        writeChunk(startChunkedResponse(news), "{}\n");
-        String sound = relay.configText();
-        for (String odd : new String[] {sound.substring(0, sound.length() / 2), "{}", "noise"}) {
-            relay.writeConfig(odd);
+        HttpMessage controllerCall = controller.awaitCall();
+        writeChunk(startChunkedResponse(controllerCall), "{}\n");
+        String validConfig = relay.configText();
+        for (String invalidConfig : new String[] {validConfig.substring(0, validConfig.length() / 2), "{}", "noise"}) {
+            relay.writeConfig(invalidConfig);
             relay.signal("HUP");
             relay.awaitLog("what was in force stays: configuration " + relay.config());
         }
-        try (FakeServer movedDiscovery = new FakeServer();
-                FakeServer movedController = new FakeServer()) {
-            relay.writeConfig(sound.replace(discovery.address(), movedDiscovery.address())
-                    .replace(controller.address(), movedController.address()));
+        try (FakeServer newDiscovery = new FakeServer();
+                FakeServer newController = new FakeServer()) {
+            relay.writeConfig(validConfig
+                    .replace(discovery.address(), newDiscovery.address())
+                    .replace(controller.address(), newController.address()));
             relay.signal("HUP");
-            assertThat(movedDiscovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
-            HttpMessage moved = movedController.awaitCall();
-            assertThat(moved.head()).startsWith("GET /v2/projects/main/changes");
-            // The old connection is kept until the first data comes on the new one.
+            assertThat(newDiscovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
+            HttpMessage newControllerCall = newController.awaitCall();
+            assertThat(newControllerCall.head()).startsWith("GET /v2/projects/main/changes");
+            // The old connection is kept until the first data arrives on the new one.
             assertThat(controller.closedConnections()).isEmpty();
-            writeChunk(startChunkedResponse(moved), "{}\n");
+            writeChunk(startChunkedResponse(newControllerCall), "{}\n");
             assertThat(controller.closedConnections().poll(20, TimeUnit.SECONDS))
-                    .isSameAs(news.socket());
+                    .isSameAs(controllerCall.socket());
             relay.signal("HUP");
             relay.process().destroy();
             assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
@@ -51,26 +52,27 @@
     }
 
     @Test
-    void aSighupThatComesWhileTheConfigurationIsReadForTheFirstTimeIsNotLost() throws Exception {
-        String first = relay.configText();
-        try (FakeServer moved = new FakeServer()) {
-            // The configuration is a pipe, so that the start of the program waits for as long as the test needs.
+    void handlesSighupThatArrivesDuringFirstConfigurationRead() throws Exception {
+        String originalConfig = relay.configText();
+        try (FakeServer newDiscovery = new FakeServer()) {
+            // The configuration is a named pipe, so the first read blocks the startup until the test writes to it.
             Path pipe = Files.createTempDirectory("gatelock").resolve("configuration");
-            Path next = pipe.resolveSibling("next");
-            assertThat(new ProcessBuilder("mkfifo", pipe.toString(), next.toString())
+            Path nextPipe = pipe.resolveSibling("next");
+            assertThat(new ProcessBuilder("mkfifo", pipe.toString(), nextPipe.toString())
                             .start()
                             .waitFor())
                     .isZero();
             relay.launchOn(pipe, "serve", "cold");
-            try (OutputStream starts = Files.newOutputStream(pipe)) {
+            try (OutputStream firstRead = Files.newOutputStream(pipe)) {
                 relay.signal("HUP");
-                // The second reading gets another pipe: on the first one it could still read what belongs to the first
-                // reading.
-                Files.move(next, pipe, StandardCopyOption.ATOMIC_MOVE);
-                starts.write(first.getBytes(StandardCharsets.UTF_8));
+                // The second read gets a new pipe: from the old one it could still get data that is meant for the first
+                // read.
+                Files.move(nextPipe, pipe, StandardCopyOption.ATOMIC_MOVE);
+                firstRead.write(originalConfig.getBytes(StandardCharsets.UTF_8));
             }
-            BackgroundTask.start(() -> Files.writeString(pipe, first.replace(discovery.address(), moved.address())));
-            assertThat(moved.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
+            BackgroundTask.start(
+                    () -> Files.writeString(pipe, originalConfig.replace(discovery.address(), newDiscovery.address())));
+            assertThat(newDiscovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
             Files.delete(pipe);
             Files.delete(pipe.getParent());
         }
--- a/src/test/java/gatelock/RequestForwardingTest.java
+++ b/src/test/java/gatelock/RequestForwardingTest.java
@@ -11,53 +11,53 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Requests on their way to an endpoint and responses on their way back, and which of them are retried. */
+/** Forwarding of requests to endpoints and of responses to clients, and which failed attempts are retried. */
 final class RequestForwardingTest extends RelayTestCase {
     @Test
-    void anOrdinaryRequestPassesUnchangedAndItsConnectionStays() throws Exception {
+    void forwardsRequestUnchangedAndReusesConnection() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             for (int i = 0; i < 20; i++) {
-                String id = "id" + i;
+                String traceId = "id" + i;
                 sendRequest(
                         client,
                         "POST /post/a%20b?x=1&y",
-                        id,
+                        traceId,
                         "Idempotency-Key: 77\r\nX-Expires-In-Ms: 900\r\n",
                         "body");
-                HttpMessage at = endpoint.awaitCall();
-                assertThat(at.head()).startsWith("POST /post/a%20b?x=1&y HTTP/1.1\r\n");
-                assertThat(at.body()).isEqualTo("body");
-                assertThat(at.header("X-Trace-Id")).isEqualTo(id);
-                assertThat(at.header("Idempotency-Key")).isEqualTo("77");
-                assertThat(Integer.parseInt(at.header("X-Expires-In-Ms"))).isBetween(1, 900);
-                at.respond("200 OK", "X-Mine: yes\r\n", "done");
-                HttpMessage answer = readMessage(client);
-                assertThat(answer.head()).startsWith("HTTP/1.1 200");
-                assertThat(answer.header("X-Mine")).isEqualTo("yes");
-                assertThat(answer.body()).isEqualTo("done");
+                HttpMessage call = endpoint.awaitCall();
+                assertThat(call.head()).startsWith("POST /post/a%20b?x=1&y HTTP/1.1\r\n");
+                assertThat(call.body()).isEqualTo("body");
+                assertThat(call.header("X-Trace-Id")).isEqualTo(traceId);
+                assertThat(call.header("Idempotency-Key")).isEqualTo("77");
+                assertThat(Integer.parseInt(call.header("X-Expires-In-Ms"))).isBetween(1, 900);
+                call.respond("200 OK", "X-Mine: yes\r\n", "done");
+                HttpMessage response = readMessage(client);
+                assertThat(response.head()).startsWith("HTTP/1.1 200");
+                assertThat(response.header("X-Mine")).isEqualTo("yes");
+                assertThat(response.body()).isEqualTo("done");
             }
         }
-        // A connection is unavailable for an instant after each request, so there may be some, but not one for each
-        // request.
+        // A connection is briefly unavailable after each request, so a few more may be opened, but not one for each of
+        // the 20 requests.
         assertThat(endpoint.connections()).hasSizeLessThan(10);
     }
 
     @Test
-    void aLargeBodyPassesWhole() throws Exception {
+    void forwardsLargeBodyCompletely() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             String body = "0123456789abcdef".repeat(4096);
             sendRequest(client, "POST /claim", "large", "", body);
-            HttpMessage at = endpoint.awaitCall();
-            assertThat(at.body()).isEqualTo(body);
-            at.respond("200 OK", "", body);
+            HttpMessage call = endpoint.awaitCall();
+            assertThat(call.body()).isEqualTo(body);
+            call.respond("200 OK", "", body);
             assertThat(readMessage(client).body()).isEqualTo(body);
         }
     }
 
     @Test
-    void aNonRetriableRequestThatMayHaveRunIsNotRepeated() throws Exception {
+    void doesNotRetryNonRetriableRequestThatMayHaveRun() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             sendRequest(client, "POST /claim", "once", "", "x");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aRetriableRequestGoesOnAfterAReset() throws Exception {
+    void retriesRetriableRequestAfterReset() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             sendRequest(client, "GET /read", "again", "", "");
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aRequestThatNeverRanGoesOnToAnotherEndpointAndAResetAfterThatEndsIt() throws Exception {
+    void retriesRequestThatNeverRanButNotAfterReset() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             sendRequest(client, "POST /claim", "never", "", "x");
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void aSilentEndpointLeavesTheClientWithAnErrorInTime() throws Exception {
+    void respondsWithErrorAtDeadlineWhenEndpointIsSilent() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             sendRequest(client, "POST /claim", "silent", "X-Expires-In-Ms: 300\r\n", "x");
@@ -102,23 +102,23 @@
     }
 
     @Test
-    void anEndpointThatCantBeReachedIsShed() throws Exception {
+    void shedsRequestWhenEndpointRefusesConnections() throws Exception {
         endpoint.refuseConnections();
         startRelay();
         try (Socket client = relay.connect()) {
             sendRequest(client, "POST /claim", "nobody", "", "x");
-            HttpMessage answer = readMessage(client);
-            assertThat(answer.head()).startsWith("HTTP/1.1 503");
-            assertThat(Double.parseDouble(answer.header("Retry-After"))).isPositive();
+            HttpMessage response = readMessage(client);
+            assertThat(response.head()).startsWith("HTTP/1.1 503");
+            assertThat(Double.parseDouble(response.header("Retry-After"))).isPositive();
         }
     }
 
     @Test
-    void aSpoiltAnswerIsAFailedAttemptAndItsConnectionEnds() throws Exception {
+    void failsAttemptAndClosesConnectionOnMalformedResponse() throws Exception {
         startRelay();
         String ok = "HTTP/1.1 200 OK\r\n";
         String endless = "X-Pad: pppp\r\n".repeat(2000);
-        for (String spoilt : new String[] {
+        for (String malformed : new String[] {
             "noise\r\n\r\nnoise",
             "HTTP/1.1 2x0 OK\r\nContent-Length: 1\r\n\r\nx",
             "HTTP/1.1 OK 200\r\n\r\n",
@@ -136,28 +136,28 @@
             ok + "\r\nno length"
         }) {
             try (Socket client = relay.connect()) {
-                sendRequest(client, "POST /claim", "spoilt", "", "x");
-                HttpMessage at = endpoint.awaitCall();
-                RawHttp.write(at.socket(), spoilt);
-                assertThat(readMessage(client).head()).as(spoilt).startsWith("HTTP/1.1 502");
+                sendRequest(client, "POST /claim", "malformed", "", "x");
+                HttpMessage call = endpoint.awaitCall();
+                RawHttp.write(call.socket(), malformed);
+                assertThat(readMessage(client).head()).as(malformed).startsWith("HTTP/1.1 502");
                 assertThat(endpoint.closedConnections().poll(20, TimeUnit.SECONDS))
-                        .as(spoilt)
-                        .isSameAs(at.socket());
+                        .as(malformed)
+                        .isSameAs(call.socket());
                 for (int i = 0; i < 3; i++) {
-                    // Good responses keep the endpoint from being ejected as an outlier.
+                    // Valid responses keep the endpoint from being ejected as an outlier.
                     sendRequest(client, "POST /claim", "good", "", "x");
                     endpoint.awaitCall().respond("200 OK", "", "good");
-                    assertThat(readMessage(client).body()).as(spoilt).isEqualTo("good");
+                    assertThat(readMessage(client).body()).as(malformed).isEqualTo("good");
                 }
             }
         }
     }
 
     @Test
-    void aGoodAnswerWithMoreThanBelongsToItServesAndNothingBehindItIsEverServed() throws Exception {
+    void servesValidResponseAndDiscardsBytesBehindIt() throws Exception {
         startRelay();
         String good = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
-        for (String more : new String[] {
+        for (String bytes : new String[] {
             good + good,
             good + "noise",
             "HTTP/1.1 100 Continue\r\n\r\n" + good,
@@ -166,11 +166,11 @@
         }) {
             try (Socket client = relay.connect()) {
                 sendRequest(client, "POST /claim", "more", "", "x");
-                RawHttp.write(endpoint.awaitCall().socket(), more);
-                assertThat(readMessage(client).body()).as(more).isEqualTo("good");
+                RawHttp.write(endpoint.awaitCall().socket(), bytes);
+                assertThat(readMessage(client).body()).as(bytes).isEqualTo("good");
                 sendRequest(client, "POST /claim", "next", "", "x");
                 endpoint.awaitCall().respond("200 OK", "", "mine");
-                assertThat(readMessage(client).body()).as(more).isEqualTo("mine");
+                assertThat(readMessage(client).body()).as(bytes).isEqualTo("mine");
             }
         }
     }
--- a/src/test/java/gatelock/RequestValidationTest.java
+++ b/src/test/java/gatelock/RequestValidationTest.java
@@ -15,12 +15,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Requests that are malformed, too large or of no route are rejected and never forwarded. */
+/** Requests that are malformed, too large or match no route are rejected and never forwarded. */
 final class RequestValidationTest extends RelayTestCase {
+    /** A request that is rejected, and the status of the response. */
     private record InvalidRequest(String line, String traceId, int status) {}
 
     @Test
-    void aRequestOfNoUseIsToldSoAndHarmsNobody() throws Exception {
+    void rejectsInvalidRequestAndKeepsServingOthers() throws Exception {
         startRelay();
         List<InvalidRequest> invalidRequests = List.of(
                 new InvalidRequest("GET /nothing", "a", 404),
@@ -45,21 +46,21 @@
     }
 
     @Test
-    void whatNoUsualClientSendsIsTurnedAwayAndNeverPassedOn() throws Exception {
+    void rejectsMalformedRequestWithoutForwardingIt() throws Exception {
         startRelay();
         try (Socket open = relay.connect();
-                Socket same = relay.connect()) {
+                Socket duplicate = relay.connect()) {
             sendRequest(open, "POST /claim", "open", "", "x");
-            HttpMessage at = endpoint.awaitCall();
-            sendRequest(same, "POST /claim", "open", "", "y");
-            assertThat(readMessage(same).head()).startsWith("HTTP/1.1 400");
-            at.respond("200 OK", "", "mine");
+            HttpMessage call = endpoint.awaitCall();
+            sendRequest(duplicate, "POST /claim", "open", "", "y");
+            assertThat(readMessage(duplicate).head()).startsWith("HTTP/1.1 400");
+            call.respond("200 OK", "", "mine");
             assertThat(readMessage(open).body()).isEqualTo("mine");
         }
         String post = "POST /claim HTTP/1.1\r\nHost: x\r\nX-Trace-Id: odd\r\n";
         String get = "GET /read HTTP/1.1\r\nHost: x\r\n";
         String hidden = get + "X-Trace-Id: hidden\r\n\r\n";
-        for (String odd : new String[] {
+        for (String malformed : new String[] {
             "noise\r\n\r\n",
             "\u0000\u0001\u0002",
             get + "X-Pad: p\r\n".repeat(5000),
@@ -89,20 +90,20 @@
             post + "Expect: 100-continue\r\nContent-Length: 1\r\n\r\n"
         }) {
             try (Socket client = relay.connect()) {
-                RawHttp.write(client, odd);
-                assertThat(isRejected(client)).as(odd).isTrue();
+                RawHttp.write(client, malformed);
+                assertThat(isRejected(client)).as(malformed).isTrue();
             }
             try (Socket client = relay.connect()) {
-                RawHttp.write(client, odd);
+                RawHttp.write(client, malformed);
                 client.shutdownOutput();
-                assertThat(isRejected(client)).as(odd).isTrue();
+                assertThat(isRejected(client)).as(malformed).isTrue();
             }
         }
         assertThat(endpoint.calls()).isEmpty();
     }
 
     @Test
-    void aBodyOfManyMegabytesIsRefusedWhileItComes() throws Exception {
+    void rejectsOversizedBodyBeforeItIsComplete() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             RawHttp.write(
@@ -117,7 +118,7 @@
         }
     }
 
-    /** Returns whether the relay closes a connection or answers with an error. */
+    /** Returns whether the relay closes the connection or responds with a 4xx or 5xx status. */
     private static boolean isRejected(Socket socket) {
         try {
             HttpMessage response = readMessage(socket);
--- a/src/test/java/gatelock/ShutdownTest.java
+++ b/src/test/java/gatelock/ShutdownTest.java
@@ -12,41 +12,43 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** SIGTERM: requests that were taken are answered before the process ends. */
+/** On SIGTERM the relay answers the requests that it has accepted before the process exits. */
 final class ShutdownTest extends RelayTestCase {
     @Test
-    void onSigtermWhatWasTakenIsAnsweredAndTheProgramEnds() throws Exception {
+    void answersAcceptedRequestsAndExitsOnSigterm() throws Exception {
         startRelay();
         try (Socket client = relay.connect()) {
             sendRequest(client, "POST /claim", "last", "", "x");
-            HttpMessage at = endpoint.awaitCall();
+            HttpMessage call = endpoint.awaitCall();
             relay.process().destroy();
-            at.respond("200 OK", "", "answered");
+            call.respond("200 OK", "", "answered");
             assertThat(readMessage(client).body()).isEqualTo("answered");
-            // The kept connection is served for a while and is then closed, with a response or between two requests.
+            // The persistent connection is served during the drain and is then closed, either with a response or
+            // between
+            // two requests.
             BackgroundTask.start(() -> {
                 while (true) {
                     endpoint.awaitCall().respond("200 OK", "", "more");
                 }
             });
             int served = 0;
-            for (HttpMessage answer = requestMore(client, served);
-                    answer != null;
-                    answer = requestMore(client, served)) {
-                assertThat(answer.body()).isEqualTo("more");
+            for (HttpMessage response = sendNextRequest(client, served);
+                    response != null;
+                    response = sendNextRequest(client, served)) {
+                assertThat(response.body()).isEqualTo("more");
                 served++;
                 Thread.sleep(50);
             }
             assertThat(served).isGreaterThan(10);
         }
         assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(relay.log()).contains("ends:").doesNotContain("unexpected");
+        assertThat(relay.log()).contains("shutdown complete:").doesNotContain("unexpected");
     }
 
-    /** Sends one more request; returns the response, or null if the connection was closed. */
-    private static HttpMessage requestMore(Socket client, int n) {
+    /** Sends a request on the connection; returns the response, or null if the relay has closed the connection. */
+    private static HttpMessage sendNextRequest(Socket client, int index) {
         try {
-            sendRequest(client, "GET /read", "more" + n, "", "");
+            sendRequest(client, "GET /read", "more" + index, "", "");
             return readMessage(client);
         } catch (IOException e) {
             return null;
--- a/src/test/java/gatelock/StartupTest.java
+++ b/src/test/java/gatelock/StartupTest.java
@@ -12,15 +12,15 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** A relay that starts: its warm-up, requests that come before the endpoint list, and invalid configurations. */
+/** Startup of the relay: the warm-up, requests that arrive before the first endpoint list, invalid configurations. */
 final class StartupTest extends RelayTestCase {
     @Test
-    void aRelayThatMustAskForItsListRehearsesAndThenAsks() throws Exception {
+    void pollsDiscoveryAfterWarmUpWhenListIsOnRequest() throws Exception {
         relay.replaceInConfig("\"pushed\"", "\"on_request\"");
         relay.launch("serve");
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
         relay.awaitLog("serves on");
-        // A request of the warm-up that is read only now is not forwarded.
+        // A request with a trace ID of the warm-up that is read after the warm-up is not forwarded.
         try (Socket client = relay.connect()) {
             sendRequest(client, "GET /read", "rehearsal-1f2e3d4c5b6a7988-7", "", "");
             assertThat(readMessage(client)).isNull();
@@ -30,17 +30,17 @@
     }
 
     @Test
-    void aRequestThatComesDuringTheRehearsalIsAnsweredByAnEndpoint() throws Exception {
+    void forwardsRequestsThatArriveDuringWarmUp() throws Exception {
         relay.launch("serve");
         BackgroundTask.start(() -> listOnly(discovery.awaitCall(), 5, endpoint));
         for (int i = 0; i < 4; i++) {
             try (Socket client = relay.connectWhenListening()) {
                 boolean post = i % 2 == 1;
                 sendRequest(client, post ? "POST /claim" : "GET /read", "early" + i, "", post ? "x" : "");
-                HttpMessage at = endpoint.awaitCall();
-                assertThat(at.header("X-Trace-Id")).isEqualTo("early" + i);
-                at.respond("200 OK", "", "from a unit");
-                assertThat(readMessage(client).body()).isEqualTo("from a unit");
+                HttpMessage call = endpoint.awaitCall();
+                assertThat(call.header("X-Trace-Id")).isEqualTo("early" + i);
+                call.respond("200 OK", "", "from an endpoint");
+                assertThat(readMessage(client).body()).isEqualTo("from an endpoint");
             }
         }
         relay.awaitLog("held until ready");
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aRequestThatComesBeforeTheListGoesWhereTheListSays() throws Exception {
+    void holdsRequestUntilFirstListAndForwardsItToListedEndpoint() throws Exception {
         relay.launchCold();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "GET /read", "before", "", "");
@@ -60,16 +60,16 @@
     }
 
     @Test
-    void aRequestWaitsForAListThatIsLongInComing() throws Exception {
+    void holdsRequestWhenFirstDiscoveryCallTimesOut() throws Exception {
         relay.launchCold();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "POST /claim", "early", "X-Expires-In-Ms: 20000\r\n", "x");
             HttpMessage unanswered = discovery.awaitCall();
-            // The second call comes after the timeout of the first; nothing was sent to the configured endpoint until
-            // then.
-            HttpMessage again = discovery.awaitCall();
+            // The relay makes the second call after the first has timed out. Until then nothing is sent to the
+            // configured endpoint.
+            HttpMessage secondCall = discovery.awaitCall();
             assertThat(endpoint.calls()).isEmpty();
-            listOnly(again, 5, otherEndpoint);
+            listOnly(secondCall, 5, otherEndpoint);
             otherEndpoint.awaitCall().respond("200 OK", "", "there");
             assertThat(readMessage(client).body()).isEqualTo("there");
             unanswered.socket().close();
@@ -78,23 +78,23 @@
     }
 
     @Test
-    void aRequestThatHasWaitedForHalfOfItsTimeIsGivenUpAndNeverGoesOut() throws Exception {
+    void shedsHeldRequestAtHalfOfItsDeadline() throws Exception {
         relay.launchCold();
         try (Socket client = relay.connectWhenListening()) {
             Socket leaving = relay.connectWhenListening();
             sendRequest(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
             sendRequest(client, "POST /claim", "short", "X-Expires-In-Ms: 600\r\n", "x");
-            HttpMessage whole = discovery.awaitCall();
-            HttpMessage answer = readMessage(client);
-            assertThat(answer.head()).startsWith("HTTP/1.1 503");
-            assertThat(Double.parseDouble(answer.header("Retry-After"))).isBetween(0.1, 0.3);
+            HttpMessage listCall = discovery.awaitCall();
+            HttpMessage response = readMessage(client);
+            assertThat(response.head()).startsWith("HTTP/1.1 503");
+            assertThat(Double.parseDouble(response.header("Retry-After"))).isBetween(0.1, 0.3);
             leaving.close();
             sendRequest(client, "POST /claim", "stays", "X-Expires-In-Ms: 20000\r\n", "x");
-            whole.socket().close();
+            listCall.socket().close();
             listOnly(discovery.awaitCall(), 5, endpoint);
-            HttpMessage at = endpoint.awaitCall();
-            assertThat(at.header("X-Trace-Id")).isEqualTo("stays");
-            at.respond("200 OK", "", "served");
+            HttpMessage call = endpoint.awaitCall();
+            assertThat(call.header("X-Trace-Id")).isEqualTo("stays");
+            call.respond("200 OK", "", "served");
             assertThat(readMessage(client).body()).isEqualTo("served");
         }
         assertThat(endpoint.calls()).isEmpty();
@@ -102,36 +102,36 @@
     }
 
     @Test
-    void aFailedCallForTheListIsNoListYet() throws Exception {
+    void holdsRequestWhenDiscoveryCallsFail() throws Exception {
         relay.launchCold();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "POST /claim", "early", "X-Expires-In-Ms: 20000\r\n", "x");
             for (int i = 0; i < 5; i++) {
                 discovery.awaitCall().socket().close();
             }
-            HttpMessage asked = discovery.awaitCall();
+            HttpMessage listCall = discovery.awaitCall();
             assertThat(endpoint.calls()).isEmpty();
-            listOnly(asked, 5, otherEndpoint);
+            listOnly(listCall, 5, otherEndpoint);
             otherEndpoint.awaitCall().respond("200 OK", "", "there");
             assertThat(readMessage(client).body()).isEqualTo("there");
         }
     }
 
     @Test
-    void aRequestIsServedByWhatIsKnownOnceDiscoveryHasBeenSilentForLong() throws Exception {
+    void forwardsToConfiguredEndpointWhenDiscoveryIsSilent() throws Exception {
         relay.launchCold();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "GET /read", "unlisted", "X-Expires-In-Ms: 10000\r\n", "");
             endpoint.awaitCall().respond("200 OK", "", "known");
             assertThat(readMessage(client).body()).isEqualTo("known");
         }
-        // Two calls timed out before that.
+        // The relay serves from the configured endpoints only after two calls to discovery have timed out.
         assertThat(discovery.calls()).hasSizeGreaterThanOrEqualTo(2);
         assertThat(relay.log()).contains("discovery is silent, serving the configured endpoints");
     }
 
     @Test
-    void aRelayComesBackUnderItsNameAndAddress() throws Exception {
+    void restartsWithSameNameAndAddressAfterKill() throws Exception {
         startRelay();
         relay.process().destroyForcibly().waitFor();
         startRelay();
@@ -143,17 +143,17 @@
     }
 
     @Test
-    void anOddConfigurationEndsTheProgramWithOneLine() throws Exception {
-        String sound = relay.configText();
-        for (String text : new String[] {
+    void exitsWithOneLineOnInvalidConfiguration() throws Exception {
+        String validConfig = relay.configText();
+        for (String configText : new String[] {
             "",
             "[]",
             "{\"name\":\"x\"}",
             "{",
-            sound.replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": \"soon\""),
-            sound.replaceFirst("\"listen\": \"[^\"]*\"", "\"listen\": \"nowhere\"")
+            validConfig.replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": \"soon\""),
+            validConfig.replaceFirst("\"listen\": \"[^\"]*\"", "\"listen\": \"nowhere\"")
         }) {
-            relay.writeConfig(text);
+            relay.writeConfig(configText);
             relay.launchCold();
             assertThat(relay.process().waitFor()).isEqualTo(2);
             assertThat(relay.log().lines()).hasSize(1).first().asString().startsWith("gatelock: ");
--- a/src/test/java/gatelock/StateRetentionTest.java
+++ b/src/test/java/gatelock/StateRetentionTest.java
@@ -29,12 +29,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints, builds, addresses, keys and requests that come and go for long leave no state behind. */
+/**
+ * Guards against memory leaks: endpoints, builds, addresses, keys and requests that come and go over a long time must
+ * not leave entries behind in collections.
+ */
 final class StateRetentionTest {
     private final List<String> sentTo = new ArrayList<>();
 
     @Test
-    void theDecisionsForgetWhatLeft() throws Exception {
+    void decisionEngineDropsStateOfDepartedEndpointsAndBuilds() throws Exception {
         RolloutPolicy rollout = new RolloutPolicy(
                 RolloutPolicy.PromotionMode.COUNT,
                 1_000_000,
@@ -86,8 +89,8 @@
                 RequestHandle request =
                         engine.acceptRequest(nowUs, build + "/" + i, 0, 0, build * 100L + i, 500_000, 1_000);
                 nowUs += 20_000;
-                for (int t = 0; t < sentTo.size(); t++) {
-                    request.attemptEnded(nowUs, t, AttemptResult.COMPLETED, 20_000, true, LoadReport.NONE);
+                for (int attempt = 0; attempt < sentTo.size(); attempt++) {
+                    request.attemptEnded(nowUs, attempt, AttemptResult.COMPLETED, 20_000, true, LoadReport.NONE);
                 }
                 assertThat(request.isSettled()).isTrue();
                 engine.timerFired(nowUs, 0);
@@ -97,35 +100,38 @@
     }
 
     @Test
-    void addressesAndIdleConnectionsAreForgotten() throws Exception {
+    void addressesAndIdleConnectionsStayBounded() throws Exception {
         EndpointAddresses addresses = new EndpointAddresses();
-        IdleConnections<Object> idle = new IdleConnections<>(50, c -> {});
+        IdleConnections<Object> idle = new IdleConnections<>(50, connection -> {});
         for (int i = 0; i < 1000; i++) {
-            InetSocketAddress at = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + i);
-            addresses.put(at, new Endpoint("a" + i, 1, 0, 0, 0, Endpoint.Health.READY, 0));
+            InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + i);
+            addresses.put(address, new Endpoint("a" + i, 1, 0, 0, 0, Endpoint.Health.READY, 0));
             addresses.put(
-                    at,
+                    address,
                     new Endpoint("a" + i, 1, 0, 0, 0, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING, 0));
-            idle.put(i, at, "connection" + i);
+            idle.put(i, address, "connection" + i);
         }
         addresses.keepOnly(Set.of("a1"));
         assertBounded(addresses, 1);
         assertBounded(idle, 50);
     }
 
-    /** Every collection of an object, and of the project's objects that it holds directly or through others. */
+    /**
+     * Checks the size of every collection that is reachable from an object through instance fields of the project's
+     * classes.
+     */
     private static void assertBounded(Object holder, int maxSize) throws Exception {
         Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
         ArrayDeque<Object> toVisit = new ArrayDeque<>(List.of(holder));
         while (!toVisit.isEmpty()) {
-            Object visited = toVisit.poll();
-            if (!visited.getClass().getName().startsWith("gatelock.") || !seen.add(visited)) {
+            Object object = toVisit.poll();
+            if (!object.getClass().getName().startsWith("gatelock.") || !seen.add(object)) {
                 continue;
             }
-            for (Field field : visited.getClass().getDeclaredFields()) {
+            for (Field field : object.getClass().getDeclaredFields()) {
                 if (!Modifier.isStatic(field.getModifiers())) {
                     field.setAccessible(true);
-                    Collection<?> elements = elements(field.get(visited));
+                    Collection<?> elements = elements(field.get(object));
                     assertThat(elements.size()).as(field.toString()).isLessThanOrEqualTo(maxSize);
                     elements.stream().filter(Objects::nonNull).forEach(toVisit::add);
                 }
@@ -133,12 +139,12 @@
         }
     }
 
-    /** The elements of a collection, the values of a map, or else the object itself. */
-    private static Collection<?> elements(Object held) {
-        if (held instanceof Map<?, ?> map) {
+    /** Returns the elements of a collection, the values of a map, or for any other object the object itself. */
+    private static Collection<?> elements(Object value) {
+        if (value instanceof Map<?, ?> map) {
             return map.values();
         }
-        return held instanceof Collection<?> collection ? collection : Collections.singletonList(held);
+        return value instanceof Collection<?> collection ? collection : Collections.singletonList(value);
     }
 
     /** Records the endpoints that attempts are sent to. */
--- a/src/test/java/gatelock/WebSocketDrainTest.java
+++ b/src/test/java/gatelock/WebSocketDrainTest.java
@@ -22,13 +22,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** WebSocket sessions whose endpoint drains, whose build is rolled back, or whose relay shuts down. */
+/** WebSocket sessions while their endpoint drains, their build is rolled back or the relay shuts down. */
 final class WebSocketDrainTest extends WebSocketTestCase {
     @Test
-    void atADrainNothingNewGoesThereAndSessionsLeaveInTurn() throws Exception {
-        HttpMessage asked = discovery.awaitCall();
+    void closesSessionsOfDrainingEndpointAndOpensNewOnesElsewhere() throws Exception {
+        HttpMessage listCall = discovery.awaitCall();
         try (WebSocketEndpoint other = new WebSocketEndpoint()) {
-            asked.respond(
+            listCall.respond(
                     "200 OK",
                     "",
                     snapshot(
@@ -41,10 +41,10 @@
                 clients.add(open("d" + i));
                 assertEchoed(clients.get(i), "first");
             }
-            long there = other.received().stream()
+            long openedAtDrainingEndpoint = other.received().stream()
                     .filter(WebSocketDrainTest::isOpening)
                     .count();
-            assertThat(there).isPositive();
+            assertThat(openedAtDrainingEndpoint).isPositive();
             watch.respond("200 OK", "", delta(6, entry("b", other.address(), "terminating", 1)));
             long drainedNs = System.nanoTime();
             discovery.awaitCall();
@@ -60,7 +60,7 @@
                     assertThat(frame.text()).isEqualTo("second");
                 }
             }
-            assertThat(closed).isEqualTo((int) there);
+            assertThat(closed).isEqualTo((int) openedAtDrainingEndpoint);
             assertThat(open("new")).isNotNull();
             assertThat(other.received())
                     .noneMatch(received -> received.atNs() > drainedNs + 1_000_000_000L
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aRelayThatLeavesTellsEachSession() throws Exception {
+    void closesEachSessionOnShutdown() throws Exception {
         List<WebSocketPeer> clients = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             clients.add(open("t" + i));
@@ -88,18 +88,18 @@
             client.close();
         }
         assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
-        assertThat(relay.log()).contains("ends:").doesNotContain("unexpected");
+        assertThat(relay.log()).contains("shutdown complete:").doesNotContain("unexpected");
     }
 
     @Test
-    void aCanaryGetsNoMoreThanItsCapAndItsSessionsEndWhenItGoesBack() throws Exception {
-        HttpMessage list = discovery.awaitCall();
-        OutputStream news = startChunkedResponse(controller.awaitCall());
+    void keepsCanaryWithinExposureCapAndClosesItsSessionsOnRollback() throws Exception {
+        HttpMessage listCall = discovery.awaitCall();
+        OutputStream stateStream = startChunkedResponse(controller.awaitCall());
         try (WebSocketEndpoint canary = new WebSocketEndpoint()) {
-            String state =
+            String stateFormat =
                     "{\"type\":\"news\",\"object\":{\"release\":2,\"tranche\":0,\"mode\":\"%s\",\"exposure\":%s,\"old_ms\":1}}\n";
-            writeChunk(news, String.format(state, "trial", "0.2"));
-            list.respond(
+            writeChunk(stateStream, String.format(stateFormat, "trial", "0.2"));
+            listCall.respond(
                     "200 OK",
                     "",
                     snapshot(
@@ -109,20 +109,20 @@
             discovery.awaitCall();
             List<WebSocketPeer> clients = new ArrayList<>();
             for (int i = 0; i < 30; i++) {
-                // The budget of a canary endpoint grows with the work that is done, so this takes some time.
+                // The exposure budget of the canary grows as requests are completed, so the sessions are opened slowly.
                 clients.add(WebSocketPeer.open(relay.port(), "/read/x", "t" + i, "X-Size-Hint: 100000\r\n"));
                 Thread.sleep(60);
             }
-            long opens = canary.received().stream()
+            long openedAtCanary = canary.received().stream()
                     .filter(WebSocketDrainTest::isOpening)
                     .count();
-            assertThat(opens).isBetween(2L, 9L);
-            // All clients send at once, those at the canary as much as the others: there messages wait for the cap.
+            assertThat(openedAtCanary).isBetween(2L, 9L);
+            // All clients send as often as they can, so that messages to the canary wait for the exposure cap.
             AtomicBoolean stopped = new AtomicBoolean();
             List<Long> sentNs = sendMessages(clients, stopped);
             Thread.sleep(2_500);
             long rollbackNs = System.nanoTime();
-            writeChunk(news, String.format(state, "rolling_back", "0"));
+            writeChunk(stateStream, String.format(stateFormat, "rolling_back", "0"));
             Thread.sleep(1_500);
             stopped.set(true);
             List<Long> atCanaryNs = canary.received().stream()
@@ -130,20 +130,22 @@
                     .map(WebSocketEndpoint.Received::atNs)
                     .sorted()
                     .toList();
-            List<Long> takenNs = Stream.of(webSocketEndpoint.received(), canary.received())
+            List<Long> acceptedNs = Stream.of(webSocketEndpoint.received(), canary.received())
                     .flatMap(List::stream)
                     .filter(WebSocketDrainTest::isOpening)
                     .map(WebSocketEndpoint.Received::atNs)
                     .collect(Collectors.toCollection(ArrayList::new));
-            takenNs.addAll(sentNs);
-            assertWithinCap(atCanaryNs, takenNs);
+            acceptedNs.addAll(sentNs);
+            assertWithinExposureCap(atCanaryNs, acceptedNs);
             assertThat(atCanaryNs.stream().filter(ns -> ns > rollbackNs + 1_000_000_000L))
                     .isEmpty();
-            assertThat(atCanaryNs.size()).as("the cap is used").isGreaterThan(20);
+            assertThat(atCanaryNs.size())
+                    .as("messages and openings at the canary, which uses its exposure cap")
+                    .isGreaterThan(20);
             assertThat(canary.received().stream()
                             .filter(received -> received.what().equals("close 1001"))
                             .count())
-                    .isEqualTo(opens);
+                    .isEqualTo(openedAtCanary);
             for (WebSocketPeer client : clients) {
                 client.close();
             }
@@ -154,16 +156,19 @@
         return received.what().equals("open");
     }
 
-    /** Lets each client send a message after each echo until stopped; returns the times of the messages, which grow. */
+    /**
+     * Makes each client send the next message after the echo of the previous one, until stopped. Returns the list of
+     * the send times, which grows while the clients send.
+     */
     private static List<Long> sendMessages(List<WebSocketPeer> clients, AtomicBoolean stopped) {
-        AtomicInteger messages = new AtomicInteger();
+        AtomicInteger messageCount = new AtomicInteger();
         List<Long> sentNs = Collections.synchronizedList(new ArrayList<>());
         for (WebSocketPeer client : clients) {
             BackgroundTask.start(() -> {
                 boolean echoed = true;
                 while (echoed && !stopped.get()) {
                     sentNs.add(System.nanoTime());
-                    client.sendText("m" + messages.incrementAndGet());
+                    client.sendText("m" + messageCount.incrementAndGet());
                     echoed = client.readMessage().opcode() == WebSocketPeer.TEXT;
                     Thread.sleep(20);
                 }
@@ -172,18 +177,23 @@
         return sentNs;
     }
 
-    /** Checks that in all windows of some lengths the canary has no more than its cap of what was taken. */
-    private static void assertWithinCap(List<Long> atCanaryNs, List<Long> takenNs) {
+    /**
+     * Checks that the canary stays within its exposure cap in every window of 100 ms, 500 ms and 2 s.
+     *
+     * @param atCanaryNs the sorted times of openings and messages at the canary
+     * @param acceptedNs the times of all openings at endpoints and of all messages sent by clients
+     */
+    private static void assertWithinExposureCap(List<Long> atCanaryNs, List<Long> acceptedNs) {
         for (long fromNs : atCanaryNs) {
-            for (long spanNs : new long[] {100_000_000L, 500_000_000L, 2_000_000_000L}) {
+            for (long windowNs : new long[] {100_000_000L, 500_000_000L, 2_000_000_000L}) {
                 long attempts = atCanaryNs.stream()
-                        .filter(ns -> ns >= fromNs && ns <= fromNs + spanNs)
+                        .filter(ns -> ns >= fromNs && ns <= fromNs + windowNs)
                         .count();
-                long requests = takenNs.stream()
-                        .filter(ns -> ns >= fromNs - 150_000_000L && ns <= fromNs + spanNs)
+                long requests = acceptedNs.stream()
+                        .filter(ns -> ns >= fromNs - 150_000_000L && ns <= fromNs + windowNs)
                         .count();
                 assertThat((double) attempts)
-                        .as("%d requests in %d ns", requests, spanNs)
+                        .as("attempts at the canary for %d requests in %d ns", requests, windowNs)
                         .isLessThanOrEqualTo(2 + 2 + 0.24 * requests);
             }
         }
--- a/src/test/java/gatelock/WebSocketSessionTest.java
+++ b/src/test/java/gatelock/WebSocketSessionTest.java
@@ -10,30 +10,30 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** WebSocket sessions through a relay: messages, close codes, limits and violations of the protocol. */
+/** WebSocket sessions through a relay: messages, close codes, limits and protocol violations. */
 final class WebSocketSessionTest extends WebSocketTestCase {
     /**
      * A frame that violates RFC 6455.
      *
-     * @param section of the RFC, and what is wrong
-     * @param firstByte of the frame
-     * @param body in ISO 8859-1
-     * @param closeCode with which the relay closes
+     * @param section the section of the RFC and a description of the violation
+     * @param firstByte the first byte of the frame
+     * @param body the payload of the frame, in ISO 8859-1
+     * @param closeCode the code with which the relay is expected to close the session
      */
     private record Violation(String section, int firstByte, String body, int closeCode) {}
 
     @Test
-    void framesGoBothWaysAndACloseGoesThroughWithItsCode() throws Exception {
+    void relaysMessagesAndCloseCode() throws Exception {
         try (WebSocketPeer client = open("a")) {
             for (int i = 0; i < 50; i++) {
-                assertEchoed(client, "weight " + i + " \u0da7");
+                assertEchoed(client, "message " + i + " \u0da7");
             }
-            client.sendClose(4001, "seen enough");
+            client.sendClose(4001, "done");
             WebSocketPeer.Frame close = client.readMessage();
             assertThat(close.code()).isEqualTo(4001);
             assertThat(client.readMessage().opcode()).isEqualTo(-1);
         }
-        // The endpoint records the close on its own thread, somewhat later.
+        // The endpoint records the close on a thread of its own, possibly after the client has read it.
         for (int i = 0;
                 i < 200
                         && webSocketEndpoint.received().stream()
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void fragmentsWithSignsOfLifeInBetweenAreOneMessageAndBinaryStaysBinary() throws Exception {
+    void relaysFragmentedMessageWithInterleavedPingAndBinaryMessage() throws Exception {
         try (WebSocketPeer client = open("f")) {
             client.sendFrame(WebSocketPeer.TEXT, "one ".getBytes(StandardCharsets.UTF_8));
             client.sendFrame(WebSocketPeer.FINAL | WebSocketPeer.PING, "alive".getBytes(StandardCharsets.UTF_8));
@@ -58,16 +58,16 @@
             assertThat(client.readMessage().text()).isEqualTo("one two three");
             byte[] bytes = {0, (byte) 0xff, 7};
             client.sendFrame(WebSocketPeer.FINAL | WebSocketPeer.BINARY, bytes);
-            WebSocketPeer.Frame back = client.readMessage();
-            assertThat(back.opcode()).isEqualTo(WebSocketPeer.BINARY);
-            assertThat(back.body()).isEqualTo(bytes);
+            WebSocketPeer.Frame echo = client.readMessage();
+            assertThat(echo.opcode()).isEqualTo(WebSocketPeer.BINARY);
+            assertThat(echo.body()).isEqualTo(bytes);
             client.sendFrame(WebSocketPeer.FINAL | WebSocketPeer.TEXT, new byte[0]);
             assertThat(client.readMessage().body()).isEmpty();
         }
     }
 
     @Test
-    void aFloodOfFramesEndsThatSessionOnly() throws Exception {
+    void closesOnlySessionThatExceedsFrameRate() throws Exception {
         try (WebSocketPeer client = open("flood");
                 WebSocketPeer other = open("other")) {
             BackgroundTask.start(() -> {
@@ -76,12 +76,12 @@
                 }
             });
             assertThat(client.readMessage().code()).isEqualTo(1008);
-            assertEchoed(other, "unharmed");
+            assertEchoed(other, "unaffected");
         }
     }
 
     @Test
-    void anUpgradeThatCantBeIsAPlainAnswer() throws Exception {
+    void respondsWithHttpErrorWhenEndpointRejectsUpgrade() throws Exception {
         webSocketEndpoint.rejectRequests();
         assertThatThrownBy(() -> open("a"))
                 .isInstanceOf(WebSocketPeer.HandshakeRejected.class)
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void anEndpointThatIsLostAndAClientThatIsLostAreToldToTheOther() throws Exception {
+    void closesOtherSideWhenEndpointOrClientDisconnects() throws Exception {
         webSocketEndpoint.stopEchoing();
         try (WebSocketPeer client = open("a")) {
             webSocketEndpoint.awaitSession().close();
@@ -102,29 +102,29 @@
     }
 
     @Test
-    void whatIsAgainstTheProtocolEndsThatSessionWithItsCode() throws Exception {
+    void closesOnlySessionThatViolatesProtocol() throws Exception {
         List<Violation> violations = List.of(
                 new Violation("5.2 reserved bit", 0xC1, "x", 1002),
                 new Violation("5.2 unknown opcode", 0x83, "x", 1002),
-                new Violation("5.2 unknown control", 0x8B, "x", 1002),
-                new Violation("5.4 continuation of nothing", 0x80, "x", 1002),
-                new Violation("5.5 control over 125 bytes", 0x89, "\0".repeat(126), 1002),
-                new Violation("5.5 control in fragments", 0x09, "x", 1002),
-                new Violation("8.1 no UTF-8", 0x81, "\u00c3(", 1007),
-                new Violation("10.4 too big", 0x81, "y".repeat(2000), 1009));
+                new Violation("5.2 unknown control opcode", 0x8B, "x", 1002),
+                new Violation("5.4 continuation without start", 0x80, "x", 1002),
+                new Violation("5.5 control frame over 125 bytes", 0x89, "\0".repeat(126), 1002),
+                new Violation("5.5 fragmented control frame", 0x09, "x", 1002),
+                new Violation("8.1 invalid UTF-8", 0x81, "\u00c3(", 1007),
+                new Violation("10.4 message too large", 0x81, "y".repeat(2000), 1009));
         for (Violation violation : violations) {
             try (WebSocketPeer client = open("c" + violation.section);
                     WebSocketPeer other = open("o" + violation.section)) {
                 client.sendFrame(violation.firstByte, violation.body.getBytes(StandardCharsets.ISO_8859_1));
                 assertThat(client.readMessage().code()).as(violation.section).isEqualTo(violation.closeCode);
-                assertEchoed(other, "unharmed");
+                assertEchoed(other, "unaffected");
             }
         }
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
     @Test
-    void aLimitHoldsForAsLongAsSessionsAreOpen() throws Exception {
+    void countsOpenSessionsAgainstLimitUntilTheyClose() throws Exception {
         List<WebSocketPeer> clients = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             clients.add(open("l" + i));
@@ -137,17 +137,17 @@
         assertThat(clients.get(0).readMessage().code()).isEqualTo(1000);
         for (int i = 0; i < 100; i++) {
             try (WebSocketPeer client = open("again" + i)) {
-                assertEchoed(client, "room");
+                assertEchoed(client, "capacity");
                 return;
             } catch (WebSocketPeer.HandshakeRejected e) {
                 Thread.sleep(20);
             }
         }
-        throw new AssertionError("what a session held was never free");
+        throw new AssertionError("expected a new session to open after one of the 40 was closed");
     }
 
     @Test
-    void aSideThatGivesNoSignOfLifeEndsTheSession() throws Exception {
+    void closesSessionWhenPingsAreNotAnswered() throws Exception {
         webSocketEndpoint.stopEchoing();
         try (WebSocketPeer client = WebSocketPeer.open(relay.port(), "/read/quick", "mute", "")) {
             WebSocketPeer endpointPeer = webSocketEndpoint.awaitSession();
--- a/src/test/java/gatelock/WebSocketTestCase.java
+++ b/src/test/java/gatelock/WebSocketTestCase.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Base class of the tests of WebSocket sessions: a relay that permits them and an endpoint that echoes. */
+/** Base class of the tests of WebSocket sessions: runs a relay that permits them and an endpoint that echoes. */
 abstract class WebSocketTestCase extends RelayTestCase {
-    private static final String PLAN = "{\"format\": 1, \"unmatched\": \"refuse\", \"limits\": {\"few\": "
+    private static final String CONFIG_VERSION = "{\"format\": 1, \"unmatched\": \"refuse\", \"limits\": {\"few\": "
             + "{\"inFlight\": 40}},"
             + " \"routes\": [{\"name\": \"quick\", \"path\": \"/read/quick\", \"class\": \"read\", "
             + "\"sessions\": {\"pingS\": 0.5}},"
@@ -35,7 +35,7 @@
         relay.writeConfig(relay.configText()
                 .replace(endpoint.address(), webSocketEndpoint.address())
                 .replace("\"deadlineNs\": 1000000000", "\"deadlineNs\": 2500000000"));
-        control.offer(1, "s", 1, PLAN);
+        control.offer(1, "s", 1, CONFIG_VERSION);
         Path operator = directory.resolve("operator.json");
         Files.writeString(
                 operator,
@@ -52,12 +52,12 @@
         control.close();
     }
 
-    /** Opens a session as a client. */
+    /** Opens a client session on a route of the relay that permits sessions. */
     protected final WebSocketPeer open(String id) throws Exception {
-        return WebSocketPeer.open(relay.port(), "/read/hive/7?since=3", id, "");
+        return WebSocketPeer.open(relay.port(), "/read/items/7?since=3", id, "");
     }
 
-    /** Checks that the endpoint echoes a text message. */
+    /** Sends a text message and checks that the endpoint echoes it. */
     protected static void assertEchoed(WebSocketPeer client, String text) throws Exception {
         client.sendText(text);
         assertThat(client.readMessage().text()).isEqualTo(text);
