--- a/src/test/java/gatelock/ConfigUpdateTest.java
+++ b/src/test/java/gatelock/ConfigUpdateTest.java
@@ -65,6 +65,7 @@
                 note, burst);
     }
 
+    /** Writes the operator's file and starts the relay with it. */
     private void start() throws Exception {
         Path operator = directory.resolve("operator.json");
         Files.writeString(
@@ -91,6 +92,7 @@
         }
     }
 
+    /** Sends a request on a new connection and checks that the endpoint serves it. */
     private void assertServed(String requestLine, String traceId) throws Exception {
         try (Socket client = relay.connect()) {
             sendRequest(client, requestLine, traceId, "", "x");
@@ -154,6 +156,7 @@
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
+    /** Returns a configuration version with 8000 routes that removes the routes of the previous version. */
     private static String versionTextWithManyRoutes() {
         List<String> routes = new ArrayList<>();
         for (int i = 0; i < 8_000; i++) {
@@ -362,6 +365,7 @@
                 .allMatch(line -> line.contains("\"version\""));
     }
 
+    /** Runs a subcommand of the program and checks its exit code; returns its standard output and error. */
     private String runCommand(int expectedExitCode, String... arguments) throws Exception {
         Process process =
                 RelayUnderTest.command(arguments).redirectErrorStream(true).start();
--- a/src/test/java/gatelock/EndingsTest.java
+++ b/src/test/java/gatelock/EndingsTest.java
@@ -34,6 +34,7 @@
         }
     }
 
+    /** Sends a request and checks that the server gets it and that the client gets the response. */
     private static void assertServed(Socket client, String requestLine, String traceId, FakeServer server)
             throws Exception {
         sendRequest(
@@ -240,6 +241,7 @@
         assertThat(relay.log()).contains("shutdown complete:").doesNotContain("unexpected");
     }
 
+    /** Starts the relay without its warm-up and connects before it has an endpoint list. */
     private Socket launchColdAndConnect() throws Exception {
         relay.launchCold();
         return relay.connectWhenListening();
--- a/src/test/java/gatelock/EndpointSubsetRelayTest.java
+++ b/src/test/java/gatelock/EndpointSubsetRelayTest.java
@@ -42,6 +42,7 @@
 
     private String maxListBytesSetting = "";
 
+    /** Starts the relay with the settings of the subset and further settings, as JSON text, in the operator's file. */
     private void start(String moreSettings) throws Exception {
         Path operator = directory.resolve("operator.json");
         Files.writeString(
@@ -53,6 +54,7 @@
         relay.launchCold("--operator", operator.toString());
     }
 
+    /** Returns the name of an endpoint; long, so that the full list exceeds 2 MiB. */
     private static String name(int i) {
         return "unit-of-a-long-name-in-a-far-away-place-0123456789-0123456789-" + i;
     }
@@ -143,6 +145,7 @@
         assertThat(consecutive).isEqualTo(30);
     }
 
+    /** Stops the relay and checks that its log never called discovery silent. */
     private void assertStopsCleanlyWithoutSilentDiscovery() throws Exception {
         assertStopsCleanly();
         assertThat(relay.log()).doesNotContain("silent");
--- a/src/test/java/gatelock/LateConnectionsTest.java
+++ b/src/test/java/gatelock/LateConnectionsTest.java
@@ -20,8 +20,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against requests that reach an endpoint that may no longer get them: while a slow connection is being
- * established, the endpoint leaves or its build is rolled back. The tests check which requests reach the endpoint.
+ * Guards against requests that reach an endpoint that may no longer get them: while a connection is being
+ * established, the endpoint drains or terminates, or its build is rolled back. The tests judge by the bytes that reach
+ * the endpoint.
  */
 final class LateConnectionsTest extends RelayTestCase {
     private FakeServer slowEndpoint;
@@ -56,6 +57,7 @@
         assertThat(slowEndpoint.calls().poll(4, TimeUnit.SECONDS)).isNull();
     }
 
+    /** Checks that the pending request of the client is served by the other endpoint. */
     private void assertServedByOtherEndpoint(Socket client) throws Exception {
         otherEndpoint.awaitCall().respond("200 OK", "", "elsewhere");
         assertThat(readMessage(client).body()).isEqualTo("elsewhere");
@@ -96,9 +98,8 @@
         writeChunk(stateStream, String.format(stateFormat, "trial", "1.0"));
         Thread.sleep(200);
         try (Socket client = relay.connect()) {
-            // The canary gets a share of the requests. The first request that does not reach the other endpoint waits
-            // for
-            // the connection to the canary.
+            // The canary gets a share of the requests. The first request that does not reach the other endpoint was
+            // sent to the canary and waits for its connection.
             HttpMessage callAtOther;
             int requestCount = 0;
             do {
--- a/src/test/java/gatelock/OversizedListTest.java
+++ b/src/test/java/gatelock/OversizedListTest.java
@@ -16,6 +16,7 @@
 final class OversizedListTest extends RelayTestCase {
     private static final int OVERSIZED_BYTES = 3_000_000;
 
+    /** Sends the head and the first bytes of a response whose declared length is over the limit. */
     private static void beginOversizedList(HttpMessage call) throws Exception {
         RawHttp.write(call.socket(), "HTTP/1.1 200 OK\r\nContent-Length: " + OVERSIZED_BYTES + "\r\n\r\n{\"index\":1");
     }
--- a/src/test/java/gatelock/ShutdownTest.java
+++ b/src/test/java/gatelock/ShutdownTest.java
@@ -23,9 +23,8 @@
             relay.process().destroy();
             call.respond("200 OK", "", "answered");
             assertThat(readMessage(client).body()).isEqualTo("answered");
-            // The persistent connection is served during the drain and is then closed, either with a response or
-            // between
-            // two requests.
+            // The persistent connection is served during the drain and is then closed, with a response or between two
+            // requests.
             BackgroundTask.start(() -> {
                 while (true) {
                     endpoint.awaitCall().respond("200 OK", "", "more");
--- a/src/test/java/gatelock/WebSocketDrainTest.java
+++ b/src/test/java/gatelock/WebSocketDrainTest.java
@@ -117,7 +117,7 @@
                     .filter(WebSocketDrainTest::isOpening)
                     .count();
             assertThat(openedAtCanary).isBetween(2L, 9L);
-            // All clients send as often as they can, so that messages to the canary wait for the exposure cap.
+            // All clients send at once. Messages of the sessions at the canary wait for the exposure cap.
             AtomicBoolean stopped = new AtomicBoolean();
             List<Long> sentNs = sendMessages(clients, stopped);
             Thread.sleep(2_500);
@@ -152,6 +152,7 @@
         }
     }
 
+    /** Returns whether an event at an endpoint is the opening of a session. */
     private static boolean isOpening(WebSocketEndpoint.Received received) {
         return received.what().equals("open");
     }
