--- a/src/test/java/gatelock/membership/BenchmarkList.java
+++ b/src/test/java/gatelock/membership/BenchmarkList.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** Lists of endpoints that look like those of a large platform, for the benchmarks. */
+/** Generates endpoint lists like those of a large platform for the benchmarks. */
 final class BenchmarkList {
     static final long SECOND_US = 1_000_000;
     private static final long FIRST_START_US = 1_780_000_000_000_000L;
@@ -13,11 +13,12 @@
 
     private BenchmarkList() {}
 
-    /** The endpoint of a number after some restarts. */
+    /** Returns the endpoint with a number, whose start time is one second later after each restart. */
     static EndpointEntry endpoint(int number, int services, int restarts) {
         return endpoint(number, services, number % ZONES, restarts);
     }
 
+    /** Returns the endpoint with a number in the given zone. */
     static EndpointEntry endpoint(int number, int services, int zone, int restarts) {
         return new EndpointEntry(
                 name(number),
@@ -31,19 +32,20 @@
                 FIRST_START_US + number * 1000L + restarts * SECOND_US);
     }
 
-    /** A full list of endpoints that was read and not taken yet. */
-    static EndpointSubset.ListUpdate read(EndpointSubset subset, int endpoints, int services, int restarts) {
-        EndpointSubset.ListUpdate reading = subset.beginUpdate(true);
+    /** Stages a full list of endpoints without committing it. */
+    static EndpointSubset.ListUpdate stageFullList(EndpointSubset subset, int endpoints, int services, int restarts) {
+        EndpointSubset.ListUpdate update = subset.beginUpdate(true);
         for (int number = 0; number < endpoints; number++) {
-            reading.add(endpoint(number, services, restarts));
+            update.add(endpoint(number, services, restarts));
         }
-        return reading;
+        return update;
     }
 
-    /** Takes a full list and draws the numbers of endpoints that are in the subset, or that are not. */
-    static int[] draw(EndpointSubset subset, int endpoints, int services, boolean inSubset, int count) {
+    /** Commits a full list and returns random numbers of endpoints inside the subset or outside of it. */
+    static int[] sample(EndpointSubset subset, int endpoints, int services, boolean inSubset, int count) {
         Set<String> members = new HashSet<>();
-        EndpointSubset.Change change = read(subset, endpoints, services, 0).commit(0, 1);
+        EndpointSubset.Change change =
+                stageFullList(subset, endpoints, services, 0).commit(0, 1);
         change.entries().forEach(entry -> members.add(entry.name()));
         return new SplittableRandom(5)
                 .ints(endpoints * 4L, 0, endpoints)
--- a/src/test/java/gatelock/membership/CollidingRanking.java
+++ b/src/test/java/gatelock/membership/CollidingRanking.java
@@ -1,6 +1,6 @@
 package gatelock.membership;
 
-/** A ranking in which nearly all names have the same hash. */
+/** A ranking with few distinct hashes, so that the hashes of most names collide. */
 final class CollidingRanking extends RendezvousRanking {
     private final int distinctHashes;
 
--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Compares the packed store with a map, also where hashes of names are equal. */
+/** Compares the packed store with a map, including cases in which the hashes of names collide. */
 final class EndpointStoreTest {
     private static final List<Endpoint.Health> HEALTH = List.of(Endpoint.Health.values());
 
@@ -63,7 +63,7 @@
     }
 
     @Property(tries = 300)
-    void storesTheSameEntriesAsAMap(@ForAll long seed, @ForAll boolean colliding) {
+    void storesSameEntriesAsMap(@ForAll long seed, @ForAll boolean colliding) {
         RandomGenerator random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
         int names = 1 + random.nextInt(120);
         EndpointStore store = new EndpointStore(
@@ -81,15 +81,15 @@
             assertThat(store.size()).isEqualTo(model.size());
         }
         model.forEach((name, entry) -> {
-            int place = store.find(name);
-            assertThat(store.entry(place)).isEqualTo(entry);
-            assertThat(store.name(place)).isEqualTo(name);
-            assertThat(store.zone(place)).isEqualTo(entry.zone());
-            assertThat(store.health(place)).isEqualTo(entry.health());
+            int handle = store.find(name);
+            assertThat(store.entry(handle)).isEqualTo(entry);
+            assertThat(store.name(handle)).isEqualTo(name);
+            assertThat(store.zone(handle)).isEqualTo(entry.zone());
+            assertThat(store.health(handle)).isEqualTo(entry.health());
         });
-        Map<String, EndpointEntry> each = new HashMap<>();
-        store.forEach(place -> each.put(store.name(place), store.entry(place)));
-        assertThat(each).isEqualTo(model);
+        Map<String, EndpointEntry> visited = new HashMap<>();
+        store.forEach(handle -> visited.put(store.name(handle), store.entry(handle)));
+        assertThat(visited).isEqualTo(model);
         Map<String, Map<String, EndpointEntry>> byService = new TreeMap<>();
         model.values()
                 .forEach(entry -> byService
@@ -97,11 +97,13 @@
                         .put(entry.name(), entry));
         assertThat(store.serviceNames()).containsExactlyInAnyOrderElementsOf(byService.keySet());
         byService.forEach((service, endpoints) -> {
-            Map<String, EndpointEntry> its = new TreeMap<>();
-            for (int at = store.first(service); at >= 0; at = store.next(at)) {
-                its.put(store.name(at), store.entry(at));
+            Map<String, EndpointEntry> storedOfService = new TreeMap<>();
+            for (int handleOfService = store.first(service);
+                    handleOfService >= 0;
+                    handleOfService = store.next(handleOfService)) {
+                storedOfService.put(store.name(handleOfService), store.entry(handleOfService));
             }
-            assertThat(its).isEqualTo(endpoints);
+            assertThat(storedOfService).isEqualTo(endpoints);
             assertThat(store.endpointCount(service)).isEqualTo(endpoints.size());
             assertThat(store.readyCount(service)).isEqualTo((int) endpoints.values().stream()
                     .filter(entry -> entry.health() == Endpoint.Health.READY)
@@ -120,10 +122,10 @@
         }
         assertThat(store.size()).isEqualTo(500);
         for (int i = 0; i < 1000; i++) {
-            int place = store.find("unit-" + i);
-            assertThat(place >= 0).isEqualTo(i % 2 == 1);
-            if (place >= 0) {
-                assertThat(store.entry(place).address()).isEqualTo("10.0.0.1:" + i);
+            int handle = store.find("unit-" + i);
+            assertThat(handle >= 0).isEqualTo(i % 2 == 1);
+            if (handle >= 0) {
+                assertThat(store.entry(handle).address()).isEqualTo("10.0.0.1:" + i);
             }
         }
     }
@@ -154,7 +156,7 @@
     }
 
     @Test
-    void rejectsInvalidEntriesWithoutAChange() {
+    void rejectsInvalidEntryWithoutChangingStore() {
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         store.put(entry("a", "s", "10.0.0.1:80"));
         assertThatThrownBy(() -> store.put(new EndpointEntry(
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -18,41 +18,43 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What must hold of a subset whatever the sequence of lists, changes, silent endpoints and time. */
+/** Checks invariants of a subset during random sequences of full lists, changes, silent endpoints and elapsed time. */
 final class EndpointSubsetPropertiesTest {
     private static final long REFRESH_US = 250_000;
     private static final int ENDPOINTS = 40;
     private static final int SERVICES = 5;
     private static final List<Endpoint.Health> HEALTH = List.of(Endpoint.Health.values());
 
-    private final Map<String, EndpointEntry> list = new TreeMap<>();
-    private final Set<String> silent = new HashSet<>();
+    private final Map<String, EndpointEntry> listedEndpoints = new TreeMap<>();
+    private final Set<String> silentEndpoints = new HashSet<>();
     private RandomGenerator random;
-    private EndpointSubset.Policy terms;
+    private EndpointSubset.Policy policy;
     private SubsetHarness relay;
 
-    private void start(long seed, boolean roomy, boolean colliding) {
+    private void start(long seed, boolean spaceForAll, boolean colliding) {
         random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-        int perService = 1 + random.nextInt(4);
-        int most = roomy ? ENDPOINTS * 2 : 1 + random.nextInt(2 * SERVICES);
-        double part = Math.max(0, random.nextInt(5) - 1) / 3.0;
-        terms = new EndpointSubset.Policy(
+        int minPerService = 1 + random.nextInt(4);
+        int maxEndpoints = spaceForAll ? ENDPOINTS * 2 : 1 + random.nextInt(2 * SERVICES);
+        double fraction = Math.max(0, random.nextInt(5) - 1) / 3.0;
+        policy = new EndpointSubset.Policy(
                 random.nextInt(5_700),
                 random.nextInt(4) - 1,
-                most,
-                perService,
-                part,
+                maxEndpoints,
+                minPerService,
+                fraction,
                 random.nextInt(3),
                 random.nextInt(3_000_000));
         relay = new SubsetHarness(newSubset(colliding));
-        list.clear();
-        silent.clear();
+        listedEndpoints.clear();
+        silentEndpoints.clear();
     }
 
     private EndpointSubset newSubset(boolean colliding) {
         return new EndpointSubset(
-                terms,
-                colliding ? new CollidingRanking(terms.relayNumber(), 3) : new RendezvousRanking(terms.relayNumber()));
+                policy,
+                colliding
+                        ? new CollidingRanking(policy.relayNumber(), 3)
+                        : new RendezvousRanking(policy.relayNumber()));
     }
 
     private EndpointEntry randomEntry() {
@@ -71,80 +73,80 @@
                 random.nextInt(3) * 1000L);
     }
 
-    private void noteListed(EndpointEntry entry) {
+    private void updateListedEndpoints(EndpointEntry entry) {
         if (entry.health() == Endpoint.Health.GONE) {
-            list.remove(entry.name());
+            listedEndpoints.remove(entry.name());
         } else {
-            list.put(entry.name(), entry);
+            listedEndpoints.put(entry.name(), entry);
         }
     }
 
-    private void playFullList() {
+    private void commitRandomFullList() {
         Map<String, EndpointEntry> entries = new TreeMap<>();
         for (int n = random.nextInt(2 * ENDPOINTS); n > 0; n--) {
             EndpointEntry entry = randomEntry();
             entries.put(entry.name(), entry);
         }
-        list.clear();
-        entries.values().forEach(this::noteListed);
-        relay.fullList(entries.values());
+        listedEndpoints.clear();
+        entries.values().forEach(this::updateListedEndpoints);
+        relay.commitFullList(entries.values());
         assertThat(relay.lastChange.full()).isTrue();
     }
 
-    private void playChange() {
+    private void commitRandomChange() {
         List<EndpointEntry> entries = new ArrayList<>();
         for (int n = 1 + random.nextInt(6); n > 0; n--) {
             entries.add(randomEntry());
         }
         if (random.nextInt(10) == 0) {
-            // All endpoints of a zone or a service at once.
-            Predicate<EndpointEntry> lost = random.nextBoolean()
+            // Removes or drains all endpoints of a zone or a service at once.
+            Predicate<EndpointEntry> isLost = random.nextBoolean()
                     ? entry -> entry.zone() == random.nextInt(3)
                     : entry -> entry.service().equals("s" + random.nextInt(SERVICES));
-            list.values().stream()
-                    .filter(lost)
+            listedEndpoints.values().stream()
+                    .filter(isLost)
                     .forEach(entry -> entries.add(
                             random.nextBoolean()
                                     ? entry.gone()
                                     : SubsetHarness.endpoint(
                                             entry.name(), entry.service(), entry.zone(), Endpoint.Health.DRAINING)));
         }
-        entries.forEach(this::noteListed);
-        relay.change(entries);
+        entries.forEach(this::updateListedEndpoints);
+        relay.commitChange(entries);
         assertThat(relay.lastChange.full()).isFalse();
     }
 
-    private void playDroppedReading() {
+    private void dropRandomUpdate() {
         int before = relay.subset.listedCount();
-        EndpointSubset.ListUpdate reading = relay.subset.beginUpdate(random.nextBoolean());
+        EndpointSubset.ListUpdate update = relay.subset.beginUpdate(random.nextBoolean());
         Set<String> names = new HashSet<>();
         for (int n = random.nextInt(ENDPOINTS); n > 0; n--) {
             EndpointEntry entry = randomEntry();
             if (names.add(entry.name())) {
-                reading.add(entry);
+                update.add(entry);
             }
         }
         assertThat(relay.subset.listedCount()).isEqualTo(before);
     }
 
-    private void playAttempts() {
+    private void recordRandomAttempts() {
         for (String endpoint : relay.readyEndpoints()) {
             if (random.nextInt(3) > 0) {
-                relay.attemptEnded(endpoint, !silent.contains(endpoint));
+                relay.recordAttempt(endpoint, !silentEndpoints.contains(endpoint));
             }
         }
     }
 
-    private void playStep() {
+    private void runRandomStep() {
         switch (random.nextInt(8)) {
-            case 0 -> playFullList();
-            case 1, 2, 3 -> playChange();
-            case 4 -> playDroppedReading();
+            case 0 -> commitRandomFullList();
+            case 1, 2, 3 -> commitRandomChange();
+            case 4 -> dropRandomUpdate();
             case 5 -> {
-                silent.clear();
-                random.ints(random.nextInt(ENDPOINTS), 0, ENDPOINTS).forEach(n -> silent.add("u" + n));
+                silentEndpoints.clear();
+                random.ints(random.nextInt(ENDPOINTS), 0, ENDPOINTS).forEach(n -> silentEndpoints.add("u" + n));
             }
-            case 6 -> playAttempts();
+            case 6 -> recordRandomAttempts();
             default -> relay.advance(random.nextInt(1_500_000));
         }
     }
@@ -159,125 +161,128 @@
     }
 
     private void checkInvariants() {
-        assertThat(relay.subset.listedCount()).isEqualTo(list.size());
-        assertThat(relay.subset.serviceCount()).isEqualTo((int)
-                list.values().stream().map(EndpointEntry::service).distinct().count());
+        assertThat(relay.subset.listedCount()).isEqualTo(listedEndpoints.size());
+        assertThat(relay.subset.serviceCount()).isEqualTo((int) listedEndpoints.values().stream()
+                .map(EndpointEntry::service)
+                .distinct()
+                .count());
         assertThat(relay.subset.subsetSize())
-                .isEqualTo(relay.notified.size())
-                .isLessThanOrEqualTo(terms.maxEndpoints());
-        // The decisions know what is listed: changes of members are notified at once.
-        relay.notified.forEach((name, entry) -> assertThat(entry).isEqualTo(list.get(name)));
-        Map<String, Set<String>> listed = readyByService(list.values());
-        Map<String, Set<String>> used = readyByService(relay.notified.values());
-        int withoutMember = 0;
+                .isEqualTo(relay.notifiedEndpoints.size())
+                .isLessThanOrEqualTo(policy.maxEndpoints());
+        // Changes of endpoints in the subset are notified at once, so known entries equal the listed ones.
+        relay.notifiedEndpoints.forEach((name, entry) -> assertThat(entry).isEqualTo(listedEndpoints.get(name)));
+        Map<String, Set<String>> listed = readyByService(listedEndpoints.values());
+        Map<String, Set<String>> used = readyByService(relay.notifiedEndpoints.values());
+        int servicesWithoutMember = 0;
         for (String service : listed.keySet()) {
             int members = used.getOrDefault(service, Set.of()).size();
             int ready = listed.get(service).size();
-            // Where there are places for all that is listed, a service has all that the terms say.
-            int wanted = Math.min(
-                    ready, terms.maxEndpoints() >= ENDPOINTS ? terms.target(ready) : relay.subset.targetPerService());
-            withoutMember += members == 0 ? 1 : 0;
-            assertThat(members).as("endpoints of " + service).isGreaterThanOrEqualTo(wanted);
+            // If maxEndpoints allows all endpoints, each service has the full target of the policy.
+            int minMembers = Math.min(
+                    ready, policy.maxEndpoints() >= ENDPOINTS ? policy.target(ready) : relay.subset.targetPerService());
+            servicesWithoutMember += members == 0 ? 1 : 0;
+            assertThat(members).as("enough endpoints of service " + service).isGreaterThanOrEqualTo(minMembers);
         }
-        int withoutPlace = Math.max(0, listed.size() - terms.maxEndpoints());
-        assertThat(withoutMember).isEqualTo(withoutPlace);
-        assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(withoutPlace);
+        int servicesWithoutPlace = Math.max(0, listed.size() - policy.maxEndpoints());
+        assertThat(servicesWithoutMember).isEqualTo(servicesWithoutPlace);
+        assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(servicesWithoutPlace);
     }
 
     @Property(tries = 400)
-    void subsetAgreesWithTheListStaysWithinTheBoundAndServesEveryService(
-            @ForAll long seed, @ForAll boolean roomy, @ForAll boolean colliding) {
-        start(seed, roomy, colliding);
+    void matchesListWithinBoundAndServesEveryServiceAfterEachStep(
+            @ForAll long seed, @ForAll boolean spaceForAll, @ForAll boolean colliding) {
+        start(seed, spaceForAll, colliding);
         for (int i = 0; i < 120; i++) {
-            playStep();
+            runRandomStep();
             checkInvariants();
         }
     }
 
-    /** All endpoints answer again and time passes. */
-    private void recover() {
-        silent.clear();
+    /** Lets all endpoints answer and advances the clock until surplus endpoints are removed. */
+    private void recoverAllEndpoints() {
+        silentEndpoints.clear();
         for (int i = 0; i < 3; i++) {
-            relay.attemptAll(Set.of());
-            relay.advance(terms.settleUs() + REFRESH_US);
+            relay.recordAttemptAtEachEndpoint(Set.of());
+            relay.advance(policy.settleUs() + REFRESH_US);
             checkInvariants();
         }
     }
 
     @Property(tries = 400)
-    void recoversToTheSubsetOfANewRelay(@ForAll long seed, @ForAll boolean colliding) {
+    void returnsToSubsetOfNewRelayAfterRecovery(@ForAll long seed, @ForAll boolean colliding) {
         start(seed, true, colliding);
         for (int i = 0; i < 80; i++) {
-            playStep();
+            runRandomStep();
         }
-        recover();
+        recoverAllEndpoints();
         SubsetHarness other = new SubsetHarness(newSubset(colliding));
-        other.fullList(list.values());
+        other.commitFullList(listedEndpoints.values());
         assertThat(relay.readyEndpoints()).isEqualTo(other.readyEndpoints());
-        int notifiedBefore = relay.notifiedEntries;
+        int notifiedBefore = relay.notifiedEntryCount;
         for (int i = 0; i < 20; i++) {
-            relay.attemptAll(Set.of());
+            relay.recordAttemptAtEachEndpoint(Set.of());
             relay.advance(REFRESH_US);
         }
-        assertThat(relay.notifiedEntries)
-                .as("entries relay while nothing happens")
+        assertThat(relay.notifiedEntryCount)
+                .as("notified entries are unchanged while nothing happens")
                 .isEqualTo(notifiedBefore);
     }
 
     @Property(tries = 300)
-    void findsTheEndpointThatAnswersAndThenStaysStable(@ForAll long seed, @ForAll boolean roomy) {
-        start(seed, roomy, false);
+    void findsAnsweringEndpointOfEachServiceAndThenStaysStable(@ForAll long seed, @ForAll boolean spaceForAll) {
+        start(seed, spaceForAll, false);
         for (int i = 0; i < 40; i++) {
-            playStep();
+            runRandomStep();
         }
-        silent.clear();
-        Map<String, Set<String>> ready = readyByService(list.values());
+        silentEndpoints.clear();
+        Map<String, Set<String>> ready = readyByService(listedEndpoints.values());
         ready.values().forEach(its -> {
             List<String> names = new ArrayList<>(its);
             String answering = names.get(random.nextInt(names.size()));
-            names.stream().filter(name -> !name.equals(answering)).forEach(silent::add);
+            names.stream().filter(name -> !name.equals(answering)).forEach(silentEndpoints::add);
         });
-        if (ready.size() > terms.maxEndpoints()) {
+        if (ready.size() > policy.maxEndpoints()) {
             return;
         }
         for (int i = 0; i < 2 * ENDPOINTS; i++) {
-            relay.attemptAll(silent);
+            relay.recordAttemptAtEachEndpoint(silentEndpoints);
             relay.advance(REFRESH_US);
             checkInvariants();
         }
-        ready.forEach((service, its) ->
-                assertThat(relay.readyEndpoints(service)).as(service).anyMatch(name -> !silent.contains(name)));
-        if (roomy) {
-            relay.advance(2 * terms.settleUs());
+        ready.forEach((service, its) -> assertThat(relay.readyEndpoints(service))
+                .as(service)
+                .anyMatch(name -> !silentEndpoints.contains(name)));
+        if (spaceForAll) {
+            relay.advance(2 * policy.settleUs());
             relay.advance(REFRESH_US);
-            int notifiedBefore = relay.notifiedEntries;
+            int notifiedBefore = relay.notifiedEntryCount;
             for (int i = 0; i < 40; i++) {
-                relay.attemptAll(silent);
+                relay.recordAttemptAtEachEndpoint(silentEndpoints);
                 relay.advance(REFRESH_US);
             }
-            assertThat(relay.notifiedEntries)
-                    .as("entries relay while nothing new happens")
+            assertThat(relay.notifiedEntryCount)
+                    .as("notified entries are unchanged while the same endpoints stay silent")
                     .isEqualTo(notifiedBefore);
         }
     }
 
     @Property(tries = 200)
-    void oneEndpointThatComesOrGoesChangesAtMostOneMember(@ForAll long seed) {
+    void changesAtMostOneMemberWhenOneEndpointIsAddedOrRemoved(@ForAll long seed) {
         start(seed, true, false);
-        terms = SubsetHarness.terms(terms.relayNumber(), -1, terms.maxEndpoints(), terms.minPerService(), 0, 0);
+        policy = SubsetHarness.policy(policy.relayNumber(), -1, policy.maxEndpoints(), policy.minPerService(), 0, 0);
         relay = new SubsetHarness(newSubset(false));
         for (int i = 0; i < ENDPOINTS; i++) {
             EndpointEntry entry = SubsetHarness.ready("u" + i, "s", i % 3);
-            list.put(entry.name(), entry);
+            listedEndpoints.put(entry.name(), entry);
         }
-        relay.fullList(list.values());
+        relay.commitFullList(listedEndpoints.values());
         for (int i = 0; i < 60; i++) {
             Set<String> before = relay.readyEndpoints();
             String endpoint = "u" + random.nextInt(ENDPOINTS);
-            boolean goes = list.containsKey(endpoint);
+            boolean goes = listedEndpoints.containsKey(endpoint);
             EndpointEntry entry = SubsetHarness.ready(endpoint, "s", 0);
-            noteListed(goes ? entry.gone() : entry);
-            relay.change(goes ? entry.gone() : entry);
+            updateListedEndpoints(goes ? entry.gone() : entry);
+            relay.commitChange(goes ? entry.gone() : entry);
             relay.advance(REFRESH_US);
             Set<String> now = relay.readyEndpoints();
             Set<String> came = new TreeSet<>(now);
--- a/src/test/java/gatelock/membership/EndpointSubsetTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Which endpoints a relay selects, and what happens to them when endpoints are lost, drain or restart. */
+/** Tests which endpoints a relay selects, and how the subset changes when endpoints are lost, drain or restart. */
 final class EndpointSubsetTest {
     private static final long SECOND_US = 1_000_000;
     private static final long SETTLE_US = 5 * SECOND_US;
 
     private final SubsetHarness relay =
-            new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US)));
+            new SubsetHarness(new EndpointSubset(SubsetHarness.policy(7, 0, 100, 3, 1, SETTLE_US)));
 
     private static EndpointEntry[] withHealth(List<EndpointEntry> entries, Set<String> names, Endpoint.Health health) {
         return entries.stream()
@@ -25,49 +25,50 @@
 
     private long countInZone(Set<String> endpoints, int zone) {
         return endpoints.stream()
-                .filter(name -> relay.notified.get(name).zone() == zone)
+                .filter(name -> relay.notifiedEndpoints.get(name).zone() == zone)
                 .count();
     }
 
     @Test
-    void prefersTheOwnZoneAndKeepsTheConfiguredNumberInOtherZones() {
-        relay.fullList(SubsetHarness.service("a", 40, 4));
+    void prefersOwnZoneAndKeepsConfiguredNumberInOtherZones() {
+        relay.commitFullList(SubsetHarness.service("a", 40, 4));
         assertThat(relay.readyEndpoints()).hasSize(3);
         assertThat(countInZone(relay.readyEndpoints(), 0)).isEqualTo(2);
     }
 
     @Test
-    void fillsUpFromOtherZonesOrFromTheOwnZoneAlone() {
-        relay.fullList(List.of(
+    void fillsSubsetFromOtherZonesOrFromOwnZoneAlone() {
+        relay.commitFullList(List.of(
                 SubsetHarness.ready("here", "a", 0),
                 SubsetHarness.ready("b1", "a", 1),
                 SubsetHarness.ready("b2", "a", 2),
                 SubsetHarness.ready("b3", "a", 1)));
         assertThat(relay.readyEndpoints()).hasSize(3).contains("here");
-        relay.fullList(SubsetHarness.service("a", 40, 1));
+        relay.commitFullList(SubsetHarness.service("a", 40, 1));
         assertThat(relay.readyEndpoints()).hasSize(3);
     }
 
     @Test
-    void replacesLostEndpointsInTheSameChange() {
+    void replacesLostEndpointsInSameChange() {
         List<EndpointEntry> endpoints = SubsetHarness.service("a", 40, 4);
-        relay.fullList(endpoints);
+        relay.commitFullList(endpoints);
         for (int i = 0; i < 12; i++) {
             Set<String> lost = relay.readyEndpoints();
-            relay.change(withHealth(endpoints, lost, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING));
+            relay.commitChange(
+                    withHealth(endpoints, lost, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING));
             assertThat(relay.readyEndpoints()).hasSize(3).doesNotContainAnyElementsOf(lost);
         }
         assertThat(relay.subset.listedCount()).isEqualTo(40 - 18);
     }
 
     @Test
-    void usesOtherZonesWhenAZoneIsLost() {
+    void usesOtherZonesWhenZoneIsLost() {
         List<EndpointEntry> endpoints = SubsetHarness.service("a", 40, 4);
-        relay.fullList(endpoints);
-        relay.change(SubsetHarness.gone(
+        relay.commitFullList(endpoints);
+        relay.commitChange(SubsetHarness.gone(
                 endpoints.stream().filter(entry -> entry.zone() == 0).toList()));
         assertThat(relay.readyEndpoints()).hasSize(3);
-        relay.change(SubsetHarness.gone(
+        relay.commitChange(SubsetHarness.gone(
                 endpoints.stream().filter(entry -> entry.zone() != 1).toList()));
         assertThat(relay.readyEndpoints()).hasSize(3);
         assertThat(countInZone(relay.readyEndpoints(), 1)).isEqualTo(3);
@@ -76,66 +77,66 @@
     @Test
     void keepsDrainingEndpointsUntilTheyAreGone() {
         List<EndpointEntry> endpoints = SubsetHarness.service("a", 40, 4);
-        relay.fullList(endpoints);
+        relay.commitFullList(endpoints);
         Set<String> first = relay.readyEndpoints();
-        relay.change(withHealth(endpoints, first, Endpoint.Health.DRAINING));
-        assertThat(relay.notified).containsKeys(first.toArray(new String[0]));
+        relay.commitChange(withHealth(endpoints, first, Endpoint.Health.DRAINING));
+        assertThat(relay.notifiedEndpoints).containsKeys(first.toArray(new String[0]));
         assertThat(relay.lastChange.entries())
                 .extracting(EndpointEntry::health)
                 .containsOnly(Endpoint.Health.READY, Endpoint.Health.DRAINING)
                 .hasSize(6);
         relay.advance(10 * SETTLE_US);
-        assertThat(relay.notified).hasSize(6);
-        relay.change(withHealth(endpoints, first, Endpoint.Health.GONE));
+        assertThat(relay.notifiedEndpoints).hasSize(6);
+        relay.commitChange(withHealth(endpoints, first, Endpoint.Health.GONE));
         assertThat(relay.lastChange.entries()).hasSize(3);
-        assertThat(relay.notified).hasSize(3).doesNotContainKeys(first.toArray(new String[0]));
+        assertThat(relay.notifiedEndpoints).hasSize(3).doesNotContainKeys(first.toArray(new String[0]));
     }
 
     @Test
-    void removesADisplacedEndpointAfterTheSettleTime() {
-        relay.fullList(SubsetHarness.service("a", 40, 1));
+    void removesDisplacedEndpointAfterSettleTime() {
+        relay.commitFullList(SubsetHarness.service("a", 40, 1));
         Set<String> first = relay.readyEndpoints();
-        // Adds endpoints until one is ranked before one of the first.
+        // Adds endpoints until one ranks higher than an endpoint of the first subset.
         String newcomer = null;
         for (int i = 0; newcomer == null; i++) {
-            relay.change(SubsetHarness.ready("new-" + i, "a", 0));
-            newcomer = relay.notified.containsKey("new-" + i) ? "new-" + i : null;
+            relay.commitChange(SubsetHarness.ready("new-" + i, "a", 0));
+            newcomer = relay.notifiedEndpoints.containsKey("new-" + i) ? "new-" + i : null;
         }
         assertThat(relay.readyEndpoints()).hasSize(4).containsAll(first);
         relay.advance(SETTLE_US - 1);
-        assertThat(relay.notified).hasSize(4);
+        assertThat(relay.notifiedEndpoints).hasSize(4);
         relay.advance(1);
         assertThat(relay.readyEndpoints()).hasSize(3).contains(newcomer);
         assertThat(relay.lastChange.entries()).hasSize(1).allMatch(entry -> entry.health() == Endpoint.Health.GONE);
     }
 
     @Test
-    void rollingRestartUnderTheSameNamesKeepsTheSubset() {
+    void keepsSubsetDuringRollingRestartUnderSameNames() {
         List<EndpointEntry> endpoints = SubsetHarness.service("a", 40, 4);
-        relay.fullList(endpoints);
+        relay.commitFullList(endpoints);
         Set<String> first = relay.readyEndpoints();
         for (EndpointEntry entry : endpoints) {
-            relay.change(SubsetHarness.endpoint(entry.name(), "a", entry.zone(), Endpoint.Health.DRAINING));
-            relay.change(entry.gone());
-            relay.change(new EndpointEntry(
+            relay.commitChange(SubsetHarness.endpoint(entry.name(), "a", entry.zone(), Endpoint.Health.DRAINING));
+            relay.commitChange(entry.gone());
+            relay.commitChange(new EndpointEntry(
                     entry.name(), "a", entry.address(), entry.zone(), 0, 0, 2, Endpoint.Health.READY, SECOND_US));
         }
         relay.advance(SETTLE_US);
         assertThat(relay.readyEndpoints()).isEqualTo(first);
-        assertThat(relay.notified.values()).allMatch(entry -> entry.build() == 2);
+        assertThat(relay.notifiedEndpoints.values()).allMatch(entry -> entry.build() == 2);
     }
 
     @Test
-    void rejectsInvalidTerms() {
+    void rejectsInvalidPolicy() {
         for (double fraction : new double[] {-0.1, 1.1, Double.NaN}) {
             assertThatThrownBy(() -> new EndpointSubset.Policy(1, 0, 1, 1, fraction, 0, 0))
                     .isInstanceOf(IllegalArgumentException.class)
                     .hasMessageContaining("fraction");
         }
-        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 0, 1, 0, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 0, 0, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 1, -1, 0)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> SubsetHarness.terms(1, 0, 1, 1, 0, -1))
+        assertThatThrownBy(() -> SubsetHarness.policy(1, 0, 0, 1, 0, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> SubsetHarness.policy(1, 0, 1, 0, 0, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> SubsetHarness.policy(1, 0, 1, 1, -1, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> SubsetHarness.policy(1, 0, 1, 1, 0, -1))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageContaining("-1");
     }
--- a/src/test/java/gatelock/membership/PackedAddressTest.java
+++ b/src/test/java/gatelock/membership/PackedAddressTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Addresses that are kept in six bytes, and those that are not. */
+/** Tests which addresses are packed into six bytes and which must be stored as text. */
 final class PackedAddressTest {
     @Test
-    void addressReadsBackAsItWasWritten() {
+    void readsBackPackedAddressUnchanged() {
         for (String address : new String[] {"0.0.0.0:0", "10.1.2.3:8443", "200.100.50.25:9", "255.255.255.255:65535"}) {
             byte[] bytes = new byte[PackedAddress.BYTES + 2];
             long packed = PackedAddress.parse(address);
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void addressThatWouldReadBackOtherwiseIsNotPacked() {
+    void refusesToPackAddressThatWouldReadBackDifferently() {
         for (String address : new String[] {
             "",
             ":",
--- a/src/test/java/gatelock/membership/SilentEndpointsTest.java
+++ b/src/test/java/gatelock/membership/SilentEndpointsTest.java
@@ -10,57 +10,61 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that do not answer: the subset grows past them and shrinks back. */
+/** Tests that the subset grows when endpoints do not answer and shrinks after they answer again. */
 final class SilentEndpointsTest {
     private static final long SECOND_US = 1_000_000;
     private static final long REFRESH_US = 250_000;
     private static final long SETTLE_US = 5 * SECOND_US;
 
     private final SubsetHarness relay =
-            new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 100, 3, 1, SETTLE_US)));
+            new SubsetHarness(new EndpointSubset(SubsetHarness.policy(7, 0, 100, 3, 1, SETTLE_US)));
 
     private void failAttempts(Set<String> endpoints, int attempts) {
         for (int i = 0; i < attempts; i++) {
-            endpoints.forEach(name -> relay.attemptEnded(name, false));
+            endpoints.forEach(name -> relay.recordAttempt(name, false));
         }
         relay.advance(REFRESH_US);
     }
 
     @Test
-    void growsWhileEndpointsAreSilentAndShrinksAfterTheyAnsweredForTheSettleTime() {
-        relay.fullList(SubsetHarness.service("a", 40, 4));
+    void growsWhileEndpointsAreSilentAndShrinksAfterSettleTime() {
+        relay.commitFullList(SubsetHarness.service("a", 40, 4));
         Set<String> first = relay.readyEndpoints();
         failAttempts(first, 1);
-        assertThat(relay.readyEndpoints()).as("one attempt alone").isEqualTo(first);
+        assertThat(relay.readyEndpoints())
+                .as("unchanged after a single failed attempt")
+                .isEqualTo(first);
         failAttempts(first, 1);
         assertThat(relay.readyEndpoints()).hasSize(6).containsAll(first);
-        first.forEach(name -> relay.attemptEnded(name, true));
+        first.forEach(name -> relay.recordAttempt(name, true));
         relay.advance(REFRESH_US);
         relay.advance(SETTLE_US - REFRESH_US);
-        assertThat(relay.readyEndpoints()).as("before the settle time").hasSize(6);
+        assertThat(relay.readyEndpoints())
+                .as("unchanged before the settle time has passed")
+                .hasSize(6);
         relay.advance(REFRESH_US);
         assertThat(relay.readyEndpoints()).isEqualTo(first);
     }
 
     @Test
-    void flappingWithinTheSettleTimeChangesNothing() {
-        relay.fullList(SubsetHarness.service("a", 40, 4));
+    void keepsSubsetWhenEndpointsFlapWithinSettleTime() {
+        relay.commitFullList(SubsetHarness.service("a", 40, 4));
         Set<String> first = relay.readyEndpoints();
         failAttempts(first, 2);
         Set<String> grown = relay.readyEndpoints();
-        int notifiedBefore = relay.notifiedEntries;
+        int notifiedBefore = relay.notifiedEntryCount;
         for (int i = 0; i < 50; i++) {
-            first.forEach(name -> relay.attemptEnded(name, true));
+            first.forEach(name -> relay.recordAttempt(name, true));
             relay.advance(SETTLE_US / 2);
             failAttempts(first, 2);
         }
         assertThat(relay.readyEndpoints()).isEqualTo(grown);
-        assertThat(relay.notifiedEntries).isEqualTo(notifiedBefore);
+        assertThat(relay.notifiedEntryCount).isEqualTo(notifiedBefore);
     }
 
     @Test
-    void findsTheOnlyEndpointOfAServiceThatAnswers() {
-        relay.fullList(SubsetHarness.service("a", 2_000, 4));
+    void findsOnlyEndpointOfServiceThatAnswers() {
+        relay.commitFullList(SubsetHarness.service("a", 2_000, 4));
         int rounds = 0;
         for (; relay.readyEndpoints().stream().noneMatch("a-1234"::equals) && rounds < 1_000; rounds++) {
             failAttempts(relay.readyEndpoints(), 2);
@@ -68,7 +72,7 @@
         }
         assertThat(relay.readyEndpoints()).contains("a-1234");
         assertThat(rounds).isLessThan(250);
-        relay.attemptEnded("a-1234", true);
+        relay.recordAttempt("a-1234", true);
         Set<String> others = relay.readyEndpoints();
         others.remove("a-1234");
         for (int i = 0; i < 400; i++) {
@@ -80,24 +84,24 @@
     }
 
     @Test
-    void usesOtherZonesWhenTheOwnZoneIsSilent() {
+    void usesOtherZonesWhenOwnZoneIsSilent() {
         List<EndpointEntry> endpoints = SubsetHarness.service("a", 400, 4);
-        relay.fullList(endpoints);
+        relay.commitFullList(endpoints);
         for (int i = 0; i < 3; i++) {
             failAttempts(
                     relay.readyEndpoints().stream()
-                            .filter(name -> relay.notified.get(name).zone() == 0)
+                            .filter(name -> relay.notifiedEndpoints.get(name).zone() == 0)
                             .collect(Collectors.toSet()),
                     2);
         }
         Set<String> remote = relay.readyEndpoints();
-        remote.removeIf(name -> relay.notified.get(name).zone() == 0);
+        remote.removeIf(name -> relay.notifiedEndpoints.get(name).zone() == 0);
         assertThat(remote).hasSizeGreaterThanOrEqualTo(3);
     }
 
     @Test
-    void restartedEndpointIsNotifiedAndNoLongerSilent() {
-        relay.fullList(SubsetHarness.service("a", 40, 4));
+    void notifiesOfRestartedEndpointAndClearsItsSilence() {
+        relay.commitFullList(SubsetHarness.service("a", 40, 4));
         Set<String> first = relay.readyEndpoints();
         String endpoint = first.iterator().next();
         failAttempts(Set.of(endpoint), 2);
@@ -106,57 +110,67 @@
                 endpoint,
                 "a",
                 "10.0.0.1:80",
-                relay.notified.get(endpoint).zone(),
+                relay.notifiedEndpoints.get(endpoint).zone(),
                 0,
                 0,
                 2,
                 Endpoint.Health.READY,
                 5 * SECOND_US);
-        relay.change(restarted);
+        relay.commitChange(restarted);
         assertThat(relay.lastChange.entries()).containsExactly(restarted);
         relay.advance(SETTLE_US);
         relay.advance(REFRESH_US);
         assertThat(relay.readyEndpoints()).isEqualTo(first);
     }
 
-    /** All endpoints of a are silent; then b takes the place of one, which answers again outside the subset. */
+    /**
+     * Guards against a service that stays unreachable: all endpoints of a are silent, one is evicted when b needs another
+     * endpoint, and the evicted endpoint answers again while it is outside the subset.
+     */
     @Test
-    void allSilentServiceRetriesAnEndpointThatWasEvictedForAnotherService() {
-        SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 3, 1, 0, SETTLE_US)));
+    void retriesEndpointEvictedForAnotherServiceWhenAllAreSilent() {
+        SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.policy(7, 0, 3, 1, 0, SETTLE_US)));
         List<EndpointEntry> endpoints = new ArrayList<>(SubsetHarness.service("a", 2, 1));
         endpoints.addAll(SubsetHarness.service("b", 2, 1));
-        relay.fullList(endpoints);
+        relay.commitFullList(endpoints);
         Set<String> silent = new TreeSet<>(relay.readyEndpoints("a"));
         for (int round = 0; round < 8; round++) {
-            relay.attemptAll(silent);
+            relay.recordAttemptAtEachEndpoint(silent);
             relay.advance(REFRESH_US);
             silent.addAll(relay.readyEndpoints("a"));
         }
-        assertThat(relay.readyEndpoints("a")).as("both were tried").hasSize(2);
+        assertThat(relay.readyEndpoints("a"))
+                .as("both endpoints of a are in the subset")
+                .hasSize(2);
         silent.addAll(relay.readyEndpoints("b"));
         for (int round = 0; round < 60 && relay.readyEndpoints("a").size() == 2; round++) {
-            relay.attemptAll(silent);
+            relay.recordAttemptAtEachEndpoint(silent);
             relay.advance(REFRESH_US);
         }
-        assertThat(relay.readyEndpoints("a")).as("one was evicted").hasSize(1);
+        assertThat(relay.readyEndpoints("a"))
+                .as("one endpoint of a was evicted for b")
+                .hasSize(1);
         silent.removeIf(
                 name -> name.startsWith("a") && !relay.readyEndpoints("a").contains(name));
         for (int round = 0; round < 8; round++) {
-            relay.attemptAll(silent);
+            relay.recordAttemptAtEachEndpoint(silent);
             relay.advance(REFRESH_US);
         }
         assertThat(relay.readyEndpoints("a")).anyMatch(name -> !silent.contains(name));
         assertThat(relay.readyEndpoints("b")).anyMatch(name -> !silent.contains(name));
     }
 
-    /** All endpoints of a are silent; one is removed after the settle time and answers again outside the subset. */
+    /**
+     * Guards against a service that stays unreachable: all endpoints of a are silent, one is removed after the settle time,
+     * and the removed endpoint answers again while it is outside the subset.
+     */
     @Test
-    void allSilentServiceRetriesAnEndpointThatItRemoved() {
-        SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.terms(7, 0, 8, 1, 0, SETTLE_US)));
-        relay.fullList(SubsetHarness.service("a", 2, 1));
+    void retriesEndpointRemovedAfterSettleTimeWhenAllAreSilent() {
+        SubsetHarness relay = new SubsetHarness(new EndpointSubset(SubsetHarness.policy(7, 0, 8, 1, 0, SETTLE_US)));
+        relay.commitFullList(SubsetHarness.service("a", 2, 1));
         Set<String> silent = new TreeSet<>(Set.of("a-0", "a-1"));
         for (int round = 0; round < 8; round++) {
-            relay.readyEndpoints().forEach(name -> relay.attemptEnded(name, false));
+            relay.readyEndpoints().forEach(name -> relay.recordAttempt(name, false));
             relay.advance(REFRESH_US);
         }
         relay.advance(SETTLE_US);
@@ -165,7 +179,7 @@
         removed.removeAll(relay.readyEndpoints("a"));
         silent.removeAll(removed.isEmpty() ? Set.of("a-1") : removed);
         for (int round = 0; round < 60; round++) {
-            relay.attemptAll(silent);
+            relay.recordAttemptAtEachEndpoint(silent);
             relay.advance(REFRESH_US);
         }
         assertThat(relay.readyEndpoints("a")).anyMatch(name -> !silent.contains(name));
--- a/src/test/java/gatelock/membership/SubsetAlgorithm.java
+++ b/src/test/java/gatelock/membership/SubsetAlgorithm.java
@@ -6,10 +6,10 @@
 import java.util.function.IntToLongFunction;
 import java.util.stream.IntStream;
 
-/** A way to choose which endpoints of a service each relay uses, for the comparison of options. */
+/** An algorithm that chooses which endpoints of a service each relay uses; the benchmarks compare several. */
 @FunctionalInterface
 interface SubsetAlgorithm {
-    /** Scales the upper 53 bits of a hash to a number from 0 to 1. */
+    /** Factor that scales the upper 53 bits of a hash to a number from 0 to 1. */
     double UNIT_PER_53_BITS = 0x1.0p-53;
 
     /**
@@ -17,14 +17,14 @@
      *
      * @param relay the relay's number
      * @param endpoints hashes of the endpoints' names, in ascending order
-     * @param subsetSize how many endpoints a relay should use
+     * @param subsetSize number of endpoints that a relay should use
      */
     int[] choose(long relay, long[] endpoints, int subsetSize);
 
-    /** Rendezvous hashing, as {@link EndpointSubset} does it for one service without zones. */
+    /** Rendezvous hashing, as in {@link EndpointSubset} for one service without zones. */
     static int[] rendezvous(long relay, long[] endpoints, int subsetSize) {
         RendezvousRanking ranking = new RendezvousRanking(relay);
-        return least(endpoints.length, subsetSize, i -> 0, i -> ranking.rank(endpoints[i]));
+        return indexesOfLowestScores(endpoints.length, subsetSize, i -> 0, i -> ranking.rank(endpoints[i]));
     }
 
     /** Rendezvous hashing in which an endpoint is chosen in proportion to its weight. */
@@ -33,11 +33,14 @@
             RendezvousRanking ranking = new RendezvousRanking(relay);
             IntToDoubleFunction score =
                     i -> -Math.log(((ranking.rank(endpoints[i]) >>> 11) + 0.5) * UNIT_PER_53_BITS) / weights[i];
-            return least(endpoints.length, subsetSize, score, i -> 0);
+            return indexesOfLowestScores(endpoints.length, subsetSize, score, i -> 0);
         };
     }
 
-    /** Subsets in rounds: each round shuffles all endpoints and gives each of its relays a part of its own. */
+    /**
+     * Deterministic subsetting in rounds: relays with consecutive numbers form a round, and each round shuffles all
+     * endpoints and divides them into disjoint subsets, one for each of its relays.
+     */
     static int[] rounds(long relay, long[] endpoints, int subsetSize) {
         int parts = Math.max(1, endpoints.length / subsetSize);
         int[] order = shuffled(endpoints.length, Math.floorDiv(relay, parts));
@@ -45,7 +48,10 @@
         return Arrays.copyOfRange(order, from, Math.min(endpoints.length, from + subsetSize));
     }
 
-    /** A ring of endpoints in the order of their hashes, on which van der Corput's sequence places the relays. */
+    /**
+     * A ring of the endpoints in the order of their hashes. The van der Corput sequence gives each relay a position, from
+     * which it uses the next endpoints.
+     */
     static int[] ring(long relay, long[] endpoints, int subsetSize) {
         double position = (Long.reverse(relay) >>> 11) * UNIT_PER_53_BITS;
         int first = (int) (position * endpoints.length);
@@ -54,7 +60,7 @@
                 .toArray();
     }
 
-    /** All endpoints, whatever the size. */
+    /** Returns all endpoints, whatever the requested size. */
     static int[] all(long relay, long[] endpoints, int subsetSize) {
         return IntStream.range(0, endpoints.length).toArray();
     }
@@ -71,24 +77,25 @@
         return order;
     }
 
-    /** The indexes with the least scores, in ascending order; equal scores are ordered by rank. */
-    private static int[] least(int count, int limit, IntToDoubleFunction score, IntToLongFunction rank) {
+    /** Returns the indexes with the lowest scores, in ascending order; equal scores are ordered by rank. */
+    private static int[] indexesOfLowestScores(
+            int count, int limit, IntToDoubleFunction score, IntToLongFunction rank) {
         double[] scores = IntStream.range(0, count).mapToDouble(score).toArray();
         long[] ranks = IntStream.range(0, count).mapToLong(rank).toArray();
-        int[] least = new int[Math.min(limit, count)];
+        int[] lowest = new int[Math.min(limit, count)];
         int filled = 0;
         for (int i = 0; i < count; i++) {
-            int at = filled;
-            while (at > 0 && isBefore(i, least[at - 1], scores, ranks)) {
-                at--;
+            int insertionIndex = filled;
+            while (insertionIndex > 0 && isBefore(i, lowest[insertionIndex - 1], scores, ranks)) {
+                insertionIndex--;
             }
-            if (at < least.length) {
-                filled = Math.min(least.length, filled + 1);
-                System.arraycopy(least, at, least, at + 1, filled - at - 1);
-                least[at] = i;
+            if (insertionIndex < lowest.length) {
+                filled = Math.min(lowest.length, filled + 1);
+                System.arraycopy(lowest, insertionIndex, lowest, insertionIndex + 1, filled - insertionIndex - 1);
+                lowest[insertionIndex] = i;
             }
         }
-        return least;
+        return lowest;
     }
 
     private static boolean isBefore(int a, int b, double[] scores, long[] ranks) {
--- a/src/test/java/gatelock/membership/SubsetCostBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetCostBenchmark.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Measures the processor time and the memory that the module takes by the size of the list. */
+/** Measures the CPU time and memory of the subset for different sizes of the list. */
 final class SubsetCostBenchmark {
     private static final int ENDPOINTS_PER_SERVICE = 28;
     private static final int CHANGES = 2_000;
@@ -21,15 +21,15 @@
     private static final int[] LIST_SIZES = {1_000, 10_000, 100_000, 200_000};
     private static final long SECOND_US = BenchmarkList.SECOND_US;
 
-    /** Figures of one size of list with a small subset. */
-    private record Cost(long heapBytes, double changeOutsideUs) {}
+    /** Measurements of a list of one size with a small subset. */
+    private record ListCost(long heapBytes, double changeOutsideUs) {}
 
     private SubsetCostBenchmark() {}
 
     /**
-     * Prints work and memory by the size of the list.
+     * Prints CPU time and memory for each size of the list.
      *
-     * @param slopes file to which the slopes are written, null for none
+     * @param slopes file to which the slopes are written, or null
      * @param run id of the run in that file
      */
     static void printWork(Path slopes, String run) throws IOException {
@@ -39,7 +39,7 @@
                 + "comes, KB | whole list, CPU ms | change out of scope, CPU us | in scope, CPU us |");
         System.out.println("| --- | --- | --- | --- | --- | --- | --- | --- |");
         warmUp();
-        Cost[] costs = new Cost[LIST_SIZES.length];
+        ListCost[] costs = new ListCost[LIST_SIZES.length];
         for (int i = 0; i < LIST_SIZES.length; i++) {
             costs[i] = printSmallSubset(LIST_SIZES[i]);
         }
@@ -58,13 +58,13 @@
         }
     }
 
-    /** 200,000 endpoints in the memory that a relay has: prints how it went, ten full lists and 2,000 restarts. */
-    static void printFit() {
+    /** Prints the memory used for 200,000 endpoints, in a relay's heap, after ten full lists and five times 2,000 restarts. */
+    static void printLongListMemory() {
         int endpoints = 200_000;
         int services = 7_200;
         EndpointSubset subset = newSubset(4_096);
         for (int k = 0; k < 10; k++) {
-            BenchmarkList.read(subset, endpoints, services, k).commit(k, k);
+            BenchmarkList.stageFullList(subset, endpoints, services, k).commit(k, k);
         }
         cpuPerChangeUs(subset, IntStream.range(0, CHANGES).toArray(), services);
         System.out.printf(
@@ -85,27 +85,28 @@
         int services = size / ENDPOINTS_PER_SERVICE;
         for (int i = 0; i < WARM_UPS; i++) {
             EndpointSubset subset = newSubset(256);
-            cpuPerChangeUs(subset, BenchmarkList.draw(subset, size, services, false, CHANGES), services);
+            cpuPerChangeUs(subset, BenchmarkList.sample(subset, size, services, false, CHANGES), services);
         }
     }
 
-    // The lists are set to null before the heap is measured: it is the figure.
+    // The updates are set to null so that the heap measurement excludes them.
     @SuppressWarnings("UnusedAssignment")
-    private static Cost printSmallSubset(int size) {
+    private static ListCost printSmallSubset(int size) {
         int services = size / ENDPOINTS_PER_SERVICE;
         long before = usedHeapBytes();
         EndpointSubset subset = newSubset(256);
-        EndpointSubset.ListUpdate first = BenchmarkList.read(subset, size, services, 0);
+        EndpointSubset.ListUpdate first = BenchmarkList.stageFullList(subset, size, services, 0);
         first.commit(0, 1);
         first = null;
         long heapBytes = usedHeapBytes() - before;
-        EndpointSubset.ListUpdate second = BenchmarkList.read(subset, size, services, 1);
+        EndpointSubset.ListUpdate second = BenchmarkList.stageFullList(subset, size, services, 1);
         long peakBytes = usedHeapBytes() - before;
         second.commit(0, 2);
         second = null;
         double fullListMs = cpuPerFullListMs(subset, size, services);
-        double outsideUs = cpuPerChangeUs(subset, BenchmarkList.draw(subset, size, services, false, CHANGES), services);
-        double insideUs = cpuPerChangeUs(subset, BenchmarkList.draw(subset, size, services, true, CHANGES), services);
+        double outsideUs =
+                cpuPerChangeUs(subset, BenchmarkList.sample(subset, size, services, false, CHANGES), services);
+        double insideUs = cpuPerChangeUs(subset, BenchmarkList.sample(subset, size, services, true, CHANGES), services);
         System.out.printf(
                 "| %,d | %,d | %.1f | %.1f | %,d | %.1f | %.2f | %.2f |%n",
                 size,
@@ -116,22 +117,22 @@
                 fullListMs,
                 outsideUs,
                 insideUs);
-        return new Cost(heapBytes, outsideUs);
+        return new ListCost(heapBytes, outsideUs);
     }
 
     private static void printLargeSubset(int size, int services) {
         long before = usedHeapBytes();
         EndpointSubset subset = newSubset(40_000);
-        BenchmarkList.read(subset, size, services, 0).commit(0, 1);
+        BenchmarkList.stageFullList(subset, size, services, 0).commit(0, 1);
         long heapBytes = usedHeapBytes() - before;
         long fromNs = cpuNs();
-        BenchmarkList.read(subset, size, services, 1).commit(0, 1);
+        BenchmarkList.stageFullList(subset, size, services, 1).commit(0, 1);
         double fullListMs = (cpuNs() - fromNs) / 1e6;
-        int[] outside = BenchmarkList.draw(subset, size, services, false, CHANGES);
+        int[] outside = BenchmarkList.sample(subset, size, services, false, CHANGES);
         int inSubset = subset.subsetSize();
         double outsideUs = cpuPerChangeUs(subset, outside, services);
-        int[] inside = BenchmarkList.draw(subset, size, services, true, CHANGES);
-        // With one service a change of a member looks through the whole service: fewer are played.
+        int[] inside = BenchmarkList.sample(subset, size, services, true, CHANGES);
+        // With one service, a change inside the subset scans the whole service, so fewer changes are measured.
         double insideUs =
                 services == 1 ? cpuPerMemberChangeUs(subset, inside) : cpuPerChangeUs(subset, inside, services);
         System.out.printf(
@@ -143,13 +144,13 @@
         double[] ms = new double[REPEATS];
         for (int repeat = 0; repeat < REPEATS; repeat++) {
             long fromNs = cpuNs();
-            BenchmarkList.read(subset, size, services, repeat).commit(0, 3);
+            BenchmarkList.stageFullList(subset, size, services, repeat).commit(0, 3);
             ms[repeat] = (cpuNs() - fromNs) / 1e6;
         }
         return median(ms);
     }
 
-    /** Processor time of a change, mean of the three of a restart, median of the repeats. */
+    /** Returns the CPU time per change: the mean of the three changes of a restart, and the median of the repeats. */
     private static double cpuPerChangeUs(EndpointSubset subset, int[] endpoints, int services) {
         double[] us = new double[REPEATS];
         long nowUs = 1;
@@ -180,19 +181,19 @@
         return (cpuNs() - fromNs) / 1e3 / (2.0 * changes);
     }
 
-    /** Applies a change and refreshes the subset a millisecond later; returns the time then. */
+    /** Applies a change, refreshes the subset one millisecond later and returns the time of the refresh. */
     private static long apply(EndpointSubset subset, EndpointEntry change, long nowUs) {
-        EndpointSubset.ListUpdate reading = subset.beginUpdate(false);
-        reading.add(change);
-        reading.commit(nowUs, 1);
+        EndpointSubset.ListUpdate update = subset.beginUpdate(false);
+        update.add(change);
+        update.commit(nowUs, 1);
         subset.refresh(nowUs + 1000);
         return nowUs + 1000;
     }
 
-    private static void writeSlopes(Path file, String run, Cost[] costs) throws IOException {
-        double[] heap = Arrays.stream(costs).mapToDouble(Cost::heapBytes).toArray();
+    private static void writeSlopes(Path file, String run, ListCost[] costs) throws IOException {
+        double[] heap = Arrays.stream(costs).mapToDouble(ListCost::heapBytes).toArray();
         double[] change =
-                Arrays.stream(costs).mapToDouble(Cost::changeOutsideUs).toArray();
+                Arrays.stream(costs).mapToDouble(ListCost::changeOutsideUs).toArray();
         String heapSlope = slope(
                 "heapPerUnitOutOfScope",
                 "heap of the scope by units listed, 256 of them in scope, 28 a service",
@@ -236,7 +237,7 @@
         return values[values.length / 2];
     }
 
-    /** Used heap after collections, the least of three. */
+    /** Returns the lowest heap use of three measurements, each after a garbage collection. */
     private static long usedHeapBytes() {
         long least = Long.MAX_VALUE;
         for (int i = 0; i < 3; i++) {
--- a/src/test/java/gatelock/membership/SubsetHarness.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -10,18 +10,18 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** A subset with the endpoints that the decisions know by its notifications, and a clock. */
+/** Drives an endpoint subset with a simulated clock and tracks the endpoints that it notifies of. */
 final class SubsetHarness {
     static final long START_US = 1_000_000;
     private static final long LIST_INDEX = 7;
 
     final EndpointSubset subset;
-    /** What the decisions know, by name. */
-    final Map<String, EndpointEntry> notified = new TreeMap<>();
+    /** The endpoints that a decision engine would know from the notifications, by name. */
+    final Map<String, EndpointEntry> notifiedEndpoints = new TreeMap<>();
 
     long nowUs = START_US;
-    /** Entries of which the decisions were notified so far. */
-    int notifiedEntries;
+    /** Number of entries in all notifications so far. */
+    int notifiedEntryCount;
 
     EndpointSubset.Change lastChange;
 
@@ -29,92 +29,100 @@
         this.subset = subset;
     }
 
-    /** Terms without a fraction. */
-    static EndpointSubset.Policy terms(
+    /** Returns a policy that does not use a fraction of each service. */
+    static EndpointSubset.Policy policy(
             long relayNumber, int zone, int maxEndpoints, int minPerService, int remotePerService, long settleUs) {
         return new EndpointSubset.Policy(relayNumber, zone, maxEndpoints, minPerService, 0, remotePerService, settleUs);
     }
 
+    /** Returns an entry with the same address, build 1 and start time 0 for each endpoint. */
     static EndpointEntry endpoint(String name, String service, int zone, Endpoint.Health health) {
         return new EndpointEntry(name, service, "10.0.0.1:80", zone, 0, 0, 1, health, 0);
     }
 
+    /** Returns an entry of a ready endpoint. */
     static EndpointEntry ready(String name, String service, int zone) {
         return endpoint(name, service, zone, Endpoint.Health.READY);
     }
 
-    /** Ready endpoints of a service, named SERVICE-0, SERVICE-1 and so on, evenly over zones. */
+    /** Returns ready endpoints of a service, named SERVICE-0, SERVICE-1 and so on, evenly distributed over zones. */
     static List<EndpointEntry> service(String name, int endpoints, int zones) {
         return IntStream.range(0, endpoints)
                 .mapToObj(i -> ready(name + "-" + i, name, i % zones))
                 .toList();
     }
 
-    /** The same endpoints as gone. */
+    /** Returns entries with which the endpoints are removed from the list. */
     static EndpointEntry[] gone(Collection<EndpointEntry> entries) {
         return entries.stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
     }
 
-    void fullList(Iterable<EndpointEntry> entries) {
-        list(true, entries);
+    /** Commits a full list. */
+    void commitFullList(Iterable<EndpointEntry> entries) {
+        commit(true, entries);
     }
 
-    void change(EndpointEntry... entries) {
-        change(List.of(entries));
+    /** Commits a change of the list. */
+    void commitChange(EndpointEntry... entries) {
+        commitChange(List.of(entries));
     }
 
-    void change(Iterable<EndpointEntry> entries) {
-        list(false, entries);
+    /** Commits a change of the list. */
+    void commitChange(Iterable<EndpointEntry> entries) {
+        commit(false, entries);
     }
 
-    private void list(boolean full, Iterable<EndpointEntry> entries) {
-        EndpointSubset.ListUpdate reading = subset.beginUpdate(full);
-        entries.forEach(reading::add);
-        deliver(reading.commit(nowUs, LIST_INDEX));
+    private void commit(boolean full, Iterable<EndpointEntry> entries) {
+        EndpointSubset.ListUpdate update = subset.beginUpdate(full);
+        entries.forEach(update::add);
+        applyChange(update.commit(nowUs, LIST_INDEX));
     }
 
-    /** Lets time pass and refreshes the subset. */
+    /** Advances the clock and refreshes the subset. */
     void advance(long us) {
         nowUs += us;
-        deliver(subset.refresh(nowUs));
+        applyChange(subset.refresh(nowUs));
     }
 
-    void attemptEnded(String endpoint, boolean answered) {
+    /** Records the end of an attempt at an endpoint. */
+    void recordAttempt(String endpoint, boolean answered) {
         subset.recordAttempt(nowUs, endpoint, answered);
     }
 
-    /** An attempt at each ready endpoint, of which all but the silent ones answer. */
-    void attemptAll(Set<String> silent) {
+    /** Records one attempt at each ready endpoint of the subset; all but the silent ones answer. */
+    void recordAttemptAtEachEndpoint(Set<String> silent) {
         for (String endpoint : readyEndpoints()) {
-            attemptEnded(endpoint, !silent.contains(endpoint));
+            recordAttempt(endpoint, !silent.contains(endpoint));
         }
     }
 
-    /** Applies a change as the decisions do. */
-    void deliver(EndpointSubset.Change change) {
+    /** Applies a notification to the known endpoints, as the decision engine does. */
+    void applyChange(EndpointSubset.Change change) {
         lastChange = change;
-        notifiedEntries += change.entries().size();
+        notifiedEntryCount += change.entries().size();
         if (change.full()) {
-            notified.clear();
+            notifiedEndpoints.clear();
         }
         for (EndpointEntry entry : change.entries()) {
             if (entry.health() == Endpoint.Health.GONE) {
-                notified.remove(entry.name());
+                notifiedEndpoints.remove(entry.name());
             } else {
-                notified.put(entry.name(), entry);
+                notifiedEndpoints.put(entry.name(), entry);
             }
         }
     }
 
+    /** Returns the names of the ready endpoints of a service in the subset. */
     Set<String> readyEndpoints(String service) {
-        return notified.values().stream()
+        return notifiedEndpoints.values().stream()
                 .filter(entry -> entry.service().equals(service) && entry.health() == Endpoint.Health.READY)
                 .map(EndpointEntry::name)
                 .collect(Collectors.toCollection(TreeSet::new));
     }
 
+    /** Returns the names of the ready endpoints in the subset. */
     Set<String> readyEndpoints() {
-        return notified.values().stream()
+        return notifiedEndpoints.values().stream()
                 .filter(entry -> entry.health() == Endpoint.Health.READY)
                 .map(EndpointEntry::name)
                 .collect(Collectors.toCollection(TreeSet::new));
--- a/src/test/java/gatelock/membership/SubsetOptionsBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetOptionsBenchmark.java
@@ -6,22 +6,22 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** Compares the {@link SubsetAlgorithm}s: how even they are, and how many connections a change moves. */
+/** Compares each {@link SubsetAlgorithm} by the evenness of load and by the connections that a change moves. */
 final class SubsetOptionsBenchmark {
     private static final int RELAYS = 5_700;
     private static final int SUBSET_SIZE = 5;
 
-    /** A column of the table of evenness. */
-    private record Column(SubsetAlgorithm algorithm, boolean drawnNumbers) {}
+    /** A column of the tables of evenness: an algorithm, and whether relays have random or consecutive numbers. */
+    private record Column(SubsetAlgorithm algorithm, boolean randomNumbers) {}
 
-    /** Load of the least and the most loaded endpoint, over the mean. */
-    private record Spread(double least, double most) {}
+    /** Load of the least and the most loaded endpoint, divided by the mean. */
+    private record Spread(double min, double max) {}
 
-    /** What may change between two choices. */
+    /** A change between two choices of the subset. */
     private enum Event {
-        ENDPOINT_GOES("a unit goes"),
-        ENDPOINT_COMES("a unit comes"),
-        NUMBERS_MOVE("relays' numbers move by one");
+        ENDPOINT_REMOVED("a unit goes"),
+        ENDPOINT_ADDED("a unit comes"),
+        NUMBERS_SHIFTED("relays' numbers move by one");
 
         private final String title;
 
@@ -40,11 +40,11 @@
                 .toArray();
     }
 
-    /** The relays' numbers: drawn, or without gaps. */
-    private static long[] relayNumbers(boolean drawn) {
+    /** Returns the relays' numbers: random, or consecutive from 0. */
+    private static long[] relayNumbers(boolean randomNumbers) {
         SplittableRandom random = new SplittableRandom(17);
         return IntStream.range(0, RELAYS)
-                .mapToLong(i -> drawn ? random.nextLong(Long.MAX_VALUE) : i)
+                .mapToLong(i -> randomNumbers ? random.nextLong(Long.MAX_VALUE) : i)
                 .toArray();
     }
 
@@ -54,10 +54,10 @@
         return ones;
     }
 
-    /** How evenly the relays' loads, each spread over the relay's endpoints by weight, reach the endpoints. */
+    /** Returns how evenly load reaches the endpoints if each relay distributes its load over its endpoints by weight. */
     private static Spread spread(Column column, long[] endpoints, int subsetSize, double[] weights, double[] loads) {
         double[] load = new double[endpoints.length];
-        long[] numbers = relayNumbers(column.drawnNumbers);
+        long[] numbers = relayNumbers(column.randomNumbers);
         for (int relay = 0; relay < RELAYS; relay++) {
             int[] subset = column.algorithm.choose(numbers[relay], endpoints, subsetSize);
             double sum = Arrays.stream(subset).mapToDouble(i -> weights[i]).sum();
@@ -71,6 +71,7 @@
                 Arrays.stream(load).max().orElse(0) / mean);
     }
 
+    /** Prints the load of the least and the most loaded endpoint for each algorithm. */
     static void printEvenness() {
         System.out.println("Least to mean and max to mean load of a unit, " + RELAYS + " relays:\n");
         System.out.println("| units | in scope | ranked | rounds, numbered | ring, numbered | rounds, drawn "
@@ -92,7 +93,7 @@
                 StringBuilder row = new StringBuilder("| " + count + " | " + Math.min(count, subsetSize));
                 for (Column column : columns) {
                     Spread spread = spread(column, endpoints, subsetSize, ones(count), ones(RELAYS));
-                    row.append(String.format(" | %.2f, %.2f", spread.least, spread.most));
+                    row.append(String.format(" | %.2f, %.2f", spread.min, spread.max));
                 }
                 System.out.println(row + " |");
             }
@@ -100,6 +101,7 @@
         System.out.println();
     }
 
+    /** Prints the load of the most loaded endpoint with unequal weights and with unequal loads of the relays. */
     static void printWeights() {
         System.out.println("Max to mean load by weight (half of the units 1, a quarter 2, a quarter 4), and with "
                 + "equal weights where relays' loads differ (drawn, exponential):\n");
@@ -118,12 +120,12 @@
                     "| %d | %d | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |%n",
                     count,
                     SUBSET_SIZE,
-                    spread(rendezvous, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).most,
+                    spread(rendezvous, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).max,
                     maxLoadByWeightedChoice(endpoints, weights),
-                    spread(rounds, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).most,
-                    spread(ring, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).most,
-                    spread(rendezvous, endpoints, SUBSET_SIZE, ones(count), unequalLoads).most,
-                    spread(ring, endpoints, SUBSET_SIZE, ones(count), unequalLoads).most);
+                    spread(rounds, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).max,
+                    spread(ring, endpoints, SUBSET_SIZE, weights, ones(RELAYS)).max,
+                    spread(rendezvous, endpoints, SUBSET_SIZE, ones(count), unequalLoads).max,
+                    spread(ring, endpoints, SUBSET_SIZE, ones(count), unequalLoads).max);
         }
         System.out.println();
     }
@@ -145,7 +147,10 @@
         };
     }
 
-    /** A relay that chose by weight spreads its load evenly over its endpoints: the weight was counted already. */
+    /**
+     * Returns the load of the most loaded endpoint by its weight, over the mean. A relay that chooses endpoints by weight
+     * distributes its load evenly over them, because the choice already takes the weight into account.
+     */
     private static double maxLoadByWeightedChoice(long[] endpoints, double[] weights) {
         SubsetAlgorithm weighted = SubsetAlgorithm.weightedRendezvous(weights);
         double[] load = new double[endpoints.length];
@@ -163,6 +168,7 @@
         return max;
     }
 
+    /** Prints how many connections each event moves. */
     static void printMovedConnections() {
         System.out.println("New connections a relay (mean over " + RELAYS + " relays and 10 units), 5 in scope. "
                 + "Least: each relay that held the unit needs one other.\n");
@@ -170,23 +176,24 @@
         System.out.println("| --- | --- | --- | --- | --- | --- | --- |");
         for (int count : new int[] {28, 100, 1_000}) {
             for (Event event : Event.values()) {
-                String least = event == Event.NUMBERS_MOVE ? "0" : String.format("%.3f", SUBSET_SIZE / (double) count);
+                String least =
+                        event == Event.NUMBERS_SHIFTED ? "0" : String.format("%.3f", SUBSET_SIZE / (double) count);
                 System.out.printf(
                         "| %d | %s | %s | %.3f | %.3f | %.3f | %.3f |%n",
                         count,
                         event.title,
                         least,
-                        moved(SubsetAlgorithm::rendezvous, count, event),
-                        moved(SubsetAlgorithm::rounds, count, event),
-                        moved(SubsetAlgorithm::ring, count, event),
-                        moved(SubsetAlgorithm::all, count, event));
+                        movedConnections(SubsetAlgorithm::rendezvous, count, event),
+                        movedConnections(SubsetAlgorithm::rounds, count, event),
+                        movedConnections(SubsetAlgorithm::ring, count, event),
+                        movedConnections(SubsetAlgorithm::all, count, event));
             }
         }
         System.out.println();
     }
 
-    /** New connections a relay for an event, mean over relays and ten endpoints. */
-    private static double moved(SubsetAlgorithm algorithm, int count, Event event) {
+    /** Returns the new connections per relay after an event, as the mean over relays and ten endpoints. */
+    private static double movedConnections(SubsetAlgorithm algorithm, int count, Event event) {
         int trials = 10;
         double sum = 0;
         for (int trial = 0; trial < trials; trial++) {
@@ -197,29 +204,30 @@
                     .mapToLong(i -> all[i])
                     .toArray();
             sum += switch (event) {
-                case ENDPOINT_GOES -> moved(algorithm, all, allButOne, 0);
-                case ENDPOINT_COMES -> moved(algorithm, allButOne, all, 0);
-                case NUMBERS_MOVE -> moved(algorithm, all, all, 1);
+                case ENDPOINT_REMOVED -> movedConnections(algorithm, all, allButOne, 0);
+                case ENDPOINT_ADDED -> movedConnections(algorithm, allButOne, all, 0);
+                case NUMBERS_SHIFTED -> movedConnections(algorithm, all, all, 1);
             };
         }
         return sum / trials;
     }
 
-    /** New connections a relay from one choice to another, mean over relays. */
-    private static double moved(SubsetAlgorithm algorithm, long[] before, long[] after, long numberOffset) {
+    /** Returns the new connections per relay between two choices, as the mean over relays. */
+    private static double movedConnections(SubsetAlgorithm algorithm, long[] before, long[] after, long numberOffset) {
         long moved = 0;
         for (int relay = 0; relay < RELAYS; relay++) {
-            long[] had = Arrays.stream(algorithm.choose(relay, before, SUBSET_SIZE))
+            long[] previous = Arrays.stream(algorithm.choose(relay, before, SUBSET_SIZE))
                     .mapToLong(i -> before[i])
                     .sorted()
                     .toArray();
             moved += Arrays.stream(algorithm.choose(relay + numberOffset, after, SUBSET_SIZE))
-                    .filter(i -> Arrays.binarySearch(had, after[i]) < 0)
+                    .filter(i -> Arrays.binarySearch(previous, after[i]) < 0)
                     .count();
         }
         return moved / (double) RELAYS;
     }
 
+    /** Prints the fraction of relays that reach a build, by the fraction of endpoints that run it. */
     static void printReleaseStages() {
         System.out.println("Share of " + RELAYS + " relays that hold at least one unit of a build, by the part of "
                 + "a service's units that run it (ranked; mean of 10 services):\n");
@@ -249,7 +257,7 @@
                 "| %d | %d | %.3f | %.3f | %.3f | %.3f |%n", count, subsetSize, sums[0], sums[1], sums[2], worst);
     }
 
-    /** The share of relays that hold an endpoint of a build, by the fraction of the endpoints that run it. */
+    /** Returns the fraction of relays that use an endpoint of a build, for each fraction of endpoints that run it. */
     private static double[] relaysReached(long[] endpoints, int subsetSize, double[] fractions) {
         int[] position = releaseOrder(endpoints);
         int[] reached = new int[fractions.length];
@@ -267,7 +275,7 @@
                 .toArray();
     }
 
-    /** Each endpoint's position in a release, in an order that is independent of the rankings. */
+    /** Returns each endpoint's position in the release order, which is independent of the rankings. */
     private static int[] releaseOrder(long[] endpoints) {
         int[] order = IntStream.range(0, endpoints.length)
                 .boxed()
--- a/src/test/java/gatelock/membership/SubsetZonesBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetZonesBenchmark.java
@@ -7,12 +7,13 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Measures how many connections stay in the relay's own zone, and how uneven endpoints become by that. */
+/** Measures the fraction of connections within the relay's own zone, and how unevenly endpoints are used as a result. */
 final class SubsetZonesBenchmark {
     private static final int SUBSET_SIZE = 5;
 
     private SubsetZonesBenchmark() {}
 
+    /** Prints the table of zones. */
     static void print() {
         int zones = 19;
         int relaysPerZone = 100;
@@ -58,12 +59,12 @@
                 Arrays.stream(holders).max().orElse(0) / mean);
     }
 
-    /** A relay's subset by the module itself, with one endpoint in other zones. */
+    /** Returns a relay's subset from {@link EndpointSubset}, with one endpoint in another zone. */
     private static List<EndpointEntry> subset(int relay, int zone, List<EndpointEntry> list) {
         EndpointSubset subset = new EndpointSubset(
                 new EndpointSubset.Policy(relay, zone, 1_000, SUBSET_SIZE, 0, 1, BenchmarkList.SECOND_US));
-        EndpointSubset.ListUpdate reading = subset.beginUpdate(true);
-        list.forEach(reading::add);
-        return reading.commit(0, 1).entries();
+        EndpointSubset.ListUpdate update = subset.beginUpdate(true);
+        list.forEach(update::add);
+        return update.commit(0, 1).entries();
     }
 }
--- a/src/test/java/gatelock/standin/BackgroundTask.java
+++ b/src/test/java/gatelock/standin/BackgroundTask.java
@@ -1,6 +1,6 @@
 package gatelock.standin;
 
-/** Runs blocking work of a stand-in beside a test. */
+/** Runs blocking work of a stand-in server on a thread of its own. */
 public final class BackgroundTask {
     private BackgroundTask() {}
 
@@ -11,7 +11,10 @@
         void run() throws Exception;
     }
 
-    /** Starts work on a daemon thread. It ends without notice when it fails, as its server or connection is closed. */
+    /**
+     * Starts work on a daemon thread. Exceptions are ignored, because closing the server or the connection makes the
+     * blocking calls fail.
+     */
     public static void start(Work work) {
         Thread thread = new Thread(() -> {
             try {
--- a/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -7,9 +7,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures service through a relay while 200 configuration versions a second are offered, against none. Not a test: run
- * by {@code make measure-swarm}. Requests are sent at set times, 400 a second, and timed from these, so that a stall
- * counts for all that should have been sent in it.
+ * Measures response times through a relay while the control service publishes 200 configuration versions per second, and
+ * without new versions for comparison. Not a test: run by {@code make measure-swarm}. Requests are due at fixed times, 400
+ * per second, and timed from when they were due, so that a stall also counts for the requests that were delayed by it.
  */
 public final class ConfigUpdateBenchmark {
     private static final int CLIENTS = 16;
@@ -22,7 +22,7 @@
 
     private ConfigUpdateBenchmark() {}
 
-    /** Prints the table; takes no arguments. */
+    /** Prints the table of response times; takes no arguments. */
     public static void main(String[] args) throws Exception {
         Path directory = Files.createTempDirectory("gatelock-swarm");
         int port = RelayProcess.freePort();
@@ -51,18 +51,18 @@
         printRow("none", load(port, SECONDS));
         for (int routes : new int[] {100, 1_000}) {
             int firstNumber = routes * 1_000;
-            Thread offers = new Thread(() -> offerVersions(control, firstNumber, routes));
-            offers.start();
+            Thread publisher = new Thread(() -> publishVersions(control, firstNumber, routes));
+            publisher.start();
             printRow("200 a second offered, " + routes + " routes each", load(port, SECONDS));
-            offers.join();
-            long inForce = 0;
-            while (inForce < firstNumber + VERSIONS) {
-                inForce = ((Number) control.awaitReport().get("version")).longValue();
+            publisher.join();
+            long reportedVersion = 0;
+            while (reportedVersion < firstNumber + VERSIONS) {
+                reportedVersion = ((Number) control.awaitReport().get("version")).longValue();
             }
         }
     }
 
-    private static void offerVersions(ControlService control, int firstNumber, int routes) {
+    private static void publishVersions(ControlService control, int firstNumber, int routes) {
         for (int i = 1; !Thread.currentThread().isInterrupted() && i <= VERSIONS; i++) {
             control.offer(1, "m", firstNumber + i, version(firstNumber + i, routes));
             try {
@@ -88,7 +88,11 @@
         return text.append("]}").toString();
     }
 
-    /** Returns response times in microseconds, each from when its request was due; prints how many got no 200. */
+    /**
+     * Sends a load and prints how many requests were not answered with 200.
+     *
+     * @return response times in microseconds, measured from when each request was due
+     */
     static Histogram load(int port, int seconds) throws InterruptedException {
         LoadGenerator.Result result = LoadGenerator.run(new int[] {port}, CLIENTS, REQUESTS_PER_S, seconds);
         if (result.other() > 0) {
--- a/src/test/java/gatelock/standin/ControlService.java
+++ b/src/test/java/gatelock/standin/ControlService.java
@@ -12,29 +12,29 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A control service: holds one configuration version, sends it to relays that poll, and queues their reports. */
+/** A stand-in for the control service: sends one configuration version to relays that poll and queues their reports. */
 public final class ControlService implements AutoCloseable {
     private static final int REPORT_TIMEOUT_S = 20;
 
-    /** How a poll is answered. */
+    /** How the service answers a poll. */
     public enum Behavior {
-        /** With a later version at once, or as soon as there is one; 204 when the hold of the poll is over. */
+        /** Answers with a later version as soon as there is one, or with 204 when the hold time of the poll ends. */
         NORMAL,
-        /** Not at all. */
+        /** Does not answer. */
         SILENT,
-        /** With the version, whatever the relay has. */
+        /** Answers with the version even if the relay has it already. */
         REPEATS_VERSION,
-        /** With half of the version; then the connection ends. */
+        /** Sends half of the version, then closes the connection. */
         TRUNCATES,
-        /** With 204 at once, whatever hold the poll asks for. */
+        /** Answers with 204 at once, whatever hold time the poll requests. */
         IGNORES_HOLD,
-        /** With the version and a hash that is not its own. */
+        /** Answers with the version and a wrong hash. */
         WRONG_HASH,
-        /** With 500. */
+        /** Answers with 500. */
         FAILS
     }
 
-    /** A version; an epoch is named by the time it began and an id. */
+    /** A configuration version. Its epoch is identified by a start time and an id. */
     private record Version(long epochStart, String epochId, long number, String text) {
         boolean isLaterThan(Map<String, Object> poll) {
             return !(epochStart + "-" + epochId).equals(poll.get("epoch"))
@@ -56,18 +56,18 @@
         server.createContext("/v1/plans", this::handle);
     }
 
-    /** Returns where the service listens. */
+    /** Returns the host and port on which the service listens. */
     public String address() {
         return LoopbackHttpServer.address(server);
     }
 
-    /** Replaces the version that is sent. */
+    /** Replaces the version that is sent to relays. */
     public synchronized void offer(long epochStart, String epochId, long number, String text) {
         version = new Version(epochStart, epochId, number, text);
         notifyAll();
     }
 
-    /** Sets how polls are answered from now on, also those that wait. */
+    /** Sets how polls are answered from now on, including polls that are on hold. */
     public synchronized void behave(Behavior newBehavior) {
         behavior = newBehavior;
         notifyAll();
@@ -78,16 +78,20 @@
         return pollCount;
     }
 
-    /** Returns the next report of a relay on a version; fails if none comes in time. */
+    /** Returns the next report of a relay on a version; fails if none arrives within 20 s. */
     public Map<String, Object> awaitReport() throws InterruptedException {
         Map<String, Object> report = reports.poll(REPORT_TIMEOUT_S, TimeUnit.SECONDS);
         if (report == null) {
-            throw new AssertionError("no report came");
+            throw new AssertionError("expected a report within 20 s");
         }
         return report;
     }
 
-    /** Returns the next report on the version with this nonce, which is {@code EPOCH_START/NUMBER}. */
+    /**
+     * Returns the next report on the version with this nonce and drops the reports before it.
+     *
+     * @param nonce {@code EPOCH_START/NUMBER}
+     */
     public Map<String, Object> awaitReport(String nonce) throws InterruptedException {
         Map<String, Object> report = awaitReport();
         while (!nonce.equals(report.get("nonce"))) {
@@ -102,7 +106,7 @@
             reports.add(poll);
         }
         Version answer;
-        Behavior how;
+        Behavior currentBehavior;
         synchronized (this) {
             pollCount++;
             try {
@@ -111,24 +115,24 @@
                 Thread.currentThread().interrupt();
                 return;
             }
-            how = behavior;
+            currentBehavior = behavior;
         }
-        if (how == Behavior.FAILS) {
+        if (currentBehavior == Behavior.FAILS) {
             call.sendResponseHeaders(500, -1);
         } else if (answer == null) {
             call.sendResponseHeaders(204, -1);
         } else {
-            send(call, answer, how);
+            send(call, answer, currentBehavior);
         }
         call.close();
     }
 
-    /** Returns the version that answers a poll, or null for none; waits as the behavior has it. */
+    /** Waits as the current behavior requires, then returns the version to send, or null for none. */
     private synchronized Version awaitAnswer(Map<String, Object> poll) throws InterruptedException {
         long holdMs = ((Number) poll.get("hold_ms")).longValue();
         long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(holdMs);
         while (!closed) {
-            long leftMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNs - System.nanoTime());
             switch (behavior) {
                 case SILENT -> wait();
                 case REPEATS_VERSION, TRUNCATES, WRONG_HASH -> {
@@ -139,28 +143,28 @@
                 }
                 case NORMAL -> {
                     boolean later = version != null && version.isLaterThan(poll);
-                    if (later || leftMs <= 0) {
+                    if (later || remainingMs <= 0) {
                         return later ? version : null;
                     }
-                    wait(leftMs);
+                    wait(remainingMs);
                 }
             }
         }
         return null;
     }
 
-    private static void send(HttpExchange call, Version version, Behavior how) throws IOException {
+    private static void send(HttpExchange call, Version version, Behavior sendBehavior) throws IOException {
         call.getResponseHeaders().set("X-Plan-Epoch-Born", "" + version.epochStart);
         call.getResponseHeaders().set("X-Plan-Epoch-Id", version.epochId);
         call.getResponseHeaders().set("X-Plan-Version", "" + version.number);
         call.getResponseHeaders().set("X-Plan-Nonce", version.epochStart + "/" + version.number);
-        if (how == Behavior.WRONG_HASH) {
+        if (sendBehavior == Behavior.WRONG_HASH) {
             call.getResponseHeaders().set("X-Plan-Hash", "0".repeat(64));
         }
         byte[] body = version.text.getBytes(StandardCharsets.UTF_8);
         call.sendResponseHeaders(200, body.length);
         try (OutputStream out = call.getResponseBody()) {
-            out.write(body, 0, how == Behavior.TRUNCATES ? body.length / 2 : body.length);
+            out.write(body, 0, sendBehavior == Behavior.TRUNCATES ? body.length / 2 : body.length);
             out.flush();
         }
     }
--- a/src/test/java/gatelock/standin/Demo.java
+++ b/src/test/java/gatelock/standin/Demo.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 
 /**
- * A demonstration: configuration versions on their way to a relay that serves, with stand-ins for endpoints, discovery,
- * release controller and control service, the built program, and requests all the time. Run by {@code make demo}.
+ * Demonstrates how a running relay takes over configuration versions while it serves requests. Starts the built program
+ * with stand-ins for endpoints, discovery, the release controller and the control service. Run by {@code make demo}.
  */
 public final class Demo implements AutoCloseable {
     private static final int ENDPOINTS = 4;
@@ -33,14 +33,14 @@
         adminPort = ports[1];
     }
 
-    /** Plays the demonstration; takes no arguments. */
+    /** Runs the demonstration; takes no arguments. */
     public static void main(String[] args) throws Exception {
         try (Demo demo = new Demo()) {
-            demo.play();
+            demo.run();
         }
     }
 
-    private void play() throws Exception {
+    private void run() throws Exception {
         Path directory = Files.createTempDirectory("gatelock-demo");
         Path operator = directory.resolve("operator.json");
         Files.writeString(
@@ -52,25 +52,25 @@
                 deployment.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
         List<String> arguments = List.of("--cold", "--operator", operator.toString());
         try (RelayProcess relay = RelayProcess.start(directory, port, configuration, List.of(), arguments)) {
-            print("a relay with 4 units and a control service; its log is " + relay.logFile());
+            print("a relay with 4 endpoints and a control service; the log of the relay is " + relay.logFile());
             while (sendRequest("GET", "/-/ready") != 200) {
                 Thread.sleep(50);
             }
-            playVersions();
+            runVersions();
             print("status: " + status());
-            print(requestCount + " reqs, answers by status " + responsesByStatus + ", every one answered");
+            print(requestCount + " requests, responses by status " + responsesByStatus + " (status 0: no response)");
             relay.stop();
         }
     }
 
-    private void playVersions() throws InterruptedException {
+    private void runVersions() throws InterruptedException {
         showReport(epochStart, 1);
         offer(epochStart, 2, "claims are tried again", 50, "near", "again");
         showReport(epochStart, 2);
         offer(epochStart, 3, "reads go everywhere, 10 a second", 10, "all", "proven");
         showReport(epochStart, 3);
         control.behave(ControlService.Behavior.SILENT);
-        print("the control service falls silent");
+        print("the control service stops answering polls");
         showTraffic();
         control.behave(ControlService.Behavior.NORMAL);
         offer(epochStart - 1000, 9, "an old copy", 500, "all", "proven");
@@ -88,15 +88,15 @@
         """, note, readsPerS, pool, retries));
     }
 
-    /** Prints what the relay reports on a version, then how requests fare. */
+    /** Prints the relay's report on a version, then the results of 100 requests. */
     private void showReport(long epoch, int number) throws InterruptedException {
         Map<String, Object> report = control.awaitReport(epoch + "/" + number);
         if (Boolean.TRUE.equals(report.get("accepted"))) {
             print("version " + number + ": in force");
         } else {
             String findings = report.containsKey("findings") ? ": " + report.get("findings") : "";
-            print("version " + number + ": turned down (" + report.get("answer") + "), " + report.get("version")
-                    + " stays" + findings);
+            print("version " + number + ": rejected (" + report.get("answer") + "), " + report.get("version")
+                    + " stays in force" + findings);
         }
         showTraffic();
     }
@@ -121,10 +121,10 @@
                     .append(' ')
                     .append(deployment.requestCount(i) - countsBefore[i]);
         }
-        print("   100 reqs: answers " + statuses + "; units " + endpoints);
+        print("   100 requests: responses by status " + statuses + "; requests by endpoint " + endpoints);
     }
 
-    /** Sends a request; returns the status of its response, or 0 if none came. */
+    /** Sends a request; returns the status of its response, or 0 if there was none. */
     private int sendRequest(String method, String path) {
         try {
             HttpURLConnection call = (HttpURLConnection)
--- a/src/test/java/gatelock/standin/EndpointListBenchmark.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -16,58 +16,62 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures one relay with the platform's flags on a list of 200,000 endpoints, with and without a subset: time until
- * it is ready, memory, processor time at an ordinary day's changes of the list, and requests at the end. Not a test: run
- * by {@code make measure-list}, from the directory of the project. Arguments: rows by number (all if none), then
- * {@code write COMMIT} to write them to docs/capacity/relay-scope.json.
+ * Measures one relay with the platform's flags on a list of 200,000 endpoints, with and without a subset, and on
+ * one of 10,000: time until it is ready, memory, CPU time at the usual rate of list changes, and response times of requests
+ * after the changes. Not a test: run by {@code make measure-list}, from the directory of the project. Arguments: numbers of
+ * the rows to measure (all rows if none is given), then {@code write COMMIT} to write the rows to
+ * docs/capacity/relay-scope.json.
  */
 public final class EndpointListBenchmark {
-    /** The file whose run line has the flags; another one by {@code -Ddeploy}. */
+    /** The platform configuration whose run line has the JVM flags; {@code -Ddeploy} names another file. */
     private static final Path DEPLOY = Path.of(System.getProperty("deploy", "deploy/balancer.toml"));
 
     private static final int ENDPOINT_SERVERS = 4;
-    private static final int QUIET_S = 15;
+    private static final int IDLE_S = 15;
     private static final int CHANGES_S = 30;
     private static final int SERVICES = 7_200;
     private static final int REQUESTS_S = 5;
-    /** Between two changes, as of an ordinary day: half a restart a second, of three changes each, and 0.014 failures. */
-    private static final int STEP_MS = 667;
+    /**
+     * The interval between two changes on an ordinary day: half a restart per second, with three changes per restart, and
+     * 0.014 failures per second.
+     */
+    private static final int CHANGE_INTERVAL_MS = 667;
 
     private static final Pattern LIST_LOG_LINE =
             Pattern.compile("list \\d+ of (\\d+) endpoints in (\\d+) services, (\\d+) in scope");
 
     /**
-     * One row.
+     * The list and the settings that one row of the result is measured with.
      *
-     * @param endpoints that are listed
-     * @param membership settings of the subset in the operator's file; null: no subset
+     * @param endpoints number of endpoints in the list
+     * @param membership settings of the subset in the operator's file, or null for no subset
      */
-    private record Play(int endpoints, String membership) {}
+    private record Scenario(int endpoints, String membership) {}
 
-    private static final List<Play> PLAYS = List.of(
-            new Play(200_000, null),
-            new Play(10_000, null),
-            new Play(200_000, "\"most\": 1024, \"perService\": 4"),
-            new Play(200_000, "\"most\": 7300, \"perService\": 4"),
-            new Play(10_000, "\"most\": 1024, \"perService\": 4"));
+    private static final List<Scenario> SCENARIOS = List.of(
+            new Scenario(200_000, null),
+            new Scenario(10_000, null),
+            new Scenario(200_000, "\"most\": 1024, \"perService\": 4"),
+            new Scenario(200_000, "\"most\": 7300, \"perService\": 4"),
+            new Scenario(10_000, "\"most\": 1024, \"perService\": 4"));
 
     private EndpointListBenchmark() {}
 
     /** Measures the rows that the arguments name and prints them as JSON. */
     public static void main(String[] args) throws Exception {
         List<Map<String, Object>> rows = new ArrayList<>();
-        List<Integer> wanted = new ArrayList<>();
+        List<Integer> selectedRows = new ArrayList<>();
         String commit = null;
         for (int i = 0; i < args.length; i++) {
             if (args[i].equals("write")) {
                 commit = args[++i];
             } else {
-                wanted.add(Integer.parseInt(args[i]));
+                selectedRows.add(Integer.parseInt(args[i]));
             }
         }
-        for (int i = 0; i < PLAYS.size(); i++) {
-            if (wanted.isEmpty() || wanted.contains(i)) {
-                rows.add(row(PLAYS.get(i)));
+        for (int i = 0; i < SCENARIOS.size(); i++) {
+            if (selectedRows.isEmpty() || selectedRows.contains(i)) {
+                rows.add(row(SCENARIOS.get(i)));
                 System.out.println(JSON.std.asString(rows.get(rows.size() - 1)));
             }
         }
@@ -94,7 +98,7 @@
                 JSON.std.with(JSON.Feature.PRETTY_PRINT_OUTPUT).asString(all) + "\n");
     }
 
-    private static Map<String, Object> row(Play play) throws Exception {
+    private static Map<String, Object> row(Scenario scenario) throws Exception {
         Path directory = Files.createTempDirectory("gatelock-list");
         int port = RelayProcess.freePort();
         try (FakeDeployment deployment = new FakeDeployment(ENDPOINT_SERVERS)) {
@@ -105,23 +109,24 @@
                 addresses.add(deployment.address(i));
             }
             try (LongListDiscovery list =
-                    new LongListDiscovery(play.endpoints, i -> entry(i, addresses, "in_service", 0, 1))) {
+                    new LongListDiscovery(scenario.endpoints, i -> entry(i, addresses, "in_service", 0, 1))) {
                 String configuration = example.replaceFirst(
                         "\"discovery\": \"[^\"]*:[0-9]+\"", "\"discovery\": \"" + list.address("relay") + "\"");
-                List<String> arguments = play.membership == null ? List.of() : operatorArguments(directory, play);
+                List<String> arguments =
+                        scenario.membership == null ? List.of() : operatorArguments(directory, scenario);
                 List<String> flags = RelayProcess.flags(DEPLOY);
                 try (RelayProcess relay = RelayProcess.start(directory, port, configuration, flags, arguments)) {
-                    return measure(play, addresses, list, relay);
+                    return measure(scenario, addresses, list, relay);
                 }
             }
         }
     }
 
-    private static List<String> operatorArguments(Path directory, Play play) throws IOException {
+    private static List<String> operatorArguments(Path directory, Scenario scenario) throws IOException {
         Path operator = directory.resolve("operator.json");
         Files.writeString(
                 operator,
-                "{\"membership\": {\"leastHolders\": 0, " + play.membership
+                "{\"membership\": {\"leastHolders\": 0, " + scenario.membership
                         + ", \"number\": 17, \"zone\": \"east\", \"service\": {\"label\": \"service\"}}}");
         return List.of("--operator", operator.toString());
     }
@@ -138,27 +143,27 @@
     }
 
     private static Map<String, Object> measure(
-            Play play, List<String> addresses, LongListDiscovery list, RelayProcess relay) throws Exception {
+            Scenario scenario, List<String> addresses, LongListDiscovery list, RelayProcess relay) throws Exception {
         Map<String, Object> row = new LinkedHashMap<>();
-        row.put("units", play.endpoints);
-        row.put("membership", play.membership == null ? "off" : "{" + play.membership + "}");
+        row.put("units", scenario.endpoints);
+        row.put("membership", scenario.membership == null ? "off" : "{" + scenario.membership + "}");
         row.put("readyMs", relay.awaitReadyMs(60_000));
         row.put("readyCpuMs", relay.cpuUs() / 1_000);
         Matcher listed = LIST_LOG_LINE.matcher(relay.log());
         row.put("inScope", listed.find() ? Integer.parseInt(listed.group(3)) : null);
         row.put("listBytes", list.bytesOut());
         row.put("lists", list.snapshotCalls());
-        // The first seconds have the work that a start leaves behind: compilation and the garbage of the warm-up.
+        // Excludes work that follows from the start: compilation, and collection of the garbage of the warm-up.
         TimeUnit.SECONDS.sleep(5);
         long cpuUs = relay.cpuUs();
-        TimeUnit.SECONDS.sleep(QUIET_S);
-        double quiet = (relay.cpuUs() - cpuUs) / 1e6 / QUIET_S;
-        row.put("quietCorePercent", round(quiet * 100));
+        TimeUnit.SECONDS.sleep(IDLE_S);
+        double idleCores = (relay.cpuUs() - cpuUs) / 1e6 / IDLE_S;
+        row.put("quietCorePercent", round(idleCores * 100));
         long bytes = list.bytesOut();
         cpuUs = relay.cpuUs();
-        long index = playChanges(addresses, list, play.endpoints);
-        double changing = (relay.cpuUs() - cpuUs) / 1e6 / CHANGES_S;
-        row.put("changesCorePercent", round(changing * 100));
+        long index = applyChanges(addresses, list, scenario.endpoints);
+        double changingCores = (relay.cpuUs() - cpuUs) / 1e6 / CHANGES_S;
+        row.put("changesCorePercent", round(changingCores * 100));
         row.put("changesBytesPerS", (list.bytesOut() - bytes) / CHANGES_S);
         row.put("followed", !list.await(index, 1, 5_000).isEmpty());
         Histogram us = ConfigUpdateBenchmark.load(relay.port, REQUESTS_S);
@@ -167,14 +172,14 @@
         row.put("residentMb", round(relay.residentMb()));
         row.put("peakResidentMb", round(relay.peakResidentMb()));
         row.put("oldHeapMb", round(relay.oldHeapMb()));
-        row.put("liveHeapMb", round(liveMb(relay)));
+        row.put("liveHeapMb", round(liveHeapMb(relay)));
         row.put("saysTooLong", relay.log().contains("discovery's list is too long"));
         row.put("saysSilent", relay.log().contains("discovery is silent"));
         return row;
     }
 
-    /** Returns the live heap; the class histogram collects all garbage first. */
-    private static double liveMb(RelayProcess relay) throws IOException, InterruptedException {
+    /** Returns the size of the live heap, or -1 if it is unknown; the class histogram collects all garbage first. */
+    private static double liveHeapMb(RelayProcess relay) throws IOException, InterruptedException {
         Matcher total = Pattern.compile("(?m)^Total\\s+\\d+\\s+(\\d+)").matcher(relay.jcmd("GC.class_histogram"));
         return total.find() ? Long.parseLong(total.group(1)) / 1024.0 / 1024.0 : -1;
     }
@@ -183,13 +188,13 @@
         return Math.round(value * 100) / 100.0;
     }
 
-    /** Plays an ordinary day's changes of the list for a while; returns the index of the last one. */
-    private static long playChanges(List<String> addresses, LongListDiscovery list, int size)
+    /** Changes the list at the rate of an ordinary day for 30 s; returns the index of the last change. */
+    private static long applyChanges(List<String> addresses, LongListDiscovery list, int size)
             throws InterruptedException {
         long fromNs = System.nanoTime();
         long index = list.index();
-        for (int i = 0; i * (long) STEP_MS < CHANGES_S * 1_000L; i++) {
-            long dueNs = fromNs + TimeUnit.MILLISECONDS.toNanos(i * (long) STEP_MS);
+        for (int i = 0; i * (long) CHANGE_INTERVAL_MS < CHANGES_S * 1_000L; i++) {
+            long dueNs = fromNs + TimeUnit.MILLISECONDS.toNanos(i * (long) CHANGE_INTERVAL_MS);
             TimeUnit.NANOSECONDS.sleep(Math.max(0, dueNs - System.nanoTime()));
             int endpoint = (int) (i / 3 * 7_919L % size);
             long nowMs = System.currentTimeMillis();
--- a/src/test/java/gatelock/standin/EndpointListJson.java
+++ b/src/test/java/gatelock/standin/EndpointListJson.java
@@ -2,27 +2,32 @@
 
 import java.io.IOException;
 
-/** Discovery's answers. */
+/** Builds discovery's responses as JSON. */
 public final class EndpointListJson {
     private EndpointListJson() {}
 
-    /** Returns an entry; status is a word of discovery's, such as {@code in_service}, and the build its image id. */
+    /**
+     * Returns an entry of a list.
+     *
+     * @param status status in discovery's format, such as {@code in_service}
+     * @param build build number, which is sent as the image id
+     */
     public static String entry(String name, FakeServer server, String status, int build) {
         return entry(name, server.address(), status, build);
     }
 
-    /** Returns an entry for an address. */
+    /** Returns an entry of a list for an address. */
     public static String entry(String name, String address, String status, int build) {
         return "{\"name\":\"" + name + "\",\"address\":\"" + address + "\",\"status\":\"" + status
                 + "\",\"since_ms\":0,\"image_id\":" + build + "}";
     }
 
-    /** Returns a whole list. */
+    /** Returns a full list. */
     public static String snapshot(int index, String... entries) {
         return list(index, true, entries);
     }
 
-    /** Returns a change of the list. */
+    /** Returns a change of a list. */
     public static String delta(int index, String... entries) {
         return list(index, false, entries);
     }
@@ -32,7 +37,7 @@
                 + "]}";
     }
 
-    /** Answers a call with a whole list of one endpoint in service. */
+    /** Answers a call with a full list of one endpoint that is in service. */
     public static void listOnly(HttpMessage call, int index, FakeServer endpoint) throws IOException {
         call.respond("200 OK", "", snapshot(index, entry("u" + index, endpoint, "in_service", 1)));
     }
--- a/src/test/java/gatelock/standin/EndpointRestriction.java
+++ b/src/test/java/gatelock/standin/EndpointRestriction.java
@@ -3,7 +3,10 @@
 import gatelock.api.AttemptResult;
 import gatelock.api.RequestConstraints;
 
-/** Bounds that name the endpoints a request may reach, as a pool of a plan does, and nothing else. */
+/**
+ * Request constraints that only restrict the endpoints a request may reach, as a pool of a configuration version does; the
+ * other limits are those of {@link RequestConstraints#NONE}.
+ */
 @FunctionalInterface
 public interface EndpointRestriction extends RequestConstraints {
     @Override
--- a/src/test/java/gatelock/standin/FakeDeployment.java
+++ b/src/test/java/gatelock/standin/FakeDeployment.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All that a relay of examples/relay.json speaks to, on free ports: endpoints, discovery and the release controller.
- * They answer by themselves.
+ * Stand-ins for all peers of a relay with the configuration examples/relay.json: endpoints, discovery and the release
+ * controller. They listen on free ports and answer without the test's help.
  */
 public final class FakeDeployment implements AutoCloseable {
     private static final long DEFAULT_WORK_MS = 5;
@@ -27,12 +27,19 @@
     private final HttpServer discovery;
     private final HttpServer controller;
 
-    /** Starts so many endpoints, named a, b, c and so on, by turns in zone east and west; each takes 5 ms a request. */
+    /**
+     * Starts the given number of endpoints, named a, b, c and so on, alternately in the zones east and west. Each takes
+     * 5 ms to answer a request.
+     */
     public FakeDeployment(int endpointCount) throws IOException {
         this(endpointCount, DEFAULT_WORK_MS);
     }
 
-    /** Starts endpoints that take so long a request; 0: as long as they need to answer. */
+    /**
+     * Starts endpoints that wait before they answer a request.
+     *
+     * @param workMs the wait; 0 answers at once
+     */
     public FakeDeployment(int endpointCount, long workMs) throws IOException {
         for (int i = 0; i < endpointCount; i++) {
             endpoints.add(startEndpoint(name(i), workMs));
@@ -65,7 +72,7 @@
         return endpoint;
     }
 
-    /** Answers a call for the whole list at once, and a watch with an empty change when its hold is over. */
+    /** Answers a call for the full list at once, and a long poll with an empty change when its hold time ends. */
     private void answerDiscovery(HttpExchange call) throws IOException {
         String query = call.getRequestURI().getQuery();
         if (query == null) {
@@ -92,17 +99,22 @@
         return "" + (char) ('a' + endpoint);
     }
 
-    /** Returns where an endpoint listens. */
+    /** Returns the host and port on which an endpoint listens. */
     public String address(int endpoint) {
         return LoopbackHttpServer.address(endpoints.get(endpoint));
     }
 
-    /** Returns how many requests an endpoint has served. */
+    /** Returns the number of requests that an endpoint has served. */
     public long requestCount(int endpoint) {
         return requestCounts.get(endpoint).get();
     }
 
-    /** Returns the example's configuration with the addresses of this deployment, two zones, and the relay's address. */
+    /**
+     * Returns the example configuration with the addresses of this deployment and the zones east and west.
+     *
+     * @param example text of examples/relay.json
+     * @param listen address on which the relay listens
+     */
     public String configuration(String example, String listen) {
         String known = "{\"index\": 1, \"snapshot\": true, \"endpoints\": " + entries() + "},\n  \"settings\"";
         return example.replace("127.0.0.1:8480", listen)
--- a/src/test/java/gatelock/standin/FakeServer.java
+++ b/src/test/java/gatelock/standin/FakeServer.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An endpoint, discovery or release controller on loopback: it queues all calls, and the test answers them. */
+/** A stand-in for an endpoint, discovery or the release controller: queues all calls for the test to answer. */
 public final class FakeServer implements AutoCloseable {
     private static final int BACKLOG = 50;
     private static final int CALL_TIMEOUT_S = 60;
@@ -21,7 +21,7 @@
     private final BlockingQueue<Socket> closedConnections = new LinkedBlockingQueue<>();
     private final List<Socket> connections = new CopyOnWriteArrayList<>();
     private final ServerSocket listener;
-    /** Connections of our own that fill the backlog of a server that accepts later. */
+    /** Connections opened by this server to itself to fill its backlog until {@link #accept}. */
     private final List<Socket> backlogFillers = new ArrayList<>();
 
     /** Starts a server that accepts connections. */
@@ -34,7 +34,7 @@
         listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
     }
 
-    /** Starts a server to which no connection can be established before {@link #accept}: its backlog is full. */
+    /** Starts a server whose backlog is full, so that no connection can be established before {@link #accept}. */
     public static FakeServer thatAcceptsLater() throws IOException {
         FakeServer server = new FakeServer(1);
         for (int i = 0; i < 16; i++) {
@@ -46,10 +46,10 @@
                 return server;
             }
         }
-        throw new IOException("the backlog never fills");
+        throw new IOException("expected the backlog to fill after at most 16 connections");
     }
 
-    /** Begins to accept connections. */
+    /** Closes the connections that fill the backlog, and starts to accept connections. */
     public void accept() throws IOException {
         for (Socket socket : backlogFillers) {
             socket.close();
@@ -78,26 +78,26 @@
         listener.close();
     }
 
-    /** Returns where the server listens. */
+    /** Returns the host and port on which the server listens. */
     public String address() {
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Returns the next call; fails if none comes in time. */
+    /** Returns the next call; fails if none arrives within 60 s. */
     public HttpMessage awaitCall() throws InterruptedException {
         HttpMessage call = calls.poll(CALL_TIMEOUT_S, TimeUnit.SECONDS);
         if (call == null) {
-            throw new AssertionError("no call came");
+            throw new AssertionError("expected a call within 60 s");
         }
         return call;
     }
 
-    /** Returns the calls that were not fetched by {@link #awaitCall} yet. */
+    /** Returns the calls that {@link #awaitCall} has not returned yet. */
     public BlockingQueue<HttpMessage> calls() {
         return calls;
     }
 
-    /** Returns the connections that the relay closed, in the order in which it did. */
+    /** Returns the connections that the relay closed, in the order of closing. */
     public BlockingQueue<Socket> closedConnections() {
         return closedConnections;
     }
--- a/src/test/java/gatelock/standin/HttpMessage.java
+++ b/src/test/java/gatelock/standin/HttpMessage.java
@@ -5,12 +5,19 @@
 import java.util.Locale;
 
 /**
- * An HTTP request or response as it was read from a connection.
+ * An HTTP request or response that was read from a connection.
  *
- * @param head first line and headers, with the empty line behind them
+ * @param socket connection from which the message was read
+ * @param head first line and headers, including the empty line that ends them
+ * @param body body, one character per byte
  */
 public record HttpMessage(Socket socket, String head, String body) {
-    /** Answers a request on its connection, e.g. with status {@code "200 OK"}; each header ends with CR LF. */
+    /**
+     * Answers this request on its connection.
+     *
+     * @param status status code and reason phrase, such as {@code "200 OK"}
+     * @param headers additional headers, each of which ends with CR LF
+     */
     public void respond(String status, String headers, String responseBody) throws IOException {
         RawHttp.write(
                 socket,
@@ -18,7 +25,7 @@
                         + responseBody);
     }
 
-    /** Returns the first value of a header, or null. */
+    /** Returns the value of the first header with this name, or null if there is none. */
     public String header(String name) {
         String prefix = name.toLowerCase(Locale.ROOT) + ":";
         return head.lines()
--- a/src/test/java/gatelock/standin/LoadGenerator.java
+++ b/src/test/java/gatelock/standin/LoadGenerator.java
@@ -15,9 +15,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * An open-loop load generator: clients send requests at set times, whatever responses have come by then, as long as one
- * of them is free. Each request is timed from when it was due, so that a stall counts for all that should have been sent
- * in it.
+ * An open-loop load generator: requests are due at fixed times, independently of the responses to earlier requests. Each
+ * client has at most one request in flight. Response times are measured from the time a request was due, so that a stall
+ * also counts for the requests that were delayed by it.
  */
 public final class LoadGenerator {
     private static final int TIMEOUT_MS = 20_000;
@@ -26,17 +26,17 @@
     private static final long NS_PER_S = 1_000_000_000;
 
     /**
-     * What came of a load.
+     * The outcome of a load.
      *
      * @param us response times of the requests answered with 200, in microseconds
-     * @param other requests with another response, or none
+     * @param other number of requests that had another response or none
      */
     public record Result(Histogram us, long other) {}
 
     /**
-     * A response.
+     * An HTTP response.
      *
-     * @param bytes of head and body together
+     * @param bytes size of head and body together
      */
     public record Response(int status, long bytes, String head) {}
 
@@ -53,7 +53,7 @@
         this.seconds = seconds;
     }
 
-    /** Sends a load from clients that are spread over the ports, and waits until all requests have ended. */
+    /** Sends a load from clients that are distributed over the ports, and waits until all requests have ended. */
     public static Result run(int[] ports, int clients, int requestsPerS, int seconds) throws InterruptedException {
         LoadGenerator load = new LoadGenerator(clients, requestsPerS, seconds);
         List<Thread> threads = new ArrayList<>();
@@ -70,7 +70,7 @@
         return new Result(load.responseTimesUs, load.failures.sum());
     }
 
-    /** Sends every request whose number falls to this client. */
+    /** Sends the requests of one client: every request whose number modulo the number of clients is its own. */
     private void runClient(int clientNo, int port) {
         Socket socket = null;
         for (int i = clientNo; i < seconds * requestsPerS; i += clients) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Connects as a client. */
+    /** Opens a client connection to a port on loopback. */
     public static Socket open(int port) throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
         socket.setTcpNoDelay(true);
@@ -114,17 +114,17 @@
                 socket.close();
             }
         } catch (IOException e) {
-            // The connection is gone either way.
+            // The connection is no longer used, so the failure has no effect.
         }
     }
 
-    /** Sends a request of the class 'read'; returns the status of its response, which is read to its end. */
+    /** Sends a request of the class 'read', reads the whole response and returns its status. */
     public static int requestStatus(Socket socket, String traceId) throws IOException {
         return exchange(socket, "GET /read/x HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + traceId + "\r\n\r\n")
                 .status();
     }
 
-    /** Sends a request on a connection that carries no other; the response must have a content length. */
+    /** Sends a request on a connection with no other request in flight; the response must have a content length. */
     public static Response exchange(Socket socket, String request) throws IOException {
         socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         InputStream in = new BufferedInputStream(socket.getInputStream());
@@ -132,7 +132,7 @@
         while (head.indexOf("\r\n\r\n") < 0) {
             int next = in.read();
             if (next < 0 || head.length() > MAX_HEAD_CHARS) {
-                throw new IOException("no response: " + head);
+                throw new IOException("expected a complete response head, got: " + head);
             }
             head.append((char) next);
         }
--- a/src/test/java/gatelock/standin/LongListDiscovery.java
+++ b/src/test/java/gatelock/standin/LongListDiscovery.java
@@ -18,41 +18,42 @@
 import java.util.function.IntFunction;
 
 /**
- * A discovery with a list of any length. Only the entries that changed are stored; the others are computed each time they
- * are written. Each relay has an address of its own, as of the agent on its machine, so that a watch from an index shows
- * that this relay has the list of that index.
+ * A stand-in for discovery with a list of any length. Only the entries that changed are stored; the others are computed
+ * each time they are written. Each relay has its own address, like that of the discovery agent on its machine, so that a
+ * watch (a long poll from an index) shows that this relay has the list of that index.
  */
 public final class LongListDiscovery implements AutoCloseable {
-    private static final String HEAD = "{\"index\":%d,\"snapshot\":%b,\"endpoints\":[";
+    private static final String LIST_START_FORMAT = "{\"index\":%d,\"snapshot\":%b,\"endpoints\":[";
 
-    private static final String END = "]}";
+    private static final String LIST_END = "]}";
     private static final int BUFFER_BYTES = 64 * 1024;
 
-    /** An entry that is not as it was at the start; one that is not listed was removed. */
-    private record Changed(long index, String text, boolean listed) {}
+    /** An entry that was changed or added after the start, or removed if it is no longer listed. */
+    private record ChangedEntry(long index, String text, boolean listed) {}
 
     private final ExecutorService threads = LoopbackHttpServer.daemonThreads("discovery");
     private final List<HttpServer> servers = new ArrayList<>();
     private final int size;
     private final IntFunction<String> entries;
     private final long sizeBytes;
-    /** By the number of the entry; those from the first size on were added later. */
-    private final TreeMap<Integer, Changed> changed = new TreeMap<>();
+    /** Changed entries by entry number; numbers from {@code size} on belong to entries that were added after the start. */
+    private final TreeMap<Integer, ChangedEntry> changedEntries = new TreeMap<>();
 
-    /** By relay and index: when the relay first watched from that index, by System.nanoTime. */
+    /** By relay and index: the time of System.nanoTime at which the relay first watched from that index. */
     private final Map<String, Map<Long, Long>> watchedSinceNs = new HashMap<>();
 
     private long index = 1;
-    private long wholes;
-    private long watches;
-    private long brokenOff;
+    private long snapshotCalls;
+    private long watchCalls;
+    private long abortedAnswers;
     private final LongAdder bytesOut = new LongAdder();
     private boolean closed;
 
     /**
-     * Creates a discovery that listens nowhere yet.
+     * Creates a discovery that does not listen before the first call of {@link #address}.
      *
-     * @param entries the text of each entry as it is at the start, a JSON object in ASCII
+     * @param size number of entries at the start
+     * @param entries returns the initial text of an entry by its number, a JSON object in ASCII
      */
     public LongListDiscovery(int size, IntFunction<String> entries) {
         this.size = size;
@@ -64,7 +65,7 @@
         sizeBytes = bytes;
     }
 
-    /** Returns an entry as the platform has them, about 190 bytes with the field that names its service. */
+    /** Returns an entry in the platform's format, of about 190 bytes with its service; null omits the service. */
     public static String entry(
             int number, String address, String zone, String service, String status, long sinceMs, int build) {
         return "{\"name\":\"" + name(number) + "\",\"address\":\"" + address + "\",\"zone\":\"" + zone
@@ -78,7 +79,7 @@
         return String.format("s-%08x", number * 0x9E3779B1);
     }
 
-    /** Returns an address at which one more relay finds the list. */
+    /** Starts a server for one more relay and returns its host and port. */
     public synchronized String address(String relay) throws IOException {
         HttpServer server = LoopbackHttpServer.start(threads);
         server.createContext("/api/targets", call -> handle(relay, call));
@@ -86,18 +87,18 @@
         return LoopbackHttpServer.address(server);
     }
 
-    /** Replaces an entry, or adds one; returns the index of the change. */
+    /** Replaces or adds an entry; returns the index of the change. */
     public synchronized long replace(int number, String text) {
-        return changed(number, text, true);
+        return changedEntries(number, text, true);
     }
 
-    /** Removes an entry: watches get it once more, with its last status. Returns the index of the change. */
+    /** Removes an entry, of which watches receive the last status; returns the index of the change. */
     public synchronized long remove(int number, String text) {
-        return changed(number, text, false);
+        return changedEntries(number, text, false);
     }
 
-    private long changed(int number, String text, boolean listed) {
-        changed.put(number, new Changed(++index, text, listed));
+    private long changedEntries(int number, String entryJson, boolean listed) {
+        changedEntries.put(number, new ChangedEntry(++index, entryJson, listed));
         notifyAll();
         return index;
     }
@@ -106,9 +107,9 @@
         String query = call.getRequestURI().getQuery();
         try {
             if (query == null) {
-                whole(call);
+                respondWithSnapshot(call);
             } else {
-                watch(
+                respondToWatch(
                         relay,
                         call,
                         Long.parseLong(query.replaceAll(".*from=(\\d+).*", "$1")),
@@ -116,55 +117,55 @@
             }
         } catch (IOException e) {
             synchronized (this) {
-                brokenOff++;
+                abortedAnswers++;
             }
             call.close();
         }
     }
 
-    private void whole(HttpExchange call) throws IOException {
-        TreeMap<Integer, Changed> now;
+    private void respondWithSnapshot(HttpExchange call) throws IOException {
+        TreeMap<Integer, ChangedEntry> changedNow;
         String head;
         synchronized (this) {
-            wholes++;
-            now = new TreeMap<>(changed);
-            head = String.format(HEAD, index, true);
+            snapshotCalls++;
+            changedNow = new TreeMap<>(changedEntries);
+            head = String.format(LIST_START_FORMAT, index, true);
         }
-        // Each entry counts with the comma before the next one; the last has none.
+        // The size of each entry includes the comma after it, which the last entry does not have.
         long bytes = sizeBytes;
-        for (Map.Entry<Integer, Changed> e : now.entrySet()) {
+        for (Map.Entry<Integer, ChangedEntry> e : changedNow.entrySet()) {
             bytes -= e.getKey() < size ? entries.apply(e.getKey()).length() + 1 : 0;
             bytes += e.getValue().listed ? e.getValue().text.length() + 1 : 0;
         }
-        call.sendResponseHeaders(200, head.length() + Math.max(0, bytes - 1) + END.length());
+        call.sendResponseHeaders(200, head.length() + Math.max(0, bytes - 1) + LIST_END.length());
         OutputStream out = new BufferedOutputStream(call.getResponseBody(), BUFFER_BYTES);
         write(out, head);
         String comma = "";
-        int last = now.isEmpty() ? size : Math.max(size, now.lastKey() + 1);
+        int last = changedNow.isEmpty() ? size : Math.max(size, changedNow.lastKey() + 1);
         for (int i = 0; i < last; i++) {
-            Changed other = now.get(i);
-            boolean listed = other == null ? i < size : other.listed;
+            ChangedEntry change = changedNow.get(i);
+            boolean listed = change == null ? i < size : change.listed;
             if (listed) {
                 write(out, comma);
-                write(out, other == null ? entries.apply(i) : other.text);
+                write(out, change == null ? entries.apply(i) : change.text);
                 comma = ",";
             }
         }
-        write(out, END);
+        write(out, LIST_END);
         out.close();
     }
 
-    private void watch(String relay, HttpExchange call, long from, long holdMs) throws IOException {
+    private void respondToWatch(String relay, HttpExchange call, long from, long holdMs) throws IOException {
         String answer;
         try {
-            answer = changes(relay, from, holdMs);
+            answer = awaitChanges(relay, from, holdMs);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             call.close();
             return;
         }
         if (answer == null) {
-            whole(call);
+            respondWithSnapshot(call);
             return;
         }
         call.sendResponseHeaders(200, answer.length());
@@ -173,9 +174,13 @@
         out.close();
     }
 
-    /** Waits for a change after an index, or until the hold is over; returns the answer, or null if the index is not ours. */
-    private synchronized String changes(String relay, long from, long holdMs) throws InterruptedException {
-        watches++;
+    /**
+     * Waits until there is a change after an index or the hold time ends.
+     *
+     * @return the response, or null if this discovery has not reached that index
+     */
+    private synchronized String awaitChanges(String relay, long from, long holdMs) throws InterruptedException {
+        watchCalls++;
         watchedSinceNs.computeIfAbsent(relay, r -> new LinkedHashMap<>()).putIfAbsent(from, System.nanoTime());
         notifyAll();
         if (from > index) {
@@ -187,15 +192,15 @@
                 leftNs = endNs - System.nanoTime()) {
             TimeUnit.NANOSECONDS.timedWait(this, leftNs);
         }
-        StringBuilder text = new StringBuilder(String.format(HEAD, index, false));
+        StringBuilder text = new StringBuilder(String.format(LIST_START_FORMAT, index, false));
         String comma = "";
-        for (Changed change : changed.values()) {
+        for (ChangedEntry change : changedEntries.values()) {
             if (change.index > from) {
                 text.append(comma).append(change.text);
                 comma = ",";
             }
         }
-        return text.append(END).toString();
+        return text.append(LIST_END).toString();
     }
 
     private void write(OutputStream out, String text) throws IOException {
@@ -203,10 +208,10 @@
         bytesOut.add(text.length());
     }
 
-    /** Returns since when each relay that has this index or a later one has it, by System.nanoTime. */
+    /** Returns the relays that have this index or a later one, and the time of System.nanoTime since when they have it. */
     public synchronized Map<String, Long> watchedSince(long index) {
         Map<String, Long> since = new TreeMap<>();
-        watchedSinceNs.forEach((relay, held) -> held.entrySet().stream()
+        watchedSinceNs.forEach((relay, watchedIndexes) -> watchedIndexes.entrySet().stream()
                 .filter(e -> e.getKey() >= index)
                 .mapToLong(Map.Entry::getValue)
                 .min()
@@ -214,7 +219,7 @@
         return since;
     }
 
-    /** Waits until so many relays have this index or a later one, or the time is over; returns those that have it. */
+    /** Waits until a number of relays have this index or a later one, or the time ends; returns the relays that have it. */
     public synchronized Map<String, Long> await(long index, int relays, long withinMs) throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
         for (long leftNs = endNs - System.nanoTime();
@@ -230,22 +235,22 @@
         return index;
     }
 
-    /** Returns the number of calls for the whole list. */
+    /** Returns the number of responses with the full list. */
     public synchronized long snapshotCalls() {
-        return wholes;
+        return snapshotCalls;
     }
 
-    /** Returns the number of calls that waited for a change. */
+    /** Returns the number of watches. */
     public synchronized long watchCalls() {
-        return watches;
+        return watchCalls;
     }
 
-    /** Returns the number of answers that a relay did not read to the end. */
+    /** Returns the number of responses that a relay did not read to the end. */
     public synchronized long abortedAnswers() {
-        return brokenOff;
+        return abortedAnswers;
     }
 
-    /** Returns the bytes of bodies written so far, without heads. */
+    /** Returns the number of body bytes written so far; heads are not counted. */
     public long bytesOut() {
         return bytesOut.sum();
     }
@@ -256,7 +261,7 @@
             closed = true;
             notifyAll();
         }
-        servers.forEach(d -> d.stop(0));
+        servers.forEach(server -> server.stop(0));
         threads.shutdownNow();
     }
 }
--- a/src/test/java/gatelock/standin/LongListDiscoveryTest.java
+++ b/src/test/java/gatelock/standin/LongListDiscoveryTest.java
@@ -11,9 +11,9 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The list as a relay would read it: whole, then what changed; and what it tells of who holds what. */
+/** Tests the list that relays receive, in full and as changes, and the record of which relay has which index. */
 class LongListDiscoveryTest {
-    private static String text(int number, String status) {
+    private static String entry(int number, String status) {
         return LongListDiscovery.entry(number, "10.31.207.118:8443", "east", "svc-7142", status, 1_764_000_000_000L, 1);
     }
 
@@ -34,18 +34,18 @@
     }
 
     @Test
-    void anEntryIsOfTheSizeThatTheTargetNames() {
-        assertThat(text(199_999, "in_service").length()).isBetween(180, 200);
+    void writesEntryOf180To200Bytes() {
+        assertThat(entry(199_999, "in_service").length()).isBetween(180, 200);
     }
 
     @Test
-    void theWholeListIsThatOfTheStartWithWhatChanged() throws Exception {
-        try (LongListDiscovery list = new LongListDiscovery(1_000, i -> text(i, "in_service"))) {
+    void servesInitialListWithChangesAppliedAsSnapshot() throws Exception {
+        try (LongListDiscovery list = new LongListDiscovery(1_000, i -> entry(i, "in_service"))) {
             String address = list.address("r");
             assertThat(fields(get(address, ""), "name")).hasSize(1_000).doesNotHaveDuplicates();
-            list.replace(3, text(3, "terminating"));
-            list.remove(999, text(999, "terminated"));
-            list.replace(1_000, text(1_000, "in_service"));
+            list.replace(3, entry(3, "terminating"));
+            list.remove(999, entry(999, "terminated"));
+            list.replace(1_000, entry(1_000, "in_service"));
             Map<String, Object> whole = get(address, "");
             assertThat(whole).containsEntry("index", 4).containsEntry("snapshot", true);
             assertThat(fields(whole, "name"))
@@ -57,12 +57,12 @@
     }
 
     @Test
-    void aWatchTellsWhatChangedOrNothingAfterItsHold() throws Exception {
-        try (LongListDiscovery list = new LongListDiscovery(10, i -> text(i, "in_service"))) {
+    void answersWatchWithChangesOrEmptyDeltaAfterHold() throws Exception {
+        try (LongListDiscovery list = new LongListDiscovery(10, i -> entry(i, "in_service"))) {
             String address = list.address("r");
             assertThat(fields(get(address, "?from=1&hold_ms=1"), "name")).isEmpty();
-            list.replace(3, text(3, "terminating"));
-            list.remove(9, text(9, "terminated"));
+            list.replace(3, entry(3, "terminating"));
+            list.remove(9, entry(9, "terminated"));
             Map<String, Object> changes = get(address, "?from=1&hold_ms=60000");
             assertThat(changes).containsEntry("index", 3).containsEntry("snapshot", false);
             assertThat(fields(changes, "status")).containsExactly("terminating", "terminated");
@@ -71,11 +71,11 @@
     }
 
     @Test
-    void aWatchTellsWhatItsRelayHolds() throws Exception {
-        try (LongListDiscovery list = new LongListDiscovery(10, i -> text(i, "in_service"))) {
+    void recordsIndexThatEachRelayWatchesFrom() throws Exception {
+        try (LongListDiscovery list = new LongListDiscovery(10, i -> entry(i, "in_service"))) {
             String one = list.address("one");
             String other = list.address("other");
-            long index = list.replace(3, text(3, "terminating"));
+            long index = list.replace(3, entry(3, "terminating"));
             get(one, "?from=1&hold_ms=0");
             assertThat(list.await(index, 1, 0)).isEmpty();
             get(other, "?from=" + index + "&hold_ms=0");
--- a/src/test/java/gatelock/standin/LoopbackHttpServer.java
+++ b/src/test/java/gatelock/standin/LoopbackHttpServer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** What the stand-ins on the JDK's HTTP server share. */
+/** Helpers for the stand-ins that use the JDK's HTTP server. */
 final class LoopbackHttpServer {
     private static final int BACKLOG = 100;
 
@@ -29,7 +29,7 @@
         });
     }
 
-    /** Starts a server on a free port. */
+    /** Starts a server on a free port on loopback. */
     static HttpServer start(ExecutorService threads) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), BACKLOG);
         server.setExecutor(threads);
@@ -37,12 +37,12 @@
         return server;
     }
 
-    /** Returns where a server listens. */
+    /** Returns the host and port on which a server listens. */
     static String address(HttpServer server) {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    /** Answers a call with 200. */
+    /** Answers a call with status 200. */
     static void respond(HttpExchange call, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         call.sendResponseHeaders(200, bytes.length);
--- a/src/test/java/gatelock/standin/NoOpActions.java
+++ b/src/test/java/gatelock/standin/NoOpActions.java
@@ -3,7 +3,7 @@
 import gatelock.api.DecisionActions;
 import gatelock.api.Verdict;
 
-/** A way out on which nothing is done; whoever looks at some of its calls says which. */
+/** Decision actions that do nothing; a test overrides the actions that it observes. */
 public interface NoOpActions extends DecisionActions {
     @Override
     default void sendAttempt(String id, String endpoint, long timeoutUs) {}
--- a/src/test/java/gatelock/standin/RawHttp.java
+++ b/src/test/java/gatelock/standin/RawHttp.java
@@ -9,15 +9,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** HTTP byte by byte on sockets, so that a test can also send what no HTTP client would. */
+/** Reads and writes HTTP directly on sockets, so that a test can also send malformed or unusual messages. */
 public final class RawHttp {
     private RawHttp() {}
 
     /**
-     * Sends a request of the example's routes.
+     * Sends a request that matches a route of examples/relay.json.
      *
      * @param requestLine method and target, without the version
-     * @param headers further headers, each of which ends with CR LF
+     * @param headers additional headers, each of which ends with CR LF
      */
     public static void sendRequest(Socket client, String requestLine, String traceId, String headers, String body)
             throws IOException {
@@ -28,7 +28,7 @@
                         + "\r\nX-Customer: acme\r\nCookie: k=7f3a9c21e0b4d655\r\n" + headers + length + "\r\n" + body);
     }
 
-    /** Writes text as it is. */
+    /** Writes text without changes, one byte per character. */
     public static void write(Socket socket, String text) throws IOException {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         socket.getOutputStream().flush();
@@ -45,7 +45,7 @@
         return new HttpMessage(socket, head.head(), new String(body, StandardCharsets.ISO_8859_1));
     }
 
-    /** Reads first line and headers, or returns null at the end of the connection. */
+    /** Reads the first line and the headers, or returns null at the end of the connection. */
     static HttpMessage readHead(Socket socket) throws IOException {
         InputStream in = socket.getInputStream();
         ByteArrayOutputStream head = new ByteArrayOutputStream();
@@ -59,7 +59,7 @@
         return new HttpMessage(socket, head.toString(StandardCharsets.ISO_8859_1), "");
     }
 
-    /** Returns the response that comes first on any of some connections; fails after about 20 s. */
+    /** Returns the first response that arrives on any of the connections; fails after about 20 s. */
     public static HttpMessage firstResponse(List<Socket> clients) throws IOException, InterruptedException {
         for (int i = 0; i < 20_000; i++) {
             for (Socket client : clients) {
@@ -69,10 +69,10 @@
             }
             Thread.sleep(1);
         }
-        throw new AssertionError("no response came");
+        throw new AssertionError("expected a response within 20 s");
     }
 
-    /** Returns whether the peer closes a connection without another message. Returns false after the read timeout. */
+    /** Returns whether the peer closes a connection without sending another message before the read timeout. */
     public static boolean isClosedByPeer(Socket socket) {
         try {
             return readMessage(socket) == null;
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Answers a request with the head of a chunked response; the chunks follow. */
+    /** Sends the head of a chunked response and returns the stream for its chunks. */
     public static OutputStream startChunkedResponse(HttpMessage request) throws IOException {
         write(request.socket(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         return request.socket().getOutputStream();
--- a/src/test/java/gatelock/standin/RelayProcess.java
+++ b/src/test/java/gatelock/standin/RelayProcess.java
@@ -14,7 +14,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A relay as the platform starts it, from the program's jar, and what the system and the JDK report of it. */
+/** A relay process that is started from the program's jar as the platform does, with access to its resource use. */
 public final class RelayProcess implements AutoCloseable {
     private static final Path PLATFORM_CONFIG = Path.of("deploy/balancer.toml");
     private static final Pattern RUN_LINE =
@@ -35,25 +35,27 @@
         this.process = process;
     }
 
-    /** Returns the JVM flags of the platform's run line. */
+    /** Returns the JVM flags of the run line in deploy/balancer.toml. */
     public static List<String> flags() throws IOException {
         return flags(PLATFORM_CONFIG);
     }
 
-    /** Returns the JVM flags of the run line in a file of the platform's form. */
+    /** Returns the JVM flags of the run line in a platform configuration. */
     static List<String> flags(Path platformConfig) throws IOException {
-        Matcher run = RUN_LINE.matcher(Files.readString(platformConfig));
-        if (!run.find()) {
-            throw new IOException(platformConfig + " has no run line of the usual form");
+        Matcher runLine = RUN_LINE.matcher(Files.readString(platformConfig));
+        if (!runLine.find()) {
+            throw new IOException(
+                    platformConfig + " has no line of the form run = \"exec java FLAGS -jar FILE serve\"");
         }
-        return List.of(run.group(1).split(" ", -1));
+        return List.of(runLine.group(1).split(" ", -1));
     }
 
     /**
      * Starts a relay with the platform's flags.
      *
-     * @param directory for its configuration and log
-     * @param configuration as text, which names this port
+     * @param directory where the configuration and the log are written
+     * @param port port on which clients connect
+     * @param configuration text of the configuration, which must name the same port
      */
     public static RelayProcess start(Path directory, int port, String configuration) throws IOException {
         return start(directory, port, configuration, flags(), List.of());
@@ -62,10 +64,11 @@
     /**
      * Starts a relay.
      *
-     * @param directory for its configuration and log
-     * @param configuration as text, which names this port
-     * @param flags for the JVM
-     * @param arguments behind {@code serve}
+     * @param directory where the configuration and the log are written
+     * @param port port on which clients connect
+     * @param configuration text of the configuration, which must name the same port
+     * @param flags JVM flags
+     * @param arguments command-line arguments after {@code serve}
      */
     static RelayProcess start(
             Path directory, int port, String configuration, List<String> flags, List<String> arguments)
@@ -92,7 +95,7 @@
         return freePorts(1)[0];
     }
 
-    /** Returns ports that are free together. */
+    /** Returns different ports that are free now. */
     public static int[] freePorts(int count) throws IOException {
         List<ServerSocket> taken = new ArrayList<>();
         try {
@@ -107,7 +110,7 @@
         }
     }
 
-    /** Waits until the relay is ready; returns the milliseconds since its start, or -1 if it is not in time or ended. */
+    /** Waits until the relay is ready; returns the time since its start, or -1 after the timeout or if it has ended. */
     public long awaitReadyMs(long timeoutMs) throws InterruptedException {
         while (process.isAlive() && sinceStartMs() < timeoutMs) {
             try (Socket socket = LoadGenerator.open(port)) {
@@ -117,7 +120,7 @@
                     return sinceStartMs();
                 }
             } catch (IOException | NumberFormatException e) {
-                // It does not listen yet, or the response is not whole.
+                // The relay does not listen yet, or the response is incomplete.
             }
             TimeUnit.MILLISECONDS.sleep(READY_POLL_MS);
         }
@@ -128,18 +131,18 @@
         return (System.nanoTime() - startNs) / 1_000_000;
     }
 
-    /** Returns the processor time of all threads so far; the system counts it in steps of 10 ms. */
+    /** Returns the CPU time of all threads so far; the operating system counts it in steps of 10 ms. */
     public long cpuUs() {
         Duration cpu = process.toHandle().info().totalCpuDuration().orElse(Duration.ZERO);
         return cpu.toNanos() / 1_000;
     }
 
-    /** Returns the resident memory in MB. */
+    /** Returns the resident memory. */
     public double residentMb() throws IOException {
         return memoryMb("VmRSS");
     }
 
-    /** Returns the highest resident memory so far in MB. */
+    /** Returns the peak resident memory so far. */
     double peakResidentMb() throws IOException {
         return memoryMb("VmHWM");
     }
@@ -149,7 +152,7 @@
         return Long.parseLong(status.replaceAll("(?s).*" + field + ":\\s*(\\d+) kB.*", "$1")) / 1024.0;
     }
 
-    /** Returns what jcmd reports, e.g. on GC.class_histogram, which collects garbage first. */
+    /** Returns the output of a jcmd command, such as GC.class_histogram, which collects garbage first. */
     public String jcmd(String command) throws IOException, InterruptedException {
         Process jcmd = new ProcessBuilder(jdkTool("jcmd"), "" + process.pid(), command)
                 .redirectErrorStream(true)
@@ -161,21 +164,21 @@
         return output;
     }
 
-    /** Returns what the old generation holds, in MB. Young objects are not in it. */
+    /** Returns the used size of the old generation; objects in the young generation are not counted. */
     public double oldHeapMb() throws IOException, InterruptedException {
         Matcher used = OLD_GENERATION.matcher(jcmd("GC.heap_info"));
         if (!used.find()) {
-            throw new IOException("no tenured generation");
+            throw new IOException("expected the used size of the tenured generation in the output of GC.heap_info");
         }
         return Long.parseLong(used.group(1)) / 1024.0;
     }
 
-    /** Returns all output of the process. */
+    /** Returns all output of the process so far. */
     public String log() throws IOException {
         return Files.readString(log);
     }
 
-    /** Returns the file of the output. */
+    /** Returns the file to which the output is written. */
     Path logFile() {
         return log;
     }
--- a/src/test/java/gatelock/standin/RelayTestCase.java
+++ b/src/test/java/gatelock/standin/RelayTestCase.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** Base class of the tests that run the program as a process and stand in for all that it speaks to. */
+/** Base class of the tests that run the relay as a process with stand-ins for all of its peers. */
 public abstract class RelayTestCase {
     /** A release state as the release controller sends it. */
     protected static final String RELEASED_STATE =
@@ -19,15 +19,15 @@
 
     private static final int EXIT_TIMEOUT_S = 20;
 
-    /** The relay; each test starts it. */
+    /** The relay, which each test starts itself. */
     protected RelayUnderTest relay;
     /** The endpoint that the configuration lists. */
     protected FakeServer endpoint;
-    /** An endpoint that only a list of the test's can name. */
+    /** An endpoint that the configuration does not list; a test can add it to a list. */
     protected FakeServer otherEndpoint;
-    /** Discovery, which lists endpoints. */
+    /** The stand-in for discovery, which lists endpoints. */
     protected FakeServer discovery;
-    /** The release controller. */
+    /** The stand-in for the release controller. */
     protected FakeServer controller;
 
     /** Starts the stand-ins and writes the configuration of the relay. */
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Starts the relay without its warm-up, answers its call with the configured list, and waits until it is ready. */
+    /** Starts the relay without warm-up, answers its discovery call with the configured list and waits until it is ready. */
     protected final void startRelay(String... arguments) throws IOException, InterruptedException {
         relay.launchCold(arguments);
         HttpMessage call = discovery.awaitCall();
@@ -60,14 +60,14 @@
         relay.awaitReady();
     }
 
-    /** Sends a request on a new connection and checks that it is served by this endpoint. */
+    /** Sends a request on a new connection and checks that this endpoint serves it. */
     protected final void assertServedBy(FakeServer server, String traceId) throws IOException, InterruptedException {
         try (Socket client = relay.connect()) {
             assertServedBy(server, client, traceId);
         }
     }
 
-    /** Sends a request and checks that it is served by this endpoint. */
+    /** Sends a request on a connection and checks that this endpoint serves it. */
     protected static void assertServedBy(FakeServer server, Socket client, String traceId)
             throws IOException, InterruptedException {
         sendRequest(client, "GET /read", traceId, "", "");
@@ -75,7 +75,7 @@
         assertThat(readMessage(client).body()).isEqualTo("there");
     }
 
-    /** Stops the relay with SIGTERM and checks that it ends in time and logged no unexpected failure. */
+    /** Stops the relay with SIGTERM and checks that it ends within 20 s and has logged no unexpected failure. */
     protected final void assertStopsCleanly() throws IOException, InterruptedException {
         relay.process().destroy();
         assertThat(relay.process().waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)).isTrue();
--- a/src/test/java/gatelock/standin/RelayUnderTest.java
+++ b/src/test/java/gatelock/standin/RelayUnderTest.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * The program as a process, on the example's configuration with the addresses of stand-ins. Run from the classes that
- * the tests are compiled against.
+ * A relay process with the configuration examples/relay.json, in which the addresses are those of stand-ins. The process
+ * runs the classes that the tests are compiled against.
  */
 public final class RelayUnderTest implements AutoCloseable {
     private static final int CLIENT_TIMEOUT_MS = 20_000;
@@ -22,7 +22,7 @@
     private Process process;
     private int logPosition;
 
-    /** Writes a configuration with the addresses of these servers; {@code endpoint} is the only one it lists. */
+    /** Writes a configuration with the addresses of these servers; {@code endpoint} is the only endpoint it lists. */
     public RelayUnderTest(FakeServer endpoint, FakeServer discovery, FakeServer controller) throws IOException {
         port = RelayProcess.freePort();
         config = Files.createTempFile("gatelock", ".json");
@@ -42,7 +42,7 @@
         return port;
     }
 
-    /** Returns the file of the configuration. */
+    /** Returns the path of the configuration file. */
     public Path config() {
         return config;
     }
@@ -72,26 +72,26 @@
         return process;
     }
 
-    /** Starts the program with these command-line words. */
+    /** Starts the program with these command-line arguments. */
     public void launch(String... arguments) throws IOException {
         launchOn(config, arguments);
     }
 
-    /** Starts the program on another configuration. */
+    /** Starts the program with another configuration file. */
     public void launchOn(Path configuration, String... arguments) throws IOException {
         ProcessBuilder builder = command(arguments).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("PROXY_CONFIG", configuration.toString());
         process = builder.start();
     }
 
-    /** Starts the program without its warm-up. It knows no endpoint until a call to discovery is answered. */
+    /** Starts the program without warm-up. It knows no endpoint until discovery answers its call. */
     public void launchCold(String... arguments) throws IOException {
         List<String> all = new ArrayList<>(List.of("serve", "cold"));
         all.addAll(List.of(arguments));
         launch(all.toArray(new String[0]));
     }
 
-    /** Returns the program with these command-line words, not started yet. */
+    /** Returns a builder for a process of the program with these command-line arguments. */
     public static ProcessBuilder command(String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -115,11 +115,11 @@
                     return;
                 }
             } catch (IOException e) {
-                // It does not listen yet.
+                // The relay does not listen yet.
             }
             Thread.sleep(50);
         }
-        throw new AssertionError("not ready: " + log());
+        throw new AssertionError("expected the relay to become ready, log: " + log());
     }
 
     /** Connects as a client. */
@@ -129,7 +129,7 @@
         return socket;
     }
 
-    /** Connects as soon as the relay listens, ready or not. */
+    /** Connects as soon as the relay listens, which can be before it is ready; fails after about 10 s. */
     public Socket connectWhenListening() throws IOException, InterruptedException {
         for (int i = 0; i < 5_000; i++) {
             try {
@@ -138,20 +138,20 @@
                 Thread.sleep(2);
             }
         }
-        throw new AssertionError("does not listen: " + log());
+        throw new AssertionError("expected the relay to listen, log: " + log());
     }
 
-    /** Sends a signal, e.g. {@code "HUP"}, and waits until it is sent. */
+    /** Sends a signal, such as {@code "HUP"}, and waits until it is sent. */
     public void signal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, "" + process.pid()).start().waitFor();
     }
 
-    /** Returns all output of the process. */
+    /** Returns all output of the process so far. */
     public String log() throws IOException {
         return Files.readString(log);
     }
 
-    /** Waits for a line with this text behind the line that was awaited before; fails after about 60 s. */
+    /** Waits for this text in the log after the text that was awaited before; fails after about 60 s. */
     public void awaitLog(String text) throws IOException, InterruptedException {
         for (int i = 0; i < 1200; i++) {
             int found = log().indexOf(text, logPosition);
@@ -161,7 +161,7 @@
             }
             Thread.sleep(50);
         }
-        throw new AssertionError("no line with " + text + " in " + log());
+        throw new AssertionError("expected the text " + text + " in the log: " + log());
     }
 
     @Override
--- a/src/test/java/gatelock/standin/SessionBenchmark.java
+++ b/src/test/java/gatelock/standin/SessionBenchmark.java
@@ -9,8 +9,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures sessions through one relay with the platform's flags: memory held by idle ones, the time of an echo, and
- * ordinary requests beside them. Not a test: run by {@code make measure-sessions}.
+ * Measures WebSocket sessions through one relay with the platform's flags: memory with idle sessions, the time of an echo,
+ * and the response times of ordinary requests at the same time. Not a test: run by {@code make measure-sessions}.
  */
 public final class SessionBenchmark {
     private static final int SOCKETS = 20_000;
@@ -31,7 +31,7 @@
 
     private SessionBenchmark() {}
 
-    /** Prints the table; takes no arguments. */
+    /** Prints the table of measurements; takes no arguments. */
     public static void main(String[] args) throws Exception {
         Path directory = Files.createTempDirectory("gatelock-sessions");
         int port = RelayProcess.freePort();
@@ -53,7 +53,10 @@
         System.exit(0);
     }
 
-    /** Without discovery: the configured list names the one endpoint, which serves sessions and ordinary requests. */
+    /**
+     * Returns a configuration without a reachable discovery, whose endpoint list names the one endpoint, which serves
+     * sessions and ordinary requests.
+     */
     private static String configuration(FakeDeployment deployment, WebSocketEndpoint endpoint, int port)
             throws IOException {
         String example = Files.readString(Path.of("examples/relay.json")).replace("127.0.0.1:8500", "127.0.0.1:1");
@@ -87,7 +90,7 @@
         }
     }
 
-    /** Opens sessions until there are so many, or too many attempts have failed. */
+    /** Opens sessions until the given number is open, with at most ten attempts per session. */
     private static void open(List<WebSocketPeer> clients, int sessions, int port) throws InterruptedException {
         for (int attempts = 0; clients.size() < sessions && attempts < 10 * sessions; attempts++) {
             try {
@@ -95,7 +98,7 @@
             } catch (IOException e) {
                 if (attempts % 500 == 0) {
                     String firstLine = e.getMessage().lines().findFirst().orElse("");
-                    System.out.println("not opened: " + firstLine);
+                    System.out.println("session was not opened: " + firstLine);
                 }
                 TimeUnit.MILLISECONDS.sleep(20);
             }
@@ -116,14 +119,14 @@
                 echo == null ? "" : "" + echo.getValueAtPercentile(99));
     }
 
-    /** Returns the times in microseconds between a message and its echo. */
+    /** Returns the times between a message and its echo, in microseconds. */
     private static Histogram echo(WebSocketPeer client) throws IOException {
         Histogram us = new Histogram(3);
         for (int i = 0; i < ECHOES; i++) {
             long sentNs = System.nanoTime();
             client.sendText("weight " + i);
             if (client.readMessage().opcode() != WebSocketPeer.TEXT) {
-                throw new IOException("no echo");
+                throw new IOException("expected a text message as the echo");
             }
             if (i >= WARM_UP_ECHOES) {
                 us.recordValue((System.nanoTime() - sentNs) / 1_000);
--- a/src/test/java/gatelock/standin/SteadyTraffic.java
+++ b/src/test/java/gatelock/standin/SteadyTraffic.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 
-/** Clients that send requests one after the other, and an endpoint that responds at once. */
+/** Clients that each send requests one after the other through a relay to an endpoint that responds at once. */
 public final class SteadyTraffic implements AutoCloseable {
     private static final int JOIN_TIMEOUT_MS = 30_000;
 
@@ -21,7 +21,7 @@
     private final Queue<Throwable> failures = new ConcurrentLinkedQueue<>();
     private volatile boolean stopped;
 
-    /** Starts so many clients. The endpoint responds to all calls from now on. */
+    /** Starts the given number of clients. The endpoint responds to all calls from now on. */
     public SteadyTraffic(RelayUnderTest relay, FakeServer endpoint, int clientCount) {
         this.relay = relay;
         BackgroundTask.start(() -> {
@@ -52,12 +52,14 @@
         }
     }
 
-    /** Stops the clients, checks that each request got a response, and returns the responses by status. */
+    /** Stops the clients, checks that each request had a response, and returns the responses by status. */
     public Map<String, Integer> stop() throws InterruptedException {
         stopped = true;
         for (Thread client : clients) {
             client.join(JOIN_TIMEOUT_MS);
-            assertThat(client.isAlive()).as("a client waits for its response").isFalse();
+            assertThat(client.isAlive())
+                    .as("a client still waits for its response after 30 s")
+                    .isFalse();
         }
         assertThat(failures).isEmpty();
         return responsesByStatus;
--- a/src/test/java/gatelock/standin/UncalledEngine.java
+++ b/src/test/java/gatelock/standin/UncalledEngine.java
@@ -6,7 +6,7 @@
 import gatelock.api.RequestHandle;
 import java.util.List;
 
-/** Decisions of which nothing may be called; a test overrides the calls that it expects. */
+/** A decision engine that fails on each call; a test overrides the calls that it expects. */
 public interface UncalledEngine extends DecisionEngine {
     @Override
     default void releaseStateUpdated(
@@ -33,7 +33,7 @@
             long key,
             long leftUs,
             long costUs,
-            RequestConstraints bounds) {
+            RequestConstraints constraints) {
         throw new AssertionError();
     }
 
--- a/src/test/java/gatelock/standin/WebSocketEndpoint.java
+++ b/src/test/java/gatelock/standin/WebSocketEndpoint.java
@@ -14,17 +14,17 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An endpoint that speaks WebSocket: opens sessions, echoes messages, and records with its time all that it received. */
+/** A stand-in for a WebSocket endpoint: opens sessions, echoes messages and records all events with their times. */
 public final class WebSocketEndpoint implements AutoCloseable {
     private static final int BACKLOG = 500;
     private static final int SESSION_TIMEOUT_S = 20;
-    /** Of RFC 6455, 1.3. */
+    /** The GUID for computing Sec-WebSocket-Accept, RFC 6455, section 1.3. */
     private static final String ACCEPT_GUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11";
 
     /**
-     * What was received on a session.
+     * An event on a session.
      *
-     * @param atNs by System.nanoTime
+     * @param atNs time of System.nanoTime
      * @param what the text of a message, {@code open}, {@code close CODE}, or {@code ended} without a close frame
      */
     public record Received(long atNs, String what) {}
@@ -33,10 +33,10 @@
     private final List<Received> received = new CopyOnWriteArrayList<>();
     private final BlockingQueue<WebSocketPeer> openedSessions = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new CopyOnWriteArrayList<>();
-    private volatile boolean rejects;
-    private volatile boolean echoes = true;
+    private volatile boolean rejectsRequests;
+    private volatile boolean echoesMessages = true;
 
-    /** Starts an endpoint that opens and echoes. */
+    /** Starts an endpoint that accepts sessions and echoes their messages. */
     public WebSocketEndpoint() throws IOException {
         BackgroundTask.start(() -> {
             while (!listener.isClosed()) {
@@ -48,7 +48,7 @@
         });
     }
 
-    /** Returns where the endpoint listens. */
+    /** Returns the host and port on which the endpoint listens. */
     public String address() {
         return "127.0.0.1:" + port();
     }
@@ -58,26 +58,26 @@
         return listener.getLocalPort();
     }
 
-    /** From now on answers all requests with 503 and the header that says that they never ran. */
+    /** From now on rejects all requests with status 503 and X-Never-Ran, which says that they were not executed. */
     public void rejectRequests() {
-        rejects = true;
+        rejectsRequests = true;
     }
 
-    /** From now on leaves the sessions that are opened to the test, which gets them by {@link #awaitSession}. */
+    /** From now on new sessions are not echoed; the test handles them with {@link #awaitSession}. */
     public void stopEchoing() {
-        echoes = false;
+        echoesMessages = false;
     }
 
-    /** Returns all that was received so far. */
+    /** Returns all events so far. */
     public List<Received> received() {
         return received;
     }
 
-    /** Returns this side of the session that was opened next; fails if none is in time. */
+    /** Returns the endpoint's side of the next session that is opened; fails if none is opened within 20 s. */
     public WebSocketPeer awaitSession() throws InterruptedException {
         WebSocketPeer session = openedSessions.poll(SESSION_TIMEOUT_S, TimeUnit.SECONDS);
         if (session == null) {
-            throw new AssertionError("no session was opened");
+            throw new AssertionError("expected a session to be opened within 20 s");
         }
         return session;
     }
@@ -89,7 +89,7 @@
             if (request == null) {
                 return;
             }
-            if (rejects) {
+            if (rejectsRequests) {
                 request.respond("503 No", "X-Never-Ran: 1\r\n", "");
                 socket.close();
                 return;
@@ -106,7 +106,7 @@
                         + "Sec-WebSocket-Accept: " + accept(key) + "\r\n\r\n");
         WebSocketPeer session = new WebSocketPeer(socket, false);
         openedSessions.add(session);
-        if (echoes) {
+        if (echoesMessages) {
             echo(session, socket);
         }
     }
@@ -130,8 +130,8 @@
         record("ended");
     }
 
-    private void record(String what) {
-        received.add(new Received(System.nanoTime(), what));
+    private void record(String event) {
+        received.add(new Received(System.nanoTime(), event));
     }
 
     @Override
--- a/src/test/java/gatelock/standin/WebSocketPeer.java
+++ b/src/test/java/gatelock/standin/WebSocketPeer.java
@@ -10,8 +10,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One side of a WebSocket connection, byte by byte as in RFC 6455, so that a test can also send what no peer should. As
- * a client it masks its frames, as a server it does not.
+ * One side of a WebSocket connection, which writes and reads the frames of RFC 6455 itself, so that a test can also send
+ * frames that violate the protocol. A client masks its frames, a server does not.
  */
 public final class WebSocketPeer implements AutoCloseable {
     /** Opcode of a text frame. */
@@ -24,7 +24,7 @@
     public static final int PING = 9;
     /** Opcode of a pong. */
     public static final int PONG = 10;
-    /** In the first byte of a frame: the last one of its message. */
+    /** Bit in the first byte of a frame that marks the last frame of a message. */
     public static final int FINAL = 0x80;
 
     private static final int MASKED = 0x80;
@@ -32,13 +32,14 @@
     private static final int LENGTH_64_BITS = 127;
     private static final byte[] MASK = {0x11, 0x22, 0x33, 0x44};
     private static final int TIMEOUT_MS = 20_000;
-    /** The example of RFC 6455, 1.3. */
+    /** The example key of RFC 6455, section 1.3. */
     private static final String KEY = "dGhlIHNhbXBsZSBub25jZQ==";
 
+    /** The value of Sec-WebSocket-Accept for this key. */
     private static final String ACCEPT = "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=";
 
-    /** A frame as it was read; opcode -1 stands for the end of the connection. Frames are never compared. */
-    @SuppressWarnings("ArrayRecordComponent") // Frames are never compared, so the array does no harm.
+    /** A frame that was read; opcode -1 stands for the end of the connection. */
+    @SuppressWarnings("ArrayRecordComponent") // Frames are never compared, so equality by array identity has no effect.
     public record Frame(int opcode, byte[] body) {
         private static final int END = -1;
         private static final int NO_STATUS = 1005;
@@ -78,19 +79,19 @@
 
     private final Socket socket;
     private final DataInputStream in;
-    private final boolean masks;
+    private final boolean masksFrames;
 
-    /** Takes a connection whose opening handshake is done. */
+    /** Creates one side of a connection whose opening handshake is complete; a client masks its frames. */
     public WebSocketPeer(Socket socket, boolean masks) throws IOException {
         this.socket = socket;
-        this.masks = masks;
+        this.masksFrames = masks;
         this.in = new DataInputStream(socket.getInputStream());
     }
 
     /**
      * Opens a session as a client.
      *
-     * @param headers further headers, each of which ends with CR LF
+     * @param headers additional headers, each of which ends with CR LF
      * @throws HandshakeRejected if the response is not 101
      */
     public static WebSocketPeer open(int port, String path, String traceId, String headers) throws IOException {
@@ -105,7 +106,7 @@
         HttpMessage response = RawHttp.readHead(socket);
         if (response == null) {
             socket.close();
-            throw new EOFException("the connection ended before a response");
+            throw new EOFException("the connection ended before the response to the opening handshake");
         }
         if (!response.head().startsWith("HTTP/1.1 101")) {
             socket.close();
@@ -113,7 +114,7 @@
         }
         if (!ACCEPT.equals(response.header("Sec-WebSocket-Accept"))) {
             socket.close();
-            throw new IOException("a wrong accept: " + response.head());
+            throw new IOException("wrong or missing Sec-WebSocket-Accept: " + response.head());
         }
         return new WebSocketPeer(socket, true);
     }
@@ -133,11 +134,15 @@
         sendFrame(FINAL | CLOSE, body);
     }
 
-    /** Sends a frame whose first byte is given whole: final bit, reserved bits and opcode. */
+    /**
+     * Sends a frame.
+     *
+     * @param firstByte final bit, reserved bits and opcode
+     */
     public void sendFrame(int firstByte, byte[] body) throws IOException {
         ByteArrayOutputStream frame = new ByteArrayOutputStream(body.length + 14);
         frame.write(firstByte);
-        int maskBit = masks ? MASKED : 0;
+        int maskBit = masksFrames ? MASKED : 0;
         if (body.length < LENGTH_16_BITS) {
             frame.write(maskBit | body.length);
         } else if (body.length < 65_536) {
@@ -147,7 +152,7 @@
             frame.write(maskBit | LENGTH_64_BITS);
             writeNumber(frame, body.length, 8);
         }
-        if (masks) {
+        if (masksFrames) {
             frame.writeBytes(MASK);
             for (int i = 0; i < body.length; i++) {
                 frame.write(body[i] ^ MASK[i % MASK.length]);
@@ -194,7 +199,7 @@
         };
     }
 
-    /** Reads the next frame that is neither ping nor pong; answers the pings before it. */
+    /** Reads the next frame that is neither a ping nor a pong, and answers the pings before it. */
     public Frame readMessage() throws IOException {
         Frame frame = readFrame();
         while (frame.opcode == PING || frame.opcode == PONG) {
