--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -98,10 +98,8 @@
         assertThat(store.serviceNames()).containsExactlyInAnyOrderElementsOf(byService.keySet());
         byService.forEach((service, endpoints) -> {
             Map<String, EndpointEntry> storedOfService = new TreeMap<>();
-            for (int handleOfService = store.first(service);
-                    handleOfService >= 0;
-                    handleOfService = store.next(handleOfService)) {
-                storedOfService.put(store.name(handleOfService), store.entry(handleOfService));
+            for (int current = store.first(service); current >= 0; current = store.next(current)) {
+                storedOfService.put(store.name(current), store.entry(current));
             }
             assertThat(storedOfService).isEqualTo(endpoints);
             assertThat(store.endpointCount(service)).isEqualTo(endpoints.size());
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -99,7 +99,8 @@
             entries.add(randomEntry());
         }
         if (random.nextInt(10) == 0) {
-            // Removes or drains all endpoints of a zone or a service at once.
+            // Removes or drains many endpoints at once; the zone or service to lose is drawn anew for each listed
+            // entry.
             Predicate<EndpointEntry> isLost = random.nextBoolean()
                     ? entry -> entry.zone() == random.nextInt(3)
                     : entry -> entry.service().equals("s" + random.nextInt(SERVICES));
@@ -224,7 +225,7 @@
             relay.advance(REFRESH_US);
         }
         assertThat(relay.notifiedEntryCount)
-                .as("notified entries are unchanged while nothing happens")
+                .as("number of notified entries, unchanged while nothing happens")
                 .isEqualTo(notifiedBefore);
     }
 
@@ -261,7 +262,7 @@
                 relay.advance(REFRESH_US);
             }
             assertThat(relay.notifiedEntryCount)
-                    .as("notified entries are unchanged while the same endpoints stay silent")
+                    .as("number of notified entries, unchanged while the same endpoints stay silent")
                     .isEqualTo(notifiedBefore);
         }
     }
--- a/src/test/java/gatelock/membership/SubsetAlgorithm.java
+++ b/src/test/java/gatelock/membership/SubsetAlgorithm.java
@@ -77,7 +77,7 @@
         return order;
     }
 
-    /** Returns the indexes with the lowest scores, in ascending order; equal scores are ordered by rank. */
+    /** Returns the indexes with the lowest scores, in ascending order of score; equal scores are ordered by rank. */
     private static int[] indexesOfLowestScores(
             int count, int limit, IntToDoubleFunction score, IntToLongFunction rank) {
         double[] scores = IntStream.range(0, count).mapToDouble(score).toArray();
--- a/src/test/java/gatelock/membership/SubsetHarness.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -35,7 +35,7 @@
         return new EndpointSubset.Policy(relayNumber, zone, maxEndpoints, minPerService, 0, remotePerService, settleUs);
     }
 
-    /** Returns an entry with the same address, build 1 and start time 0 for each endpoint. */
+    /** Returns an entry; all entries have the same address, build 1 and start time 0. */
     static EndpointEntry endpoint(String name, String service, int zone, Endpoint.Health health) {
         return new EndpointEntry(name, service, "10.0.0.1:80", zone, 0, 0, 1, health, 0);
     }
--- a/src/test/java/gatelock/membership/SubsetZonesBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetZonesBenchmark.java
@@ -13,7 +13,7 @@
 
     private SubsetZonesBenchmark() {}
 
-    /** Prints the table of zones. */
+    /** Prints, for each assignment of zones, the connections within a zone and how evenly endpoints are used. */
     static void print() {
         int zones = 19;
         int relaysPerZone = 100;
--- a/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -96,7 +96,7 @@
     static Histogram load(int port, int seconds) throws InterruptedException {
         LoadGenerator.Result result = LoadGenerator.run(new int[] {port}, CLIENTS, REQUESTS_PER_S, seconds);
         if (result.other() > 0) {
-            System.out.println(result.other() + " reqs got no 200");
+            System.out.println(result.other() + " requests were not answered with 200");
         }
         return result.us();
     }
--- a/src/test/java/gatelock/standin/FakeDeployment.java
+++ b/src/test/java/gatelock/standin/FakeDeployment.java
@@ -110,7 +110,8 @@
     }
 
     /**
-     * Returns the example configuration with the addresses of this deployment and the zones east and west.
+     * Returns the example configuration with the addresses and endpoints of this deployment and the zones
+     * east and west.
      *
      * @param example text of examples/relay.json
      * @param listen address on which the relay listens
--- a/src/test/java/gatelock/standin/LongListDiscovery.java
+++ b/src/test/java/gatelock/standin/LongListDiscovery.java
@@ -89,15 +89,15 @@
 
     /** Replaces or adds an entry; returns the index of the change. */
     public synchronized long replace(int number, String text) {
-        return changedEntries(number, text, true);
+        return recordChange(number, text, true);
     }
 
     /** Removes an entry, of which watches receive the last status; returns the index of the change. */
     public synchronized long remove(int number, String text) {
-        return changedEntries(number, text, false);
+        return recordChange(number, text, false);
     }
 
-    private long changedEntries(int number, String entryJson, boolean listed) {
+    private long recordChange(int number, String entryJson, boolean listed) {
         changedEntries.put(number, new ChangedEntry(++index, entryJson, listed));
         notifyAll();
         return index;
--- a/src/test/java/gatelock/standin/SteadyTraffic.java
+++ b/src/test/java/gatelock/standin/SteadyTraffic.java
@@ -58,7 +58,7 @@
         for (Thread client : clients) {
             client.join(JOIN_TIMEOUT_MS);
             assertThat(client.isAlive())
-                    .as("a client still waits for its response after 30 s")
+                    .as("client waiting for a response 30 s after the stop, expected none")
                     .isFalse();
         }
         assertThat(failures).isEmpty();
