--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -237,8 +237,8 @@
         }
         silentEndpoints.clear();
         Map<String, Set<String>> ready = readyByService(listedEndpoints.values());
-        ready.values().forEach(its -> {
-            List<String> names = new ArrayList<>(its);
+        ready.values().forEach(readyOfService -> {
+            List<String> names = new ArrayList<>(readyOfService);
             String answering = names.get(random.nextInt(names.size()));
             names.stream().filter(name -> !name.equals(answering)).forEach(silentEndpoints::add);
         });
@@ -250,7 +250,7 @@
             relay.advance(REFRESH_US);
             checkInvariants();
         }
-        ready.forEach((service, its) -> assertThat(relay.readyEndpoints(service))
+        ready.forEach((service, readyOfService) -> assertThat(relay.readyEndpoints(service))
                 .as(service)
                 .anyMatch(name -> !silentEndpoints.contains(name)));
         if (spaceForAll) {
@@ -280,18 +280,18 @@
         for (int i = 0; i < 60; i++) {
             Set<String> before = relay.readyEndpoints();
             String endpoint = "u" + random.nextInt(ENDPOINTS);
-            boolean goes = listedEndpoints.containsKey(endpoint);
+            boolean isListed = listedEndpoints.containsKey(endpoint);
             EndpointEntry entry = SubsetHarness.ready(endpoint, "s", 0);
-            updateListedEndpoints(goes ? entry.gone() : entry);
-            relay.commitChange(goes ? entry.gone() : entry);
+            updateListedEndpoints(isListed ? entry.gone() : entry);
+            relay.commitChange(isListed ? entry.gone() : entry);
             relay.advance(REFRESH_US);
-            Set<String> now = relay.readyEndpoints();
-            Set<String> came = new TreeSet<>(now);
-            came.removeAll(before);
-            if (goes) {
-                assertThat(came.size()).isEqualTo(before.contains(endpoint) ? 1 : 0);
+            Set<String> after = relay.readyEndpoints();
+            Set<String> added = new TreeSet<>(after);
+            added.removeAll(before);
+            if (isListed) {
+                assertThat(added.size()).isEqualTo(before.contains(endpoint) ? 1 : 0);
             } else {
-                assertThat(came).isSubsetOf(Set.of(endpoint));
+                assertThat(added).isSubsetOf(Set.of(endpoint));
             }
         }
     }
