--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -38,10 +38,10 @@
     private static final long SESSION_CHECK_INTERVAL_US = 20_000;
     /**
      * Guards against serving with the endpoint list from before a restart. The new process is expected to know what
-     * discovery has sent since then, and requests that are forwarded by the old list go to endpoints that no longer exist.
-     * Discovery is considered down, and the initial list is used, only if a poll has failed this long after the first
-     * one was sent; each poll has its full timeout. If discovery is down, every start is delayed by this time, which is
-     * well within the time that a start may take.
+     * discovery has sent since then, and requests that are forwarded by the old list go to endpoints that no longer
+     * exist. Discovery is considered down, and the initial list is used, only if a poll has failed this long after the
+     * first one was sent; each poll has its full timeout. If discovery is down, every start is delayed by this time,
+     * which is well within the time that a start may take.
      */
     private static final long MAX_DISCOVERY_SILENCE_US = 2_000_000;
 
--- a/src/main/java/gatelock/boot/RequestPipeline.java
+++ b/src/main/java/gatelock/boot/RequestPipeline.java
@@ -58,7 +58,8 @@
      *
      * @param config the relay's configuration
      * @param clientListener accepts the client connections
-     * @param admission the admission rules of the active configuration version, or null if versioned configuration is disabled
+     * @param admission the admission rules of the active configuration version, or null if versioned configuration is
+     *     disabled
      * @param sessions the WebSocket sessions, or null if they are disabled
      * @param membership the subset of endpoints to use, or null to use all listed endpoints
      */
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -110,7 +110,9 @@
         eventLoop.schedule(MAX_DURATION_US, () -> stopping = true);
     }
 
-    /** Registers endpoints of two builds, two zones and two instance types, which all have the address of this relay. */
+    /**
+     * Registers endpoints of two builds, two zones and two instance types, which all have the address of this relay.
+     */
     private List<Endpoint> registerEndpoints() {
         List<Endpoint> endpoints = new ArrayList<>();
         for (int i = 0; i < ENDPOINTS; i++) {
--- a/src/main/java/gatelock/config/Admission.java
+++ b/src/main/java/gatelock/config/Admission.java
@@ -32,7 +32,8 @@
     /**
      * Creates an admission without an active version.
      *
-     * @param maxDroppedShare the largest share of the reachable ready endpoints that one new version may make unreachable
+     * @param maxDroppedShare the largest share of the reachable ready endpoints that one new version may make
+     *     unreachable
      */
     public Admission(double maxDroppedShare) {
         changeGuard = new ConfigChangeGuard(maxDroppedShare);
@@ -84,7 +85,9 @@
             retryBudget.recordRequest(nowUs);
         }
 
-        /** Returns whether the request was shed immediately; {@link #retryAfterUs} then tells when it may be retried. */
+        /**
+         * Returns whether the request was shed immediately; {@link #retryAfterUs} then tells when it may be retried.
+         */
         public boolean isShed() {
             return decision.outcome() == RequestLimiter.Outcome.SHED;
         }
@@ -196,8 +199,9 @@
     }
 
     /**
-     * Returns the limits of a matched route with the values of the active version, which also apply to a request that an
-     * earlier version matched. A limit that the active version does not have, or has with another scope, keeps its values.
+     * Returns the limits of a matched route with the values of the active version, which also apply to a request that
+     * an earlier version matched. A limit that the active version does not have, or has with another scope, keeps its
+     * values.
      */
     private List<LimitPolicy> currentLimits(MatchedRoute matchedRoute) {
         if (matchedRoute.config == active) {
@@ -254,8 +258,9 @@
     }
 
     /**
-     * Returns the values for the operator's status document: the numbers of queued requests, limit buckets and unmatched
-     * requests, the requests in flight by limit, and for each pool its ready endpoints and the pool that serves for it.
+     * Returns the values for the operator's status document: the numbers of queued requests, limit buckets and
+     * unmatched requests, the requests in flight by limit, and for each pool its ready endpoints and the pool that
+     * serves for it.
      */
     public Map<String, Object> state(long nowUs) {
         Map<String, Object> state = new LinkedHashMap<>();
--- a/src/main/java/gatelock/config/CompiledConfig.java
+++ b/src/main/java/gatelock/config/CompiledConfig.java
@@ -127,7 +127,9 @@
         return routes.size();
     }
 
-    /** Returns whether requests that match no route are answered with 404; otherwise their class determines the routing. */
+    /**
+     * Returns whether requests that match no route are answered with 404; otherwise their class determines the routing.
+     */
     boolean rejectsUnmatched() {
         return rejectsUnmatched;
     }
--- a/src/main/java/gatelock/config/ConfigChangeGuard.java
+++ b/src/main/java/gatelock/config/ConfigChangeGuard.java
@@ -9,8 +9,8 @@
 /**
  * Compares a valid version with the active one and rejects changes that drop routes with traffic or too many endpoints.
  * Guards against a version made from an outdated or truncated copy, which is the most likely fault of a well-formed
- * configuration; the check works whichever part was lost. It also rejects such a change when an operator intends it; the
- * operator must then list the routes under {@code removes}, or change the pools in several steps.
+ * configuration; the check works whichever part was lost. It also rejects such a change when an operator intends it;
+ * the operator must then list the routes under {@code removes}, or change the pools in several steps.
  */
 final class ConfigChangeGuard {
     /** The time constant with which the request count of a route decays. */
@@ -28,7 +28,8 @@
     /**
      * Creates a guard.
      *
-     * @param maxDroppedShare the largest share of the reachable ready endpoints that one new version may make unreachable
+     * @param maxDroppedShare the largest share of the reachable ready endpoints that one new version may make
+     *     unreachable
      */
     ConfigChangeGuard(double maxDroppedShare) {
         this.maxDroppedShare = maxDroppedShare;
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -14,8 +14,8 @@
 import java.util.TreeMap;
 
 /**
- * Compiles the text of a configuration version to a {@link CompiledConfig}, or reports everything that is wrong with it.
- * Stateless; may run on any thread.
+ * Compiles the text of a configuration version to a {@link CompiledConfig}, or reports everything that is wrong with
+ * it. Stateless; may run on any thread.
  */
 public final class ConfigCompiler {
     /** The maximum number of diagnostics to report; further diagnostics are only counted. */
--- a/src/main/java/gatelock/config/ConfigDiff.java
+++ b/src/main/java/gatelock/config/ConfigDiff.java
@@ -30,7 +30,9 @@
         this.deployment = deployment;
     }
 
-    /** Returns a line for each difference, at most 1000; the list is empty if both versions treat all requests alike. */
+    /**
+     * Returns a line for each difference, at most 1000; the list is empty if both versions treat all requests alike.
+     */
     public static List<String> compare(CompiledConfig before, CompiledConfig after, DeploymentContext deployment) {
         ConfigDiff diff = new ConfigDiff(before, after, deployment);
         diff.compareUnmatched();
@@ -70,8 +72,8 @@
     }
 
     /**
-     * For a route that only one version has, describes which route of the other version matches its requests, determined
-     * by one example request.
+     * For a route that only one version has, describes which route of the other version matches its requests,
+     * determined by one example request.
      */
     private static String describeRouteIn(CompiledConfig otherVersion, RouteEntry route) {
         RouteEntry other = otherVersion.findRoute(exampleRequest(route.match()));
@@ -162,8 +164,8 @@
     }
 
     /**
-     * Returns a request that satisfies both matches, or null if there is none. The path of {@code other} must be a prefix
-     * of the path of {@code match}.
+     * Returns a request that satisfies both matches, or null if there is none. The path of {@code other} must be a
+     * prefix of the path of {@code match}.
      */
     private static RequestAttributes exampleRequest(RouteMatch match, RouteMatch other) {
         Set<String> methods = new TreeSet<>(match.methods().isEmpty() ? other.methods() : match.methods());
--- a/src/main/java/gatelock/config/ConfigDocument.java
+++ b/src/main/java/gatelock/config/ConfigDocument.java
@@ -131,8 +131,8 @@
     }
 
     /**
-     * Returns the same diagnostics, each with the line and column of the value it points at. A diagnostic about something absent
-     * from the text gets the location of its nearest ancestor that is present.
+     * Returns the same diagnostics, each with the line and column of the value it points at. A diagnostic about
+     * something absent from the text gets the location of its nearest ancestor that is present.
      */
     public List<Diagnostic> withLocations(List<Diagnostic> diagnostics) {
         Map<String, JsonLocation> locations = locate(diagnostics);
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Returns the locations, by JSON pointer, of the values that the diagnostics point at and of their ancestors; a pointer
-     * to something absent from the text maps to null.
+     * Returns the locations, by JSON pointer, of the values that the diagnostics point at and of their ancestors; a
+     * pointer to something absent from the text maps to null.
      */
     private Map<String, JsonLocation> locate(List<Diagnostic> diagnostics) {
         Map<String, JsonLocation> locations = new HashMap<>();
--- a/src/main/java/gatelock/config/ConfigValidator.java
+++ b/src/main/java/gatelock/config/ConfigValidator.java
@@ -7,8 +7,8 @@
 
 /**
  * Validates the semantics of a document that satisfies the schema: references to undefined names, parts that never take
- * effect, and settings that would break a guarantee. Each concern has its own class; diagnostics are reported in the order
- * in which these classes run.
+ * effect, and settings that would break a guarantee. Each concern has its own class; diagnostics are reported in the
+ * order in which these classes run.
  */
 final class ConfigValidator {
     /** The sections whose unused definitions are reported, each with the term for one definition. */
--- a/src/main/java/gatelock/config/ConfigVersion.java
+++ b/src/main/java/gatelock/config/ConfigVersion.java
@@ -15,8 +15,8 @@
 public record ConfigVersion(Epoch epoch, long number, String hash) {
 
     /**
-     * One incarnation of a control service. A service that is rebuilt begins a new epoch and numbers its versions from 1
-     * again. Epochs are ordered by start time and then by identifier, so that all relays prefer the same one.
+     * One incarnation of a control service. A service that is rebuilt begins a new epoch and numbers its versions from
+     * 1 again. Epochs are ordered by start time and then by identifier, so that all relays prefer the same one.
      *
      * @param startedAtMs when the epoch began, in milliseconds of Unix time; a later epoch supersedes an earlier one
      * @param id distinguishes epochs that began at the same time; the greater identifier supersedes
@@ -52,7 +52,9 @@
         return hash(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Returns whether this version supersedes the other: it has a later epoch, or the same epoch and a higher number. */
+    /**
+     * Returns whether this version supersedes the other: it has a later epoch, or the same epoch and a higher number.
+     */
     boolean isAfter(ConfigVersion other) {
         int epochOrder = epoch.compareTo(other.epoch);
         return epochOrder > 0 || (epochOrder == 0 && number > other.number);
--- a/src/main/java/gatelock/config/Diagnostic.java
+++ b/src/main/java/gatelock/config/Diagnostic.java
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Returns the diagnostic as an ordered JSON object, as it is sent to a control service and printed with {@code --json}.
-     * The keys are part of the public interface and must not change.
+     * Returns the diagnostic as an ordered JSON object, as it is sent to a control service and printed with {@code
+     * --json}. The keys are part of the public interface and must not change.
      */
     public Map<String, Object> toJsonFields() {
         Map<String, Object> fields = new LinkedHashMap<>();
--- a/src/main/java/gatelock/config/LimitBucket.java
+++ b/src/main/java/gatelock/config/LimitBucket.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * The state of one limit within its scope (all requests, a route, a tenant, or a tenant's requests on a route): its token
- * bucket, its count of requests in flight, and its queue.
+ * The state of one limit within its scope (all requests, a route, a tenant, or a tenant's requests on a route): its
+ * token bucket, its count of requests in flight, and its queue.
  */
 final class LimitBucket {
     /**
-     * The estimated time to capacity of a limit that has reached its maximum in flight; an estimate is needed because the
-     * end of the requests in flight is unknown.
+     * The estimated time to capacity of a limit that has reached its maximum in flight; an estimate is needed because
+     * the end of the requests in flight is unknown.
      */
     private static final long IN_FLIGHT_RETRY_US = 100_000;
 
--- a/src/main/java/gatelock/config/LimitBuckets.java
+++ b/src/main/java/gatelock/config/LimitBuckets.java
@@ -21,7 +21,9 @@
     private final LinkedHashMap<LimitBucket.Key, LimitBucket> buckets = new LinkedHashMap<>(16, 0.75f, true);
 
     private final Map<String, LimitPolicy.Scope> scopes = new HashMap<>();
-    /** Limits whose scope a version has changed; their new buckets start with at most one token instead of a full burst. */
+    /**
+     * Limits whose scope a version has changed; their new buckets start with at most one token instead of a full burst.
+     */
     private final Set<String> rescopedLimits = new HashSet<>();
 
     /** Returns the bucket for a request, created if necessary, with the given policy applied. */
--- a/src/main/java/gatelock/config/LimitValidator.java
+++ b/src/main/java/gatelock/config/LimitValidator.java
@@ -4,7 +4,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Validates the definitions of limits, and compares the maximum queue wait with the deadlines of routes that use them. */
+/**
+ * Validates the definitions of limits, and compares the maximum queue wait with the deadlines of routes that use them.
+ */
 final class LimitValidator {
     private static final long US_PER_MS = 1000;
 
--- a/src/main/java/gatelock/config/PoolState.java
+++ b/src/main/java/gatelock/config/PoolState.java
@@ -5,8 +5,8 @@
     /** The time constant with which the recent peak decays to the current count after endpoints are lost for good. */
     private static final double PEAK_TIME_CONSTANT_US = 300e6;
     /**
-     * A pool in fallback serves again only when its ready endpoints reach this factor times the minimum; this hysteresis
-     * avoids flapping around the minimum.
+     * A pool in fallback serves again only when its ready endpoints reach this factor times the minimum; this
+     * hysteresis avoids flapping around the minimum.
      */
     private static final double RECOVERY_FACTOR = 1.1;
 
--- a/src/main/java/gatelock/config/PoolValidator.java
+++ b/src/main/java/gatelock/config/PoolValidator.java
@@ -80,7 +80,9 @@
         }
     }
 
-    /** Returns the cycle of fallbacks from a pool back to itself, with the pool first and last; empty if there is none. */
+    /**
+     * Returns the cycle of fallbacks from a pool back to itself, with the pool first and last; empty if there is none.
+     */
     private List<String> findCycle(String pool) {
         List<String> path = new ArrayList<>(List.of(pool));
         Set<String> visited = new HashSet<>();
--- a/src/main/java/gatelock/config/QueuedRequest.java
+++ b/src/main/java/gatelock/config/QueuedRequest.java
@@ -9,8 +9,8 @@
     void onAdmitted(long nowUs);
 
     /**
-     * Called when the request is shed because it has waited too long, its place in the queue went to another tenant, or a
-     * new version shortened the queue.
+     * Called when the request is shed because it has waited too long, its place in the queue went to another tenant, or
+     * a new version shortened the queue.
      *
      * @param nowUs the current time
      * @param retryAfterUs estimated time in microseconds after which a new attempt would be admitted
--- a/src/main/java/gatelock/config/RequestLimiter.java
+++ b/src/main/java/gatelock/config/RequestLimiter.java
@@ -8,9 +8,9 @@
 
 /**
  * Enforces limits on rate and concurrency. A request acquires all of its limits at once or none of them; if one of them
- * has no capacity, the request waits in that limit's queue. The state belongs to the relay and not to a version: a limit
- * that keeps its name keeps its tokens, its requests in flight and its queue, so that a version that changes a rate
- * neither grants a fresh burst nor forgets the requests in flight.
+ * has no capacity, the request waits in that limit's queue. The state belongs to the relay and not to a version: a
+ * limit that keeps its name keeps its tokens, its requests in flight and its queue, so that a version that changes a
+ * rate neither grants a fresh burst nor forgets the requests in flight.
  */
 final class RequestLimiter {
     /** The shortest delay after which a shed request is told to retry. */
@@ -38,7 +38,9 @@
      */
     record Decision(Outcome outcome, Ticket ticket, long retryAfterUs) {}
 
-    /** A request's claim on its limits: queued in one of them, or holding a share of all of them until it is released. */
+    /**
+     * A request's claim on its limits: queued in one of them, or holding a share of all of them until it is released.
+     */
     final class Ticket {
         private final int tenant;
         private final List<LimitBucket> buckets;
@@ -100,8 +102,8 @@
         }
 
         /**
-         * Returns the time in microseconds until all limits may have capacity, or {@link #UNKNOWN_US} while that depends
-         * on the release of a request in flight.
+         * Returns the time in microseconds until all limits may have capacity, or {@link #UNKNOWN_US} while that
+         * depends on the release of a request in flight.
          */
         private long timeToCapacityUs(long nowUs) {
             long longestUs = 0;
@@ -156,8 +158,8 @@
 
     /**
      * Adds a request to a bucket's queue. If the queue is full, the last request of the tenant with the most queued
-     * requests is shed to make room, provided that this tenant has more than the new request's tenant would have. Returns
-     * false if the request can't be queued.
+     * requests is shed to make room, provided that this tenant has more than the new request's tenant would have.
+     * Returns false if the request can't be queued.
      */
     private boolean enqueue(long nowUs, LimitBucket bucket, Ticket ticket) {
         LimitPolicy policy = bucket.policy();
@@ -222,7 +224,9 @@
         }
     }
 
-    /** Sheds requests that have waited too long and admits those with capacity; must be called at {@link #nextDueUs}. */
+    /**
+     * Sheds requests that have waited too long and admits those with capacity; must be called at {@link #nextDueUs}.
+     */
     void processQueues(long nowUs) {
         for (LimitBucket bucket : List.copyOf(bucketsWithQueue)) {
             for (int tenant : bucket.queue().tenants()) {
--- a/src/main/java/gatelock/config/ResolvedConfig.java
+++ b/src/main/java/gatelock/config/ResolvedConfig.java
@@ -141,7 +141,9 @@
             return route;
         }
 
-        /** Returns the JSON pointer of a field where it is set, or of this route if neither it nor an ancestor sets it. */
+        /**
+         * Returns the JSON pointer of a field where it is set, or of this route if neither it nor an ancestor sets it.
+         */
         String pointerOf(String field) {
             RouteDefinition declaring = declaringRoute(field);
             return declaring == null ? pointer() : declaring.pointer() + "/" + field;
@@ -162,7 +164,9 @@
             return value("pool").asText(defaultValue("pool"));
         }
 
-        /** Returns the retry policy that the route or an ancestor names, or null; ignores the pool's and the default. */
+        /**
+         * Returns the retry policy that the route or an ancestor names, or null; ignores the pool's and the default.
+         */
         String retryPolicy() {
             return value("retries").asText(null);
         }
--- a/src/main/java/gatelock/config/RetryBudget.java
+++ b/src/main/java/gatelock/config/RetryBudget.java
@@ -1,8 +1,8 @@
 package gatelock.config;
 
 /**
- * Bounds the retries under one policy to a share of its requests, both counted with a decay of {@link #TIME_CONSTANT_US}.
- * A budget is kept across versions as long as they define a policy of the same name.
+ * Bounds the retries under one policy to a share of its requests, both counted with a decay of {@link
+ * #TIME_CONSTANT_US}. A budget is kept across versions as long as they define a policy of the same name.
  */
 final class RetryBudget {
     /** The number of retries that are available regardless of the ratio, so that a policy with few requests has any. */
--- a/src/main/java/gatelock/config/RetryPolicy.java
+++ b/src/main/java/gatelock/config/RetryPolicy.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Determines which retries a request may have. A policy can only restrict the retries that the decision engine would make
- * without it.
+ * Determines which retries a request may have. A policy can only restrict the retries that the decision engine would
+ * make without it.
  *
  * @param name the policy's name; empty for {@link #UNRESTRICTED}
  * @param maxAttempts maximum number of attempts of a request, including the first
--- a/src/main/java/gatelock/config/RetrySafetyValidator.java
+++ b/src/main/java/gatelock/config/RetrySafetyValidator.java
@@ -23,8 +23,8 @@
     }
 
     /**
-     * Checks every retry policy that can apply to requests of a non-retriable route: the policy set by the route itself,
-     * by a route it inherits from, by its pool, by a fallback pool, or by default.
+     * Checks every retry policy that can apply to requests of a non-retriable route: the policy set by the route
+     * itself, by a route it inherits from, by its pool, by a fallback pool, or by default.
      */
     void validateNonRetriable(ResolvedConfig.RouteDefinition route) {
         if (route.retryPolicy() != null) {
@@ -68,8 +68,8 @@
     }
 
     /**
-     * Checks that repeats of a deduped class stay among the endpoints that recognize them; depending on the class, these
-     * are all endpoints, those of one zone or those of one cell.
+     * Checks that repeats of a deduped class stay among the endpoints that recognize them; depending on the class,
+     * these are all endpoints, those of one zone or those of one cell.
      */
     void validateDeduplicationGroup(ResolvedConfig.RouteDefinition route, RoutePolicy policy) {
         List<String> chain = config.fallbackChain(route.pool());
--- a/src/main/java/gatelock/config/RouteEntry.java
+++ b/src/main/java/gatelock/config/RouteEntry.java
@@ -11,7 +11,8 @@
  * @param classIndex index of the request class whose policy applies
  * @param pool name of the pool; null for all endpoints
  * @param limits limits, all of which must admit a request
- * @param retryPolicy the policy that the route itself names or inherits; null if its pool's or the default policy applies
+ * @param retryPolicy the policy that the route itself names or inherits; null if its pool's or the default policy
+ *     applies
  * @param sessionPolicy policy for WebSocket sessions; null if the route does not accept any
  */
 record RouteEntry(
--- a/src/main/java/gatelock/config/RouteMatch.java
+++ b/src/main/java/gatelock/config/RouteMatch.java
@@ -27,8 +27,9 @@
 
     /**
      * Returns whether an endpoint may interpret a path differently than this relay does, because of dot segments, empty
-     * segments, backslashes, null bytes, or percent-encoded slashes or dots. A request with such a path could bypass the
-     * route that is meant for it at any endpoint that normalizes paths. Clients that really use such paths get status 400.
+     * segments, backslashes, null bytes, or percent-encoded slashes or dots. A request with such a path could bypass
+     * the route that is meant for it at any endpoint that normalizes paths. Clients that really use such paths get
+     * status 400.
      */
     static boolean isAmbiguousPath(String path) {
         if (!path.startsWith("/")) {
@@ -41,7 +42,9 @@
         return hasHiddenSeparator(decoded) || hasDotSegment(decoded);
     }
 
-    /** Returns whether a path has none of the characters that can make it ambiguous; a quick test true of most paths. */
+    /**
+     * Returns whether a path has none of the characters that can make it ambiguous; a quick test true of most paths.
+     */
     private static boolean isPlain(String path) {
         return path.indexOf('%') < 0
                 && !path.contains("/.")
--- a/src/main/java/gatelock/config/RouteTable.java
+++ b/src/main/java/gatelock/config/RouteTable.java
@@ -88,7 +88,10 @@
         return size;
     }
 
-    /** Returns the node where a path ends, created if necessary, and updates the lowest position of the nodes on the way. */
+    /**
+     * Returns the node where a path ends, created if necessary, and updates the lowest position of the nodes on the
+     * way.
+     */
     private Node<T> findOrCreateNode(List<String> path, int position) {
         Node<T> node = root;
         node.lowestPosition = Math.min(node.lowestPosition, position);
@@ -132,8 +135,9 @@
     }
 
     /**
-     * Returns the position of the first route whose path is a prefix of {@code path} and that satisfies the condition, or
-     * -1 if there is none. The condition is evaluated for candidates of all hosts, except those that can't be the first.
+     * Returns the position of the first route whose path is a prefix of {@code path} and that satisfies the condition,
+     * or -1 if there is none. The condition is evaluated for candidates of all hosts, except those that can't be the
+     * first.
      */
     int findFirstAlongPath(List<String> path, BiPredicate<Integer, RouteMatch> condition) {
         Entry<T> found = search(path, null, condition);
--- a/src/main/java/gatelock/config/SchemaValidator.java
+++ b/src/main/java/gatelock/config/SchemaValidator.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Validates a document and adds an error for each violation. The error's code is {@code S-} followed by the violated
-     * schema keyword in upper case.
+     * Validates a document and adds an error for each violation. The error's code is {@code S-} followed by the
+     * violated schema keyword in upper case.
      */
     public void validate(ConfigDocument document, List<Diagnostic> diagnostics) {
         for (Error error : schema().validate(document.root())) {
--- a/src/main/java/gatelock/config/ShadowedRouteValidator.java
+++ b/src/main/java/gatelock/config/ShadowedRouteValidator.java
@@ -5,7 +5,9 @@
 
 /** Finds routes that no request can reach because an earlier route matches all of their requests. */
 final class ShadowedRouteValidator {
-    /** The maximum number of earlier routes compared with one route; beyond it a warning says that the check gave up. */
+    /**
+     * The maximum number of earlier routes compared with one route; beyond it a warning says that the check gave up.
+     */
     private static final int MAX_COMPARED_ROUTES = 2_000;
 
     private final ValidationContext context;
--- a/src/main/java/gatelock/config/StartupQueue.java
+++ b/src/main/java/gatelock/config/StartupQueue.java
@@ -30,8 +30,8 @@
      * @param request the request
      * @param continuation runs when the queue opens
      * @return how long the request may wait, in microseconds: half of its remaining time. It should be rejected after
-     *     that, so that its client can try another relay in the other half; a later rejection would make the client miss
-     *     its deadline.
+     *     that, so that its client can try another relay in the other half; a later rejection would make the client
+     *     miss its deadline.
      */
     public long add(long nowUs, long deadlineUs, T request, Runnable continuation) {
         continuations.put(request, continuation);
--- a/src/main/java/gatelock/config/ValidationContext.java
+++ b/src/main/java/gatelock/config/ValidationContext.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** The state shared by all validators of one document: the document, the deployment, the diagnostics and the used names. */
+/**
+ * The state shared by all validators of one document: the document, the deployment, the diagnostics and the used names.
+ */
 final class ValidationContext {
     /** The maximum number of defined names that a diagnostic about an undefined name suggests. */
     private static final int MAX_SUGGESTED_NAMES = 10;
--- a/src/main/java/gatelock/config/VersionTracker.java
+++ b/src/main/java/gatelock/config/VersionTracker.java
@@ -13,22 +13,24 @@
  * reported to the control service as accepted, and which ones the operator can roll back to. Versions are identified by
  * epoch, number and hash; compiling them is the caller's task.
  *
- * <p>Numbers increase within an epoch. A later epoch belongs to a control service that was rebuilt, and its versions take
- * precedence whatever their numbers. An earlier epoch belongs to an old copy of the service that came back, and its
- * versions are rejected. The text of a number never changes: if the same number is offered with another text, the
+ * <p>Numbers increase within an epoch. A later epoch belongs to a control service that was rebuilt, and its versions
+ * take precedence whatever their numbers. An earlier epoch belongs to an old copy of the service that came back, and
+ * its versions are rejected. The text of a number never changes: if the same number is offered with another text, the
  * accepted version stays.
  */
 public final class VersionTracker {
     /** The number of rejected texts remembered by hash, so that the same text is neither compiled nor logged again. */
     private static final int MAX_REMEMBERED_REJECTIONS = 64;
-    /** Bound on the total size of the texts in the history; does not apply to the last {@link #MIN_HISTORY} versions. */
+    /**
+     * Bound on the total size of the texts in the history; does not apply to the last {@link #MIN_HISTORY} versions.
+     */
     private static final long MAX_HISTORY_BYTES = 16 << 20;
     /** The number of versions kept whatever their size: the active version and the one before it. */
     private static final int MIN_HISTORY = 2;
 
     /**
-     * What to do with an offered version. The names are sent to the control service and appear in the log and the status,
-     * so they must not change.
+     * What to do with an offered version. The names are sent to the control service and appear in the log and the
+     * status, so they must not change.
      */
     public enum OfferOutcome {
         /** Compile it, then report the result with {@link #accept} or {@link #reject}. */
@@ -37,7 +39,10 @@
         HELD,
         /** It has a lower number than the latest accepted version; do not apply it. */
         OLDER,
-        /** It has an earlier epoch than the latest accepted version, so it comes from an old copy of the control service. */
+        /**
+         * It has an earlier epoch than the latest accepted version, so it comes from an old copy of the control
+         * service.
+         */
         OLD_EPOCH,
         /** It has the number of the latest accepted version but a different text. */
         FORK,
@@ -125,8 +130,8 @@
      * @param config the compiled version
      * @param reason human-readable source of or reason for the activation
      * @param text the version's text
-     * @return false, without any change, if a later version was accepted or the operator pinned a version while this one
-     *     was being compiled
+     * @return false, without any change, if a later version was accepted or the operator pinned a version while this
+     *     one was being compiled
      */
     public boolean accept(long nowUs, CompiledConfig config, String reason, byte[] text) {
         ConfigVersion version = config.version();
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -18,8 +18,8 @@
 
 /**
  * Activates configuration versions from all sources: the control service, the disk and the operator. {@link
- * VersionTracker} decides what to do with a version. A version to apply is compiled off the I/O thread, compared with the
- * active version, activated in a single step on the I/O thread, and saved to disk.
+ * VersionTracker} decides what to do with a version. A version to apply is compiled off the I/O thread, compared with
+ * the active version, activated in a single step on the I/O thread, and saved to disk.
  */
 public final class ConfigUpdater {
     private static final System.Logger LOG = System.getLogger("gatelock.control");
@@ -177,7 +177,8 @@
     /**
      * Rejects a version.
      *
-     * @param permanent true if the text itself is invalid; false if only the change from the active version is dangerous
+     * @param permanent true if the text itself is invalid; false if only the change from the active version is
+     *     dangerous
      */
     private UpdateResult reject(ConfigVersion version, List<Diagnostic> diagnostics, boolean permanent) {
         versions.reject(version, diagnostics, permanent);
--- a/src/main/java/gatelock/control/LastKnownGoodStore.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -20,10 +20,10 @@
 /**
  * Stores the last known good version of the configuration and its predecessor on disk, each in its own file.
  *
- * <p>A file is one header line followed by the version's text. The header has six fields, separated by one space:
- * the format's name, the start time of the epoch, the epoch's identifier, the version's number, the text's length in
- * bytes and the text's hash. Length and hash reveal a file that is truncated, partially written or modified; such a file
- * is skipped. A new file is written under a temporary name, forced to disk and moved into place.
+ * <p>A file is one header line followed by the version's text. The header has six fields, separated by one space: the
+ * format's name, the start time of the epoch, the epoch's identifier, the version's number, the text's length in bytes
+ * and the text's hash. Length and hash reveal a file that is truncated, partially written or modified; such a file is
+ * skipped. A new file is written under a temporary name, forced to disk and moved into place.
  *
  * <p>All methods block, so they must never be called on the I/O thread.
  */
--- a/src/main/java/gatelock/control/RelayStatus.java
+++ b/src/main/java/gatelock/control/RelayStatus.java
@@ -11,8 +11,8 @@
 import java.util.function.Supplier;
 
 /**
- * Builds the JSON documents that describe a running relay to its operators. The keys are part of the public interface and
- * must not change.
+ * Builds the JSON documents that describe a running relay to its operators. The keys are part of the public interface
+ * and must not change.
  */
 final class RelayStatus {
     private static final int US_PER_S = 1_000_000;
--- a/src/main/java/gatelock/decision/OutlierDetector.java
+++ b/src/main/java/gatelock/decision/OutlierDetector.java
@@ -96,10 +96,11 @@
     }
 
     /**
-     * Marks an attempt as overdue if it has taken much longer than expected. Guards against endpoints that are stalled, unreachable or slow, or that lose this relay's attempts, whether one or several are affected. An overdue attempt no
-     * longer uses capacity and counts as a failure of its endpoint. If most endpoints are healthy and the request may
-     * be executed elsewhere, the attempt is cancelled so that the request can be retried; otherwise it continues. Can
-     * do harm if the announced cost is a poor estimate of the latency.
+     * Marks an attempt as overdue if it has taken much longer than expected. Guards against endpoints that are stalled,
+     * unreachable or slow, or that lose this relay's attempts, whether one or several are affected. An overdue attempt
+     * no longer uses capacity and counts as a failure of its endpoint. If most endpoints are healthy and the request
+     * may be executed elsewhere, the attempt is cancelled so that the request can be retried; otherwise it continues.
+     * Can do harm if the announced cost is a poor estimate of the latency.
      */
     private void checkOverdue(Attempt attempt) {
         EndpointState endpoint = attempt.endpoint();
--- a/src/main/java/gatelock/decision/ThresholdComparison.java
+++ b/src/main/java/gatelock/decision/ThresholdComparison.java
@@ -110,7 +110,8 @@
     }
 
     /**
-     * Returns the threshold of the error rate. A fault that affects both builds raises it, so that it is not attributed to the new build; errors of faulty endpoints of the earlier build do not.
+     * Returns the threshold of the error rate. A fault that affects both builds raises it, so that it is not attributed
+     * to the new build; errors of faulty endpoints of the earlier build do not.
      */
     private static double errorThreshold(List<OutcomeWindow> earlier, double margin) {
         ErrorCount[] counts = OutcomeWindow.errorCounts(OutcomeWindow.without(earlier, faultyEndpoints(earlier)));
--- a/src/main/java/gatelock/decision/VotePolicy.java
+++ b/src/main/java/gatelock/decision/VotePolicy.java
@@ -113,9 +113,9 @@
             return LONG_HOLD_US;
         }
         // If more than half of the required outcomes are missing, a little more time does not lead to a verdict either.
-        boolean isHopeless = assessment == Assessment.NO_VERDICT
+        boolean verdictOutOfReach = assessment == Assessment.NO_VERDICT
                 && analysis.recentOwnOutcomes(canary) < ThresholdComparison.MIN_OUTCOMES / 2;
-        return isHopeless ? 0 : HOLD_US;
+        return verdictOutOfReach ? 0 : HOLD_US;
     }
 
     /** Returns the vote for a verdict: no vote for what the release controller does without one. */
--- a/src/main/java/gatelock/discovery/EndpointListApplier.java
+++ b/src/main/java/gatelock/discovery/EndpointListApplier.java
@@ -18,8 +18,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Applies endpoint lists to the address table, the pools of the configuration, the decision engine and the connection pool of the
- * endpoints. With a subset, only the entries that the subset selects are applied.
+ * Applies endpoint lists to the address table, the pools of the configuration, the decision engine and the connection
+ * pool of the endpoints. With a subset, only the entries that the subset selects are applied.
  */
 final class EndpointListApplier {
     /** The interval at which the subset is reviewed. */
@@ -66,7 +66,10 @@
         apply(DecisionEngine.EndpointUpdateType.CACHED, used);
     }
 
-    /** Applies a list whose endpoints are all in use. The pools of the configuration are updated before the decision engine. */
+    /**
+     * Applies a list whose endpoints are all in use. The pools of the configuration are updated before the decision
+     * engine.
+     */
     void apply(DecisionEngine.EndpointUpdateType updateType, List<EndpointEntry> entries) {
         List<Endpoint> endpoints =
                 entries.stream().map(EndpointEntry::toEndpoint).toList();
--- a/src/main/java/gatelock/http/RequestHeaders.java
+++ b/src/main/java/gatelock/http/RequestHeaders.java
@@ -74,9 +74,7 @@
         return colon < 0 ? host : host.substring(0, colon);
     }
 
-    /**
-     * Converts a sticky key to a non-negative number: hexadecimal digits are parsed, any other text is hashed.
-     */
+    /** Converts a sticky key to a non-negative number: hexadecimal digits are parsed, any other text is hashed. */
     static long key(String text) {
         if (text == null || text.isEmpty()) {
             return DecisionEngine.NO_KEY;
--- a/src/main/java/gatelock/membership/RecordLayout.java
+++ b/src/main/java/gatelock/membership/RecordLayout.java
@@ -9,8 +9,9 @@
 /**
  * The binary layout of one endpoint's record in the {@link EndpointStore}. A record begins with two links of four bytes
  * (the next and the previous endpoint of the same service) and a byte of flags. These are followed by zone, name,
- * service number, build, instance type, cell, start time, address and, if there are any, the labels, encoded as variable-length
- * numbers and length-prefixed UTF-8 text. Records exist only in memory; they are never sent or written to disk.
+ * service number, build, instance type, cell, start time, address and, if there are any, the labels, encoded as
+ * variable-length numbers and length-prefixed UTF-8 text. Records exist only in memory; they are never sent or written
+ * to disk.
  */
 final class RecordLayout {
     /** Reads and writes a big-endian {@code int} in a byte array. */
--- a/src/main/java/gatelock/pipeline/RequestAdmitter.java
+++ b/src/main/java/gatelock/pipeline/RequestAdmitter.java
@@ -11,8 +11,8 @@
 import gatelock.state.InFlightRequests;
 
 /**
- * Second stage: applies the limits of the active configuration version, if there is one, to a valid request and passes it to
- * the decision engine. From this stage on, the relay owes the client a response.
+ * Second stage: applies the limits of the active configuration version, if there is one, to a valid request and passes
+ * it to the decision engine. From this stage on, the relay owes the client a response.
  */
 public final class RequestAdmitter {
     /** The maximum time between two checks of the limits while requests are queued for them. */
@@ -72,7 +72,8 @@
      * Accepts a valid request, to which exactly one response will be sent unless its client leaves first.
      *
      * @param request the request
-     * @param matchedRoute the route of the active configuration version that matches it, or null if there is no version or no route matches
+     * @param matchedRoute the route of the active configuration version that matches it, or null if there is no version
+     *     or no route matches
      * @param profile the properties of the request that the decision engine uses
      */
     public void admit(InFlightRequest request, Admission.MatchedRoute matchedRoute, RequestProfile profile) {
