--- a/src/main/java/gatelock/boot/FileCommands.java
+++ b/src/main/java/gatelock/boot/FileCommands.java
@@ -63,7 +63,7 @@
         final CompiledConfig compileValid(Path file, DeploymentContext context) throws UnusableInputException {
             ConfigCompiler.Result compiled = compile(file, context);
             if (!compiled.isValid()) {
-                throw new UnusableInputException(format(file, compiled.findings()));
+                throw new UnusableInputException(format(file, compiled.diagnostics()));
             }
             return compiled.config();
         }
@@ -89,13 +89,15 @@
             result.put("good", compiled.isValid());
             result.put(
                     "findings",
-                    compiled.findings().stream().map(Diagnostic::toJsonFields).toList());
+                    compiled.diagnostics().stream()
+                            .map(Diagnostic::toJsonFields)
+                            .toList());
             print(result, summarize(compiled));
             return compiled.isValid() ? Commands.EXIT_OK : Commands.EXIT_FINDINGS;
         }
 
         private String summarize(ConfigCompiler.Result compiled) {
-            String findings = format(file, compiled.findings());
+            String findings = format(file, compiled.diagnostics());
             String summary = compiled.isValid()
                     ? file + ": valid, " + compiled.config().routeCount() + " routes"
                     : file + ": would be rejected";
--- a/src/main/java/gatelock/boot/OperatorConfigReader.java
+++ b/src/main/java/gatelock/boot/OperatorConfigReader.java
@@ -143,7 +143,7 @@
                     zone + " is not a zone of this deployment",
                     "use one of " + zones + ", or omit the zone if this relay is in none of them");
         }
-        int minHolders = node.path("leastHolders").asInt(EndpointSubset.DEFAULT_MIN_HOLDERS);
+        int minHolders = node.path("leastHolders").asInt(EndpointSubset.DEFAULT_MIN_RELAYS_PER_ENDPOINT);
         double fraction =
                 Math.min(1, minHolders / (double) deployment.settings().relayCount());
         // If the relays are not numbered, the seed is used instead, as it also differs from relay to relay.
--- a/src/main/java/gatelock/config/ConfigCompiler.java
+++ b/src/main/java/gatelock/config/ConfigCompiler.java
@@ -35,9 +35,9 @@
      * The result of a compilation.
      *
      * @param config the compiled version, or null if a diagnostic is an error
-     * @param findings errors and warnings, with their locations
+     * @param diagnostics errors and warnings, with their locations
      */
-    public record Result(CompiledConfig config, List<Diagnostic> findings) {
+    public record Result(CompiledConfig config, List<Diagnostic> diagnostics) {
         /** Returns whether the version compiled without errors. */
         public boolean isValid() {
             return config != null;
--- a/src/main/java/gatelock/config/ValidationContext.java
+++ b/src/main/java/gatelock/config/ValidationContext.java
@@ -14,14 +14,14 @@
 
     private final ResolvedConfig config;
     private final DeploymentContext deployment;
-    private final List<Diagnostic> findings;
+    private final List<Diagnostic> diagnostics;
     private final Set<String> usedDefinitions = new HashSet<>();
 
     /** Creates a context whose diagnostics are added to {@code diagnostics}. */
     ValidationContext(ResolvedConfig config, DeploymentContext deployment, List<Diagnostic> diagnostics) {
         this.config = config;
         this.deployment = deployment;
-        this.findings = diagnostics;
+        this.diagnostics = diagnostics;
     }
 
     /** Returns the document under validation. */
@@ -36,12 +36,12 @@
 
     /** Adds an error at a JSON pointer. */
     void error(String code, String pointer, String problem, String remedy) {
-        findings.add(Diagnostic.newError(code, pointer, problem, remedy));
+        diagnostics.add(Diagnostic.newError(code, pointer, problem, remedy));
     }
 
     /** Adds a warning at a JSON pointer. */
     void warning(String code, String pointer, String problem, String remedy) {
-        findings.add(Diagnostic.newWarning(code, pointer, problem, remedy));
+        diagnostics.add(Diagnostic.newWarning(code, pointer, problem, remedy));
     }
 
     /**
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -125,8 +125,8 @@
                     latestCompileUs = eventLoop.nowUs() - startedUs;
                     onResult.accept(
                             compiled.isValid()
-                                    ? applyIfSafe(compiled.config(), text, compiled.findings())
-                                    : reject(version, compiled.findings(), true));
+                                    ? applyIfSafe(compiled.config(), text, compiled.diagnostics())
+                                    : reject(version, compiled.diagnostics(), true));
                 });
     }
 
@@ -210,7 +210,7 @@
                     Level.WARNING,
                     "version {0} from disk is no longer valid: {1}",
                     LogField.of("version", version),
-                    LogField.of("reason", compiled.findings()));
+                    LogField.of("reason", compiled.diagnostics()));
             return false;
         }
         if (!versions.accept(eventLoop.nowUs(), compiled.config(), SOURCE_DISK, stored.text())) {
@@ -242,7 +242,7 @@
     private Optional<String> pin(VersionTracker.HistoryEntry entry, ConfigCompiler.Result compiled, String source) {
         if (!compiled.isValid()) {
             return Optional.of(
-                    "version " + entry.version().number() + " is not sound any more: " + compiled.findings());
+                    "version " + entry.version().number() + " is not sound any more: " + compiled.diagnostics());
         }
         versions.pin(eventLoop.nowUs(), entry, source);
         swap(compiled.config(), source);
--- a/src/main/java/gatelock/discovery/EndpointEntryReader.java
+++ b/src/main/java/gatelock/discovery/EndpointEntryReader.java
@@ -79,7 +79,7 @@
         Map<String, String> labels = labels(entry);
         return new EndpointEntry(
                 endpoint,
-                serviceNames.serviceOf(endpoint, entry, labels),
+                serviceNames.extractService(endpoint, entry, labels),
                 entry.addressText("address"),
                 indexIn(zones, entry, "zone"),
                 indexIn(instanceTypes, entry, "type"),
--- a/src/main/java/gatelock/discovery/EndpointListApplier.java
+++ b/src/main/java/gatelock/discovery/EndpointListApplier.java
@@ -75,8 +75,8 @@
                 entries.stream().map(EndpointEntry::toEndpoint).toList();
         List<InetSocketAddress> staleAddresses = updateAddresses(entries, endpoints);
         if (updateType == DecisionEngine.EndpointUpdateType.FULL) {
-            staleAddresses.addAll(
-                    addresses.keepOnly(entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
+            staleAddresses.addAll(addresses.retainOnly(
+                    entries.stream().map(EndpointEntry::name).collect(Collectors.toSet())));
         }
         if (admission != null) {
             admission.updateEndpoints(eventLoop.nowUs(), updateType, endpoints, labelsByEndpoint(entries));
--- a/src/main/java/gatelock/discovery/ServiceNameExtractor.java
+++ b/src/main/java/gatelock/discovery/ServiceNameExtractor.java
@@ -19,7 +19,7 @@
      * @param entry the entry as it was received
      * @param labels the labels of the entry
      */
-    String serviceOf(String endpoint, JsonObject entry, Map<String, String> labels);
+    String extractService(String endpoint, JsonObject entry, Map<String, String> labels);
 
     /**
      * Returns an extractor that uses the value of a label or, if an endpoint has no such label, of the field of that
--- a/src/main/java/gatelock/http/ClientListener.java
+++ b/src/main/java/gatelock/http/ClientListener.java
@@ -157,7 +157,7 @@
             ChannelListeners.invokeChannelListener(closed, undertowListener);
         });
         if (connection.isOpen()) {
-            connections.evictIfCrowded(eventLoop.nowUs());
+            connections.evictIfOverLimit(eventLoop.nowUs());
         } else {
             remove(connection);
         }
--- a/src/main/java/gatelock/membership/EndpointBudget.java
+++ b/src/main/java/gatelock/membership/EndpointBudget.java
@@ -56,7 +56,7 @@
     }
 
     /** Returns the number of services that have ready endpoints but no slot. */
-    int servicesWithoutPlace() {
+    int servicesWithoutSlot() {
         return servicesWaitingForSlot.size();
     }
 
--- a/src/main/java/gatelock/membership/EndpointEntry.java
+++ b/src/main/java/gatelock/membership/EndpointEntry.java
@@ -49,7 +49,7 @@
     }
 
     /** Returns a copy of this entry with health {@link Endpoint.Health#GONE}. */
-    EndpointEntry gone() {
+    EndpointEntry asRemoved() {
         return withHealth(Endpoint.Health.GONE);
     }
 
--- a/src/main/java/gatelock/membership/EndpointStore.java
+++ b/src/main/java/gatelock/membership/EndpointStore.java
@@ -46,7 +46,7 @@
     // Services
 
     /** Removes a service if it has no endpoints left. */
-    void forgetService(String service) {
+    void removeService(String service) {
         services.remove(service);
     }
 
--- a/src/main/java/gatelock/membership/EndpointSubset.java
+++ b/src/main/java/gatelock/membership/EndpointSubset.java
@@ -20,7 +20,7 @@
      * is used by the most relays is used by 1 + 3.5 / sqrt(mean) times the mean (docs/measurements/membership.md),
      * which is 4/3 for this value. If the mean is below one, some endpoints are not used by any relay.
      */
-    public static final int DEFAULT_MIN_HOLDERS = 110;
+    public static final int DEFAULT_MIN_RELAYS_PER_ENDPOINT = 110;
 
     /**
      * Settings by which a relay chooses its endpoints.
@@ -216,8 +216,8 @@
      * Returns the number of services that have ready endpoints but none in the subset, because there are more services
      * than {@code maxEndpoints}.
      */
-    int servicesWithoutPlace() {
-        return budget.servicesWithoutPlace();
+    int servicesWithoutSlot() {
+        return budget.servicesWithoutSlot();
     }
 
     /**
--- a/src/main/java/gatelock/membership/ListedServices.java
+++ b/src/main/java/gatelock/membership/ListedServices.java
@@ -50,7 +50,7 @@
 
     /** Removes a service that has no listed endpoints left. */
     void remove(ServiceState service) {
-        store.forgetService(service.name());
+        store.removeService(service.name());
         services.remove(service.name());
     }
 
--- a/src/main/java/gatelock/membership/SubsetMembers.java
+++ b/src/main/java/gatelock/membership/SubsetMembers.java
@@ -72,7 +72,7 @@
 
     /** Removes a member and records its entry with health GONE as a pending change. */
     void remove(SubsetMember member) {
-        remove(member, member.entry().gone());
+        remove(member, member.entry().asRemoved());
     }
 
     /** Removes a member and records its last entry as a pending change. */
--- a/src/main/java/gatelock/state/ClientConnections.java
+++ b/src/main/java/gatelock/state/ClientConnections.java
@@ -218,7 +218,7 @@
      * first. A new connection can be evicted only until its first request is read. A client whose first request is slow
      * to arrive while very many others connect may therefore be disconnected.
      */
-    public void evictIfCrowded(long nowUs) {
+    public void evictIfOverLimit(long nowUs) {
         if (entries.size() <= softLimit) {
             return;
         }
--- a/src/main/java/gatelock/state/EndpointAddresses.java
+++ b/src/main/java/gatelock/state/EndpointAddresses.java
@@ -60,7 +60,7 @@
      * @param endpoints the names of the endpoints to keep
      * @return the addresses of the removed endpoints
      */
-    public List<InetSocketAddress> keepOnly(Set<String> endpoints) {
+    public List<InetSocketAddress> retainOnly(Set<String> endpoints) {
         List<InetSocketAddress> removed = new ArrayList<>();
         entries.forEach((name, entry) -> {
             if (!endpoints.contains(name)) {
--- a/src/test/java/gatelock/ConfigUpdateTest.java
+++ b/src/test/java/gatelock/ConfigUpdateTest.java
@@ -79,7 +79,7 @@
 
     /** Starts the relay and waits until it has reported on the first version. */
     private void startOnFirstVersion() throws Exception {
-        control.offer(EPOCH, "a", 1, versionText("first", 1_000_000));
+        control.publish(EPOCH, "a", 1, versionText("first", 1_000_000));
         start();
         control.awaitReport(EPOCH + "/1");
     }
@@ -103,7 +103,7 @@
 
     @Test
     void appliesValidVersionAndRejectsInvalidOneWithFindings() throws Exception {
-        control.offer(EPOCH, "a", 1, versionText("first", 2));
+        control.publish(EPOCH, "a", 1, versionText("first", 2));
         start();
         Map<String, Object> first = control.awaitReport(EPOCH + "/1");
         assertThat(first).containsEntry("accepted", true).containsEntry("version", 1);
@@ -112,12 +112,12 @@
         assertThat(relayStatus("GET /read", "r3")).isEqualTo("503");
         assertThat(relayStatus("POST /post", "p1")).isEqualTo("404");
         assertServed("POST /claim", "c1");
-        control.offer(EPOCH, "a", 2, versionText("broken", 2).replace("\"class\": \"claim\"", "\"class\": \"clam\""));
+        control.publish(EPOCH, "a", 2, versionText("broken", 2).replace("\"class\": \"claim\"", "\"class\": \"clam\""));
         Map<String, Object> second = control.awaitReport(EPOCH + "/2");
         assertThat(second).containsEntry("accepted", false).containsEntry("version", 1);
         assertThat(second.get("findings").toString()).contains("M-CLASS", "/routes/1/class", "clam");
         assertServed("POST /claim", "c2");
-        control.offer(EPOCH, "a", 3, versionText("third", 1000));
+        control.publish(EPOCH, "a", 3, versionText("third", 1000));
         assertThat(control.awaitReport(EPOCH + "/3"))
                 .containsEntry("accepted", true)
                 .containsEntry("version", 3);
@@ -128,27 +128,27 @@
 
     @Test
     void reportsEachVersionThatArrivesOutOfOrderDuringTraffic() throws Exception {
-        control.offer(EPOCH, "a", 10, versionText("first", 1_000_000));
+        control.publish(EPOCH, "a", 10, versionText("first", 1_000_000));
         start();
         control.awaitReport(EPOCH + "/10");
         try (SteadyTraffic traffic = new SteadyTraffic(relay, endpoint, 4)) {
-            control.behave(ControlService.Behavior.REPEATS_VERSION);
-            control.offer(EPOCH, "a", 9, versionText("older", 1));
+            control.setBehavior(ControlService.Behavior.REPEATS_VERSION);
+            control.publish(EPOCH, "a", 9, versionText("older", 1));
             assertThat(control.awaitReport(EPOCH + "/9"))
                     .containsEntry("answer", "older")
                     .containsEntry("version", 10);
-            control.offer(EPOCH, "a", 10, versionText("a fork", 1));
+            control.publish(EPOCH, "a", 10, versionText("a fork", 1));
             assertThat(awaitForkReport()).containsEntry("version", 10);
-            control.offer(EPOCH - 5, "a", 50, versionText("an old copy", 1));
+            control.publish(EPOCH - 5, "a", 50, versionText("an old copy", 1));
             assertThat(control.awaitReport((EPOCH - 5) + "/50")).containsEntry("answer", "old-epoch");
-            control.behave(ControlService.Behavior.NORMAL);
-            control.offer(EPOCH, "a", 20, versionText("a gap", 1_000_000));
+            control.setBehavior(ControlService.Behavior.NORMAL);
+            control.publish(EPOCH, "a", 20, versionText("a gap", 1_000_000));
             assertThat(control.awaitReport(EPOCH + "/20")).containsEntry("accepted", true);
-            control.offer(EPOCH, "a", 21, versionTextWithManyRoutes());
+            control.publish(EPOCH, "a", 21, versionTextWithManyRoutes());
             assertThat(control.awaitReport(EPOCH + "/21")).containsEntry("accepted", true);
-            control.offer(EPOCH, "a", 22, "x".repeat(9 << 20));
+            control.publish(EPOCH, "a", 22, "x".repeat(9 << 20));
             relay.awaitLog("the version is larger than");
-            control.offer(EPOCH + 1, "b", 1, versionText("built anew", 1_000_000));
+            control.publish(EPOCH + 1, "b", 1, versionText("built anew", 1_000_000));
             assertThat(control.awaitReport((EPOCH + 1) + "/1")).containsEntry("accepted", true);
             Map<String, Integer> responses = traffic.stop();
             assertThat(responses.keySet()).containsExactly("200");
@@ -184,14 +184,14 @@
                 ControlService.Behavior.WRONG_HASH,
                 ControlService.Behavior.FAILS,
                 ControlService.Behavior.SILENT)) {
-            control.behave(behavior);
-            control.offer(EPOCH, "a", ++number, versionText("later", 1_000_000));
+            control.setBehavior(behavior);
+            control.publish(EPOCH, "a", ++number, versionText("later", 1_000_000));
             int pollsBefore = control.pollCount();
             while (control.pollCount() < pollsBefore + 2) {
                 Thread.sleep(10);
             }
             assertServed("GET /read", "m" + behavior);
-            control.behave(ControlService.Behavior.NORMAL);
+            control.setBehavior(ControlService.Behavior.NORMAL);
             assertThat(control.awaitReport(EPOCH + "/" + number)).containsEntry("accepted", true);
         }
         assertThat(relay.log()).doesNotContain("unexpected");
@@ -200,15 +200,15 @@
     @Test
     void backsOffWhenServiceRepeatsInvalidVersion() throws Exception {
         startOnFirstVersion();
-        control.behave(ControlService.Behavior.REPEATS_VERSION);
-        control.offer(EPOCH, "a", 2, "{}");
+        control.setBehavior(ControlService.Behavior.REPEATS_VERSION);
+        control.publish(EPOCH, "a", 2, "{}");
         assertThat(control.awaitReport(EPOCH + "/2")).containsEntry("accepted", false);
         int pollsBefore = control.pollCount();
         Thread.sleep(2_000);
         // The backoff grows to 0.4 s with full jitter: about ten polls in 2 s, where a busy loop would make thousands.
         assertThat(control.pollCount() - pollsBefore).isBetween(2, 60);
         assertThat(relay.log().split("is turned down", -1)).hasSize(2);
-        control.behave(ControlService.Behavior.IGNORES_HOLD);
+        control.setBehavior(ControlService.Behavior.IGNORES_HOLD);
         pollsBefore = control.pollCount();
         Thread.sleep(1_000);
         assertThat(control.pollCount() - pollsBefore).isBetween(1, 40);
@@ -219,7 +219,7 @@
         startOnFirstVersion();
         try (SteadyTraffic traffic = new SteadyTraffic(relay, endpoint, 4)) {
             for (int i = 2; i < 1_002; i++) {
-                control.offer(EPOCH, "a", i, versionText("rapid " + i, 1_000_000));
+                control.publish(EPOCH, "a", i, versionText("rapid " + i, 1_000_000));
                 Thread.sleep(5);
             }
             long latest = 1;
@@ -241,11 +241,11 @@
         try (SteadyTraffic traffic = new SteadyTraffic(relay, endpoint, 2)) {
             for (int i = 2; i < 12; i++) {
                 relay.signal("HUP");
-                control.offer(EPOCH, "a", i, versionText("reload " + i, 1_000_000));
+                control.publish(EPOCH, "a", i, versionText("reload " + i, 1_000_000));
                 assertThat(control.awaitReport(EPOCH + "/" + i)).containsEntry("accepted", true);
             }
             relay.signal("TERM");
-            control.offer(EPOCH, "a", 12, versionText("leaving", 1_000_000));
+            control.publish(EPOCH, "a", 12, versionText("leaving", 1_000_000));
             assertThat(traffic.stop().keySet()).containsExactly("200");
         }
         assertThat(relay.process().waitFor(20, TimeUnit.SECONDS)).isTrue();
@@ -256,7 +256,7 @@
     void forwardsQueuedRequestsWhenLimitIsRaised() throws Exception {
         String versionWithQueue = versionText("queue", 1)
                 .replace("\"burst\": 1", "\"burst\": 1, \"queue\": {\"length\": 3, \"waitMs\": 900}");
-        control.offer(EPOCH, "a", 1, versionWithQueue);
+        control.publish(EPOCH, "a", 1, versionWithQueue);
         start();
         control.awaitReport(EPOCH + "/1");
         assertServed("GET /read", "takes the burst");
@@ -269,7 +269,7 @@
         HttpMessage shed = firstResponse(clients);
         assertThat(shed.head()).startsWith("HTTP/1.1 503");
         assertThat(Double.parseDouble(shed.header("Retry-After"))).isPositive();
-        control.offer(EPOCH, "a", 2, versionWithQueue.replace("\"ratePerS\": 0.5", "\"ratePerS\": 1000"));
+        control.publish(EPOCH, "a", 2, versionWithQueue.replace("\"ratePerS\": 0.5", "\"ratePerS\": 1000"));
         assertThat(control.awaitReport(EPOCH + "/2")).containsEntry("accepted", true);
         for (int i = 0; i < 3; i++) {
             endpoint.awaitCall().respond("200 OK", "", "done");
@@ -285,14 +285,14 @@
     @Test
     void startsOnStoredVersionAndSkipsTruncatedFileWhenServiceIsSilent() throws Exception {
         startOnFirstVersion();
-        control.offer(EPOCH, "a", 2, versionText("second", 1_000_000));
+        control.publish(EPOCH, "a", 2, versionText("second", 1_000_000));
         control.awaitReport(EPOCH + "/2");
         Path storeDirectory = directory.resolve("kept");
         while (!Files.exists(storeDirectory.resolve("last-good.plan.1"))) {
             Thread.sleep(10);
         }
         relay.process().destroyForcibly().waitFor();
-        control.behave(ControlService.Behavior.SILENT);
+        control.setBehavior(ControlService.Behavior.SILENT);
         byte[] latestFile = Files.readAllBytes(storeDirectory.resolve("last-good.plan"));
         Files.write(storeDirectory.resolve("last-good.plan"), Arrays.copyOf(latestFile, latestFile.length - 7));
         start();
@@ -301,22 +301,22 @@
                 .contains("-a:1 in force, 2 routes, from disk");
         assertThat(relayStatus("POST /post", "p1")).isEqualTo("404");
         assertServed("POST /claim", "c1");
-        control.behave(ControlService.Behavior.NORMAL);
+        control.setBehavior(ControlService.Behavior.NORMAL);
         assertThat(control.awaitReport(EPOCH + "/2")).containsEntry("accepted", true);
     }
 
     @Test
     void keepsVersionOfLaterEpochWhenServicesDisagree() throws Exception {
-        control.offer(EPOCH, "a", 7, versionText("first", 1_000_000));
+        control.publish(EPOCH, "a", 7, versionText("first", 1_000_000));
         try (ControlService other = new ControlService()) {
-            other.offer(EPOCH + 10, "b", 1, versionText("other", 1_000_000));
+            other.publish(EPOCH + 10, "b", 1, versionText("other", 1_000_000));
             moreServices = "\", \"" + other.address();
             start();
             control.awaitReport(EPOCH + "/7");
-            control.behave(ControlService.Behavior.FAILS);
+            control.setBehavior(ControlService.Behavior.FAILS);
             assertThat(other.awaitReport((EPOCH + 10) + "/1")).containsEntry("accepted", true);
-            control.behave(ControlService.Behavior.REPEATS_VERSION);
-            other.behave(ControlService.Behavior.FAILS);
+            control.setBehavior(ControlService.Behavior.REPEATS_VERSION);
+            other.setBehavior(ControlService.Behavior.FAILS);
             for (int i = 0; i < 3; i++) {
                 assertThat(control.awaitReport(EPOCH + "/7"))
                         .containsEntry("answer", "old-epoch")
@@ -329,12 +329,12 @@
 
     @Test
     void rollsBackOnOperatorCommandAndFollowsServiceAfterRelease() throws Exception {
-        control.offer(EPOCH, "a", 1, versionText("first", 1_000_000));
+        control.publish(EPOCH, "a", 1, versionText("first", 1_000_000));
         String listener = "127.0.0.1:" + RelayProcess.freePort();
         moreSettings = ", \"listener\": \"" + listener + "\", \"log\": {\"form\": \"json\"}";
         start();
         control.awaitReport(EPOCH + "/1");
-        control.offer(
+        control.publish(
                 EPOCH,
                 "a",
                 2,
@@ -345,7 +345,7 @@
         assertThat(runCommand(0, "status", "--at", listener)).contains("inForce: " + EPOCH + "-a:2");
         assertThat(runCommand(0, "back", "1", "--why", "second is odd", "--at", listener))
                 .contains("inForce: " + EPOCH + "-a:1", "pinned: true");
-        control.offer(EPOCH, "a", 3, versionText("third", 1_000_000));
+        control.publish(EPOCH, "a", 3, versionText("third", 1_000_000));
         assertThat(control.awaitReport(EPOCH + "/3"))
                 .containsEntry("answer", "pinned")
                 .containsEntry("accepted", false);
--- a/src/test/java/gatelock/DiscoveryTest.java
+++ b/src/test/java/gatelock/DiscoveryTest.java
@@ -19,7 +19,7 @@
 final class DiscoveryTest extends RelayTestCase {
     @Test
     void sendsRequestsToNewAddressOfMovedEndpoint() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         HttpMessage listCall = discovery.awaitCall();
         assertThat(listCall.head()).startsWith("GET /api/targets HTTP/1.1");
         listCall.respond(
@@ -37,7 +37,7 @@
 
     @Test
     void readsThousandEndpointsAsSegmentedListAndAsOneChange() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         String namePrefix = "unit-of-a-long-name-in-a-far-away-place-0123456789-0123456789-";
         String entryFormat = "{\"name\":\"%s\",\"address\":\"%s\",\"zone\":\"z\",\"type\":\"m\",\"group\":3,"
                 + "\"status\":\"%s\",\"weight\":1.0,\"since_ms\":0,\"image_id\":1}";
--- a/src/test/java/gatelock/EndingsTest.java
+++ b/src/test/java/gatelock/EndingsTest.java
@@ -1,6 +1,6 @@
 package gatelock;
 
-import static gatelock.standin.EndpointListJson.listOnly;
+import static gatelock.standin.EndpointListJson.respondWithSingleEndpoint;
 import static gatelock.standin.RawHttp.readMessage;
 import static gatelock.standin.RawHttp.sendRequest;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -50,9 +50,9 @@
     @Test
     void doesNotSendRequestWhenClientDisconnectsDuringConnect() throws Exception {
         relay.replaceInConfig("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000");
-        try (FakeServer slowEndpoint = FakeServer.thatAcceptsLater()) {
-            relay.launchCold();
-            listOnly(discovery.awaitCall(), 1, slowEndpoint);
+        try (FakeServer slowEndpoint = FakeServer.withFullBacklog()) {
+            relay.launchWithoutWarmUp();
+            respondWithSingleEndpoint(discovery.awaitCall(), 1, slowEndpoint);
             discovery.awaitCall();
             Socket leaving = relay.connect();
             sendRequest(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
@@ -214,7 +214,7 @@
     @Test
     void answersRequestsWaitingForListAndConnectionOnSigterm() throws Exception {
         relay.replaceInConfig("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000");
-        try (FakeServer slowEndpoint = FakeServer.thatAcceptsLater();
+        try (FakeServer slowEndpoint = FakeServer.withFullBacklog();
                 Socket heldClient = launchColdAndConnect();
                 Socket dialingClient = relay.connect()) {
             HttpMessage listCall = discovery.awaitCall();
@@ -228,7 +228,7 @@
             }
             awaitEventLoopTurn();
             relay.process().destroy();
-            listOnly(listCall, 1, slowEndpoint);
+            respondWithSingleEndpoint(listCall, 1, slowEndpoint);
             discovery.awaitCall();
             slowEndpoint.accept();
             for (int i = 0; i < 2; i++) {
@@ -243,7 +243,7 @@
 
     /** Starts the relay without its warm-up and connects before it has an endpoint list. */
     private Socket launchColdAndConnect() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         return relay.connectWhenListening();
     }
 
@@ -251,8 +251,8 @@
 
     @Test
     void reopensWatchAtSameIndexWhenItTimesOut() throws Exception {
-        relay.launchCold();
-        listOnly(discovery.awaitCall(), 7, endpoint);
+        relay.launchWithoutWarmUp();
+        respondWithSingleEndpoint(discovery.awaitCall(), 7, endpoint);
         for (String partialResponse :
                 new String[] {"", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\":9,"}) {
             HttpMessage watch = discovery.awaitCall();
@@ -263,7 +263,7 @@
         HttpMessage nextWatch = discovery.awaitCall();
         assertThat(nextWatch.head()).startsWith("GET /api/targets?from=7&");
         // A lower index shows that discovery has restarted, so its new list replaces the old one.
-        listOnly(nextWatch, 2, otherEndpoint);
+        respondWithSingleEndpoint(nextWatch, 2, otherEndpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=2&");
         try (Socket client = relay.connect()) {
             assertServed(client, "POST /claim", "moved", otherEndpoint);
@@ -273,8 +273,8 @@
 
     @Test
     void followsMovedDiscoveryWithoutSighupWhenWatchFails() throws Exception {
-        relay.launchCold();
-        listOnly(discovery.awaitCall(), 7, endpoint);
+        relay.launchWithoutWarmUp();
+        respondWithSingleEndpoint(discovery.awaitCall(), 7, endpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=7&");
         String originalConfig = relay.configText();
         try (FakeServer newDiscovery = new FakeServer()) {
@@ -283,7 +283,7 @@
             HttpMessage nextWatch = discovery.awaitCall();
             relay.writeConfig(originalConfig.replace(discovery.address(), newDiscovery.address()));
             nextWatch.socket().close();
-            listOnly(newDiscovery.awaitCall(), 1, otherEndpoint);
+            respondWithSingleEndpoint(newDiscovery.awaitCall(), 1, otherEndpoint);
             try (Socket client = relay.connect()) {
                 assertServed(client, "POST /claim", "moved", otherEndpoint);
             }
@@ -294,15 +294,15 @@
 
     @Test
     void closesWatchOnOldDiscoveryWhenReloaded() throws Exception {
-        relay.launchCold();
-        listOnly(discovery.awaitCall(), 7, endpoint);
+        relay.launchWithoutWarmUp();
+        respondWithSingleEndpoint(discovery.awaitCall(), 7, endpoint);
         HttpMessage watch = discovery.awaitCall();
         try (FakeServer newDiscovery = new FakeServer()) {
             relay.writeConfig(relay.configText().replace(discovery.address(), newDiscovery.address()));
             relay.signal("HUP");
             HttpMessage listCall = newDiscovery.awaitCall();
             assertThat(discovery.closedConnections().poll(20, TimeUnit.SECONDS)).isSameAs(watch.socket());
-            listOnly(listCall, 1, otherEndpoint);
+            respondWithSingleEndpoint(listCall, 1, otherEndpoint);
             assertThat(newDiscovery.awaitCall().head()).startsWith("GET /api/targets?from=1&");
             try (Socket client = relay.connect()) {
                 assertServed(client, "POST /claim", "moved", otherEndpoint);
--- a/src/test/java/gatelock/EndpointSubsetRelayTest.java
+++ b/src/test/java/gatelock/EndpointSubsetRelayTest.java
@@ -51,7 +51,7 @@
                         + ", \"leastElsewhere\": 0, \"settleS\": 0.2, \"number\": " + RELAY_NUMBER + maxListBytesSetting
                         + "}"
                         + moreSettings + "}");
-        relay.launchCold("--operator", operator.toString());
+        relay.launchWithoutWarmUp("--operator", operator.toString());
     }
 
     /** Returns the name of an endpoint; long, so that the full list exceeds 2 MiB. */
@@ -232,7 +232,7 @@
     @Test
     void reportsListAndSubsetInStatusCommand() throws Exception {
         try (ControlService control = new ControlService()) {
-            control.offer(
+            control.publish(
                     1,
                     "a",
                     1,
--- a/src/test/java/gatelock/LateConnectionsTest.java
+++ b/src/test/java/gatelock/LateConnectionsTest.java
@@ -29,7 +29,7 @@
 
     @BeforeEach
     void makeConnectionsSlow() throws Exception {
-        slowEndpoint = FakeServer.thatAcceptsLater();
+        slowEndpoint = FakeServer.withFullBacklog();
         relay.writeConfig(relay.configText()
                 .replace("\"dialTimeoutNs\": 250000000", "\"dialTimeoutNs\": 20000000000")
                 .replaceAll("\"deadlineNs\": \\d+", "\"deadlineNs\": 20000000000"));
@@ -65,7 +65,7 @@
 
     @Test
     void doesNotSendRequestToEndpointThatLeavesDuringConnect() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         HttpMessage watch = answerList(discovery.awaitCall(), 1, entry("x", slowEndpoint, "in_service", 1));
         for (String status : new String[] {"terminating", "terminated"}) {
             try (Socket client = relay.connect()) {
@@ -85,7 +85,7 @@
 
     @Test
     void doesNotSendRequestToBuildRolledBackDuringConnect() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         answerList(
                 discovery.awaitCall(),
                 1,
@@ -122,7 +122,7 @@
 
     @Test
     void sendsWaitingRequestOnceConnectionIsEstablished() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         answerList(discovery.awaitCall(), 1, entry("x", slowEndpoint, "in_service", 1));
         try (Socket client = relay.connect()) {
             sendRequest(client, "POST /claim", "patient", "", "x");
--- a/src/test/java/gatelock/OversizedListTest.java
+++ b/src/test/java/gatelock/OversizedListTest.java
@@ -1,6 +1,6 @@
 package gatelock;
 
-import static gatelock.standin.EndpointListJson.listOnly;
+import static gatelock.standin.EndpointListJson.respondWithSingleEndpoint;
 import static gatelock.standin.RawHttp.startChunkedResponse;
 import static gatelock.standin.RawHttp.writeChunk;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -23,7 +23,7 @@
 
     @Test
     void logsOversizedFirstListAndServesConfiguredEndpoints() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         BackgroundTask.start(() -> {
             while (true) {
                 beginOversizedList(discovery.awaitCall());
@@ -46,7 +46,7 @@
 
     @Test
     void rejectsChunkedListOnceItExceedsLimit() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         HttpMessage listCall = discovery.awaitCall();
         OutputStream out = startChunkedResponse(listCall);
         BackgroundTask.start(() -> {
@@ -55,7 +55,7 @@
             }
         });
         relay.awaitLog("discovery's list is too long: body of at least 2");
-        listOnly(discovery.awaitCall(), 5, otherEndpoint);
+        respondWithSingleEndpoint(discovery.awaitCall(), 5, otherEndpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=5&");
         assertServedBy(otherEndpoint, "shorter");
         assertStopsCleanly();
@@ -64,8 +64,8 @@
 
     @Test
     void keepsListAndRequestsFullListWhenChangeIsOversized() throws Exception {
-        relay.launchCold();
-        listOnly(discovery.awaitCall(), 5, otherEndpoint);
+        relay.launchWithoutWarmUp();
+        respondWithSingleEndpoint(discovery.awaitCall(), 5, otherEndpoint);
         HttpMessage watch = discovery.awaitCall();
         assertThat(watch.head()).startsWith("GET /api/targets?from=5&");
         beginOversizedList(watch);
@@ -75,7 +75,7 @@
         beginOversizedList(listCall);
         HttpMessage nextListCall = discovery.awaitCall();
         assertServedBy(otherEndpoint, "stays longer");
-        listOnly(nextListCall, 9, endpoint);
+        respondWithSingleEndpoint(nextListCall, 9, endpoint);
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets?from=9&");
         assertServedBy(endpoint, "replaced");
         assertStopsCleanly();
--- a/src/test/java/gatelock/ReloadTest.java
+++ b/src/test/java/gatelock/ReloadTest.java
@@ -20,7 +20,7 @@
 final class ReloadTest extends RelayTestCase {
     @Test
     void followsMovedDiscoveryAndControllerOnSighup() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         assertThat(discovery.awaitCall().head()).startsWith("GET /api/targets HTTP/1.1");
         HttpMessage controllerCall = controller.awaitCall();
         writeChunk(startChunkedResponse(controllerCall), "{}\n");
@@ -62,7 +62,7 @@
                             .start()
                             .waitFor())
                     .isZero();
-            relay.launchOn(pipe, "serve", "cold");
+            relay.launchWithConfig(pipe, "serve", "cold");
             try (OutputStream firstRead = Files.newOutputStream(pipe)) {
                 relay.signal("HUP");
                 // The second read gets a new pipe: from the old one it could still get data that is meant for the first
--- a/src/test/java/gatelock/StartupTest.java
+++ b/src/test/java/gatelock/StartupTest.java
@@ -1,6 +1,6 @@
 package gatelock;
 
-import static gatelock.standin.EndpointListJson.listOnly;
+import static gatelock.standin.EndpointListJson.respondWithSingleEndpoint;
 import static gatelock.standin.RawHttp.readMessage;
 import static gatelock.standin.RawHttp.sendRequest;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -32,7 +32,7 @@
     @Test
     void forwardsRequestsThatArriveDuringWarmUp() throws Exception {
         relay.launch("serve");
-        BackgroundTask.start(() -> listOnly(discovery.awaitCall(), 5, endpoint));
+        BackgroundTask.start(() -> respondWithSingleEndpoint(discovery.awaitCall(), 5, endpoint));
         for (int i = 0; i < 4; i++) {
             try (Socket client = relay.connectWhenListening()) {
                 boolean post = i % 2 == 1;
@@ -49,10 +49,10 @@
 
     @Test
     void holdsRequestUntilFirstListAndForwardsItToListedEndpoint() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "GET /read", "before", "", "");
-            listOnly(discovery.awaitCall(), 5, otherEndpoint);
+            respondWithSingleEndpoint(discovery.awaitCall(), 5, otherEndpoint);
             otherEndpoint.awaitCall().respond("200 OK", "", "there");
             assertThat(readMessage(client).body()).isEqualTo("there");
         }
@@ -61,7 +61,7 @@
 
     @Test
     void holdsRequestWhenFirstDiscoveryCallTimesOut() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "POST /claim", "early", "X-Expires-In-Ms: 20000\r\n", "x");
             HttpMessage unanswered = discovery.awaitCall();
@@ -69,7 +69,7 @@
             // configured endpoint.
             HttpMessage secondCall = discovery.awaitCall();
             assertThat(endpoint.calls()).isEmpty();
-            listOnly(secondCall, 5, otherEndpoint);
+            respondWithSingleEndpoint(secondCall, 5, otherEndpoint);
             otherEndpoint.awaitCall().respond("200 OK", "", "there");
             assertThat(readMessage(client).body()).isEqualTo("there");
             unanswered.socket().close();
@@ -79,7 +79,7 @@
 
     @Test
     void shedsHeldRequestAtHalfOfItsDeadline() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         try (Socket client = relay.connectWhenListening()) {
             Socket leaving = relay.connectWhenListening();
             sendRequest(leaving, "POST /claim", "left", "X-Expires-In-Ms: 20000\r\n", "x");
@@ -91,7 +91,7 @@
             leaving.close();
             sendRequest(client, "POST /claim", "stays", "X-Expires-In-Ms: 20000\r\n", "x");
             listCall.socket().close();
-            listOnly(discovery.awaitCall(), 5, endpoint);
+            respondWithSingleEndpoint(discovery.awaitCall(), 5, endpoint);
             HttpMessage call = endpoint.awaitCall();
             assertThat(call.header("X-Trace-Id")).isEqualTo("stays");
             call.respond("200 OK", "", "served");
@@ -103,7 +103,7 @@
 
     @Test
     void holdsRequestWhenDiscoveryCallsFail() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "POST /claim", "early", "X-Expires-In-Ms: 20000\r\n", "x");
             for (int i = 0; i < 5; i++) {
@@ -111,7 +111,7 @@
             }
             HttpMessage listCall = discovery.awaitCall();
             assertThat(endpoint.calls()).isEmpty();
-            listOnly(listCall, 5, otherEndpoint);
+            respondWithSingleEndpoint(listCall, 5, otherEndpoint);
             otherEndpoint.awaitCall().respond("200 OK", "", "there");
             assertThat(readMessage(client).body()).isEqualTo("there");
         }
@@ -119,7 +119,7 @@
 
     @Test
     void forwardsToConfiguredEndpointWhenDiscoveryIsSilent() throws Exception {
-        relay.launchCold();
+        relay.launchWithoutWarmUp();
         try (Socket client = relay.connectWhenListening()) {
             sendRequest(client, "GET /read", "unlisted", "X-Expires-In-Ms: 10000\r\n", "");
             endpoint.awaitCall().respond("200 OK", "", "known");
@@ -154,11 +154,11 @@
             validConfig.replaceFirst("\"listen\": \"[^\"]*\"", "\"listen\": \"nowhere\"")
         }) {
             relay.writeConfig(configText);
-            relay.launchCold();
+            relay.launchWithoutWarmUp();
             assertThat(relay.process().waitFor()).isEqualTo(2);
             assertThat(relay.log().lines()).hasSize(1).first().asString().startsWith("gatelock: ");
         }
-        relay.launchOn(Path.of("none"), "serve", "cold");
+        relay.launchWithConfig(Path.of("none"), "serve", "cold");
         assertThat(relay.process().waitFor()).isEqualTo(2);
     }
 }
--- a/src/test/java/gatelock/StateRetentionTest.java
+++ b/src/test/java/gatelock/StateRetentionTest.java
@@ -111,7 +111,7 @@
                     new Endpoint("a" + i, 1, 0, 0, 0, i % 2 == 0 ? Endpoint.Health.GONE : Endpoint.Health.DRAINING, 0));
             idle.put(i, address, "connection" + i);
         }
-        addresses.keepOnly(Set.of("a1"));
+        addresses.retainOnly(Set.of("a1"));
         assertBounded(addresses, 1);
         assertBounded(idle, 50);
     }
--- a/src/test/java/gatelock/WebSocketDrainTest.java
+++ b/src/test/java/gatelock/WebSocketDrainTest.java
@@ -64,8 +64,8 @@
             assertThat(open("new")).isNotNull();
             assertThat(other.received())
                     .noneMatch(received -> received.atNs() > drainedNs + 1_000_000_000L
-                            && !received.what().startsWith("close")
-                            && !received.what().equals("ended"));
+                            && !received.event().startsWith("close")
+                            && !received.event().equals("ended"));
             for (WebSocketPeer client : clients) {
                 client.close();
             }
@@ -126,7 +126,7 @@
             Thread.sleep(1_500);
             stopped.set(true);
             List<Long> atCanaryNs = canary.received().stream()
-                    .filter(received -> received.what().startsWith("m") || isOpening(received))
+                    .filter(received -> received.event().startsWith("m") || isOpening(received))
                     .map(WebSocketEndpoint.Received::atNs)
                     .sorted()
                     .toList();
@@ -143,7 +143,7 @@
                     .as("messages and openings at the canary, which uses its exposure cap")
                     .isGreaterThan(20);
             assertThat(canary.received().stream()
-                            .filter(received -> received.what().equals("close 1001"))
+                            .filter(received -> received.event().equals("close 1001"))
                             .count())
                     .isEqualTo(openedAtCanary);
             for (WebSocketPeer client : clients) {
@@ -154,7 +154,7 @@
 
     /** Returns whether an event at an endpoint is the opening of a session. */
     private static boolean isOpening(WebSocketEndpoint.Received received) {
-        return received.what().equals("open");
+        return received.event().equals("open");
     }
 
     /**
--- a/src/test/java/gatelock/WebSocketSessionTest.java
+++ b/src/test/java/gatelock/WebSocketSessionTest.java
@@ -37,12 +37,12 @@
         for (int i = 0;
                 i < 200
                         && webSocketEndpoint.received().stream()
-                                .noneMatch(received -> received.what().equals("close 4001"));
+                                .noneMatch(received -> received.event().equals("close 4001"));
                 i++) {
             Thread.sleep(50);
         }
         assertThat(webSocketEndpoint.received())
-                .anyMatch(received -> received.what().equals("close 4001"));
+                .anyMatch(received -> received.event().equals("close 4001"));
     }
 
     @Test
--- a/src/test/java/gatelock/WebSocketTestCase.java
+++ b/src/test/java/gatelock/WebSocketTestCase.java
@@ -35,7 +35,7 @@
         relay.writeConfig(relay.configText()
                 .replace(endpoint.address(), webSocketEndpoint.address())
                 .replace("\"deadlineNs\": 1000000000", "\"deadlineNs\": 2500000000"));
-        control.offer(1, "s", 1, CONFIG_VERSION);
+        control.publish(1, "s", 1, CONFIG_VERSION);
         Path operator = directory.resolve("operator.json");
         Files.writeString(
                 operator,
--- a/src/test/java/gatelock/boot/OperatorConfigReaderTest.java
+++ b/src/test/java/gatelock/boot/OperatorConfigReaderTest.java
@@ -118,8 +118,9 @@
                 .membership();
         assertThat(all.policy()).isEqualTo(new EndpointSubset.Policy(17, 0, 1024, 1, 0, 0, 500_000));
         assertThat(all.maxListBytes()).isEqualTo(2 << 20);
-        assertThat(all.serviceNames().serviceOf("cold-brew-17", null, Map.of())).isEqualTo("cold-brew");
-        assertThat(all.serviceNames().serviceOf("alone", null, Map.of())).isEmpty();
+        assertThat(all.serviceNames().extractService("cold-brew-17", null, Map.of()))
+                .isEqualTo("cold-brew");
+        assertThat(all.serviceNames().extractService("alone", null, Map.of())).isEmpty();
     }
 
     @Test
--- a/src/test/java/gatelock/capacity/EndpointListHarness.java
+++ b/src/test/java/gatelock/capacity/EndpointListHarness.java
@@ -125,7 +125,7 @@
 
     /** Waits until the client has received the list up to an index. */
     private void awaitIndex(long index) throws InterruptedException {
-        if (list.await(index, 1, INDEX_TIMEOUT_MS).isEmpty()) {
+        if (list.awaitWatches(index, 1, INDEX_TIMEOUT_MS).isEmpty()) {
             throw new IllegalStateException("the client of a list of " + size + " entries did not reach index " + index
                     + " within " + INDEX_TIMEOUT_MS + " ms; full reads: " + list.snapshotCalls());
         }
--- a/src/test/java/gatelock/capacity/RelayProcessCosts.java
+++ b/src/test/java/gatelock/capacity/RelayProcessCosts.java
@@ -71,7 +71,7 @@
             for (int i = 0; i < STARTS; i++) {
                 try (RelayProcess relay = harness.start(deployment, list, "r" + i, 1)) {
                     startsMs.add(RelayHarness.awaitReady(relay));
-                    if (list.await(1, i + 1, 100).size() <= i) {
+                    if (list.awaitWatches(1, i + 1, 100).size() <= i) {
                         throw new IOException(
                                 "the relay did not accept a list of " + size + " entries; its log: " + relay.log());
                     }
@@ -89,7 +89,7 @@
                 LongListDiscovery list = RelayHarness.newList(deployment, size);
                 RelayProcess relay = harness.start(deployment, list, "r", 1)) {
             long readyMs = relay.awaitReadyMs(RelayHarness.READY_TIMEOUT_MS);
-            boolean accepted = !list.await(1, 1, 1_000).isEmpty();
+            boolean accepted = !list.awaitWatches(1, 1, 1_000).isEmpty();
             row.put("taken", accepted);
             if (readyMs < 0) {
                 row.putNull("readyS");
@@ -114,8 +114,8 @@
 
     private static void putRequests(ObjectNode row, RelayProcess relay) throws InterruptedException {
         LoadGenerator.Result served = LoadGenerator.run(new int[] {relay.port}, CLIENTS, REQUESTS_PER_S, SERVING_S);
-        row.put("served", served.us().getTotalCount());
-        row.put("no200", served.other());
+        row.put("served", served.responseTimesUs().getTotalCount());
+        row.put("no200", served.failures());
     }
 
     /**
@@ -127,7 +127,7 @@
             throws InterruptedException {
         long changedNs = System.nanoTime();
         long index = list.replace(7, RelayHarness.entry(deployment, 7, 1));
-        Map<String, Long> received = accepted ? list.await(index, 1, 5_000) : Map.of();
+        Map<String, Long> received = accepted ? list.awaitWatches(index, 1, 5_000) : Map.of();
         if (received.isEmpty()) {
             row.putNull("heardAllMs");
         } else {
@@ -154,7 +154,7 @@
                 LongListDiscovery list = RelayHarness.newList(deployment, MANY_LIST_SIZE)) {
             startMany(relays, deployment, list);
             int relaysWithFirstList =
-                    list.await(1, MANY_RELAY_COUNT, MANY_TIMEOUT_MS).size();
+                    list.awaitWatches(1, MANY_RELAY_COUNT, MANY_TIMEOUT_MS).size();
             double idleCpuShare = idleCpuShare(relays);
             Histogram eachUs = new Histogram(3);
             Histogram lastUs = new Histogram(3);
@@ -219,7 +219,7 @@
             throws InterruptedException {
         long changedNs = System.nanoTime();
         long index = list.replace(change, RelayHarness.entry(deployment, change, change));
-        Map<String, Long> received = list.await(index, MANY_RELAY_COUNT, MANY_TIMEOUT_MS);
+        Map<String, Long> received = list.awaitWatches(index, MANY_RELAY_COUNT, MANY_TIMEOUT_MS);
         if (received.size() < MANY_RELAY_COUNT) {
             results.note(
                     "many",
--- a/src/test/java/gatelock/capacity/RequestCosts.java
+++ b/src/test/java/gatelock/capacity/RequestCosts.java
@@ -57,7 +57,7 @@
     private Fit.Point measure(RelayProcess relay, int[] directPorts, int perS) throws InterruptedException {
         int seconds = perS < 1_000 ? 5 : 8;
         Histogram directUs =
-                LoadGenerator.run(directPorts, CLIENTS, perS, seconds).us();
+                LoadGenerator.run(directPorts, CLIENTS, perS, seconds).responseTimesUs();
         long cpuBeforeUs = relay.cpuUs();
         long startedNs = System.nanoTime();
         LoadGenerator.Result relayed = LoadGenerator.run(new int[] {relay.port}, CLIENTS, perS, seconds);
@@ -66,13 +66,13 @@
         Histogram zeroBaseline = new Histogram(3);
         ObjectNode row = JsonNodeFactory.instance.objectNode();
         row.put("perS", perS);
-        row.put("reqs", relayed.us().getTotalCount());
-        row.put("no200", relayed.other());
-        putQuantiles(row, relayed.us(), directUs);
-        putQuantiles(row.putObject("relayed"), relayed.us(), zeroBaseline);
+        row.put("reqs", relayed.responseTimesUs().getTotalCount());
+        row.put("no200", relayed.failures());
+        putQuantiles(row, relayed.responseTimesUs(), directUs);
+        putQuantiles(row.putObject("relayed"), relayed.responseTimesUs(), zeroBaseline);
         putQuantiles(row.putObject("direct"), directUs, zeroBaseline);
         results.addLatency(row);
-        return new Fit.Point(relayed.us().getTotalCount() / spanS, cpuUs / spanS);
+        return new Fit.Point(relayed.responseTimesUs().getTotalCount() / spanS, cpuUs / spanS);
     }
 
     /** Puts the quantiles of a histogram, minus those of a baseline, into a row. */
--- a/src/test/java/gatelock/config/ConfigCompilerTest.java
+++ b/src/test/java/gatelock/config/ConfigCompilerTest.java
@@ -30,17 +30,17 @@
                                 .toList();
                         String text = String.join("\n", lines.subList(expected.size(), lines.size()));
                         ConfigCompiler.Result compiled = SampleConfigs.compile(text);
-                        assertThat(compiled.findings())
-                                .as("%s", compiled.findings())
+                        assertThat(compiled.diagnostics())
+                                .as("%s", compiled.diagnostics())
                                 .extracting(found -> found.line() + ":" + found.column() + " " + found.pointer() + " "
                                         + found.code())
                                 .containsExactlyInAnyOrderElementsOf(expected);
-                        assertThat(compiled.findings()).allSatisfy(found -> {
+                        assertThat(compiled.diagnostics()).allSatisfy(found -> {
                             assertThat(found.problem()).isNotBlank();
                             assertThat(found.remedy()).isNotBlank();
                         });
                         assertThat(compiled.isValid())
-                                .isEqualTo(compiled.findings().stream().noneMatch(Diagnostic::isError));
+                                .isEqualTo(compiled.diagnostics().stream().noneMatch(Diagnostic::isError));
                     }));
         }
     }
--- a/src/test/java/gatelock/config/SampleConfigs.java
+++ b/src/test/java/gatelock/config/SampleConfigs.java
@@ -60,7 +60,7 @@
     static CompiledConfig compileValid(String text) {
         ConfigCompiler.Result compiled = compile(text);
         if (!compiled.isValid()) {
-            throw new AssertionError(compiled.findings());
+            throw new AssertionError(compiled.diagnostics());
         }
         return compiled.config();
     }
--- a/src/test/java/gatelock/discovery/DiscoveryClientTest.java
+++ b/src/test/java/gatelock/discovery/DiscoveryClientTest.java
@@ -7,7 +7,7 @@
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.JsonObject;
-import gatelock.standin.UncalledEngine;
+import gatelock.standin.FailingDecisionEngine;
 import gatelock.state.Counters;
 import gatelock.state.EndpointAddresses;
 import java.io.IOException;
@@ -64,7 +64,7 @@
     }
 
     /** Records the reported lists. No other method may be called. */
-    private final class RecordingEngine implements UncalledEngine {
+    private final class RecordingEngine implements FailingDecisionEngine {
         @Override
         public void endpointsUpdated(long nowUs, EndpointUpdateType updateType, List<Endpoint> endpoints) {
             events.add(updateType + " " + endpoints.stream().map(this::describe).toList());
--- a/src/test/java/gatelock/fleet/FleetParameters.java
+++ b/src/test/java/gatelock/fleet/FleetParameters.java
@@ -85,7 +85,7 @@
     /** How many of those must be in other zones. */
     int minOtherZoneEndpoints = 2;
     /** Minimum for the mean number of relays that hold each endpoint. */
-    int minRelaysPerEndpoint = EndpointSubset.DEFAULT_MIN_HOLDERS;
+    int minRelaysPerEndpoint = EndpointSubset.DEFAULT_MIN_RELAYS_PER_ENDPOINT;
     /** Time after which a subset removes an endpoint that it no longer needs. */
     long subsetSettleUs = 10 * VirtualClock.SECOND_US;
 
--- a/src/test/java/gatelock/fleet/ScaleRun.java
+++ b/src/test/java/gatelock/fleet/ScaleRun.java
@@ -46,7 +46,7 @@
                     mode.equals("both") ? ScaleResultsFile.MODES : List.of(mode),
                     args.length > 3 ? Integer.parseInt(args[3]) : 0,
                     args.length > 4 ? args[4] : "unknown",
-                    args.length > 5 ? Integer.parseInt(args[5]) : EndpointSubset.DEFAULT_MIN_HOLDERS);
+                    args.length > 5 ? Integer.parseInt(args[5]) : EndpointSubset.DEFAULT_MIN_RELAYS_PER_ENDPOINT);
         }
     }
 
--- a/src/test/java/gatelock/membership/EndpointBudgetTest.java
+++ b/src/test/java/gatelock/membership/EndpointBudgetTest.java
@@ -40,11 +40,11 @@
         assertThat(relay.readyEndpoints("s0")).hasSize(1);
         IntStream.range(1, 8)
                 .forEach(s -> assertThat(relay.readyEndpoints("s" + s)).hasSize(2));
-        assertThat(relay.subset.servicesWithoutPlace()).isZero();
+        assertThat(relay.subset.servicesWithoutSlot()).isZero();
         IntStream.range(8, 30).forEach(s -> relay.commitChange(SubsetHarness.service("s" + s, 20, 4)));
         assertThat(relay.subset.targetPerService()).isZero();
         assertThat(relay.subset.subsetSize()).isEqualTo(20);
-        assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(10);
+        assertThat(relay.subset.servicesWithoutSlot()).isEqualTo(10);
         // Services without an endpoint in the subset get one when other services are removed.
         Set<String> servicesWithPlace = new TreeSet<>();
         relay.notifiedEndpoints.values().forEach(entry -> servicesWithPlace.add(entry.service()));
@@ -52,7 +52,7 @@
         servicesWithPlace.stream()
                 .limit(4)
                 .forEach(service -> relay.commitChange(SubsetHarness.gone(SubsetHarness.service(service, 20, 4))));
-        assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(6);
+        assertThat(relay.subset.servicesWithoutSlot()).isEqualTo(6);
         assertThat(relay.subset.subsetSize()).isEqualTo(20);
     }
 
--- a/src/test/java/gatelock/membership/EndpointStoreTest.java
+++ b/src/test/java/gatelock/membership/EndpointStoreTest.java
@@ -73,7 +73,7 @@
             EndpointEntry entry = randomEntry(random, names);
             if (random.nextInt(3) == 0) {
                 assertThat(store.remove(entry.name())).isEqualTo(model.remove(entry.name()) != null);
-                store.forgetService(entry.service());
+                store.removeService(entry.service());
             } else {
                 assertThat(store.entry(store.put(entry))).isEqualTo(entry);
                 model.put(entry.name(), entry);
@@ -148,7 +148,7 @@
         EndpointStore store = new EndpointStore(new RendezvousRanking(1));
         for (int i = 0; i < 1_000; i++) {
             store.put(entry("u", "service-" + i, "10.0.0.1:80"));
-            store.forgetService("service-" + (i - 1));
+            store.removeService("service-" + (i - 1));
             assertThat(store.serviceNames()).containsExactly("service-" + i);
         }
     }
--- a/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetPropertiesTest.java
@@ -108,7 +108,7 @@
                     .filter(isLost)
                     .forEach(entry -> entries.add(
                             random.nextBoolean()
-                                    ? entry.gone()
+                                    ? entry.asRemoved()
                                     : SubsetHarness.endpoint(
                                             entry.name(), entry.service(), entry.zone(), Endpoint.Health.DRAINING)));
         }
@@ -186,7 +186,7 @@
         }
         int servicesWithoutPlace = Math.max(0, listed.size() - policy.maxEndpoints());
         assertThat(servicesWithoutMember).isEqualTo(servicesWithoutPlace);
-        assertThat(relay.subset.servicesWithoutPlace()).isEqualTo(servicesWithoutPlace);
+        assertThat(relay.subset.servicesWithoutSlot()).isEqualTo(servicesWithoutPlace);
     }
 
     @Property(tries = 400)
@@ -282,8 +282,8 @@
             String endpoint = "u" + random.nextInt(ENDPOINTS);
             boolean isListed = listedEndpoints.containsKey(endpoint);
             EndpointEntry entry = SubsetHarness.ready(endpoint, "s", 0);
-            updateListedEndpoints(isListed ? entry.gone() : entry);
-            relay.commitChange(isListed ? entry.gone() : entry);
+            updateListedEndpoints(isListed ? entry.asRemoved() : entry);
+            relay.commitChange(isListed ? entry.asRemoved() : entry);
             relay.advance(REFRESH_US);
             Set<String> after = relay.readyEndpoints();
             Set<String> added = new TreeSet<>(after);
--- a/src/test/java/gatelock/membership/EndpointSubsetTest.java
+++ b/src/test/java/gatelock/membership/EndpointSubsetTest.java
@@ -117,7 +117,7 @@
         Set<String> first = relay.readyEndpoints();
         for (EndpointEntry entry : endpoints) {
             relay.commitChange(SubsetHarness.endpoint(entry.name(), "a", entry.zone(), Endpoint.Health.DRAINING));
-            relay.commitChange(entry.gone());
+            relay.commitChange(entry.asRemoved());
             relay.commitChange(new EndpointEntry(
                     entry.name(), "a", entry.address(), entry.zone(), 0, 0, 2, Endpoint.Health.READY, SECOND_US));
         }
--- a/src/test/java/gatelock/membership/ListUpdateTest.java
+++ b/src/test/java/gatelock/membership/ListUpdateTest.java
@@ -114,7 +114,7 @@
         update.commit(0, 1);
         assertThat(subset.listedCount()).isEqualTo(200_000);
         assertThat(subset.subsetSize()).isEqualTo(100);
-        assertThat(subset.servicesWithoutPlace()).isEqualTo(7_100);
+        assertThat(subset.servicesWithoutSlot()).isEqualTo(7_100);
         assertThat(subset.bytes() / 200_000.0).isLessThan(64);
     }
 }
--- a/src/test/java/gatelock/membership/SubsetCostBenchmark.java
+++ b/src/test/java/gatelock/membership/SubsetCostBenchmark.java
@@ -71,7 +71,7 @@
                 "%,d units, %,d in scope, %,d services crowded out: %,d KB used of %,d KB%n",
                 subset.listedCount(),
                 subset.subsetSize(),
-                subset.servicesWithoutPlace(),
+                subset.servicesWithoutSlot(),
                 usedHeapBytes() / 1024,
                 Runtime.getRuntime().maxMemory() / 1024);
     }
@@ -159,7 +159,7 @@
             for (int i = 0; i < CHANGES; i++) {
                 EndpointEntry entry = BenchmarkList.endpoint(endpoints[i % endpoints.length], services, repeat + 1);
                 EndpointEntry draining = entry.withHealth(Endpoint.Health.DRAINING);
-                for (EndpointEntry change : new EndpointEntry[] {draining, entry.gone(), entry}) {
+                for (EndpointEntry change : new EndpointEntry[] {draining, entry.asRemoved(), entry}) {
                     nowUs = apply(subset, change, nowUs);
                 }
             }
@@ -174,7 +174,7 @@
         long fromNs = cpuNs();
         for (int i = 0; i < changes; i++) {
             EndpointEntry entry = BenchmarkList.endpoint(endpoints[i % endpoints.length], 1, i + 100);
-            for (EndpointEntry change : new EndpointEntry[] {entry.gone(), entry}) {
+            for (EndpointEntry change : new EndpointEntry[] {entry.asRemoved(), entry}) {
                 nowUs = apply(subset, change, nowUs);
             }
         }
--- a/src/test/java/gatelock/membership/SubsetHarness.java
+++ b/src/test/java/gatelock/membership/SubsetHarness.java
@@ -54,7 +54,7 @@
 
     /** Returns entries with which the endpoints are removed from the list. */
     static EndpointEntry[] gone(Collection<EndpointEntry> entries) {
-        return entries.stream().map(EndpointEntry::gone).toArray(EndpointEntry[]::new);
+        return entries.stream().map(EndpointEntry::asRemoved).toArray(EndpointEntry[]::new);
     }
 
     /** Commits a full list. */
--- a/src/test/java/gatelock/release/ReleaseControllerClientTest.java
+++ b/src/test/java/gatelock/release/ReleaseControllerClientTest.java
@@ -6,7 +6,7 @@
 import gatelock.net.ConnectionPool;
 import gatelock.net.EventLoop;
 import gatelock.net.JsonObject;
-import gatelock.standin.UncalledEngine;
+import gatelock.standin.FailingDecisionEngine;
 import gatelock.state.Counters;
 import java.io.IOException;
 import java.io.InputStream;
@@ -57,7 +57,7 @@
     }
 
     /** Records the reported updates. No other method may be called. */
-    private final class RecordingEngine implements UncalledEngine {
+    private final class RecordingEngine implements FailingDecisionEngine {
         @Override
         public void releaseStateUpdated(
                 long nowUs,
--- a/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
+++ b/src/test/java/gatelock/standin/ConfigUpdateBenchmark.java
@@ -33,7 +33,7 @@
             Path operator = directory.resolve("operator.json");
             Files.writeString(
                     operator, "{\"control\": {\"services\": [\"" + control.address() + "\"], \"holdMs\": 1000}}");
-            control.offer(1, "m", 1, version(1, 100));
+            control.publish(1, "m", 1, version(1, 100));
             List<String> arguments = List.of("--operator", operator.toString());
             try (RelayProcess relay = RelayProcess.start(directory, port, configuration, FLAGS, arguments)) {
                 control.awaitReport("1/1");
@@ -64,7 +64,7 @@
 
     private static void publishVersions(ControlService control, int firstNumber, int routes) {
         for (int i = 1; !Thread.currentThread().isInterrupted() && i <= VERSIONS; i++) {
-            control.offer(1, "m", firstNumber + i, version(firstNumber + i, routes));
+            control.publish(1, "m", firstNumber + i, version(firstNumber + i, routes));
             try {
                 Thread.sleep(1_000 / VERSIONS_PER_S);
             } catch (InterruptedException e) {
@@ -95,10 +95,10 @@
      */
     static Histogram load(int port, int seconds) throws InterruptedException {
         LoadGenerator.Result result = LoadGenerator.run(new int[] {port}, CLIENTS, REQUESTS_PER_S, seconds);
-        if (result.other() > 0) {
-            System.out.println(result.other() + " requests were not answered with 200");
+        if (result.failures() > 0) {
+            System.out.println(result.failures() + " requests were not answered with 200");
         }
-        return result.us();
+        return result.responseTimesUs();
     }
 
     private static void printRow(String versions, Histogram us) {
--- a/src/test/java/gatelock/standin/ControlService.java
+++ b/src/test/java/gatelock/standin/ControlService.java
@@ -62,13 +62,13 @@
     }
 
     /** Replaces the version that is sent to relays. */
-    public synchronized void offer(long epochStart, String epochId, long number, String text) {
+    public synchronized void publish(long epochStart, String epochId, long number, String text) {
         version = new Version(epochStart, epochId, number, text);
         notifyAll();
     }
 
     /** Sets how polls are answered from now on, including polls that are on hold. */
-    public synchronized void behave(Behavior newBehavior) {
+    public synchronized void setBehavior(Behavior newBehavior) {
         behavior = newBehavior;
         notifyAll();
     }
--- a/src/test/java/gatelock/standin/Demo.java
+++ b/src/test/java/gatelock/standin/Demo.java
@@ -47,7 +47,7 @@
                 operator,
                 "{\"control\": {\"services\": [\"" + control.address()
                         + "\"], \"holdMs\": 1000}, \"listener\": \"127.0.0.1:" + adminPort + "\"}");
-        offer(epochStart, 1, "reads go to zone east, 50 a second", 50, "near", "proven");
+        publish(epochStart, 1, "reads go to zone east, 50 a second", 50, "near", "proven");
         String configuration =
                 deployment.configuration(Files.readString(Path.of("examples/relay.json")), "127.0.0.1:" + port);
         List<String> arguments = List.of("--cold", "--operator", operator.toString());
@@ -65,20 +65,20 @@
 
     private void runVersions() throws InterruptedException {
         showReport(epochStart, 1);
-        offer(epochStart, 2, "claims are tried again", 50, "near", "again");
+        publish(epochStart, 2, "claims are tried again", 50, "near", "again");
         showReport(epochStart, 2);
-        offer(epochStart, 3, "reads go everywhere, 10 a second", 10, "all", "proven");
+        publish(epochStart, 3, "reads go everywhere, 10 a second", 10, "all", "proven");
         showReport(epochStart, 3);
-        control.behave(ControlService.Behavior.SILENT);
+        control.setBehavior(ControlService.Behavior.SILENT);
         print("the control service stops answering polls");
         showTraffic();
-        control.behave(ControlService.Behavior.NORMAL);
-        offer(epochStart - 1000, 9, "an old copy", 500, "all", "proven");
+        control.setBehavior(ControlService.Behavior.NORMAL);
+        publish(epochStart - 1000, 9, "an old copy", 500, "all", "proven");
         showReport(epochStart - 1000, 9);
     }
 
-    private void offer(long epoch, int number, String note, int readsPerS, String pool, String retries) {
-        control.offer(epoch, "demo", number, String.format("""
+    private void publish(long epoch, int number, String note, int readsPerS, String pool, String retries) {
+        control.publish(epoch, "demo", number, String.format("""
         {"format": 1, "by": "demo", "note": "%s", "unmatched": "refuse",
          "pools": {"near": {"zones": ["east"], "fallback": "all", "leastShare": 0.5}, "all": {}},
          "limits": {"reads": {"per": "tenant", "ratePerS": %s, "burst": 5, "queue": {"length": 20, "waitMs": 100}}},
--- a/src/test/java/gatelock/standin/EndpointListBenchmark.java
+++ b/src/test/java/gatelock/standin/EndpointListBenchmark.java
@@ -165,7 +165,7 @@
         double changingCores = (relay.cpuUs() - cpuUs) / 1e6 / CHANGES_S;
         row.put("changesCorePercent", round(changingCores * 100));
         row.put("changesBytesPerS", (list.bytesOut() - bytes) / CHANGES_S);
-        row.put("followed", !list.await(index, 1, 5_000).isEmpty());
+        row.put("followed", !list.awaitWatches(index, 1, 5_000).isEmpty());
         Histogram us = ConfigUpdateBenchmark.load(relay.port, REQUESTS_S);
         row.put("reqs200", us.getTotalCount());
         row.put("reqsP99Ms", round(us.getValueAtPercentile(99) / 1e3));
--- a/src/test/java/gatelock/standin/EndpointListJson.java
+++ b/src/test/java/gatelock/standin/EndpointListJson.java
@@ -38,7 +38,7 @@
     }
 
     /** Answers a call with a full list of one endpoint that is in service. */
-    public static void listOnly(HttpMessage call, int index, FakeServer endpoint) throws IOException {
+    public static void respondWithSingleEndpoint(HttpMessage call, int index, FakeServer endpoint) throws IOException {
         call.respond("200 OK", "", snapshot(index, entry("u" + index, endpoint, "in_service", 1)));
     }
 }
--- a/src/test/java/gatelock/standin/UncalledEngine.java
+++ b/src/test/java/gatelock/standin/FailingDecisionEngine.java
@@ -7,10 +7,10 @@
 import java.util.List;
 
 /** A decision engine that fails on each call; a test overrides the calls that it expects. */
-public interface UncalledEngine extends DecisionEngine {
+public interface FailingDecisionEngine extends DecisionEngine {
     @Override
     default void releaseStateUpdated(
-            long nowUs, int build, int stage, ReleasePhase phase, double cap, long agoUs, VoteResponse answer) {
+            long nowUs, int build, int stage, ReleasePhase phase, double cap, long ageUs, VoteResponse voteResponse) {
         throw new AssertionError();
     }
 
@@ -38,12 +38,13 @@
     }
 
     @Override
-    default void complaintReceived(long nowUs, String endpoint, int route, long agoUs) {
+    default void complaintReceived(long nowUs, String endpoint, int route, long attemptAgeUs) {
         throw new AssertionError();
     }
 
     @Override
-    default void fleetSampleReceived(long nowUs, int build, int route, int count, int failed, long meanUs, long agoUs) {
+    default void fleetSampleReceived(
+            long nowUs, int build, int route, int count, int failed, long meanUs, long sampleAgeUs) {
         throw new AssertionError();
     }
 
--- a/src/test/java/gatelock/standin/FakeServer.java
+++ b/src/test/java/gatelock/standin/FakeServer.java
@@ -35,7 +35,7 @@
     }
 
     /** Starts a server whose backlog is full, so that no connection can be established before {@link #accept}. */
-    public static FakeServer thatAcceptsLater() throws IOException {
+    public static FakeServer withFullBacklog() throws IOException {
         FakeServer server = new FakeServer(1);
         for (int i = 0; i < 16; i++) {
             Socket socket = new Socket();
--- a/src/test/java/gatelock/standin/LoadGenerator.java
+++ b/src/test/java/gatelock/standin/LoadGenerator.java
@@ -28,10 +28,10 @@
     /**
      * The outcome of a load.
      *
-     * @param us response times of the requests answered with 200, in microseconds
-     * @param other number of requests that had another response or none
+     * @param responseTimesUs response times of the requests answered with 200, in microseconds
+     * @param failures number of requests that had another response or none
      */
-    public record Result(Histogram us, long other) {}
+    public record Result(Histogram responseTimesUs, long failures) {}
 
     /**
      * An HTTP response.
--- a/src/test/java/gatelock/standin/LongListDiscovery.java
+++ b/src/test/java/gatelock/standin/LongListDiscovery.java
@@ -220,7 +220,8 @@
     }
 
     /** Waits until a number of relays have this index or a later one, or the time ends; returns the relays that have it. */
-    public synchronized Map<String, Long> await(long index, int relays, long withinMs) throws InterruptedException {
+    public synchronized Map<String, Long> awaitWatches(long index, int relays, long withinMs)
+            throws InterruptedException {
         long endNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
         for (long leftNs = endNs - System.nanoTime();
                 watchedSince(index).size() < relays && leftNs > 0;
--- a/src/test/java/gatelock/standin/LongListDiscoveryTest.java
+++ b/src/test/java/gatelock/standin/LongListDiscoveryTest.java
@@ -77,9 +77,9 @@
             String other = list.address("other");
             long index = list.replace(3, entry(3, "terminating"));
             get(one, "?from=1&hold_ms=0");
-            assertThat(list.await(index, 1, 0)).isEmpty();
+            assertThat(list.awaitWatches(index, 1, 0)).isEmpty();
             get(other, "?from=" + index + "&hold_ms=0");
-            assertThat(list.await(index, 1, 60_000)).containsOnlyKeys("other");
+            assertThat(list.awaitWatches(index, 1, 60_000)).containsOnlyKeys("other");
             assertThat(list.watchCalls()).isEqualTo(2);
             assertThat(list.bytesOut()).isPositive();
         }
--- a/src/test/java/gatelock/standin/RelayTestCase.java
+++ b/src/test/java/gatelock/standin/RelayTestCase.java
@@ -51,7 +51,7 @@
 
     /** Starts the relay without warm-up, answers its discovery call with the configured list and waits until it is ready. */
     protected final void startRelay(String... arguments) throws IOException, InterruptedException {
-        relay.launchCold(arguments);
+        relay.launchWithoutWarmUp(arguments);
         HttpMessage call = discovery.awaitCall();
         while (!call.head().startsWith("GET /api/targets HTTP/1.1")) {
             call = discovery.awaitCall();
--- a/src/test/java/gatelock/standin/RelayUnderTest.java
+++ b/src/test/java/gatelock/standin/RelayUnderTest.java
@@ -74,18 +74,18 @@
 
     /** Starts the program with these command-line arguments. */
     public void launch(String... arguments) throws IOException {
-        launchOn(config, arguments);
+        launchWithConfig(config, arguments);
     }
 
     /** Starts the program with another configuration file. */
-    public void launchOn(Path configuration, String... arguments) throws IOException {
+    public void launchWithConfig(Path configuration, String... arguments) throws IOException {
         ProcessBuilder builder = command(arguments).redirectErrorStream(true).redirectOutput(log.toFile());
         builder.environment().put("PROXY_CONFIG", configuration.toString());
         process = builder.start();
     }
 
     /** Starts the program without warm-up. It knows no endpoint until discovery answers its call. */
-    public void launchCold(String... arguments) throws IOException {
+    public void launchWithoutWarmUp(String... arguments) throws IOException {
         List<String> all = new ArrayList<>(List.of("serve", "cold"));
         all.addAll(List.of(arguments));
         launch(all.toArray(new String[0]));
--- a/src/test/java/gatelock/standin/SessionBenchmark.java
+++ b/src/test/java/gatelock/standin/SessionBenchmark.java
@@ -41,7 +41,7 @@
             Path operator = directory.resolve("operator.json");
             Files.writeString(
                     operator, "{\"control\": {\"services\": [\"" + control.address() + "\"]}, \"sessions\": {}}");
-            control.offer(1, "m", 1, VERSION);
+            control.publish(1, "m", 1, VERSION);
             String configuration = configuration(deployment, endpoint, port);
             List<String> arguments = List.of("--operator", operator.toString());
             try (RelayProcess relay = RelayProcess.start(directory, port, configuration, FLAGS, arguments)) {
--- a/src/test/java/gatelock/standin/WebSocketEndpoint.java
+++ b/src/test/java/gatelock/standin/WebSocketEndpoint.java
@@ -25,9 +25,9 @@
      * An event on a session.
      *
      * @param atNs time of System.nanoTime
-     * @param what the text of a message, {@code open}, {@code close CODE}, or {@code ended} without a close frame
+     * @param event the text of a message, {@code open}, {@code close CODE}, or {@code ended} without a close frame
      */
-    public record Received(long atNs, String what) {}
+    public record Received(long atNs, String event) {}
 
     private final ServerSocket listener = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final List<Received> received = new CopyOnWriteArrayList<>();
--- a/src/test/java/gatelock/state/ClientConnectionsTest.java
+++ b/src/test/java/gatelock/state/ClientConnectionsTest.java
@@ -89,7 +89,7 @@
                 c.startedUs = nowUs;
                 clients.add(c);
                 connections.accepted(nowUs, c);
-                connections.evictIfCrowded(nowUs);
+                connections.evictIfOverLimit(nowUs);
             }
             clients.removeIf(c -> !c.open);
             for (Client c : clients) {
