--- a/src/main/java/gatelock/boot/RelayService.java
+++ b/src/main/java/gatelock/boot/RelayService.java
@@ -204,7 +204,7 @@
         clientListener.setRequestHandler(reader, controlPlane == null);
         int queuedRequests = pipeline.startForwarding();
         if (queuedRequests > 0) {
-            LOG.log(Level.INFO, "held until ready: " + queuedRequests + " requests");
+            LOG.log(Level.INFO, "queued until ready: " + queuedRequests + " requests");
         }
         try {
             if (controlPlane != null) {
--- a/src/main/java/gatelock/boot/StartupWarmUp.java
+++ b/src/main/java/gatelock/boot/StartupWarmUp.java
@@ -222,7 +222,7 @@
 
     /** Completes the warm-up after all of its requests have ended. */
     private void finish() {
-        LOG.log(Level.INFO, "rehearsed " + sent + " requests: " + counters);
+        LOG.log(Level.INFO, "warm-up complete, " + sent + " requests sent: " + counters);
         pipeline.stopWarmUp();
         clientPool.shutdown();
         onComplete.accept(this);
--- a/src/main/java/gatelock/config/RouteExplainer.java
+++ b/src/main/java/gatelock/config/RouteExplainer.java
@@ -50,11 +50,11 @@
 
     private static String answerWithoutRoute(CompiledConfig config, RequestAttributes request) {
         if (RouteMatch.isAmbiguousPath(request.path())) {
-            return "400: a unit may read this path as another one";
+            return "400: the path is ambiguous, a unit may interpret it differently";
         }
         return config.rejectsUnmatched()
-                ? "404: no route is for it"
-                : "no route is for it: it goes by the first part of its path, to all units, without limits";
+                ? "404: no route matches the request"
+                : "no route matches the request: it is routed by its first path segment, to all units, without limits";
     }
 
     /** Returns a human-readable description of a limit. */
@@ -81,17 +81,15 @@
     /** Returns a human-readable description of a retry policy. */
     static String describe(RetryPolicy policy) {
         if (policy.equals(RetryPolicy.UNRESTRICTED)) {
-            return "as the module decides";
+            return "no retry policy, the decision engine decides";
         }
-        StringBuilder text = new StringBuilder(policy.name() + ": " + policy.maxAttempts() + " tries");
+        StringBuilder text = new StringBuilder(policy.name() + ": " + policy.maxAttempts() + " attempts");
         if (policy.maxAttempts() != 1) {
-            text.append(" after ").append(resultWords(policy));
-            text.append(", further ones up to ")
-                    .append(formatNumber(policy.budgetRatio()))
-                    .append(" of reqs");
+            text.append(", retries after ").append(resultWords(policy));
+            text.append(" up to ").append(formatNumber(policy.budgetRatio())).append(" of reqs");
         }
         if (policy.attemptTimeoutUs() > 0) {
-            text.append(", each for ")
+            text.append(", each attempt up to ")
                     .append(policy.attemptTimeoutUs() / US_PER_MS)
                     .append(" ms");
         }
--- a/src/main/java/gatelock/control/ConfigUpdater.java
+++ b/src/main/java/gatelock/control/ConfigUpdater.java
@@ -110,7 +110,7 @@
         if (isFirstOccurrence) {
             LOG.log(
                     Level.WARNING,
-                    "version {0} is not applied, {1}: {2} stays in force",
+                    "version {0} is not applied: {1}; {2} stays in force",
                     LogField.of("version", version),
                     LogField.of("reason", answer),
                     LogField.of("held", versions.latestAccepted()));
@@ -189,7 +189,7 @@
                 .collect(Collectors.joining(" | "));
         LOG.log(
                 Level.WARNING,
-                "version {0} is turned down, {1} stays in force: {2}",
+                "version {0} is rejected, {1} stays in force: {2}",
                 LogField.of("version", version),
                 LogField.of("held", versions.active()),
                 LogField.of("reason", reason));
--- a/src/main/java/gatelock/control/LastKnownGoodStore.java
+++ b/src/main/java/gatelock/control/LastKnownGoodStore.java
@@ -151,7 +151,7 @@
             } catch (NoSuchFileException e) {
                 LOG.log(Level.DEBUG, "{0} does not exist", file);
             } catch (IOException | RuntimeException e) {
-                LOG.log(Level.WARNING, file + " is passed over: " + e.getMessage());
+                LOG.log(Level.WARNING, file + " is skipped: " + e.getMessage());
             }
         }
         return found;
@@ -172,7 +172,7 @@
         }
         byte[] text = Arrays.copyOfRange(bytes, Math.min(bytes.length, headerEnd + 1), bytes.length);
         if (text.length != Integer.parseInt(header[4])) {
-            throw new IOException("it is cut or torn: " + text.length + " bytes of " + header[4]);
+            throw new IOException("it is truncated or damaged: " + text.length + " bytes of " + header[4]);
         }
         ConfigVersion.Epoch epoch = new ConfigVersion.Epoch(Long.parseLong(header[1]), header[2]);
         ConfigVersion version = new ConfigVersion(epoch, Long.parseLong(header[3]), ConfigVersion.hash(text));
--- a/src/test/java/gatelock/ConfigUpdateTest.java
+++ b/src/test/java/gatelock/ConfigUpdateTest.java
@@ -207,7 +207,7 @@
         Thread.sleep(2_000);
         // The backoff grows to 0.4 s with full jitter: about ten polls in 2 s, where a busy loop would make thousands.
         assertThat(control.pollCount() - pollsBefore).isBetween(2, 60);
-        assertThat(relay.log().split("is turned down", -1)).hasSize(2);
+        assertThat(relay.log().split("is rejected", -1)).hasSize(2);
         control.behave(ControlService.Behavior.IGNORES_HOLD);
         pollsBefore = control.pollCount();
         Thread.sleep(1_000);
@@ -297,7 +297,7 @@
         Files.write(storeDirectory.resolve("last-good.plan"), Arrays.copyOf(latestFile, latestFile.length - 7));
         start();
         assertThat(relay.log())
-                .contains("last-good.plan is passed over: it is cut or torn")
+                .contains("last-good.plan is skipped: it is truncated or damaged: ")
                 .contains("-a:1 in force, 2 routes, from disk");
         assertThat(relayStatus("POST /post", "p1")).isEqualTo("404");
         assertServed("POST /claim", "c1");
@@ -323,7 +323,7 @@
                         .containsEntry("version", 1);
             }
             assertServed("POST /claim", "c1");
-            assertThat(relay.log().split("is not applied, old-epoch", -1)).hasSize(2);
+            assertThat(relay.log().split("is not applied: old-epoch; ", -1)).hasSize(2);
         }
     }
 
--- a/src/test/java/gatelock/StartupTest.java
+++ b/src/test/java/gatelock/StartupTest.java
@@ -26,7 +26,7 @@
             assertThat(readMessage(client)).isNull();
         }
         assertThat(endpoint.calls()).isEmpty();
-        assertThat(relay.log()).contains("rehearsed").doesNotContain("unexpected");
+        assertThat(relay.log()).contains("warm-up complete, ").doesNotContain("unexpected");
     }
 
     @Test
@@ -43,7 +43,7 @@
                 assertThat(readMessage(client).body()).isEqualTo("from an endpoint");
             }
         }
-        relay.awaitLog("held until ready");
+        relay.awaitLog("queued until ready");
         assertThat(relay.log()).doesNotContain("unexpected");
     }
 
